--- a/crates/benchlink/src/codec.rs
+++ b/crates/benchlink/src/codec.rs
@@ -28,9 +28,14 @@
             return Ok(None);
         }
         if got < BATCH_HEADER {
-            return Err(format!("a batch's header ends after {got} of {BATCH_HEADER} bytes"));
+            return Err(format!(
+                "a batch's header ends after {got} of {BATCH_HEADER} bytes"
+            ));
         }
-        let mut fields = Fields { bytes: &header, at: 0 };
+        let mut fields = Fields {
+            bytes: &header,
+            at: 0,
+        };
         let (number, length, count) = (fields.u32(), fields.u32() as usize, fields.u32() as usize);
         let now = fields.f64() / 1e3;
         if !now.is_finite() {
@@ -44,15 +49,28 @@
         let mut body = vec![0; length];
         let got = fill(input, &mut body).map_err(|e| format!("batch {number}: {e}"))?;
         if got < length {
-            return Err(format!("batch {number}: ends after {got} of {length} bytes"));
+            return Err(format!(
+                "batch {number}: ends after {got} of {length} bytes"
+            ));
         }
-        Ok(Some(Batch { number, count, now, body }))
+        Ok(Some(Batch {
+            number,
+            count,
+            now,
+            body,
+        }))
     }
 
     /// The code of a record, and its fields.
     pub fn record(&self, index: usize) -> (u8, Fields<'_>) {
         let record = &self.body[index * EVENT_BYTES..(index + 1) * EVENT_BYTES];
-        (record[0], Fields { bytes: record, at: 1 })
+        (
+            record[0],
+            Fields {
+                bytes: record,
+                at: 1,
+            },
+        )
     }
 
     /// What a field of the form (offset, length) points at, each of `length` things being `size` bytes.
@@ -61,7 +79,10 @@
         let from = offset as usize;
         let to = from.saturating_add((length as usize).saturating_mul(size));
         tail.get(from..to).ok_or_else(|| {
-            format!("bytes {from} to {to} lie outside the tail, which has {} bytes", tail.len())
+            format!(
+                "bytes {from} to {to} lie outside the tail, which has {} bytes",
+                tail.len()
+            )
         })
     }
 }
@@ -148,7 +169,10 @@
         for field in fields {
             self.records.extend_from_slice(field);
         }
-        debug_assert!(self.records.len() <= end, "an action's fields overrun its record");
+        debug_assert!(
+            self.records.len() <= end,
+            "an action's fields overrun its record"
+        );
         self.records.resize(end, 0);
         self.count += 1;
     }
@@ -157,7 +181,10 @@
     pub fn text(&mut self, code: u8, text: &str) {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.record(code, &[&offset.to_le_bytes(), &(text.len() as u32).to_le_bytes()]);
+        self.record(
+            code,
+            &[&offset.to_le_bytes(), &(text.len() as u32).to_le_bytes()],
+        );
     }
 
     /// Takes back the last record, if nothing followed the given state.
--- a/crates/benchlink/src/link.rs
+++ b/crates/benchlink/src/link.rs
@@ -21,7 +21,14 @@
     fn execute(&mut self, stmt: u32, node: u32, limit: f64) {
         // A negative limit has run out, but 0 would mean none at all.
         let limit = if limit > 0.0 { limit * 1e3 } else { -1.0 };
-        self.0.record(90, &[&stmt.to_le_bytes(), &node.to_le_bytes(), &limit.to_le_bytes()]);
+        self.0.record(
+            90,
+            &[
+                &stmt.to_le_bytes(),
+                &node.to_le_bytes(),
+                &limit.to_le_bytes(),
+            ],
+        );
     }
 
     /// The simulator's stores offer no outcomes, and no settings here ask for them.
@@ -32,7 +39,10 @@
     }
 
     fn reject(&mut self, stmt: u32, retry_after: f64) {
-        self.0.record(130, &[&stmt.to_le_bytes(), &(retry_after * 1e3).to_le_bytes()]);
+        self.0.record(
+            130,
+            &[&stmt.to_le_bytes(), &(retry_after * 1e3).to_le_bytes()],
+        );
     }
 
     fn abort(&mut self, stmt: u32) {
@@ -64,7 +74,9 @@
     let mut reply = Reply::default();
     while let Some(batch) = Batch::read(input)? {
         link.answer(&batch, &mut reply)?;
-        reply.send(batch.number, output).map_err(|e| format!("batch {}: {e}", batch.number))?;
+        reply
+            .send(batch.number, output)
+            .map_err(|e| format!("batch {}: {e}", batch.number))?;
     }
     Ok(())
 }
@@ -81,7 +93,9 @@
                 self.event(batch, code, fields, &mut present, &mut spoken_to, reply)
             }));
             match told {
-                Ok(told) => told.map_err(|e| format!("batch {}, record {index}: {e}", batch.number))?,
+                Ok(told) => {
+                    told.map_err(|e| format!("batch {}, record {index}: {e}", batch.number))?
+                }
                 Err(panic) => return self.fault(present, panic, reply),
             }
         }
@@ -103,18 +117,28 @@
     }
 
     pub fn fault(
-        &mut self, id: Option<u32>, panic: Box<dyn std::any::Any + Send>, reply: &mut Reply,
+        &mut self,
+        id: Option<u32>,
+        panic: Box<dyn std::any::Any + Send>,
+        reply: &mut Reply,
     ) -> Result<(), String> {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("the module panicked");
+        let text = text
+            .or_else(|| panic.downcast_ref::<&str>().copied())
+            .unwrap_or("the module panicked");
         reply.record(30, &[&id.unwrap_or(0).to_le_bytes()]);
         reply.text(110, text);
         Ok(())
     }
 
     fn event(
-        &mut self, batch: &Batch, code: u8, mut f: Fields<'_>, present: &mut Option<u32>,
-        spoken_to: &mut BTreeSet<u32>, reply: &mut Reply,
+        &mut self,
+        batch: &Batch,
+        code: u8,
+        mut f: Fields<'_>,
+        present: &mut Option<u32>,
+        spoken_to: &mut BTreeSet<u32>,
+        reply: &mut Reply,
     ) -> Result<(), String> {
         let now = batch.now;
         if code == 120 {
@@ -123,16 +147,20 @@
         }
         if code == 110 {
             let (number, span) = (f.u16(), f.span());
-            let list =
-                self.lists.get_mut(usize::from(number)).ok_or(format!("list number {number} is over 15"))?;
+            let list = self
+                .lists
+                .get_mut(usize::from(number))
+                .ok_or(format!("list number {number} is over 15"))?;
             *list = Some(batch.tail(span, ENTRY_BYTES)?.to_vec());
             return Ok(());
         }
         let id = present.ok_or("an event comes before any record names its instance")?;
         if code == 10 {
             let (seed, span) = (f.u64(), f.span());
-            let text = std::str::from_utf8(batch.tail(span, 1)?).map_err(|e| format!("the settings: {e}"))?;
-            let (instance, reading) = badgerstream_provision::instance(seed, &Pairs::from_lines(text))?;
+            let text = std::str::from_utf8(batch.tail(span, 1)?)
+                .map_err(|e| format!("the settings: {e}"))?;
+            let (instance, reading) =
+                badgerstream_provision::instance(seed, &Pairs::from_lines(text))?;
             if reading.subscribes {
                 subscribe(id, reply);
             }
@@ -177,7 +205,17 @@
                     return Err(format!("class {workload} is not in the settings"));
                 }
                 let work = if options & 1 == 1 { hint } else { 0.0 };
-                instance.arrived(now, stmt, workload, group, session, usize::from(customer), work, due, age);
+                instance.arrived(
+                    now,
+                    stmt,
+                    workload,
+                    group,
+                    session,
+                    usize::from(customer),
+                    work,
+                    due,
+                    age,
+                );
             }
             40 => instance.started(f.u32()),
             50 => {
@@ -189,9 +227,22 @@
                     _ => None,
                 };
                 let position = note / 4;
-                let lsn =
-                    if position > 0 { reading.origin + f64::from(position) / 1e3 } else { f64::NEG_INFINITY };
-                instance.executed(now, stmt, execution, node, ending(outcome)?, took, over, role, lsn);
+                let lsn = if position > 0 {
+                    reading.origin + f64::from(position) / 1e3
+                } else {
+                    f64::NEG_INFINITY
+                };
+                instance.executed(
+                    now,
+                    stmt,
+                    execution,
+                    node,
+                    ending(outcome)?,
+                    took,
+                    over,
+                    role,
+                    lsn,
+                );
                 if let (n, values) = f.report()
                     && n > 0
                 {
@@ -203,7 +254,13 @@
             80 => {
                 let (_, node, outcome, (n, values)) = (f.seconds(), f.u32(), f.u16(), f.report());
                 let (primary, lsn) = report(reading, n, values);
-                instance.probed(now, node, ending(outcome)? == Ending::Completed, primary, lsn);
+                instance.probed(
+                    now,
+                    node,
+                    ending(outcome)? == Ending::Completed,
+                    primary,
+                    lsn,
+                );
             }
             100 => {
                 self.hosted.remove(&id);
@@ -220,8 +277,9 @@
 /// down is sure not to be past it.
 fn report(reading: &Reading, n: u8, values: [f32; 4]) -> (Option<bool>, f64) {
     let value = |column: Option<usize>| column.filter(|c| *c < usize::from(n)).map(|c| values[c]);
-    let lsn = value(reading.position_column)
-        .map_or(f64::NEG_INFINITY, |x| reading.origin + f64::from(x.next_down().max(0.0)));
+    let lsn = value(reading.position_column).map_or(f64::NEG_INFINITY, |x| {
+        reading.origin + f64::from(x.next_down().max(0.0))
+    });
     (value(reading.role_column).map(|x| x >= 0.5), lsn)
 }
 
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -13,7 +13,10 @@
     // A panic of the module is told over the wire, in one record.
     std::panic::set_hook(Box::new(|_| {}));
     let (input, output) = (stdin().lock(), stdout().lock());
-    match link::serve(&mut BufReader::with_capacity(1 << 16, input), &mut BufWriter::new(output)) {
+    match link::serve(
+        &mut BufReader::with_capacity(1 << 16, input),
+        &mut BufWriter::new(output),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
             eprintln!("{problem}");
--- a/crates/benchlink/src/tests.rs
+++ b/crates/benchlink/src/tests.rs
@@ -30,7 +30,9 @@
 }
 
 fn batch(now: f64, records: &[Vec<u8>], tail: &[u8]) -> Batch {
-    Batch::read(&mut &frame(1, now, records, tail)[..]).unwrap().unwrap()
+    Batch::read(&mut &frame(1, now, records, tail)[..])
+        .unwrap()
+        .unwrap()
 }
 
 const SETUP: &str = "classes.count=2
@@ -82,7 +84,12 @@
     list.extend(lines.to_le_bytes());
     list.extend(members);
     list.resize(EVENT_BYTES, 0);
-    let mut all = vec![record("78 03000000"), open, list, record("14 0000 01 2900000000000000")];
+    let mut all = vec![
+        record("78 03000000"),
+        open,
+        list,
+        record("14 0000 01 2900000000000000"),
+    ];
     all.extend(records.iter().map(|r| record(r)));
     let mut output = Vec::new();
     let input = frame(1, 45200.0, &all, &[SETUP.as_bytes(), &entry].concat());
@@ -90,14 +97,22 @@
 }
 
 fn codes(output: &[u8]) -> Vec<u8> {
-    let count = Fields { bytes: output, at: 4 }.u32() as usize;
+    let count = Fields {
+        bytes: output,
+        at: 4,
+    }
+    .u32() as usize;
     output[12..].chunks(24).take(count).map(|r| r[0]).collect()
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
     let mut output = Vec::new();
-    serve(&mut &hex("01000000 00000000 00000000 00000000206ec040")[..], &mut output).unwrap();
+    serve(
+        &mut &hex("01000000 00000000 00000000 00000000206ec040")[..],
+        &mut output,
+    )
+    .unwrap();
     assert_eq!(output, hex("01000000 00000000 00000000"));
 }
 
@@ -110,8 +125,14 @@
     let read = batch(8412.25, &records.map(record), &[]);
     assert_eq!((read.number, read.count, read.now), (1, 2, 8.41225));
     let (code, mut f) = read.record(1);
-    assert_eq!((code, f.u32(), f.u16(), f.seconds()), (30, 0x5d3a_91c4, 0, 0.012));
-    assert_eq!((f.u64(), f.u16(), f.seconds()), (0x91f0_3b7c_55d2_0a64, 0, 8.65225));
+    assert_eq!(
+        (code, f.u32(), f.u16(), f.seconds()),
+        (30, 0x5d3a_91c4, 0, 0.012)
+    );
+    assert_eq!(
+        (f.u64(), f.u16(), f.seconds()),
+        (0x91f0_3b7c_55d2_0a64, 0, 8.65225)
+    );
     assert_eq!((f.u8(), f.f32(), f.f32()), (1, 11.0, 412.5));
 }
 
@@ -142,16 +163,20 @@
 #[test]
 fn a_panic_is_told_as_in_the_worked_example() {
     let (mut reply, mut output) = (Reply::default(), Vec::new());
-    Link::default().fault(Some(3), Box::new("index out of range"), &mut reply).unwrap();
+    Link::default()
+        .fault(Some(3), Box::new("index out of range"), &mut reply)
+        .unwrap();
     reply.send(1, &mut output).unwrap();
     let fault = format!("6e 00000000 12000000 {}", "00".repeat(15));
-    assert_eq!(output[12 + 24..], hex(&(fault + "696e646578206f7574206f662072616e6765")));
+    assert_eq!(
+        output[12 + 24..],
+        hex(&(fault + "696e646578206f7574206f662072616e6765"))
+    );
 }
 
 #[test]
 fn a_hosted_instance_probes_and_executes() {
-    let stmt =
-        "1e c4913a5d 0000 0000000000002840 0000000000000000 0000 0000000000bae640 00 00003041 00000000";
+    let stmt = "1e c4913a5d 0000 0000000000002840 0000000000000000 0000 0000000000bae640 00 00003041 00000000";
     let codes = codes(&hosted(&[stmt]).unwrap());
     assert_eq!(codes[0], 30, "the instance is named first");
     assert!(codes.contains(&20) && codes.contains(&90), "{codes:?}");
@@ -159,8 +184,7 @@
 
 #[test]
 fn a_restart_in_one_batch_forgets_all() {
-    let stmt =
-        "1e c4913a5d 0000 0000000000002840 0000000000000000 0000 0000000000bae640 00 00003041 00000000";
+    let stmt = "1e c4913a5d 0000 0000000000002840 0000000000000000 0000 0000000000bae640 00 00003041 00000000";
     assert!(codes(&hosted(&[stmt, "64"]).unwrap()).is_empty());
 }
 
@@ -189,7 +213,10 @@
 fn an_event_needs_a_running_instance() {
     let records = [record("78 09000000"), record("46 4d000000")];
     let told = Link::default().answer(&batch(1.0, &records, &[]), &mut Reply::default());
-    assert_eq!(told.unwrap_err(), "batch 1, record 1: instance 9 is not running");
+    assert_eq!(
+        told.unwrap_err(),
+        "batch 1, record 1: instance 9 is not running"
+    );
 }
 
 #[test_case("01000000 00000000", "a batch's header ends after 8 of 20 bytes"; "header cut")]
--- a/crates/calls/src/call.rs
+++ b/crates/calls/src/call.rs
@@ -125,16 +125,27 @@
     type Answer = HeartbeatAnswer;
 
     fn read(request: &'a Request) -> Result<Beat, CallError> {
-        let id = members::heartbeat_id(&request.path).ok_or_else(|| CallError::Id(request.path.clone()))?;
-        let beat = Heartbeat::read(&request.body).map_err(|error| CallError::Body(error.to_string()))?;
+        let id = members::heartbeat_id(&request.path)
+            .ok_or_else(|| CallError::Id(request.path.clone()))?;
+        let beat =
+            Heartbeat::read(&request.body).map_err(|error| CallError::Body(error.to_string()))?;
         if beat.address().is_none() {
-            return Err(CallError::Body(format!("endpoint {:?} is no address with a port", beat.endpoint)));
+            return Err(CallError::Body(format!(
+                "endpoint {:?} is no address with a port",
+                beat.endpoint
+            )));
         }
-        Ok(Beat { id: id.to_owned(), beat })
+        Ok(Beat {
+            id: id.to_owned(),
+            beat,
+        })
     }
 
     fn operation(self) -> Operation<'a> {
-        Operation::Beat { id: self.id, beat: self.beat }
+        Operation::Beat {
+            id: self.id,
+            beat: self.beat,
+        }
     }
 }
 
@@ -145,7 +156,8 @@
 
     fn read(request: &'a Request) -> Result<Depart, CallError> {
         // Whatever the body says: that it ends is all there is to know.
-        let id = members::depart_id(&request.path).ok_or_else(|| CallError::Id(request.path.clone()))?;
+        let id =
+            members::depart_id(&request.path).ok_or_else(|| CallError::Id(request.path.clone()))?;
         Ok(Depart { id: id.to_owned() })
     }
 
@@ -160,17 +172,24 @@
     type Answer = Done;
 
     fn read(request: &'a Request) -> Result<Replace<'a>, CallError> {
-        let base = match request.header(BASE_VERSION).map(str::trim) {
-            Some(text) => Some(
-                text.parse().map_err(|_| CallError::Header(BASE_VERSION, text.chars().take(40).collect()))?,
-            ),
-            None => None,
-        };
-        Ok(Replace { base, body: &request.body })
+        let base =
+            match request.header(BASE_VERSION).map(str::trim) {
+                Some(text) => Some(text.parse().map_err(|_| {
+                    CallError::Header(BASE_VERSION, text.chars().take(40).collect())
+                })?),
+                None => None,
+            };
+        Ok(Replace {
+            base,
+            body: &request.body,
+        })
     }
 
     fn operation(self) -> Operation<'a> {
-        Operation::Replace { base: self.base, body: self.body }
+        Operation::Replace {
+            base: self.base,
+            body: self.body,
+        }
     }
 }
 
@@ -244,8 +263,15 @@
 
 /// The request as this kind of call, none if it came at another method or path.
 fn attempt<'a, C: Call<'a>>(request: &'a Request) -> Option<Result<Operation<'a>, CallError>> {
-    let path = request.path.split_once('?').map_or(request.path.as_str(), |(path, _)| path);
-    let here = if C::PATH.ends_with('/') { path.starts_with(C::PATH) } else { path == C::PATH };
+    let path = request
+        .path
+        .split_once('?')
+        .map_or(request.path.as_str(), |(path, _)| path);
+    let here = if C::PATH.ends_with('/') {
+        path.starts_with(C::PATH)
+    } else {
+        path == C::PATH
+    };
     (here && request.method == C::METHOD).then(|| C::read(request).map(C::operation))
 }
 
@@ -282,18 +308,25 @@
 /// The bytes that answer a call: to `Beat` a `Reply<HeartbeatAnswer>`, say. `path` is the request's, for a
 /// caller that is sent elsewhere.
 pub fn reply<A: Answer>(reply: &Reply<A>, path: &str, keep_alive: bool) -> Vec<u8> {
-    let reason =
-        |why: &str| format!("{{\"error\":{}}}", nanoserde::SerJson::serialize_json(why)).into_bytes();
+    let reason = |why: &str| {
+        format!("{{\"error\":{}}}", nanoserde::SerJson::serialize_json(why)).into_bytes()
+    };
     match reply {
         Reply::Done(answer) => response(200, &[], &answer.body(), keep_alive),
-        Reply::Elsewhere(address) => {
-            response(307, &[("Location", &format!("http://{address}{path}"))], b"", keep_alive)
-        }
+        Reply::Elsewhere(address) => response(
+            307,
+            &[("Location", &format!("http://{address}{path}"))],
+            b"",
+            keep_alive,
+        ),
         Reply::Invalid(why) => response(400, &[], &reason(why), keep_alive),
         Reply::Unknown => response(404, &[], b"", keep_alive),
-        Reply::OtherBase(current) => {
-            response(412, &[], &reason(&format!("version {current} is in place")), keep_alive)
-        }
+        Reply::OtherBase(current) => response(
+            412,
+            &[],
+            &reason(&format!("version {current} is in place")),
+            keep_alive,
+        ),
         Reply::Unsettled(why) => response(503, &[], &reason(why), keep_alive),
     }
 }
--- a/crates/calls/src/config.rs
+++ b/crates/calls/src/config.rs
@@ -66,7 +66,9 @@
     }
 
     fn read(word: &str) -> Option<Mode> {
-        [Mode::Leader, Mode::BoundedStaleness, Mode::InHouse].into_iter().find(|mode| mode.word() == word)
+        [Mode::Leader, Mode::BoundedStaleness, Mode::InHouse]
+            .into_iter()
+            .find(|mode| mode.word() == word)
     }
 }
 
@@ -234,7 +236,9 @@
     let mut found: Vec<String> = Vec::new();
     for place in places {
         let inside = |outer: &String| {
-            place.strip_prefix(outer.as_str()).is_some_and(|rest| rest.starts_with(['.', '[']))
+            place
+                .strip_prefix(outer.as_str())
+                .is_some_and(|rest| rest.starts_with(['.', '[']))
         };
         if !known(&place) && !found.iter().any(inside) {
             found.push(place);
@@ -252,17 +256,29 @@
         let routes = text.routes.ok_or_else(|| missing("routes"))?;
         let backends = text.backends.ok_or_else(|| missing("backends"))?;
 
-        let services: Vec<Service> =
-            backends.into_iter().enumerate().map(|(at, text)| text.service(at)).collect::<Result<_, _>>()?;
-        let routes: Vec<Route> =
-            routes.into_iter().enumerate().map(|(at, text)| text.route(at)).collect::<Result<_, _>>()?;
-
-        let names: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
+        let services: Vec<Service> = backends
+            .into_iter()
+            .enumerate()
+            .map(|(at, text)| text.service(at))
+            .collect::<Result<_, _>>()?;
+        let routes: Vec<Route> = routes
+            .into_iter()
+            .enumerate()
+            .map(|(at, text)| text.route(at))
+            .collect::<Result<_, _>>()?;
+
+        let names: HashSet<&str> = services
+            .iter()
+            .map(|service| service.name.as_str())
+            .collect();
         let mut places: HashMap<(&str, &str), usize> = HashMap::with_capacity(routes.len());
         let mut by_authority: HashMap<String, usize> = HashMap::with_capacity(routes.len());
         for (at, route) in routes.iter().enumerate() {
             if !names.contains(route.service.as_str()) {
-                return Err(ConfigError::UnknownService(place(at, &route.name), route.service.clone()));
+                return Err(ConfigError::UnknownService(
+                    place(at, &route.name),
+                    route.service.clone(),
+                ));
             }
             if let Some(other) = places.insert((&route.authority, &route.path_prefix), at) {
                 return Err(ConfigError::SamePlace(
@@ -280,7 +296,13 @@
             }
         }
         let limits = text.limits.map(LimitsText::limits).unwrap_or_default();
-        Ok(Config { epoch, routes, services, limits, by_authority })
+        Ok(Config {
+            epoch,
+            routes,
+            services,
+            limits,
+            by_authority,
+        })
     }
 
     /// The route of the database with that name.
@@ -304,7 +326,8 @@
         let place = place(at, self.name.as_deref().unwrap_or("no name"));
         let missing = |field| ConfigError::Missing(place.clone(), field);
         let mode = self.mode.ok_or_else(|| missing("mode"))?;
-        let mode = Mode::read(&mode).ok_or_else(|| ConfigError::UnknownMode(place.clone(), mode))?;
+        let mode =
+            Mode::read(&mode).ok_or_else(|| ConfigError::UnknownMode(place.clone(), mode))?;
         let deadline_ms = self.deadline_ms.ok_or_else(|| missing("deadline_ms"))?;
         if deadline_ms == 0 {
             return Err(ConfigError::NoDeadline(place));
@@ -327,7 +350,9 @@
 impl ServiceText {
     fn service(self, at: usize) -> Result<Service, ConfigError> {
         Ok(Service {
-            name: self.name.ok_or_else(|| ConfigError::Missing(format!("backends[{at}]"), "name"))?,
+            name: self
+                .name
+                .ok_or_else(|| ConfigError::Missing(format!("backends[{at}]"), "name"))?,
             probe: self.probe.unwrap_or_else(|| "/health".to_owned()),
             max_conns: self.max_conns.unwrap_or(16),
             protocol: self.protocol.unwrap_or_default(),
@@ -363,7 +388,11 @@
             ("rank", self.rank.to_string()),
             ("backend", self.service.clone()),
             ("tries", self.tries.to_string()),
-            ("staleness_ms", self.staleness_ms.map_or_else(|| "-".to_owned(), |ms| ms.to_string())),
+            (
+                "staleness_ms",
+                self.staleness_ms
+                    .map_or_else(|| "-".to_owned(), |ms| ms.to_string()),
+            ),
         ]
     }
 }
@@ -403,11 +432,20 @@
         BTreeMap::from([("part=whole".to_owned(), fields)])
     };
     let services = |config: &Config| {
-        config.services.iter().rev().map(|s| (format!("service={}", s.name), s.fields())).collect()
+        config
+            .services
+            .iter()
+            .rev()
+            .map(|s| (format!("service={}", s.name), s.fields()))
+            .collect()
     };
     let routes = |config: &Config| {
         let place = |r: &Route| format!("route={} path_prefix={}", r.authority, r.path_prefix);
-        config.routes.iter().map(|r| (place(r), r.fields())).collect()
+        config
+            .routes
+            .iter()
+            .map(|r| (place(r), r.fields()))
+            .collect()
     };
     compare(&mut lines, &whole(a), &whole(b));
     compare(&mut lines, &services(a), &services(b));
@@ -425,7 +463,9 @@
             continue;
         };
         for ((field, from), (_, to)) in before.iter().zip(now).filter(|(from, to)| from != to) {
-            lines.push(format!("{what} change=changed field={field} from={from} to={to}"));
+            lines.push(format!(
+                "{what} change=changed field={field} from={from} to={to}"
+            ));
         }
     }
 }
--- a/crates/calls/src/http.rs
+++ b/crates/calls/src/http.rs
@@ -97,7 +97,10 @@
 }
 
 fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
-    headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+    headers
+        .iter()
+        .find(|(n, _)| n.eq_ignore_ascii_case(name))
+        .map(|(_, v)| v.as_str())
 }
 
 /// Cuts the requests out of the bytes of one connection, server side.
@@ -112,7 +115,9 @@
 impl Requests {
     /// A machine for a new connection that takes bodies of up to `max_body` bytes.
     pub fn new(max_body: usize) -> Requests {
-        Requests { messages: Messages::new(max_body) }
+        Requests {
+            messages: Messages::new(max_body),
+        }
     }
 
     /// Takes bytes as they came.
@@ -122,7 +127,10 @@
 
     /// The next whole request, or none before more bytes come. After an error every further call gives the
     /// same error.
-    #[expect(clippy::should_implement_trait, reason = "an iterator that ends is not what this is")]
+    #[expect(
+        clippy::should_implement_trait,
+        reason = "an iterator that ends is not what this is"
+    )]
     pub fn next(&mut self) -> Result<Option<Request>, HttpError> {
         self.messages.next()
     }
@@ -142,7 +150,9 @@
 impl Responses {
     /// A machine for a new connection that takes bodies of up to `max_body` bytes.
     pub fn new(max_body: usize) -> Responses {
-        Responses { messages: Messages::new(max_body) }
+        Responses {
+            messages: Messages::new(max_body),
+        }
     }
 
     /// Takes bytes as they came.
@@ -152,7 +162,10 @@
 
     /// The next whole answer, or none before more bytes come. After an error every further call gives the
     /// same error.
-    #[expect(clippy::should_implement_trait, reason = "an iterator that ends is not what this is")]
+    #[expect(
+        clippy::should_implement_trait,
+        reason = "an iterator that ends is not what this is"
+    )]
     pub fn next(&mut self) -> Result<Option<Response>, HttpError> {
         self.messages.next()
     }
@@ -172,7 +185,11 @@
         if let Stage::Body(_, Framing::UntilClose) = self.messages.stage {
             return Ok(self.messages.close());
         }
-        if self.messages.partial() { Err(HttpError::Cut) } else { Ok(None) }
+        if self.messages.partial() {
+            Err(HttpError::Cut)
+        } else {
+            Ok(None)
+        }
     }
 }
 
@@ -225,7 +242,12 @@
 
 impl<M: Message> Messages<M> {
     fn new(max_body: usize) -> Messages<M> {
-        Messages { bytes: Vec::new(), at: 0, stage: Stage::Head, max_body }
+        Messages {
+            bytes: Vec::new(),
+            at: 0,
+            stage: Stage::Head,
+            max_body,
+        }
     }
 
     fn feed(&mut self, bytes: &[u8]) {
@@ -242,7 +264,9 @@
 
     fn partial(&self) -> bool {
         match self.stage {
-            Stage::Head => self.bytes[self.at..].iter().any(|b| !matches!(b, b'\r' | b'\n')),
+            Stage::Head => self.bytes[self.at..]
+                .iter()
+                .any(|b| !matches!(b, b'\r' | b'\n')),
             Stage::Body(..) => true,
             Stage::Broken(_) => false,
         }
@@ -302,14 +326,20 @@
                     }
                 }
                 Stage::Body(message, framing) => {
-                    let (used, next) =
-                        read_body(&self.bytes[self.at..], message.body(), *framing, self.max_body)?;
+                    let (used, next) = read_body(
+                        &self.bytes[self.at..],
+                        message.body(),
+                        *framing,
+                        self.max_body,
+                    )?;
                     self.at += used;
                     match next {
                         Some(next) if next == *framing && used == 0 => return Ok(None),
                         Some(next) => *framing = next,
                         None => {
-                            let Some(message) = self.close() else { continue };
+                            let Some(message) = self.close() else {
+                                continue;
+                            };
                             if !message.interim() {
                                 return Ok(Some(message));
                             }
@@ -323,7 +353,10 @@
 
 /// Reads on in a body: how many of the bytes were used and what comes next, none at the body's end.
 fn read_body(
-    bytes: &[u8], body: &mut Vec<u8>, framing: Framing, max_body: usize,
+    bytes: &[u8],
+    body: &mut Vec<u8>,
+    framing: Framing,
+    max_body: usize,
 ) -> Result<(usize, Option<Framing>), HttpError> {
     Ok(match framing {
         Framing::Length(left) => {
@@ -332,7 +365,14 @@
                 body.reserve_exact(left);
             }
             body.extend_from_slice(&bytes[..used]);
-            (used, if used == left { None } else { Some(Framing::Length(left - used)) })
+            (
+                used,
+                if used == left {
+                    None
+                } else {
+                    Some(Framing::Length(left - used))
+                },
+            )
         }
         Framing::UntilClose => {
             if body.len() + bytes.len() > max_body {
@@ -366,7 +406,14 @@
         Framing::Chunk(left) => {
             let used = left.min(bytes.len());
             body.extend_from_slice(&bytes[..used]);
-            (used, Some(if used == left { Framing::ChunkEnd } else { Framing::Chunk(left - used) }))
+            (
+                used,
+                Some(if used == left {
+                    Framing::ChunkEnd
+                } else {
+                    Framing::Chunk(left - used)
+                }),
+            )
         }
         Framing::ChunkEnd => match bytes {
             [b'\r', b'\n', ..] => (2, Some(Framing::ChunkSize)),
@@ -391,7 +438,9 @@
     fn head(bytes: &[u8]) -> Result<Option<(Request, usize, Framing)>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let Status::Complete(used) = head.parse(bytes).map_err(malformed)? else { return Ok(None) };
+        let Status::Complete(used) = head.parse(bytes).map_err(malformed)? else {
+            return Ok(None);
+        };
         let version = head.version.unwrap_or(1);
         let headers = texts(head.headers);
         let framing = framing(&headers, version)?.unwrap_or(Framing::Length(0));
@@ -404,7 +453,13 @@
             _ => target,
         };
         let method = head.method.unwrap_or_default().to_owned();
-        let request = Request { method, path: path.to_owned(), headers, body: Vec::new(), keep_alive };
+        let request = Request {
+            method,
+            path: path.to_owned(),
+            headers,
+            body: Vec::new(),
+            keep_alive,
+        };
         Ok(Some((request, used, framing)))
     }
 
@@ -421,7 +476,9 @@
     fn head(bytes: &[u8]) -> Result<Option<(Response, usize, Framing)>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let Status::Complete(used) = head.parse(bytes).map_err(malformed)? else { return Ok(None) };
+        let Status::Complete(used) = head.parse(bytes).map_err(malformed)? else {
+            return Ok(None);
+        };
         let version = head.version.unwrap_or(1);
         let status = head.code.unwrap_or_default();
         let headers = texts(head.headers);
@@ -431,7 +488,16 @@
             _ => framing(&headers, version)?.unwrap_or(Framing::UntilClose),
         };
         let keep_alive = framing != Framing::UntilClose && keep_alive(&headers, version);
-        Ok(Some((Response { status, headers, body: Vec::new(), keep_alive }, used, framing)))
+        Ok(Some((
+            Response {
+                status,
+                headers,
+                body: Vec::new(),
+                keep_alive,
+            },
+            used,
+            framing,
+        )))
     }
 
     fn interim(&self) -> bool {
@@ -458,7 +524,15 @@
 }
 
 fn texts(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
-    headers.iter().map(|h| (h.name.to_owned(), String::from_utf8_lossy(h.value).into_owned())).collect()
+    headers
+        .iter()
+        .map(|h| {
+            (
+                h.name.to_owned(),
+                String::from_utf8_lossy(h.value).into_owned(),
+            )
+        })
+        .collect()
 }
 
 /// How the end of the body is known as the headers tell it, none if they don't.
@@ -479,7 +553,9 @@
         } else {
             continue;
         };
-        if framing.is_some_and(|before| before != told) || (framing.is_some() && told == Framing::ChunkSize) {
+        if framing.is_some_and(|before| before != told)
+            || (framing.is_some() && told == Framing::ChunkSize)
+        {
             return Err(HttpError::Malformed("length of the body told in two ways"));
         }
         framing = Some(told);
@@ -491,10 +567,16 @@
     let told = |word: &str| {
         headers.iter().any(|(name, value)| {
             name.eq_ignore_ascii_case("Connection")
-                && value.split(',').any(|part| part.trim().eq_ignore_ascii_case(word))
+                && value
+                    .split(',')
+                    .any(|part| part.trim().eq_ignore_ascii_case(word))
         })
     };
-    if version == 0 { told("keep-alive") && !told("close") } else { !told("close") }
+    if version == 0 {
+        told("keep-alive") && !told("close")
+    } else {
+        !told("close")
+    }
 }
 
 /// The bytes of an answer, with `Content-Length` in every case, `Content-Type: application/json` for a body
@@ -511,7 +593,13 @@
 
 /// The bytes of a request to `host` (`10.0.0.4:8080` say), with `Content-Length` and, for a body whose type
 /// `headers` doesn't tell, `Content-Type: application/json`.
-pub fn request(method: &str, path: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn request(
+    method: &str,
+    path: &str,
+    host: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> Vec<u8> {
     let mut out = Vec::with_capacity(128 + body.len());
     out.extend(word(method));
     out.push(b' ');
@@ -530,7 +618,11 @@
         out.extend(line(value));
         out.extend_from_slice(b"\r\n");
     }
-    if !body.is_empty() && !headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("Content-Type")) {
+    if !body.is_empty()
+        && !headers
+            .iter()
+            .any(|(name, _)| name.eq_ignore_ascii_case("Content-Type"))
+    {
         out.extend_from_slice(b"Content-Type: application/json\r\n");
     }
     if length {
--- a/crates/calls/src/json.rs
+++ b/crates/calls/src/json.rs
@@ -46,7 +46,8 @@
 
 /// Reads a body that must be one whole JSON value.
 pub fn read<T: DeJson>(body: &[u8]) -> Result<T, JsonError> {
-    let text = std::str::from_utf8(body).map_err(|e| JsonError::Syntax(e.valid_up_to(), "no UTF-8"))?;
+    let text =
+        std::str::from_utf8(body).map_err(|e| JsonError::Syntax(e.valid_up_to(), "no UTF-8"))?;
     check(body)?;
     Ok(T::deserialize_json(text)?)
 }
@@ -75,7 +76,11 @@
     let mut scan = Scan { bytes, at: 0 };
     scan.value(on_key)?;
     scan.blanks();
-    if scan.at < bytes.len() { scan.fail("text after the end") } else { Ok(()) }
+    if scan.at < bytes.len() {
+        scan.fail("text after the end")
+    } else {
+        Ok(())
+    }
 }
 
 struct Scan<'a> {
@@ -85,7 +90,11 @@
 
 impl<'a> Scan<'a> {
     fn fail<T>(&self, what: &'static str) -> Result<T, JsonError> {
-        let what = if self.at >= self.bytes.len() { "breaks off" } else { what };
+        let what = if self.at >= self.bytes.len() {
+            "breaks off"
+        } else {
+            what
+        };
         Err(JsonError::Syntax(self.at, what))
     }
 
@@ -113,7 +122,11 @@
                         return self.fail("nested too deep");
                     }
                     self.at += 1;
-                    open.push(if c == b'{' { Some(BTreeSet::new()) } else { None });
+                    open.push(if c == b'{' {
+                        Some(BTreeSet::new())
+                    } else {
+                        None
+                    });
                     self.blanks();
                     // The closing bracket stands two places behind the opening one.
                     if self.peek() != Some(c + 2) {
@@ -134,7 +147,9 @@
             // Behind a value, or at the end of an empty list or object.
             loop {
                 let depth = open.len();
-                let Some(top) = open.last_mut() else { return Ok(()) };
+                let Some(top) = open.last_mut() else {
+                    return Ok(());
+                };
                 self.blanks();
                 let close = if top.is_some() { b'}' } else { b']' };
                 match self.peek() {
@@ -183,7 +198,9 @@
                 Some(b'\\') => {
                     self.at += 1;
                     match self.peek() {
-                        Some(b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't') => self.at += 1,
+                        Some(b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't') => {
+                            self.at += 1
+                        }
                         Some(b'u') => {
                             self.at += 1;
                             for _ in 0..4 {
--- a/crates/calls/src/members.rs
+++ b/crates/calls/src/members.rs
@@ -112,8 +112,9 @@
 fn id<'a>(path: &'a str, before: &str) -> Option<&'a str> {
     let id = path.strip_prefix(before)?;
     let id = id.split_once('?').map_or(id, |(id, _)| id);
-    let fits =
-        !id.is_empty() && id.len() <= ID_BYTES && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+    let fits = !id.is_empty()
+        && id.len() <= ID_BYTES
+        && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
     fits.then_some(id)
 }
 
--- a/crates/calls/src/promotion.rs
+++ b/crates/calls/src/promotion.rs
@@ -11,7 +11,11 @@
 /// router that holds the duty, under the fence `fence`, which goes up whenever the holder changes. `host`
 /// is the platform's address.
 pub fn promotion(service: &str, id: &str, holder: &str, fence: u64, host: &str) -> Vec<u8> {
-    let body = format!("{{\"backend\":{},\"id\":{}}}", service.serialize_json(), id.serialize_json());
+    let body = format!(
+        "{{\"backend\":{},\"id\":{}}}",
+        service.serialize_json(),
+        id.serialize_json()
+    );
     let fence = fence.to_string();
     let headers = [("X-Duty-Holder", holder), ("X-Fence-Token", fence.as_str())];
     http::request("POST", PROMOTIONS, host, &headers, body.as_bytes())
--- a/crates/calls/src/settings.rs
+++ b/crates/calls/src/settings.rs
@@ -184,8 +184,11 @@
                 Some((field.strip_prefix("zones.")?.to_owned(), region.clone()))
             })
             .collect();
-        let region =
-            fields.text("region").or(zones.get(&zone).map(String::as_str)).unwrap_or_default().to_owned();
+        let region = fields
+            .text("region")
+            .or(zones.get(&zone).map(String::as_str))
+            .unwrap_or_default()
+            .to_owned();
         Ok(Settings {
             node_name: fields.required("node_name")?,
             role: fields.required("role")?,
@@ -266,7 +269,8 @@
     fn read(text: &str) -> Result<Fields, SettingsError> {
         let mut values = HashMap::new();
         for line in PropertiesIter::new(latin(text).as_bytes()) {
-            let line = line.map_err(|e| SettingsError::Line(e.line_number().unwrap_or(0), e.to_string()))?;
+            let line =
+                line.map_err(|e| SettingsError::Line(e.line_number().unwrap_or(0), e.to_string()))?;
             let number = line.line_number();
             if let LineContent::KVPair(field, value) = line.consume_content() {
                 values.insert(field, (number, value.trim().to_owned()));
@@ -277,11 +281,16 @@
 
     /// The field's text; a field without one counts as absent.
     fn text(&self, field: &str) -> Option<&str> {
-        self.values.get(field).map(|(_, value)| value.as_str()).filter(|value| !value.is_empty())
+        self.values
+            .get(field)
+            .map(|(_, value)| value.as_str())
+            .filter(|value| !value.is_empty())
     }
 
     fn required(&self, field: &'static str) -> Result<String, SettingsError> {
-        self.text(field).map(str::to_owned).ok_or(SettingsError::Missing(field))
+        self.text(field)
+            .map(str::to_owned)
+            .ok_or(SettingsError::Missing(field))
     }
 
     fn wrong(&self, field: &str, value: &str, what: &str) -> SettingsError {
@@ -290,12 +299,21 @@
     }
 
     fn parsed<T: FromStr>(&self, field: &str, what: &str) -> Result<Option<T>, SettingsError> {
-        let Some(value) = self.text(field) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| self.wrong(field, value, what))
+        let Some(value) = self.text(field) else {
+            return Ok(None);
+        };
+        value
+            .parse()
+            .map(Some)
+            .map_err(|_| self.wrong(field, value, what))
     }
 
     fn items(&self, field: &str) -> impl Iterator<Item = &str> {
-        self.text(field).unwrap_or_default().split(',').map(str::trim).filter(|item| !item.is_empty())
+        self.text(field)
+            .unwrap_or_default()
+            .split(',')
+            .map(str::trim)
+            .filter(|item| !item.is_empty())
     }
 
     fn words(&self, field: &str) -> Vec<String> {
@@ -307,15 +325,22 @@
     }
 
     fn addresses(&self, field: &str) -> Result<Vec<SocketAddr>, SettingsError> {
-        let read =
-            |item: &str| item.parse().map_err(|_| self.wrong(field, item, "is no address with a port"));
+        let read = |item: &str| {
+            item.parse()
+                .map_err(|_| self.wrong(field, item, "is no address with a port"))
+        };
         self.items(field).map(read).collect()
     }
 
     fn ports(&self, field: &str) -> Result<Option<(u16, u16)>, SettingsError> {
-        let Some(value) = self.text(field) else { return Ok(None) };
+        let Some(value) = self.text(field) else {
+            return Ok(None);
+        };
         let ports = value.split_once(',').and_then(|(first, last)| {
-            Some((first.trim().parse::<u16>().ok()?, last.trim().parse::<u16>().ok()?))
+            Some((
+                first.trim().parse::<u16>().ok()?,
+                last.trim().parse::<u16>().ok()?,
+            ))
         });
         match ports {
             Some((first, last)) if 0 < first && first <= last => Ok(Some((first, last))),
@@ -337,7 +362,11 @@
         if number.is_finite() && number >= 0.0 {
             return Ok(number);
         }
-        Err(self.wrong(field, self.text(field).unwrap_or_default(), "is no number from 0 on"))
+        Err(self.wrong(
+            field,
+            self.text(field).unwrap_or_default(),
+            "is no number from 0 on",
+        ))
     }
 
     fn above_0(&self, field: &str, default: f64) -> Result<f64, SettingsError> {
@@ -345,12 +374,18 @@
         if number > 0.0 {
             return Ok(number);
         }
-        Err(self.wrong(field, self.text(field).unwrap_or_default(), "is not above 0"))
+        Err(self.wrong(
+            field,
+            self.text(field).unwrap_or_default(),
+            "is not above 0",
+        ))
     }
 
     /// A whole number; `260.0` is one too.
     fn whole<T: TryFrom<u64>>(&self, field: &str, default: T) -> Result<T, SettingsError> {
-        let Some(value) = self.text(field) else { return Ok(default) };
+        let Some(value) = self.text(field) else {
+            return Ok(default);
+        };
         let fraction = |value: &str| {
             let number: f64 = value.parse().ok()?;
             (number.fract() == 0.0 && (0.0..1e15).contains(&number)).then_some(number as u64)
@@ -364,7 +399,11 @@
     /// A span of time, above 0.
     fn span(&self, field: &str, default: u64) -> Result<u64, SettingsError> {
         match self.whole(field, default)? {
-            0 => Err(self.wrong(field, self.text(field).unwrap_or_default(), "is not above 0")),
+            0 => Err(self.wrong(
+                field,
+                self.text(field).unwrap_or_default(),
+                "is not above 0",
+            )),
             span => Ok(span),
         }
     }
@@ -376,7 +415,11 @@
             suspect_ms: self.span("badgerstream.suspect_ms", 600)?,
         };
         if own.renew_ms >= own.lease_ms {
-            let told = if self.text("badgerstream.renew_ms").is_some() { "renew_ms" } else { "lease_ms" };
+            let told = if self.text("badgerstream.renew_ms").is_some() {
+                "renew_ms"
+            } else {
+                "lease_ms"
+            };
             let field = format!("badgerstream.{told}");
             let value = self.text(&field).unwrap_or_default();
             return Err(self.wrong(&field, value, "leaves renew_ms not below lease_ms"));
--- a/crates/calls/src/tests/call.rs
+++ b/crates/calls/src/tests/call.rs
@@ -22,14 +22,23 @@
 #[test]
 fn a_beat_is_read() {
     let request = call("POST", "/api/Members.Heartbeat/i-7f3a91c2", &[], BEAT);
-    let Ok(Operation::Beat { id, beat }) = dispatch(&request) else { panic!("no beat") };
+    let Ok(Operation::Beat { id, beat }) = dispatch(&request) else {
+        panic!("no beat")
+    };
     assert_eq!(id, "i-7f3a91c2");
     assert_eq!(
-        (beat.backend.as_str(), beat.zone.as_str(), beat.epoch.as_str()),
+        (
+            beat.backend.as_str(),
+            beat.zone.as_str(),
+            beat.epoch.as_str()
+        ),
         ("huvo11a", "ahm-naroda", "v1")
     );
     assert_eq!((beat.capacity, beat.cold_left_ms, beat.call_seq), (7, 0, 4));
-    assert_eq!((beat.phase, beat.db_role), (Phase::Ready, Some(DbRole::Follower)));
+    assert_eq!(
+        (beat.phase, beat.db_role),
+        (Phase::Ready, Some(DbRole::Follower))
+    );
     assert_eq!(beat.address(), "10.128.0.9:8080".parse().ok());
     assert_eq!(beat.serialize_json(), BEAT);
 }
@@ -41,7 +50,10 @@
         .replace(r#""cold_left_ms":0"#, r#""cold_left_ms":412.75"#)
         .replace(r#""ready""#, r#""draining""#);
     let beat = Heartbeat::read(text.as_bytes()).unwrap();
-    assert_eq!((beat.cold_left_ms, beat.db_role, beat.phase), (412, None, Phase::Draining));
+    assert_eq!(
+        (beat.cold_left_ms, beat.db_role, beat.phase),
+        (412, None, Phase::Draining)
+    );
 }
 
 #[test]
@@ -69,7 +81,10 @@
     assert_eq!(of("GET", "/api/readiness"), "Ok(Readiness)");
     assert_eq!(of("GET", "/api/readiness?x"), "Ok(Readiness)");
     assert_eq!(of("GET", "/api/Config.Read"), "Ok(Read)");
-    assert_eq!(of("POST", "/api/Members.Depart/i-9?now"), r#"Ok(Depart { id: "i-9" })"#);
+    assert_eq!(
+        of("POST", "/api/Members.Depart/i-9?now"),
+        r#"Ok(Depart { id: "i-9" })"#
+    );
     for (method, path) in [
         ("POST", "/api/readiness"),
         ("GET", "/api/Config.Replace"),
@@ -80,24 +95,59 @@
         assert_eq!(of(method, path), "Ok(Other)", "{method} {path}");
     }
     let depart = call("POST", "/api/Members.Depart/i-9", &[], "whatever {");
-    assert_eq!(dispatch(&depart), Ok(Operation::Depart { id: "i-9".to_owned() }));
+    assert_eq!(
+        dispatch(&depart),
+        Ok(Operation::Depart {
+            id: "i-9".to_owned()
+        })
+    );
 }
 
 #[test]
 fn a_replace_tells_its_base_and_keeps_its_body() {
-    let request = call("POST", "/api/Config.Replace", &[("x-base-version", "5")], "{ not looked at");
-    assert_eq!(dispatch(&request), Ok(Operation::Replace { base: Some(5), body: b"{ not looked at" }));
+    let request = call(
+        "POST",
+        "/api/Config.Replace",
+        &[("x-base-version", "5")],
+        "{ not looked at",
+    );
+    assert_eq!(
+        dispatch(&request),
+        Ok(Operation::Replace {
+            base: Some(5),
+            body: b"{ not looked at"
+        })
+    );
     let request = call("POST", "/api/Config.Replace", &[], "");
-    assert_eq!(dispatch(&request), Ok(Operation::Replace { base: None, body: b"" }));
-    let request = call("POST", "/api/Config.Replace", &[("X-Base-Version", "five")], "{}");
-    assert_eq!(dispatch(&request).unwrap_err().to_string(), r#"X-Base-Version: "five" is no whole number"#);
+    assert_eq!(
+        dispatch(&request),
+        Ok(Operation::Replace {
+            base: None,
+            body: b""
+        })
+    );
+    let request = call(
+        "POST",
+        "/api/Config.Replace",
+        &[("X-Base-Version", "five")],
+        "{}",
+    );
+    assert_eq!(
+        dispatch(&request).unwrap_err().to_string(),
+        r#"X-Base-Version: "five" is no whole number"#
+    );
 }
 
 #[test]
 fn replies_are_what_callers_follow() {
     let beat = answer(&reply(&Reply::Done(HeartbeatAnswer::default()), "/", true));
-    assert_eq!((beat.status, beat.body.as_slice(), beat.keep_alive), (200, b"{}".as_slice(), true));
-    let to = HeartbeatAnswer { beat_endpoint: Some("10.0.0.4:8080".to_owned()) };
+    assert_eq!(
+        (beat.status, beat.body.as_slice(), beat.keep_alive),
+        (200, b"{}".as_slice(), true)
+    );
+    let to = HeartbeatAnswer {
+        beat_endpoint: Some("10.0.0.4:8080".to_owned()),
+    };
     let beat = answer(&reply(&Reply::Done(to), "/", true));
     assert_eq!(beat.body, br#"{"beat_endpoint":"10.0.0.4:8080"}"#);
 
@@ -109,7 +159,10 @@
     );
 
     let body = b"{ \"as\": \"sent\" }".to_vec();
-    assert_eq!(answer(&reply(&Reply::Done(Stored(body.clone())), "/", true)).body, body);
+    assert_eq!(
+        answer(&reply(&Reply::Done(Stored(body.clone())), "/", true)).body,
+        body
+    );
     for (given, status) in [
         (Reply::Done(Done), 200),
         (Reply::Invalid("a \"b\"".to_owned()), 400),
@@ -128,9 +181,18 @@
 #[test]
 fn a_promotion_names_service_server_holder_and_fence() {
     let mut machine = Requests::new(1000);
-    machine.feed(&promotion("huvo11a", "i-\"7", "core-a-1", 12, "10.200.0.160:8783"));
+    machine.feed(&promotion(
+        "huvo11a",
+        "i-\"7",
+        "core-a-1",
+        12,
+        "10.200.0.160:8783",
+    ));
     let request = machine.next().unwrap().unwrap();
-    assert_eq!((request.method.as_str(), request.path.as_str()), ("POST", "/promotions"));
+    assert_eq!(
+        (request.method.as_str(), request.path.as_str()),
+        ("POST", "/promotions")
+    );
     assert_eq!(request.header("X-Duty-Holder"), Some("core-a-1"));
     assert_eq!(request.header("X-Fence-Token"), Some("12"));
     assert_eq!(request.header("Host"), Some("10.200.0.160:8783"));
--- a/crates/calls/src/tests/config.rs
+++ b/crates/calls/src/tests/config.rs
@@ -17,24 +17,36 @@
 #[test]
 fn the_page_is_read() {
     let config = page();
-    assert_eq!((config.epoch, config.routes.len(), config.services.len()), (7, 3, 3));
+    assert_eq!(
+        (config.epoch, config.routes.len(), config.services.len()),
+        (7, 3, 3)
+    );
     let route = config.route("xapu221ny95").unwrap();
     assert_eq!(
         (route.name.as_str(), route.mode, route.staleness_ms),
         ("r-nfqasnm", Mode::BoundedStaleness, Some(1500))
     );
-    assert_eq!((route.deadline_ms, route.target_ms, route.rank, route.tries), (2000, 1000, 2, 2));
+    assert_eq!(
+        (route.deadline_ms, route.target_ms, route.rank, route.tries),
+        (2000, 1000, 2, 2)
+    );
     assert_eq!(config.route("lepu270").unwrap().staleness_ms, None);
     assert_eq!(config.route("lepu27"), None);
     let service = config.service(&route.service).unwrap();
-    assert_eq!((service.max_conns, service.sync_replicas, service.tls), (80, 1, false));
+    assert_eq!(
+        (service.max_conns, service.sync_replicas, service.tls),
+        (80, 1, false)
+    );
     assert_eq!(config.limits, Limits::default());
 }
 
 #[test]
 fn a_configuration_cut_anywhere_is_refused() {
     for end in 0..PAGE.len() {
-        assert!(Config::read(&PAGE.as_bytes()[..end]).is_err(), "cut at {end}");
+        assert!(
+            Config::read(&PAGE.as_bytes()[..end]).is_err(),
+            "cut at {end}"
+        );
     }
 }
 
@@ -50,7 +62,12 @@
             *byte = u.arbitrary()?;
         }
         if let Ok(config) = Config::read(&bytes) {
-            assert!(config.routes.iter().all(|r| r.deadline_ms > 0 && config.service(&r.service).is_some()));
+            assert!(
+                config
+                    .routes
+                    .iter()
+                    .all(|r| r.deadline_ms > 0 && config.service(&r.service).is_some())
+            );
         }
         Ok(())
     });
@@ -81,14 +98,25 @@
         .replace(r#""authority""#, &format!(r#"{split}"authority""#))
         .replace(r#""probe""#, r#""weights":[[{"a":1}]],"probe""#);
     assert_eq!(Config::read(text.as_bytes()), Ok(page()));
-    let told = ["backends[].weights", "routes[].dedline_ms", "routes[].split", "tenants"];
-    assert_eq!(without_effect(text.as_bytes()), Ok(told.map(str::to_owned).to_vec()));
+    let told = [
+        "backends[].weights",
+        "routes[].dedline_ms",
+        "routes[].split",
+        "tenants",
+    ];
+    assert_eq!(
+        without_effect(text.as_bytes()),
+        Ok(told.map(str::to_owned).to_vec())
+    );
     assert!(without_effect(&text.as_bytes()[..text.len() - 1]).is_err());
 }
 
 #[test]
 fn what_follows_makes_it_unreadable_and_blanks_do_not() {
-    assert_eq!(Config::read(format!(" \r\n{PAGE}\n\n").as_bytes()), Ok(page()));
+    assert_eq!(
+        Config::read(format!(" \r\n{PAGE}\n\n").as_bytes()),
+        Ok(page())
+    );
     for more in ["}", "{}", PAGE, "x", "\0", ",", "//"] {
         let error = Config::read(format!("{PAGE}{more}").as_bytes()).unwrap_err();
         let told = format!("can't be read: byte {}: text after the end", PAGE.len());
@@ -99,24 +127,48 @@
 #[test]
 fn invalid_ones_are_told_by_route_and_field() {
     for (from, to, told) in [
-        (r#""deadline_ms":1000"#, r#""deadline_ms":0"#, "routes[0] (r-n2ctnfz): deadline_ms is 0"),
-        (r#""deadline_ms":2000,"#, "", "routes[1] (r-nfqasnm): deadline_ms is missing"),
-        (r#""deadline_ms":2000"#, r#""deadline_ms":null"#, "routes[1] (r-nfqasnm): deadline_ms is missing"),
+        (
+            r#""deadline_ms":1000"#,
+            r#""deadline_ms":0"#,
+            "routes[0] (r-n2ctnfz): deadline_ms is 0",
+        ),
+        (
+            r#""deadline_ms":2000,"#,
+            "",
+            "routes[1] (r-nfqasnm): deadline_ms is missing",
+        ),
+        (
+            r#""deadline_ms":2000"#,
+            r#""deadline_ms":null"#,
+            "routes[1] (r-nfqasnm): deadline_ms is missing",
+        ),
         (
             r#""backend":"huvo11a""#,
             r#""backend":"gone""#,
             r#"routes[0] (r-n2ctnfz): backend "gone" is unknown"#,
         ),
-        (r#""in_house""#, r#""outside""#, r#"routes[2] (r-68k7b2e): mode "outside" is unknown"#),
+        (
+            r#""in_house""#,
+            r#""outside""#,
+            r#"routes[2] (r-68k7b2e): mode "outside" is unknown"#,
+        ),
         (
             "xapu221ny95",
             "lepu270",
             r#"routes[1] (r-nfqasnm): authority "lepu270" with path_prefix "/" already belongs to routes[0] (r-n2ctnfz)"#,
         ),
         (r#""epoch":7,"#, "", "configuration: epoch is missing"),
-        (r#""backends""#, r#""services""#, "configuration: backends is missing"),
+        (
+            r#""backends""#,
+            r#""services""#,
+            "configuration: backends is missing",
+        ),
         (r#""name":"kafi81c","#, "", "backends[2]: name is missing"),
-        (r#""name":"r-68k7b2e","#, "", "routes[2] (no name): name is missing"),
+        (
+            r#""name":"r-68k7b2e","#,
+            "",
+            "routes[2] (no name): name is missing",
+        ),
     ] {
         assert_eq!(changed(from, to).to_string(), told);
     }
@@ -124,12 +176,18 @@
         (r#""epoch":7"#, r#""epoch":-7"#),
         (r#""epoch":7"#, r#""epoch":"7""#),
         (r#""deadline_ms":2000"#, r#""deadline_ms":-1"#),
-        (r#""deadline_ms":2000"#, r#""deadline_ms":2000,"deadline_ms":0"#),
+        (
+            r#""deadline_ms":2000"#,
+            r#""deadline_ms":2000,"deadline_ms":0"#,
+        ),
         (r#""tls":false"#, r#""tls":"no""#),
         (r#""epoch":7"#, r#""epoch":7,,"#),
         ("lepu270", "lepu\u{1}270"),
     ] {
-        assert!(matches!(changed(from, to), ConfigError::Unreadable(_)), "{to}");
+        assert!(
+            matches!(changed(from, to), ConfigError::Unreadable(_)),
+            "{to}"
+        );
     }
     assert!(Config::read(b"\xff").is_err());
     assert!(Config::read(b"[]").is_err());
@@ -147,7 +205,10 @@
         (r#""tries":2"#, r#""tries":0"#),
         (r#""target_ms":500,"#, ""),
         (r#","sync_replicas":1"#, ""),
-        (r#""authority":"xapu221ny95","path_prefix":"/""#, r#""authority":"lepu270","path_prefix":"/b""#),
+        (
+            r#""authority":"xapu221ny95","path_prefix":"/""#,
+            r#""authority":"lepu270","path_prefix":"/b""#,
+        ),
     ] {
         let text = PAGE.replacen(from, to, 1);
         assert_ne!(text, PAGE, "{from}");
@@ -158,12 +219,17 @@
 
 #[test]
 fn of_several_prefixes_the_route_for_all_paths_is_meant() {
-    let text = PAGE.replacen(r#""path_prefix":"/""#, r#""path_prefix":"/b""#, 1).replacen(
-        "xapu221ny95",
-        "lepu270",
-        1,
+    let text = PAGE
+        .replacen(r#""path_prefix":"/""#, r#""path_prefix":"/b""#, 1)
+        .replacen("xapu221ny95", "lepu270", 1);
+    assert_eq!(
+        Config::read(text.as_bytes())
+            .unwrap()
+            .route("lepu270")
+            .unwrap()
+            .name,
+        "r-nfqasnm"
     );
-    assert_eq!(Config::read(text.as_bytes()).unwrap().route("lepu270").unwrap().name, "r-nfqasnm");
 }
 
 #[test]
--- a/crates/calls/src/tests/http.rs
+++ b/crates/calls/src/tests/http.rs
@@ -1,4 +1,6 @@
-use crate::http::{HEAD_BYTES, HttpError, Request, Requests, Response, Responses, request, response};
+use crate::http::{
+    HEAD_BYTES, HttpError, Request, Requests, Response, Responses, request, response,
+};
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
 
@@ -130,13 +132,19 @@
     let chunked = "4;x=y\r\nwiki\r\nA\r\n0123456789\r\n0\r\nA: b\r\n\r\n";
     let get = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     let post = "POST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
-    let bytes = format!("{get}POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunked}\r\n{post}{get}");
+    let bytes = format!(
+        "{get}POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{chunked}\r\n{post}{get}"
+    );
     let bytes = bytes.as_bytes();
     let whole = requests(50, &[bytes]);
     assert_eq!((whole.0.len(), whole.1), (4, None));
     assert_eq!(whole.0[1].body, b"wiki0123456789");
     for at in 1..bytes.len() {
-        assert_eq!(requests(50, &[&bytes[..at], &bytes[at..]]), whole, "cut at {at}");
+        assert_eq!(
+            requests(50, &[&bytes[..at], &bytes[at..]]),
+            whole,
+            "cut at {at}"
+        );
     }
     assert_eq!(requests(50, &bytes.chunks(1).collect::<Vec<_>>()), whole);
 
@@ -147,7 +155,11 @@
     let whole = responses(50, &[bytes]);
     assert_eq!((whole.0.len(), whole.1), (3, None));
     for at in 1..bytes.len() {
-        assert_eq!(responses(50, &[&bytes[..at], &bytes[at..]]), whole, "cut at {at}");
+        assert_eq!(
+            responses(50, &[&bytes[..at], &bytes[at..]]),
+            whole,
+            "cut at {at}"
+        );
     }
     assert_eq!(responses(50, &bytes.chunks(1).collect::<Vec<_>>()), whole);
 }
@@ -158,7 +170,10 @@
         let start = "GET / HTTP/1.1\r\nX: ";
         format!("{start}{}\r\n\r\n", "y".repeat(total - start.len() - 4)).into_bytes()
     };
-    for (total, error) in [(HEAD_BYTES, None), (HEAD_BYTES + 1, Some(HttpError::HeadTooLarge))] {
+    for (total, error) in [
+        (HEAD_BYTES, None),
+        (HEAD_BYTES + 1, Some(HttpError::HeadTooLarge)),
+    ] {
         let bytes = head(total);
         let whole = requests(0, &[&bytes]);
         assert_eq!(whole.1, error);
@@ -175,17 +190,35 @@
         let body: Vec<u8> = u.arbitrary()?;
         let value = String::from_utf8_lossy(u.bytes(6)?).into_owned();
         let keep_alive = u.arbitrary()?;
-        let bytes = request("POST", "/p/i-7", "10.0.0.4:8080", &[("X-Base-Version", &value)], &body);
+        let bytes = request(
+            "POST",
+            "/p/i-7",
+            "10.0.0.4:8080",
+            &[("X-Base-Version", &value)],
+            &body,
+        );
         let read = one_of(requests(1 << 20, &[&bytes]));
-        assert_eq!((read.method.as_str(), read.path.as_str()), ("POST", "/p/i-7"));
+        assert_eq!(
+            (read.method.as_str(), read.path.as_str()),
+            ("POST", "/p/i-7")
+        );
         assert_eq!(read.header("host"), Some("10.0.0.4:8080"));
-        assert_eq!(read.headers.iter().filter(|(n, _)| n == "X-Base-Version").count(), 1);
+        assert_eq!(
+            read.headers
+                .iter()
+                .filter(|(n, _)| n == "X-Base-Version")
+                .count(),
+            1
+        );
         assert_eq!(read.body, body);
 
         let bytes = response(200, &[("Location", &value)], &body, keep_alive);
         let read = one_of(responses(1 << 20, &[&bytes]));
         assert_eq!((read.status, read.keep_alive), (200, keep_alive));
-        assert_eq!(read.header("content-type"), (!body.is_empty()).then_some("application/json"));
+        assert_eq!(
+            read.header("content-type"),
+            (!body.is_empty()).then_some("application/json")
+        );
         assert_eq!(read.body, body);
         Ok(())
     });
@@ -198,7 +231,13 @@
 
 #[test]
 fn names_from_outside_add_no_lines_and_no_fields() {
-    let bytes = request("POST", "/a b\r\nX: y", "h\r\nY: z", &[("A", "1\r\nContent-Length: 9")], b"");
+    let bytes = request(
+        "POST",
+        "/a b\r\nX: y",
+        "h\r\nY: z",
+        &[("A", "1\r\nContent-Length: 9")],
+        b"",
+    );
     let read = one(&bytes);
     assert_eq!(read.path, "/abX:y");
     assert_eq!(read.header("X").or(read.header("Y")), None);
@@ -216,9 +255,15 @@
 
 #[test]
 fn a_target_with_a_host_is_its_path() {
-    assert_eq!(one(b"GET http://10.0.0.1:80/a?b HTTP/1.1\r\n\r\n").path, "/a?b");
+    assert_eq!(
+        one(b"GET http://10.0.0.1:80/a?b HTTP/1.1\r\n\r\n").path,
+        "/a?b"
+    );
     assert_eq!(one(b"GET http://10.0.0.1:80 HTTP/1.1\r\n\r\n").path, "/");
-    assert_eq!(one(b"GET /x?u=http://y HTTP/1.1\r\n\r\n").path, "/x?u=http://y");
+    assert_eq!(
+        one(b"GET /x?u=http://y HTTP/1.1\r\n\r\n").path,
+        "/x?u=http://y"
+    );
 }
 
 #[test]
@@ -234,22 +279,46 @@
         "Content-Length:",
         "Content-Length : 3",
     ] {
-        assert_eq!(refused(format!("POST / HTTP/1.1\r\n{headers}\r\n\r\nabc").as_bytes()), 400, "{headers}");
+        assert_eq!(
+            refused(format!("POST / HTTP/1.1\r\n{headers}\r\n\r\nabc").as_bytes()),
+            400,
+            "{headers}"
+        );
     }
-    assert_eq!(refused(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 400);
-    assert_eq!(refused(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n\r\n"), 400);
-    assert_eq!(refused(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"), 400);
+    assert_eq!(
+        refused(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+        400
+    );
+    assert_eq!(
+        refused(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n\r\n"),
+        400
+    );
+    assert_eq!(
+        refused(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"),
+        400
+    );
 }
 
 #[test]
 fn too_much_is_told_from_malformed() {
-    assert_eq!(refused(b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n"), 413);
-    assert_eq!(refused(b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999999\r\n\r\n"), 413);
-    assert_eq!(refused(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"), 413);
+    assert_eq!(
+        refused(b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n"),
+        413
+    );
+    assert_eq!(
+        refused(b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999999\r\n\r\n"),
+        413
+    );
+    assert_eq!(
+        refused(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"),
+        413
+    );
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(65));
     assert_eq!(refused(many.as_bytes()), 431);
-    let trailers =
-        format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n{}", "A: b\r\n".repeat(4000));
+    let trailers = format!(
+        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n{}",
+        "A: b\r\n".repeat(4000)
+    );
     assert_eq!(refused(trailers.as_bytes()), 431);
     assert_eq!(refused(b"CONNECT lepu270 u3f1\r\n\r\n"), 400);
 }
@@ -266,11 +335,20 @@
 #[test]
 fn an_answer_without_length_ends_with_the_connection_and_others_may_not_break_off() {
     let (all, error) = responses(100, &[b"HTTP/1.1 200 OK\r\n\r\nsome", b" bytes"]);
-    assert_eq!((all[0].body.as_slice(), all[0].keep_alive, error), (b"some bytes".as_slice(), false, None));
-    for cut in
-        ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", "HTTP/1.1 2", "HTTP/1.1 100 Continue\r\n\r\nH"]
-    {
-        assert_eq!(responses(100, &[cut.as_bytes()]), (vec![], Some(HttpError::Cut)), "{cut}");
+    assert_eq!(
+        (all[0].body.as_slice(), all[0].keep_alive, error),
+        (b"some bytes".as_slice(), false, None)
+    );
+    for cut in [
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
+        "HTTP/1.1 2",
+        "HTTP/1.1 100 Continue\r\n\r\nH",
+    ] {
+        assert_eq!(
+            responses(100, &[cut.as_bytes()]),
+            (vec![], Some(HttpError::Cut)),
+            "{cut}"
+        );
     }
     assert_eq!(responses(100, &[b""]), (vec![], None));
 }
--- a/crates/calls/src/tests/json.rs
+++ b/crates/calls/src/tests/json.rs
@@ -6,13 +6,20 @@
 fn draw(u: &mut Unstructured<'_>, depth: usize) -> Drawn<String> {
     let kinds = if depth == 0 { 2 } else { 4 };
     Ok(match u.int_in_range(0..=kinds - 1)? {
-        0 => (*u.choose(&["0", "-0", "17", "-1.5", "2e+3", "1E-2", "true", "false", "null"])?).to_owned(),
+        0 => (*u.choose(&[
+            "0", "-0", "17", "-1.5", "2e+3", "1E-2", "true", "false", "null",
+        ])?)
+        .to_owned(),
         1 => (*u.choose(&[r#""""#, r#""é""#, r#""a\"\\\u00e9\n""#, r#""{[,:]}""#])?).to_owned(),
         kind => {
             let mut items = Vec::new();
             for at in 0..u.int_in_range(0..=3)? {
                 let value = draw(u, depth - 1)?;
-                items.push(if kind == 2 { value } else { format!("\"k{at}\" :\t{value}") });
+                items.push(if kind == 2 {
+                    value
+                } else {
+                    format!("\"k{at}\" :\t{value}")
+                });
             }
             let (open, close) = if kind == 2 { ('[', ']') } else { ('{', '}') };
             format!("{open}\n{}\r{close}", items.join(" , "))
@@ -63,7 +70,11 @@
         ("[\"a\0b\"]", "byte 3: control character in a string"),
     ];
     for (text, error) in cases {
-        assert_eq!(check(text.as_bytes()).map_err(|e| e.to_string()), Err(error.to_owned()), "{text:?}");
+        assert_eq!(
+            check(text.as_bytes()).map_err(|e| e.to_string()),
+            Err(error.to_owned()),
+            "{text:?}"
+        );
     }
 }
 
--- a/crates/calls/src/tests/settings.rs
+++ b/crates/calls/src/tests/settings.rs
@@ -60,46 +60,96 @@
 #[test]
 fn the_page_is_read() {
     let settings = Settings::read(PAGE).unwrap();
-    assert_eq!((settings.node_name.as_str(), settings.role.as_str()), ("edge-lima-a-1", "my-edge"));
+    assert_eq!(
+        (settings.node_name.as_str(), settings.role.as_str()),
+        ("edge-lima-a-1", "my-edge")
+    );
     assert!(settings.serves("edge") && !settings.serves("coordinator"));
     assert_eq!(
-        (settings.zone.as_str(), settings.region.as_str(), settings.zones.len()),
+        (
+            settings.zone.as_str(),
+            settings.region.as_str(),
+            settings.zones.len()
+        ),
         ("lima-a", "lima", 3)
     );
     assert_eq!(settings.front, "10.1.0.8:8784".parse().ok());
-    assert_eq!((settings.control, settings.state_dir.as_ref()), (None, None));
-    assert_eq!((settings.port_range, settings.seeds.len()), ((7440, 7455), 3));
+    assert_eq!(
+        (settings.control, settings.state_dir.as_ref()),
+        (None, None)
+    );
+    assert_eq!(
+        (settings.port_range, settings.seeds.len()),
+        ((7440, 7455), 3)
+    );
     assert_eq!((settings.bootstrap, settings.voting), (true, false));
     assert_eq!(
-        (settings.limits.cpu_fraction, settings.limits.mem_mb, settings.limits.file_limit),
+        (
+            settings.limits.cpu_fraction,
+            settings.limits.mem_mb,
+            settings.limits.file_limit
+        ),
         (0.25, 260, 4200)
     );
-    assert_eq!((settings.heartbeat_ms, settings.fault_budget.machine_loss), (1200, 1));
     assert_eq!(
-        (settings.bounds.seed_stale_s, settings.bounds.thaw_ms, settings.bounds.fencing),
+        (settings.heartbeat_ms, settings.fault_budget.machine_loss),
+        (1200, 1)
+    );
+    assert_eq!(
+        (
+            settings.bounds.seed_stale_s,
+            settings.bounds.thaw_ms,
+            settings.bounds.fencing
+        ),
         (3.0, 300.0, false)
     );
     let provider = settings.provider.unwrap();
-    assert_eq!((provider.duty_per_s, provider.duties.as_slice()), (50.0, ["failover".to_owned()].as_slice()));
+    assert_eq!(
+        (provider.duty_per_s, provider.duties.as_slice()),
+        (50.0, ["failover".to_owned()].as_slice())
+    );
     assert_eq!(settings.invariants.len(), 6);
 }
 
 #[test]
 fn what_is_not_told_is_as_documented() {
     let settings = Settings::read(LEAST).unwrap();
-    assert_eq!(settings.own, Own { lease_ms: 1500, renew_ms: 300, suspect_ms: 600 });
-    assert_eq!((settings.port_range, settings.heartbeat_ms), ((7440, 7455), 1000));
-    assert_eq!((settings.provider, settings.seeds, settings.serves), (None, vec![], vec![]));
+    assert_eq!(
+        settings.own,
+        Own {
+            lease_ms: 1500,
+            renew_ms: 300,
+            suspect_ms: 600
+        }
+    );
+    assert_eq!(
+        (settings.port_range, settings.heartbeat_ms),
+        ((7440, 7455), 1000)
+    );
+    assert_eq!(
+        (settings.provider, settings.seeds, settings.serves),
+        (None, vec![], vec![])
+    );
     // An empty list is one without items.
-    let empty =
-        Settings::read(&format!("{LEAST}seeds=\nserves = edge , coordinator\nprovider.endpoint=\n")).unwrap();
-    assert_eq!((empty.seeds.len(), empty.serves.len(), empty.provider), (0, 2, None));
+    let empty = Settings::read(&format!(
+        "{LEAST}seeds=\nserves = edge , coordinator\nprovider.endpoint=\n"
+    ))
+    .unwrap();
+    assert_eq!(
+        (empty.seeds.len(), empty.serves.len(), empty.provider),
+        (0, 2, None)
+    );
 }
 
 #[test]
 fn own_settings_are_read_and_checked() {
     let own = |more: &str| Settings::read(&format!("{LEAST}{more}")).map(|s| s.own);
-    assert_eq!(own("badgerstream.lease_ms=2000\nbadgerstream.renew_ms=1500").unwrap().renew_ms, 1500);
+    assert_eq!(
+        own("badgerstream.lease_ms=2000\nbadgerstream.renew_ms=1500")
+            .unwrap()
+            .renew_ms,
+        1500
+    );
     assert!(
         own("badgerstream.renew_ms=1500")
             .unwrap_err()
@@ -117,24 +167,51 @@
 
 #[test]
 fn what_is_wrong_is_told_by_line_and_field() {
-    assert_eq!(Settings::read("role=r\nip=10.0.0.1\nzone=z"), Err(SettingsError::Missing("node_name")));
+    assert_eq!(
+        Settings::read("role=r\nip=10.0.0.1\nzone=z"),
+        Err(SettingsError::Missing("node_name"))
+    );
     for (from, to, error) in [
-        ("ip=10.1.0.8", "ip=10.1.0", r#"line 5: field ip: "10.1.0" is no IPv4 address"#),
-        ("10.2.0.8:8782", "10.2.0.8", r#"line 14: field seeds: "10.2.0.8" is no address with a port"#),
+        (
+            "ip=10.1.0.8",
+            "ip=10.1.0",
+            r#"line 5: field ip: "10.1.0" is no IPv4 address"#,
+        ),
+        (
+            "10.2.0.8:8782",
+            "10.2.0.8",
+            r#"line 14: field seeds: "10.2.0.8" is no address with a port"#,
+        ),
         (
             "7440,7455",
             "7455,7440",
             r#"line 13: field port_range: "7455,7440" is no range of ports (first,last)"#,
         ),
-        ("voting=false", "voting=no", r#"line 16: field voting: "no" is neither true nor false"#),
+        (
+            "voting=false",
+            "voting=no",
+            r#"line 16: field voting: "no" is neither true nor false"#,
+        ),
         (
             "mem_mb=260",
             "mem_mb=-1",
             r#"line 19: field limits.mem_mb: "-1" is no whole number from 0 on, or too great"#,
         ),
-        ("apply_ms=3000", "apply_ms=soon", r#"line 38: field bounds.apply_ms: "soon" is no number"#),
-        ("apply_ms=3000", "apply_ms=NaN", r#"line 38: field bounds.apply_ms: "NaN" is no number from 0 on"#),
-        ("fraction=0.25", "fraction=0", r#"line 17: field limits.cpu_fraction: "0" is not above 0"#),
+        (
+            "apply_ms=3000",
+            "apply_ms=soon",
+            r#"line 38: field bounds.apply_ms: "soon" is no number"#,
+        ),
+        (
+            "apply_ms=3000",
+            "apply_ms=NaN",
+            r#"line 38: field bounds.apply_ms: "NaN" is no number from 0 on"#,
+        ),
+        (
+            "fraction=0.25",
+            "fraction=0",
+            r#"line 17: field limits.cpu_fraction: "0" is not above 0"#,
+        ),
     ] {
         assert_eq!(told(&PAGE.replacen(from, to, 1)), error);
     }
@@ -143,11 +220,16 @@
 
 #[test]
 fn whole_numbers_may_be_written_with_a_point_and_names_beyond_ascii() {
-    let settings =
-        Settings::read("node_name=n\nrole=r\nip=10.1.0.8\nzone=méx\nlimits.mem_mb=260.0\nzones.méx=sur\n")
-            .unwrap();
+    let settings = Settings::read(
+        "node_name=n\nrole=r\nip=10.1.0.8\nzone=méx\nlimits.mem_mb=260.0\nzones.méx=sur\n",
+    )
+    .unwrap();
     assert_eq!(
-        (settings.limits.mem_mb, settings.zone.as_str(), settings.region.as_str()),
+        (
+            settings.limits.mem_mb,
+            settings.zone.as_str(),
+            settings.region.as_str()
+        ),
         (260, "méx", "sur")
     );
 }
--- a/crates/cluster/src/clients.rs
+++ b/crates/cluster/src/clients.rs
@@ -78,16 +78,24 @@
 
 /// The first moments ramp up: else they would be a mass start by themselves. Then the rate is the same, but for a crowd.
 fn phases(sending: &Sending) -> Vec<serde_json::Value> {
-    let (load, ramp_ms, end) = (&sending.load, sending.calm_ms as f64 / 2.0, sending.for_ms as f64);
+    let (load, ramp_ms, end) = (
+        &sending.load,
+        sending.calm_ms as f64 / 2.0,
+        sending.for_ms as f64,
+    );
     let flat = |for_ms: f64, per_s: f64| serde_json::json!({"for_ms": for_ms, "shape": {"constant": {"per_s": per_s}}});
-    let ramp = serde_json::json!({"ramp": {"from_per_s": load.per_s / 20.0, "to_per_s": load.per_s}});
+    let ramp =
+        serde_json::json!({"ramp": {"from_per_s": load.per_s / 20.0, "to_per_s": load.per_s}});
     let mut phases = vec![serde_json::json!({"for_ms": ramp_ms, "shape": ramp})];
     match load.crowd {
         None => phases.push(flat(end - ramp_ms, load.per_s)),
         Some(crowd) => {
             let (at, within) = (crowd.at_ms as f64, crowd.within_ms as f64);
             phases.push(flat(at - ramp_ms, load.per_s));
-            phases.push(flat(within, load.per_s + crowd.statements as f64 * 1e3 / within));
+            phases.push(flat(
+                within,
+                load.per_s + crowd.statements as f64 * 1e3 / within,
+            ));
             // None where the crowd is the end.
             phases.extend((end > at + within).then(|| flat(end - at - within, load.per_s)));
         }
@@ -153,9 +161,15 @@
 pub fn send(file: &Path) -> std::io::Result<()> {
     let sending: Sending = serde_json::from_str(&std::fs::read_to_string(file)?)?;
     badgerstream_load::run::descriptors();
-    let (start, start_us) = (Instant::now() + BEFORE, crate::now_us() + BEFORE.as_micros() as u64);
+    let (start, start_us) = (
+        Instant::now() + BEFORE,
+        crate::now_us() + BEFORE.as_micros() as u64,
+    );
     println!("{start_us}");
-    let mut heard = Heard { start_us, asked: Vec::new() };
+    let mut heard = Heard {
+        start_us,
+        asked: Vec::new(),
+    };
     let fronts = sending.fronts.len();
     let (to, from) = mpsc::sync_channel::<(usize, Vec<Record>)>(BATCHES);
     let mut threads = Vec::new();
@@ -167,8 +181,15 @@
             target: *front,
             workloads: scenario.workloads.iter().map(|w| w.name.clone()).collect(),
             // Who was led elsewhere comes back to its own router after a while.
-            holding: Holding { uses: Some(12), idle_ms: Some(5000.0) },
-            retries: Retries { most: sending.load.retries, told: true, ..Retries::default() },
+            holding: Holding {
+                uses: Some(12),
+                idle_ms: Some(5000.0),
+            },
+            retries: Retries {
+                most: sending.load.retries,
+                told: true,
+                ..Retries::default()
+            },
             grace: (GRACE_MS * 1e6) as u64,
             stop: AtomicU8::new(0),
             begun: AtomicU64::new(0),
@@ -176,8 +197,11 @@
         });
         let (tell, told) = mpsc::sync_channel(BATCHES);
         let to = to.clone();
-        threads.push(thread::spawn(move || told.iter().for_each(|batch| _ = to.send((place, batch)))));
-        let most = sending.load.connections / fronts + usize::from(place < sending.load.connections % fronts);
+        threads.push(thread::spawn(move || {
+            told.iter().for_each(|batch| _ = to.send((place, batch)))
+        }));
+        let most = sending.load.connections / fronts
+            + usize::from(place < sending.load.connections % fronts);
         let seed = sending.seed ^ (place as u64 + 1);
         threads.push(thread::spawn(move || {
             let plan = Plan::new(&scenario, place, fronts);
@@ -189,7 +213,9 @@
     }
     drop(to);
     for (front, batch) in from {
-        heard.asked.extend(batch.iter().map(|r| record(r, front, start_us)));
+        heard
+            .asked
+            .extend(batch.iter().map(|r| record(r, front, start_us)));
     }
     threads.into_iter().for_each(|thread| drop(thread.join()));
     heard.asked.sort_by_key(|asked| asked.due_us);
--- a/crates/cluster/src/judge/figures.rs
+++ b/crates/cluster/src/judge/figures.rs
@@ -92,7 +92,8 @@
 
 /// The most of these moments, in order, that lie within any window.
 pub(super) fn burst(times: &[u64]) -> usize {
-    let most = |(last, at): (usize, &u64)| last + 1 - times.partition_point(|t| *t + WINDOW_US <= *at);
+    let most =
+        |(last, at): (usize, &u64)| last + 1 - times.partition_point(|t| *t + WINDOW_US <= *at);
     times.iter().enumerate().map(most).max().unwrap_or(0)
 }
 
@@ -105,7 +106,12 @@
     let first = asked.partition_point(|a| a.due_us < from);
     let due = asked[first..].iter().take_while(|a| a.due_us < to);
     let (all, done) = due.fold((0.0, 0.0), |(all, done), a| {
-        let done = done + if a.outcome == Outcome::Completed { worth(a) } else { 0.0 };
+        let done = done
+            + if a.outcome == Outcome::Completed {
+                worth(a)
+            } else {
+                0.0
+            };
         (all + worth(a), done)
     });
     (all > 0.0).then(|| done / all)
@@ -117,17 +123,28 @@
     let ms = |at: u64| (at as f64 - start as f64) / 1e3;
     let calm = (start + script.calm_ms * 500, start + script.calm_ms * 1000);
     let end = start + script.for_ms * 1000;
-    let deeds = || evidence.deeds.iter().filter(|deed| deed.at_us >= start && deed.what != What::Admitted);
+    let deeds = || {
+        evidence
+            .deeds
+            .iter()
+            .filter(|deed| deed.at_us >= start && deed.what != What::Admitted)
+    };
     let fault = deeds().next().map(|deed| deed.at_us);
-    let last_start = deeds().rfind(|deed| deed.what == What::Started).map(|deed| deed.at_us);
+    let last_start = deeds()
+        .rfind(|deed| deed.what == What::Started)
+        .map(|deed| deed.at_us);
     let behind = last_start.or(deeds().next_back().map(|deed| deed.at_us));
     let served_calm = served(asked, calm.0, calm.1).unwrap_or(0.0);
     let enough = |from: u64, long: u64| {
         served(asked, from, from + long).is_some_and(|share| share >= FULL * served_calm)
     };
     let full = behind.and_then(|behind| {
-        let mut tries = (0..).map(|step| behind + step * WINDOW_US).take_while(|at| at + FULL_FOR_US <= end);
-        tries.find(|at| enough(*at, SECOND_US) && enough(*at, FULL_FOR_US)).map(|at| (at, at - behind))
+        let mut tries = (0..)
+            .map(|step| behind + step * WINDOW_US)
+            .take_while(|at| at + FULL_FOR_US <= end);
+        tries
+            .find(|at| enough(*at, SECOND_US) && enough(*at, FULL_FOR_US))
+            .map(|at| (at, at - behind))
     });
     let count = |became: Outcome| asked.iter().filter(|a| a.outcome == became).count();
     let mut figures = Figures {
@@ -139,11 +156,16 @@
         timed_out: count(Outcome::TimedOut),
         unsent: count(Outcome::Unsent),
         served_calm,
-        served_after: fault.and_then(|fault| served(asked, fault, end)).unwrap_or(served_calm),
+        served_after: fault
+            .and_then(|fault| served(asked, fault, end))
+            .unwrap_or(served_calm),
         fault_at_ms: fault.map(ms),
         last_start_ms: last_start.map(ms),
         full_service_ms: full.map(|(_, took)| took as f64 / 1e3),
-        cold_most: rules::coldest(evidence).into_iter().map(|(_, share)| share).fold(0.0, f64::max),
+        cold_most: rules::coldest(evidence)
+            .into_iter()
+            .map(|(_, share)| share)
+            .fold(0.0, f64::max),
         ..Figures::default()
     };
     arrivals(evidence, fault.unwrap_or(calm.1), calm, &mut figures);
@@ -156,10 +178,18 @@
     figures.refused_share = each(figures.rejected + figures.aborted);
     figures.probes_each = each(figures.probes);
     figures.opened_each = each(figures.opened);
-    figures.evenness_least = evenness_of_fronts(evidence, behind.unwrap_or(calm.0) + FULL_FOR_US, end);
-    let sent = evidence.seen.arrivals.iter().filter(|a| a.kind == Kind::Statement);
+    figures.evenness_least =
+        evenness_of_fronts(evidence, behind.unwrap_or(calm.0) + FULL_FOR_US, end);
+    let sent = evidence
+        .seen
+        .arrivals
+        .iter()
+        .filter(|a| a.kind == Kind::Statement);
     let calmly = sent.filter(|a| (calm.0..calm.1).contains(&a.at_us));
-    figures.pairs_calm = calmly.map(|a| (a.router, a.node)).collect::<BTreeSet<_>>().len();
+    figures.pairs_calm = calmly
+        .map(|a| (a.router, a.node))
+        .collect::<BTreeSet<_>>()
+        .len();
     figures
 }
 
@@ -171,22 +201,37 @@
     let of = |at: u64| {
         let first = asked.partition_point(|a| a.due_us < at);
         let mut fronts = vec![(0.0, 0.0); evidence.script.routers];
-        for a in asked[first..].iter().take_while(|a| a.due_us < at + FULL_FOR_US) {
+        for a in asked[first..]
+            .iter()
+            .take_while(|a| a.due_us < at + FULL_FOR_US)
+        {
             if let Some(front) = fronts.get_mut(a.front) {
                 front.0 += worth(a);
-                front.1 += if a.outcome == Outcome::Completed { worth(a) } else { 0.0 };
+                front.1 += if a.outcome == Outcome::Completed {
+                    worth(a)
+                } else {
+                    0.0
+                };
             }
         }
-        let shares: Vec<f64> = fronts.iter().filter(|f| f.0 >= LEAST_DUE).map(|f| f.1 / f.0).collect();
+        let shares: Vec<f64> = fronts
+            .iter()
+            .filter(|f| f.0 >= LEAST_DUE)
+            .map(|f| f.1 / f.0)
+            .collect();
         jain(&shares)
     };
-    let starts = (0..).map(|step| from + step * SECOND_US).take_while(|at| at + FULL_FOR_US <= to);
+    let starts = (0..)
+        .map(|step| from + step * SECOND_US)
+        .take_while(|at| at + FULL_FOR_US <= to);
     starts.filter_map(of).reduce(f64::min)
 }
 
 /// Jain's index: 1 for all alike, 1 / n where one has all.
 fn jain(shares: &[f64]) -> Option<f64> {
-    let (sum, squares) = shares.iter().fold((0.0, 0.0), |(s, q), x| (s + x, q + x * x));
+    let (sum, squares) = shares
+        .iter()
+        .fold((0.0, 0.0), |(s, q), x| (s + x, q + x * x));
     (squares > 0.0).then(|| sum * sum / (shares.len() as f64 * squares))
 }
 
@@ -202,7 +247,10 @@
         let mine = || all.iter().filter(move |a| a.node == node);
         let asks = |a: &&crate::store::Arrived| matches!(a.kind, Kind::Opened | Kind::Full);
         let opened: Vec<u64> = mine().filter(asks).map(|a| a.at_us).collect();
-        let probes: Vec<u64> = mine().filter(|a| a.kind == Kind::Probe).map(|a| a.at_us).collect();
+        let probes: Vec<u64> = mine()
+            .filter(|a| a.kind == Kind::Probe)
+            .map(|a| a.at_us)
+            .collect();
         let of = OfNode {
             opened: opened.len(),
             burst_opened: burst(&behind_only(&opened, fault)),
@@ -211,8 +259,15 @@
             most_held: mine().map(|a| a.held).max().unwrap_or(0),
             executions: mine().filter(|a| a.kind == Kind::Statement).count(),
         };
-        calm_opened += opened.iter().filter(|at| (calm.0..calm.1).contains(at)).count();
-        let held = mine().filter(|a| a.at_us < calm.1).map(|a| a.held).max().unwrap_or(0);
+        calm_opened += opened
+            .iter()
+            .filter(|at| (calm.0..calm.1).contains(at))
+            .count();
+        let held = mine()
+            .filter(|a| a.at_us < calm.1)
+            .map(|a| a.held)
+            .max()
+            .unwrap_or(0);
         figures.calm_held = figures.calm_held.max(held);
         figures.burst_opened = figures.burst_opened.max(of.burst_opened);
         figures.burst_probes = figures.burst_probes.max(of.burst_probes);
@@ -229,9 +284,16 @@
 /// How many executions of each router reached nodes from then on.
 fn shares(evidence: &Evidence, from: u64) -> Vec<usize> {
     let mut shares = vec![0; evidence.script.routers];
-    let sent = evidence.seen.arrivals.iter().filter(|a| a.kind == Kind::Statement && a.at_us >= from);
+    let sent = evidence
+        .seen
+        .arrivals
+        .iter()
+        .filter(|a| a.kind == Kind::Statement && a.at_us >= from);
     for router in sent.filter_map(|a| a.router) {
-        shares.get_mut(router).into_iter().for_each(|share| *share += 1);
+        shares
+            .get_mut(router)
+            .into_iter()
+            .for_each(|share| *share += 1);
     }
     shares
 }
@@ -243,19 +305,33 @@
 fn windows(evidence: &Evidence, lists: &[u64]) -> Vec<Window> {
     let start = evidence.heard.start_us;
     let count = (evidence.script.for_ms * 1000).div_ceil(WINDOW_US) as usize;
-    let place =
-        |at: u64| at.checked_sub(start).map(|since| (since / WINDOW_US) as usize).filter(|i| *i < count);
+    let place = |at: u64| {
+        at.checked_sub(start)
+            .map(|since| (since / WINDOW_US) as usize)
+            .filter(|i| *i < count)
+    };
     let at_ms = |i: usize| i as f64 * WINDOW_US as f64 / 1e3;
-    let mut windows: Vec<_> = (0..count).map(|i| Window { at_ms: at_ms(i), ..Window::default() }).collect();
+    let mut windows: Vec<_> = (0..count)
+        .map(|i| Window {
+            at_ms: at_ms(i),
+            ..Window::default()
+        })
+        .collect();
     for asked in &evidence.heard.asked {
         if let Some(window) = place(asked.due_us).and_then(|i| windows.get_mut(i)) {
             window.due += worth(asked);
-            window.served += if asked.outcome == Outcome::Completed { worth(asked) } else { 0.0 };
+            window.served += if asked.outcome == Outcome::Completed {
+                worth(asked)
+            } else {
+                0.0
+            };
         }
     }
     let mut opened = vec![vec![0; evidence.script.store.nodes()]; count];
     for arrival in &evidence.seen.arrivals {
-        let Some(i) = place(arrival.at_us) else { continue };
+        let Some(i) = place(arrival.at_us) else {
+            continue;
+        };
         match arrival.kind {
             Kind::Opened | Kind::Full => opened[i][arrival.node] += 1,
             Kind::Probe => windows[i].probes += 1,
@@ -266,6 +342,9 @@
         window.opened = opened.iter().sum();
         window.opened_most = opened.into_iter().max().unwrap_or(0);
     }
-    lists.iter().filter_map(|at| place(*at)).for_each(|i| windows[i].lists += 1);
+    lists
+        .iter()
+        .filter_map(|at| place(*at))
+        .for_each(|i| windows[i].lists += 1);
     windows
 }
--- a/crates/cluster/src/judge/mod.rs
+++ b/crates/cluster/src/judge/mod.rs
@@ -20,7 +20,10 @@
 }
 
 pub fn judge(evidence: &Evidence) -> Verdict {
-    Verdict { broken: rules::broken(evidence), figures: figures::of(evidence) }
+    Verdict {
+        broken: rules::broken(evidence),
+        figures: figures::of(evidence),
+    }
 }
 
 /// A router could not do its part from the first moment to the second: killed, standing still, or its clients'
@@ -67,9 +70,17 @@
                     What::Healed if links => deed.at_us + patience,
                     _ => continue,
                 };
-                outages.extend(began.take().map(|from_us| Outage { router, from_us, to_us }));
+                outages.extend(began.take().map(|from_us| Outage {
+                    router,
+                    from_us,
+                    to_us,
+                }));
             }
-            outages.extend(began.map(|from_us| Outage { router, from_us, to_us: u64::MAX }));
+            outages.extend(began.map(|from_us| Outage {
+                router,
+                from_us,
+                to_us: u64::MAX,
+            }));
         }
         outages
     }
--- a/crates/cluster/src/judge/rules.rs
+++ b/crates/cluster/src/judge/rules.rs
@@ -34,26 +34,49 @@
     let mut found = |rule: &'static str, cases: Vec<(String, Option<&Asked>)>| {
         if let Some((case, statement)) = cases.first() {
             let way = statement.map_or_else(Vec::new, |asked| way::of(evidence, asked));
-            broken.push(Broken { rule, times: cases.len(), case: case.clone(), way });
+            broken.push(Broken {
+                rule,
+                times: cases.len(),
+                case: case.clone(),
+                way,
+            });
         }
     };
     found("one final answer, in time", unanswered(evidence));
-    let ends = evidence.crashed.iter().map(|r| (format!("router {r} ended by itself"), None));
-    let hangs = evidence.hung.iter().map(|r| (format!("router {r} did not end when asked to"), None));
+    let ends = evidence
+        .crashed
+        .iter()
+        .map(|r| (format!("router {r} ended by itself"), None));
+    let hangs = evidence
+        .hung
+        .iter()
+        .map(|r| (format!("router {r} did not end when asked to"), None));
     found("no router crashes", ends.chain(hangs).collect());
     let effects = Effects::of(evidence);
     found("no effect twice", effects.doubled(evidence));
     found("answers are true", effects.untrue(evidence));
     found("drains' grace", drains(evidence));
-    found("no cold node pushed over", cold(evidence).into_iter().map(|case| (case, None)).collect());
-    let stale = evidence
-        .heard
-        .asked
-        .iter()
-        .filter(|asked| asked.stale && matches!(asked.outcome, Outcome::Completed | Outcome::Late));
+    found(
+        "no cold node pushed over",
+        cold(evidence)
+            .into_iter()
+            .map(|case| (case, None))
+            .collect(),
+    );
+    let stale =
+        evidence.heard.asked.iter().filter(|asked| {
+            asked.stale && matches!(asked.outcome, Outcome::Completed | Outcome::Late)
+        });
     found(
         "no stale read",
-        stale.map(|a| (format!("{} did not show its session's write", a.id()), Some(a))).collect(),
+        stale
+            .map(|a| {
+                (
+                    format!("{} did not show its session's write", a.id()),
+                    Some(a),
+                )
+            })
+            .collect(),
     );
     broken
 }
@@ -63,37 +86,56 @@
     let outages = evidence.outages();
     let hit = |asked: &Asked| {
         let led = evidence.routes.iter().filter(|route| {
-            route.front == asked.front && route.from_us <= asked.ended_us && route.to_us >= asked.due_us
+            route.front == asked.front
+                && route.from_us <= asked.ended_us
+                && route.to_us >= asked.due_us
         });
-        let hit =
-            |o: &Outage, router| o.router == router && o.from_us <= asked.ended_us && o.to_us >= asked.due_us;
-        led.into_iter().any(|route| outages.iter().any(|outage| hit(outage, route.router)))
+        let hit = |o: &Outage, router| {
+            o.router == router && o.from_us <= asked.ended_us && o.to_us >= asked.due_us
+        };
+        led.into_iter()
+            .any(|route| outages.iter().any(|outage| hit(outage, route.router)))
     };
     let reached: HashSet<&str> = evidence.seen.arrivals.iter().map(|a| base(&a.id)).collect();
     // A router on its way out closes what stands idle: what was sent just then crossed the close, unread, and its
     // client may send it once more. What a node has seen of it was taken.
     let crossed = |asked: &Asked| {
         let of = |d: &&Deed| d.what == What::Ended && d.at_us <= asked.ended_us;
-        let mut ending = evidence.deeds.iter().filter(of).filter_map(|d| Some((d.router?, d.at_us)));
+        let mut ending = evidence
+            .deeds
+            .iter()
+            .filter(of)
+            .filter_map(|d| Some((d.router?, d.at_us)));
         let route = |router: usize, closing: u64| {
             let led = |r: &&Route| r.front == asked.front && r.router == router;
-            let ended = |r: &Route| r.to_us >= closing && r.to_us.abs_diff(asked.ended_us) <= CROSSING_US;
+            let ended =
+                |r: &Route| r.to_us >= closing && r.to_us.abs_diff(asked.ended_us) <= CROSSING_US;
             evidence.routes.iter().filter(led).any(ended)
         };
-        let brief = asked.asked_us.is_some_and(|at| asked.ended_us - at.min(asked.ended_us) <= CROSSING_US);
+        let brief = asked
+            .asked_us
+            .is_some_and(|at| asked.ended_us - at.min(asked.ended_us) <= CROSSING_US);
         brief
             && !reached.contains(asked.id().as_str())
             && ending.any(|(router, at)| route(router, at + ARRIVING_US))
     };
     let silent = |asked: &&Asked| match asked.outcome {
         // What went out in its last moments was told no time to be answered in.
-        Outcome::TimedOut => asked.asked_us.is_some_and(|at| at + GRACE_US < asked.deadline_us),
+        Outcome::TimedOut => asked
+            .asked_us
+            .is_some_and(|at| at + GRACE_US < asked.deadline_us),
         // An error would have had a first byte: its connection broke under it.
         Outcome::Aborted => asked.asked_us.is_some() && asked.first_us.is_none() && !crossed(asked),
         _ => false,
     };
-    let lost = evidence.heard.asked.iter().filter(silent).filter(|asked| !hit(asked));
-    lost.map(|a| (format!("{} has no final answer", a.id()), Some(a))).collect()
+    let lost = evidence
+        .heard
+        .asked
+        .iter()
+        .filter(silent)
+        .filter(|asked| !hit(asked));
+    lost.map(|a| (format!("{} has no final answer", a.id()), Some(a)))
+        .collect()
 }
 
 /// How often each write had its effect.
@@ -119,8 +161,19 @@
     }
 
     fn doubled<'e>(&self, evidence: &'e Evidence) -> Vec<(String, Option<&'e Asked>)> {
-        let twice = evidence.heard.asked.iter().filter(|asked| asked.writes && self.count(asked) > 1);
-        twice.map(|a| (format!("{} had its effect {} times", a.id(), self.count(a)), Some(a))).collect()
+        let twice = evidence
+            .heard
+            .asked
+            .iter()
+            .filter(|asked| asked.writes && self.count(asked) > 1);
+        twice
+            .map(|a| {
+                (
+                    format!("{} had its effect {} times", a.id(), self.count(a)),
+                    Some(a),
+                )
+            })
+            .collect()
     }
 
     /// Completed and not there, or rejected and there. An asynchronous store may lose what it has answered.
@@ -134,9 +187,19 @@
                 Outcome::Aborted | Outcome::TimedOut => false,
             }
         };
-        let wrong = evidence.heard.asked.iter().filter(|asked| asked.writes).filter(wrong);
+        let wrong = evidence
+            .heard
+            .asked
+            .iter()
+            .filter(|asked| asked.writes)
+            .filter(wrong);
         wrong
-            .map(|a| (format!("{} was {:?}, its effect says otherwise", a.id(), a.outcome), Some(a)))
+            .map(|a| {
+                (
+                    format!("{} was {:?}, its effect says otherwise", a.id(), a.outcome),
+                    Some(a),
+                )
+            })
             .collect()
     }
 }
@@ -153,15 +216,29 @@
     for (at, router, drains) in &evidence.seen.told {
         events.push((*at, *router, Event::List(drains)));
     }
-    for deed in evidence.deeds.iter().filter(|deed| deed.what == What::Started) {
+    for deed in evidence
+        .deeds
+        .iter()
+        .filter(|deed| deed.what == What::Started)
+    {
         events.extend(deed.router.map(|router| (deed.at_us, router, Event::Start)));
     }
-    for arrival in evidence.seen.arrivals.iter().filter(|arrival| arrival.kind == Kind::Statement) {
-        events.extend(arrival.router.map(|router| (arrival.at_us, router, Event::Sent(arrival))));
+    for arrival in evidence
+        .seen
+        .arrivals
+        .iter()
+        .filter(|arrival| arrival.kind == Kind::Statement)
+    {
+        events.extend(
+            arrival
+                .router
+                .map(|router| (arrival.at_us, router, Event::Sent(arrival))),
+        );
     }
     events.sort_by_key(|(at, ..)| *at);
     let cut = |at: u64, router: usize| {
-        let of = |d: &&Deed| d.router == Some(router) && d.told.starts_with("Lists") && d.at_us <= at;
+        let of =
+            |d: &&Deed| d.router == Some(router) && d.told.starts_with("Lists") && d.at_us <= at;
         let last = evidence.deeds.iter().rfind(of);
         last.is_some_and(|deed| deed.what == What::Faulted)
     };
@@ -177,17 +254,27 @@
                     told.entry((router, *node)).or_insert(at);
                 }
             }
-            Event::Start if evidence.script.known == Known::First => told.retain(|(of, _), _| *of != router),
-            Event::Start => {
-                told.iter_mut().filter(|(key, _)| key.0 == router).for_each(|(_, since)| *since = at)
+            Event::Start if evidence.script.known == Known::First => {
+                told.retain(|(of, _), _| *of != router)
             }
+            Event::Start => told
+                .iter_mut()
+                .filter(|(key, _)| key.0 == router)
+                .for_each(|(_, since)| *since = at),
             Event::Sent(arrival) => {
                 let since = told.get(&(router, arrival.node));
                 let most = GRACE_MS * 1000 + READ_US;
                 if since.is_some_and(|since| at > since + most) {
-                    let asked = evidence.heard.asked.iter().find(|a| a.id() == base(&arrival.id));
+                    let asked = evidence
+                        .heard
+                        .asked
+                        .iter()
+                        .find(|a| a.id() == base(&arrival.id));
                     let node = arrival.node;
-                    late.push((format!("{} reached node {node}, which drains", arrival.id), asked));
+                    late.push((
+                        format!("{} reached node {node}, which drains", arrival.id),
+                        asked,
+                    ));
                 }
             }
         }
@@ -208,18 +295,31 @@
     let script = &evidence.script;
     let (window, cold) = (script.store.fall_ms * 1000, script.store.cold_ms * 1000);
     let of = |&(node, born): &(usize, u64)| {
-        let sent = evidence.seen.arrivals.iter().filter(|a| a.node == node && a.kind == Kind::Statement);
-        let times: Vec<u64> = sent.map(|a| a.at_us).filter(|at| (born..born + cold).contains(at)).collect();
+        let sent = evidence
+            .seen
+            .arrivals
+            .iter()
+            .filter(|a| a.node == node && a.kind == Kind::Statement);
+        let times: Vec<u64> = sent
+            .map(|a| a.at_us)
+            .filter(|at| (born..born + cold).contains(at))
+            .collect();
         let share = |(last, at): (usize, &u64)| {
             let first = times.partition_point(|t| *t + window <= *at);
             (last + 1 - first) as f64 / bound(script, at - born)
         };
-        (node, times.iter().enumerate().map(share).fold(0.0, f64::max))
+        (
+            node,
+            times.iter().enumerate().map(share).fold(0.0, f64::max),
+        )
     };
     evidence.seen.born.iter().map(of).collect()
 }
 
 fn cold(evidence: &Evidence) -> Vec<String> {
-    let over = coldest(evidence).into_iter().filter(|(_, share)| *share > 1.0);
-    over.map(|(node, share)| format!("node {node} was sent {share:.2} times what it bears")).collect()
+    let over = coldest(evidence)
+        .into_iter()
+        .filter(|(_, share)| *share > 1.0);
+    over.map(|(node, share)| format!("node {node} was sent {share:.2} times what it bears"))
+        .collect()
 }
--- a/crates/cluster/src/judge/way.rs
+++ b/crates/cluster/src/judge/way.rs
@@ -25,11 +25,22 @@
         (asked.asked_us, "last sent"),
         (asked.first_us, "first byte of the answer"),
     ] {
-        at.into_iter().for_each(|at| say(at, format!("client: {what}")));
+        at.into_iter()
+            .for_each(|at| say(at, format!("client: {what}")));
     }
-    say(asked.ended_us, format!("client: {:?} after {} attempts", asked.outcome, asked.attempts));
+    say(
+        asked.ended_us,
+        format!(
+            "client: {:?} after {} attempts",
+            asked.outcome, asked.attempts
+        ),
+    );
     let within = |from: u64, to: u64| from <= asked.ended_us && to >= asked.due_us;
-    for route in evidence.routes.iter().filter(|r| r.front == asked.front && within(r.from_us, r.to_us)) {
+    for route in evidence
+        .routes
+        .iter()
+        .filter(|r| r.front == asked.front && within(r.from_us, r.to_us))
+    {
         say(
             route.from_us,
             format!(
@@ -41,8 +52,13 @@
         );
     }
     for arrival in evidence.seen.arrivals.iter().filter(|a| base(&a.id) == id) {
-        let from = arrival.router.map_or("somebody".to_string(), |router| format!("router {router}"));
-        say(arrival.at_us, format!("node {}: {} from {from}", arrival.node, arrival.id));
+        let from = arrival
+            .router
+            .map_or("somebody".to_string(), |router| format!("router {router}"));
+        say(
+            arrival.at_us,
+            format!("node {}: {} from {from}", arrival.node, arrival.id),
+        );
     }
     let led = |router: Option<usize>| {
         let of = |router| {
@@ -54,15 +70,30 @@
         router.is_none_or(of)
     };
     let near = |at: u64| at + BEFORE_US >= asked.due_us && at <= asked.ended_us;
-    for deed in evidence.deeds.iter().filter(|deed| near(deed.at_us) && led(deed.router)) {
+    for deed in evidence
+        .deeds
+        .iter()
+        .filter(|deed| near(deed.at_us) && led(deed.router))
+    {
         let who = match (deed.what, deed.router) {
             (What::Store, _) | (_, None) => "store".to_string(),
             (_, Some(router)) => format!("router {router}"),
         };
         say(deed.at_us, format!("{who}: {:?} {}", deed.what, deed.told));
     }
-    for effect in evidence.seen.effects.iter().filter(|effect| base(&effect.statement) == id) {
-        say(asked.ended_us, format!("ledger: group {} has the effect of {}", effect.group, effect.statement));
+    for effect in evidence
+        .seen
+        .effects
+        .iter()
+        .filter(|effect| base(&effect.statement) == id)
+    {
+        say(
+            asked.ended_us,
+            format!(
+                "ledger: group {} has the effect of {}",
+                effect.group, effect.statement
+            ),
+        );
     }
     lines.sort_by_key(|(at, _)| *at);
     lines.into_iter().map(|(_, line)| line).collect()
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -21,7 +21,9 @@
 
 /// Unix time in microseconds.
 pub fn now_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_micros() as u64)
 }
 
 /// A rig's own part of the loopback network: what is down for a while keeps its address, and nothing of another
@@ -36,7 +38,10 @@
 impl Ground {
     /// Another one for each rig of this process, and of other processes.
     pub fn new() -> Ground {
-        Ground(64 + (std::process::id() % 128) as u8, GROUNDS.fetch_add(1, Ordering::Relaxed))
+        Ground(
+            64 + (std::process::id() % 128) as u8,
+            GROUNDS.fetch_add(1, Ordering::Relaxed),
+        )
     }
 
     fn at(self, last: u8) -> Ipv4Addr {
@@ -70,6 +75,8 @@
 
 /// The router whose relays call from this address.
 pub fn router_of(address: Ipv4Addr) -> Option<usize> {
-    let [127, 64..=255, _, last @ CALLERS..200] = address.octets() else { return None };
+    let [127, 64..=255, _, last @ CALLERS..200] = address.octets() else {
+        return None;
+    };
     Some(usize::from(last - CALLERS))
 }
--- a/crates/cluster/src/play.rs
+++ b/crates/cluster/src/play.rs
@@ -100,7 +100,11 @@
         let lost = || Fault::Helper("store", "it has no streams".to_string());
         let orders = child.stdin.take().ok_or_else(lost)?;
         let replies = BufReader::new(child.stdout.take().ok_or_else(lost)?);
-        Ok(Store { child, orders, replies })
+        Ok(Store {
+            child,
+            orders,
+            replies,
+        })
     }
 
     fn ask(&mut self, order: &Order) -> Result<Reply, Fault> {
@@ -108,7 +112,9 @@
         let line = serde_json::to_string(order).map_err(|e| wrong(e.to_string()))?;
         writeln!(self.orders, "{line}").map_err(|e| wrong(e.to_string()))?;
         let mut reply = String::new();
-        self.replies.read_line(&mut reply).map_err(|e| wrong(e.to_string()))?;
+        self.replies
+            .read_line(&mut reply)
+            .map_err(|e| wrong(e.to_string()))?;
         match serde_json::from_str(&reply) {
             Ok(Reply::Wrong(why)) => Err(wrong(why)),
             Ok(reply) => Ok(reply),
@@ -161,12 +167,20 @@
         router.serves()?;
     }
     let begun = Instant::now();
-    while !rig.addresses.iter().take(script.up()).all(|router| future::block_on(admitted(*router))) {
+    while !rig
+        .addresses
+        .iter()
+        .take(script.up())
+        .all(|router| future::block_on(admitted(*router)))
+    {
         if begun.elapsed() > ENDING {
             return Err(Fault::Wrong("a router admits nobody".to_string()));
         }
     }
-    rig.deeds.lock().unwrap_or_else(PoisonError::into_inner).clear();
+    rig.deeds
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clear();
     let heard = setup.folder.join("heard.json");
     let (mut clients, start_us) = rig.clients(&heard)?;
     let pulse = Pulse::begin();
@@ -175,7 +189,11 @@
     rig.wait(&mut clients.0, start_us)?;
     let stood_still_ms = pulse.end();
     let run_delay_ms = rig.run_delay.take().map_or(0, RunDelay::end);
-    Ok(Evidence { stood_still_ms, run_delay_ms, ..rig.finish(&heard)? })
+    Ok(Evidence {
+        stood_still_ms,
+        run_delay_ms,
+        ..rig.finish(&heard)?
+    })
 }
 
 /// A thread that does nothing but wake up, and tells by how much it was late.
@@ -200,7 +218,9 @@
     /// The longest that it was late, in milliseconds.
     fn end(self) -> u64 {
         self.0.store(true, Ordering::Relaxed);
-        self.1.join().map_or(0, |longest| longest.as_millis() as u64)
+        self.1
+            .join()
+            .map_or(0, |longest| longest.as_millis() as u64)
     }
 }
 
@@ -213,19 +233,27 @@
             return Err(Fault::Helper("store", "it names no nodes".to_string()));
         };
         let relays = Relays::start(ground.relays());
-        let link =
-            |of, router, node, to, from| relays.link((of, router, node), to, from).map_err(Fault::Start);
+        let link = |of, router, node, to, from| {
+            relays
+                .link((of, router, node), to, from)
+                .map_err(Fault::Start)
+        };
         let mut dials = Vec::new();
         for router in 0..script.routers {
             let from = Some(ground.caller(router));
-            let to_nodes =
-                nodes.iter().enumerate().map(|(node, to)| link(Ends::Nodes, router, node, *to, from));
+            let to_nodes = nodes
+                .iter()
+                .enumerate()
+                .map(|(node, to)| link(Ends::Nodes, router, node, *to, from));
             dials.push(to_nodes.collect::<Result<Vec<_>, _>>()?);
         }
         let Reply::Views(views) = store.ask(&Order::Views(dials))? else {
             return Err(Fault::Helper("store", "it has no views".to_string()));
         };
-        let lists = views.iter().enumerate().map(|(router, to)| link(Ends::Lists, router, 0, *to, None));
+        let lists = views
+            .iter()
+            .enumerate()
+            .map(|(router, to)| link(Ends::Lists, router, 0, *to, None));
         let lists = lists.collect::<Result<Vec<_>, _>>()?;
         let addresses = (0..script.routers)
             .map(|router| free_address(ground.door(router)))
@@ -255,7 +283,9 @@
     /// All but the rig's own.
     fn processes(&self, clients: &Clients) -> Vec<u32> {
         let routers = self.routers.iter().flatten().map(Router::id);
-        routers.chain([self.store.child.id(), clients.0.id()]).collect()
+        routers
+            .chain([self.store.child.id(), clients.0.id()])
+            .collect()
     }
 
     fn list(&mut self, router: usize) -> Result<Value, Fault> {
@@ -266,8 +296,16 @@
     }
 
     fn did(&self, what: What, router: Option<usize>, told: String) {
-        let deed = Deed { at_us: crate::now_us(), what, router, told };
-        self.deeds.lock().unwrap_or_else(PoisonError::into_inner).push(deed);
+        let deed = Deed {
+            at_us: crate::now_us(),
+            what,
+            router,
+            told,
+        };
+        self.deeds
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(deed);
     }
 
     /// Starts one from nothing, with the list that the script lets it have.
@@ -296,11 +334,22 @@
             fall: (store.fall_ms, store.overload_factor),
         };
         let address = self.addresses[router];
-        let Setup { router: program, folder, own, .. } = *self.setup;
+        let Setup {
+            router: program,
+            folder,
+            own,
+            ..
+        } = *self.setup;
         let started = Router::spawn(program, folder, &name, address, &told.config(), own)?;
-        self.run_delay.iter().for_each(|watch| watch.add(started.id()));
+        self.run_delay
+            .iter()
+            .for_each(|watch| watch.add(started.id()));
         self.routers[router] = Some(started);
-        self.did(What::Started, Some(router), format!("start {}", self.starts[router]));
+        self.did(
+            What::Started,
+            Some(router),
+            format!("start {}", self.starts[router]),
+        );
         let deeds = self.deeds.clone();
         thread::spawn(move || {
             let begun = Instant::now();
@@ -312,7 +361,10 @@
                         router: Some(router),
                         told: String::new(),
                     };
-                    return deeds.lock().unwrap_or_else(PoisonError::into_inner).push(deed);
+                    return deeds
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .push(deed);
                 }
                 thread::sleep(LOOK);
             }
@@ -322,7 +374,10 @@
 
     fn clients(&mut self, out: &Path) -> Result<(Clients, u64), Fault> {
         let notices = Duration::from_millis(self.script.notice_ms);
-        let fronts = self.relays.fronts(&self.addresses, notices).map_err(Fault::Start)?;
+        let fronts = self
+            .relays
+            .fronts(&self.addresses, notices)
+            .map_err(Fault::Start)?;
         let sending = Sending {
             load: self.script.load.clone(),
             seed: self.setup.seed,
@@ -333,7 +388,8 @@
             out: out.to_path_buf(),
         };
         let file = self.setup.folder.join("sending.json");
-        let text = serde_json::to_string(&sending).map_err(|e| Fault::Helper("clients", e.to_string()))?;
+        let text =
+            serde_json::to_string(&sending).map_err(|e| Fault::Helper("clients", e.to_string()))?;
         std::fs::write(&file, text).map_err(|e| Fault::File(file.clone(), e))?;
         let mut child = Command::new(self.setup.helper)
             .arg(CLIENTS)
@@ -348,7 +404,10 @@
         let read = out.map(|out| BufReader::new(out).read_line(&mut line));
         match (read, line.trim().parse()) {
             (Some(Ok(_)), Ok(start_us)) => Ok((clients, start_us)),
-            _ => Err(Fault::Helper("clients", format!("they say no beginning: {line:?}"))),
+            _ => Err(Fault::Helper(
+                "clients",
+                format!("they say no beginning: {line:?}"),
+            )),
         }
     }
 
@@ -390,14 +449,28 @@
                 }
                 self.start(*router)?;
             }
-            Act::Links { of, pairs, way, fault } => {
+            Act::Links {
+                of,
+                pairs,
+                way,
+                fault,
+            } => {
                 self.link(*of, pairs, *way, *fault);
-                let what = if fault.is_some() { What::Faulted } else { What::Healed };
-                let named = |fault: &Option<Broken>| serde_json::to_string(fault).unwrap_or_default();
+                let what = if fault.is_some() {
+                    What::Faulted
+                } else {
+                    What::Healed
+                };
+                let named =
+                    |fault: &Option<Broken>| serde_json::to_string(fault).unwrap_or_default();
                 let mut routers: Vec<usize> = pairs.iter().map(|pair| pair.0).collect();
                 routers.dedup();
                 for router in routers {
-                    let nodes: Vec<_> = pairs.iter().filter(|p| p.0 == router).map(|p| p.1).collect();
+                    let nodes: Vec<_> = pairs
+                        .iter()
+                        .filter(|p| p.0 == router)
+                        .map(|p| p.1)
+                        .collect();
                     let told = format!("{of:?} {nodes:?} {way:?} {}", named(fault));
                     self.did(what, Some(router), told);
                 }
@@ -419,12 +492,22 @@
     }
 
     fn link(&self, of: Ends, pairs: &[(usize, usize)], way: Way, fault: Option<Broken>) {
-        self.relays.set(pairs.iter().map(|(router, node)| (of, *router, *node)).collect(), way, fault);
+        self.relays.set(
+            pairs
+                .iter()
+                .map(|(router, node)| (of, *router, *node))
+                .collect(),
+            way,
+            fault,
+        );
     }
 
     fn trouble(&mut self, trouble: &Trouble) -> Result<(), Fault> {
         let Reply::Done(done) = self.store.ask(&Order::Do(trouble.clone()))? else {
-            return Err(Fault::Helper("store", "it did not say what it did".to_string()));
+            return Err(Fault::Helper(
+                "store",
+                "it did not say what it did".to_string(),
+            ));
         };
         let routers = 0..self.script.routers;
         match (trouble, done) {
@@ -438,7 +521,9 @@
                 let members = self.script.store.members;
                 let of = usize::from(*group) * members..(usize::from(*group) + 1) * members;
                 let back: Vec<usize> = self.dead.extract_if(of, |_| true).collect();
-                let pairs: Vec<_> = routers.flat_map(|r| back.iter().map(move |n| (r, *n))).collect();
+                let pairs: Vec<_> = routers
+                    .flat_map(|r| back.iter().map(move |n| (r, *n)))
+                    .collect();
                 self.link(Ends::Nodes, &pairs, Way::Both, None);
             }
             _ => {}
@@ -463,7 +548,12 @@
             match clients.try_wait() {
                 Ok(Some(status)) if status.success() => return Ok(()),
                 Ok(None) => thread::sleep(LOOK),
-                ended => return Err(Fault::Helper("clients", format!("they ended early: {ended:?}"))),
+                ended => {
+                    return Err(Fault::Helper(
+                        "clients",
+                        format!("they ended early: {ended:?}"),
+                    ));
+                }
             }
         }
         Err(Fault::Helper("clients", "they don't end".to_string()))
@@ -476,7 +566,10 @@
         let mut hung = Vec::new();
         (0..self.routers.len()).for_each(|router| self.notice_crash(router));
         // All at once: each takes its time to let its clients go.
-        self.routers.iter().flatten().for_each(|router| router.send(Signal::TERM));
+        self.routers
+            .iter()
+            .flatten()
+            .for_each(|router| router.send(Signal::TERM));
         for router in 0..self.routers.len() {
             let ended_before = self.crashed.contains(&router);
             if let Some(process) = self.routers[router].as_mut().filter(|_| !ended_before)
@@ -486,10 +579,13 @@
             }
         }
         fn read<T: serde::de::DeserializeOwned>(file: &Path) -> Result<T, Fault> {
-            let text = std::fs::read_to_string(file).map_err(|e| Fault::File(file.to_path_buf(), e))?;
-            serde_json::from_str(&text).map_err(|e| Fault::Wrong(format!("{}: {e}", file.display())))
+            let text =
+                std::fs::read_to_string(file).map_err(|e| Fault::File(file.to_path_buf(), e))?;
+            serde_json::from_str(&text)
+                .map_err(|e| Fault::Wrong(format!("{}: {e}", file.display())))
         }
-        let mut deeds = std::mem::take(&mut *self.deeds.lock().unwrap_or_else(PoisonError::into_inner));
+        let mut deeds =
+            std::mem::take(&mut *self.deeds.lock().unwrap_or_else(PoisonError::into_inner));
         deeds.sort_by_key(|deed| deed.at_us);
         Ok(Evidence {
             script: self.script.clone(),
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -61,7 +61,14 @@
 impl Link {
     fn new(to: SocketAddr, from: Option<Ipv4Addr>) -> Rc<Link> {
         let (faults, open, numbered) = Default::default();
-        Rc::new(Link { to, from, faults, open, numbered, changed: bounded(1) })
+        Rc::new(Link {
+            to,
+            from,
+            faults,
+            open,
+            numbered,
+            changed: bounded(1),
+        })
     }
 
     fn fault(&self, back: bool) -> Option<Fault> {
@@ -82,7 +89,12 @@
         }
         self.faults.set(faults);
         let broken = fault == Some(Fault::Reset);
-        for open in self.open.borrow().values().filter(|open| broken || fault.is_none() && open.lossy.get()) {
+        for open in self
+            .open
+            .borrow()
+            .values()
+            .filter(|open| broken || fault.is_none() && open.lossy.get())
+        {
             open.abort.close();
         }
         let _ = self.changed.0.try_send(());
@@ -97,8 +109,17 @@
 /// What the rig's thread may ask of the relays'.
 enum Asked {
     /// A link from a new door to `to`; its address goes back.
-    Link(Name, SocketAddr, Option<Ipv4Addr>, Sender<std::io::Result<SocketAddr>>),
-    Fronts(Vec<SocketAddr>, Duration, Sender<std::io::Result<Vec<SocketAddr>>>),
+    Link(
+        Name,
+        SocketAddr,
+        Option<Ipv4Addr>,
+        Sender<std::io::Result<SocketAddr>>,
+    ),
+    Fronts(
+        Vec<SocketAddr>,
+        Duration,
+        Sender<std::io::Result<Vec<SocketAddr>>>,
+    ),
     Set(Vec<Name>, Way, Option<Fault>, Sender<()>),
 }
 
@@ -124,7 +145,9 @@
             async_io::block_on(world.executor.run(world.clone().obey(asks)));
         };
         // Without the thread nobody answers, and the first link fails.
-        let _ = std::thread::Builder::new().name(run_delay::RELAYS.to_string()).spawn(carry);
+        let _ = std::thread::Builder::new()
+            .name(run_delay::RELAYS.to_string())
+            .spawn(carry);
         Relays { asked, routes }
     }
 
@@ -132,7 +155,12 @@
     ///
     /// # Errors
     /// The system's, where it has no port left.
-    pub fn link(&self, name: Name, to: SocketAddr, from: Option<Ipv4Addr>) -> std::io::Result<SocketAddr> {
+    pub fn link(
+        &self,
+        name: Name,
+        to: SocketAddr,
+        from: Option<Ipv4Addr>,
+    ) -> std::io::Result<SocketAddr> {
         let (tell, told) = bounded(1);
         let _ = self.asked.try_send(Asked::Link(name, to, from, tell));
         told.recv_blocking().map_err(std::io::Error::other)?
@@ -142,9 +170,15 @@
     ///
     /// # Errors
     /// The system's.
-    pub fn fronts(&self, routers: &[SocketAddr], notices: Duration) -> std::io::Result<Vec<SocketAddr>> {
+    pub fn fronts(
+        &self,
+        routers: &[SocketAddr],
+        notices: Duration,
+    ) -> std::io::Result<Vec<SocketAddr>> {
         let (tell, told) = bounded(1);
-        let _ = self.asked.try_send(Asked::Fronts(routers.to_vec(), notices, tell));
+        let _ = self
+            .asked
+            .try_send(Asked::Fronts(routers.to_vec(), notices, tell));
         told.recv_blocking().map_err(std::io::Error::other)?
     }
 
@@ -158,8 +192,17 @@
     /// Which clients were led where; those that are open end now.
     pub fn routes(&self) -> Vec<Route> {
         let now = crate::now_us();
-        let routes = self.routes.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        routes.iter().map(|r| Route { to_us: if r.to_us == 0 { now } else { r.to_us }, ..*r }).collect()
+        let routes = self
+            .routes
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        routes
+            .iter()
+            .map(|r| Route {
+                to_us: if r.to_us == 0 { now } else { r.to_us },
+                ..*r
+            })
+            .collect()
     }
 }
 
@@ -184,7 +227,10 @@
             match asked {
                 Asked::Set(names, way, fault, tell) => {
                     let links = self.links.borrow();
-                    names.iter().filter_map(|name| links.get(name)).for_each(|link| link.set(way, fault));
+                    names
+                        .iter()
+                        .filter_map(|name| links.get(name))
+                        .for_each(|link| link.set(way, fault));
                     let _ = tell.try_send(());
                 }
                 Asked::Link(name, to, from, tell) => {
@@ -196,8 +242,10 @@
                     let _ = tell.try_send(opened);
                 }
                 Asked::Fronts(routers, notices, tell) => {
-                    let doors: std::io::Result<Vec<_>> =
-                        routers.iter().map(|_| TcpListener::bind((self.at, 0))).collect();
+                    let doors: std::io::Result<Vec<_>> = routers
+                        .iter()
+                        .map(|_| TcpListener::bind((self.at, 0)))
+                        .collect();
                     let opened = doors.and_then(|doors| {
                         let addresses: std::io::Result<Vec<_>> =
                             doors.iter().map(TcpListener::local_addr).collect();
@@ -215,18 +263,32 @@
             Command::Link(name, link, door) => {
                 self.links.borrow_mut().insert(name, link.clone());
                 let world = self.clone();
-                self.executor.spawn(async move { world.listen(link, door).await }).detach();
+                self.executor
+                    .spawn(async move { world.listen(link, door).await })
+                    .detach();
             }
             Command::Fronts(doors, routers, notices) => {
-                let links: Vec<_> = routers.iter().map(|router| Link::new(*router, None)).collect();
+                let links: Vec<_> = routers
+                    .iter()
+                    .map(|router| Link::new(*router, None))
+                    .collect();
                 for (router, link) in links.iter().enumerate() {
-                    self.links.borrow_mut().insert((Ends::Clients, router, 0), link.clone());
+                    self.links
+                        .borrow_mut()
+                        .insert((Ends::Clients, router, 0), link.clone());
                 }
                 let alive = routers.iter().map(|_| Cell::new(true)).collect();
-                let front = Rc::new(Front { links, alive, notices, turn: Cell::new(0) });
+                let front = Rc::new(Front {
+                    links,
+                    alive,
+                    notices,
+                    turn: Cell::new(0),
+                });
                 for (number, door) in doors.into_iter().enumerate() {
                     let (world, front) = (self.clone(), front.clone());
-                    self.executor.spawn(async move { world.admit(front, number, door).await }).detach();
+                    self.executor
+                        .spawn(async move { world.admit(front, number, door).await })
+                        .detach();
                 }
             }
         }
@@ -234,7 +296,9 @@
 
     /// Takes connections for one link, unless it refuses them.
     async fn listen(self: Rc<Self>, link: Rc<Link>, door: TcpListener) {
-        let Ok(address) = door.local_addr() else { return };
+        let Ok(address) = door.local_addr() else {
+            return;
+        };
         let mut door = Async::new(door).ok();
         loop {
             if link.has(Fault::Refuse) {
@@ -263,7 +327,9 @@
     async fn admit(self: Rc<Self>, front: Rc<Front>, number: usize, door: TcpListener) {
         let Ok(door) = Async::new(door) else { return };
         while let Ok((stream, _)) = door.accept().await {
-            let alive: Vec<usize> = (0..front.alive.len()).filter(|r| front.alive[*r].get()).collect();
+            let alive: Vec<usize> = (0..front.alive.len())
+                .filter(|r| front.alive[*r].get())
+                .collect();
             let turn = front.turn.replace(front.turn.get() + 1);
             let router = match alive.get(turn % alive.len().max(1)) {
                 _ if front.alive[number].get() => number,
@@ -271,15 +337,26 @@
                 None => number,
             };
             let place = {
-                let mut routes = self.routes.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                routes.push(Route { front: number, router, from_us: crate::now_us(), to_us: 0 });
+                let mut routes = self
+                    .routes
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
+                routes.push(Route {
+                    front: number,
+                    router,
+                    from_us: crate::now_us(),
+                    to_us: 0,
+                });
                 routes.len() - 1
             };
             let (world, front) = (self.clone(), front.clone());
             let carried = async move {
                 let came_up = carry(front.links[router].clone(), stream).await;
-                if let Some(route) =
-                    world.routes.lock().unwrap_or_else(std::sync::PoisonError::into_inner).get_mut(place)
+                if let Some(route) = world
+                    .routes
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner)
+                    .get_mut(place)
                 {
                     route.to_us = crate::now_us();
                 }
@@ -346,7 +423,9 @@
 }
 
 async fn connect(to: SocketAddr, from: Option<Ipv4Addr>) -> std::io::Result<Async<TcpStream>> {
-    let Some(from) = from else { return Async::<TcpStream>::connect(to).await };
+    let Some(from) = from else {
+        return Async::<TcpStream>::connect(to).await;
+    };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(AddressFamily::INET, SocketType::STREAM, flags, None)?;
     rustix::net::bind(&socket, &SocketAddrV4::new(from, 0))?;
@@ -373,7 +452,13 @@
     let (abort, aborted) = bounded::<()>(1);
     let number = link.numbered.replace(link.numbered.get() + 1);
     let lossy = Rc::new(Cell::new(false));
-    link.open.borrow_mut().insert(number, Open { abort, lossy: lossy.clone() });
+    link.open.borrow_mut().insert(
+        number,
+        Open {
+            abort,
+            lossy: lossy.clone(),
+        },
+    );
     let came_up = Cell::new(false);
     let whole = async {
         if link.has(Fault::Reset) {
@@ -414,16 +499,25 @@
 
 /// Carries one direction until it ends; false if it broke.
 async fn pump(
-    link: &Link, back: bool, from: &Async<TcpStream>, to: &Async<TcpStream>, lossy: &Cell<bool>,
+    link: &Link,
+    back: bool,
+    from: &Async<TcpStream>,
+    to: &Async<TcpStream>,
+    lossy: &Cell<bool>,
 ) -> bool {
     let (mut room, mut passed) = (vec![0; CHUNK], 0);
     let broken = || {
         // The other direction ends with it.
-        let _ = (from.get_ref().shutdown(Shutdown::Both), to.get_ref().shutdown(Shutdown::Both));
+        let _ = (
+            from.get_ref().shutdown(Shutdown::Both),
+            to.get_ref().shutdown(Shutdown::Both),
+        );
         false
     };
     loop {
-        let Ok(count) = from.read_with(|mut s| s.read(&mut room)).await else { return broken() };
+        let Ok(count) = from.read_with(|mut s| s.read(&mut room)).await else {
+            return broken();
+        };
         let mut bytes = &room[..count];
         while link.fault(back) == Some(Fault::Stall) {
             Timer::after(LOOK).await;
--- a/crates/cluster/src/router.rs
+++ b/crates/cluster/src/router.rs
@@ -46,7 +46,10 @@
 impl Program {
     /// A binary that is started as a router by its hidden word for it.
     pub fn ours(path: &Path) -> Program {
-        Program { path: path.to_path_buf(), before: vec!["router".to_string()] }
+        Program {
+            path: path.to_path_buf(),
+            before: vec!["router".to_string()],
+        }
     }
 }
 
@@ -57,7 +60,11 @@
 
 /// A folder of its own for a run's files.
 pub fn folder(keep: Option<&Path>) -> Result<PathBuf, Fault> {
-    let name = format!("badgerlab-{}-{}", std::process::id(), badgerstream_emulator::now());
+    let name = format!(
+        "badgerlab-{}-{}",
+        std::process::id(),
+        badgerstream_emulator::now()
+    );
     let folder = keep.map_or_else(|| std::env::temp_dir().join(name), Path::to_path_buf);
     std::fs::create_dir_all(&folder).map_err(|e| Fault::File(folder.clone(), e))?;
     Ok(folder)
@@ -82,7 +89,9 @@
 /// An address that nobody listens on now. A router that is to come back under it has a loopback address of its
 /// own, whose ports no outgoing connection takes meanwhile.
 pub fn free_address(on: Ipv4Addr) -> Result<SocketAddr, Fault> {
-    TcpListener::bind((on, 0)).and_then(|door| door.local_addr()).map_err(Fault::Start)
+    TcpListener::bind((on, 0))
+        .and_then(|door| door.local_addr())
+        .map_err(Fault::Start)
 }
 
 impl Router {
@@ -93,15 +102,26 @@
         let config = config(setup, place, address);
         // What an earlier run in this folder logged is not this one's.
         let _ = std::fs::remove_file(setup.folder.join(format!("{name}.log")));
-        let router =
-            Router::spawn(&Program::ours(setup.program), setup.folder, &name, address, &config, setup.own)?;
+        let router = Router::spawn(
+            &Program::ours(setup.program),
+            setup.folder,
+            &name,
+            address,
+            &config,
+            setup.own,
+        )?;
         router.serves()?;
         Ok(router)
     }
 
     /// Starts one from this configuration; its log goes on where an earlier one of that name ended.
     pub fn spawn(
-        program: &Program, folder: &Path, name: &str, address: SocketAddr, config: &Value, own: Option<&str>,
+        program: &Program,
+        folder: &Path,
+        name: &str,
+        address: SocketAddr,
+        config: &Value,
+        own: Option<&str>,
     ) -> Result<Router, Fault> {
         let write = |name: String, text: &str| {
             let file = folder.join(name);
@@ -123,10 +143,16 @@
             command.env_remove(told);
         }
         if let Some(own) = own {
-            command.arg("--settings").arg(write(format!("{name}-settings.json5"), own)?);
+            command
+                .arg("--settings")
+                .arg(write(format!("{name}-settings.json5"), own)?);
         }
         let child = command.stderr(to).spawn().map_err(Fault::Start)?;
-        Ok(Router { child, address, log })
+        Ok(Router {
+            child,
+            address,
+            log,
+        })
     }
 
     /// Waits until it lets clients in.
@@ -156,7 +182,11 @@
 
     /// Whether its process has ended, and in order.
     pub fn ended(&mut self) -> Option<bool> {
-        self.child.try_wait().ok().flatten().map(|status| status.success())
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.success())
     }
 
     /// Its peak of memory so far, in KiB.
@@ -192,7 +222,12 @@
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     // The name in parentheses may hold blanks; what follows begins with field 3.
     let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-    fields.split_whitespace().skip(11).take(2).filter_map(|field| field.parse::<u64>().ok()).sum()
+    fields
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|field| field.parse::<u64>().ok())
+        .sum()
 }
 
 /// What a process has in memory now, in KiB.
@@ -203,7 +238,8 @@
 fn status_kib(process: &str, name: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix(name));
-    line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|line| line.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 impl Drop for Router {
@@ -231,8 +267,12 @@
 }
 
 /// The workloads of every run, with what a completion in time is worth.
-pub const WORKLOADS: [(&str, f64); 4] =
-    [("feed-read", 1.0), ("own-read", 2.0), ("episode-write", 6.0), ("one-off", 6.0)];
+pub const WORKLOADS: [(&str, f64); 4] = [
+    ("feed-read", 1.0),
+    ("own-read", 2.0),
+    ("episode-write", 6.0),
+    ("one-off", 6.0),
+];
 
 /// How long a node may still be sent work once the router was told that it drains.
 pub const GRACE_MS: u64 = 250;
@@ -242,7 +282,10 @@
         name: &format!("lab-{place}"),
         listen: address,
         discovery: setup.emulator.discovery.address,
-        seed: setup.seed.wrapping_add(place as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        seed: setup
+            .seed
+            .wrapping_add(place as u64)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15),
         memory_mb: setup.memory_mb,
         descriptors: setup.descriptors,
         known: json!({"seq": 0, "whole": true, "hosts": setup.emulator.hosts()}),
--- a/crates/cluster/src/run_delay.rs
+++ b/crates/cluster/src/run_delay.rs
@@ -26,7 +26,10 @@
 impl RunDelay {
     /// What these processes waited before counts for nothing.
     pub fn begin(processes: Vec<u32>) -> RunDelay {
-        let (processes, over) = (Arc::new(Mutex::new(processes)), Arc::new(AtomicBool::new(false)));
+        let (processes, over) = (
+            Arc::new(Mutex::new(processes)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (watched, ends) = (processes.clone(), over.clone());
         let watching = thread::spawn(move || {
             let mut readings = Readings::from(tasks(&watched));
@@ -36,26 +39,43 @@
             }
             readings.longest
         });
-        RunDelay { processes, over, watching }
+        RunDelay {
+            processes,
+            over,
+            watching,
+        }
     }
 
     /// A process that has just started.
     pub fn add(&self, process: u32) {
-        self.processes.lock().unwrap_or_else(PoisonError::into_inner).push(process);
+        self.processes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(process);
     }
 
     /// The longest that any thread waited within half a second, in milliseconds.
     pub fn end(self) -> u64 {
         self.over.store(true, Ordering::Relaxed);
-        self.watching.join().map_or(0, |longest| longest.as_millis() as u64)
+        self.watching
+            .join()
+            .map_or(0, |longest| longest.as_millis() as u64)
     }
 }
 
 /// Run delays so far of the processes' threads, and of those threads of this one that a run's bytes go through.
 fn tasks(processes: &Mutex<Vec<u32>>) -> Vec<(PathBuf, Duration)> {
-    let processes = processes.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    let own = threads(Path::new("/proc/self/task")).into_iter().filter(|thread| carries(thread));
-    delays(&processes).into_iter().chain(own.filter_map(delay)).collect()
+    let processes = processes
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
+    let own = threads(Path::new("/proc/self/task"))
+        .into_iter()
+        .filter(|thread| carries(thread));
+    delays(&processes)
+        .into_iter()
+        .chain(own.filter_map(delay))
+        .collect()
 }
 
 /// Each thread's run delay so far, where the system tells it.
@@ -65,7 +85,12 @@
 }
 
 fn threads(tasks: &Path) -> Vec<PathBuf> {
-    std::fs::read_dir(tasks).into_iter().flatten().flatten().map(|thread| thread.path()).collect()
+    std::fs::read_dir(tasks)
+        .into_iter()
+        .flatten()
+        .flatten()
+        .map(|thread| thread.path())
+        .collect()
 }
 
 fn carries(thread: &Path) -> bool {
@@ -80,7 +105,12 @@
 
 /// The second of three numbers: time on a processor, time ready without one, turns; nanoseconds.
 pub(crate) fn run_delay(schedstat: &str) -> Option<Duration> {
-    schedstat.split_whitespace().nth(1)?.parse().ok().map(Duration::from_nanos)
+    schedstat
+        .split_whitespace()
+        .nth(1)?
+        .parse()
+        .ok()
+        .map(Duration::from_nanos)
 }
 
 /// What each thread's delays came to lately, and the longest of all.
@@ -93,7 +123,10 @@
     /// What these threads have waited so far counts for nothing.
     pub fn from(tasks: Vec<(PathBuf, Duration)>) -> Readings {
         let known = |(thread, delay)| (thread, (delay, VecDeque::new()));
-        Readings { threads: tasks.into_iter().map(known).collect(), longest: Duration::ZERO }
+        Readings {
+            threads: tasks.into_iter().map(known).collect(),
+            longest: Duration::ZERO,
+        }
     }
 
     /// One reading of all threads. All that a new one has waited counts.
--- a/crates/cluster/src/script.rs
+++ b/crates/cluster/src/script.rs
@@ -352,16 +352,28 @@
             return wrong("store.members", "and groups make no node, or more than 64");
         }
         if !positive(s.service_ms) || !(0.0..1e4).contains(&s.handshake_ms) || s.slots == 0 {
-            return wrong("store.service_ms", "handshake_ms or slots leave a node no work or no place");
+            return wrong(
+                "store.service_ms",
+                "handshake_ms or slots leave a node no work or no place",
+            );
         }
         if !(0.01..=1.0).contains(&s.cold_from) || !positive(s.overload_factor) || s.fall_ms == 0 {
-            return wrong("store.cold_from", "is no share of 0.01 to 1, or nothing overloads a node");
+            return wrong(
+                "store.cold_from",
+                "is no share of 0.01 to 1, or nothing overloads a node",
+            );
         }
         if !positive(l.per_s) || l.per_s > 1e5 || l.connections < self.routers {
-            return wrong("load.per_s", "is no rate, or a router's clients have no connection");
+            return wrong(
+                "load.per_s",
+                "is no rate, or a router's clients have no connection",
+            );
         }
         if !positive(l.patience_ms) || !positive(l.slo_ms) || !(0.0..=0.9).contains(&l.writes) {
-            return wrong("load.patience_ms", "slo_ms or writes is no time or no share up to 0.9");
+            return wrong(
+                "load.patience_ms",
+                "slo_ms or writes is no time or no share up to 0.9",
+            );
         }
         if let Some(crowd) = l.crowd
             && (crowd.at_ms < self.calm_ms
@@ -385,7 +397,10 @@
 
     fn step_fault(&self, step: &Step) -> Option<String> {
         if step.at_ms < self.calm_ms || step.at_ms + step.within_ms > self.for_ms {
-            return Some(format!("{} ms is no moment behind the calm and before the end", step.at_ms));
+            return Some(format!(
+                "{} ms is no moment behind the calm and before the end",
+                step.at_ms
+            ));
         }
         let fits = |which: &Which, count: usize| match which {
             Which::Share(share) => (0.0..=1.0).contains(share),
@@ -396,7 +411,9 @@
             *group < self.store.groups && member.is_none_or(|member| member < self.store.members)
         };
         let fits = match &step.deed {
-            Do::Kill(w) | Do::End(w) | Do::Stop(w) | Do::Continue(w) | Do::Start(w) => fits(w, self.routers),
+            Do::Kill(w) | Do::End(w) | Do::Stop(w) | Do::Continue(w) | Do::Start(w) => {
+                fits(w, self.routers)
+            }
             Do::Links(links) => {
                 matches!(links.nodes, Which::All | Which::Share(_) | Which::These(_))
                     && fits(&links.routers, self.routers)
@@ -407,10 +424,14 @@
                 | Trouble::Drain { group, member: m }
                 | Trouble::Hang { group, member: m }
                 | Trouble::Wake { group, member: m } => member(group, m),
-                Trouble::Slow { group, member: m, times } => member(group, m) && *times >= 0.01,
-                Trouble::Restart { group } | Trouble::Promote { group } | Trouble::EndDrain { group } => {
-                    member(group, &None)
-                }
+                Trouble::Slow {
+                    group,
+                    member: m,
+                    times,
+                } => member(group, m) && *times >= 0.01,
+                Trouble::Restart { group }
+                | Trouble::Promote { group }
+                | Trouble::EndDrain { group } => member(group, &None),
                 Trouble::Freeze | Trouble::Thaw => true,
             },
         };
@@ -476,10 +497,17 @@
                         Ends::Nodes => pick(&links.nodes, self.store.nodes(), &[], &down),
                         _ => vec![0],
                     };
-                    let pairs: Vec<_> =
-                        routers.iter().flat_map(|r| nodes.iter().map(move |n| (*r, *n))).collect();
+                    let pairs: Vec<_> = routers
+                        .iter()
+                        .flat_map(|r| nodes.iter().map(move |n| (*r, *n)))
+                        .collect();
                     let (of, way) = (links.of, links.way);
-                    let act = |fault| Act::Links { of, pairs: pairs.clone(), way, fault };
+                    let act = |fault| Act::Links {
+                        of,
+                        pairs: pairs.clone(),
+                        way,
+                        fault,
+                    };
                     plan.push((step.at_ms, act(Some(links.fault))));
                     plan.extend(links.for_ms.map(|ms| (step.at_ms + ms, act(None))));
                 }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -135,9 +135,15 @@
     let running = running.as_mut().ok_or("the store was not begun")?;
     match order {
         Order::Begin(..) => Err("the store was begun".to_string()),
-        Order::Views(dials) => running.watch(dials).map(Reply::Views).map_err(|e| e.to_string()),
+        Order::Views(dials) => running
+            .watch(dials)
+            .map(Reply::Views)
+            .map_err(|e| e.to_string()),
         Order::Do(trouble) => Ok(Reply::Done(running.trouble(&trouble))),
-        Order::List(router) => running.list(router).map(Reply::List).ok_or("no such view".to_string()),
+        Order::List(router) => running
+            .list(router)
+            .map(Reply::List)
+            .ok_or("no such view".to_string()),
         Order::End(file) => {
             let text = serde_json::to_string(&running.seen()).map_err(|e| e.to_string())?;
             std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -147,13 +153,33 @@
 }
 
 fn begin(store: &Store, host: Ipv4Addr) -> std::io::Result<(Running, Vec<SocketAddr>)> {
-    let emulator = Emulator::start(Shape { host, ..store.shape() }, &[])?;
+    let emulator = Emulator::start(
+        Shape {
+            host,
+            ..store.shape()
+        },
+        &[],
+    )?;
     let (sink, arrivals) = mpsc::channel();
-    emulator.nodes.iter().for_each(|node| node.tell(sink.clone()));
+    emulator
+        .nodes
+        .iter()
+        .for_each(|node| node.tell(sink.clone()));
     let nodes = emulator.nodes.iter().map(|node| node.dial).collect();
     let (members, late_ms) = (store.members, store.late_ms);
     let calls = Arc::default();
-    Ok((Running { emulator, views: None, members, late_ms, arrivals, calls, born: Vec::new() }, nodes))
+    Ok((
+        Running {
+            emulator,
+            views: None,
+            members,
+            late_ms,
+            arrivals,
+            calls,
+            born: Vec::new(),
+        },
+        nodes,
+    ))
 }
 
 /// A list with the addresses that one router has for the nodes.
@@ -167,7 +193,10 @@
 
 impl Running {
     fn watch(&mut self, dials: Vec<Vec<SocketAddr>>) -> std::io::Result<Vec<SocketAddr>> {
-        let (hosts, versions) = (self.emulator.hosts(), Arc::new(Mutex::new(vec![Vec::new(); 2])));
+        let (hosts, versions) = (
+            self.emulator.hosts(),
+            Arc::new(Mutex::new(vec![Vec::new(); 2])),
+        );
         let mut discoveries = Vec::new();
         for (router, dials) in dials.iter().enumerate() {
             let discovery = Discovery::start(0, rewritten(&hosts, dials), self.late_ms)?;
@@ -177,15 +206,25 @@
                 match call {
                     Call::Asked => seen.calls.push((at, router)),
                     Call::Told(version) => {
-                        let drains = locked(&versions).get(version as usize).cloned().unwrap_or_default();
+                        let drains = locked(&versions)
+                            .get(version as usize)
+                            .cloned()
+                            .unwrap_or_default();
                         seen.told.push((at, router, drains));
                     }
                 }
             });
             discoveries.push(discovery);
         }
-        let addresses = discoveries.iter().map(|discovery| discovery.address).collect();
-        self.views = Some(Views { discoveries, dials, versions });
+        let addresses = discoveries
+            .iter()
+            .map(|discovery| discovery.address)
+            .collect();
+        self.views = Some(Views {
+            discoveries,
+            dials,
+            versions,
+        });
         Ok(addresses)
     }
 
@@ -198,8 +237,15 @@
     fn publish(&self) {
         let Some(views) = &self.views else { return };
         let hosts = self.emulator.hosts();
-        let drains = |(number, host): (usize, &Value)| (host["health"] == "terminating").then_some(number);
-        let draining = hosts.as_array().into_iter().flatten().enumerate().filter_map(drains).collect();
+        let drains =
+            |(number, host): (usize, &Value)| (host["health"] == "terminating").then_some(number);
+        let draining = hosts
+            .as_array()
+            .into_iter()
+            .flatten()
+            .enumerate()
+            .filter_map(drains)
+            .collect();
         locked(&views.versions).push(draining);
         for (discovery, dials) in views.discoveries.iter().zip(&views.dials) {
             discovery.publish(rewritten(&hosts, dials));
@@ -223,7 +269,11 @@
                 }
             }
             Trouble::Restart { group } => {
-                let before: Vec<u64> = emulator.nodes.iter().map(|n| n.born.load(Ordering::SeqCst)).collect();
+                let before: Vec<u64> = emulator
+                    .nodes
+                    .iter()
+                    .map(|n| n.born.load(Ordering::SeqCst))
+                    .collect();
                 emulator.step(*group, Step::RestartOld);
                 for (node, before) in emulator.nodes.iter().zip(before) {
                     let born = node.born.load(Ordering::SeqCst);
@@ -236,7 +286,9 @@
             }
             Trouble::Promote { group } => {
                 emulator.promote(*group, None);
-                done = emulator.primary(*group).map(|member| number(*group, member));
+                done = emulator
+                    .primary(*group)
+                    .map(|member| number(*group, member));
             }
             Trouble::Drain { group, member } => {
                 if let Some(member) = self.meant(*group, *member) {
@@ -247,11 +299,17 @@
             Trouble::EndDrain { group } => _ = emulator.step(*group, Step::EndDrain),
             Trouble::Hang { group, member } | Trouble::Wake { group, member } => {
                 if let Some(member) = self.meant(*group, *member) {
-                    emulator.node(*group, member).hang(matches!(trouble, Trouble::Hang { .. }));
+                    emulator
+                        .node(*group, member)
+                        .hang(matches!(trouble, Trouble::Hang { .. }));
                     done = Some(number(*group, member));
                 }
             }
-            Trouble::Slow { group, member, times } => {
+            Trouble::Slow {
+                group,
+                member,
+                times,
+            } => {
                 if let Some(member) = self.meant(*group, *member) {
                     emulator.node(*group, member).slow(*times);
                     done = Some(number(*group, member));
@@ -259,7 +317,10 @@
             }
             Trouble::Freeze | Trouble::Thaw => {
                 let frozen = *trouble == Trouble::Freeze;
-                self.views.iter().flat_map(|v| &v.discoveries).for_each(|d| d.freeze(frozen));
+                self.views
+                    .iter()
+                    .flat_map(|v| &v.discoveries)
+                    .for_each(|d| d.freeze(frozen));
             }
         }
         self.publish();
@@ -276,16 +337,23 @@
         seen.arrivals = self.arrivals.try_iter().map(arrived).collect();
         seen.arrivals.sort_by_key(|arrival| arrival.at_us);
         seen.born = self.born.clone();
-        let groups = self.emulator.nodes.iter().map(|node| node.group + 1).max().unwrap_or(0);
+        let groups = self
+            .emulator
+            .nodes
+            .iter()
+            .map(|node| node.group + 1)
+            .max()
+            .unwrap_or(0);
         for group in 0..groups {
             let ledger = self.emulator.ledger(group);
             seen.discarded += ledger.discarded.len();
-            seen.effects.extend(ledger.effects.iter().map(|entry| Effect {
-                group,
-                mark: entry.mark.clone(),
-                statement: entry.statement.clone(),
-                key: entry.key.clone(),
-            }));
+            seen.effects
+                .extend(ledger.effects.iter().map(|entry| Effect {
+                    group,
+                    mark: entry.mark.clone(),
+                    statement: entry.statement.clone(),
+                    key: entry.key.clone(),
+                }));
         }
         seen
     }
@@ -302,5 +370,12 @@
         What::Probe => (Kind::Probe, String::new()),
         What::Statement(id) => (Kind::Statement, id),
     };
-    Arrived { at_us: arrival.at_us, node: arrival.node, router, held: arrival.held, kind, id }
+    Arrived {
+        at_us: arrival.at_us,
+        node: arrival.node,
+        router,
+        held: arrival.held,
+        kind,
+        id,
+    }
 }
--- a/crates/cluster/src/tests/judging.rs
+++ b/crates/cluster/src/tests/judging.rs
@@ -13,7 +13,8 @@
 
 /// One completed marked write by router 0 at node 0, and nothing wrong.
 fn evidence() -> Evidence {
-    let script = "{routers: 2, calm_ms: 1000, for_ms: 9000, steps: [], store: {groups: 1, members: 3}}";
+    let script =
+        "{routers: 2, calm_ms: 1000, for_ms: 9000, steps: [], store: {groups: 1, members: 3}}";
     let asked = Asked {
         number: 7,
         front: 0,
@@ -33,13 +34,30 @@
         stale: false,
     };
     let id = asked.id();
-    let route = Route { front: 0, router: 0, from_us: START, to_us: START + 9000 * MS };
-    let effect = Effect { group: 0, mark: Some(asked.mark()), statement: id.clone(), key: "k1".into() };
+    let route = Route {
+        front: 0,
+        router: 0,
+        from_us: START,
+        to_us: START + 9000 * MS,
+    };
+    let effect = Effect {
+        group: 0,
+        mark: Some(asked.mark()),
+        statement: id.clone(),
+        key: "k1".into(),
+    };
     Evidence {
         script: Script::read(script).unwrap(),
         seed: 1,
-        heard: Heard { start_us: START, asked: vec![asked] },
-        seen: Seen { arrivals: vec![arrived(105, 0, &id)], effects: vec![effect], ..Seen::default() },
+        heard: Heard {
+            start_us: START,
+            asked: vec![asked],
+        },
+        seen: Seen {
+            arrivals: vec![arrived(105, 0, &id)],
+            effects: vec![effect],
+            ..Seen::default()
+        },
         routes: vec![route],
         deeds: Vec::new(),
         crashed: Vec::new(),
@@ -51,11 +69,23 @@
 
 fn arrived(at_ms: u64, node: usize, id: &str) -> Arrived {
     let at_us = START + at_ms * MS;
-    Arrived { at_us, node, router: Some(0), held: 1, kind: Kind::Statement, id: id.to_string() }
+    Arrived {
+        at_us,
+        node,
+        router: Some(0),
+        held: 1,
+        kind: Kind::Statement,
+        id: id.to_string(),
+    }
 }
 
 fn deed(at_ms: u64, what: What) -> Deed {
-    Deed { at_us: START + at_ms * MS, what, router: Some(0), told: String::new() }
+    Deed {
+        at_us: START + at_ms * MS,
+        what,
+        router: Some(0),
+        told: String::new(),
+    }
 }
 
 fn silence(evidence: &mut Evidence) {
@@ -68,7 +98,10 @@
     let asked = &mut evidence.heard.asked[0];
     (asked.outcome, asked.first_us, asked.ended_us) = (Outcome::Aborted, None, START + 103 * MS);
     evidence.routes[0].to_us = START + 103 * MS;
-    evidence.deeds = vec![Deed { at_us: START - 350 * MS, ..deed(0, What::Ended) }];
+    evidence.deeds = vec![Deed {
+        at_us: START - 350 * MS,
+        ..deed(0, What::Ended)
+    }];
     (evidence.seen.arrivals, evidence.seen.effects) = (Vec::new(), Vec::new());
 }
 
@@ -142,8 +175,17 @@
     evidence.heard.asked = (0..900)
         .map(|i| {
             let due_us = START + i * 10 * MS;
-            let outcome = if hole.contains(&(i * 10)) { Outcome::Rejected } else { Outcome::Completed };
-            Asked { number: i, due_us, outcome, ..one.clone() }
+            let outcome = if hole.contains(&(i * 10)) {
+                Outcome::Rejected
+            } else {
+                Outcome::Completed
+            };
+            Asked {
+                number: i,
+                due_us,
+                outcome,
+                ..one.clone()
+            }
         })
         .collect();
     evidence
@@ -166,13 +208,22 @@
 #[test]
 fn bursts_are_counted_over_any_window() {
     let mut evidence = evidence();
-    let opened = |at| Arrived { kind: Kind::Opened, ..arrived(at, 1, "") };
+    let opened = |at| Arrived {
+        kind: Kind::Opened,
+        ..arrived(at, 1, "")
+    };
     // Five within 100 ms, across a full hundred; one probe.
     evidence.seen.arrivals = [2050, 2080, 2099, 2110, 2149, 2400].map(opened).to_vec();
-    evidence.seen.arrivals.push(Arrived { kind: Kind::Probe, ..arrived(2500, 1, "") });
+    evidence.seen.arrivals.push(Arrived {
+        kind: Kind::Probe,
+        ..arrived(2500, 1, "")
+    });
     evidence.deeds = vec![deed(2000, What::Killed)];
     let figures = judge(&evidence).figures;
-    assert_eq!((figures.burst_opened, figures.burst_probes, figures.opened), (5, 1, 6));
+    assert_eq!(
+        (figures.burst_opened, figures.burst_probes, figures.opened),
+        (5, 1, 6)
+    );
     assert_eq!(figures.windows[20].opened_most, 3);
 }
 
@@ -186,7 +237,11 @@
     let mut other = evidence.heard.asked.clone();
     for (i, asked) in (0..).zip(&mut other) {
         (asked.front, asked.number) = (1, asked.number + 10_000);
-        asked.outcome = if i % 10 < of_ten { Outcome::Completed } else { Outcome::Rejected };
+        asked.outcome = if i % 10 < of_ten {
+            Outcome::Completed
+        } else {
+            Outcome::Rejected
+        };
     }
     evidence.heard.asked.extend(other);
     evidence.heard.asked.sort_by_key(|asked| asked.due_us);
--- a/crates/cluster/src/tests/relays.rs
+++ b/crates/cluster/src/tests/relays.rs
@@ -35,7 +35,9 @@
 
 fn linked() -> (Relays, SocketAddr, SocketAddr) {
     let (relays, to) = (Relays::start(Ground::new().relays()), echo());
-    let one = relays.link(NAME, to, Some(Ground::new().caller(0))).unwrap();
+    let one = relays
+        .link(NAME, to, Some(Ground::new().caller(0)))
+        .unwrap();
     let other = relays.link((Ends::Nodes, 1, 0), to, None).unwrap();
     (relays, one, other)
 }
@@ -75,8 +77,15 @@
     let mut stream = call(one);
     assert_eq!(said(&mut stream, b"a", NEVER), Ok(1));
     relays.set(vec![NAME], Way::Back, Some(Fault::Stall));
-    assert_eq!(said(&mut stream, b"held", MOMENT), Err(ErrorKind::WouldBlock));
-    assert_eq!(said(&mut call(other), b"b", NEVER), Ok(1), "another link is none of it");
+    assert_eq!(
+        said(&mut stream, b"held", MOMENT),
+        Err(ErrorKind::WouldBlock)
+    );
+    assert_eq!(
+        said(&mut call(other), b"b", NEVER),
+        Ok(1),
+        "another link is none of it"
+    );
     relays.set(vec![NAME], Way::Back, None);
     assert_eq!(said(&mut stream, b"", NEVER), Ok(4));
 }
@@ -85,15 +94,35 @@
 fn what_lost_bytes_stays_silent_and_is_reset_once_healed() {
     let (relays, one, _) = linked();
     let (mut lossy, mut idle) = (call(one), call(one));
-    assert_eq!((said(&mut lossy, b"a", NEVER), said(&mut idle, b"a", NEVER)), (Ok(1), Ok(1)));
+    assert_eq!(
+        (said(&mut lossy, b"a", NEVER), said(&mut idle, b"a", NEVER)),
+        (Ok(1), Ok(1))
+    );
     relays.set(vec![NAME], Way::There, Some(Fault::Drop));
-    assert_eq!(said(&mut lossy, b"lost", MOMENT), Err(ErrorKind::WouldBlock));
+    assert_eq!(
+        said(&mut lossy, b"lost", MOMENT),
+        Err(ErrorKind::WouldBlock)
+    );
     let mut new = call(one);
-    assert_eq!(said(&mut new, b"never", MOMENT), Err(ErrorKind::WouldBlock), "a new one does not come up");
+    assert_eq!(
+        said(&mut new, b"never", MOMENT),
+        Err(ErrorKind::WouldBlock),
+        "a new one does not come up"
+    );
     relays.set(vec![NAME], Way::Both, None);
-    assert!(matches!(said(&mut lossy, b"", NEVER), Ok(0) | Err(ErrorKind::ConnectionReset)));
-    assert!(matches!(said(&mut new, b"", NEVER), Ok(0) | Err(ErrorKind::ConnectionReset)));
-    assert_eq!(said(&mut idle, b"on", NEVER), Ok(2), "what lost nothing goes on");
+    assert!(matches!(
+        said(&mut lossy, b"", NEVER),
+        Ok(0) | Err(ErrorKind::ConnectionReset)
+    ));
+    assert!(matches!(
+        said(&mut new, b"", NEVER),
+        Ok(0) | Err(ErrorKind::ConnectionReset)
+    ));
+    assert_eq!(
+        said(&mut idle, b"on", NEVER),
+        Ok(2),
+        "what lost nothing goes on"
+    );
 }
 
 #[test]
@@ -141,7 +170,10 @@
     let mut stream = call(one);
     assert_eq!(said(&mut stream, b"a", NEVER), Ok(1));
     relays.set(vec![NAME], Way::Both, Some(Fault::Reset));
-    assert!(matches!(said(&mut stream, b"", NEVER), Ok(0) | Err(ErrorKind::ConnectionReset)));
+    assert!(matches!(
+        said(&mut stream, b"", NEVER),
+        Ok(0) | Err(ErrorKind::ConnectionReset)
+    ));
     assert!(!matches!(said(&mut call(one), b"b", NEVER), Ok(1)));
 }
 
@@ -149,10 +181,18 @@
 fn a_node_can_tell_which_router_calls() {
     let door = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let relays = Relays::start(Ground::new().relays());
-    let one = relays.link(NAME, door.local_addr().unwrap(), Some(Ground::new().caller(63))).unwrap();
+    let one = relays
+        .link(
+            NAME,
+            door.local_addr().unwrap(),
+            Some(Ground::new().caller(63)),
+        )
+        .unwrap();
     let _stream = call(one);
     let (_, from) = door.accept().unwrap();
-    let std::net::IpAddr::V4(from) = from.ip() else { panic!("{from}") };
+    let std::net::IpAddr::V4(from) = from.ip() else {
+        panic!("{from}")
+    };
     assert_eq!(crate::router_of(from), Some(63));
     assert_eq!(crate::router_of(Ipv4Addr::LOCALHOST), None);
 }
--- a/crates/cluster/src/tests/run_delays.rs
+++ b/crates/cluster/src/tests/run_delays.rs
@@ -23,15 +23,31 @@
 fn half_a_second_of_one_thread_is_added_up() {
     let mut readings = Readings::from(vec![reading("a", 900), reading("b", 0)]);
     readings.sample(&[reading("a", 930), reading("b", 20)]);
-    assert_eq!(readings.longest, Duration::from_millis(30), "what it waited before counts for nothing");
+    assert_eq!(
+        readings.longest,
+        Duration::from_millis(30),
+        "what it waited before counts for nothing"
+    );
     for more in 1..=4 {
         readings.sample(&[reading("a", 930 + more * 10), reading("b", 20)]);
     }
-    assert_eq!(readings.longest, Duration::from_millis(70), "five readings, of one thread");
+    assert_eq!(
+        readings.longest,
+        Duration::from_millis(70),
+        "five readings, of one thread"
+    );
     readings.sample(&[reading("a", 980), reading("b", 20)]);
-    assert_eq!(readings.longest, Duration::from_millis(70), "the first of them is half a second old");
+    assert_eq!(
+        readings.longest,
+        Duration::from_millis(70),
+        "the first of them is half a second old"
+    );
     readings.sample(&[reading("c", 200)]);
-    assert_eq!(readings.longest, Duration::from_millis(200), "a new one's counts from its start");
+    assert_eq!(
+        readings.longest,
+        Duration::from_millis(200),
+        "a new one's counts from its start"
+    );
 }
 
 /// Children that share one processor, and end with the test.
@@ -42,11 +58,18 @@
         // Children go where the thread that starts them may go.
         let start = move || {
             let allowed = sched_getaffinity(None).unwrap();
-            let first = (0..CpuSet::MAX_CPU).find(|cpu| allowed.is_set(*cpu)).unwrap();
+            let first = (0..CpuSet::MAX_CPU)
+                .find(|cpu| allowed.is_set(*cpu))
+                .unwrap();
             let mut one = CpuSet::new();
             one.set(first);
             sched_setaffinity(None, &one).unwrap();
-            let child = || Command::new("sh").args(["-c", "while :; do :; done"]).spawn().unwrap();
+            let child = || {
+                Command::new("sh")
+                    .args(["-c", "while :; do :; done"])
+                    .spawn()
+                    .unwrap()
+            };
             Busy((0..count).map(|_| child()).collect())
         };
         std::thread::spawn(start).join().unwrap()
@@ -59,7 +82,9 @@
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.0.iter_mut().for_each(|child| _ = (child.kill(), child.wait()));
+        self.0
+            .iter_mut()
+            .for_each(|child| _ = (child.kill(), child.wait()));
     }
 }
 
@@ -69,7 +94,11 @@
     let mut readings = Readings::from(delays(&busy.ids()));
     let begun = Instant::now();
     while readings.longest < Duration::from_millis(150) {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{:?}", readings.longest);
+        assert!(
+            begun.elapsed() < Duration::from_secs(20),
+            "{:?}",
+            readings.longest
+        );
         std::thread::sleep(Duration::from_millis(100));
         readings.sample(&delays(&busy.ids()));
     }
--- a/crates/cluster/src/tests/scripts.rs
+++ b/crates/cluster/src/tests/scripts.rs
@@ -14,24 +14,38 @@
     let script = Script::read(GOOD).unwrap();
     let plan = script.draw(1);
     assert_eq!(plan, script.draw(1));
-    let killed: Vec<_> = plan.iter().filter(|(_, act)| matches!(act, Act::Kill(_))).collect();
+    let killed: Vec<_> = plan
+        .iter()
+        .filter(|(_, act)| matches!(act, Act::Kill(_)))
+        .collect();
     assert_eq!(killed.len(), 7);
-    let started: Vec<_> = plan.iter().filter(|(_, act)| matches!(act, Act::Start(_))).collect();
+    let started: Vec<_> = plan
+        .iter()
+        .filter(|(_, act)| matches!(act, Act::Start(_)))
+        .collect();
     assert_eq!(started.len(), 7, "those that are down");
     assert!(started.iter().all(|(at, _)| (1200..=1300).contains(at)));
-    let went_on: Vec<_> = plan.iter().filter(|(_, act)| matches!(act, Act::Continue(_))).collect();
+    let went_on: Vec<_> = plan
+        .iter()
+        .filter(|(_, act)| matches!(act, Act::Continue(_)))
+        .collect();
     assert_eq!(went_on.len(), 2, "the same that were stopped");
-    let links: Vec<_> = plan.iter().filter(|(_, act)| matches!(act, Act::Links { .. })).collect();
+    let links: Vec<_> = plan
+        .iter()
+        .filter(|(_, act)| matches!(act, Act::Links { .. }))
+        .collect();
     assert!(
         matches!(&links[0].1, Act::Links { of: Ends::Nodes, pairs, fault: Some(_), .. } if *pairs == [(0, 3)])
     );
-    assert!(matches!(links[1], (2500, Act::Links { fault: None, .. })), "healed");
+    assert!(
+        matches!(links[1], (2500, Act::Links { fault: None, .. })),
+        "healed"
+    );
 }
 
 #[test]
 fn who_is_not_up_at_first_is_down() {
-    let text =
-        "{routers: 6, up: 2, calm_ms: 1000, for_ms: 5000, steps: [{at_ms: 2000, do: {start: 'down'}}]}";
+    let text = "{routers: 6, up: 2, calm_ms: 1000, for_ms: 5000, steps: [{at_ms: 2000, do: {start: 'down'}}]}";
     let plan = Script::read(text).unwrap().draw(1);
     let started: Vec<_> = plan.iter().map(|(_, act)| act.clone()).collect();
     assert_eq!(started, (2..6).map(Act::Start).collect::<Vec<_>>());
@@ -52,5 +66,8 @@
     let text = GOOD.replacen(good, bad, 1);
     assert_ne!(text, GOOD);
     let fault = Script::read(&text).expect_err("it is wrong").to_string();
-    assert!(fault.contains(told) && fault.starts_with("line "), "{fault}");
+    assert!(
+        fault.contains(told) && fault.starts_with("line "),
+        "{fault}"
+    );
 }
--- a/crates/control/src/consensus/election.rs
+++ b/crates/control/src/consensus/election.rs
@@ -47,7 +47,10 @@
     /// The newest state that was met, if it isn't the candidate's own, which has this digest. What others accepted last
     /// counts, also where it is just what the candidate has.
     fn newest(&self, own: Digest) -> Option<&Rc<State>> {
-        let met = self.promises.values().filter(|p| p.newer.is_some() || p.holds.digest == own);
+        let met = self
+            .promises
+            .values()
+            .filter(|p| p.newer.is_some() || p.holds.digest == own);
         met.max_by_key(|p| p.holds.rank())?.newer.as_ref()
     }
 }
@@ -65,23 +68,42 @@
         let ballot = self.highest.max(self.record.promised).above(self.me.node);
         self.leader = None;
         let granted = BTreeSet::from([self.me]);
-        self.role = Role::Canvassing(Canvass { ballot, granted, since: now, asked: now });
+        self.role = Role::Canvassing(Canvass {
+            ballot,
+            granted,
+            since: now,
+            asked: now,
+        });
         let holds = self.holds();
-        let others = self.record.state.membership.all().filter(|voter| *voter != self.me);
+        let others = self
+            .record
+            .state
+            .membership
+            .all()
+            .filter(|voter| *voter != self.me);
         out.extend(others.map(|voter| send(voter, ConsensusMessage::Canvass { ballot, holds })));
         self.stand_if_granted(now, out);
     }
 
     pub(super) fn tick_canvass(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let holds = self.holds();
-        let Role::Canvassing(canvass) = &mut self.role else { return };
+        let Role::Canvassing(canvass) = &mut self.role else {
+            return;
+        };
         if now - canvass.since > CANVASS {
             self.stand_back(now);
         } else if now - canvass.asked > ASK_AGAIN {
             canvass.asked = now;
             let ballot = canvass.ballot;
-            let others = self.record.state.membership.all().filter(|voter| !canvass.granted.contains(voter));
-            out.extend(others.map(|voter| send(voter, ConsensusMessage::Canvass { ballot, holds })));
+            let others = self
+                .record
+                .state
+                .membership
+                .all()
+                .filter(|voter| !canvass.granted.contains(voter));
+            out.extend(
+                others.map(|voter| send(voter, ConsensusMessage::Canvass { ballot, holds })),
+            );
         }
     }
 
@@ -93,21 +115,41 @@
     }
 
     pub(super) fn on_canvass(
-        &mut self, now: f64, from: Voter, ballot: Ballot, theirs: Holds, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        theirs: Holds,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         let promised = self.record.promised;
         // Whoever was left out meanwhile doesn't know, and would only disturb the others.
-        let left_out = !self.record.state.membership.contains(from) && self.holds().rank() > theirs.rank();
+        let left_out =
+            !self.record.state.membership.contains(from) && self.holds().rank() > theirs.rank();
         let granted = ballot > promised && !left_out && !self.keeps_to_a_leader(now, from);
-        out.push(send(from, ConsensusMessage::Canvassed { ballot, granted, promised }));
+        out.push(send(
+            from,
+            ConsensusMessage::Canvassed {
+                ballot,
+                granted,
+                promised,
+            },
+        ));
     }
 
     pub(super) fn on_canvassed(
-        &mut self, now: f64, from: Voter, ballot: Ballot, granted: bool, promised: Ballot,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        granted: bool,
+        promised: Ballot,
         out: &mut Vec<ConsensusOutput>,
     ) {
         self.highest = self.highest.max(promised);
-        let Role::Canvassing(canvass) = &mut self.role else { return };
+        let Role::Canvassing(canvass) = &mut self.role else {
+            return;
+        };
         if canvass.ballot == ballot && granted {
             canvass.granted.insert(from);
             self.stand_if_granted(now, out);
@@ -115,8 +157,15 @@
     }
 
     fn stand_if_granted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Role::Canvassing(canvass) = &self.role else { return };
-        if self.record.state.membership.is_quorum(|voter| canvass.granted.contains(&voter)) {
+        let Role::Canvassing(canvass) = &self.role else {
+            return;
+        };
+        if self
+            .record
+            .state
+            .membership
+            .is_quorum(|voter| canvass.granted.contains(&voter))
+        {
             self.stand(now, out);
         }
     }
@@ -126,24 +175,40 @@
         self.highest = ballot;
         self.record.promised = ballot;
         self.leader = None;
-        self.role = Role::Candidate(Candidacy { ballot, promises: ByVoter::new(), since: now, asked: now });
+        self.role = Role::Candidate(Candidacy {
+            ballot,
+            promises: ByVoter::new(),
+            since: now,
+            asked: now,
+        });
         self.persist(None, out);
     }
 
     /// This machine's own promise is on its disk: the others are asked.
     pub(super) fn count_own_promise(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let holds = self.holds();
-        let Role::Candidate(candidacy) = &mut self.role else { return };
-        candidacy.promises.insert(self.me, Promise { holds, newer: None });
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
+        candidacy
+            .promises
+            .insert(self.me, Promise { holds, newer: None });
         let ballot = candidacy.ballot;
-        let others = self.record.state.membership.all().filter(|voter| *voter != self.me);
+        let others = self
+            .record
+            .state
+            .membership
+            .all()
+            .filter(|voter| *voter != self.me);
         out.extend(others.map(|voter| send(voter, ConsensusMessage::Prepare { ballot, holds })));
         self.elect(now, out);
     }
 
     pub(super) fn tick_candidate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let holds = self.holds();
-        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let Role::Candidate(candidacy) = &mut self.role else {
+            return;
+        };
         if now - candidacy.since > CANDIDACY {
             log::info!("event=candidacy_failed ballot={}", candidacy.ballot.0);
             self.stand_back(now);
@@ -154,9 +219,14 @@
         }
         candidacy.asked = now;
         // What was asked may be lost, and the newest state may name others who decide.
-        let newest = candidacy.newest(self.digest).map(|state| state.membership.clone()).unwrap_or_default();
+        let newest = candidacy
+            .newest(self.digest)
+            .map(|state| state.membership.clone())
+            .unwrap_or_default();
         let known = &self.record.state.membership;
-        let all = known.all().chain(newest.all().filter(|voter| !known.contains(*voter)));
+        let all = known
+            .all()
+            .chain(newest.all().filter(|voter| !known.contains(*voter)));
         let ballot = candidacy.ballot;
         for voter in all.filter(|voter| !candidacy.promises.contains_key(voter)) {
             out.push(send(voter, ConsensusMessage::Prepare { ballot, holds }));
@@ -173,7 +243,12 @@
     }
 
     pub(super) fn on_prepare(
-        &mut self, now: f64, from: Voter, ballot: Ballot, theirs: Holds, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        theirs: Holds,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         self.highest = self.highest.max(ballot);
         let promised = self.record.promised;
@@ -190,7 +265,14 @@
         let holds = self.holds();
         let newer = (holds.rank() > theirs.rank() && holds.digest != theirs.digest)
             .then(|| self.record.state.clone());
-        let promise = send(from, ConsensusMessage::Promise { ballot, holds, newer });
+        let promise = send(
+            from,
+            ConsensusMessage::Promise {
+                ballot,
+                holds,
+                newer,
+            },
+        );
         if ballot == promised {
             out.push(promise);
         } else {
@@ -200,7 +282,12 @@
     }
 
     pub(super) fn on_promise(
-        &mut self, now: f64, from: Voter, ballot: Ballot, holds: Holds, newer: Option<Rc<State>>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        holds: Holds,
+        newer: Option<Rc<State>>,
         out: &mut Vec<ConsensusOutput>,
     ) {
         if let Role::Candidate(candidacy) = &mut self.role
@@ -214,9 +301,17 @@
     /// Of those that the newest state names a majority is needed: any state that was agreed on lies with one of them, or
     /// a newer one does.
     fn elect(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Role::Candidate(candidacy) = &self.role else { return };
-        let newest = candidacy.newest(self.digest).unwrap_or(&self.record.state).clone();
-        if !newest.membership.is_quorum(|voter| candidacy.promises.contains_key(&voter)) {
+        let Role::Candidate(candidacy) = &self.role else {
+            return;
+        };
+        let newest = candidacy
+            .newest(self.digest)
+            .unwrap_or(&self.record.state)
+            .clone();
+        if !newest
+            .membership
+            .is_quorum(|voter| candidacy.promises.contains_key(&voter))
+        {
             return;
         }
         if !newest.membership.contains(self.me) {
@@ -224,8 +319,11 @@
             self.stand_back(now);
             return;
         }
-        let leading =
-            Leading::new(candidacy.ballot, now, candidacy.promises.iter().map(|(v, p)| (*v, p.holds)));
+        let leading = Leading::new(
+            candidacy.ballot,
+            now,
+            candidacy.promises.iter().map(|(v, p)| (*v, p.holds)),
+        );
         let digest = newest.digest();
         if digest != self.digest {
             self.history.clear();
@@ -238,11 +336,17 @@
     }
 
     pub(super) fn on_refuse(
-        &mut self, now: f64, ballot: Ballot, promised: Ballot, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        ballot: Ballot,
+        promised: Ballot,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         self.highest = self.highest.max(promised);
         // Whoever leads and meets a higher promise leads no longer.
-        if matches!(&self.role, Role::Leader(leading) if leading.ballot == ballot) && promised > ballot {
+        if matches!(&self.role, Role::Leader(leading) if leading.ballot == ballot)
+            && promised > ballot
+        {
             self.follow(out);
             self.heard = now;
             self.pause = self.stagger();
--- a/crates/control/src/consensus/mod.rs
+++ b/crates/control/src/consensus/mod.rs
@@ -136,7 +136,13 @@
 
 impl Consensus {
     /// A machine that starts with what its disk holds.
-    pub fn new(me: Voter, record: Record, now: f64, seed: u64, timing: ConsensusTiming) -> Consensus {
+    pub fn new(
+        me: Voter,
+        record: Record,
+        now: f64,
+        seed: u64,
+        timing: ConsensusTiming,
+    ) -> Consensus {
         let digest = record.state.digest();
         let mut consensus = Consensus {
             me,
@@ -279,7 +285,11 @@
 
     /// What is on the disk of this machine.
     fn holds(&self) -> Holds {
-        Holds { accepted: self.durable.accepted, seq: self.durable.state.seq, digest: self.durable_digest }
+        Holds {
+            accepted: self.durable.accepted,
+            seq: self.durable.state.seq,
+            digest: self.durable_digest,
+        }
     }
 
     /// Lets time pass.
@@ -300,29 +310,62 @@
 
     /// A message of another machine.
     pub fn message(
-        &mut self, now: f64, from: Voter, message: ConsensusMessage, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        message: ConsensusMessage,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         if self.saving || self.disk_failed {
             return;
         }
         self.membership.met(from.node);
         match message {
-            ConsensusMessage::Canvass { ballot, holds } => self.on_canvass(now, from, ballot, holds, out),
-            ConsensusMessage::Canvassed { ballot, granted, promised } => {
+            ConsensusMessage::Canvass { ballot, holds } => {
+                self.on_canvass(now, from, ballot, holds, out)
+            }
+            ConsensusMessage::Canvassed {
+                ballot,
+                granted,
+                promised,
+            } => {
                 self.on_canvassed(now, from, ballot, granted, promised, out);
             }
-            ConsensusMessage::Prepare { ballot, holds } => self.on_prepare(now, from, ballot, holds, out),
-            ConsensusMessage::Promise { ballot, holds, newer } => {
+            ConsensusMessage::Prepare { ballot, holds } => {
+                self.on_prepare(now, from, ballot, holds, out)
+            }
+            ConsensusMessage::Promise {
+                ballot,
+                holds,
+                newer,
+            } => {
                 self.on_promise(now, from, ballot, holds, newer, out);
             }
-            ConsensusMessage::Refuse { ballot, promised } => self.on_refuse(now, ballot, promised, out),
-            ConsensusMessage::Accept { ballot, content } => self.on_accept(now, from, ballot, content, out),
-            ConsensusMessage::Accepted { ballot, holds } => self.on_accepted(from, ballot, holds, out),
-            ConsensusMessage::Mismatch { ballot, holds } => self.on_mismatch(now, from, ballot, holds, out),
-            ConsensusMessage::Heartbeat { ballot, sent, confirms } => {
+            ConsensusMessage::Refuse { ballot, promised } => {
+                self.on_refuse(now, ballot, promised, out)
+            }
+            ConsensusMessage::Accept { ballot, content } => {
+                self.on_accept(now, from, ballot, content, out)
+            }
+            ConsensusMessage::Accepted { ballot, holds } => {
+                self.on_accepted(from, ballot, holds, out)
+            }
+            ConsensusMessage::Mismatch { ballot, holds } => {
+                self.on_mismatch(now, from, ballot, holds, out)
+            }
+            ConsensusMessage::Heartbeat {
+                ballot,
+                sent,
+                confirms,
+            } => {
                 self.on_heartbeat(now, from, ballot, (sent, confirms), out);
             }
-            ConsensusMessage::HeartbeatAck { ballot, sent, at, holds } => {
+            ConsensusMessage::HeartbeatAck {
+                ballot,
+                sent,
+                at,
+                holds,
+            } => {
                 self.on_heartbeat_ack(now, from, ballot, (sent, at), holds, out);
             }
             ConsensusMessage::Resign { ballot } => self.on_resign(now, from, ballot),
@@ -337,9 +380,15 @@
     fn stagger(&mut self) -> f64 {
         const RANK: f64 = 0.12;
         const CHANCE: f64 = 0.05;
-        let rank = self.voters().iter().position(|voter| *voter == self.me).unwrap_or(0);
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let rank = self
+            .voters()
+            .iter()
+            .position(|voter| *voter == self.me)
+            .unwrap_or(0);
+        self.random = self
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         RANK * rank as f64 + CHANCE * ((self.random >> 33) as f64 / (1u64 << 31) as f64)
     }
 
