--- a/crates/control/src/consensus/replication.rs
+++ b/crates/control/src/consensus/replication.rs
@@ -1,6 +1,8 @@
 //! What a leader does: heartbeats, and the state to everybody who decides; and what its followers answer.
 
-use super::{ByVoter, Consensus, ConsensusMessage, ConsensusOutput, Content, Holds, Record, Role, send};
+use super::{
+    ByVoter, Consensus, ConsensusMessage, ConsensusOutput, Content, Holds, Record, Role, send,
+};
 use crate::ballot::Ballot;
 use crate::digest::Digest;
 use crate::history::History;
@@ -53,9 +55,19 @@
 }
 
 impl Leading {
-    pub(super) fn new(ballot: Ballot, now: f64, promised: impl Iterator<Item = (Voter, Holds)>) -> Leading {
+    pub(super) fn new(
+        ballot: Ballot,
+        now: f64,
+        promised: impl Iterator<Item = (Voter, Holds)>,
+    ) -> Leading {
         let known = move |(voter, holds): (Voter, Holds)| {
-            (voter, Progress { expected: Some(holds.digest), ..Progress::unknown(now) })
+            (
+                voter,
+                Progress {
+                    expected: Some(holds.digest),
+                    ..Progress::unknown(now)
+                },
+            )
         };
         Leading {
             ballot,
@@ -68,7 +80,9 @@
 
     pub(super) fn of(&mut self, voter: Voter) -> &mut Progress {
         let since = self.since;
-        self.progress.entry(voter).or_insert_with(|| Progress::unknown(since))
+        self.progress
+            .entry(voter)
+            .or_insert_with(|| Progress::unknown(since))
     }
 
     /// What was known of this machine counts no longer.
@@ -96,7 +110,11 @@
         let next = Rc::new(self.state.after(&change)?);
         let digest = next.digest();
         let before = std::mem::replace(&mut self.state, next);
-        self.steps.push(Step { before, digest: std::mem::replace(&mut self.digest, digest), change });
+        self.steps.push(Step {
+            before,
+            digest: std::mem::replace(&mut self.digest, digest),
+            change,
+        });
         Some(())
     }
 }
@@ -112,7 +130,9 @@
 
     /// Until when this machine may act as leader: nobody else had won before.
     pub fn authority(&self) -> f64 {
-        let Role::Leader(leading) = &self.role else { return f64::NEG_INFINITY };
+        let Role::Leader(leading) = &self.role else {
+            return f64::NEG_INFINITY;
+        };
         if leading.agreed.is_none() {
             return f64::NEG_INFINITY;
         }
@@ -126,12 +146,19 @@
 
     /// The state, if this machine leads and all before is agreed.
     pub fn agreed(&self) -> Option<&Rc<State>> {
-        let Role::Leader(leading) = &self.role else { return None };
+        let Role::Leader(leading) = &self.role else {
+            return None;
+        };
         (leading.agreed == Some(self.record.state.seq)).then_some(&self.record.state)
     }
 
     /// Proposes a change. None while another one is under way, another machine leads, or it doesn't fit the state.
-    pub fn propose(&mut self, now: f64, change: Change, out: &mut Vec<ConsensusOutput>) -> Option<u64> {
+    pub fn propose(
+        &mut self,
+        now: f64,
+        change: Change,
+        out: &mut Vec<ConsensusOutput>,
+    ) -> Option<u64> {
         if self.saving {
             return None;
         }
@@ -147,7 +174,9 @@
 
     /// Sends the state to everybody of whom it is known what they have, and saves it here.
     pub(super) fn replicate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Role::Leader(leading) = &self.role else { return };
+        let Role::Leader(leading) = &self.role else {
+            return;
+        };
         self.record.accepted = leading.ballot;
         for voter in self.replicas() {
             let expected = match &self.role {
@@ -164,13 +193,24 @@
     /// Everybody who decides or asks to, but this machine.
     fn replicas(&self) -> Vec<Voter> {
         let membership = &self.record.state.membership;
-        let joining = self.membership.joining().filter(|voter| !membership.contains(*voter));
-        membership.all().chain(joining).filter(|voter| *voter != self.me).collect()
+        let joining = self
+            .membership
+            .joining()
+            .filter(|voter| !membership.contains(*voter));
+        membership
+            .all()
+            .chain(joining)
+            .filter(|voter| *voter != self.me)
+            .collect()
     }
 
     /// Who asks to join is sent the state before it is taken in.
     pub(super) fn send_state_to_joiner(
-        &mut self, now: f64, to: Voter, holds: Holds, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        to: Voter,
+        holds: Holds,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         if let Role::Leader(leading) = &mut self.role {
             leading.begin_anew(to, now);
@@ -181,7 +221,9 @@
     fn send_state(&mut self, now: f64, to: Voter, theirs: Digest, out: &mut Vec<ConsensusOutput>) {
         let content = self.content_for(theirs);
         let digest = self.digest;
-        let Role::Leader(leading) = &mut self.role else { return };
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
         let progress = leading.of(to);
         progress.expected = Some(digest);
         progress.sent = now;
@@ -192,12 +234,22 @@
     /// The state, as cheap as may be for whoever has that one.
     fn content_for(&self, theirs: Digest) -> Content {
         let whole = || Content::Whole(self.record.state.clone());
-        let changes = if theirs == self.digest { Some(Vec::new()) } else { self.history.since(theirs) };
-        let Some(changes) = changes else { return whole() };
+        let changes = if theirs == self.digest {
+            Some(Vec::new())
+        } else {
+            self.history.since(theirs)
+        };
+        let Some(changes) = changes else {
+            return whole();
+        };
         if History::size_of(&changes) > self.record.state.config.len() + 1024 {
             return whole();
         }
-        Content::Changes { base: theirs, changes, result: self.digest }
+        Content::Changes {
+            base: theirs,
+            changes,
+            result: self.digest,
+        }
     }
 
     /// What this machine saved counts, too.
@@ -212,18 +264,31 @@
 
     fn count(&mut self, out: &mut Vec<ConsensusOutput>) {
         let seq = self.record.state.seq;
-        let Role::Leader(leading) = &mut self.role else { return };
-        let accepted = |voter| leading.progress.get(&voter).is_some_and(|p| p.accepted == Some(seq));
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
+        let accepted = |voter| {
+            leading
+                .progress
+                .get(&voter)
+                .is_some_and(|p| p.accepted == Some(seq))
+        };
         if leading.agreed == Some(seq) || !self.record.state.membership.is_quorum(accepted) {
             return;
         }
         let first = leading.agreed.replace(seq).is_none();
-        out.push(if first { ConsensusOutput::Won } else { ConsensusOutput::Agreed });
+        out.push(if first {
+            ConsensusOutput::Won
+        } else {
+            ConsensusOutput::Agreed
+        });
     }
 
     /// A leader that is heard and hears no majority would keep the others from having another one.
     fn has_lost_its_majority(&self, now: f64) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
+        let Role::Leader(leading) = &self.role else {
+            return false;
+        };
         let authority = self.authority().max(leading.since + self.timing.suspect);
         now > authority + self.timing.suspect
     }
@@ -238,7 +303,9 @@
         }
         let in_contact = self.authority() > now;
         let replicas = self.replicas();
-        let Role::Leader(leading) = &mut self.role else { return };
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
         if now - leading.heartbeat < HEARTBEAT {
             return;
         }
@@ -246,12 +313,24 @@
         let ballot = leading.ballot;
         for voter in replicas {
             let confirms = leading.of(voter).at.filter(|_| in_contact);
-            out.push(send(voter, ConsensusMessage::Heartbeat { ballot, sent: now, confirms }));
+            out.push(send(
+                voter,
+                ConsensusMessage::Heartbeat {
+                    ballot,
+                    sent: now,
+                    confirms,
+                },
+            ));
         }
     }
 
     pub(super) fn on_accept(
-        &mut self, now: f64, from: Voter, ballot: Ballot, content: Content, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        content: Content,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         self.highest = self.highest.max(ballot);
         if ballot < self.record.promised {
@@ -260,7 +339,12 @@
             return;
         }
         self.follow_leader(now, from, ballot, out);
-        let Some(Arrived { state, digest, steps }) = self.read_content(content) else {
+        let Some(Arrived {
+            state,
+            digest,
+            steps,
+        }) = self.read_content(content)
+        else {
             let holds = self.holds();
             out.push(send(from, ConsensusMessage::Mismatch { ballot, holds }));
             return;
@@ -278,11 +362,22 @@
         for step in steps {
             self.history.push(&step.before, step.digest, step.change);
         }
-        self.record = Record { promised: ballot, accepted: ballot, state };
+        self.record = Record {
+            promised: ballot,
+            accepted: ballot,
+            state,
+        };
         self.digest = digest;
         self.removed = false;
-        let holds = Holds { accepted: ballot, seq: self.record.state.seq, digest };
-        self.persist(Some(send(from, ConsensusMessage::Accepted { ballot, holds })), out);
+        let holds = Holds {
+            accepted: ballot,
+            seq: self.record.state.seq,
+            digest,
+        };
+        self.persist(
+            Some(send(from, ConsensusMessage::Accepted { ballot, holds })),
+            out,
+        );
     }
 
     /// The state that was sent; none if it builds on another state than this machine has.
@@ -290,12 +385,21 @@
         match content {
             Content::Whole(state) => {
                 let digest = state.digest();
-                Some(Arrived { state, digest, steps: Vec::new() })
+                Some(Arrived {
+                    state,
+                    digest,
+                    steps: Vec::new(),
+                })
             }
             Content::Changes { base, .. } if base != self.digest => None,
-            Content::Changes { changes, result, .. } => {
-                let mut arrived =
-                    Arrived { state: self.record.state.clone(), digest: self.digest, steps: Vec::new() };
+            Content::Changes {
+                changes, result, ..
+            } => {
+                let mut arrived = Arrived {
+                    state: self.record.state.clone(),
+                    digest: self.digest,
+                    steps: Vec::new(),
+                };
                 for change in changes {
                     arrived.apply(change)?;
                 }
@@ -305,14 +409,20 @@
     }
 
     pub(super) fn on_accepted(
-        &mut self, from: Voter, ballot: Ballot, holds: Holds, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        from: Voter,
+        ballot: Ballot,
+        holds: Holds,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         self.note_holds(from, ballot, holds);
         self.count(out);
     }
 
     fn note_holds(&mut self, from: Voter, ballot: Ballot, holds: Holds) {
-        let Role::Leader(leading) = &mut self.role else { return };
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
         if leading.ballot == ballot && holds.accepted == ballot {
             let accepted = &mut leading.of(from).accepted;
             *accepted = (*accepted).max(Some(holds.seq));
@@ -320,7 +430,12 @@
     }
 
     pub(super) fn on_mismatch(
-        &mut self, now: f64, from: Voter, ballot: Ballot, holds: Holds, out: &mut Vec<ConsensusOutput>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        holds: Holds,
+        out: &mut Vec<ConsensusOutput>,
     ) {
         if matches!(&self.role, Role::Leader(leading) if leading.ballot == ballot) {
             self.send_state(now, from, holds.digest, out);
@@ -328,7 +443,11 @@
     }
 
     pub(super) fn on_heartbeat(
-        &mut self, now: f64, from: Voter, ballot: Ballot, (sent, confirms): (f64, Option<f64>),
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        (sent, confirms): (f64, Option<f64>),
         out: &mut Vec<ConsensusOutput>,
     ) {
         self.highest = self.highest.max(ballot);
@@ -341,7 +460,12 @@
         if let Some(at) = confirms {
             self.contact_until = self.contact_until.max(at + self.timing.contact);
         }
-        let ack = ConsensusMessage::HeartbeatAck { ballot, sent, at: now, holds: self.holds() };
+        let ack = ConsensusMessage::HeartbeatAck {
+            ballot,
+            sent,
+            at: now,
+            holds: self.holds(),
+        };
         // A promise that was lost on the way is as good as kept: nothing below it is taken any more.
         if ballot > self.record.promised {
             self.record.promised = ballot;
@@ -352,11 +476,18 @@
     }
 
     pub(super) fn on_heartbeat_ack(
-        &mut self, now: f64, from: Voter, ballot: Ballot, (sent, at): (f64, f64), holds: Holds,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        (sent, at): (f64, f64),
+        holds: Holds,
         out: &mut Vec<ConsensusOutput>,
     ) {
         let digest = self.digest;
-        let Role::Leader(leading) = &mut self.role else { return };
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
         if leading.ballot != ballot {
             return;
         }
@@ -373,7 +504,13 @@
     }
 
     /// Somebody leads under a ballot that this machine takes part in.
-    fn follow_leader(&mut self, now: f64, from: Voter, ballot: Ballot, out: &mut Vec<ConsensusOutput>) {
+    fn follow_leader(
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        out: &mut Vec<ConsensusOutput>,
+    ) {
         let lower = match &self.role {
             Role::Leader(leading) => leading.ballot < ballot,
             Role::Candidate(_) | Role::Canvassing(_) => true,
--- a/crates/control/src/consensus/voters.rs
+++ b/crates/control/src/consensus/voters.rs
@@ -119,8 +119,15 @@
     pub(super) fn give_up_the_lead(&mut self, out: &mut Vec<ConsensusOutput>) {
         if let Role::Leader(leading) = &self.role {
             let ballot = leading.ballot;
-            let others = self.record.state.membership.all().filter(|voter| *voter != self.me);
-            let told: Vec<_> = others.map(|voter| send(voter, ConsensusMessage::Resign { ballot })).collect();
+            let others = self
+                .record
+                .state
+                .membership
+                .all()
+                .filter(|voter| *voter != self.me);
+            let told: Vec<_> = others
+                .map(|voter| send(voter, ConsensusMessage::Resign { ballot }))
+                .collect();
             self.follow(out);
             out.extend(told);
         }
@@ -148,25 +155,46 @@
         }
         self.membership.asked = now;
         let known = membership.all().map(|voter| voter.node);
-        let others = self.membership.seeds.iter().chain(&self.membership.contacts).copied();
-        let mut nodes: Vec<Node> = known.chain(others).filter(|node| *node != self.me.node).collect();
+        let others = self
+            .membership
+            .seeds
+            .iter()
+            .chain(&self.membership.contacts)
+            .copied();
+        let mut nodes: Vec<Node> = known
+            .chain(others)
+            .filter(|node| *node != self.me.node)
+            .collect();
         nodes.sort_unstable();
         nodes.dedup();
         let holds = self.holds();
-        let ask = |node| ConsensusOutput::Send(Recipient::Node(node), ConsensusMessage::Join { holds });
+        let ask =
+            |node| ConsensusOutput::Send(Recipient::Node(node), ConsensusMessage::Join { holds });
         out.extend(nodes.into_iter().map(ask));
     }
 
     pub(super) fn ask_to_leave(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        if !self.membership.leaving || self.may_end() || now - self.membership.asked < ASK_TO_LEAVE {
+        if !self.membership.leaving || self.may_end() || now - self.membership.asked < ASK_TO_LEAVE
+        {
             return;
         }
         self.membership.asked = now;
-        let others = self.record.state.membership.all().filter(|voter| *voter != self.me);
+        let others = self
+            .record
+            .state
+            .membership
+            .all()
+            .filter(|voter| *voter != self.me);
         out.extend(others.map(|voter| send(voter, ConsensusMessage::Leave)));
     }
 
-    pub(super) fn on_join(&mut self, now: f64, from: Voter, holds: Holds, out: &mut Vec<ConsensusOutput>) {
+    pub(super) fn on_join(
+        &mut self,
+        now: f64,
+        from: Voter,
+        holds: Holds,
+        out: &mut Vec<ConsensusOutput>,
+    ) {
         if self.leads().is_none() {
             let voters = self.voters().to_vec();
             out.push(send(from, ConsensusMessage::Contacts { voters }));
@@ -175,7 +203,9 @@
         // Whoever asks has started anew since it asked to leave.
         self.membership.leavers.retain(|voter| *voter != from);
         // A machine that asks in another life of its disk is no longer what it was.
-        self.membership.joining.retain(|voter, _| voter.node != from.node || *voter == from);
+        self.membership
+            .joining
+            .retain(|voter, _| voter.node != from.node || *voter == from);
         if self.voters().contains(&from) {
             return;
         }
@@ -202,7 +232,9 @@
     /// place of its own former incarnation, of a voter that is gone, or one of its own; who ends or is gone is left out
     /// where enough are left.
     pub fn change_membership(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Some(state) = self.agreed().cloned() else { return };
+        let Some(state) = self.agreed().cloned() else {
+            return;
+        };
         if self.authority() < now {
             return;
         }
@@ -213,8 +245,11 @@
             return;
         }
         let voters = state.membership.voters();
-        let waits = |voter: &Voter, asked: f64| now - asked < STILL_WANTS && !voters.contains(voter);
-        self.membership.joining.retain(|voter, asked| waits(voter, *asked));
+        let waits =
+            |voter: &Voter, asked: f64| now - asked < STILL_WANTS && !voters.contains(voter);
+        self.membership
+            .joining
+            .retain(|voter, asked| waits(voter, *asked));
         let next = if state.membership.is_joint() {
             self.membership.changed = now;
             Some(state.membership.completed())
@@ -225,7 +260,11 @@
             voters.and_then(|voters| state.membership.changed_to(voters))
         };
         if let Some(next) = next {
-            log::info!("event=membership voters={} joint={}", list(next.voters()), next.is_joint());
+            log::info!(
+                "event=membership voters={} joint={}",
+                list(next.voters()),
+                next.is_joint()
+            );
             self.propose(now, Change::Membership(next), out);
         }
     }
@@ -235,13 +274,27 @@
         let voters = self.voters();
         let ready = |voter: &Voter| self.has_state(*voter) && !voters.contains(voter);
         let joining = self.membership.joining().find(ready)?;
-        let former = voters.iter().copied().find(|voter| voter.node == joining.node);
-        let longest = |a: &Voter, b: &Voter| self.silence(now, *a).total_cmp(&self.silence(now, *b));
-        let gone =
-            voters.iter().copied().max_by(longest).filter(|voter| self.silence(now, *voter) > REPLACEABLE);
-        let all_there = voters.iter().all(|voter| self.silence(now, *voter) < ALL_THERE);
+        let former = voters
+            .iter()
+            .copied()
+            .find(|voter| voter.node == joining.node);
+        let longest =
+            |a: &Voter, b: &Voter| self.silence(now, *a).total_cmp(&self.silence(now, *b));
+        let gone = voters
+            .iter()
+            .copied()
+            .max_by(longest)
+            .filter(|voter| self.silence(now, *voter) > REPLACEABLE);
+        let all_there = voters
+            .iter()
+            .all(|voter| self.silence(now, *voter) < ALL_THERE);
         match former.or(gone) {
-            Some(removed) => Some(self.record.state.membership.with(Some(joining), Some(removed))),
+            Some(removed) => Some(
+                self.record
+                    .state
+                    .membership
+                    .with(Some(joining), Some(removed)),
+            ),
             None if all_there && voters.len() < MAX_VOTERS => {
                 Some(self.record.state.membership.with(Some(joining), None))
             }
@@ -252,30 +305,45 @@
     /// The voters without one that ends or is gone, if there is one and enough are left.
     fn removal(&mut self, now: f64) -> Option<Vec<Voter>> {
         let voters = self.voters().to_vec();
-        self.membership.leavers.retain(|voter| voters.contains(voter));
+        self.membership
+            .leavers
+            .retain(|voter| voters.contains(voter));
         if !self.can_be_spared() {
             self.membership.leavers.clear();
             return None;
         }
         let leaver = self.membership.leavers.pop();
-        let removed =
-            leaver.or_else(|| voters.into_iter().find(|voter| self.silence(now, *voter) > ABSENT))?;
+        let removed = leaver.or_else(|| {
+            voters
+                .into_iter()
+                .find(|voter| self.silence(now, *voter) > ABSENT)
+        })?;
         Some(self.record.state.membership.with(None, Some(removed)))
     }
 
     /// For how many seconds a voter has answered no heartbeat of this leader.
     fn silence(&self, now: f64, voter: Voter) -> f64 {
-        let Role::Leader(leading) = &self.role else { return 0.0 };
+        let Role::Leader(leading) = &self.role else {
+            return 0.0;
+        };
         if voter == self.me {
             return 0.0;
         }
-        now - leading.progress.get(&voter).map_or(leading.since, |p| p.answered.max(p.since))
+        now - leading
+            .progress
+            .get(&voter)
+            .map_or(leading.since, |p| p.answered.max(p.since))
     }
 
     /// Whether this machine has accepted a state of this leader.
     fn has_state(&self, voter: Voter) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        leading.progress.get(&voter).is_some_and(|progress| progress.accepted.is_some())
+        let Role::Leader(leading) = &self.role else {
+            return false;
+        };
+        leading
+            .progress
+            .get(&voter)
+            .is_some_and(|progress| progress.accepted.is_some())
     }
 }
 
--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -54,7 +54,11 @@
     /// A server has left.
     Depart { id: String },
     /// A valid configuration of this epoch, building on that version.
-    Replace { base: u64, epoch: u64, body: Rc<[u8]> },
+    Replace {
+        base: u64,
+        epoch: u64,
+        body: Rc<[u8]>,
+    },
     /// The newest configuration.
     Read,
 }
@@ -73,7 +77,11 @@
 impl Answer {
     /// One that holds whenever it leaves.
     fn lasting(status: u16, body: Rc<[u8]>) -> Answer {
-        Answer { status, body, until: f64::INFINITY }
+        Answer {
+            status,
+            body,
+            until: f64::INFINITY,
+        }
     }
 
     /// An error, with its reason in one line.
@@ -83,7 +91,11 @@
 
     /// One that holds if it leaves before this second.
     fn until(until: f64, status: u16, body: Rc<[u8]>) -> Answer {
-        Answer { status, body, until }
+        Answer {
+            status,
+            body,
+            until,
+        }
     }
 }
 
@@ -102,9 +114,20 @@
     /// News to the router on this session, behind all that went there before. Sessions that lack the same share it.
     News(u64, Rc<ToRouter>),
     /// To a database server. What changes it must be sent only while this machine may act under the ballot `fence`.
-    Ask { id: String, endpoint: String, service: String, statement: Statement, fence: u64 },
+    Ask {
+        id: String,
+        endpoint: String,
+        service: String,
+        statement: Statement,
+        fence: u64,
+    },
     /// To the platform, if it can be sent before this second; `fence` rises with every holder of the duty.
-    Promote { service: String, id: String, fence: u64, before: f64 },
+    Promote {
+        service: String,
+        id: String,
+        fence: u64,
+        before: f64,
+    },
     /// To whoever made the call of this number.
     Reply(u64, Answer),
 }
@@ -182,8 +205,17 @@
 
 impl Controller {
     /// A machine that starts with this on its disk, in a life that was drawn for it. See [`Consensus::new`].
-    pub fn new(me: Voter, record: Record, now: f64, life: u64, timing: ControlTiming) -> Controller {
-        let of_consensus = ConsensusTiming { suspect: timing.suspect, contact: timing.contact };
+    pub fn new(
+        me: Voter,
+        record: Record,
+        now: f64,
+        life: u64,
+        timing: ControlTiming,
+    ) -> Controller {
+        let of_consensus = ConsensusTiming {
+            suspect: timing.suspect,
+            contact: timing.contact,
+        };
         Controller {
             me: me.node,
             life,
@@ -211,7 +243,11 @@
 
     /// The addresses of the machines that decide, as far as they are known here.
     pub fn voters(&self) -> Vec<Node> {
-        self.consensus.voters().iter().map(|voter| voter.node).collect()
+        self.consensus
+            .voters()
+            .iter()
+            .map(|voter| voter.node)
+            .collect()
     }
 
     /// Who leads, as far as is known here.
@@ -292,9 +328,16 @@
 
     /// For logs and operators: service, phase, primary and its term.
     pub fn primaries(&self) -> Vec<(String, &'static str, GrantNews)> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.lead else {
+            return Vec::new();
+        };
         let of = |(service, f): (&String, &Failover)| {
-            let empty = GrantNews { service: service.clone(), id: String::new(), term: 0, closing: true };
+            let empty = GrantNews {
+                service: service.clone(),
+                id: String::new(),
+                term: 0,
+                closing: true,
+            };
             let news = lead.grants.get(service).map_or(empty, |g| g.news.clone());
             (service.clone(), f.phase(), news)
         };
@@ -314,7 +357,11 @@
 
     /// The configuration's epoch and text as agreed, as far as is known here.
     pub fn config(&self) -> (u64, &[u8]) {
-        let state = if self.lead.is_some() { &self.current } else { &self.consensus.record().state };
+        let state = if self.lead.is_some() {
+            &self.current
+        } else {
+            &self.consensus.record().state
+        };
         (state.epoch, &state.config)
     }
 
@@ -354,7 +401,12 @@
             sync: HashMap::new(),
             rosters: Rosters::default(),
         });
-        for member in self.members.all().map(|m| m.news.id.clone()).collect::<Vec<_>>() {
+        for member in self
+            .members
+            .all()
+            .map(|m| m.news.id.clone())
+            .collect::<Vec<_>>()
+        {
             self.members.restamp(&member, 1);
         }
         self.know_services();
@@ -370,7 +422,11 @@
         let waiting = lead.proposed.map(|(_, w)| w).into_iter().chain(lead.queue);
         for one in waiting {
             // It may hold or not: whoever asked must ask again.
-            reply(&one.origin, Answer::error(503, "another machine leads now"), out);
+            reply(
+                &one.origin,
+                Answer::error(503, "another machine leads now"),
+                out,
+            );
         }
     }
 
@@ -383,7 +439,9 @@
                     log::info!("event=config epoch={epoch}");
                     reply(&one.origin, Answer::lasting(200, Rc::from([])), out);
                 }
-                Wanted::Primary { service, settled, .. } => {
+                Wanted::Primary {
+                    service, settled, ..
+                } => {
                     if !settled && let Some(failover) = lead.services.get_mut(&service) {
                         let act = failover.agreed(now, true);
                         self.act(now, &service, act.into_iter().collect(), out);
@@ -442,13 +500,19 @@
                 self.consensus.message(now, from, message, &mut outs);
                 self.settle(now, outs, &mut out);
             }
-            PeerMessage::Members { round, news } => self.on_members(now, from, round, news, &mut out),
+            PeerMessage::Members { round, news } => {
+                self.on_members(now, from, round, news, &mut out)
+            }
             PeerMessage::MembersKept { round } => self.on_members_kept(from, round, &mut out),
             PeerMessage::RosterWanted { ballot } => self.on_roster_wanted(from, ballot, &mut out),
-            PeerMessage::Roster { ballot, news } => self.on_roster(now, from, ballot, news, &mut out),
+            PeerMessage::Roster { ballot, news } => {
+                self.on_roster(now, from, ballot, news, &mut out)
+            }
             PeerMessage::Call { id, call } => self.on_call(now, from, id, call, &mut out),
             PeerMessage::SendWhole { id } => self.on_send_whole(from, id, &mut out),
-            PeerMessage::Answer { id, status, body } => self.on_answer(from, id, status, body, &mut out),
+            PeerMessage::Answer { id, status, body } => {
+                self.on_answer(from, id, status, body, &mut out)
+            }
         }
         out
     }
@@ -465,7 +529,10 @@
             }
             // Its server may be known to the others, and this machine would acknowledge what nobody learns.
             Call::Depart { id } if !self.members.knows(&id) && !self.has_listened(now) => {
-                out.push(Output::Reply(number, Answer::error(503, "this server isn't known here yet")));
+                out.push(Output::Reply(
+                    number,
+                    Answer::error(503, "this server isn't known here yet"),
+                ));
             }
             Call::Depart { id } => {
                 let news = self.members.depart(now, &id, stamp);
@@ -490,7 +557,14 @@
 
     /// A machine that is out of contact keeps what it heard, but sends its caller on: a server that only it knows of may
     /// hold what the others miss.
-    fn take_beat(&mut self, now: f64, call: u64, id: &str, news: Option<MemberNews>, out: &mut Vec<Output>) {
+    fn take_beat(
+        &mut self,
+        now: f64,
+        call: u64,
+        id: &str,
+        news: Option<MemberNews>,
+        out: &mut Vec<Output>,
+    ) {
         self.know_services();
         if !self.consensus.in_contact(now) {
             out.push(Output::Reply(
--- a/crates/control/src/controller/beats.rs
+++ b/crates/control/src/controller/beats.rs
@@ -31,7 +31,10 @@
         self.refreshed.passed_on = now;
         let news = std::mem::take(&mut self.refreshed.news);
         for voter in self.other_voters() {
-            let message = PeerMessage::Members { round: None, news: news.clone() };
+            let message = PeerMessage::Members {
+                round: None,
+                news: news.clone(),
+            };
             out.push(Output::Peer(Recipient::Voter(voter), message));
         }
     }
--- a/crates/control/src/controller/members_news.rs
+++ b/crates/control/src/controller/members_news.rs
@@ -56,16 +56,27 @@
         if news.is_empty() {
             return Vec::new();
         }
-        vec![Output::Peer(Recipient::Node(node), PeerMessage::Members { round: None, news })]
+        vec![Output::Peer(
+            Recipient::Node(node),
+            PeerMessage::Members { round: None, news },
+        )]
     }
 
     fn all_news(&self) -> Vec<MemberNews> {
-        self.members.all().map(|member| member.news.clone()).collect()
+        self.members
+            .all()
+            .map(|member| member.news.clone())
+            .collect()
     }
 
     /// Takes what another machine knows.
     pub(super) fn on_members(
-        &mut self, now: f64, from: Voter, round: Option<u64>, news: Vec<MemberNews>, out: &mut Vec<Output>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        round: Option<u64>,
+        news: Vec<MemberNews>,
+        out: &mut Vec<Output>,
     ) {
         let number = self.lead.as_ref().map_or(0, |lead| lead.number + 1);
         let to_disk = news.iter().any(outlives_power_loss);
@@ -77,13 +88,23 @@
         self.know_services();
         if let Some(round) = round {
             let kept = Output::Peer(Recipient::Voter(from), PeerMessage::MembersKept { round });
-            out.push(if to_disk { Output::KeepServers(vec![kept]) } else { kept });
+            out.push(if to_disk {
+                Output::KeepServers(vec![kept])
+            } else {
+                kept
+            });
         }
     }
 
     /// Tells the other voters what is new; `call` is answered once the leader and a majority know it. That a server was merely
     /// heard again is told to them later, and acknowledged at once.
-    pub(super) fn tell_voters(&mut self, now: f64, news: MemberNews, call: u64, out: &mut Vec<Output>) {
+    pub(super) fn tell_voters(
+        &mut self,
+        now: f64,
+        news: MemberNews,
+        call: u64,
+        out: &mut Vec<Output>,
+    ) {
         if self.members.is_confirmed(&news.id) {
             self.refreshed.add(news);
             out.push(Output::Reply(call, accepted()));
@@ -110,12 +131,23 @@
         let round = self.rounds.newest;
         let mut told = Vec::new();
         for voter in self.other_voters() {
-            let message = PeerMessage::Members { round: Some(round), news: news.clone() };
+            let message = PeerMessage::Members {
+                round: Some(round),
+                news: news.clone(),
+            };
             told.push(Output::Peer(Recipient::Voter(voter), message));
         }
         let kept = BTreeSet::from([self.consensus.me()]);
         let to_disk = news.iter().any(outlives_power_loss);
-        self.rounds.all.insert(round, Round { calls, news, kept, until: now + KEEP_WITHIN });
+        self.rounds.all.insert(
+            round,
+            Round {
+                calls,
+                news,
+                kept,
+                until: now + KEEP_WITHIN,
+            },
+        );
         self.finish_round(round, &mut told);
         match to_disk {
             // After a loss of all processes nobody may say it again in time.
@@ -130,8 +162,12 @@
             out.push(Output::Reply(call, accepted()));
             return;
         }
-        if let Some(news) =
-            self.rounds.next.iter().find(|(news, _)| news.id == id).map(|(news, _)| news.clone())
+        if let Some(news) = self
+            .rounds
+            .next
+            .iter()
+            .find(|(news, _)| news.id == id)
+            .map(|(news, _)| news.clone())
         {
             self.rounds.next.push((news, call));
             return;
@@ -151,7 +187,9 @@
     }
 
     fn finish_round(&mut self, round: u64, out: &mut Vec<Output>) {
-        let Some(under_way) = self.rounds.all.get(&round) else { return };
+        let Some(under_way) = self.rounds.all.get(&round) else {
+            return;
+        };
         let leader = self.consensus.leader();
         let membership = &self.consensus.record().state.membership;
         let kept = |voter| under_way.kept.contains(&voter);
@@ -159,8 +197,16 @@
             return;
         }
         if let Some(under_way) = self.rounds.all.remove(&round) {
-            under_way.news.iter().for_each(|news| self.members.confirm(news));
-            out.extend(under_way.calls.into_iter().map(|call| Output::Reply(call, accepted())));
+            under_way
+                .news
+                .iter()
+                .for_each(|news| self.members.confirm(news));
+            out.extend(
+                under_way
+                    .calls
+                    .into_iter()
+                    .map(|call| Output::Reply(call, accepted())),
+            );
         }
     }
 
@@ -169,7 +215,12 @@
         let late = |round: &Round| now > round.until;
         for round in self.rounds.all.values().filter(|round| late(round)) {
             let answer = || Answer::error(503, "the other control machines don't answer");
-            out.extend(round.calls.iter().map(|call| Output::Reply(*call, answer())));
+            out.extend(
+                round
+                    .calls
+                    .iter()
+                    .map(|call| Output::Reply(*call, answer())),
+            );
         }
         self.rounds.all.retain(|_, round| !late(round));
     }
@@ -184,8 +235,14 @@
         }
         lead.rosters.asked = now;
         let ballot = Ballot(lead.fence);
-        for voter in others.into_iter().filter(|voter| !lead.rosters.told.contains(voter)) {
-            out.push(Output::Peer(Recipient::Voter(voter), PeerMessage::RosterWanted { ballot }));
+        for voter in others
+            .into_iter()
+            .filter(|voter| !lead.rosters.told.contains(voter))
+        {
+            out.push(Output::Peer(
+                Recipient::Voter(voter),
+                PeerMessage::RosterWanted { ballot },
+            ));
         }
     }
 
@@ -194,18 +251,27 @@
     pub(super) fn informed(&self) -> bool {
         let Some(lead) = &self.lead else { return false };
         let membership = &self.consensus.record().state.membership;
-        membership.is_quorum(|voter| voter == self.consensus.me() || lead.rosters.told.contains(&voter))
+        membership
+            .is_quorum(|voter| voter == self.consensus.me() || lead.rosters.told.contains(&voter))
     }
 
     pub(super) fn on_roster_wanted(&mut self, from: Voter, ballot: Ballot, out: &mut Vec<Output>) {
         if self.consensus.leader() == Some(from) {
             let news = self.all_news();
-            out.push(Output::Peer(Recipient::Voter(from), PeerMessage::Roster { ballot, news }));
+            out.push(Output::Peer(
+                Recipient::Voter(from),
+                PeerMessage::Roster { ballot, news },
+            ));
         }
     }
 
     pub(super) fn on_roster(
-        &mut self, now: f64, from: Voter, ballot: Ballot, news: Vec<MemberNews>, out: &mut Vec<Output>,
+        &mut self,
+        now: f64,
+        from: Voter,
+        ballot: Ballot,
+        news: Vec<MemberNews>,
+        out: &mut Vec<Output>,
     ) {
         self.on_members(now, from, None, news, out);
         if let Some(lead) = &mut self.lead
@@ -217,7 +283,10 @@
 
     pub(super) fn other_voters(&self) -> Vec<Voter> {
         let membership = &self.consensus.record().state.membership;
-        membership.all().filter(|voter| *voter != self.consensus.me()).collect()
+        membership
+            .all()
+            .filter(|voter| *voter != self.consensus.me())
+            .collect()
     }
 }
 
--- a/crates/control/src/controller/news.rs
+++ b/crates/control/src/controller/news.rs
@@ -100,7 +100,9 @@
 impl Telling {
     /// Routers are to tell what they saw of the primaries of these services.
     pub(super) fn want_evidence(&mut self, services: Vec<String>) {
-        let added = services.iter().any(|service| !self.evidence_wanted.contains(service));
+        let added = services
+            .iter()
+            .any(|service| !self.evidence_wanted.contains(service));
         self.wants += u64::from(added);
         self.evidence_wanted = services;
     }
@@ -122,8 +124,13 @@
 
 impl Controller {
     pub(super) fn elsewhere(&self) -> ToRouter {
-        let leader = self.leader().filter(|l| *l != self.me || self.lead.is_some());
-        ToRouter::Elsewhere { leader, voters: self.voters() }
+        let leader = self
+            .leader()
+            .filter(|l| *l != self.me || self.lead.is_some());
+        ToRouter::Elsewhere {
+            leader,
+            voters: self.voters(),
+        }
     }
 
     /// Tells routers what they don't know yet, as many as have their turn. To be called at each tick.
@@ -131,16 +138,24 @@
         if now >= self.consensus.authority() {
             return;
         }
-        let Some(mut lead) = self.lead.take() else { return };
+        let Some(mut lead) = self.lead.take() else {
+            return;
+        };
         // What came in one step is told under one number: changes come in crowds.
         if std::mem::take(&mut self.news_due) || lead.telling.epoch < self.current.epoch {
             lead.number += 1;
             lead.telling.epoch = self.current.epoch;
         }
         let settled = now - lead.since >= SETTLED;
-        lead.telling.routers = if settled { lead.leases.present(now, self.timing.lease) as u32 } else { 0 };
+        lead.telling.routers = if settled {
+            lead.leases.present(now, self.timing.lease) as u32
+        } else {
+            0
+        };
         let number = lead.number;
-        lead.telling.shared.retain(|s| s.number == number || now - s.made < WHOLE_KEPT);
+        lead.telling
+            .shared
+            .retain(|s| s.number == number || now - s.made < WHOLE_KEPT);
         for id in next_turns(&lead, self.current.epoch) {
             let news = self.tell(now, &mut lead, id);
             out.extend(news.map(|news| Output::News(id, news)));
@@ -157,7 +172,10 @@
             return;
         }
         let ballot = Ballot(lead.fence);
-        let due = lead.sessions.iter_mut().filter(|(_, s)| due(s) && !s.is_under_way());
+        let due = lead
+            .sessions
+            .iter_mut()
+            .filter(|(_, s)| due(s) && !s.is_under_way());
         for (id, session) in due.take(most) {
             (session.wants_told, session.asked_at) = (wants, now);
             let question = ToRouter::News {
@@ -192,7 +210,11 @@
 
     /// What changed after this number, or all there is. An older whole does as well where the router never knew more than `floor`.
     fn shared(
-        &self, now: f64, lead: &mut Lead, (after, floor): (u64, u64), config_since: Option<u64>,
+        &self,
+        now: f64,
+        lead: &mut Lead,
+        (after, floor): (u64, u64),
+        config_since: Option<u64>,
     ) -> Shared {
         let fits = |s: &&Shared| {
             let newest = s.number == lead.number && s.epoch == self.current.epoch;
@@ -203,8 +225,19 @@
             return found.clone();
         }
         let news = Rc::new(self.news(lead, after, config_since));
-        let epoch = if config_since.is_some() { self.current.epoch } else { 0 };
-        let made = Shared { after, config_since, number: lead.number, epoch, made: now, news };
+        let epoch = if config_since.is_some() {
+            self.current.epoch
+        } else {
+            0
+        };
+        let made = Shared {
+            after,
+            config_since,
+            number: lead.number,
+            epoch,
+            made: now,
+            news,
+        };
         if lead.telling.shared.len() >= SHARED {
             lead.telling.shared.remove(0);
         }
@@ -215,13 +248,21 @@
     /// All that changed after this number.
     fn news(&self, lead: &Lead, after: u64, config_since: Option<u64>) -> ToRouter {
         let whole = after == 0;
-        let members = self.members.all().filter(|m| m.stamp > after && !(whole && m.news.gone));
+        let members = self
+            .members
+            .all()
+            .filter(|m| m.stamp > after && !(whole && m.news.gone));
         ToRouter::News {
             known: (Ballot(lead.fence), lead.number),
             sent: None,
             lease: 0.0,
             whole,
-            grants: lead.grants.values().filter(|g| g.stamp > after).map(|g| g.news.clone()).collect(),
+            grants: lead
+                .grants
+                .values()
+                .filter(|g| g.stamp > after)
+                .map(|g| g.news.clone())
+                .collect(),
             members: members.map(|m| m.news.clone()).collect(),
             config: config_since.map(|epoch| self.config_news(epoch)),
             voters: self.voters(),
@@ -233,8 +274,12 @@
     /// The configuration, for routers that go by the one of this epoch: the changes, where they are known and shorter.
     fn config_news(&self, epoch: u64) -> ConfigNews {
         let whole = || ConfigNews::Whole(self.current.config.clone());
-        let changes = self.consensus.history().configs_between(epoch, self.current.epoch);
-        let size = |changes: &[Rc<Difference>]| changes.iter().map(|change| change.size()).sum::<usize>();
+        let changes = self
+            .consensus
+            .history()
+            .configs_between(epoch, self.current.epoch);
+        let size =
+            |changes: &[Rc<Difference>]| changes.iter().map(|change| change.size()).sum::<usize>();
         let shorter = changes.filter(|changes| size(changes) < self.current.config.len());
         shorter.map_or_else(whole, ConfigNews::Changes)
     }
@@ -244,7 +289,10 @@
         let authority = self.consensus.authority();
         if self.lead.is_some() && now >= authority + 0.5 * self.timing.suspect {
             // Cut off from the others: somebody else may lead by now.
-            let elsewhere = ToRouter::Elsewhere { leader: None, voters: self.voters() };
+            let elsewhere = ToRouter::Elsewhere {
+                leader: None,
+                voters: self.voters(),
+            };
             return vec![Output::Router(session, elsewhere)];
         }
         let (elsewhere, voters) = (self.elsewhere(), self.voters());
@@ -260,7 +308,11 @@
             self.members.answered(answered, &seen.id);
         }
         let ballot = Ballot(lead.fence);
-        let known = if call.known.0 == ballot { call.known.1 } else { 0 };
+        let known = if call.known.0 == ballot {
+            call.known.1
+        } else {
+            0
+        };
         let floor = lead.leases.known(&call.router, call.life);
         let of = lead
             .sessions
@@ -269,11 +321,13 @@
         of.confirm(now, known, call.epoch);
         of.wants_told = lead.telling.wants;
         // Whoever was told nothing by this leader has no grants that a lease could cover.
-        let may_hold = of.confirmed > 0 && lead.leases.may_hold(now, &call.router, call.life, known);
+        let may_hold =
+            of.confirmed > 0 && lead.leases.may_hold(now, &call.router, call.life, known);
         let leased = now < authority && may_hold;
         let lease = if leased { self.timing.lease } else { 0.0 };
         if now < authority {
-            lead.leases.renew(now, &call.router, call.life, known, lease);
+            lead.leases
+                .renew(now, &call.router, call.life, known, lease);
         }
         let answer = ToRouter::News {
             known: (ballot, of.confirmed),
@@ -303,8 +357,13 @@
 /// The sessions that are told something in this tick: those that lack something and have nothing under way, in turn.
 fn next_turns(lead: &Lead, epoch: u64) -> Vec<u64> {
     let last = lead.telling.last;
-    let behind = lead.sessions.range(last + 1..).chain(lead.sessions.range(..=last));
+    let behind = lead
+        .sessions
+        .range(last + 1..)
+        .chain(lead.sessions.range(..=last));
     let lacks = |s: &Session| s.told < lead.number || s.epoch < epoch;
     let due = behind.filter(|(_, s)| !s.is_under_way() && lacks(s));
-    due.map(|(id, _)| *id).take(lead.turns.share(SESSIONS_A_TICK)).collect()
+    due.map(|(id, _)| *id)
+        .take(lead.turns.share(SESSIONS_A_TICK))
+        .collect()
 }
--- a/crates/control/src/controller/services.rs
+++ b/crates/control/src/controller/services.rs
@@ -58,7 +58,11 @@
     let services = services as f64;
     let slower = (services / PRIMARIES_A_SECOND / timing.ask).max(1.0);
     let replicas = REPLICAS * services;
-    let closed = if replicas > REPLICAS_KEPT { IDLE * replicas / REPLICAS_KEPT } else { 0.0 };
+    let closed = if replicas > REPLICAS_KEPT {
+        IDLE * replicas / REPLICAS_KEPT
+    } else {
+        0.0
+    };
     Timing {
         ask: timing.ask * slower,
         ask_replica: (timing.ask_replica * slower).max(closed),
@@ -69,25 +73,43 @@
 
 /// The services that are stepped in this tick.
 fn next_turns(lead: &Lead) -> Vec<String> {
-    let from = (std::ops::Bound::Excluded(lead.turns.last.clone()), std::ops::Bound::Unbounded);
-    let behind = lead.services.range(from).chain(lead.services.range(..=lead.turns.last.clone()));
+    let from = (
+        std::ops::Bound::Excluded(lead.turns.last.clone()),
+        std::ops::Bound::Unbounded,
+    );
+    let behind = lead
+        .services
+        .range(from)
+        .chain(lead.services.range(..=lead.turns.last.clone()));
     let (steady, unsettled): (Vec<_>, Vec<_>) = behind.partition(|(_, f)| f.is_watching());
-    let first = unsettled.len().min(UNSETTLED_A_TICK.max(SERVICES_A_TICK.saturating_sub(steady.len())));
+    let first = unsettled
+        .len()
+        .min(UNSETTLED_A_TICK.max(SERVICES_A_TICK.saturating_sub(steady.len())));
     let turns = unsettled.into_iter().take(first).chain(steady);
-    turns.map(|(service, _)| service.clone()).take(SERVICES_A_TICK).collect()
+    turns
+        .map(|(service, _)| service.clone())
+        .take(SERVICES_A_TICK)
+        .collect()
 }
 
 /// The services that routers are to tell evidence of: those whose primary nobody heard for the longest, then those with a replica
 /// that is silent.
 fn evidence_wanted(now: f64, lead: &Lead) -> Vec<String> {
     let silent = |(service, failover): (_, &Failover)| Some((failover.unheard(now)?, service));
-    let mut wanted: Vec<((Unheard, f64), &String)> = lead.services.iter().filter_map(silent).collect();
+    let mut wanted: Vec<((Unheard, f64), &String)> =
+        lead.services.iter().filter_map(silent).collect();
     wanted.sort_by(|((a, for_a), _), ((b, for_b), _)| b.cmp(a).then(for_b.total_cmp(for_a)));
-    wanted.into_iter().take(EVIDENCE_WANTED).map(|(_, service)| service.clone()).collect()
+    wanted
+        .into_iter()
+        .take(EVIDENCE_WANTED)
+        .map(|(_, service)| service.clone())
+        .collect()
 }
 
 fn questions(out: &[Output]) -> usize {
-    out.iter().filter(|o| matches!(o, Output::Ask { .. })).count()
+    out.iter()
+        .filter(|o| matches!(o, Output::Ask { .. }))
+        .count()
 }
 
 impl Controller {
@@ -107,7 +129,9 @@
         }
         lead.turns.members_seen = Some(self.members.changes());
         for service in self.members.services() {
-            lead.services.entry(service).or_insert_with(|| Failover::new(timing));
+            lead.services
+                .entry(service)
+                .or_insert_with(|| Failover::new(timing));
         }
     }
 
@@ -115,7 +139,9 @@
     pub(super) fn step(&mut self, now: f64, out: &mut Vec<Output>) {
         let Some(lead) = &mut self.lead else { return };
         let timing = paced(self.timing.service, lead.services.len());
-        let answered: Vec<String> = std::mem::take(&mut lead.turns.answered).into_iter().collect();
+        let answered: Vec<String> = std::mem::take(&mut lead.turns.answered)
+            .into_iter()
+            .collect();
         let services = next_turns(lead);
         let most_questions = lead.turns.share(QUESTIONS_A_TICK);
         let asked_before = out.len();
@@ -141,7 +167,9 @@
         let members: Vec<Candidate> = self.members.of(service).map(candidate).collect();
         let informed = self.informed();
         let Some(lead) = &mut self.lead else { return };
-        let Some(failover) = lead.services.get_mut(service) else { return };
+        let Some(failover) = lead.services.get_mut(service) else {
+            return;
+        };
         failover.pace(now, timing);
         let lost = self.members.lost(service, self.timing.service.heartbeat);
         let record = self.current.primaries.get(service);
@@ -179,32 +207,62 @@
                     };
                     let endpoint = member.news.endpoint.clone();
                     let fence = self.lead.as_ref().map_or(0, |l| l.fence);
-                    out.push(Output::Ask { id, endpoint, service: service.to_owned(), statement, fence });
+                    out.push(Output::Ask {
+                        id,
+                        endpoint,
+                        service: service.to_owned(),
+                        statement,
+                        fence,
+                    });
                 }
                 Act::Agree { to, above } => {
-                    let wanted = Wanted::Primary { service: service.to_owned(), to, above, settled: false };
+                    let wanted = Wanted::Primary {
+                        service: service.to_owned(),
+                        to,
+                        above,
+                        settled: false,
+                    };
                     let until = now + 2.0;
                     if let Some(lead) = &mut self.lead {
-                        lead.queue.push_front(Waiting { origin: Origin::Nobody, until, wanted });
+                        lead.queue.push_front(Waiting {
+                            origin: Origin::Nobody,
+                            until,
+                            wanted,
+                        });
                     }
                     self.next(now, out);
                 }
                 Act::Settle { id, term } => {
-                    let wanted =
-                        Wanted::Primary { service: service.to_owned(), to: id, above: term, settled: true };
+                    let wanted = Wanted::Primary {
+                        service: service.to_owned(),
+                        to: id,
+                        above: term,
+                        settled: true,
+                    };
                     if let Some(lead) = &mut self.lead {
-                        lead.queue.push_back(Waiting { origin: Origin::Nobody, until: now + 2.0, wanted });
+                        lead.queue.push_back(Waiting {
+                            origin: Origin::Nobody,
+                            until: now + 2.0,
+                            wanted,
+                        });
                     }
                     self.next(now, out);
                 }
                 Act::Promote { to } => {
                     let fence = self.lead.as_ref().map_or(0, |l| l.fence);
                     let before = self.consensus.authority();
-                    out.push(Output::Promote { service: service.to_owned(), id: to, fence, before });
+                    out.push(Output::Promote {
+                        service: service.to_owned(),
+                        id: to,
+                        fence,
+                        before,
+                    });
                 }
                 Act::Grant { id, term, closing } => {
                     let Some(lead) = &mut self.lead else { return };
-                    log::info!("event=grant service={service} id={id} term={term} closing={closing}");
+                    log::info!(
+                        "event=grant service={service} id={id} term={term} closing={closing}"
+                    );
                     if closing {
                         lead.withdrawn.entry(service.to_owned()).or_insert(now);
                     } else if let Some(since) = lead.withdrawn.remove(service)
@@ -214,8 +272,19 @@
                     }
                     lead.number += 1;
                     lead.leases.grant_changed(lead.number);
-                    let news = GrantNews { service: service.to_owned(), id, term, closing };
-                    lead.grants.insert(service.to_owned(), Grant { news, stamp: lead.number });
+                    let news = GrantNews {
+                        service: service.to_owned(),
+                        id,
+                        term,
+                        closing,
+                    };
+                    lead.grants.insert(
+                        service.to_owned(),
+                        Grant {
+                            news,
+                            stamp: lead.number,
+                        },
+                    );
                     let number = lead.number;
                     if let Some(failover) = lead.services.get_mut(service) {
                         failover.told(number);
@@ -250,7 +319,9 @@
             }
         }
         let Some(lead) = &mut self.lead else { return };
-        let Some(failover) = lead.services.get_mut(service) else { return };
+        let Some(failover) = lead.services.get_mut(service) else {
+            return;
+        };
         failover.asked(now, id, asked);
         if !failover.is_watching() && !lead.turns.answered.contains(service) {
             lead.turns.answered.insert(service.to_owned());
@@ -266,5 +337,9 @@
 }
 
 fn candidate(member: &Member) -> Candidate {
-    Candidate { id: member.news.id.clone(), draining_since: member.draining_since, heard: member.heard }
+    Candidate {
+        id: member.news.id.clone(),
+        draining_since: member.draining_since,
+        heard: member.heard,
+    }
 }
--- a/crates/control/src/difference.rs
+++ b/crates/control/src/difference.rs
@@ -42,12 +42,21 @@
                     pieces.copy(old_starts[old_index], old_starts[old_index + len]);
                 }
                 DiffOp::Delete { .. } => {}
-                DiffOp::Insert { new_index, new_len, .. } | DiffOp::Replace { new_index, new_len, .. } => {
+                DiffOp::Insert {
+                    new_index, new_len, ..
+                }
+                | DiffOp::Replace {
+                    new_index, new_len, ..
+                } => {
                     pieces.insert(&new[new_starts[new_index]..new_starts[new_index + new_len]]);
                 }
             }
         }
-        let difference = Difference { old: Digest::of(old), new: Digest::of(new), pieces: pieces.0 };
+        let difference = Difference {
+            old: Digest::of(old),
+            new: Digest::of(new),
+            pieces: pieces.0,
+        };
         (difference.size() < new.len()).then_some(difference)
     }
 
@@ -109,7 +118,10 @@
             *length += (to - from) as u32;
             return;
         }
-        self.0.push(Piece::Copy { start: from as u32, length: (to - from) as u32 });
+        self.0.push(Piece::Copy {
+            start: from as u32,
+            length: (to - from) as u32,
+        });
     }
 
     fn insert(&mut self, bytes: &[u8]) {
@@ -122,7 +134,8 @@
 
 /// Fields and objects of a JSON text, roughly: any cut would do, these keep together what changes together.
 fn tokens(text: &[u8]) -> Vec<&[u8]> {
-    text.split_inclusive(|byte| matches!(byte, b',' | b'}')).collect()
+    text.split_inclusive(|byte| matches!(byte, b',' | b'}'))
+        .collect()
 }
 
 /// Where each token starts, and the end of the last one.
--- a/crates/control/src/failover.rs
+++ b/crates/control/src/failover.rs
@@ -139,14 +139,19 @@
 
     /// Whether just this primary is in use, in steady order.
     pub fn is_steady(&self, id: &str, term: u64) -> bool {
-        self.phase == Phase::Steady && self.primary.as_ref().is_some_and(|p| p.id == id && p.term == term)
+        self.phase == Phase::Steady
+            && self
+                .primary
+                .as_ref()
+                .is_some_and(|p| p.id == id && p.term == term)
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, around: &Around<'_>) -> Vec<Act> {
         let mut acts = Vec::new();
         let primary = &self.primary;
-        self.seen.retain(|id, _| around.is_member(id) || primary.as_ref().is_some_and(|p| p.id == *id));
+        self.seen
+            .retain(|id, _| around.is_member(id) || primary.as_ref().is_some_and(|p| p.id == *id));
         match self.phase.clone() {
             Phase::Finding => self.find(around, &mut acts),
             Phase::Steady => self.watch(around, &mut acts),
--- a/crates/control/src/failover/choosing.rs
+++ b/crates/control/src/failover/choosing.rs
@@ -10,7 +10,9 @@
 impl Failover {
     /// Who is furthest of those that could lead.
     pub(super) fn best<'a>(
-        &self, around: &'a Around<'_>, fit: impl Fn(&Candidate) -> bool,
+        &self,
+        around: &'a Around<'_>,
+        fit: impl Fn(&Candidate) -> bool,
     ) -> Option<(&'a str, Position)> {
         let fit = around.members.iter().filter(|m| fit(m));
         let with = fit.filter_map(|m| {
@@ -21,15 +23,27 @@
         // A leader before may have asked the platform for the one of record: a second call for the same does no harm.
         let rank = |m: &Candidate| {
             let of_record = around.record.is_some_and(|r| r.0 == m.id);
-            (!self.pending.is_refused(around.now, &m.id), of_record, m.draining_since.is_none())
+            (
+                !self.pending.is_refused(around.now, &m.id),
+                of_record,
+                m.draining_since.is_none(),
+            )
         };
         let best = with.max_by(|(a, x), (b, y)| (x, rank(a), &b.id).cmp(&(y, rank(b), &a.id)));
         best.map(|(m, at)| (m.id.as_str(), at))
     }
 
     /// Chooses among the paused copies, if one of them is known to have all commits.
-    pub(super) fn choose(&mut self, around: &Around<'_>, old: Option<&str>, term: u64, acts: &mut Vec<Act>) {
-        let best = self.best(around, |m| Some(m.id.as_str()) != old && self.observed(&m.id).paused.is_some());
+    pub(super) fn choose(
+        &mut self,
+        around: &Around<'_>,
+        old: Option<&str>,
+        term: u64,
+        acts: &mut Vec<Act>,
+    ) {
+        let best = self.best(around, |m| {
+            Some(m.id.as_str()) != old && self.observed(&m.id).paused.is_some()
+        });
         let Some((to, at)) = best else { return };
         if around.sync > 0 && self.spare_copies(around, old, at) < 0 {
             return;
@@ -37,17 +51,33 @@
         if !self.pending.permits(around.now, to) {
             return;
         }
-        let (to, above) = (to.to_owned(), self.highest_led().min(term.saturating_sub(1)));
-        log::info!("event=primary_chosen to={to} position={}.{} above={above}", at.0, at.1);
-        self.phase = Phase::Agreeing(Choice { to: to.clone(), above, planned: false });
+        let (to, above) = (
+            to.to_owned(),
+            self.highest_led().min(term.saturating_sub(1)),
+        );
+        log::info!(
+            "event=primary_chosen to={to} position={}.{} above={above}",
+            at.0,
+            at.1
+        );
+        self.phase = Phase::Agreeing(Choice {
+            to: to.clone(),
+            above,
+            planned: false,
+        });
         acts.push(Act::Agree { to, above });
     }
 
     /// Whether another server at the address of this one is paused: whoever answers there has the log, whichever of them was
     /// heard of last.
     pub(super) fn is_represented(&self, around: &Around<'_>, id: &str) -> bool {
-        let there = around.members.iter().filter(|member| (around.same_address)(id, &member.id));
-        there.into_iter().any(|member| self.observed(&member.id).paused.is_some())
+        let there = around
+            .members
+            .iter()
+            .filter(|member| (around.same_address)(id, &member.id));
+        there
+            .into_iter()
+            .any(|member| self.observed(&member.id).paused.is_some())
     }
 
     /// How many more copies could be out of reach without a commit being lost, if the copy at this position is chosen;
@@ -66,7 +96,11 @@
                 spare -= i64::from(!self.covered(self.settled_by(gone), at));
             }
         }
-        for (_, since) in around.lost.iter().filter(|(id, _)| Some(id.as_str()) != old) {
+        for (_, since) in around
+            .lost
+            .iter()
+            .filter(|(id, _)| Some(id.as_str()) != old)
+        {
             let long_gone = self.trail.is_empty() && *since < around.since - LONG_GONE_S;
             spare -= i64::from(!self.covered(self.settled_by(*since), at) && !long_gone);
         }
--- a/crates/control/src/failover/closing.rs
+++ b/crates/control/src/failover/closing.rs
@@ -33,11 +33,15 @@
         let primary = self.primary.as_ref().map(|p| p.id.clone());
         // Once it has given up the lead it is a copy like the others, and so is whoever has its log now.
         let copy = |id: &String| {
-            self.is_replica(id, around.now) || around.successor(id).is_some() || self.is_to_follow(around, id)
+            self.is_replica(id, around.now)
+                || around.successor(id).is_some()
+                || self.is_to_follow(around, id)
         };
         let old = primary.filter(|id| !copy(id));
         // Whoever was promoted before may lead by now.
-        let found = self.found(around).filter(|found| Some(&found.id) != old.as_ref());
+        let found = self
+            .found(around)
+            .filter(|found| Some(&found.id) != old.as_ref());
         let given_back = self.given_back(around);
         if let Some(found) = found
             && given_back
@@ -46,10 +50,16 @@
             self.use_primary(around.now, found, acts);
             return;
         }
-        self.given_since = if given_back { self.given_since.or(Some(around.now)) } else { None };
+        self.given_since = if given_back {
+            self.given_since.or(Some(around.now))
+        } else {
+            None
+        };
         let pausing = self.pause_copies(around, old.as_deref(), term, given_back, acts);
         if pausing.outrun {
-            self.phase = Phase::Closing { term: self.highest_term() + 1 };
+            self.phase = Phase::Closing {
+                term: self.highest_term() + 1,
+            };
         } else if pausing.complete && given_back {
             self.choose(around, old.as_deref(), term, acts);
         }
@@ -58,7 +68,9 @@
     /// The primary may be back with all that it had: it is used again then.
     fn take_back(&mut self, around: &Around<'_>, acts: &mut Vec<Act>) -> bool {
         let now = around.now;
-        let Some(primary) = self.primary.clone() else { return false };
+        let Some(primary) = self.primary.clone() else {
+            return false;
+        };
         if around.is_member(&primary.id) {
             self.ask(now, &primary.id, ASK_PRIMARY_S, Statement::Status, acts);
         }
@@ -66,7 +78,9 @@
         let answers = seen.failing.is_none() && now - seen.answered < BACK_ANSWERED_S;
         let back = answers && seen.row_asked > now - BACK_ASKED_S;
         let leads = seen.row.is_some_and(|r| r.leader && r.term == primary.term);
-        let of_record = around.record.is_none_or(|(id, above)| id == primary.id && primary.term >= above);
+        let of_record = around
+            .record
+            .is_none_or(|(id, above)| id == primary.id && primary.term >= above);
         let draining = around.draining_since(&primary.id).is_some();
         if !back || !leads || !of_record || draining || self.highest_led() > primary.term {
             return false;
@@ -87,28 +101,43 @@
 
     fn is_replica(&self, id: &str, now: f64) -> bool {
         let seen = self.observed(id);
-        seen.failing.is_none() && seen.row_asked > now - FRESH_ROW_S && seen.row.is_some_and(|r| !r.leader)
+        seen.failing.is_none()
+            && seen.row_asked > now - FRESH_ROW_S
+            && seen.row.is_some_and(|r| !r.leader)
     }
 
     /// Pauses all copies but the old primary.
     fn pause_copies(
-        &mut self, around: &Around<'_>, old: Option<&str>, term: u64, given_back: bool, acts: &mut Vec<Act>,
+        &mut self,
+        around: &Around<'_>,
+        old: Option<&str>,
+        term: u64,
+        given_back: bool,
+        acts: &mut Vec<Act>,
     ) -> Pausing {
         let now = around.now;
-        let mut pausing = Pausing { complete: true, outrun: false };
+        let mut pausing = Pausing {
+            complete: true,
+            outrun: false,
+        };
         for member in around.members.iter().filter(|m| Some(m.id.as_str()) != old) {
             let seen = self.observed(&member.id);
             if seen.paused.is_some_and(|(at, _)| at >= term) {
                 // What the old primary acknowledged to any router before it let go must be at those who are asked.
                 let confirmed = given_back && seen.pause_confirmed > self.given_since;
                 pausing.complete &= confirmed;
-                let every = if given_back && !confirmed { CONFIRM_AGAIN_S } else { self.timing.ask };
+                let every = if given_back && !confirmed {
+                    CONFIRM_AGAIN_S
+                } else {
+                    self.timing.ask
+                };
                 self.ask(now, &member.id, every, Statement::Status, acts);
                 continue;
             }
             let excused = is_excused(around, member, &seen) || self.is_final(&seen);
             pausing.complete &= excused || self.is_represented(around, &member.id);
-            pausing.outrun |= seen.failing.is_none() && seen.row.is_some_and(|r| r.term.max(r.held) >= term);
+            pausing.outrun |=
+                seen.failing.is_none() && seen.row.is_some_and(|r| r.term.max(r.held) >= term);
             let statement = match seen.leads() {
                 // A primary can't be paused: once nobody uses it, it becomes a replica.
                 true if given_back => Statement::StepDown(seen.row.map_or(term, |r| r.term + 1)),
@@ -133,6 +162,8 @@
 
 /// A replica that can't be asked may be left out once it has been gone for a while and the primary went on without it.
 fn is_excused(around: &Around<'_>, member: &Candidate, seen: &Observation) -> bool {
-    let Some(since) = seen.failing else { return false };
+    let Some(since) = seen.failing else {
+        return false;
+    };
     member.heard < since + EXCUSED_S && around.now - since > EXCUSED_S
 }
--- a/crates/control/src/failover/finding.rs
+++ b/crates/control/src/failover/finding.rs
@@ -45,12 +45,16 @@
             }
             // Under the leader before us routers may have used another until a moment ago.
             (None, Revocation::None)
-                if around.record.is_some_and(|record| record != (found.id.as_str(), found.term))
+                if around
+                    .record
+                    .is_some_and(|record| record != (found.id.as_str(), found.term))
                     && !(around.all_know)(0) =>
             {
                 return;
             }
-            (_, Revocation::Unannounced | Revocation::Announced(_)) if !self.given_back(around) => return,
+            (_, Revocation::Unannounced | Revocation::Announced(_)) if !self.given_back(around) => {
+                return;
+            }
             _ => {}
         }
         self.use_primary(around.now, found, acts);
@@ -62,14 +66,22 @@
         let found = around.members.iter().find_map(|m| {
             let seen = self.observed(&m.id);
             let fresh = around.now - seen.answered < FRESH_S;
-            let row = seen.row.filter(|r| seen.leads() && fresh && r.term >= top)?;
-            Some(Primary { id: m.id.clone(), term: row.term })
+            let row = seen
+                .row
+                .filter(|r| seen.leads() && fresh && r.term >= top)?;
+            Some(Primary {
+                id: m.id.clone(),
+                term: row.term,
+            })
         })?;
         let of_record = match around.record {
             Some(_) => around.is_of_record(&found.id, found.term),
             // Nobody was promoted by us: whoever leads is the primary, once all that are known were asked.
             None => {
-                let known = around.members.iter().all(|m| self.observed(&m.id).row.is_some());
+                let known = around
+                    .members
+                    .iter()
+                    .all(|m| self.observed(&m.id).row.is_some());
                 known || around.now - self.asked_since(around) > UNKNOWN_S
             }
         };
--- a/crates/control/src/failover/grant.rs
+++ b/crates/control/src/failover/grant.rs
@@ -32,7 +32,11 @@
         if let Some(seen) = self.seen.get_mut(&primary.id) {
             seen.pausing = None;
         }
-        acts.push(Act::Grant { id: primary.id.clone(), term: primary.term, closing: false });
+        acts.push(Act::Grant {
+            id: primary.id.clone(),
+            term: primary.term,
+            closing: false,
+        });
         self.primary = Some(primary);
         self.revocation = Revocation::None;
         self.evidence = now;
@@ -46,7 +50,11 @@
         }
         self.revocation = Revocation::Unannounced;
         let Primary { id, term } = self.primary.clone().unwrap_or_default();
-        acts.push(Act::Grant { id, term, closing: true });
+        acts.push(Act::Grant {
+            id,
+            term,
+            closing: true,
+        });
     }
 
     /// Gives the primary up: another is to be promoted.
--- a/crates/control/src/failover/handing_over.rs
+++ b/crates/control/src/failover/handing_over.rs
@@ -25,7 +25,9 @@
 impl Failover {
     /// Begins to hand over, if there is anybody to hand over to.
     pub(super) fn begin_handing(&mut self, around: &Around<'_>, acts: &mut Vec<Act>) {
-        let Some(primary) = self.primary.clone() else { return };
+        let Some(primary) = self.primary.clone() else {
+            return;
+        };
         if around.sync == 0 {
             // Nothing but its own end keeps the old one from acknowledging: routers let go of it first.
             self.give_up(acts);
@@ -35,13 +37,24 @@
         if let Some((to, _)) = best {
             let (to, term) = (to.to_owned(), self.highest_term() + 1);
             log::info!("event=primary_leaves id={} to={to}", primary.id);
-            self.phase = Phase::HandingOver(HandingOver { to, term, since: around.now });
+            self.phase = Phase::HandingOver(HandingOver {
+                to,
+                term,
+                since: around.now,
+            });
         }
     }
 
-    pub(super) fn hand_over(&mut self, around: &Around<'_>, handing: &HandingOver, acts: &mut Vec<Act>) {
+    pub(super) fn hand_over(
+        &mut self,
+        around: &Around<'_>,
+        handing: &HandingOver,
+        acts: &mut Vec<Act>,
+    ) {
         let now = around.now;
-        let Some(primary) = self.primary.clone() else { return };
+        let Some(primary) = self.primary.clone() else {
+            return;
+        };
         if self.primary_death(now).is_some() {
             self.give_up(acts);
             return;
@@ -50,10 +63,20 @@
         self.ask(now, &primary.id, self.timing.ask, Statement::Status, acts);
         let pausing = self.pause_others(around, &primary.id, handing, acts);
         self.ask(now, to, ASK_COMING_S, Statement::Status, acts);
-        if pausing.complete && self.has_caught_up(to, &pausing) && self.covers_lost(around, &primary.id, to) {
+        if pausing.complete
+            && self.has_caught_up(to, &pausing)
+            && self.covers_lost(around, &primary.id, to)
+        {
             let above = self.highest_led().max(primary.term);
-            self.phase = Phase::Agreeing(Choice { to: to.clone(), above, planned: true });
-            acts.push(Act::Agree { to: to.clone(), above });
+            self.phase = Phase::Agreeing(Choice {
+                to: to.clone(),
+                above,
+                planned: true,
+            });
+            acts.push(Act::Agree {
+                to: to.clone(),
+                above,
+            });
         } else if now - handing.since > LONGEST_S {
             log::info!("event=handing_given_up to={to}");
             self.retry = now + RETRY_S;
@@ -63,10 +86,22 @@
 
     /// Pauses all copies but the primary and the coming one.
     fn pause_others(
-        &mut self, around: &Around<'_>, primary: &str, handing: &HandingOver, acts: &mut Vec<Act>,
+        &mut self,
+        around: &Around<'_>,
+        primary: &str,
+        handing: &HandingOver,
+        acts: &mut Vec<Act>,
     ) -> Pausing {
-        let mut pausing = Pausing { complete: true, furthest: (0, 0), answered: f64::NEG_INFINITY };
-        for member in around.members.iter().filter(|m| m.id != primary && m.id != handing.to) {
+        let mut pausing = Pausing {
+            complete: true,
+            furthest: (0, 0),
+            answered: f64::NEG_INFINITY,
+        };
+        for member in around
+            .members
+            .iter()
+            .filter(|m| m.id != primary && m.id != handing.to)
+        {
             let seen = self.observed(&member.id);
             match seen.paused {
                 Some((at, position)) if at == handing.term => {
@@ -74,7 +109,13 @@
                     pausing.answered = pausing.answered.max(seen.answered);
                     if seen.pause_confirmed.is_none() {
                         pausing.complete = false;
-                        self.ask(around.now, &member.id, CONFIRM_AGAIN_S, Statement::Status, acts);
+                        self.ask(
+                            around.now,
+                            &member.id,
+                            CONFIRM_AGAIN_S,
+                            Statement::Status,
+                            acts,
+                        );
                     }
                 }
                 _ => {
@@ -82,8 +123,11 @@
                     let term = self.primary.as_ref().map_or(0, |primary| primary.term);
                     // The primary before this one may not know yet that it is none, and can't be paused.
                     let deposed = seen.leads() && seen.row.is_some_and(|row| row.term < term);
-                    let statement =
-                        if deposed { Statement::StepDown(term) } else { Statement::Pause(handing.term) };
+                    let statement = if deposed {
+                        Statement::StepDown(term)
+                    } else {
+                        Statement::Pause(handing.term)
+                    };
                     self.ask(around.now, &member.id, PAUSE_AGAIN_S, statement, acts);
                 }
             }
@@ -95,7 +139,9 @@
     fn has_caught_up(&self, to: &str, pausing: &Pausing) -> bool {
         let seen = self.observed(to);
         seen.failing.is_none()
-            && seen.row.is_some_and(|r| !r.leader && r.received >= pausing.furthest)
+            && seen
+                .row
+                .is_some_and(|r| !r.leader && r.received >= pausing.furthest)
             && (seen.row_asked > pausing.answered || pausing.furthest == (0, 0))
     }
 
--- a/crates/control/src/failover/load.rs
+++ b/crates/control/src/failover/load.rs
@@ -37,7 +37,11 @@
         if pause >= self.longest || now - self.ended > LATE_COUNTS {
             (self.longest, self.ended) = (pause, now);
         }
-        if self.longest > LATE { self.longest } else { 0.0 }
+        if self.longest > LATE {
+            self.longest
+        } else {
+            0.0
+        }
     }
 }
 
@@ -50,7 +54,10 @@
     /// The next step goes by these spans. What wasn't heard while steps came late is nobody's silence.
     pub fn pace(&mut self, now: f64, timing: Timing) {
         let late = self.pace.step(now);
-        self.timing = Timing { silence: timing.silence + late, ..timing };
+        self.timing = Timing {
+            silence: timing.silence + late,
+            ..timing
+        };
     }
 
     /// Whether a primary is in use and merely watched.
@@ -61,7 +68,9 @@
     /// If routers are to tell what they saw of this service's servers: how much that matters, and for how long nobody had an
     /// answer of the one that is silent.
     pub fn unheard(&self, now: f64) -> Option<(Unheard, f64)> {
-        let primary = self.unheard_primary(now).map(|seconds| (Unheard::Primary, seconds));
+        let primary = self
+            .unheard_primary(now)
+            .map(|seconds| (Unheard::Primary, seconds));
         primary.or_else(|| Some((Unheard::Replica, self.unheard_replica(now)?)))
     }
 
@@ -72,7 +81,9 @@
             .seen
             .iter()
             .filter(|(id, seen)| Some(*id) != primary && seen.failing.is_some() && !seen.refused);
-        silent.map(|(_, seen)| now - seen.answered.max(seen.served)).reduce(f64::max)
+        silent
+            .map(|(_, seen)| now - seen.answered.max(seen.served))
+            .reduce(f64::max)
     }
 
     /// If this machine had no answer of the primary in use for so long that it matters: for how long nobody had one.
@@ -81,7 +92,10 @@
             return None;
         }
         let primary = self.primary.as_ref()?;
-        let answered = self.seen.get(&primary.id).map_or(f64::NEG_INFINITY, |s| s.answered);
+        let answered = self
+            .seen
+            .get(&primary.id)
+            .map_or(f64::NEG_INFINITY, |s| s.answered);
         let unheard = now - answered.max(self.evidence);
         (now - answered > 0.5 * self.timing.silence).then_some(unheard)
     }
--- a/crates/control/src/failover/observation.rs
+++ b/crates/control/src/failover/observation.rs
@@ -122,7 +122,11 @@
         let seen = self.seen.entry(id.to_owned()).or_default();
         seen.waiting = false;
         match asked {
-            Asked::Row { statement, row, asked } => {
+            Asked::Row {
+                statement,
+                row,
+                asked,
+            } => {
                 seen.record_row(now, statement, row, asked);
                 self.record_position(id, row, asked);
             }
@@ -138,7 +142,12 @@
 
     /// Keeps the position of the primary, if the row is its.
     fn record_position(&mut self, id: &str, row: Row, asked: f64) {
-        if !row.leader || self.primary.as_ref().is_none_or(|p| p.id != id || p.term != row.term) {
+        if !row.leader
+            || self
+                .primary
+                .as_ref()
+                .is_none_or(|p| p.id != id || p.term != row.term)
+        {
             return;
         }
         self.trail.push((asked, row.received));
@@ -148,7 +157,14 @@
     }
 
     /// Asks a server, unless its answer is awaited or it was asked less than `every` seconds ago.
-    pub(super) fn ask(&mut self, now: f64, id: &str, every: f64, statement: Statement, acts: &mut Vec<Act>) {
+    pub(super) fn ask(
+        &mut self,
+        now: f64,
+        id: &str,
+        every: f64,
+        statement: Statement,
+        acts: &mut Vec<Act>,
+    ) {
         let seen = self.seen.entry(id.to_owned()).or_default();
         if seen.waiting || now - seen.asked < every {
             return;
@@ -177,12 +193,16 @@
     /// The highest term that anybody led. Pauses raise the term that a server holds, not the one of its log.
     pub(super) fn highest_led(&self) -> u64 {
         let rows = self.seen.values().filter_map(|s| s.row).map(|r| r.term);
-        rows.max().unwrap_or(0).max(self.primary.as_ref().map_or(0, |p| p.term))
+        rows.max()
+            .unwrap_or(0)
+            .max(self.primary.as_ref().map_or(0, |p| p.term))
     }
 
     /// Whether the primary is known to have had no more than this when it was asked after that second: whoever was gone
     /// by then has nothing that a copy with this position lacks.
     pub(super) fn covered(&self, since: f64, position: Position) -> bool {
-        self.trail.iter().any(|(asked, at)| *asked > since && *at <= position)
+        self.trail
+            .iter()
+            .any(|(asked, at)| *asked > since && *at <= position)
     }
 }
--- a/crates/control/src/failover/promoting.rs
+++ b/crates/control/src/failover/promoting.rs
@@ -19,15 +19,23 @@
 impl Failover {
     /// What was to be agreed on holds, or doesn't.
     pub fn agreed(&mut self, now: f64, holds: bool) -> Option<Act> {
-        let Phase::Agreeing(choice) = &self.phase else { return None };
+        let Phase::Agreeing(choice) = &self.phase else {
+            return None;
+        };
         if !holds {
             self.phase = Phase::Finding;
             return None;
         }
         let choice = choice.clone();
-        let act = Act::Promote { to: choice.to.clone() };
+        let act = Act::Promote {
+            to: choice.to.clone(),
+        };
         self.pending.sent(now, &choice.to);
-        self.phase = Phase::Promoting(Promotion { choice, posted: now, since: now });
+        self.phase = Phase::Promoting(Promotion {
+            choice,
+            posted: now,
+            since: now,
+        });
         Some(act)
     }
 
@@ -36,14 +44,18 @@
         if !self.pending.ended(now, id, outcome) {
             return;
         }
-        let Phase::Promoting(Promotion { choice, posted, .. }) = &mut self.phase else { return };
+        let Phase::Promoting(Promotion { choice, posted, .. }) = &mut self.phase else {
+            return;
+        };
         match outcome {
             PromotionOutcome::Refused => {
                 // It is not running, says the platform: choose again.
                 self.retry = now + RETRY_S;
                 self.phase = match choice.planned {
                     true => Phase::Finding,
-                    false => Phase::Closing { term: choice.above + 1 },
+                    false => Phase::Closing {
+                        term: choice.above + 1,
+                    },
                 };
             }
             PromotionOutcome::Accepted => *posted = now + ACCEPTED_DELAY_S,
@@ -55,14 +67,23 @@
         }
     }
 
-    pub(super) fn promote(&mut self, around: &Around<'_>, promotion: Promotion, acts: &mut Vec<Act>) {
+    pub(super) fn promote(
+        &mut self,
+        around: &Around<'_>,
+        promotion: Promotion,
+        acts: &mut Vec<Act>,
+    ) {
         let now = around.now;
         let choice = &promotion.choice;
         let to = &choice.to;
         self.ask(now, to, ASK_PROMOTED_S, Statement::Status, acts);
         let seen = self.observed(to);
         if let Some(row) = seen.row.filter(|r| seen.leads() && r.term > choice.above) {
-            log::info!("event=promoted id={to} term={} after_s={:.3}", row.term, now - promotion.since);
+            log::info!(
+                "event=promoted id={to} term={} after_s={:.3}",
+                row.term,
+                now - promotion.since
+            );
             self.conclude_promotion(around, choice, row.term, acts);
             return;
         }
@@ -77,13 +98,25 @@
         } else if now - promotion.posted > POST_AGAIN_S {
             self.pending.sent(now, to);
             acts.push(Act::Promote { to: to.clone() });
-            self.phase = Phase::Promoting(Promotion { posted: now, ..promotion });
+            self.phase = Phase::Promoting(Promotion {
+                posted: now,
+                ..promotion
+            });
         }
     }
 
     /// The choice leads this term.
-    fn conclude_promotion(&mut self, around: &Around<'_>, choice: &Choice, term: u64, acts: &mut Vec<Act>) {
-        let promoted = Primary { id: choice.to.clone(), term };
+    fn conclude_promotion(
+        &mut self,
+        around: &Around<'_>,
+        choice: &Choice,
+        term: u64,
+        acts: &mut Vec<Act>,
+    ) {
+        let promoted = Primary {
+            id: choice.to.clone(),
+            term,
+        };
         if choice.planned {
             self.revoke(acts);
             let old = self.primary.clone().unwrap_or_default();
@@ -99,9 +132,14 @@
         if self.revocation != Revocation::None {
             return;
         }
-        let Some(Primary { id, .. }) = self.primary.clone() else { return };
+        let Some(Primary { id, .. }) = self.primary.clone() else {
+            return;
+        };
         let limit = self.timing.drain - DRAIN_MARGIN_S;
-        if around.draining_since(&id).is_some_and(|since| around.now - since > limit) {
+        if around
+            .draining_since(&id)
+            .is_some_and(|since| around.now - since > limit)
+        {
             log::info!("event=primary_leaves_unreplaced id={id}");
             self.revoke(acts);
         }
--- a/crates/control/src/failover/types.rs
+++ b/crates/control/src/failover/types.rs
@@ -33,7 +33,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Asked {
     /// The answer, to what was asked at that second.
-    Row { statement: Statement, row: Row, asked: f64 },
+    Row {
+        statement: Statement,
+        row: Row,
+        asked: f64,
+    },
     /// It answered, but not with a row.
     Busy,
     /// No answer in time, or the connection broke.
@@ -101,7 +105,9 @@
 
     /// The member that has taken the place of this server, with its log.
     pub(super) fn successor(&self, id: &str) -> Option<&Candidate> {
-        self.members.iter().find(|member| (self.succeeds)(id, &member.id))
+        self.members
+            .iter()
+            .find(|member| (self.succeeds)(id, &member.id))
     }
 
     /// Whether this server, which leads that term, is the primary that was agreed on last, under whatever id.
@@ -113,7 +119,10 @@
 
     /// Since when this member drains.
     pub(super) fn draining_since(&self, id: &str) -> Option<f64> {
-        self.members.iter().find(|m| m.id == id).and_then(|m| m.draining_since)
+        self.members
+            .iter()
+            .find(|m| m.id == id)
+            .and_then(|m| m.draining_since)
     }
 }
 
--- a/crates/control/src/failover/watching.rs
+++ b/crates/control/src/failover/watching.rs
@@ -30,14 +30,21 @@
             self.ask(now, &member.id, every, statement, acts);
         }
         if let Some(row) = self.changed_itself(&primary) {
-            log::info!("event=primary_changed_itself id={} term={}", primary.id, row.term);
+            log::info!(
+                "event=primary_changed_itself id={} term={}",
+                primary.id,
+                row.term
+            );
             self.revoke(acts);
             self.phase = Phase::Finding;
             return;
         }
         self.settle_record(around, &primary, acts);
         if let Some(Death { refused, silent_s }) = self.primary_death(now) {
-            log::info!("event=primary_dead id={} refused={refused} silent_s={silent_s:.2}", primary.id);
+            log::info!(
+                "event=primary_dead id={} refused={refused} silent_s={silent_s:.2}",
+                primary.id
+            );
             self.give_up(acts);
         } else if let Some(since) = around.draining_since(&primary.id) {
             self.replace_draining(around, &primary.id, since, acts);
@@ -50,11 +57,16 @@
         let deposed = seen.row.is_some_and(|r| r.leader && r.term < term);
         // Who holds a term above the primary's was paused, by us or by a leader before us.
         let known = seen.resumed.map_or(term, |held| held.max(term));
-        let paused = seen.pausing.is_some() || seen.row.is_some_and(|r| !r.leader && r.held > known);
+        let paused =
+            seen.pausing.is_some() || seen.row.is_some_and(|r| !r.leader && r.held > known);
         if deposed {
             (Statement::StepDown(term), ORDER_AGAIN_S)
         } else if paused {
-            let statement = if seen.busy { Statement::Status } else { Statement::Resume };
+            let statement = if seen.busy {
+                Statement::Status
+            } else {
+                Statement::Resume
+            };
             (statement, ORDER_AGAIN_S)
         } else {
             (Statement::Status, self.timing.ask_replica)
@@ -70,10 +82,15 @@
 
     /// Has it agreed on that the change to this primary is complete, unless that is on record.
     fn settle_record(&mut self, around: &Around<'_>, primary: &Primary, acts: &mut Vec<Act>) {
-        let open = around.record.is_some_and(|record| record != (primary.id.as_str(), primary.term));
+        let open = around
+            .record
+            .is_some_and(|record| record != (primary.id.as_str(), primary.term));
         if open && around.now > self.settle {
             self.settle = around.now + SETTLE_AGAIN_S;
-            acts.push(Act::Settle { id: primary.id.clone(), term: primary.term });
+            acts.push(Act::Settle {
+                id: primary.id.clone(),
+                term: primary.term,
+            });
         }
     }
 
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -31,10 +31,17 @@
     /// The state `before` was changed to the one that is held now.
     pub fn push(&mut self, before: &State, before_digest: Digest, change: Rc<Change>) {
         let bytes = size(&change);
-        self.entries.push_back(Entry { before: before_digest, epoch_before: before.epoch, change, bytes });
+        self.entries.push_back(Entry {
+            before: before_digest,
+            epoch_before: before.epoch,
+            change,
+            bytes,
+        });
         self.bytes += bytes;
         while self.entries.len() > MAX_CHANGES || self.bytes > MAX_BYTES {
-            let Some(oldest) = self.entries.pop_front() else { break };
+            let Some(oldest) = self.entries.pop_front() else {
+                break;
+            };
             self.bytes -= oldest.bytes;
         }
     }
@@ -47,8 +54,16 @@
 
     /// The changes since the state of this digest; none if it isn't one of those kept.
     pub fn since(&self, state: Digest) -> Option<Vec<Rc<Change>>> {
-        let at = self.entries.iter().position(|entry| entry.before == state)?;
-        Some(self.entries.range(at..).map(|entry| entry.change.clone()).collect())
+        let at = self
+            .entries
+            .iter()
+            .position(|entry| entry.before == state)?;
+        Some(
+            self.entries
+                .range(at..)
+                .map(|entry| entry.change.clone())
+                .collect(),
+        )
     }
 
     /// The changes from the configuration of one epoch to that of another; none if they are not all known as differences.
@@ -60,8 +75,10 @@
         };
         let configs = self.entries.iter().filter_map(of);
         let since = configs.skip_while(|(before, _, _)| *before != from);
-        let between: Vec<(u64, Text)> =
-            since.map(|(_, epoch, text)| (epoch, text)).take_while(|(epoch, _)| *epoch <= to).collect();
+        let between: Vec<(u64, Text)> = since
+            .map(|(_, epoch, text)| (epoch, text))
+            .take_while(|(epoch, _)| *epoch <= to)
+            .collect();
         if between.last().is_none_or(|(epoch, _)| *epoch != to) {
             return None;
         }
@@ -81,8 +98,14 @@
 fn size(change: &Change) -> usize {
     const FIELDS: usize = 64;
     match change {
-        Change::Config { text: Text::Whole(text), .. } => FIELDS + text.len(),
-        Change::Config { text: Text::Difference(difference), .. } => FIELDS + difference.size(),
+        Change::Config {
+            text: Text::Whole(text),
+            ..
+        } => FIELDS + text.len(),
+        Change::Config {
+            text: Text::Difference(difference),
+            ..
+        } => FIELDS + difference.size(),
         Change::Primary { service, primary } => FIELDS + service.len() + primary.id.len(),
         Change::Membership(_) => 4 * FIELDS,
     }
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -30,12 +30,21 @@
 impl Leases {
     /// A machine begins to lead: leases of those before it may run until `before_us`.
     pub fn begin(before_us: f64) -> Leases {
-        Leases { all: HashMap::new(), before_us, changed: 0 }
+        Leases {
+            all: HashMap::new(),
+            before_us,
+            changed: 0,
+        }
     }
 
     /// A router asks and is given the lease for so many seconds, 0 for none; it knows all news up to `known`.
     pub fn renew(&mut self, now: f64, router: &str, life: u64, known: u64, lease: f64) {
-        let renewed = Session { life, known, until: now + lease, asked: now };
+        let renewed = Session {
+            life,
+            known,
+            until: now + lease,
+            asked: now,
+        };
         let Some(session) = self.all.get_mut(router) else {
             self.all.insert(router.to_owned(), renewed);
             return;
@@ -64,12 +73,19 @@
 
     /// Up to which number this router has said, in this life, that it knows the news.
     pub fn known(&self, router: &str, life: u64) -> u64 {
-        self.all.get(router).filter(|session| session.life == life).map_or(0, |session| session.known)
+        self.all
+            .get(router)
+            .filter(|session| session.life == life)
+            .map_or(0, |session| session.known)
     }
 
     /// Whether no router can act on anything older than this number.
     pub fn all_know(&self, now: f64, number: u64) -> bool {
-        now >= self.before_us && self.all.values().all(|s| s.known >= number || now >= s.until)
+        now >= self.before_us
+            && self
+                .all
+                .values()
+                .all(|s| s.known >= number || now >= s.until)
     }
 
     /// How many routers hold a lease.
@@ -79,7 +95,10 @@
 
     /// How many routers hold a lease or asked for one within so many seconds.
     pub fn present(&self, now: f64, within: f64) -> usize {
-        self.all.values().filter(|s| now < s.until || now - s.asked < within).count()
+        self.all
+            .values()
+            .filter(|s| now < s.until || now - s.asked < within)
+            .count()
     }
 
     /// When leases from before this machine led have ended.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -19,7 +19,8 @@
 
 pub use ballot::Ballot;
 pub use consensus::{
-    Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Content, Holds, Recipient, Record,
+    Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Content, Holds, Recipient,
+    Record,
 };
 pub use controller::{Answer, Call, ControlTiming, Controller, Output, PRIMARY_CHANGES_KEPT};
 pub use difference::Difference;
@@ -30,7 +31,8 @@
 pub use members::{Beat, Member, Members, Phase};
 pub use membership::{FOUNDING, Membership, Node, Voter};
 pub use message::{
-    CallId, ConfigNews, Evidence, GrantNews, LeaderCall, MemberNews, PeerMessage, ToControl, ToRouter,
+    CallId, ConfigNews, Evidence, GrantNews, LeaderCall, MemberNews, PeerMessage, ToControl,
+    ToRouter,
 };
 pub use promotion::PromotionOutcome;
 pub use state::{Change, Order, Primary, REMEMBERED_ORDERS, State, Text, Verdict};
--- a/crates/control/src/members.rs
+++ b/crates/control/src/members.rs
@@ -109,17 +109,31 @@
         let news = match (member.news.call_seq, member.news.draining) {
             // The same call once more.
             (LEAVING, _) => return None,
-            (_, true) => MemberNews { gone: true, call_seq: ENDED, ..member.news.clone() },
-            (_, false) => MemberNews { draining: true, call_seq: LEAVING, ..member.news.clone() },
+            (_, true) => MemberNews {
+                gone: true,
+                call_seq: ENDED,
+                ..member.news.clone()
+            },
+            (_, false) => MemberNews {
+                draining: true,
+                call_seq: LEAVING,
+                ..member.news.clone()
+            },
         };
         self.merge(now, news.clone(), stamp).then_some(news)
     }
 
     /// Nobody listens at the address of this server any more: one that was leaving has ended. What is new by that.
     pub(crate) fn refused(&mut self, now: f64, id: &str, stamp: u64) -> Option<MemberNews> {
-        let member =
-            self.all.get(id).filter(|member| member.news.call_seq == LEAVING && !member.news.gone)?;
-        let news = MemberNews { gone: true, call_seq: ENDED, ..member.news.clone() };
+        let member = self
+            .all
+            .get(id)
+            .filter(|member| member.news.call_seq == LEAVING && !member.news.gone)?;
+        let news = MemberNews {
+            gone: true,
+            call_seq: ENDED,
+            ..member.news.clone()
+        };
         self.merge(now, news.clone(), stamp).then_some(news)
     }
 
@@ -132,10 +146,19 @@
     pub fn merge(&mut self, now: f64, news: MemberNews, stamp: u64) -> bool {
         let Some(member) = self.all.get_mut(&news.id) else {
             let draining_since = news.draining.then_some(now);
-            self.services.entry(news.service.clone()).or_default().insert(news.id.clone());
+            self.services
+                .entry(news.service.clone())
+                .or_default()
+                .insert(news.id.clone());
             self.all.insert(
                 news.id.clone(),
-                Member { news, heard: now, draining_since, stamp, confirmed: false },
+                Member {
+                    news,
+                    heard: now,
+                    draining_since,
+                    stamp,
+                    confirmed: false,
+                },
             );
             self.changes += 1;
             return true;
@@ -144,13 +167,19 @@
         if news.call_seq <= member.news.call_seq {
             return false;
         }
-        let same = MemberNews { call_seq: news.call_seq, ..member.news.clone() } == news;
+        let same = MemberNews {
+            call_seq: news.call_seq,
+            ..member.news.clone()
+        } == news;
         if news.draining && member.draining_since.is_none() {
             member.draining_since = Some(now);
         }
         member.heard = now;
         if member.news.service != news.service {
-            self.services.entry(news.service.clone()).or_default().insert(news.id.clone());
+            self.services
+                .entry(news.service.clone())
+                .or_default()
+                .insert(news.id.clone());
         }
         member.news = news;
         if !same {
@@ -169,7 +198,10 @@
     /// A majority of the control machines knows this, if nothing has changed since.
     pub(crate) fn confirm(&mut self, news: &MemberNews) {
         if let Some(member) = self.all.get_mut(&news.id) {
-            let same = MemberNews { call_seq: news.call_seq, ..member.news.clone() } == *news;
+            let same = MemberNews {
+                call_seq: news.call_seq,
+                ..member.news.clone()
+            } == *news;
             member.confirmed |= same;
         }
     }
@@ -186,7 +218,12 @@
         let mut swept = false;
         let silent = |m: &Member| {
             let leaving = m.news.call_seq == LEAVING;
-            now - m.heard > if leaving { LEAVING_SILENCES * silent_s } else { silent_s }
+            now - m.heard
+                > if leaving {
+                    LEAVING_SILENCES * silent_s
+                } else {
+                    silent_s
+                }
         };
         for member in self.all.values_mut().filter(|m| !m.news.gone && silent(m)) {
             member.news.gone = true;
@@ -218,8 +255,18 @@
     /// leaves, which an older one doesn't bring back.
     pub fn kept(&self) -> Vec<MemberNews> {
         let all = self.all.values().filter(|m| !m.news.gone);
-        let call_seq = |m: &Member| if outlives_power_loss(&m.news) { m.news.call_seq } else { 0 };
-        all.map(|m| MemberNews { call_seq: call_seq(m), ..m.news.clone() }).collect()
+        let call_seq = |m: &Member| {
+            if outlives_power_loss(&m.news) {
+                m.news.call_seq
+            } else {
+                0
+            }
+        };
+        all.map(|m| MemberNews {
+            call_seq: call_seq(m),
+            ..m.news.clone()
+        })
+        .collect()
     }
 
     /// Takes what was kept in a life before this one. For how long a server had been draining isn't known: it counts as so many
@@ -255,7 +302,8 @@
 
     fn named<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
         let ids = self.services.get(service).into_iter().flatten();
-        ids.filter_map(|id| self.all.get(id)).filter(move |m| m.news.service == service)
+        ids.filter_map(|id| self.all.get(id))
+            .filter(move |m| m.news.service == service)
     }
 
     /// Whether the last change of this one was told under this number.
@@ -266,7 +314,9 @@
     /// Those of a service that left or fell silent, as far as they are remembered, and from when on they took part in
     /// nothing: whoever lives sends beats.
     pub(crate) fn lost(&self, service: &str, heartbeat: f64) -> Vec<(String, f64)> {
-        let gone = self.named(service).filter(|m| m.news.gone && !self.is_succeeded(m));
+        let gone = self
+            .named(service)
+            .filter(|m| m.news.gone && !self.is_succeeded(m));
         let goes_on = |m: &Member| match m.news.call_seq {
             ENDED => ENDS_WITHIN,
             LEAVING => LEAVING_SILENCES * HEARTBEATS * heartbeat,
@@ -279,19 +329,24 @@
     /// Whether the second server has taken the place of the first one: whoever is new at the address of a server of its
     /// service has that one's log.
     pub(crate) fn succeeds(&self, old: &str, new: &str) -> bool {
-        let (Some(old), Some(new)) = (self.all.get(old), self.get(new)) else { return false };
+        let (Some(old), Some(new)) = (self.all.get(old), self.get(new)) else {
+            return false;
+        };
         old.is_succeeded_by(new)
     }
 
     /// Whether these are two servers of one service at one address.
     pub(crate) fn share_an_address(&self, one: &str, other: &str) -> bool {
-        let (Some(one), Some(other)) = (self.all.get(one), self.all.get(other)) else { return false };
+        let (Some(one), Some(other)) = (self.all.get(one), self.all.get(other)) else {
+            return false;
+        };
         one.shares_address_with(other)
     }
 
     /// Whether another server was heard at the address of this one since.
     fn is_succeeded(&self, member: &Member) -> bool {
-        self.named(&member.news.service).any(|other| member.is_succeeded_by(other))
+        self.named(&member.news.service)
+            .any(|other| member.is_succeeded_by(other))
     }
 
     /// All, also those that have left and are still remembered.
@@ -301,6 +356,10 @@
 
     /// The services that have members.
     pub fn services(&self) -> Vec<String> {
-        self.services.keys().filter(|s| self.of(s).next().is_some()).cloned().collect()
+        self.services
+            .keys()
+            .filter(|s| self.of(s).next().is_some())
+            .cloned()
+            .collect()
     }
 }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -23,7 +23,12 @@
 
 impl std::fmt::Display for Voter {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}/{:x}", std::net::Ipv4Addr::from(self.node), self.incarnation)
+        write!(
+            f,
+            "{}/{:x}",
+            std::net::Ipv4Addr::from(self.node),
+            self.incarnation
+        )
     }
 }
 
@@ -38,8 +43,14 @@
 impl Membership {
     /// Those who decide when the system starts for the first time.
     pub fn founding(nodes: impl IntoIterator<Item = Node>) -> Membership {
-        let founder = |node| Voter { node, incarnation: FOUNDING };
-        Membership { voters: sorted(nodes.into_iter().map(founder).collect()), outgoing: Vec::new() }
+        let founder = |node| Voter {
+            node,
+            incarnation: FOUNDING,
+        };
+        Membership {
+            voters: sorted(nodes.into_iter().map(founder).collect()),
+            outgoing: Vec::new(),
+        }
     }
 
     /// The voters; while a change is under way those to come.
@@ -54,7 +65,10 @@
 
     /// Everybody whose word may count, each once.
     pub fn all(&self) -> impl Iterator<Item = Voter> {
-        let leaving = self.outgoing.iter().filter(|voter| !self.voters.contains(voter));
+        let leaving = self
+            .outgoing
+            .iter()
+            .filter(|voter| !self.voters.contains(voter));
         self.voters.iter().chain(leaving).copied()
     }
 
@@ -65,8 +79,11 @@
 
     /// Whether those for whom this holds are a majority, of the old voters as well while a change is under way.
     pub fn is_quorum(&self, holds: impl Fn(Voter) -> bool) -> bool {
-        let most = |set: &[Voter]| set.iter().filter(|voter| holds(**voter)).count() > set.len() / 2;
-        !self.voters.is_empty() && most(&self.voters) && (self.outgoing.is_empty() || most(&self.outgoing))
+        let most =
+            |set: &[Voter]| set.iter().filter(|voter| holds(**voter)).count() > set.len() / 2;
+        !self.voters.is_empty()
+            && most(&self.voters)
+            && (self.outgoing.is_empty() || most(&self.outgoing))
     }
 
     /// The latest second up to which a quorum was heard, given when each was last heard.
@@ -83,18 +100,27 @@
     /// The joint set on the way to these voters; none while another change is under way.
     pub fn changed_to(&self, voters: Vec<Voter>) -> Option<Membership> {
         let voters = sorted(voters);
-        (!self.is_joint() && !voters.is_empty() && voters != self.voters)
-            .then(|| Membership { voters, outgoing: self.voters.clone() })
+        (!self.is_joint() && !voters.is_empty() && voters != self.voters).then(|| Membership {
+            voters,
+            outgoing: self.voters.clone(),
+        })
     }
 
     /// The set once the change under way is complete.
     pub fn completed(&self) -> Membership {
-        Membership { voters: self.voters.clone(), outgoing: Vec::new() }
+        Membership {
+            voters: self.voters.clone(),
+            outgoing: Vec::new(),
+        }
     }
 
     /// The voters with `added` in, in place of `removed`.
     pub fn with(&self, added: Option<Voter>, removed: Option<Voter>) -> Vec<Voter> {
-        let kept = self.voters.iter().copied().filter(|voter| Some(*voter) != removed);
+        let kept = self
+            .voters
+            .iter()
+            .copied()
+            .filter(|voter| Some(*voter) != removed);
         kept.chain(added).collect()
     }
 }
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -176,7 +176,10 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToRouter {
     /// Another machine leads.
-    Elsewhere { leader: Option<Node>, voters: Vec<Node> },
+    Elsewhere {
+        leader: Option<Node>,
+        voters: Vec<Node>,
+    },
     /// News, or the answer to a renewal: an answer carries the lease and no news.
     News {
         /// Who tells it, and up to which number the router knows the news once it has taken this; it may know more already.
--- a/crates/control/src/promotion.rs
+++ b/crates/control/src/promotion.rs
@@ -80,7 +80,11 @@
     pub fn sent(&mut self, now: f64, server: &str) {
         if self.server != server {
             let refused = std::mem::take(&mut self.refused);
-            *self = PendingPromotion { server: server.to_owned(), refused, ..PendingPromotion::default() };
+            *self = PendingPromotion {
+                server: server.to_owned(),
+                refused,
+                ..PendingPromotion::default()
+            };
         }
         self.in_flight += 1;
         self.sent_at = now;
@@ -109,7 +113,9 @@
 
     /// Whether the platform has refused a moment ago to promote this server.
     pub fn is_refused(&self, now: f64, server: &str) -> bool {
-        self.refused.get(server).is_some_and(|at| now < at + REFUSED_S)
+        self.refused
+            .get(server)
+            .is_some_and(|at| now < at + REFUSED_S)
     }
 
     /// Whether this server may be promoted now: no other one may be made the primary after it.
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -116,7 +116,10 @@
 impl State {
     /// The state of machines that start for the first time.
     pub fn first(nodes: Vec<Node>) -> State {
-        State { membership: Membership::founding(nodes), ..State::default() }
+        State {
+            membership: Membership::founding(nodes),
+            ..State::default()
+        }
     }
 
     /// What is to be done with a valid configuration of this epoch that builds on that version.
@@ -139,17 +142,26 @@
 
     /// The change to this configuration.
     pub fn change_config(&self, epoch: u64, body: &Rc<[u8]>) -> Change {
-        Change::Config { epoch, text: Text::from_to(&self.config, body) }
+        Change::Config {
+            epoch,
+            text: Text::from_to(&self.config, body),
+        }
     }
 
     /// The state after this change; none if the change was not made for this state.
     pub fn after(&self, change: &Change) -> Option<State> {
-        let mut next = State { seq: self.seq + 1, ..self.clone() };
+        let mut next = State {
+            seq: self.seq + 1,
+            ..self.clone()
+        };
         match change {
             Change::Config { epoch, text } => {
                 next.config = text.resolve(&self.config)?;
                 next.epoch = *epoch;
-                next.orders.push(Order { epoch: *epoch, digest: Digest::of(&next.config) });
+                next.orders.push(Order {
+                    epoch: *epoch,
+                    digest: Digest::of(&next.config),
+                });
                 let forgotten = next.orders.len().saturating_sub(REMEMBERED_ORDERS);
                 next.orders.drain(..forgotten);
             }
@@ -164,20 +176,29 @@
     /// Stands for the whole state: equal digests mean equal states.
     pub fn digest(&self) -> Digest {
         // The configuration stands in the newest order by its digest.
-        let parts = (self.seq, &self.membership, self.epoch, &self.orders, &self.primaries);
+        let parts = (
+            self.seq,
+            &self.membership,
+            self.epoch,
+            &self.orders,
+            &self.primaries,
+        );
         let bytes = bincode::encode_to_vec(parts, bincode::config::standard());
         Digest::of(&bytes.expect("a state can be written to memory"))
     }
 
     /// As bytes, for disks and links.
     pub fn bytes(&self) -> Vec<u8> {
-        bincode::encode_to_vec(self, bincode::config::standard()).expect("a state can be written to memory")
+        bincode::encode_to_vec(self, bincode::config::standard())
+            .expect("a state can be written to memory")
     }
 
     /// From bytes; none if they are not a whole state.
     pub fn read(bytes: &[u8]) -> Option<State> {
         let limits = bincode::config::standard().with_limit::<MAX_BYTES>();
         let read = bincode::decode_from_slice(bytes, limits);
-        read.ok().filter(|(_, used)| *used == bytes.len()).map(|(state, _)| state)
+        read.ok()
+            .filter(|(_, used)| *used == bytes.len())
+            .map(|(state, _)| state)
     }
 }
--- a/crates/control/src/tests/agreement.rs
+++ b/crates/control/src/tests/agreement.rs
@@ -72,13 +72,15 @@
     for node in [1, 2] {
         let asked = |net: &Net| {
             net.bag.iter().position(|letter| {
-                letter.from.node == node && matches!(letter.message, ConsensusMessage::Canvass { .. })
+                letter.from.node == node
+                    && matches!(letter.message, ConsensusMessage::Canvass { .. })
             })
         };
         let at = asked(&net).expect("it asks");
         net.deliver(at, false);
     }
-    net.bag.retain(|letter| !matches!(letter.message, ConsensusMessage::Canvass { .. }));
+    net.bag
+        .retain(|letter| !matches!(letter.message, ConsensusMessage::Canvass { .. }));
     net.be_silent();
     let mut count = 0;
     explore(&net, 6, 1, &mut count);
@@ -114,8 +116,8 @@
             while let Some(letter) = net.bag.first() {
                 let (from, to) = (letter.from.node, letter.to.node());
                 let apart = from == others[0] && to == leader;
-                let silent =
-                    from == leader && (to == others[0] || net.now > deaf_from + 0.02 * f64::from(cut));
+                let silent = from == leader
+                    && (to == others[0] || net.now > deaf_from + 0.02 * f64::from(cut));
                 if apart || silent {
                     net.bag.remove(0);
                     continue;
@@ -196,7 +198,10 @@
     let (wins, highest) = (net.wins.len(), net.highest());
     net.calm_but_for(20.0, |letter| letter.to.node() == deaf);
     net.calm(2.0);
-    assert_eq!((net.leader(), net.wins.len(), net.highest()), (Some(leader), wins, highest));
+    assert_eq!(
+        (net.leader(), net.wins.len(), net.highest()),
+        (Some(leader), wins, highest)
+    );
 }
 
 /// A machine that hears all but the leader, and is heard, is told by the others that they hear it: it raises no ballots.
@@ -207,9 +212,14 @@
     let leader = net.leader().unwrap();
     let apart = 1 + leader % 3;
     let (wins, highest) = (net.wins.len(), net.highest());
-    net.calm_but_for(5.0, |letter| letter.from.node == leader && letter.to.node() == apart);
+    net.calm_but_for(5.0, |letter| {
+        letter.from.node == leader && letter.to.node() == apart
+    });
     net.calm(2.0);
-    assert_eq!((net.leader(), net.wins.len(), net.highest()), (Some(leader), wins, highest));
+    assert_eq!(
+        (net.leader(), net.wins.len(), net.highest()),
+        (Some(leader), wins, highest)
+    );
 }
 
 /// A leader that is cut off from a majority goes on sending heartbeats for a while: a follower that still hears it is out of contact
@@ -231,11 +241,13 @@
         net.now += 0.01;
         net.tick_all();
         while let Some(letter) = net.bag.first() {
-            let sides = [letter.from.node, letter.to.node()].map(|node| node == leader || node == with_it);
+            let sides =
+                [letter.from.node, letter.to.node()].map(|node| node == leader || node == with_it);
             if sides[0] != sides[1] {
                 net.bag.remove(0);
             } else {
-                if letter.from.node == leader && matches!(letter.message, ConsensusMessage::Heartbeat { .. })
+                if letter.from.node == leader
+                    && matches!(letter.message, ConsensusMessage::Heartbeat { .. })
                 {
                     heard = net.now;
                 }
@@ -250,16 +262,31 @@
         }
     }
     assert!(leader_until <= cut + SUSPECT, "{leader_until} after {cut}");
-    assert!(until <= leader_until + CONTACT, "{until} after {leader_until}");
-    assert!(heard > leader_until + 0.2, "the leader sent no more heartbeats: the case shows nothing");
+    assert!(
+        until <= leader_until + CONTACT,
+        "{until} after {leader_until}"
+    );
+    assert!(
+        heard > leader_until + 0.2,
+        "the leader sent no more heartbeats: the case shows nothing"
+    );
 }
 
 /// One machine that decides alone has agreed on nothing before that is on its disk.
 #[test]
 fn one_alone_agrees_on_what_is_saved() {
-    let me = Voter { node: 1, incarnation: FOUNDING };
-    let record = Record { state: Rc::new(State::first(vec![1])), ..Record::default() };
-    let timing = ConsensusTiming { suspect: SUSPECT, contact: CONTACT };
+    let me = Voter {
+        node: 1,
+        incarnation: FOUNDING,
+    };
+    let record = Record {
+        state: Rc::new(State::first(vec![1])),
+        ..Record::default()
+    };
+    let timing = ConsensusTiming {
+        suspect: SUSPECT,
+        contact: CONTACT,
+    };
     let mut consensus = Consensus::new(me, record, 0.0, 7, timing);
     let mut now = 0.0;
     while consensus.leads().is_none() {
@@ -273,7 +300,10 @@
         assert!(now < 5.0);
     }
     let mut outs = Vec::new();
-    let change = consensus.agreed().unwrap().change_config(3, &Rc::from(*b"x"));
+    let change = consensus
+        .agreed()
+        .unwrap()
+        .change_config(3, &Rc::from(*b"x"));
     assert!(consensus.propose(now, change, &mut outs).is_some());
     assert_eq!(outs, [ConsensusOutput::Save]);
     let mut then = Vec::new();
@@ -316,7 +346,11 @@
         net.calm(1.5);
         net.restart(wiped, true);
         net.calm(4.0);
-        assert!(net.machines.values().all(|m| m.consensus.votes()), "{}", net.tale());
+        assert!(
+            net.machines.values().all(|m| m.consensus.votes()),
+            "{}",
+            net.tale()
+        );
         // So another one may be lost.
         net.at(1 + wiped % 3).up = false;
         net.calm(2.0);
@@ -338,12 +372,16 @@
         // Only one other takes it.
         net.bag.retain(|letter| letter.to.node() == helper);
         let accept = |net: &Net| {
-            net.bag.iter().position(|letter| matches!(letter.message, ConsensusMessage::Accept { .. }))
+            net.bag
+                .iter()
+                .position(|letter| matches!(letter.message, ConsensusMessage::Accept { .. }))
         };
         let at = accept(&net).unwrap();
         net.deliver(at, false);
         let accepted = |net: &Net| {
-            net.bag.iter().position(|letter| matches!(letter.message, ConsensusMessage::Accepted { .. }))
+            net.bag
+                .iter()
+                .position(|letter| matches!(letter.message, ConsensusMessage::Accepted { .. }))
         };
         let at = accepted(&net).unwrap();
         net.deliver(at, false);
@@ -427,7 +465,11 @@
         for machine in net.machines.values() {
             assert!(machine.saved.state.seq >= newest, "{}", net.tale());
         }
-        assert!(net.all_decide(), "a machine has not caught up\n{}", net.tale());
+        assert!(
+            net.all_decide(),
+            "a machine has not caught up\n{}",
+            net.tale()
+        );
         Ok(())
     })
     .size_min(200)
@@ -438,7 +480,9 @@
 #[test]
 fn configurations_are_judged() {
     let take = |state: &State, epoch, body: &[u8]| {
-        state.after(&state.change_config(epoch, &body.into())).expect("the change was made for it")
+        state
+            .after(&state.change_config(epoch, &body.into()))
+            .expect("the change was made for it")
     };
     let first = State::first(vec![3, 1, 2, 1]);
     let nodes: Vec<Node> = first.membership.voters().iter().map(|v| v.node).collect();
@@ -466,7 +510,10 @@
     assert_eq!(many.orders.len(), REMEMBERED_ORDERS);
     assert_eq!(many.judge(5, 9, b"z"), Verdict::AlreadyTaken);
     assert_eq!(many.judge(0, 5, b"x"), Verdict::Forgotten);
-    assert_eq!(many.judge(many.epoch - 1, many.epoch, b"n"), Verdict::Conflict);
+    assert_eq!(
+        many.judge(many.epoch - 1, many.epoch, b"n"),
+        Verdict::Conflict
+    );
     let more = take(&many, many.epoch + 1, b"m");
     assert_eq!(more.orders.len(), REMEMBERED_ORDERS);
     assert_eq!(more.judge(5, 9, b"z"), Verdict::Forgotten);
--- a/crates/control/src/tests/answers.rs
+++ b/crates/control/src/tests/answers.rs
@@ -10,16 +10,26 @@
 use std::rc::Rc;
 
 fn voter(node: u32) -> Voter {
-    Voter { node, incarnation: FOUNDING }
+    Voter {
+        node,
+        incarnation: FOUNDING,
+    }
 }
 
 const LIFE: u64 = 77;
 
 /// Machine 2, which follows machine 1.
 fn follower() -> Controller {
-    let record = Record { state: Rc::new(State::first(vec![1, 2, 3])), ..Record::default() };
+    let record = Record {
+        state: Rc::new(State::first(vec![1, 2, 3])),
+        ..Record::default()
+    };
     let mut controller = Controller::new(voter(2), record, 0.0, LIFE, timing());
-    let heartbeat = ConsensusMessage::Heartbeat { ballot: Ballot(1 << 32 | 1), sent: 0.0, confirms: None };
+    let heartbeat = ConsensusMessage::Heartbeat {
+        ballot: Ballot(1 << 32 | 1),
+        sent: 0.0,
+        confirms: None,
+    };
     controller.peer(0.1, voter(1), PeerMessage::Consensus(heartbeat));
     controller.saved(0.1);
     controller
@@ -36,7 +46,11 @@
 }
 
 fn answer(id: CallId, status: u16) -> PeerMessage {
-    PeerMessage::Answer { id, status, body: Rc::from(*b"x") }
+    PeerMessage::Answer {
+        id,
+        status,
+        body: Rc::from(*b"x"),
+    }
 }
 
 fn replies(out: &[Output]) -> Vec<(u64, u16)> {
@@ -53,14 +67,42 @@
     let (first, _) = passed_on(&controller.call(0.2, 501, Call::Read));
     let (second, _) = passed_on(&controller.call(0.2, 502, Call::Read));
     assert_ne!(first, second);
-    let other_life = CallId { life: LIFE + 1, ..first };
-    let wiped = Voter { node: 1, incarnation: 9 };
-    assert_eq!(replies(&controller.peer(0.3, voter(3), answer(first, 200))), [], "from another machine");
-    assert_eq!(replies(&controller.peer(0.3, wiped, answer(first, 200))), [], "from another incarnation");
-    assert_eq!(replies(&controller.peer(0.3, voter(1), answer(other_life, 200))), [], "of a life before");
-    assert_eq!(replies(&controller.peer(0.3, voter(1), answer(second, 412))), [(502, 412)]);
-    assert_eq!(replies(&controller.peer(0.3, voter(1), answer(second, 200))), [], "once only");
-    assert_eq!(replies(&controller.peer(0.3, voter(1), answer(first, 200))), [(501, 200)]);
+    let other_life = CallId {
+        life: LIFE + 1,
+        ..first
+    };
+    let wiped = Voter {
+        node: 1,
+        incarnation: 9,
+    };
+    assert_eq!(
+        replies(&controller.peer(0.3, voter(3), answer(first, 200))),
+        [],
+        "from another machine"
+    );
+    assert_eq!(
+        replies(&controller.peer(0.3, wiped, answer(first, 200))),
+        [],
+        "from another incarnation"
+    );
+    assert_eq!(
+        replies(&controller.peer(0.3, voter(1), answer(other_life, 200))),
+        [],
+        "of a life before"
+    );
+    assert_eq!(
+        replies(&controller.peer(0.3, voter(1), answer(second, 412))),
+        [(502, 412)]
+    );
+    assert_eq!(
+        replies(&controller.peer(0.3, voter(1), answer(second, 200))),
+        [],
+        "once only"
+    );
+    assert_eq!(
+        replies(&controller.peer(0.3, voter(1), answer(first, 200))),
+        [(501, 200)]
+    );
 }
 
 #[test]
@@ -69,7 +111,11 @@
     let (id, _) = passed_on(&controller.call(0.2, 501, Call::Read));
     let late = controller.tick(1.15);
     assert_eq!(replies(&late), [(501, 503)]);
-    assert_eq!(replies(&controller.peer(1.2, voter(1), answer(id, 200))), [], "it was answered already");
+    assert_eq!(
+        replies(&controller.peer(1.2, voter(1), answer(id, 200))),
+        [],
+        "it was answered already"
+    );
 }
 
 /// The text of an order goes as a difference; whole where the leader asks for that, and only the leader.
@@ -77,9 +123,30 @@
 fn an_order_is_sent_whole_on_request() {
     let mut controller = follower();
     let body: Rc<[u8]> = Rc::from(*b"{\"epoch\":5}");
-    let (id, _) =
-        passed_on(&controller.call(0.2, 501, Call::Replace { base: 0, epoch: 5, body: body.clone() }));
-    assert!(controller.peer(0.3, voter(3), PeerMessage::SendWhole { id }).is_empty());
+    let (id, _) = passed_on(&controller.call(
+        0.2,
+        501,
+        Call::Replace {
+            base: 0,
+            epoch: 5,
+            body: body.clone(),
+        },
+    ));
+    assert!(
+        controller
+            .peer(0.3, voter(3), PeerMessage::SendWhole { id })
+            .is_empty()
+    );
     let (again, call) = passed_on(&controller.peer(0.3, voter(1), PeerMessage::SendWhole { id }));
-    assert_eq!((again, call), (id, LeaderCall::Replace { base: 0, epoch: 5, text: Text::Whole(body) }));
+    assert_eq!(
+        (again, call),
+        (
+            id,
+            LeaderCall::Replace {
+                base: 0,
+                epoch: 5,
+                text: Text::Whole(body)
+            }
+        )
+    );
 }
--- a/crates/control/src/tests/authority.rs
+++ b/crates/control/src/tests/authority.rs
@@ -4,8 +4,8 @@
 use super::fleet::timing;
 use crate::controller::{Answer, Call, ControlTiming, Controller, Output};
 use crate::{
-    Asked, Ballot, Beat, ConsensusMessage, FOUNDING, Holds, MemberNews, Node, PeerMessage, Phase, Recipient,
-    Record, Row, State, Statement, ToControl, ToRouter, Voter,
+    Asked, Ballot, Beat, ConsensusMessage, FOUNDING, Holds, MemberNews, Node, PeerMessage, Phase,
+    Recipient, Record, Row, State, Statement, ToControl, ToRouter, Voter,
 };
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -13,7 +13,10 @@
 const TICK: f64 = 0.02;
 
 fn voter(node: Node) -> Voter {
-    Voter { node, incarnation: FOUNDING }
+    Voter {
+        node,
+        incarnation: FOUNDING,
+    }
 }
 
 /// Machine 1, which leads, and what machine 2 does; machine 3 is gone.
@@ -43,7 +46,10 @@
     /// The same with these spans.
     fn with(timing: ControlTiming) -> Led {
         let first = State::first(vec![1, 2, 3]);
-        let record = Record { state: Rc::new(first), ..Record::default() };
+        let record = Record {
+            state: Rc::new(first),
+            ..Record::default()
+        };
         let mut led = Led {
             controller: Controller::new(voter(1), record, 0.0, 7, timing),
             now: 0.0,
@@ -68,7 +74,9 @@
             let out = self.controller.tick(self.now);
             self.perform(out);
             for answer in std::mem::take(&mut self.answers) {
-                let out = self.controller.peer(self.now, voter(2), PeerMessage::Consensus(answer));
+                let out = self
+                    .controller
+                    .peer(self.now, voter(2), PeerMessage::Consensus(answer));
                 self.perform(out);
             }
         }
@@ -80,14 +88,21 @@
             match one {
                 Output::Save => {
                     let then = self.controller.saved(self.now);
-                    then.into_iter().rev().for_each(|next| waiting.push_front(next));
+                    then.into_iter()
+                        .rev()
+                        .for_each(|next| waiting.push_front(next));
                 }
                 Output::KeepServers(then) => waiting.extend(then),
                 Output::Peer(to, PeerMessage::Consensus(message)) if self.follows => {
                     self.answers.extend(self.answer(to, message));
                 }
                 Output::Peer(..) => {}
-                Output::Ask { id, service, statement, .. } => self.ask(&service, &id, statement),
+                Output::Ask {
+                    id,
+                    service,
+                    statement,
+                    ..
+                } => self.ask(&service, &id, statement),
                 Output::Promote { .. } => self.promotions += 1,
                 Output::News(..) => self.news += 1,
                 Output::Reply(call, answer) => self.replies.push((call, answer)),
@@ -102,20 +117,32 @@
             return None;
         }
         let state = self.controller.record().state.clone();
-        let holds = |accepted| Holds { accepted, seq: state.seq, digest: state.digest() };
+        let holds = |accepted| Holds {
+            accepted,
+            seq: state.seq,
+            digest: state.digest(),
+        };
         Some(match message {
-            ConsensusMessage::Canvass { ballot, .. } => {
-                ConsensusMessage::Canvassed { ballot, granted: true, promised: Ballot::default() }
-            }
-            ConsensusMessage::Prepare { ballot, holds } => {
-                ConsensusMessage::Promise { ballot, holds, newer: None }
-            }
-            ConsensusMessage::Accept { ballot, .. } => {
-                ConsensusMessage::Accepted { ballot, holds: holds(ballot) }
-            }
-            ConsensusMessage::Heartbeat { ballot, sent, .. } => {
-                ConsensusMessage::HeartbeatAck { ballot, sent, at: self.now, holds: holds(ballot) }
-            }
+            ConsensusMessage::Canvass { ballot, .. } => ConsensusMessage::Canvassed {
+                ballot,
+                granted: true,
+                promised: Ballot::default(),
+            },
+            ConsensusMessage::Prepare { ballot, holds } => ConsensusMessage::Promise {
+                ballot,
+                holds,
+                newer: None,
+            },
+            ConsensusMessage::Accept { ballot, .. } => ConsensusMessage::Accepted {
+                ballot,
+                holds: holds(ballot),
+            },
+            ConsensusMessage::Heartbeat { ballot, sent, .. } => ConsensusMessage::HeartbeatAck {
+                ballot,
+                sent,
+                at: self.now,
+                holds: holds(ballot),
+            },
             _ => return None,
         })
     }
@@ -128,10 +155,19 @@
             _ => None,
         };
         let held = self.held.get(id).copied().unwrap_or(0);
-        let row = Row { leader, term: 1, received: (1, 5), held };
+        let row = Row {
+            leader,
+            term: 1,
+            received: (1, 5),
+            held,
+        };
         let asked = match leader && self.now >= self.refuses_from {
             true => Asked::Refused,
-            false => Asked::Row { statement, row, asked: self.now },
+            false => Asked::Row {
+                statement,
+                row,
+                asked: self.now,
+            },
         };
         self.controller.asked(self.now, service, id, asked);
     }
@@ -140,8 +176,17 @@
         let text = |text: &str| text.to_owned();
         let (service, zone) = (text("s"), text("z"));
         let endpoint = format!("10.0.0.{}:1", id.as_bytes()[0]);
-        let beat = Beat { service, endpoint, zone, slots: 4, phase: Phase::Ready, call_seq: seq };
-        let out = self.controller.call(self.now, 1000 + seq, Call::Beat { id: text(id), beat });
+        let beat = Beat {
+            service,
+            endpoint,
+            zone,
+            slots: 4,
+            phase: Phase::Ready,
+            call_seq: seq,
+        };
+        let out = self
+            .controller
+            .call(self.now, 1000 + seq, Call::Beat { id: text(id), beat });
         self.perform(out);
     }
 
@@ -163,12 +208,19 @@
         let out = self.controller.call(self.now, number, call);
         self.perform(out);
         self.run(2.0 * TICK);
-        self.replies.iter().find(|(of, _)| *of == number).map(|(_, answer)| answer.clone())
+        self.replies
+            .iter()
+            .find(|(of, _)| *of == number)
+            .map(|(_, answer)| answer.clone())
     }
 }
 
 fn replace(base: u64, epoch: u64) -> Call {
-    Call::Replace { base, epoch, body: Rc::from(*b"a configuration") }
+    Call::Replace {
+        base,
+        epoch,
+        body: Rc::from(*b"a configuration"),
+    }
 }
 
 /// A process may stand still between a decision and its answer: what rests on contact says until when it holds.
@@ -176,11 +228,23 @@
 fn what_rests_on_contact_holds_no_longer_than_the_authority() {
     let mut led = Led::new();
     let taken = led.call(1, replace(0, 5)).expect("an answer");
-    assert_eq!((taken.status, taken.until), (200, f64::INFINITY), "what is agreed on holds for good");
-    for (number, call, status) in [(2, Call::Read, 200), (3, replace(0, 7), 412), (4, replace(5, 4), 400)] {
+    assert_eq!(
+        (taken.status, taken.until),
+        (200, f64::INFINITY),
+        "what is agreed on holds for good"
+    );
+    for (number, call, status) in [
+        (2, Call::Read, 200),
+        (3, replace(0, 7), 412),
+        (4, replace(5, 4), 400),
+    ] {
         let answer = led.call(number, call).expect("an answer");
         assert_eq!(answer.status, status);
-        assert!(answer.until <= led.now + timing().suspect, "{status} holds until {}", answer.until);
+        assert!(
+            answer.until <= led.now + timing().suspect,
+            "{status} holds until {}",
+            answer.until
+        );
     }
 }
 
@@ -226,10 +290,17 @@
     let mut led = Led::new();
     led.follows = false;
     led.run(timing().suspect + 0.3);
-    assert!(led.controller.leads() && led.call(1, replace(0, 5)).is_none(), "nobody can agree");
+    assert!(
+        led.controller.leads() && led.call(1, replace(0, 5)).is_none(),
+        "nobody can agree"
+    );
     led.run(0.6);
     assert!(!led.controller.leads());
-    let answer = led.replies.iter().find(|(call, _)| *call == 1).map(|(_, answer)| answer.status);
+    let answer = led
+        .replies
+        .iter()
+        .find(|(call, _)| *call == 1)
+        .map(|(_, answer)| answer.status);
     assert_eq!(answer, Some(503));
 }
 
@@ -249,7 +320,10 @@
     }
     assert_eq!(led.promotions, 0);
     let fence = led.controller.consensus().leads().expect("it leads");
-    let roster = PeerMessage::Roster { ballot: fence, news: Vec::<MemberNews>::new() };
+    let roster = PeerMessage::Roster {
+        ballot: fence,
+        news: Vec::<MemberNews>::new(),
+    };
     let out = led.controller.peer(led.now, voter(2), roster);
     led.perform(out);
     led.run(2.0);
@@ -265,7 +339,10 @@
             led.beat(id, seq);
         }
         let fence = led.controller.consensus().leads().expect("it leads");
-        let roster = PeerMessage::Roster { ballot: fence, news: Vec::<MemberNews>::new() };
+        let roster = PeerMessage::Roster {
+            ballot: fence,
+            news: Vec::<MemberNews>::new(),
+        };
         let out = led.controller.peer(led.now, voter(2), roster);
         led.perform(out);
         led.run(1.0);
--- a/crates/control/src/tests/differences.rs
+++ b/crates/control/src/tests/differences.rs
@@ -11,21 +11,36 @@
 fn config(epoch: u64, routes: usize, changed: usize) -> Rc<[u8]> {
     let route = |at: usize| {
         let deadline = if at == changed { 1000 + epoch } else { 1000 };
-        format!("{{\"name\":\"r-{at}\",\"authority\":\"db{at}\",\"deadline_ms\":{deadline},\"rank\":1}}")
+        format!(
+            "{{\"name\":\"r-{at}\",\"authority\":\"db{at}\",\"deadline_ms\":{deadline},\"rank\":1}}"
+        )
     };
     let routes: Vec<String> = (0..routes).map(route).collect();
-    format!("{{\"epoch\":{epoch},\"routes\":[{}]}}", routes.join(",")).into_bytes().into()
+    format!("{{\"epoch\":{epoch},\"routes\":[{}]}}", routes.join(","))
+        .into_bytes()
+        .into()
 }
 
 #[test]
 fn a_small_change_of_a_large_configuration_is_small() {
     let (old, new) = (config(7, 300, 5), config(8, 300, 211));
     let difference = Difference::between(&old, &new).expect("it pays");
-    assert!(difference.size() < 300, "{} of {} bytes", difference.size(), new.len());
+    assert!(
+        difference.size() < 300,
+        "{} of {} bytes",
+        difference.size(),
+        new.len()
+    );
     assert_eq!(difference.apply(&old).as_deref(), Some(&*new));
     assert_eq!(difference.apply(&new), None, "it leads from the other one");
-    let Text::Difference(_) = Text::from_to(&old, &new) else { panic!("sent whole") };
-    assert_eq!(Text::from_to(b"", &new), Text::Whole(new.clone()), "nothing is held");
+    let Text::Difference(_) = Text::from_to(&old, &new) else {
+        panic!("sent whole")
+    };
+    assert_eq!(
+        Text::from_to(b"", &new),
+        Text::Whole(new.clone()),
+        "nothing is held"
+    );
 }
 
 #[test]
@@ -36,7 +51,8 @@
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        let read = bincode::decode_from_slice::<Difference, _>(&changed, bincode::config::standard());
+        let read =
+            bincode::decode_from_slice::<Difference, _>(&changed, bincode::config::standard());
         let made = read.ok().and_then(|(difference, _)| difference.apply(&old));
         assert!(made.is_none_or(|made| made == *new), "byte {at}");
     }
@@ -62,8 +78,14 @@
         let before = states.last().unwrap().clone();
         let change = match epoch % 5 {
             0 => {
-                let primary = Primary { id: "a".to_owned(), above: epoch };
-                Change::Primary { service: "s".to_owned(), primary }
+                let primary = Primary {
+                    id: "a".to_owned(),
+                    above: epoch,
+                };
+                Change::Primary {
+                    service: "s".to_owned(),
+                    primary,
+                }
             }
             _ => before.change_config(epoch, &config(epoch, 50, epoch as usize)),
         };
@@ -73,24 +95,41 @@
     let newest = states.last().unwrap().clone();
     for state in &states[..states.len() - 1] {
         let changes = history.since(state.digest()).expect("all are known");
-        let made = changes.iter().try_fold(state.clone(), |state, change| state.after(change));
+        let made = changes
+            .iter()
+            .try_fold(state.clone(), |state, change| state.after(change));
         assert_eq!(made.as_ref(), Some(&newest));
     }
     assert_eq!(history.since(Digest::of(b"another")), None);
     let changes = |from: u64, to: u64| history.configs_between(from, to).map(ConfigNews::Changes);
     let all = changes(states[3].epoch, newest.epoch).expect("all are known");
-    assert_eq!(all.resolve(&states[3].config).as_ref(), Some(&newest.config));
+    assert_eq!(
+        all.resolve(&states[3].config).as_ref(),
+        Some(&newest.config)
+    );
     assert_eq!(all.resolve(&states[4].config), None, "made for another one");
     // Up to an earlier one: what came behind it isn't told.
     let some = changes(states[3].epoch, states[7].epoch).expect("all are known");
-    assert_eq!(some.resolve(&states[3].config).as_ref(), Some(&states[7].config));
+    assert_eq!(
+        some.resolve(&states[3].config).as_ref(),
+        Some(&states[7].config)
+    );
     assert_eq!(changes(999, newest.epoch), None);
     assert_eq!(changes(states[3].epoch, 999), None);
     assert_eq!(changes(states[7].epoch, states[3].epoch), None);
     // Another state's changes lead nowhere from this one.
-    let other = State { epoch: 5, config: config(5, 50, 1), ..State::default() };
+    let other = State {
+        epoch: 5,
+        config: config(5, 50, 1),
+        ..State::default()
+    };
     let changes = history.since(states[6].digest()).unwrap();
-    assert!(changes.iter().try_fold(other, |state, change| state.after(change)).is_none());
+    assert!(
+        changes
+            .iter()
+            .try_fold(other, |state, change| state.after(change))
+            .is_none()
+    );
 }
 
 /// However many changes there are, what is remembered of them is bounded.
@@ -101,12 +140,16 @@
     let first = state.digest();
     for epoch in 1..3000 {
         let body: Rc<[u8]> = format!("{epoch}{}", "x".repeat(500)).into_bytes().into();
-        let change = Change::Config { epoch, text: Text::Whole(body) };
+        let change = Change::Config {
+            epoch,
+            text: Text::Whole(body),
+        };
         let next = state.after(&change).unwrap();
         history.push(&state, state.digest(), Rc::new(change));
         state = next;
     }
     assert_eq!(history.since(first), None, "too long ago");
-    let bytes = bincode::encode_to_vec(format!("{history:?}"), bincode::config::standard()).unwrap();
+    let bytes =
+        bincode::encode_to_vec(format!("{history:?}"), bincode::config::standard()).unwrap();
     assert!(bytes.len() < 8 << 20);
 }
--- a/crates/control/src/tests/elections.rs
+++ b/crates/control/src/tests/elections.rs
@@ -8,10 +8,16 @@
 use crate::state::{Change, State};
 use std::rc::Rc;
 
-const TIMING: ConsensusTiming = ConsensusTiming { suspect: 0.6, contact: 1.0 };
+const TIMING: ConsensusTiming = ConsensusTiming {
+    suspect: 0.6,
+    contact: 1.0,
+};
 
 fn founder(node: Node) -> Voter {
-    Voter { node, incarnation: FOUNDING }
+    Voter {
+        node,
+        incarnation: FOUNDING,
+    }
 }
 
 /// Machine 1, whose disk holds this, while it waits for promises.
@@ -33,10 +39,23 @@
             ballot = outs.iter().find_map(canvassed);
         }
         let ballot = ballot.expect("it asks whether to stand");
-        let others: Vec<Voter> = consensus.voters().iter().copied().filter(|v| *v != founder(1)).collect();
-        let mut candidate = Candidate { consensus, now, ballot };
+        let others: Vec<Voter> = consensus
+            .voters()
+            .iter()
+            .copied()
+            .filter(|v| *v != founder(1))
+            .collect();
+        let mut candidate = Candidate {
+            consensus,
+            now,
+            ballot,
+        };
         for other in others {
-            let granted = ConsensusMessage::Canvassed { ballot, granted: true, promised: Ballot::default() };
+            let granted = ConsensusMessage::Canvassed {
+                ballot,
+                granted: true,
+                promised: Ballot::default(),
+            };
             candidate.hears(other, granted);
         }
         candidate.ballot = candidate.consensus.record().promised;
@@ -54,11 +73,24 @@
         outs
     }
 
-    fn is_promised(&mut self, from: Node, accepted: Ballot, state: &Rc<State>) -> Vec<ConsensusOutput> {
-        let holds = Holds { accepted, seq: state.seq, digest: state.digest() };
+    fn is_promised(
+        &mut self,
+        from: Node,
+        accepted: Ballot,
+        state: &Rc<State>,
+    ) -> Vec<ConsensusOutput> {
+        let holds = Holds {
+            accepted,
+            seq: state.seq,
+            digest: state.digest(),
+        };
         let own = self.consensus.record();
         let newer = (holds.digest != own.state.digest()).then(|| state.clone());
-        let promise = ConsensusMessage::Promise { ballot: self.ballot, holds, newer };
+        let promise = ConsensusMessage::Promise {
+            ballot: self.ballot,
+            holds,
+            newer,
+        };
         self.hears(founder(from), promise)
     }
 }
@@ -89,7 +121,11 @@
 
 fn with_voters(state: &State, nodes: &[Node]) -> Rc<State> {
     let next = Membership::founding(nodes.iter().copied());
-    Rc::new(state.after(&Change::Membership(next)).expect("the change fits"))
+    Rc::new(
+        state
+            .after(&Change::Membership(next))
+            .expect("the change fits"),
+    )
 }
 
 /// Two of the three that it knows have promised, but one of them knows of a later set of five: three of these are needed.
@@ -97,9 +133,19 @@
 fn the_newest_set_that_was_met_elects() {
     let first = Rc::new(State::first(vec![1, 2, 3]));
     let later = with_voters(&first, &[1, 2, 4, 5, 6]);
-    let mut candidate = Candidate::stands(Record { state: first, ..Record::default() });
-    assert_eq!(replicated(&candidate.is_promised(2, ballot(3, 2), &later)), None, "two of five");
-    assert!(replicated(&candidate.is_promised(4, ballot(3, 2), &later)).is_some(), "three of five");
+    let mut candidate = Candidate::stands(Record {
+        state: first,
+        ..Record::default()
+    });
+    assert_eq!(
+        replicated(&candidate.is_promised(2, ballot(3, 2), &later)),
+        None,
+        "two of five"
+    );
+    assert!(
+        replicated(&candidate.is_promised(4, ballot(3, 2), &later)).is_some(),
+        "three of five"
+    );
     assert_eq!(candidate.consensus.record().state, later);
 }
 
@@ -109,9 +155,20 @@
     let first = Rc::new(State::first(vec![1, 2, 3]));
     let voters = [1, 4, 5].map(founder).to_vec();
     let joint = first.membership.changed_to(voters).expect("another set");
-    let later = Rc::new(first.after(&Change::Membership(joint)).expect("the change fits"));
-    let mut candidate = Candidate::stands(Record { state: first, ..Record::default() });
-    assert_eq!(replicated(&candidate.is_promised(2, ballot(3, 2), &later)), None, "one of the new three");
+    let later = Rc::new(
+        first
+            .after(&Change::Membership(joint))
+            .expect("the change fits"),
+    );
+    let mut candidate = Candidate::stands(Record {
+        state: first,
+        ..Record::default()
+    });
+    assert_eq!(
+        replicated(&candidate.is_promised(2, ballot(3, 2), &later)),
+        None,
+        "one of the new three"
+    );
     assert!(replicated(&candidate.is_promised(5, ballot(3, 2), &later)).is_some());
 }
 
@@ -121,13 +178,21 @@
 fn what_was_accepted_last_goes_on() {
     let first = State::first(vec![1, 2, 3, 4, 5]);
     let (own, other) = (with_config(&first, 7), with_config(&first, 8));
-    let record = Record { promised: ballot(1, 3), accepted: ballot(1, 3), state: own.clone() };
+    let record = Record {
+        promised: ballot(1, 3),
+        accepted: ballot(1, 3),
+        state: own.clone(),
+    };
     for order in [[2, 3], [3, 2]] {
         let mut candidate = Candidate::stands(record.clone());
         let mut outs = Vec::new();
         for node in order {
             // 2 accepted the candidate's own state under a later ballot than 3 the other one.
-            let (accepted, state) = if node == 2 { (ballot(3, 2), &own) } else { (ballot(2, 3), &other) };
+            let (accepted, state) = if node == 2 {
+                (ballot(3, 2), &own)
+            } else {
+                (ballot(2, 3), &other)
+            };
             outs = candidate.is_promised(node, accepted, state);
         }
         assert!(replicated(&outs).is_some(), "three of five");
@@ -140,7 +205,10 @@
 fn who_was_left_out_does_not_lead() {
     let first = Rc::new(State::first(vec![1, 2, 3]));
     let later = with_voters(&first, &[2, 3, 4]);
-    let mut candidate = Candidate::stands(Record { state: first, ..Record::default() });
+    let mut candidate = Candidate::stands(Record {
+        state: first,
+        ..Record::default()
+    });
     let mut outs = candidate.is_promised(2, ballot(3, 2), &later);
     outs.extend(candidate.is_promised(3, ballot(3, 2), &later));
     assert_eq!(replicated(&outs), None);
@@ -154,10 +222,21 @@
     let (seven, eight) = (with_config(&first, 7), with_config(&first, 8));
     let change = Rc::new(first.change_config(9, &Rc::from(*b"9")));
     let made = first.after(&change).expect("the change was made for it");
-    let record = Record { promised: ballot(1, 2), accepted: ballot(1, 2), state: seven.clone() };
+    let record = Record {
+        promised: ballot(1, 2),
+        accepted: ballot(1, 2),
+        state: seven.clone(),
+    };
     let accept = |base, result| {
-        let content = Content::Changes { base, changes: vec![change.clone()], result };
-        ConsensusMessage::Accept { ballot: ballot(2, 2), content }
+        let content = Content::Changes {
+            base,
+            changes: vec![change.clone()],
+            result,
+        };
+        ConsensusMessage::Accept {
+            ballot: ballot(2, 2),
+            content,
+        }
     };
     let wrong = [
         accept(first.digest(), made.digest()),
--- a/crates/control/src/tests/fleet.rs
+++ b/crates/control/src/tests/fleet.rs
@@ -4,8 +4,8 @@
 use crate::controller::ControlTiming;
 use crate::controller::{Call, Controller, Output};
 use crate::{
-    Asked, Ballot, Beat, Evidence, FOUNDING, GrantNews, Phase, Record, Row, State, Statement, Timing,
-    ToControl, ToRouter, Voter,
+    Asked, Ballot, Beat, Evidence, FOUNDING, GrantNews, Phase, Record, Row, State, Statement,
+    Timing, ToControl, ToRouter, Voter,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -17,8 +17,14 @@
 
 /// As the program sets them by default, with heartbeats of 1.2 s.
 pub fn timing() -> ControlTiming {
-    let service =
-        Timing { ask: 0.2, ask_replica: 1.0, silence: 0.6, answer: 0.6, heartbeat: HEARTBEAT, drain: 7.0 };
+    let service = Timing {
+        ask: 0.2,
+        ask_replica: 1.0,
+        silence: 0.6,
+        answer: 0.6,
+        heartbeat: HEARTBEAT,
+        drain: 7.0,
+    };
     ControlTiming {
         lease: 1.0,
         suspect: 0.6,
@@ -80,11 +86,23 @@
 impl Fleet {
     /// It leads, and all servers have sent a beat.
     pub fn new(routers: usize, services: usize) -> Fleet {
-        let record = Record { state: Rc::new(State::first(vec![1])), ..Record::default() };
+        let record = Record {
+            state: Rc::new(State::first(vec![1])),
+            ..Record::default()
+        };
         let server = |n: usize| (format!("server-{n}"), format!("service-{:04}", n / 3));
         let mut fleet = Fleet {
             now: 0.0,
-            controller: Controller::new(Voter { node: 1, incarnation: FOUNDING }, record, 0.0, 7, timing()),
+            controller: Controller::new(
+                Voter {
+                    node: 1,
+                    incarnation: FOUNDING,
+                },
+                record,
+                0.0,
+                7,
+                timing(),
+            ),
             routers: (0..routers).map(|_| Router::default()).collect(),
             servers: (0..3 * services).map(server).collect(),
             dark: BTreeSet::new(),
@@ -119,19 +137,32 @@
             phase,
             call_seq: self.calls,
         };
-        self.controller.call(self.now, self.calls, Call::Beat { id: id.to_owned(), beat })
+        self.controller.call(
+            self.now,
+            self.calls,
+            Call::Beat {
+                id: id.to_owned(),
+                beat,
+            },
+        )
     }
 
     /// A configuration is sent; one machine alone agrees on it at once.
     pub fn configure(&mut self, epoch: u64, body: &[u8]) -> Said {
         self.calls += 1;
-        let call = Call::Replace { base: self.controller.config().0, epoch, body: body.into() };
+        let call = Call::Replace {
+            base: self.controller.config().0,
+            epoch,
+            body: body.into(),
+        };
         let out = self.controller.call(self.now, self.calls, call);
         self.perform(out)
     }
 
     fn leads(id: &str) -> bool {
-        id.trim_start_matches("server-").parse::<usize>().is_ok_and(|n| n % 3 == 0)
+        id.trim_start_matches("server-")
+            .parse::<usize>()
+            .is_ok_and(|n| n % 3 == 0)
     }
 
     fn perform(&mut self, out: Vec<Output>) -> Said {
@@ -168,10 +199,19 @@
         let said = self.perform(out);
         for (id, statement) in &said.questions {
             let (service, leader) = (self.servers[id].clone(), Self::leads(id));
-            let row = Row { leader, term: 1, received: (1, 5), held: 1 };
+            let row = Row {
+                leader,
+                term: 1,
+                received: (1, 5),
+                held: 1,
+            };
             let answer = match self.dark.contains(id) {
                 true => Asked::Silent,
-                false => Asked::Row { statement: *statement, row, asked: self.now },
+                false => Asked::Row {
+                    statement: *statement,
+                    row,
+                    asked: self.now,
+                },
             };
             self.controller.asked(self.now, &service, id, answer);
         }
@@ -207,7 +247,10 @@
     pub fn renew(&mut self, router: usize) {
         let it = &mut self.routers[router];
         it.renewed = self.now;
-        let evidence = it.evidence.iter().filter(|seen| it.evidence_wanted.contains(&seen.service));
+        let evidence = it
+            .evidence
+            .iter()
+            .filter(|seen| it.evidence_wanted.contains(&seen.service));
         let call = ToControl {
             router: format!("router-{router}"),
             life: 1,
@@ -251,7 +294,17 @@
     }
 
     pub fn take(&mut self, news: &ToRouter) {
-        let ToRouter::News { known, sent, lease, whole, grants, members, config, evidence_wanted, .. } = news
+        let ToRouter::News {
+            known,
+            sent,
+            lease,
+            whole,
+            grants,
+            members,
+            config,
+            evidence_wanted,
+            ..
+        } = news
         else {
             return;
         };
@@ -261,9 +314,13 @@
             self.members.clear();
             self.lease_until = f64::NEG_INFINITY;
         }
-        self.grants.extend(grants.iter().map(|g| (g.service.clone(), g.clone())));
+        self.grants
+            .extend(grants.iter().map(|g| (g.service.clone(), g.clone())));
         self.members.extend(members.iter().map(|m| m.id.clone()));
-        if let Some(text) = config.as_ref().and_then(|news| news.resolve(&self.config_text)) {
+        if let Some(text) = config
+            .as_ref()
+            .and_then(|news| news.resolve(&self.config_text))
+        {
             self.epoch = text.len() as u64;
             self.config_text = text.to_vec();
         }
--- a/crates/control/src/tests/members.rs
+++ b/crates/control/src/tests/members.rs
@@ -5,7 +5,14 @@
 
 fn beat(seq: u64, phase: Phase) -> Beat {
     let text = |t: &str| t.to_owned();
-    Beat { service: text("s"), endpoint: text("10.0.0.1:1"), zone: text("z"), slots: 4, phase, call_seq: seq }
+    Beat {
+        service: text("s"),
+        endpoint: text("10.0.0.1:1"),
+        zone: text("z"),
+        slots: 4,
+        phase,
+        call_seq: seq,
+    }
 }
 
 fn draining(members: &Members) -> Option<bool> {
@@ -14,11 +21,19 @@
 
 #[test]
 fn every_order_of_beats_ends_alike() {
-    let calls = [(1, Phase::Ready), (2, Phase::Ready), (3, Phase::Draining), (3, Phase::Draining)];
+    let calls = [
+        (1, Phase::Ready),
+        (2, Phase::Ready),
+        (3, Phase::Draining),
+        (3, Phase::Draining),
+    ];
     let mut orders = vec![vec![]];
     for _ in 0..4 {
         let longer = |o: Vec<usize>| {
-            (0..4).filter(|i| !o.contains(i)).map(|i| [&o[..], &[i]].concat()).collect::<Vec<_>>()
+            (0..4)
+                .filter(|i| !o.contains(i))
+                .map(|i| [&o[..], &[i]].concat())
+                .collect::<Vec<_>>()
         };
         orders = orders.into_iter().flat_map(longer).collect();
     }
@@ -61,14 +76,24 @@
     let mut members = Members::default();
     members.beat(0.0, "a", &beat(1, Phase::Ready), 1);
     let news = members.depart(1.0, "a", 2).expect("it is news");
-    assert!(news.draining && !news.gone && members.get("a").is_some_and(|m| m.draining_since == Some(1.0)));
+    assert!(
+        news.draining
+            && !news.gone
+            && members
+                .get("a")
+                .is_some_and(|m| m.draining_since == Some(1.0))
+    );
     // The call is sent again, a beat comes late, and what another machine has is older.
     assert!(members.depart(1.1, "a", 2).is_none());
     assert!(members.beat(1.2, "a", &beat(9, Phase::Ready), 3).is_none());
     assert_eq!(draining(&members), Some(true));
     // It need not send beats to be there, for longer than it goes on.
     assert!(!members.sweep(19.0, 4.8, 4));
-    assert_eq!(members.kept()[0].call_seq, news.call_seq, "nor does a beat count in the next life");
+    assert_eq!(
+        members.kept()[0].call_seq,
+        news.call_seq,
+        "nor does a beat count in the next life"
+    );
     let ended = members.refused(19.1, "a", 5).expect("it is news");
     assert!(ended.gone && members.get("a").is_none());
     assert_eq!(members.lost("s", 1.2), [("a".to_owned(), 19.1 + 0.1)]);
@@ -89,8 +114,15 @@
     next.recall(100.0, members.kept(), 3.0);
     assert!(next.beat(100.1, "a", &beat(7, Phase::Ready), 1).is_none());
     assert_eq!(draining(&next), Some(true));
-    assert_eq!(next.get("a").unwrap().draining_since, Some(97.0), "for how long isn't known");
-    assert!(next.beat(100.2, "a", &beat(9, Phase::Draining), 1).is_some());
+    assert_eq!(
+        next.get("a").unwrap().draining_since,
+        Some(97.0),
+        "for how long isn't known"
+    );
+    assert!(
+        next.beat(100.2, "a", &beat(9, Phase::Draining), 1)
+            .is_some()
+    );
     assert!(next.beat(100.2, "b", &beat(1, Phase::Ready), 1).is_some());
     assert_eq!(next.get("b").unwrap().draining_since, None);
 }
@@ -116,25 +148,36 @@
 /// be gone, until it is heard again itself.
 #[test]
 fn who_comes_at_an_address_has_the_log_of_who_was_there() {
-    let at = |seq, endpoint: &str| Beat { endpoint: endpoint.to_owned(), ..beat(seq, Phase::Ready) };
+    let at = |seq, endpoint: &str| Beat {
+        endpoint: endpoint.to_owned(),
+        ..beat(seq, Phase::Ready)
+    };
     let mut members = Members::default();
     members.beat(0.0, "a", &at(1, "10.0.0.1:1"), 1);
     members.beat(0.0, "b", &at(1, "10.0.0.2:1"), 1);
     members.sweep(5.0, 4.8, 2);
     assert_eq!(members.lost("s", 1.2).len(), 2);
     members.beat(6.0, "c", &at(1, "10.0.0.1:1"), 3);
-    assert!(members.succeeds("a", "c") && !members.succeeds("b", "c") && !members.succeeds("c", "a"));
+    assert!(
+        members.succeeds("a", "c") && !members.succeeds("b", "c") && !members.succeeds("c", "a")
+    );
     assert_eq!(members.lost("s", 1.2), [("b".to_owned(), 2.4)]);
     // The third at that address is the last one; of those before it none is counted besides.
     members.sweep(11.0, 4.8, 4);
-    assert_eq!(members.lost("s", 1.2), [("b".to_owned(), 2.4), ("c".to_owned(), 8.4)]);
+    assert_eq!(
+        members.lost("s", 1.2),
+        [("b".to_owned(), 2.4), ("c".to_owned(), 8.4)]
+    );
     members.beat(12.0, "d", &at(1, "10.0.0.1:1"), 5);
     assert_eq!(members.lost("s", 1.2), [("b".to_owned(), 2.4)]);
     // One that is heard again itself is there.
     members.beat(13.0, "a", &at(2, "10.0.0.1:1"), 6);
     assert!(!members.succeeds("a", "d") && members.succeeds("d", "a"));
     // Another service's server at an address says nothing of who was there.
-    let other = Beat { service: "t".to_owned(), ..at(1, "10.0.0.2:1") };
+    let other = Beat {
+        service: "t".to_owned(),
+        ..at(1, "10.0.0.2:1")
+    };
     members.beat(14.0, "e", &other, 7);
     assert!(!members.succeeds("b", "e"));
 }
@@ -142,7 +185,10 @@
 #[test]
 fn a_lease_ends_when_it_is_known_or_over() {
     let mut sessions = Leases::begin(1.0);
-    assert!(!sessions.all_know(0.9, 5), "leases of the leader before may still run");
+    assert!(
+        !sessions.all_know(0.9, 5),
+        "leases of the leader before may still run"
+    );
     assert!(sessions.all_know(1.0, 5));
     sessions.renew(1.0, "r", 1, 4, 1.0);
     assert!(!sessions.all_know(1.5, 5) && sessions.all_know(1.5, 4) && sessions.held(1.5) == 1);
@@ -165,7 +211,10 @@
     members.answered(4.0, "a");
     assert!(!members.sweep(5.0, 4.8, 2));
     assert!(members.get("a").is_some());
-    assert!(members.sweep(9.0, 4.8, 3), "it is, once it is silent as well");
+    assert!(
+        members.sweep(9.0, 4.8, 3),
+        "it is, once it is silent as well"
+    );
     members.answered(9.1, "a");
     assert!(members.get("a").is_none(), "only a beat brings it back");
 }
--- a/crates/control/src/tests/net.rs
+++ b/crates/control/src/tests/net.rs
@@ -2,7 +2,9 @@
 //! what must hold is checked at every step.
 
 use crate::ballot::Ballot;
-use crate::consensus::{Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Recipient, Record};
+use crate::consensus::{
+    Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Recipient, Record,
+};
 use crate::digest::Digest;
 use crate::membership::{FOUNDING, Node, Voter};
 use crate::state::State;
@@ -11,7 +13,10 @@
 
 pub const SUSPECT: f64 = 0.6;
 pub const CONTACT: f64 = 1.0;
-const TIMING: ConsensusTiming = ConsensusTiming { suspect: SUSPECT, contact: CONTACT };
+const TIMING: ConsensusTiming = ConsensusTiming {
+    suspect: SUSPECT,
+    contact: CONTACT,
+};
 
 /// A control machine.
 #[derive(Clone)]
@@ -80,18 +85,34 @@
     }
 
     fn first() -> Record {
-        Record { state: Rc::new(State::first(vec![1, 2, 3])), ..Record::default() }
+        Record {
+            state: Rc::new(State::first(vec![1, 2, 3])),
+            ..Record::default()
+        }
     }
 
     fn add(&mut self, node: Node, incarnation: u64) {
         let saved = Net::first();
         let consensus = self.consensus(Voter { node, incarnation }, &saved, self.now);
-        let machine = Machine { consensus, saved, incarnation, up: true, full: false, offset: 0.0 };
+        let machine = Machine {
+            consensus,
+            saved,
+            incarnation,
+            up: true,
+            full: false,
+            offset: 0.0,
+        };
         self.machines.insert(node, machine);
     }
 
     fn consensus(&self, me: Voter, saved: &Record, clock: f64) -> Consensus {
-        let mut consensus = Consensus::new(me, saved.clone(), clock, self.seed + u64::from(me.node), TIMING);
+        let mut consensus = Consensus::new(
+            me,
+            saved.clone(),
+            clock,
+            self.seed + u64::from(me.node),
+            TIMING,
+        );
         consensus.seeds(vec![1, 2, 3]);
         consensus
     }
@@ -111,14 +132,18 @@
         let now = self.now;
         self.tell(|| format!("{now:.3} {node} restarts, empty={empty}"));
         // Its connections break: what is under way to it or from it is lost.
-        self.bag.retain(|letter| letter.from.node != node && letter.to.node() != node);
+        self.bag
+            .retain(|letter| letter.from.node != node && letter.to.node() != node);
         self.incarnations += 1;
         let new = self.incarnations;
         let machine = self.at(node);
         if empty {
             (machine.saved, machine.incarnation) = (Net::first(), new);
         }
-        let me = Voter { node, incarnation: machine.incarnation };
+        let me = Voter {
+            node,
+            incarnation: machine.incarnation,
+        };
         let (saved, clock) = (machine.saved.clone(), now + machine.offset);
         let consensus = self.consensus(me, &saved, clock);
         let machine = self.at(node);
@@ -141,7 +166,9 @@
                         let clock = now + machine.offset;
                         machine.consensus.saved(clock, &mut then);
                     }
-                    then.into_iter().rev().for_each(|one| waiting.push_front(one));
+                    then.into_iter()
+                        .rev()
+                        .for_each(|one| waiting.push_front(one));
                 }
                 ConsensusOutput::Send(to, message) => {
                     let from = machine.voter();
@@ -164,17 +191,31 @@
         self.tell(|| format!("{node} agreed on {} with epoch {}", state.seq, state.epoch));
         let one = (state.digest(), state.epoch);
         let other = self.agreed.insert(state.seq, one);
-        assert!(other.is_none_or(|o| o == one), "forked at {}: {other:?}\n{}", state.seq, self.tale());
+        assert!(
+            other.is_none_or(|o| o == one),
+            "forked at {}: {other:?}\n{}",
+            state.seq,
+            self.tale()
+        );
     }
 
     /// Whoever wins has all that was agreed on, and nobody else may act any more.
     fn won(&mut self, node: Node) {
         let state = self.at(node).consensus.record().state.clone();
         let newest = self.agreed.keys().max().copied().unwrap_or(0);
-        assert!(state.seq >= newest, "{node} won with {} after {newest}\n{}", state.seq, self.tale());
+        assert!(
+            state.seq >= newest,
+            "{node} won with {} after {newest}\n{}",
+            state.seq,
+            self.tale()
+        );
         // What a leader finds and has agreed on is as good as proposed by it; the state of the first start isn't counted.
         let one = (state.digest(), state.epoch);
-        let other = if state.seq > 0 { self.agreed.insert(state.seq, one) } else { None };
+        let other = if state.seq > 0 {
+            self.agreed.insert(state.seq, one)
+        } else {
+            None
+        };
         assert!(
             other.is_none_or(|(digest, _)| digest == state.digest()),
             "{node} won with another {}\n{}",
@@ -190,7 +231,12 @@
             .filter(|(_, m)| m.up && m.consensus.authority() > self.now + m.offset)
             .map(|(node, _)| *node)
             .collect();
-        assert!(acting.len() < 2, "{}: {acting:?} may act\n{}", self.now, self.tale());
+        assert!(
+            acting.len() < 2,
+            "{}: {acting:?} may act\n{}",
+            self.now,
+            self.tale()
+        );
     }
 
     fn tell(&mut self, what: impl FnOnce() -> String) {
@@ -237,14 +283,27 @@
 
     /// This letter arrives; `keep` leaves it in the bag, so that it arrives once more.
     pub fn deliver(&mut self, at: usize, keep: bool) {
-        let letter = if keep { self.bag[at].clone() } else { self.bag.remove(at) };
+        let letter = if keep {
+            self.bag[at].clone()
+        } else {
+            self.bag.remove(at)
+        };
         let now = self.now;
-        self.tell(|| format!("{now:.3} {}>{:?} {:?}", letter.from, letter.to, letter.message));
+        self.tell(|| {
+            format!(
+                "{now:.3} {}>{:?} {:?}",
+                letter.from, letter.to, letter.message
+            )
+        });
         let to = letter.to.node();
-        let Some(machine) = self.machines.get_mut(&to).filter(|machine| machine.up) else { return };
+        let Some(machine) = self.machines.get_mut(&to).filter(|machine| machine.up) else {
+            return;
+        };
         if letter.to.is(machine.voter()) {
             let (mut outs, clock) = (Vec::new(), now + machine.offset);
-            machine.consensus.message(clock, letter.from, letter.message, &mut outs);
+            machine
+                .consensus
+                .message(clock, letter.from, letter.message, &mut outs);
             self.take(to, outs);
         }
     }
@@ -259,7 +318,9 @@
         if !machine.up || machine.consensus.authority() <= clock {
             return false;
         }
-        let Some(state) = machine.consensus.agreed().cloned() else { return false };
+        let Some(state) = machine.consensus.agreed().cloned() else {
+            return false;
+        };
         let mut outs = Vec::new();
         let change = state.change_config(epoch, &epoch.to_string().into_bytes().into());
         machine.consensus.propose(clock, change, &mut outs);
@@ -291,20 +352,30 @@
 
     pub fn leader(&self) -> Option<Node> {
         let acts = |m: &Machine| m.up && m.consensus.authority() > self.now + m.offset;
-        self.machines.iter().find(|(_, m)| acts(m)).map(|(node, _)| *node)
+        self.machines
+            .iter()
+            .find(|(_, m)| acts(m))
+            .map(|(node, _)| *node)
     }
 
     /// Addresses of the voters as the leader has them.
     pub fn voters(&self) -> Vec<Node> {
         let leader = self.leader().and_then(|leader| self.machines.get(&leader));
-        leader.map(|m| m.consensus.voters().iter().map(|v| v.node).collect()).unwrap_or_default()
+        leader
+            .map(|m| m.consensus.voters().iter().map(|v| v.node).collect())
+            .unwrap_or_default()
     }
 
     /// Whether every machine that is up decides, in the life of its disk, as the leader has it.
     pub fn all_decide(&self) -> bool {
-        let Some(leader) = self.leader().and_then(|leader| self.machines.get(&leader)) else { return false };
+        let Some(leader) = self.leader().and_then(|leader| self.machines.get(&leader)) else {
+            return false;
+        };
         let voters = leader.consensus.voters();
-        self.machines.values().filter(|m| m.up).all(|m| voters.contains(&m.voter()))
+        self.machines
+            .values()
+            .filter(|m| m.up)
+            .all(|m| voters.contains(&m.voter()))
     }
 
     /// Whether a change of the voters is under way at the leader.
@@ -315,6 +386,10 @@
 
     /// The highest ballot that was promised anywhere.
     pub fn highest(&self) -> Ballot {
-        self.machines.values().map(|m| m.saved.promised).max().unwrap_or_default()
+        self.machines
+            .values()
+            .map(|m| m.saved.promised)
+            .max()
+            .unwrap_or_default()
     }
 }
--- a/crates/control/src/tests/promotions.rs
+++ b/crates/control/src/tests/promotions.rs
@@ -6,8 +6,14 @@
 use crate::{Asked, Row, Statement, Timing};
 use badgerstream_wire::Verdict;
 
-const TIMING: Timing =
-    Timing { ask: 0.2, ask_replica: 1.0, silence: 0.6, answer: 0.6, heartbeat: 1.2, drain: 7.0 };
+const TIMING: Timing = Timing {
+    ask: 0.2,
+    ask_replica: 1.0,
+    silence: 0.6,
+    answer: 0.6,
+    heartbeat: 1.2,
+    drain: 7.0,
+};
 
 // ---- what the end of a call to the platform proves
 
@@ -67,7 +73,10 @@
     pending.sent(3.0, "c");
     assert!(!pending.ended(3.1, "b", PromotionOutcome::Refused));
     assert!(pending.ended(3.1, "c", PromotionOutcome::Accepted));
-    assert!(!pending.ended(3.2, "c", PromotionOutcome::Accepted), "nothing is under way");
+    assert!(
+        !pending.ended(3.2, "c", PromotionOutcome::Accepted),
+        "nothing is under way"
+    );
 }
 
 // ---- one service's fail-over alone, with servers that answer at once
@@ -80,13 +89,25 @@
 
 impl Alone {
     fn new() -> Alone {
-        let candidate = |id: &str| Candidate { id: id.to_owned(), draining_since: None, heard: 0.0 };
+        let candidate = |id: &str| Candidate {
+            id: id.to_owned(),
+            draining_since: None,
+            heard: 0.0,
+        };
         let members = ["a", "b", "c"].map(candidate).to_vec();
-        Alone { failover: Failover::new(TIMING), members, now: 0.0 }
+        Alone {
+            failover: Failover::new(TIMING),
+            members,
+            now: 0.0,
+        }
     }
 
     /// A tenth of a second: all queries are answered with what `row` gives, and refused where it gives none. The other acts.
-    fn step(&mut self, record: (&str, u64), row: impl Fn(&str, Statement) -> Option<Row>) -> Vec<Act> {
+    fn step(
+        &mut self,
+        record: (&str, u64),
+        row: impl Fn(&str, Statement) -> Option<Row>,
+    ) -> Vec<Act> {
         self.now += 0.1;
         let acts = self.failover.tick(&Around {
             now: self.now,
@@ -102,9 +123,15 @@
         });
         self.failover.told(1);
         for act in &acts {
-            let Act::Ask(id, statement) = act else { continue };
+            let Act::Ask(id, statement) = act else {
+                continue;
+            };
             let asked = match row(id, *statement) {
-                Some(row) => Asked::Row { statement: *statement, row, asked: self.now },
+                Some(row) => Asked::Row {
+                    statement: *statement,
+                    row,
+                    asked: self.now,
+                },
                 None => Asked::Refused,
             };
             self.failover.asked(self.now, id, asked);
@@ -114,7 +141,12 @@
 }
 
 fn row(leader: bool, term: u64, held: u64) -> Row {
-    Row { leader, term, received: (term, 0), held }
+    Row {
+        leader,
+        term,
+        received: (term, 0),
+        held,
+    }
 }
 
 /// A late `STEPDOWN` must not turn out a primary of a later term: it carries the lowest term that does.
@@ -135,7 +167,10 @@
         }));
     }
     // Under the primary of term 2 it is its term that counts, and without one the lowest that does.
-    assert!(terms.len() > 2 && terms.iter().all(|term| *term == 2), "{terms:?}");
+    assert!(
+        terms.len() > 2 && terms.iter().all(|term| *term == 2),
+        "{terms:?}"
+    );
 }
 
 /// The platform's answer to a call for another server says nothing of this one.
@@ -165,9 +200,13 @@
     let to = agreed.unwrap_or_default();
     let other = if to == "b" { "c" } else { "b" };
     alone.failover.agreed(alone.now, true);
-    alone.failover.promoted(alone.now, other, PromotionOutcome::Refused);
+    alone
+        .failover
+        .promoted(alone.now, other, PromotionOutcome::Refused);
     assert_eq!(alone.failover.phase(), "promoting");
-    alone.failover.promoted(alone.now, &to, PromotionOutcome::Refused);
+    alone
+        .failover
+        .promoted(alone.now, &to, PromotionOutcome::Refused);
     assert_eq!(alone.failover.phase(), "closing");
 }
 
@@ -188,9 +227,20 @@
     for _ in 0..8 {
         let acts = alone.step(("a", 2), servers);
         if alone.failover.phase() == "handing" {
-            told.extend(acts.into_iter().filter(|act| matches!(act, Act::Ask(id, _) if id == "b")));
+            told.extend(
+                acts.into_iter()
+                    .filter(|act| matches!(act, Act::Ask(id, _) if id == "b")),
+            );
         }
     }
-    assert!(told.contains(&Act::Ask("b".to_owned(), Statement::StepDown(2))), "{told:?}");
-    assert!(!told.iter().any(|act| matches!(act, Act::Ask(_, Statement::Pause(_)))), "{told:?}");
+    assert!(
+        told.contains(&Act::Ask("b".to_owned(), Statement::StepDown(2))),
+        "{told:?}"
+    );
+    assert!(
+        !told
+            .iter()
+            .any(|act| matches!(act, Act::Ask(_, Statement::Pause(_)))),
+        "{told:?}"
+    );
 }
--- a/crates/control/src/tests/storm.rs
+++ b/crates/control/src/tests/storm.rs
@@ -2,10 +2,12 @@
 //! leader does of it in one tick is bounded, and leases go before all else.
 
 use super::fleet::{Fleet, TICK, timing};
-use crate::controller::{EVIDENCE_WANTED, Output, QUESTIONS_A_TICK, SERVICES_A_TICK, SESSIONS_A_TICK};
+use crate::controller::{
+    EVIDENCE_WANTED, Output, QUESTIONS_A_TICK, SERVICES_A_TICK, SESSIONS_A_TICK,
+};
 use crate::{
-    Ballot, ConfigNews, ConsensusMessage, Controller, Evidence, FOUNDING, PeerMessage, Phase, Recipient,
-    Record, State, ToRouter, Voter,
+    Ballot, ConfigNews, ConsensusMessage, Controller, Evidence, FOUNDING, PeerMessage, Phase,
+    Recipient, Record, State, ToRouter, Voter,
 };
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -26,7 +28,16 @@
     let it = &fleet.routers[0];
     assert!(it.answers.len() > 2 && it.answers.iter().any(is_lease));
     for answer in &it.answers {
-        let ToRouter::News { grants, members, config, whole, .. } = answer else { panic!("{answer:?}") };
+        let ToRouter::News {
+            grants,
+            members,
+            config,
+            whole,
+            ..
+        } = answer
+        else {
+            panic!("{answer:?}")
+        };
         assert!(grants.is_empty() && members.is_empty() && config.is_none() && !whole);
     }
 }
@@ -47,8 +58,12 @@
 #[test]
 fn a_crowd_is_told_in_turns_and_shares_what_it_is_told() {
     let mut fleet = Fleet::new(530, 20);
-    fleet
-        .until(2.0, "primaries", |f| f.controller.primaries().iter().all(|(_, phase, _)| *phase == "steady"));
+    fleet.until(2.0, "primaries", |f| {
+        f.controller
+            .primaries()
+            .iter()
+            .all(|(_, phase, _)| *phase == "steady")
+    });
     // All connections break: every router is a new one.
     for router in 0..530 {
         fleet.controller.gone(router as u64 + 1);
@@ -58,7 +73,11 @@
     let (mut told, mut shared) = (Vec::new(), HashSet::new());
     for _ in 0..530usize.div_ceil(SESSIONS_A_TICK) {
         let said = fleet.tick();
-        assert!(said.news.len() <= SESSIONS_A_TICK, "{} in one tick", said.news.len());
+        assert!(
+            said.news.len() <= SESSIONS_A_TICK,
+            "{} in one tick",
+            said.news.len()
+        );
         told.extend(said.news.iter().map(|(router, _)| *router));
         shared.extend(said.news.iter().map(|(_, news)| Rc::as_ptr(news)));
     }
@@ -77,12 +96,19 @@
     fleet.routers[0].reads_from = fleet.now + 3.0;
     let mut told = [0, 0];
     for change in 0..150 {
-        let phase = if change % 2 == 0 { Phase::Draining } else { Phase::Ready };
+        let phase = if change % 2 == 0 {
+            Phase::Draining
+        } else {
+            Phase::Ready
+        };
         fleet.beat("server-1", phase);
         for (router, _) in fleet.tick().news {
             told[router] += 1;
         }
-        assert!(fleet.now < fleet.routers[0].lease_until, "it lost its lease");
+        assert!(
+            fleet.now < fleet.routers[0].lease_until,
+            "it lost its lease"
+        );
     }
     assert!(told[1] > 100, "the other was told each change: {told:?}");
     assert!((1..=3).contains(&told[0]), "{told:?}");
@@ -107,8 +133,10 @@
 
 /// A text of so many bytes, whose length these tests take for its epoch.
 fn text(epoch: u64) -> Vec<u8> {
-    let mut text: Vec<u8> =
-        (0..).flat_map(|n: u32| format!("{n},").into_bytes()).take(epoch as usize - 1).collect();
+    let mut text: Vec<u8> = (0..)
+        .flat_map(|n: u32| format!("{n},").into_bytes())
+        .take(epoch as usize - 1)
+        .collect();
     text.push(b'}');
     text
 }
@@ -120,25 +148,54 @@
     let mut fleet = Fleet::new(30, 2);
     let configs = |said: &[(usize, Rc<ToRouter>)]| {
         let of = |(router, news): &(usize, Rc<ToRouter>)| match &**news {
-            ToRouter::News { config: Some(config), .. } => Some((*router, config.clone())),
+            ToRouter::News {
+                config: Some(config),
+                ..
+            } => Some((*router, config.clone())),
             _ => None,
         };
-        said.iter().filter_map(of).collect::<Vec<(usize, ConfigNews)>>()
+        said.iter()
+            .filter_map(of)
+            .collect::<Vec<(usize, ConfigNews)>>()
     };
     fleet.configure(5000, &text(5000));
-    let first = configs(&fleet.until(3.0, "the first", |f| f.routers.iter().all(|r| r.epoch == 5000)).news);
-    assert!(first.len() == 30 && first.iter().all(|(_, config)| matches!(config, ConfigNews::Whole(_))));
+    let first = configs(
+        &fleet
+            .until(3.0, "the first", |f| {
+                f.routers.iter().all(|r| r.epoch == 5000)
+            })
+            .news,
+    );
+    assert!(
+        first.len() == 30
+            && first
+                .iter()
+                .all(|(_, config)| matches!(config, ConfigNews::Whole(_)))
+    );
     // One has lost what it had.
     fleet.routers[7].forget_config();
     fleet.until(0.5, "it says so", |f| f.routers[7].epoch == 5000);
     let mut bytes = 0;
     for epoch in 5001..5004 {
         let mut said = fleet.configure(epoch, &text(epoch)).news;
-        said.extend(fleet.until(3.0, "the next", |f| f.routers.iter().all(|r| r.epoch == epoch)).news);
+        said.extend(
+            fleet
+                .until(3.0, "the next", |f| {
+                    f.routers.iter().all(|r| r.epoch == epoch)
+                })
+                .news,
+        );
         let told = configs(&said);
         assert_eq!(told.len(), 30, "each is told once");
-        assert!(told.iter().all(|(_, config)| matches!(config, ConfigNews::Changes(_))));
-        bytes += said.iter().map(|(_, news)| bincode_length(news)).max().unwrap_or(0);
+        assert!(
+            told.iter()
+                .all(|(_, config)| matches!(config, ConfigNews::Changes(_)))
+        );
+        bytes += said
+            .iter()
+            .map(|(_, news)| bincode_length(news))
+            .max()
+            .unwrap_or(0);
     }
     assert!(bytes < 3 * 400, "{bytes} bytes for three changes of 5000");
 }
@@ -184,8 +241,13 @@
     fleet.routers[0].silent = false;
     fleet.renew(0);
     let it = &fleet.routers[0];
-    assert!(!it.grants["service-0000"].closing, "it knows the grant as it was");
-    assert!(it.answers.last().is_some_and(|answer| !is_lease(answer)) && it.lease_until < fleet.now);
+    assert!(
+        !it.grants["service-0000"].closing,
+        "it knows the grant as it was"
+    );
+    assert!(
+        it.answers.last().is_some_and(|answer| !is_lease(answer)) && it.lease_until < fleet.now
+    );
     // Told the rest, it gets one.
     fleet.routers[0].unread = later;
     fleet.until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
@@ -203,10 +265,27 @@
         while fleet.served(SERVICES) == 0 {
             let said = fleet.tick_after(tick);
             // The last service that had its turn asks all of its servers.
-            assert!(said.questions.len() <= QUESTIONS_A_TICK + 2, "{} questions", said.questions.len());
-            let given_up = fleet.controller.primaries().into_iter().find(|(_, phase, _)| *phase == "closing");
-            assert_eq!(given_up, None, "{:.2} s after the beginning", fleet.now - began);
-            assert!(fleet.now - began < 12.0, "{} primaries", fleet.routers[0].grants.len());
+            assert!(
+                said.questions.len() <= QUESTIONS_A_TICK + 2,
+                "{} questions",
+                said.questions.len()
+            );
+            let given_up = fleet
+                .controller
+                .primaries()
+                .into_iter()
+                .find(|(_, phase, _)| *phase == "closing");
+            assert_eq!(
+                given_up,
+                None,
+                "{:.2} s after the beginning",
+                fleet.now - began
+            );
+            assert!(
+                fleet.now - began < 12.0,
+                "{} primaries",
+                fleet.routers[0].grants.len()
+            );
         }
     }
 }
@@ -222,7 +301,10 @@
         assert_eq!(fleet.served(400), 1);
     }
     // Each primary each 0.4 s at its turn, each replica each 7 s; with replicas as often as with few services it would be 7,500.
-    assert!((5_000..6_500).contains(&questions), "{questions} in five seconds");
+    assert!(
+        (5_000..6_500).contains(&questions),
+        "{questions} in five seconds"
+    );
 }
 
 /// A tick of few services steps all of them: nothing waits for a turn.
@@ -244,7 +326,12 @@
     for _ in 0..10 {
         fleet.tick();
     }
-    let steady = fleet.controller.primaries().iter().filter(|(_, phase, _)| *phase == "steady").count();
+    let steady = fleet
+        .controller
+        .primaries()
+        .iter()
+        .filter(|(_, phase, _)| *phase == "steady")
+        .count();
     assert_eq!(steady, 10);
     // A silence of their own counts as before, once the leader is punctual again.
     for _ in 0..60 {
@@ -252,7 +339,9 @@
     }
     fleet.dark.insert("server-0".to_owned());
     let began = fleet.now;
-    fleet.until(0.8, "one is given up", |f| f.controller.primaries()[0].1 != "steady");
+    fleet.until(0.8, "one is given up", |f| {
+        f.controller.primaries()[0].1 != "steady"
+    });
     assert!(fleet.now - began > 0.4);
 }
 
@@ -272,13 +361,17 @@
         assert!(fleet.routers[0].evidence_wanted.is_empty());
     }
     fleet.dark.insert("server-3".to_owned());
-    fleet.until(0.5, "it is asked about", |f| f.routers[0].evidence_wanted == ["service-0001"]);
+    fleet.until(0.5, "it is asked about", |f| {
+        f.routers[0].evidence_wanted == ["service-0001"]
+    });
     for _ in 0..150 {
         fleet.tick();
         assert_eq!(fleet.controller.primaries()[1].1, "steady");
     }
     fleet.routers[0].evidence.clear();
-    fleet.until(1.0, "it is given up", |f| f.controller.primaries()[1].1 != "steady");
+    fleet.until(1.0, "it is given up", |f| {
+        f.controller.primaries()[1].1 != "steady"
+    });
 }
 
 /// However many primaries fall silent, an answer names a bounded number of them.
@@ -288,30 +381,46 @@
     let mut fleet = Fleet::new(1, services);
     fleet.until(3.0, "primaries", |f| f.served(services) == 1);
     fleet.dark = (0..services).map(|n| format!("server-{}", 3 * n)).collect();
-    fleet.until(1.0, "they are asked about", |f| f.routers[0].evidence_wanted.len() == EVIDENCE_WANTED);
+    fleet.until(1.0, "they are asked about", |f| {
+        f.routers[0].evidence_wanted.len() == EVIDENCE_WANTED
+    });
 }
 
 /// Servers that are new are told to the other machines together, and acknowledged once these know them; beats that tell
 /// nothing new go together, four times a second, and are acknowledged at once; a server that leaves is told at once.
 #[test]
 fn beats_are_gathered() {
-    let voter = |node| Voter { node, incarnation: FOUNDING };
-    let record = Record { state: Rc::new(State::first(vec![1, 2, 3])), ..Record::default() };
+    let voter = |node| Voter {
+        node,
+        incarnation: FOUNDING,
+    };
+    let record = Record {
+        state: Rc::new(State::first(vec![1, 2, 3])),
+        ..Record::default()
+    };
     let mut controller = Controller::new(voter(1), record, 0.0, 7, timing());
     let members = |out: &[Output]| {
         let to = out.iter().filter_map(|o| match o {
-            Output::Peer(Recipient::Voter(to), PeerMessage::Members { round, news }) if to.node == 2 => {
+            Output::Peer(Recipient::Voter(to), PeerMessage::Members { round, news })
+                if to.node == 2 =>
+            {
                 Some((*round, news.len()))
             }
             _ => None,
         });
         to.collect::<Vec<(Option<u64>, usize)>>()
     };
-    let replies =
-        |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Reply(_, a) if a.status == 200)).count();
+    let replies = |out: &[Output]| {
+        out.iter()
+            .filter(|o| matches!(o, Output::Reply(_, a) if a.status == 200))
+            .count()
+    };
     let heard = |controller: &mut Controller, now: f64| {
-        let heartbeat =
-            ConsensusMessage::Heartbeat { ballot: Ballot(1 << 32 | 2), sent: now, confirms: Some(now) };
+        let heartbeat = ConsensusMessage::Heartbeat {
+            ballot: Ballot(1 << 32 | 2),
+            sent: now,
+            confirms: Some(now),
+        };
         controller.peer(now, voter(2), PeerMessage::Consensus(heartbeat));
         controller.saved(now);
     };
@@ -326,34 +435,55 @@
             phase,
             call_seq: seq,
         };
-        controller.call(now, seq, crate::controller::Call::Beat { id: format!("server-{id}"), beat })
+        controller.call(
+            now,
+            seq,
+            crate::controller::Call::Beat {
+                id: format!("server-{id}"),
+                beat,
+            },
+        )
     };
     heard(&mut controller, 0.0);
     for id in 0..10 {
         let out = beat(&mut controller, 0.0, id, Phase::Ready);
-        assert!(members(&out).is_empty() && replies(&out) == 0, "it goes with the others");
+        assert!(
+            members(&out).is_empty() && replies(&out) == 0,
+            "it goes with the others"
+        );
     }
     let told = members(&controller.tick(0.0));
-    let [(Some(round), 10)] = told[..] else { panic!("{told:?}") };
+    let [(Some(round), 10)] = told[..] else {
+        panic!("{told:?}")
+    };
     assert_eq!(
         replies(&controller.peer(0.0, voter(3), PeerMessage::MembersKept { round })),
         0,
         "the leader isn't told"
     );
-    assert_eq!(replies(&controller.peer(0.0, voter(2), PeerMessage::MembersKept { round })), 10);
+    assert_eq!(
+        replies(&controller.peer(0.0, voter(2), PeerMessage::MembersKept { round })),
+        10
+    );
     let (mut frames, mut told) = (0, 0);
     for tick in 1..=100 {
         let now = f64::from(tick) * TICK;
         heard(&mut controller, now);
         for id in 0..10 {
             let out = beat(&mut controller, now, id, Phase::Ready);
-            assert!(members(&out).is_empty() && replies(&out) == 1, "nothing new");
+            assert!(
+                members(&out).is_empty() && replies(&out) == 1,
+                "nothing new"
+            );
         }
         let out = members(&controller.tick(now));
         frames += out.len();
         told += out.iter().map(|(_, count)| count).sum::<usize>();
     }
-    assert!((7..=9).contains(&frames) && told > 800, "{frames} frames with {told}");
+    assert!(
+        (7..=9).contains(&frames) && told > 800,
+        "{frames} frames with {told}"
+    );
     let out = beat(&mut controller, 2.0, 4, Phase::Draining);
     let [Output::KeepServers(kept)] = &out[..] else {
         panic!("nothing leaves before it is on the disk: {out:?}")
