--- a/crates/control/src/tests/voters.rs
+++ b/crates/control/src/tests/voters.rs
@@ -15,11 +15,24 @@
     net.calm(1.0);
     net.join(4);
     net.calm(1.5);
-    assert!(net.voters().contains(&4), "it decides within a second of its start: {:?}", net.voters());
+    assert!(
+        net.voters().contains(&4),
+        "it decides within a second of its start: {:?}",
+        net.voters()
+    );
     assert!(net.machines[&4].consensus.votes());
-    assert_eq!(net.voters().len(), 3, "it took the place of the one that is gone: {:?}", net.voters());
+    assert_eq!(
+        net.voters().len(),
+        3,
+        "it took the place of the one that is gone: {:?}",
+        net.voters()
+    );
     // One more may be lost now.
-    let other = *net.voters().iter().find(|v| **v != 4).expect("others decide");
+    let other = *net
+        .voters()
+        .iter()
+        .find(|v| **v != 4)
+        .expect("others decide");
     net.machines.remove(&other);
     net.calm(2.0);
     let leader = net.leader().expect("two of three lead");
@@ -44,7 +57,11 @@
     net.join(4);
     net.calm(3.0);
     assert_eq!(net.voters().len(), 4);
-    let quiet = *net.voters().iter().find(|v| Some(**v) != net.leader()).expect("a follower");
+    let quiet = *net
+        .voters()
+        .iter()
+        .find(|v| Some(**v) != net.leader())
+        .expect("a follower");
     net.at(quiet).up = false;
     net.calm(5.0);
     assert!(!net.voters().contains(&quiet));
@@ -118,10 +135,16 @@
         net.take(ends, outs);
         assert!(!net.machines[&ends].consensus.may_end());
         net.calm(1.0);
-        assert!(net.machines[&ends].consensus.may_end(), "it has been left out");
+        assert!(
+            net.machines[&ends].consensus.may_end(),
+            "it has been left out"
+        );
         assert_eq!(net.voters().len(), 3, "{:?}", net.voters());
         net.calm(2.0);
-        assert!(!net.voters().contains(&ends), "it doesn't ask to join again");
+        assert!(
+            !net.voters().contains(&ends),
+            "it doesn't ask to join again"
+        );
         // Of three none is left out: it need not wait.
         let next = net.leader().expect("somebody leads");
         let mut outs = Vec::new();
@@ -138,11 +161,15 @@
     net.tick(1);
     let between = |net: &Net, of: &dyn Fn(&ConsensusMessage) -> bool| {
         net.bag.iter().position(|letter| {
-            [1, 2].contains(&letter.from.node) && [1, 2].contains(&letter.to.node()) && of(&letter.message)
+            [1, 2].contains(&letter.from.node)
+                && [1, 2].contains(&letter.to.node())
+                && of(&letter.message)
         })
     };
     for step in ["Canvass", "Canvassed", "Prepare"] {
-        let at = between(&net, &|message| format!("{message:?}").starts_with(&format!("{step} ")));
+        let at = between(&net, &|message| {
+            format!("{message:?}").starts_with(&format!("{step} "))
+        });
         net.deliver(at.expect(step), false);
     }
     // All that is under way is lost, the promise too.
@@ -167,7 +194,9 @@
     }
     net.calm(2.0);
     assert!(net.all_decide(), "{:?}\n{}", net.voters(), net.tale());
-    let another = (1..=5).find(|node| *node != leader && !wiped.contains(node)).expect("another one");
+    let another = (1..=5)
+        .find(|node| *node != leader && !wiped.contains(node))
+        .expect("another one");
     net.at(another).up = false;
     net.at(leader).up = false;
     net.calm(3.0);
@@ -223,17 +252,25 @@
         net.calm(down_for);
         net.restart(leader, false);
         net.calm(5.0);
-        assert!(net.all_decide() && !net.is_joint(), "after {steps} steps: {:?}", net.voters());
+        assert!(
+            net.all_decide() && !net.is_joint(),
+            "after {steps} steps: {:?}",
+            net.voters()
+        );
         for lost in net.voters() {
             let mut net = net.clone();
             net.at(lost).up = false;
             net.calm(3.0);
-            let leader =
-                net.leader().unwrap_or_else(|| panic!("after {steps} steps nobody leads without {lost}"));
+            let leader = net
+                .leader()
+                .unwrap_or_else(|| panic!("after {steps} steps nobody leads without {lost}"));
             assert!(net.propose(leader));
         }
     }
-    assert!(joint > 3, "the leader was lost {joint} times in the middle of the change");
+    assert!(
+        joint > 3,
+        "the leader was lost {joint} times in the middle of the change"
+    );
 }
 
 /// Delivers so many messages in order, and lets time pass while none is under way.
@@ -261,8 +298,15 @@
     net.join(4);
     // The other voter hears nothing any more from the moment in which the change is proposed.
     for _ in 0..4000 {
-        if net.machines[&leader].consensus.record().state.membership.is_joint() {
-            net.bag.retain(|letter| letter.to.node() != others[1] && letter.from.node != others[1]);
+        if net.machines[&leader]
+            .consensus
+            .record()
+            .state
+            .membership
+            .is_joint()
+        {
+            net.bag
+                .retain(|letter| letter.to.node() != others[1] && letter.from.node != others[1]);
         }
         deliver(&mut net, 1);
     }
@@ -313,7 +357,11 @@
         led += usize::from(joint && net.wins[before..].iter().any(|(_, node)| *node == left_out));
         net.restart(leader, false);
         net.calm(6.0);
-        assert!(net.leader().is_some() && net.all_decide(), "after {steps} steps: {:?}", net.voters());
+        assert!(
+            net.leader().is_some() && net.all_decide(),
+            "after {steps} steps: {:?}",
+            net.voters()
+        );
     }
     assert!(led > 0, "it never led in the middle of the change");
 }
@@ -335,7 +383,12 @@
         for _ in 0..40 {
             net.now += 0.02;
             net.tick_all();
-            late.extend(net.bag.iter().filter(|l| matches!(l.message, ConsensusMessage::Leave)).cloned());
+            late.extend(
+                net.bag
+                    .iter()
+                    .filter(|l| matches!(l.message, ConsensusMessage::Leave))
+                    .cloned(),
+            );
             while !net.bag.is_empty() {
                 net.deliver(0, false);
             }
@@ -346,7 +399,10 @@
         assert!(net.all_decide());
         let newest = net.agreed.keys().max().copied().unwrap_or(0);
         net.calm(5.0);
-        assert!(net.agreed.keys().max().copied().unwrap_or(0) <= newest + 2, "the voters change for ever");
+        assert!(
+            net.agreed.keys().max().copied().unwrap_or(0) <= newest + 2,
+            "the voters change for ever"
+        );
     }
 }
 
@@ -384,19 +440,27 @@
     let full = 1 + leader % 3;
     net.at(full).full = true;
     net.propose(leader);
-    let other = (1..=3).find(|node| *node != leader && *node != full).expect("a third one");
+    let other = (1..=3)
+        .find(|node| *node != leader && *node != full)
+        .expect("a third one");
     net.at(other).up = false;
     let seq = net.machines[&full].saved.state.seq;
     net.calm(2.0);
     assert_eq!(net.machines[&full].saved.state.seq, seq);
-    assert!(net.agreed.keys().all(|agreed| *agreed <= seq), "it was agreed on by one disk");
+    assert!(
+        net.agreed.keys().all(|agreed| *agreed <= seq),
+        "it was agreed on by one disk"
+    );
     assert!(net.machines[&full].consensus.disk_failed());
     // Once its disk takes bytes again it takes part by itself.
     net.at(full).full = false;
     net.reopen(full);
     net.calm(3.0);
     assert!(net.agreed.keys().any(|agreed| *agreed > seq));
-    assert_eq!(net.machines[&full].saved.state.seq, net.machines[&leader].saved.state.seq);
+    assert_eq!(
+        net.machines[&full].saved.state.seq,
+        net.machines[&leader].saved.state.seq
+    );
 }
 
 /// A leader whose save fails leads no longer, and has not counted itself.
@@ -409,7 +473,11 @@
     net.at(leader).full = true;
     net.propose(leader);
     assert_eq!(net.leader(), None, "it resigns");
-    assert_eq!(net.machines[&leader].consensus.record(), &saved, "it goes on from what is on its disk");
+    assert_eq!(
+        net.machines[&leader].consensus.record(),
+        &saved,
+        "it goes on from what is on its disk"
+    );
     net.calm(2.0);
     let next = net.leader().expect("another one leads");
     assert_ne!(next, leader);
@@ -434,7 +502,10 @@
         }
         net.restart(away, false);
         net.calm(1.0);
-        assert_eq!(net.machines[&away].saved.state, net.machines[&leader].saved.state);
+        assert_eq!(
+            net.machines[&away].saved.state,
+            net.machines[&leader].saved.state
+        );
     }
 }
 
@@ -504,15 +575,30 @@
 
 #[test]
 fn majorities_of_a_set_and_of_two() {
-    let voter = |node| Voter { node, incarnation: 0 };
+    let voter = |node| Voter {
+        node,
+        incarnation: 0,
+    };
     let set = Membership::founding([3, 1, 2]);
     assert!(set.is_quorum(|v| v.node != 1) && !set.is_quorum(|v| v.node == 1));
-    let joint = set.changed_to(vec![voter(1), voter(2), voter(4)]).expect("another set");
+    let joint = set
+        .changed_to(vec![voter(1), voter(2), voter(4)])
+        .expect("another set");
     assert!(joint.is_joint() && joint.all().count() == 4);
-    assert!(!joint.is_quorum(|v| [1, 4].contains(&v.node)), "one of the old three");
-    assert!(!joint.is_quorum(|v| [2, 3].contains(&v.node)), "one of the new three");
+    assert!(
+        !joint.is_quorum(|v| [1, 4].contains(&v.node)),
+        "one of the old three"
+    );
+    assert!(
+        !joint.is_quorum(|v| [2, 3].contains(&v.node)),
+        "one of the new three"
+    );
     assert!(joint.is_quorum(|v| [1, 2].contains(&v.node)));
-    assert_eq!(joint.changed_to(vec![voter(1)]), None, "one change at a time");
+    assert_eq!(
+        joint.changed_to(vec![voter(1)]),
+        None,
+        "one change at a time"
+    );
     assert_eq!(joint.completed().voters(), [voter(1), voter(2), voter(4)]);
     assert_eq!(set.changed_to(set.voters().to_vec()), None, "no change");
     let heard = |v: Voter| f64::from(v.node);
@@ -556,7 +642,10 @@
                     let up = !net.at(node).up;
                     net.at(node).up = up;
                 }
-                18 if net.all_decide() && !net.is_joint() && net.machines.values().all(|m| m.up) => {
+                18 if net.all_decide()
+                    && !net.is_joint()
+                    && net.machines.values().all(|m| m.up) =>
+                {
                     net.restart(*u.choose(&nodes)?, true);
                 }
                 _ => net.calm(f64::from(u.int_in_range(1..=40)?) / 10.0),
@@ -583,10 +672,15 @@
         let mut decides = false;
         for _ in 0..100 {
             net.calm(0.02);
-            let leader = net.leader().map(|leader| net.machines[&leader].consensus.voters().to_vec());
+            let leader = net
+                .leader()
+                .map(|leader| net.machines[&leader].consensus.voters().to_vec());
             let voters = leader.unwrap_or_default();
             decides |= voters.contains(&now);
-            assert!(!decides || !voters.contains(&between), "after {pause}: {voters:?}");
+            assert!(
+                !decides || !voters.contains(&between),
+                "after {pause}: {voters:?}"
+            );
         }
         assert!(decides, "after {pause}");
     }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -40,9 +40,18 @@
 impl Discovery {
     pub fn start(port: u16, first: String, late_ms: u64) -> std::io::Result<Arc<Discovery>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, port))?;
-        let lists = Mutex::new(Lists { due: VecDeque::new(), told: (1, first), late_ms, frozen: false });
+        let lists = Mutex::new(Lists {
+            due: VecDeque::new(),
+            told: (1, first),
+            late_ms,
+            frozen: false,
+        });
         let sink = OnceLock::new();
-        let discovery = Arc::new(Discovery { address: listener.local_addr()?, lists, sink });
+        let discovery = Arc::new(Discovery {
+            address: listener.local_addr()?,
+            lists,
+            sink,
+        });
         let serving = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -100,13 +109,21 @@
         stream.set_nodelay(true)?;
         let mut lines = BufReader::new(stream.try_clone()?).lines();
         let asked = lines.next().transpose()?.unwrap_or_default();
-        while lines.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
+        while lines
+            .next()
+            .transpose()?
+            .is_some_and(|line| !line.is_empty())
+        {}
         self.say(Call::Asked);
         if !asked.contains("stream=1") {
             let present = self.present();
             let list = whole(&present);
             self.say(Call::Told(present.0));
-            return write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+            return write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                list.len()
+            );
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
         let (mut known, mut spoke) = (0, Instant::now());
@@ -127,5 +144,8 @@
 }
 
 fn whole(present: &(u64, String)) -> String {
-    format!(r#"{{"seq":{},"whole":true,"hosts":{}}}"#, present.0, present.1)
+    format!(
+        r#"{{"seq":{},"whole":true,"hosts":{}}}"#,
+        present.0, present.1
+    )
 }
--- a/crates/emulator/src/group.rs
+++ b/crates/emulator/src/group.rs
@@ -62,7 +62,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Written {
     /// Its effect is in the log, or was already; the commit's position and the value.
-    Done { at: u64, value: Vec<u8>, repeat: bool },
+    Done {
+        at: u64,
+        value: Vec<u8>,
+        repeat: bool,
+    },
     /// This member is no primary; nothing happened.
     NoPrimary,
     /// It can't be replicated now: it waits.
@@ -117,14 +121,28 @@
 impl Group {
     /// All alive and linked; the first leads.
     pub fn new(replication: Replication, members: usize) -> Group {
-        let member = |i| Member { alive: true, linked: true, term: 1, leads: i == 0, ..Member::default() };
+        let member = |i| Member {
+            alive: true,
+            linked: true,
+            term: 1,
+            leads: i == 0,
+            ..Member::default()
+        };
         let members = (0..members).map(member).collect();
-        Group { replication, members, term: 1, numbered: 0, discarded: Vec::new() }
+        Group {
+            replication,
+            members,
+            term: 1,
+            numbered: 0,
+            discarded: Vec::new(),
+        }
     }
 
     /// Who leads the present term, if that one lives.
     pub fn primary(&self) -> Option<usize> {
-        self.members.iter().position(|m| m.alive && m.leads && m.term == self.term)
+        self.members
+            .iter()
+            .position(|m| m.alive && m.leads && m.term == self.term)
     }
 
     pub fn leads(&self, member: usize) -> bool {
@@ -149,9 +167,15 @@
 
     /// Lets time pass: replicas follow, and who hears of a later term steps down.
     pub fn pass(&mut self, now: u64) {
-        let Some(leader) = self.primary().filter(|leader| self.members[*leader].linked) else { return };
+        let Some(leader) = self.primary().filter(|leader| self.members[*leader].linked) else {
+            return;
+        };
         let synchronous = self.replication.synchronous;
-        let horizon = if synchronous { now } else { now.saturating_sub(self.replication.lag_ms) };
+        let horizon = if synchronous {
+            now
+        } else {
+            now.saturating_sub(self.replication.lag_ms)
+        };
         for i in (0..self.members.len()).filter(|i| *i != leader) {
             if !(self.members[i].alive && self.members[i].linked) {
                 continue;
@@ -171,14 +195,20 @@
 
     fn follow(&mut self, member: usize, leader: usize, horizon: u64) {
         let same = |a: &[Arc<Entry>], b: &[Arc<Entry>], n: usize| n == 0 || a[n - 1] == b[n - 1];
-        let mut common = self.members[member].log.len().min(self.members[leader].log.len());
+        let mut common = self.members[member]
+            .log
+            .len()
+            .min(self.members[leader].log.len());
         while !same(&self.members[member].log, &self.members[leader].log, common) {
             common -= 1;
         }
         let gone = self.members[member].cut(common);
         self.discarded.extend(gone);
-        let new: Vec<Arc<Entry>> =
-            self.members[leader].log[common..].iter().take_while(|e| e.at <= horizon).cloned().collect();
+        let new: Vec<Arc<Entry>> = self.members[leader].log[common..]
+            .iter()
+            .take_while(|e| e.at <= horizon)
+            .cloned()
+            .collect();
         let took_over = self.members[leader].took_over;
         let m = &mut self.members[member];
         m.took_over = took_over;
@@ -189,12 +219,23 @@
     /// The position that a member tells: a primary stands at the present.
     pub fn position(&self, member: usize, now: u64) -> u64 {
         let m = &self.members[member];
-        if m.leads { now.max(m.head()) } else { m.seen_to.max(m.head()) }
+        if m.leads {
+            now.max(m.head())
+        } else {
+            m.seen_to.max(m.head())
+        }
     }
 
     /// `epoch` is the member's when it took the write. With `alone`, it is not replicated: its primary is about
     /// to die.
-    pub fn write(&mut self, now: u64, member: usize, epoch: u64, alone: bool, mut entry: Entry) -> Written {
+    pub fn write(
+        &mut self,
+        now: u64,
+        member: usize,
+        epoch: u64,
+        alone: bool,
+        mut entry: Entry,
+    ) -> Written {
         self.pass(now);
         let (memory, majority) = (self.replication.mark_memory_ms, self.majority());
         let reached = self.members.iter().filter(|m| m.alive && m.linked).count();
@@ -202,11 +243,21 @@
         if !m.alive || !m.leads || m.epoch != epoch {
             return Written::NoPrimary;
         }
-        let known = entry.mark.as_ref().and_then(|mark| m.marks.get(mark)).map(|place| &m.log[*place]);
+        let known = entry
+            .mark
+            .as_ref()
+            .and_then(|mark| m.marks.get(mark))
+            .map(|place| &m.log[*place]);
         if let Some(known) = known.filter(|known| now.saturating_sub(known.at) < memory) {
-            return Written::Done { at: known.at, value: known.value.clone(), repeat: true };
+            return Written::Done {
+                at: known.at,
+                value: known.value.clone(),
+                repeat: true,
+            };
         }
-        if self.replication.synchronous && !alone && !(m.linked && m.term == self.term && reached >= majority)
+        if self.replication.synchronous
+            && !alone
+            && !(m.linked && m.term == self.term && reached >= majority)
         {
             return Written::Blocked;
         }
@@ -218,7 +269,11 @@
         if self.replication.synchronous && !alone {
             self.pass(at);
         }
-        Written::Done { at, value, repeat: false }
+        Written::Done {
+            at,
+            value,
+            repeat: false,
+        }
     }
 
     pub fn read(&mut self, now: u64, member: usize, key: &str) -> Option<Vec<u8>> {
@@ -234,24 +289,36 @@
         if !(m.leads && m.term == self.term && m.linked) {
             return Outcome::Unknown;
         }
-        m.marks.get(mark).map_or(Outcome::Never, |place| Outcome::Ran(m.log[*place].value.clone()))
+        m.marks.get(mark).map_or(Outcome::Never, |place| {
+            Outcome::Ran(m.log[*place].value.clone())
+        })
     }
 
     /// The member, or whoever has most of the log, leads from now on. None where the store would not promote:
     /// a synchronous one needs a majority, which surely has all that was answered.
     pub fn promote(&mut self, now: u64, wanted: Option<usize>) -> Option<usize> {
         self.pass(now);
-        let able: Vec<usize> =
-            (0..self.members.len()).filter(|i| self.members[*i].alive && self.members[*i].linked).collect();
+        let able: Vec<usize> = (0..self.members.len())
+            .filter(|i| self.members[*i].alive && self.members[*i].linked)
+            .collect();
         if self.replication.synchronous && able.len() < self.majority() {
             return None;
         }
-        let log = |i: &usize| (self.members[*i].log.last().map_or(0, |e| e.term), self.members[*i].log.len());
+        let log = |i: &usize| {
+            (
+                self.members[*i].log.last().map_or(0, |e| e.term),
+                self.members[*i].log.len(),
+            )
+        };
         let most = able.iter().map(&log).max()?;
         let fits = |i: &usize| !self.replication.synchronous || log(i) == most;
         let chosen = match wanted {
             Some(wanted) => Some(wanted).filter(|i| able.contains(i) && fits(i)),
-            None => able.iter().copied().filter(|i| !self.members[*i].leads && log(i) == most).min(),
+            None => able
+                .iter()
+                .copied()
+                .filter(|i| !self.members[*i].leads && log(i) == most)
+                .min(),
         }?;
         self.term += 1;
         let (term, m) = (self.term, &mut self.members[chosen]);
@@ -280,7 +347,13 @@
     }
 
     pub fn ledger(&self) -> Ledger {
-        let last = self.members.iter().max_by_key(|m| (m.leads && m.term == self.term, m.term, m.log.len()));
-        Ledger { effects: last.map_or(Vec::new(), |m| m.log.clone()), discarded: self.discarded.clone() }
+        let last = self
+            .members
+            .iter()
+            .max_by_key(|m| (m.leads && m.term == self.term, m.term, m.log.len()));
+        Ledger {
+            effects: last.map_or(Vec::new(), |m| m.log.clone()),
+            discarded: self.discarded.clone(),
+        }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -23,7 +23,9 @@
 
 /// Unix time in milliseconds.
 pub fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_millis() as u64)
 }
 
 /// What a store is made of.
@@ -59,7 +61,11 @@
         Shape {
             groups: 1,
             members: 3,
-            replication: Replication { synchronous: true, lag_ms: 20, mark_memory_ms: 60_000 },
+            replication: Replication {
+                synchronous: true,
+                lag_ms: 20,
+                mark_memory_ms: 60_000,
+            },
             service_us: 0,
             slots: 64,
             cold_from: 1.0,
@@ -99,16 +105,36 @@
             let store = Arc::new(Mutex::new(Group::new(shape.replication, shape.members)));
             for member in 0..shape.members {
                 let number = nodes.len();
-                let name = names.get(number).map_or(format!("s-{group}-{member}"), |name| name.to_string());
-                let port = if shape.ports.0 == 0 { 0 } else { shape.ports.0 + number as u16 };
-                nodes.push(Node::start(shape, name, number, group, member, store.clone(), port)?);
+                let name = names
+                    .get(number)
+                    .map_or(format!("s-{group}-{member}"), |name| name.to_string());
+                let port = if shape.ports.0 == 0 {
+                    0
+                } else {
+                    shape.ports.0 + number as u16
+                };
+                nodes.push(Node::start(
+                    shape,
+                    name,
+                    number,
+                    group,
+                    member,
+                    store.clone(),
+                    port,
+                )?);
             }
             stores.push(store);
         }
         let watched = Mutex::new(Watched::default());
         let first = hosts(&nodes, &stores, &locked(&watched)).to_string();
         let discovery = Discovery::start(shape.ports.1, first, shape.late_ms)?;
-        Ok(Arc::new(Emulator { nodes, discovery, stores, watched, members: shape.members }))
+        Ok(Arc::new(Emulator {
+            nodes,
+            discovery,
+            stores,
+            watched,
+            members: shape.members,
+        }))
     }
 
     /// The list as it is now, however late discovery tells it.
@@ -177,7 +203,9 @@
             (Step::Promote, _) => return self.promote(group, None),
             (Step::RestartOld, _) => self.restart_dead(group),
             (Step::DrainPrimary, Some(primary)) => self.drain(group, primary, true),
-            (Step::EndDrain, _) => (0..self.members).for_each(|member| self.drain(group, member, false)),
+            (Step::EndDrain, _) => {
+                (0..self.members).for_each(|member| self.drain(group, member, false))
+            }
             (Step::HangPrimary, Some(primary)) => {
                 locked(&self.watched).old.insert(group, primary);
                 self.node(group, primary).hang(true);
@@ -187,8 +215,12 @@
                 self.node(group, primary).hang(true);
                 self.link(group, primary, false);
             }
-            (Step::WakeOld, _) => old().into_iter().for_each(|old| self.node(group, old).hang(false)),
-            (Step::JoinOld, _) => (0..self.members).for_each(|member| self.link(group, member, true)),
+            (Step::WakeOld, _) => old()
+                .into_iter()
+                .for_each(|old| self.node(group, old).hang(false)),
+            (Step::JoinOld, _) => {
+                (0..self.members).for_each(|member| self.link(group, member, true))
+            }
             (_, None) => {}
         }
         false
@@ -203,7 +235,10 @@
         for member in 0..self.members {
             let dead = !locked(&self.stores[usize::from(group)]).alive(member);
             if dead && let Err(e) = self.node(group, member).restart() {
-                eprintln!("emulator: {} does not start again: {e}", self.node(group, member).name);
+                eprintln!(
+                    "emulator: {} does not start again: {e}",
+                    self.node(group, member).name
+                );
             }
         }
         self.publish();
@@ -213,7 +248,11 @@
 fn hosts(nodes: &[Arc<Node>], stores: &[Arc<Mutex<Group>>], watched: &Watched) -> Value {
     let host = |(number, node): (usize, &Arc<Node>)| {
         let leads = locked(&stores[usize::from(node.group)]).primary() == Some(node.member);
-        let health = if watched.draining.contains(&number) { "terminating" } else { "in_service" };
+        let health = if watched.draining.contains(&number) {
+            "terminating"
+        } else {
+            "in_service"
+        };
         json!({"host": node.name, "dial": node.dial.to_string(), "site": "here", "class": "toy",
                "block": node.group, "health": health, "share": 1.0,
                "born_ms": node.born.load(Ordering::SeqCst), "rank": if leads { "source" } else { "copy" }})
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -95,7 +95,12 @@
 
 impl Node {
     pub fn start(
-        shape: Shape, name: String, number: usize, group: u16, member: usize, store: Arc<Mutex<Group>>,
+        shape: Shape,
+        name: String,
+        number: usize,
+        group: u16,
+        member: usize,
+        store: Arc<Mutex<Group>>,
         port: u16,
     ) -> std::io::Result<Arc<Node>> {
         let listener = TcpListener::bind((shape.host, port))?;
@@ -148,7 +153,11 @@
             doors.connections.insert(number, copy);
         }
         doors.opened.push_back(Instant::now());
-        while doors.opened.pop_front_if(|at| at.elapsed() > LATELY).is_some() {}
+        while doors
+            .opened
+            .pop_front_if(|at| at.elapsed() > LATELY)
+            .is_some()
+        {}
         (number, doors.connections.len())
     }
 
@@ -160,9 +169,17 @@
 
     fn arrived(&self, from: Option<IpAddr>, what: What) {
         if let Some(sink) = self.sink.get() {
-            let at_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as u64);
+            let at_us = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |t| t.as_micros() as u64);
             let held = locked(&self.doors).connections.len();
-            let _ = sink.send(Arrival { at_us, node: self.number, from, held, what });
+            let _ = sink.send(Arrival {
+                at_us,
+                node: self.number,
+                from,
+                held,
+                what,
+            });
         }
     }
 
@@ -178,9 +195,12 @@
             // The accepting thread sees that it is over, and takes its listener with it.
             let _ = TcpStream::connect(self.dial);
         }
-        locked(&self.doors).connections.drain().for_each(|(_, stream)| {
-            let _ = stream.shutdown(std::net::Shutdown::Both);
-        });
+        locked(&self.doors)
+            .connections
+            .drain()
+            .for_each(|(_, stream)| {
+                let _ = stream.shutdown(std::net::Shutdown::Both);
+            });
         self.hang(false);
         self.freed.notify_all();
     }
@@ -230,7 +250,13 @@
         self.arrived(from, if full { What::Full } else { What::Opened });
         self.wait_while_hung();
         if full {
-            put_error(&mut output, "FATAL", "53300", "it holds as many connections as it takes", "");
+            put_error(
+                &mut output,
+                "FATAL",
+                "53300",
+                "it holds as many connections as it takes",
+                "",
+            );
             return send(&mut stream, &mut output);
         }
         if self.shape.handshake_us > 0 {
@@ -249,7 +275,12 @@
             let epoch = locked(&self.store).epoch(self.member);
             self.wait_while_hung();
             let texts = message::strings(&body)?;
-            let commit = self.answer(texts.first().copied().unwrap_or_default(), epoch, from, &mut output)?;
+            let commit = self.answer(
+                texts.first().copied().unwrap_or_default(),
+                epoch,
+                from,
+                &mut output,
+            )?;
             // It may have been hung meanwhile, or killed: then nothing more is said.
             self.wait_while_hung();
             if !self.open.load(Ordering::SeqCst) {
@@ -264,7 +295,15 @@
     fn tell_state(&self, commit: Option<u64>, output: &mut Ring) {
         let store = locked(&self.store);
         let position = commit.unwrap_or_else(|| store.position(self.member, now()));
-        put_status(output, "rank", if store.leads(self.member) { "source" } else { "copy" });
+        put_status(
+            output,
+            "rank",
+            if store.leads(self.member) {
+                "source"
+            } else {
+                "copy"
+            },
+        );
         put_status(output, "as_of", &position.to_string());
         put_status(output, "vitals", &self.vitals(&store));
     }
@@ -274,14 +313,23 @@
     fn vitals(&self, store: &Group) -> String {
         let (held, lately) = {
             let doors = locked(&self.doors);
-            let lately = doors.opened.iter().rev().take_while(|at| at.elapsed() <= LATELY).count();
+            let lately = doors
+                .opened
+                .iter()
+                .rev()
+                .take_while(|at| at.elapsed() <= LATELY)
+                .count();
             (doors.connections.len(), lately)
         };
         format!("{},x4={held},x5={lately}", vitals(store, self.member))
     }
 
     fn answer(
-        &self, text: &str, epoch: u64, from: Option<IpAddr>, output: &mut Ring,
+        &self,
+        text: &str,
+        epoch: u64,
+        from: Option<IpAddr>,
+        output: &mut Ring,
     ) -> Result<Option<u64>, Close> {
         if let Some(mark) = inquired(text) {
             self.outcome(mark, output);
@@ -317,7 +365,10 @@
     fn spend(&self, service_us: u64) {
         let busy = locked(&self.busy);
         let full = |busy: &mut usize| *busy >= self.shape.slots && self.open.load(Ordering::SeqCst);
-        let mut busy = self.freed.wait_while(busy, full).unwrap_or_else(PoisonError::into_inner);
+        let mut busy = self
+            .freed
+            .wait_while(busy, full)
+            .unwrap_or_else(PoisonError::into_inner);
         *busy += 1;
         self.most_busy.fetch_max(*busy, Ordering::SeqCst);
         drop(busy);
@@ -337,15 +388,22 @@
     }
 
     fn statement(
-        &self, text: &str, s: &Statement, epoch: u64, output: &mut Ring,
+        &self,
+        text: &str,
+        s: &Statement,
+        epoch: u64,
+        output: &mut Ring,
     ) -> Result<Option<u64>, Close> {
         if !s.writes {
             let value = locked(&self.store).read(now(), self.member, &s.key);
             row(output, value.as_deref(), "SELECT 1");
             return Ok(None);
         }
-        let armed =
-            if locked(&self.store).leads(self.member) { locked(&self.doors).armed.take() } else { None };
+        let armed = if locked(&self.store).leads(self.member) {
+            locked(&self.doors).armed.take()
+        } else {
+            None
+        };
         if armed == Some(Point::Before) {
             self.kill();
             return Err(Close::Broken);
@@ -393,8 +451,12 @@
         }
         match locked(&self.store).outcome(now(), self.member, mark) {
             Outcome::Ran(value) => row(output, Some(&value), "SELECT 1"),
-            Outcome::Never => put_error(output, "ERROR", "02000", "it never ran and never will", ""),
-            Outcome::Unknown => put_error(output, "ERROR", "25006", "only the primary can tell", ""),
+            Outcome::Never => {
+                put_error(output, "ERROR", "02000", "it never ran and never will", "")
+            }
+            Outcome::Unknown => {
+                put_error(output, "ERROR", "25006", "only the primary can tell", "")
+            }
         }
     }
 }
@@ -440,7 +502,9 @@
 
 pub(crate) fn send(stream: &mut TcpStream, output: &mut Ring) -> Result<(), Close> {
     while !output.is_empty() {
-        stream.write_all(output.front()).map_err(|_| Close::Broken)?;
+        stream
+            .write_all(output.front())
+            .map_err(|_| Close::Broken)?;
         output.skip(output.front().len());
     }
     Ok(())
@@ -454,16 +518,31 @@
 
 /// The bytes that an INSERT writes in hex behind `\x`.
 pub(crate) fn value(text: &str) -> Vec<u8> {
-    let hex = text.split_once("'\\x").and_then(|(_, rest)| rest.split_once('\'')).map_or("", |(hex, _)| hex);
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap_or("0"), 16).unwrap_or(0);
+    let hex = text
+        .split_once("'\\x")
+        .and_then(|(_, rest)| rest.split_once('\''))
+        .map_or("", |(hex, _)| hex);
+    let byte =
+        |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap_or("0"), 16).unwrap_or(0);
     hex.as_bytes().chunks(2).map(byte).collect()
 }
 
 /// One column `v` of type bytea, in binary; no record comes as null.
 pub(crate) fn row(output: &mut Ring, value: Option<&[u8]>, done: &str) {
-    let described: [&[u8]; 6] = [&[0, 1], b"v\0", &[0; 6], &17u32.to_be_bytes(), &[255; 6], &[0, 1]];
+    let described: [&[u8]; 6] = [
+        &[0, 1],
+        b"v\0",
+        &[0; 6],
+        &17u32.to_be_bytes(),
+        &[255; 6],
+        &[0, 1],
+    ];
     put(output, b'T', &described);
     let length = value.map_or(-1, |v| v.len() as i32);
-    put(output, b'D', &[&[0, 1], &length.to_be_bytes(), value.unwrap_or_default()]);
+    put(
+        output,
+        b'D',
+        &[&[0, 1], &length.to_be_bytes(), value.unwrap_or_default()],
+    );
     put(output, b'C', &[done.as_bytes(), &[0]]);
 }
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -77,7 +77,11 @@
             };
             let steps = change(kind, &mut chance);
             let length = steps.last().map_or(0, |last| last.0);
-            script.extend(steps.into_iter().map(|(after, step)| (at + after, group, step)));
+            script.extend(
+                steps
+                    .into_iter()
+                    .map(|(after, step)| (at + after, group, step)),
+            );
             at += length + chance.u64(400..900);
         }
     }
@@ -90,7 +94,11 @@
     let takes = chance.u64(250..700);
     match kind {
         Plan::Switchover => {
-            vec![(0, Step::DrainPrimary), (takes, Step::Promote), (takes + 300, Step::EndDrain)]
+            vec![
+                (0, Step::DrainPrimary),
+                (takes, Step::Promote),
+                (takes + 300, Step::EndDrain),
+            ]
         }
         Plan::Double => {
             let second = takes + chance.u64(20..200);
@@ -107,9 +115,18 @@
         }
         Plan::Hang => {
             let cut = chance.bool();
-            let stop = if cut { Step::CutPrimary } else { Step::HangPrimary };
+            let stop = if cut {
+                Step::CutPrimary
+            } else {
+                Step::HangPrimary
+            };
             let wakes = takes + chance.u64(100..400);
-            vec![(0, stop), (takes, Step::Promote), (wakes, Step::WakeOld), (wakes + 200, Step::JoinOld)]
+            vec![
+                (0, stop),
+                (takes, Step::Promote),
+                (wakes, Step::WakeOld),
+                (wakes + 200, Step::JoinOld),
+            ]
         }
         _ => vec![
             (0, Step::Arm(point)),
@@ -141,7 +158,11 @@
     fn mends(self) -> bool {
         !matches!(
             self,
-            Step::Arm(_) | Step::KillPrimary | Step::DrainPrimary | Step::HangPrimary | Step::CutPrimary
+            Step::Arm(_)
+                | Step::KillPrimary
+                | Step::DrainPrimary
+                | Step::HangPrimary
+                | Step::CutPrimary
         )
     }
 }
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -55,7 +55,8 @@
 impl Scripted {
     /// The script is told the statement's number, from 0 on, and its text. With `keeps`, every one is kept.
     pub fn start(
-        keeps: bool, script: impl Fn(u64, &str) -> Turn + Send + Sync + 'static,
+        keeps: bool,
+        script: impl Fn(u64, &str) -> Turn + Send + Sync + 'static,
     ) -> std::io::Result<Scripted> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -100,7 +101,11 @@
 
     /// What was asked, in the order in which it came.
     pub fn heard(&self) -> Vec<(Instant, String)> {
-        self.state.heard.as_ref().map(|heard| locked(heard).clone()).unwrap_or_default()
+        self.state
+            .heard
+            .as_ref()
+            .map(|heard| locked(heard).clone())
+            .unwrap_or_default()
     }
 }
 
@@ -117,7 +122,8 @@
             if kind != b'Q' {
                 return Err(Close::Left);
             }
-            let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
+            let text =
+                String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
             let turn = (self.script)(self.asked.fetch_add(1, Ordering::SeqCst), &text);
             if let Some(heard) = &self.heard {
                 locked(heard).push((Instant::now(), text.clone()));
@@ -129,13 +135,21 @@
 
     fn stand_still(&self) {
         let until = *locked(&self.still_until);
-        let left = until.map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()));
+        let left = until.map_or(Duration::ZERO, |until| {
+            until.saturating_duration_since(Instant::now())
+        });
         if !left.is_zero() {
             thread::sleep(left);
         }
     }
 
-    fn answer(&self, turn: Turn, text: &str, stream: &mut TcpStream, output: &mut Ring) -> Result<(), Close> {
+    fn answer(
+        &self,
+        turn: Turn,
+        text: &str,
+        stream: &mut TcpStream,
+        output: &mut Ring,
+    ) -> Result<(), Close> {
         match turn {
             Turn::Reject(after) => {
                 let detail = after.map_or(String::new(), |ms| ms.to_string());
--- a/crates/emulator/src/tests.rs
+++ b/crates/emulator/src/tests.rs
@@ -5,12 +5,27 @@
 use test_case::test_case;
 
 fn group(synchronous: bool) -> Group {
-    Group::new(Replication { synchronous, lag_ms: 100, mark_memory_ms: 1000 }, 3)
+    Group::new(
+        Replication {
+            synchronous,
+            lag_ms: 100,
+            mark_memory_ms: 1000,
+        },
+        3,
+    )
 }
 
 fn entry(mark: &str) -> Entry {
     let mark = Some(mark.to_string());
-    Entry { at: 0, term: 0, number: 0, mark, statement: "id".into(), key: "k".into(), value: b"v".to_vec() }
+    Entry {
+        at: 0,
+        term: 0,
+        number: 0,
+        mark,
+        statement: "id".into(),
+        key: "k".into(),
+        value: b"v".to_vec(),
+    }
 }
 
 /// The positions at which writes with these marks were done; 0 for one that was not.
@@ -23,7 +38,12 @@
 }
 
 fn marks(group: &Group) -> Vec<String> {
-    group.ledger().effects.iter().filter_map(|e| e.mark.clone()).collect()
+    group
+        .ledger()
+        .effects
+        .iter()
+        .filter_map(|e| e.mark.clone())
+        .collect()
 }
 
 #[test_case(true, &["a", "b"], 0; "synchronous: nothing that was answered is lost")]
@@ -35,8 +55,14 @@
     assert_eq!(group.promote(1200, None), Some(1));
     group.restart(1300, 0);
     assert_eq!(marks(&group), kept);
-    assert_eq!((group.ledger().discarded.len(), group.leads(0)), (discarded, false));
-    assert_eq!(group.took_over(1), Some((if synchronous { 1150 } else { 1000 }, 1200)));
+    assert_eq!(
+        (group.ledger().discarded.len(), group.leads(0)),
+        (discarded, false)
+    );
+    assert_eq!(
+        group.took_over(1),
+        Some((if synchronous { 1150 } else { 1000 }, 1200))
+    );
 }
 
 #[test_case(500, 1; "remembered")]
@@ -55,10 +81,19 @@
     let mut group = group(true);
     group.link(1000, 0, false);
     let taken = group.epoch(0);
-    assert_eq!(group.write(1000, 0, taken, false, entry("a")), Written::Blocked);
-    assert!(group.promote(1100, Some(1)).is_some() && group.leads(0), "both halves claim it");
+    assert_eq!(
+        group.write(1000, 0, taken, false, entry("a")),
+        Written::Blocked
+    );
+    assert!(
+        group.promote(1100, Some(1)).is_some() && group.leads(0),
+        "both halves claim it"
+    );
     group.link(1200, 0, true);
-    assert_eq!(group.write(1200, 0, taken, false, entry("a")), Written::NoPrimary);
+    assert_eq!(
+        group.write(1200, 0, taken, false, entry("a")),
+        Written::NoPrimary
+    );
     assert!(marks(&group).is_empty());
 }
 
@@ -77,7 +112,11 @@
     write(&mut group, 1000, 0, "a");
     group.kill(0);
     group.promote(1100, Some(1));
-    assert_eq!(group.outcome(9000, 1, "a"), Outcome::Ran(b"v".to_vec()), "however long ago");
+    assert_eq!(
+        group.outcome(9000, 1, "a"),
+        Outcome::Ran(b"v".to_vec()),
+        "however long ago"
+    );
     assert_eq!(group.outcome(9000, 1, "b"), Outcome::Never);
     assert_eq!(group.outcome(9000, 2, "a"), Outcome::Unknown);
 }
@@ -86,20 +125,36 @@
 fn replicas_show_what_lies_a_lag_behind() {
     let mut group = group(false);
     write(&mut group, 1000, 0, "a");
-    assert_eq!((group.read(1050, 1, "k"), group.position(1, 1050)), (None, 950));
-    assert_eq!((group.read(1100, 1, "k"), group.position(1, 1100)), (Some(b"v".to_vec()), 1000));
-    assert_eq!(group.position(0, 1100), 1100, "a primary stands at the present");
+    assert_eq!(
+        (group.read(1050, 1, "k"), group.position(1, 1050)),
+        (None, 950)
+    );
+    assert_eq!(
+        (group.read(1100, 1, "k"), group.position(1, 1100)),
+        (Some(b"v".to_vec()), 1000)
+    );
+    assert_eq!(
+        group.position(0, 1100),
+        1100,
+        "a primary stands at the present"
+    );
 }
 
 #[test]
 fn an_effect_that_no_other_member_has_dies_with_its_primary() {
     let mut group = group(true);
     let epoch = group.epoch(0);
-    assert!(matches!(group.write(1000, 0, epoch, true, entry("a")), Written::Done { .. }));
+    assert!(matches!(
+        group.write(1000, 0, epoch, true, entry("a")),
+        Written::Done { .. }
+    ));
     group.kill(0);
     group.promote(1100, None);
     group.restart(1200, 0);
-    assert_eq!((marks(&group).len(), group.ledger().discarded.len()), (0, 1));
+    assert_eq!(
+        (marks(&group).len(), group.ledger().discarded.len()),
+        (0, 1)
+    );
 }
 
 #[test_case(Plan::Kill)]
@@ -114,7 +169,10 @@
     assert_ne!(script, draw(plan, 4, 2, 100, 5000));
     assert!(script.is_sorted_by_key(|step| step.0));
     for group in 0..2 {
-        let promotions = script.iter().filter(|s| s.1 == group && s.2 == Step::Promote).count();
+        let promotions = script
+            .iter()
+            .filter(|s| s.1 == group && s.2 == Step::Promote)
+            .count();
         assert!(promotions >= 3, "{promotions} changes in five seconds");
     }
 }
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -27,7 +27,13 @@
     /// `forget` is how long the dead are counted, in seconds.
     pub fn new(told: f64, forget: f64) -> Census {
         let told = told.max(1.0);
-        Census { told, forget, seen: BTreeMap::new(), living: told, fewer: None }
+        Census {
+            told,
+            forget,
+            seen: BTreeMap::new(),
+            living: told,
+            fewer: None,
+        }
     }
 
     pub fn living(&self) -> f64 {
@@ -42,7 +48,10 @@
         }
         let estimate = (held + GUESS * self.told) / (own + GUESS);
         let estimate = estimate.clamp(1.0, MOST);
-        let mean = self.seen.get(&node).filter(|seen| now - seen.0 < self.forget);
+        let mean = self
+            .seen
+            .get(&node)
+            .filter(|seen| now - seen.0 < self.forget);
         let mean = mean.map_or(estimate, |seen| (seen.1 + estimate) / 2.0);
         self.seen.insert(node, (now, mean));
     }
@@ -59,7 +68,10 @@
         let mut estimates: Vec<f64> = self.seen.values().map(|seen| seen.1).collect();
         estimates.sort_by(f64::total_cmp);
         // Where nothing is seen, the first guess is all there is. One node alone may be mistaken: the median counts.
-        let seen = estimates.get(estimates.len() / 2).copied().unwrap_or(self.told);
+        let seen = estimates
+            .get(estimates.len() / 2)
+            .copied()
+            .unwrap_or(self.told);
         if seen > self.living * MORE {
             (self.living, self.fewer) = (seen, None);
         } else if seen < self.living * FEWER {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -95,7 +95,12 @@
         let me = names.binary_search_by(|n| n.as_str().cmp(name)).ok();
         let (by_platform, told) = (told, told.max(names.len() as f64).max(1.0));
         let named = me.map(|me| (me as u64, names.len() as u64));
-        let ranks = Ranks { named, seed: mixed(seed ^ place(name)), living: told, told };
+        let ranks = Ranks {
+            named,
+            seed: mixed(seed ^ place(name)),
+            living: told,
+            told,
+        };
         let (copies, repeats) = (Purse::new(settings.copies), Purse::new(settings.repeats));
         let census = Census::new(told, settings.forget_ms / 1e3);
         let rations = rations(&settings, told);
@@ -124,7 +129,10 @@
     /// Other settings from now on; what nodes are called stays known.
     pub fn reset(&mut self, settings: Settings, seed: u64, name: &str) {
         let nodes = std::mem::take(&mut self.nodes);
-        *self = Fleet { nodes, ..Fleet::new(settings, seed, self.told, name) };
+        *self = Fleet {
+            nodes,
+            ..Fleet::new(settings, seed, self.told, name)
+        };
     }
 
     /// How many routers there are by the platform's word.
@@ -182,8 +190,9 @@
     /// A statement was sent for the first time.
     pub fn sent_first(&mut self, now: f64) {
         self.done += 1;
-        let lot =
-            |salt: u64| (mixed(self.ranks.seed ^ mixed(self.done ^ salt)) >> 11) as f64 / (1u64 << 53) as f64;
+        let lot = |salt: u64| {
+            (mixed(self.ranks.seed ^ mixed(self.done ^ salt)) >> 11) as f64 / (1u64 << 53) as f64
+        };
         let (copy, repeat) = (lot(1 << 62), lot(1 << 63));
         self.copies.earn(now, copy);
         self.repeats.earn(now, repeat);
@@ -204,7 +213,10 @@
         }
         self.ranks.living = self.census.living();
         self.rations = rations(&self.settings, self.ranks.living);
-        self.lines.push(format!("{now:.3} fleet: {:.0} routers live, {before:.0} before", self.ranks.living));
+        self.lines.push(format!(
+            "{now:.3} fleet: {:.0} routers live, {before:.0} before",
+            self.ranks.living
+        ));
         true
     }
 
@@ -215,7 +227,8 @@
         let little = self.settings.little_per_s;
         let narrow = per_replica < if kept.narrow { BUSY * little } else { little };
         let narrow = narrow && self.settings.subset > 0 && self.ranks.living > 1.0;
-        let same = kept.narrow == narrow && kept.living == self.ranks.living && kept.replicas == replicas;
+        let same =
+            kept.narrow == narrow && kept.living == self.ranks.living && kept.replicas == replicas;
         (kept.narrow, kept.living) = (narrow, self.ranks.living);
         if same {
             return;
@@ -226,8 +239,10 @@
             return;
         }
         // By places: numbers differ from router to router.
-        let mut places: Vec<(u64, u32)> =
-            replicas.iter().map(|id| (self.nodes.get(id).map_or(0, |node| node.place), *id)).collect();
+        let mut places: Vec<(u64, u32)> = replicas
+            .iter()
+            .map(|id| (self.nodes.get(id).map_or(0, |node| node.place), *id))
+            .collect();
         places.sort_unstable();
         let nodes: Vec<u64> = places.iter().map(|p| p.0).collect();
         let size = self.settings.subset;
@@ -249,7 +264,9 @@
         if self.ranks.living <= 1.0 {
             return true;
         }
-        let Some(known) = self.nodes.get(&node) else { return true };
+        let Some(known) = self.nodes.get(&node) else {
+            return true;
+        };
         let turn = self.rations[kind as usize].turn(now, known.place ^ kind as u64, &self.ranks);
         turn.is_some() && turn != known.used[kind as usize]
     }
@@ -257,7 +274,10 @@
     /// It was done: the turn that let it is used.
     pub fn did(&mut self, kind: Kind, now: f64, node: u32) {
         let slot = self.rations[kind as usize].slot(now);
-        self.nodes.get_mut(&node).into_iter().for_each(|known| known.used[kind as usize] = Some(slot));
+        self.nodes
+            .get_mut(&node)
+            .into_iter()
+            .for_each(|known| known.used[kind as usize] = Some(slot));
     }
 
     /// How long until everybody has had a turn of this kind at a node.
@@ -285,6 +305,8 @@
 
     /// Whether a replica is one that this router keeps to in its group.
     pub fn keeps(&self, group: u16, node: u32) -> bool {
-        self.groups.get(&group).is_none_or(|kept| !kept.narrow || kept.keeps.contains(&node))
+        self.groups
+            .get(&group)
+            .is_none_or(|kept| !kept.narrow || kept.keeps.contains(&node))
     }
 }
--- a/crates/fleet/src/purse.rs
+++ b/crates/fleet/src/purse.rs
@@ -18,7 +18,10 @@
 
 impl Purse {
     pub fn new(share: f64) -> Purse {
-        Purse { share, held: VecDeque::new() }
+        Purse {
+            share,
+            held: VecDeque::new(),
+        }
     }
 
     /// One was done that the budget is a share of; `lot` is even from 0 to 1.
--- a/crates/fleet/src/ration.rs
+++ b/crates/fleet/src/ration.rs
@@ -26,11 +26,14 @@
 impl Ranks {
     /// Ranks hold while the named are about as many as live.
     pub fn exact(&self) -> Option<(u64, u64)> {
-        self.named.filter(|(_, count)| self.living <= *count as f64 * 1.25)
+        self.named
+            .filter(|(_, count)| self.living <= *count as f64 * 1.25)
     }
 
     fn count(&self) -> f64 {
-        self.exact().map_or(self.drawing(), |(_, count)| count as f64).max(1.0)
+        self.exact()
+            .map_or(self.drawing(), |(_, count)| count as f64)
+            .max(1.0)
     }
 
     fn drawing(&self) -> f64 {
@@ -62,9 +65,16 @@
 impl Ration {
     /// `per_s` for all routers together; where it is 0, as many as give each of `routers` a turn within `within`.
     pub fn new(per_s: f64, routers: f64, within: f64) -> Ration {
-        let per_s = if per_s > 0.0 { per_s } else { (routers.max(1.0) / within).max(1.0 / within) };
+        let per_s = if per_s > 0.0 {
+            per_s
+        } else {
+            (routers.max(1.0) / within).max(1.0 / within)
+        };
         let slot = LEAST_SLOT_S.max(1.0 / per_s);
-        Ration { slot, owners: (per_s * slot).round().max(1.0) }
+        Ration {
+            slot,
+            owners: (per_s * slot).round().max(1.0),
+        }
     }
 
     pub fn slot(&self, now: f64) -> u64 {
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -51,7 +51,10 @@
     /// The first field that can't be, and why.
     pub fn fault(&self) -> Option<(&'static str, String)> {
         if !(100.0..=600_000.0).contains(&self.forget_ms) {
-            return Some(("forget_ms", format!("is {}, no time from 100 ms to ten minutes", self.forget_ms)));
+            return Some((
+                "forget_ms",
+                format!("is {}, no time from 100 ms to ten minutes", self.forget_ms),
+            ));
         }
         let rates = [
             ("idle_probes_per_s", self.idle_probes_per_s),
@@ -61,7 +64,10 @@
         ];
         let wrong = |rate: f64| rate != 0.0 && !(0.01..=1e5).contains(&rate);
         if let Some((field, told)) = rates.iter().find(|(_, rate)| wrong(*rate)) {
-            return Some((field, format!("is {told}, no rate from 0.01 to 100000 a second, and not 0")));
+            return Some((
+                field,
+                format!("is {told}, no rate from 0.01 to 100000 a second, and not 0"),
+            ));
         }
         for (field, share) in [("copies", self.copies), ("repeats", self.repeats)] {
             if !(0.0..=1.0).contains(&share) {
@@ -69,7 +75,10 @@
             }
         }
         if !(0.0..=1e6).contains(&self.little_per_s) {
-            return Some(("little_per_s", format!("is {}, no rate up to 1000000", self.little_per_s)));
+            return Some((
+                "little_per_s",
+                format!("is {}, no rate up to 1000000", self.little_per_s),
+            ));
         }
         let mut names: Vec<&String> = self.routers.iter().collect();
         names.sort();
--- a/crates/fleet/src/subset.rs
+++ b/crates/fleet/src/subset.rs
@@ -24,7 +24,9 @@
     if routers.len() * nodes.len() > MOST_PAIRS {
         return preferred(routers[me], nodes, size);
     }
-    let mut kept = assigned(routers, nodes, size).remove(&me).unwrap_or_default();
+    let mut kept = assigned(routers, nodes, size)
+        .remove(&me)
+        .unwrap_or_default();
     kept.sort_unstable();
     kept
 }
@@ -42,13 +44,21 @@
 pub fn assigned(routers: &[u64], nodes: &[u64], size: usize) -> BTreeMap<usize, Vec<usize>> {
     let mut pairs: Vec<(u64, usize, usize)> = Vec::with_capacity(routers.len() * nodes.len());
     for (r, router) in routers.iter().enumerate() {
-        pairs.extend(nodes.iter().enumerate().map(|(n, node)| (preference(*router, *node), r, n)));
+        pairs.extend(
+            nodes
+                .iter()
+                .enumerate()
+                .map(|(n, node)| (preference(*router, *node), r, n)),
+        );
     }
     // By places, not by numbers, where two preferences are alike.
-    pairs.sort_unstable_by_key(|(preference, r, n)| (std::cmp::Reverse(*preference), routers[*r], nodes[*n]));
+    pairs.sort_unstable_by_key(|(preference, r, n)| {
+        (std::cmp::Reverse(*preference), routers[*r], nodes[*n])
+    });
     let places = routers.len() * size;
     let (least, rest) = (places / nodes.len(), places % nodes.len());
-    let mut kept: BTreeMap<usize, Vec<usize>> = (0..routers.len()).map(|r| (r, Vec::new())).collect();
+    let mut kept: BTreeMap<usize, Vec<usize>> =
+        (0..routers.len()).map(|r| (r, Vec::new())).collect();
     let (mut load, mut full) = (vec![0; nodes.len()], 0);
     for (_, r, n) in &pairs {
         let mine = kept.entry(*r).or_default();
@@ -63,7 +73,9 @@
     for mine in kept.values_mut() {
         while mine.len() < size {
             let others = (0..nodes.len()).filter(|n| !mine.contains(n));
-            let Some(next) = others.min_by_key(|n| (load[*n], nodes[*n])) else { break };
+            let Some(next) = others.min_by_key(|n| (load[*n], nodes[*n])) else {
+                break;
+            };
             mine.push(next);
             load[next] += 1;
         }
--- a/crates/fleet/src/tests/rules.rs
+++ b/crates/fleet/src/tests/rules.rs
@@ -10,7 +10,10 @@
 
 /// A router of so many, all of them named, that knows a node.
 fn member(count: usize, me: usize, settings: Settings) -> Fleet {
-    let settings = Settings { routers: names(count), ..settings };
+    let settings = Settings {
+        routers: names(count),
+        ..settings
+    };
     let mut fleet = Fleet::new(settings, me as u64, count as f64, &format!("router-{me}"));
     fleet.named(1, "node-1");
     fleet
@@ -63,7 +66,14 @@
 
 #[test]
 fn a_router_has_its_turn_in_each_cycle_and_uses_it_once() {
-    let mut fleet = member(10, 3, Settings { trials_per_s: 5.0, ..Settings::default() });
+    let mut fleet = member(
+        10,
+        3,
+        Settings {
+            trials_per_s: 5.0,
+            ..Settings::default()
+        },
+    );
     let cycle = fleet.cycle(Kind::Trial);
     assert!((cycle - 2.0).abs() < 1e-9, "{cycle}");
     let mut used = 0;
@@ -80,7 +90,16 @@
 
 #[test]
 fn one_alone_does_as_it_would_without() {
-    let mut one = Fleet::new(Settings { subset: 1, copies: 0.0, ..Settings::default() }, 7, 1.0, "only");
+    let mut one = Fleet::new(
+        Settings {
+            subset: 1,
+            copies: 0.0,
+            ..Settings::default()
+        },
+        7,
+        1.0,
+        "only",
+    );
     one.named(1, "node-1");
     one.grouped(0, &[1, 2, 3], 0.1);
     for kind in [Kind::Idle, Kind::Search, Kind::Trial, Kind::First] {
@@ -93,11 +112,20 @@
 
 #[test]
 fn kinds_and_nodes_have_their_turns_at_different_times() {
-    let mut fleet =
-        member(40, 3, Settings { trials_per_s: 10.0, idle_probes_per_s: 10.0, ..Settings::default() });
+    let mut fleet = member(
+        40,
+        3,
+        Settings {
+            trials_per_s: 10.0,
+            idle_probes_per_s: 10.0,
+            ..Settings::default()
+        },
+    );
     fleet.named(2, "node-2");
     let moments = |kind, node| -> BTreeSet<u32> {
-        (0..80).filter(|slot| fleet.may(kind, f64::from(*slot) * 0.1 + 0.05, node)).collect()
+        (0..80)
+            .filter(|slot| fleet.may(kind, f64::from(*slot) * 0.1 + 0.05, node))
+            .collect()
     };
     let (one, two) = (moments(Kind::Trial, 1), moments(Kind::Trial, 2));
     assert_eq!((one.len(), two.len()), (2, 2));
@@ -128,10 +156,16 @@
 
 #[test]
 fn little_traffic_keeps_to_a_few_and_much_to_all() {
-    let settings = Settings { subset: 2, little_per_s: 10.0, ..Settings::default() };
+    let settings = Settings {
+        subset: 2,
+        little_per_s: 10.0,
+        ..Settings::default()
+    };
     let mut fleet = member(20, 4, settings);
     let replicas: Vec<u32> = (1..=6).collect();
-    replicas.iter().for_each(|id| fleet.named(*id, &format!("node-{id}")));
+    replicas
+        .iter()
+        .for_each(|id| fleet.named(*id, &format!("node-{id}")));
     let kept = |fleet: &Fleet| replicas.iter().filter(|id| fleet.keeps(0, **id)).count();
     fleet.grouped(0, &replicas, 5.0);
     assert_eq!(kept(&fleet), 2);
@@ -147,9 +181,18 @@
 
 #[test]
 fn who_leaves_service_is_replaced_at_once() {
-    let mut fleet = member(20, 4, Settings { subset: 2, ..Settings::default() });
+    let mut fleet = member(
+        20,
+        4,
+        Settings {
+            subset: 2,
+            ..Settings::default()
+        },
+    );
     let replicas: Vec<u32> = (1..=6).collect();
-    replicas.iter().for_each(|id| fleet.named(*id, &format!("node-{id}")));
+    replicas
+        .iter()
+        .for_each(|id| fleet.named(*id, &format!("node-{id}")));
     fleet.grouped(0, &replicas, 1.0);
     let gone = *replicas.iter().find(|id| fleet.keeps(0, **id)).unwrap();
     let left: Vec<u32> = replicas.iter().copied().filter(|id| *id != gone).collect();
@@ -158,7 +201,9 @@
 }
 
 fn places(prefix: &str, count: usize) -> Vec<u64> {
-    (0..count).map(|i| place(&format!("{prefix}-{i}"))).collect()
+    (0..count)
+        .map(|i| place(&format!("{prefix}-{i}")))
+        .collect()
 }
 
 #[test_case(40, 6, 2; "forty routers, six nodes")]
@@ -171,23 +216,41 @@
     kept.values().flatten().for_each(|n| load[*n] += 1);
     let (least, most) = (load.iter().min().unwrap(), load.iter().max().unwrap());
     assert!(*most as f64 <= 1.25 * *least as f64, "{load:?}");
-    assert!(kept.values().all(|mine| mine.iter().collect::<BTreeSet<_>>().len() == size));
+    assert!(
+        kept.values()
+            .all(|mine| mine.iter().collect::<BTreeSet<_>>().len() == size)
+    );
 }
 
 /// The share of places that are others once a router or a node is gone, beside those that were its own.
-fn moved(routers: &[u64], nodes: &[u64], size: usize, router: Option<usize>, node: Option<usize>) -> f64 {
+fn moved(
+    routers: &[u64],
+    nodes: &[u64],
+    size: usize,
+    router: Option<usize>,
+    node: Option<usize>,
+) -> f64 {
     let before = assigned(routers, nodes, size);
     let without = |of: &[u64], gone: Option<usize>| -> Vec<u64> {
-        of.iter().enumerate().filter(|(i, _)| Some(*i) != gone).map(|(_, place)| *place).collect()
+        of.iter()
+            .enumerate()
+            .filter(|(i, _)| Some(*i) != gone)
+            .map(|(_, place)| *place)
+            .collect()
     };
     let (left, alive) = (without(routers, router), without(nodes, node));
     let after = assigned(&left, &alive, size);
-    let pairs = |kept: &std::collections::BTreeMap<usize, Vec<usize>>, routers: &[u64], nodes: &[u64]| {
-        let named = kept.iter().flat_map(|(r, mine)| mine.iter().map(|n| (routers[*r], nodes[*n])));
-        named.collect::<BTreeSet<(u64, u64)>>()
-    };
+    let pairs =
+        |kept: &std::collections::BTreeMap<usize, Vec<usize>>, routers: &[u64], nodes: &[u64]| {
+            let named = kept
+                .iter()
+                .flat_map(|(r, mine)| mine.iter().map(|n| (routers[*r], nodes[*n])));
+            named.collect::<BTreeSet<(u64, u64)>>()
+        };
     let (was, is) = (pairs(&before, routers, nodes), pairs(&after, &left, &alive));
-    let stays = was.iter().filter(|(r, n)| left.contains(r) && alive.contains(n));
+    let stays = was
+        .iter()
+        .filter(|(r, n)| left.contains(r) && alive.contains(n));
     let lost = stays.filter(|pair| !is.contains(pair)).count();
     lost as f64 / was.len() as f64
 }
@@ -198,10 +261,17 @@
 #[test_case(100, 20, 4; "a hundred routers")]
 fn few_places_move(routers: usize, nodes: usize, size: usize) {
     let (r, n) = (places("router", routers), places("node", nodes));
-    let by_router: Vec<f64> = (0..routers).map(|gone| moved(&r, &n, size, Some(gone), None)).collect();
-    let by_node: Vec<f64> = (0..nodes).map(|gone| moved(&r, &n, size, None, Some(gone))).collect();
+    let by_router: Vec<f64> = (0..routers)
+        .map(|gone| moved(&r, &n, size, Some(gone), None))
+        .collect();
+    let by_node: Vec<f64> = (0..nodes)
+        .map(|gone| moved(&r, &n, size, None, Some(gone)))
+        .collect();
     for of in [by_router, by_node] {
-        let (mean, most) = (of.iter().sum::<f64>() / of.len() as f64, of.iter().copied().fold(0.0, f64::max));
+        let (mean, most) = (
+            of.iter().sum::<f64>() / of.len() as f64,
+            of.iter().copied().fold(0.0, f64::max),
+        );
         assert!(mean <= 0.1 && most <= 0.25, "mean {mean}, most {most}");
     }
 }
@@ -210,7 +280,10 @@
 #[test_case(3, 6, 2; "too few to keep every node known")]
 #[test_case(40, 3, 3; "no fewer than there are")]
 fn all_is_kept(routers: usize, nodes: usize, size: usize) {
-    assert_eq!(subset(&places("router", routers), 0, &places("node", nodes), size).len(), nodes);
+    assert_eq!(
+        subset(&places("router", routers), 0, &places("node", nodes), size).len(),
+        nodes
+    );
 }
 
 #[test_case(|s| s.forget_ms = 0.0, "forget_ms"; "no time")]
--- a/crates/fleet/src/tests/sums.rs
+++ b/crates/fleet/src/tests/sums.rs
@@ -6,7 +6,12 @@
 /// All turns at one place in each slot, for routers that count `living` of `count` as alive; only `needy` of them
 /// want a turn.
 fn taken(
-    ration: &Ration, named: bool, count: u64, living: f64, needy: &dyn Fn(u64) -> bool, slots: u64,
+    ration: &Ration,
+    named: bool,
+    count: u64,
+    living: f64,
+    needy: &dyn Fn(u64) -> bool,
+    slots: u64,
 ) -> Vec<u64> {
     let ranks = |rank: u64| Ranks {
         named: named.then_some((rank, count)),
@@ -17,7 +22,11 @@
     let all: Vec<Ranks> = (0..count).filter(|rank| needy(*rank)).map(ranks).collect();
     let at = |slot: u64| (slot as f64 + 0.5) * ration.slot;
     (0..slots)
-        .map(|slot| all.iter().filter(|r| ration.turn(at(slot), 99, r).is_some()).count() as u64)
+        .map(|slot| {
+            all.iter()
+                .filter(|r| ration.turn(at(slot), 99, r).is_some())
+                .count() as u64
+        })
         .collect()
 }
 
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -37,7 +37,11 @@
 
 impl Client {
     pub fn new(router: SocketAddr) -> Client {
-        Client { router, connection: None, resent: 0 }
+        Client {
+            router,
+            connection: None,
+            resent: 0,
+        }
     }
 
     /// Sends a statement and waits for its final answer, as long as `wait` and a moment more.
@@ -99,7 +103,9 @@
 fn failed(body: &[u8]) -> Result<Outcome, Close> {
     let code = message::error_code(body)?;
     let text = |field: u8| {
-        let found = body.split(|b| *b == 0).find_map(|part| part.strip_prefix(&[field]));
+        let found = body
+            .split(|b| *b == 0)
+            .find_map(|part| part.strip_prefix(&[field]));
         found.map(|text| String::from_utf8_lossy(text).into_owned())
     };
     Ok(match &code {
@@ -126,9 +132,17 @@
         if left.is_zero() {
             return Err(Lost::Silent);
         }
-        stream.set_read_timeout(Some(left)).map_err(|_| Lost::Closed)?;
+        stream
+            .set_read_timeout(Some(left))
+            .map_err(|_| Lost::Closed)?;
         match stream.read(input.room()) {
-            Ok(0) => return Err(if input.is_empty() { Lost::Closed } else { Lost::Wrong }),
+            Ok(0) => {
+                return Err(if input.is_empty() {
+                    Lost::Closed
+                } else {
+                    Lost::Wrong
+                });
+            }
             Ok(count) => input.filled(count),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 return Err(Lost::Silent);
--- a/crates/lab/src/cluster_fleet.rs
+++ b/crates/lab/src/cluster_fleet.rs
@@ -78,7 +78,9 @@
     let step = |after: u64, within: u64, deed: Value| json!({"at_ms": CALM_MS + after, "within_ms": within, "do": deed});
     let third: Vec<usize> = (0..routers).filter(|r| r % 3 == 0).collect();
     let each = |deed: &dyn Fn(usize) -> Value, after: u64| -> Vec<Value> {
-        (0..groups).map(|group| step(after, 0, json!({"store": deed(group)}))).collect()
+        (0..groups)
+            .map(|group| step(after, 0, json!({"store": deed(group)})))
+            .collect()
     };
     let last = MEMBERS - 1;
     let (steps, behind) = match plan {
@@ -94,9 +96,15 @@
             )
         }
         Plan::Stop => {
-            let mut steps = each(&|group| json!({"hang": {"group": group, "member": last}}), 0);
+            let mut steps = each(
+                &|group| json!({"hang": {"group": group, "member": last}}),
+                0,
+            );
             steps.push(step(100, 0, json!({"stop": {"share": 0.1}})));
-            steps.extend(each(&|group| json!({"wake": {"group": group, "member": last}}), 2500));
+            steps.extend(each(
+                &|group| json!({"wake": {"group": group, "member": last}}),
+                2500,
+            ));
             steps.push(step(5000, 0, json!({"continue": "same"})));
             (steps, 10_000)
         }
@@ -105,9 +113,11 @@
             (vec![step(0, 0, json!({"links": links}))], 9000)
         }
         Plan::Split => {
-            let half = |side: usize| -> Vec<usize> { (0..routers).filter(|r| r % 2 == side).collect() };
-            let nodes_of =
-                |side: usize| -> Vec<usize> { (0..groups * MEMBERS).filter(|n| n % 2 == side).collect() };
+            let half =
+                |side: usize| -> Vec<usize> { (0..routers).filter(|r| r % 2 == side).collect() };
+            let nodes_of = |side: usize| -> Vec<usize> {
+                (0..groups * MEMBERS).filter(|n| n % 2 == side).collect()
+            };
             let cut = |side: usize| {
                 let links = json!({"of": "nodes", "routers": {"these": half(side)}, "nodes": {"these": nodes_of(side)},
                     "fault": "drop", "for_ms": 3000});
@@ -117,7 +127,10 @@
         }
         Plan::Zone => {
             let mut steps = vec![step(0, 0, json!({"kill": {"these": third}}))];
-            steps.extend(each(&|group| json!({"kill": {"group": group, "member": last}}), 0));
+            steps.extend(each(
+                &|group| json!({"kill": {"group": group, "member": last}}),
+                0,
+            ));
             steps.extend(each(&|group| json!({"restart": {"group": group}}), 2000));
             steps.push(step(2000, 200, json!({"start": "down"})));
             (steps, 9000)
@@ -143,8 +156,10 @@
 /// The experiment's settings: routers are named, but where the fleet grows, and nodes tell of their connections.
 pub fn own(plan: Plan, routers: usize) -> String {
     let named = plan != Plan::Grow;
-    let names: Vec<String> =
-        (0..routers).filter(|_| named).map(|router| format!("router-{router}")).collect();
+    let names: Vec<String> = (0..routers)
+        .filter(|_| named)
+        .map(|router| format!("router-{router}"))
+        .collect();
     json!({
         "recovery": {"routers": names, "held_field": "x4", "opened_field": "x5", "handshake_ms": 100.0,
                      "opens_in_100ms": 4.0, "linger_ms": 1000.0},
@@ -175,13 +190,22 @@
         plot(with.as_ref(), baseline.as_ref(), "with our settings", place)?;
     }
     let broken = broken(options.plan, with.as_ref(), baseline.as_ref());
-    Ok(Report { plan: options.plan, seed: options.seed, routers: options.routers, with, baseline, broken })
+    Ok(Report {
+        plan: options.plan,
+        seed: options.seed,
+        routers: options.routers,
+        with,
+        baseline,
+        broken,
+    })
 }
 
 /// Which stated bounds do not hold.
 fn broken(plan: Plan, with: Option<&Verdict>, baseline: Option<&Verdict>) -> Vec<String> {
     let mut broken = rules([("baseline", baseline), ("with our settings", with)]);
-    let Some(figures) = with.map(|verdict| &verdict.figures) else { return broken };
+    let Some(figures) = with.map(|verdict| &verdict.figures) else {
+        return broken;
+    };
     let mut holds = |fits: bool, what: String| {
         if !fits {
             broken.push(what);
@@ -190,8 +214,14 @@
     let (refused, probes) = (figures.refused_share, figures.probes_each);
     match plan {
         Plan::Calm => {
-            holds(refused < 0.05, format!("{refused:.3} refused, under 0.05 is allowed"));
-            holds(probes < 0.05, format!("{probes:.3} probes a statement, under 0.05 is allowed"));
+            holds(
+                refused < 0.05,
+                format!("{refused:.3} refused, under 0.05 is allowed"),
+            );
+            holds(
+                probes < 0.05,
+                format!("{probes:.3} probes a statement, under 0.05 is allowed"),
+            );
         }
         Plan::Grow => {
             let least = figures.evenness_least;
@@ -204,7 +234,10 @@
     }
     if let Some(before) = baseline.map(|verdict| &verdict.figures) {
         let (served, was) = (figures.served_after, before.served_after);
-        holds(served >= was - 0.05, format!("{served:.3} served behind the fault, the baseline {was:.3}"));
+        holds(
+            served >= was - 0.05,
+            format!("{served:.3} served behind the fault, the baseline {was:.3}"),
+        );
         holds(
             probes <= before.probes_each,
             format!("{probes:.3} probes, the baseline {:.3}", before.probes_each),
@@ -219,23 +252,35 @@
         "plan {:?}, seed {}, {} routers; simulated clients and nodes",
         report.plan, report.seed, report.routers
     );
-    for (name, verdict) in [("baseline", &report.baseline), ("with our settings", &report.with)] {
+    for (name, verdict) in [
+        ("baseline", &report.baseline),
+        ("with our settings", &report.with),
+    ] {
         let Some(verdict) = verdict else { continue };
         let f = &verdict.figures;
         println!(
             "{name}: served {:.3} in the calm, {:.3} behind  refused {:.3}  probes {:.3}  opened {:.3}  executions {:.2} a statement",
-            f.served_calm, f.served_after, f.refused_share, f.probes_each, f.opened_each, f.executions_each
+            f.served_calm,
+            f.served_after,
+            f.refused_share,
+            f.probes_each,
+            f.opened_each,
+            f.executions_each
         );
         println!(
             "  most in 100 ms at a node: {} connections, {} probes; {} turned away; evenness {}; {} pairs in the calm; cold {:.2} of the bound",
             f.burst_opened,
             f.burst_probes,
             f.turned_away,
-            f.evenness_least.map_or("-".to_string(), |e| format!("{e:.3}")),
+            f.evenness_least
+                .map_or("-".to_string(), |e| format!("{e:.3}")),
             f.pairs_calm,
             f.cold_most
         );
         print_rules(verdict);
     }
-    report.broken.iter().for_each(|line| println!("BROKEN: {line}"));
+    report
+        .broken
+        .iter()
+        .for_each(|line| println!("BROKEN: {line}"));
 }
--- a/crates/lab/src/comeback.rs
+++ b/crates/lab/src/comeback.rs
@@ -86,10 +86,13 @@
 /// held, what starts is cold, lists run late.
 pub fn script(plan: Plan, routers: usize, nodes: usize) -> Value {
     let at = |after: u64| CALM_MS + after;
-    let step =
-        |after: u64, within: u64, deed: Value| json!({"at_ms": at(after), "within_ms": within, "do": deed});
-    let killed =
-        |which: Value| vec![step(0, 0, json!({"kill": which})), step(600, 100, json!({"start": "down"}))];
+    let step = |after: u64, within: u64, deed: Value| json!({"at_ms": at(after), "within_ms": within, "do": deed});
+    let killed = |which: Value| {
+        vec![
+            step(0, 0, json!({"kill": which})),
+            step(600, 100, json!({"start": "down"})),
+        ]
+    };
     let (steps, behind) = match plan {
         Plan::Calm => (vec![], 4000),
         Plan::Herd => (killed(json!({"share": 0.7})), 9000),
@@ -102,8 +105,10 @@
             (steps, 9000)
         }
         Plan::Pause => {
-            let steps =
-                vec![step(0, 0, json!({"stop": {"share": 0.5}})), step(5000, 0, json!({"continue": "same"}))];
+            let steps = vec![
+                step(0, 0, json!({"stop": {"share": 0.5}})),
+                step(5000, 0, json!({"continue": "same"})),
+            ];
             (steps, 13000)
         }
         Plan::Cut => {
@@ -131,7 +136,10 @@
                     let first = turn as usize * tenth;
                     let these: Vec<usize> = (first..routers.min(first + tenth)).collect();
                     let end = step(turn * 700, 0, json!({"end": {"these": these}}));
-                    [end, step(turn * 700 + 1100, 50, json!({"start": {"these": these}}))]
+                    [
+                        end,
+                        step(turn * 700 + 1100, 50, json!({"start": {"these": these}})),
+                    ]
                 })
                 .collect();
             steps.push(step(2500, 0, json!({"store": {"drain": {"group": 0}}})));
@@ -160,7 +168,9 @@
 
 /// The experiment's settings: routers are named, and nodes tell of their connections.
 pub fn own(routers: usize) -> String {
-    let names: Vec<String> = (0..routers).map(|router| format!("router-{router}")).collect();
+    let names: Vec<String> = (0..routers)
+        .map(|router| format!("router-{router}"))
+        .collect();
     json!({"recovery": {"routers": names, "held_field": "x4", "opened_field": "x5", "handshake_ms": 100.0, "opens_in_100ms": 4.0,
                         "linger_ms": 1000.0}})
     .to_string()
@@ -175,7 +185,8 @@
         }
         None => {
             let text = script(options.plan, options.routers, options.nodes).to_string();
-            Script::read(&text).map_err(|e| wrong(format!("the plan makes no script of these numbers: {e}")))
+            Script::read(&text)
+                .map_err(|e| wrong(format!("the plan makes no script of these numbers: {e}")))
         }
     }
 }
@@ -212,10 +223,15 @@
 
 /// Which stated bounds do not hold.
 fn broken(
-    options: &Options, script: &Script, with: Option<&Verdict>, baseline: Option<&Verdict>,
+    options: &Options,
+    script: &Script,
+    with: Option<&Verdict>,
+    baseline: Option<&Verdict>,
 ) -> Vec<String> {
     let mut broken = rules([("baseline", baseline), ("with recovery", with)]);
-    let Some(figures) = with.map(|verdict| &verdict.figures) else { return broken };
+    let Some(figures) = with.map(|verdict| &verdict.figures) else {
+        return broken;
+    };
     let mut holds = |fits: bool, what: String| {
         if !fits {
             broken.push(what);
@@ -224,7 +240,10 @@
     if matches!(options.plan, Plan::Herd | Plan::All) && options.script.is_none() {
         let burst = figures.burst_opened;
         let most = (3 * figures.calm_held).max(script.store.connections);
-        holds(burst <= most, format!("{burst} connections in 100 ms at one node, {most} are allowed"));
+        holds(
+            burst <= most,
+            format!("{burst} connections in 100 ms at one node, {most} are allowed"),
+        );
         let took = figures.full_service_ms;
         holds(
             took.is_some_and(|ms| ms <= 3000.0),
@@ -239,7 +258,10 @@
             let sooner = took.unwrap_or(f64::MAX) <= before.full_service_ms.unwrap_or(f64::MAX);
             holds(
                 sooner,
-                format!("full service after {took:?} ms, the baseline's {:?}", before.full_service_ms),
+                format!(
+                    "full service after {took:?} ms, the baseline's {:?}",
+                    before.full_service_ms
+                ),
             );
         }
     }
@@ -252,7 +274,10 @@
         "plan {}, seed {}, {} routers; simulated clients and nodes",
         report.plan, report.seed, report.routers
     );
-    for (name, verdict) in [("baseline", &report.baseline), ("with recovery", &report.with)] {
+    for (name, verdict) in [
+        ("baseline", &report.baseline),
+        ("with recovery", &report.with),
+    ] {
         let Some(verdict) = verdict else { continue };
         let f = &verdict.figures;
         println!(
@@ -263,7 +288,8 @@
             "  served {:.3} in the calm, {:.3} behind the fault; full service after {} ms",
             f.served_calm,
             f.served_after,
-            f.full_service_ms.map_or("-".to_string(), |ms| format!("{ms:.0}"))
+            f.full_service_ms
+                .map_or("-".to_string(), |ms| format!("{ms:.0}"))
         );
         println!(
             "  most in 100 ms: {} connections and {} probes at a node, {} calls for lists; {} of {} connections turned away",
@@ -279,5 +305,8 @@
         );
         print_rules(verdict);
     }
-    report.broken.iter().for_each(|line| println!("BROKEN: {line}"));
+    report
+        .broken
+        .iter()
+        .for_each(|line| println!("BROKEN: {line}"));
 }
--- a/crates/lab/src/crowd.rs
+++ b/crates/lab/src/crowd.rs
@@ -231,7 +231,13 @@
 ///
 /// # Errors
 /// Settings that can't be served.
-pub fn play(shape: &Shape, deeds: &[(f64, Do)], own: &Own, up: usize, seed: u64) -> Result<Ran, String> {
+pub fn play(
+    shape: &Shape,
+    deeds: &[(f64, Do)],
+    own: &Own,
+    up: usize,
+    seed: u64,
+) -> Result<Ran, String> {
     let mut crowd = Crowd {
         shape,
         own,
@@ -296,10 +302,16 @@
             }
         }
         let seconds = self.shape.length_s.ceil() as usize;
-        let second = Second { by_router: vec![Of::default(); self.shape.routers], ..Second::default() };
+        let second = Second {
+            by_router: vec![Of::default(); self.shape.routers],
+            ..Second::default()
+        };
         self.ran.seconds = vec![second; seconds];
         let deeds: Vec<f64> = self.deeds.iter().map(|deed| deed.0).collect();
-        deeds.iter().enumerate().for_each(|(i, at)| self.at(START + at, Event::Deed(i)));
+        deeds
+            .iter()
+            .enumerate()
+            .for_each(|(i, at)| self.at(START + at, Event::Deed(i)));
         self.at(START, Event::Arrive);
         self.at(START + 1.0, Event::Sweep);
         Ok(())
@@ -338,7 +350,8 @@
         });
         self.waiting[place] = Some(event);
         self.order += 1;
-        self.events.push(Reverse(((when * 1e6) as u64, self.order, place)));
+        self.events
+            .push(Reverse(((when * 1e6) as u64, self.order, place)));
     }
 
     fn run(&mut self) {
@@ -353,8 +366,12 @@
                 self.happen(event);
             }
         }
-        self.ran.pairs =
-            self.routers.iter().filter(|r| r.up).map(|r| r.held.values().filter(|h| **h > 0).count()).sum();
+        self.ran.pairs = self
+            .routers
+            .iter()
+            .filter(|r| r.up)
+            .map(|r| r.held.values().filter(|h| **h > 0).count())
+            .sum();
     }
 
     fn second(&mut self, at: f64) -> Option<&mut Second> {
@@ -448,7 +465,11 @@
             second.asked += 1;
             second.by_router[router].demand += worth;
         }
-        let age = if asked.wrote > 0.0 { (now - asked.wrote).max(1e-6) } else { 0.0 };
+        let age = if asked.wrote > 0.0 {
+            (now - asked.wrote).max(1e-6)
+        } else {
+            0.0
+        };
         let left = asked.until - now;
         let of = &mut self.routers[router];
         if left <= 0.0 || !of.up {
@@ -457,7 +478,11 @@
         of.numbered += 1;
         let stmt = of.numbered;
         of.open.insert(stmt, (asked, 0));
-        let session = if asked.workload == 0 { 0 } else { asked.session };
+        let session = if asked.workload == 0 {
+            0
+        } else {
+            asked.session
+        };
         of.instance.arrived(
             now,
             stmt,
@@ -480,7 +505,11 @@
             match order {
                 Order::Execute(stmt, node, limit) => self.execute(router, stmt, node, limit),
                 Order::Cancel(stmt, execution) => {
-                    if let Some(of) = self.routers[router].running.get(&(stmt, execution)).copied() {
+                    if let Some(of) = self.routers[router]
+                        .running
+                        .get(&(stmt, execution))
+                        .copied()
+                    {
                         self.end(of, Ending::Cancelled, false);
                     }
                 }
@@ -488,7 +517,9 @@
                 Order::Abort(stmt) => self.refused(router, stmt, None),
                 Order::Probe(node) => {
                     let at = self.now;
-                    self.second(at).into_iter().for_each(|second| second.probes += 1);
+                    self.second(at)
+                        .into_iter()
+                        .for_each(|second| second.probes += 1);
                     self.dial(router, None, node, DIAL_S);
                 }
                 Order::Wake(after) => soonest = soonest.min(after.max(1e-4)),
@@ -503,12 +534,17 @@
     }
 
     fn refused(&mut self, router: usize, stmt: u32, after: Option<f64>) {
-        let Some((mut asked, _)) = self.routers[router].open.remove(&stmt) else { return };
+        let Some((mut asked, _)) = self.routers[router].open.remove(&stmt) else {
+            return;
+        };
         let why = self.why(router, asked.group, asked.workload);
         *self.ran.refusals.entry(why).or_default() += 1;
-        self.second(asked.due).into_iter().for_each(|second| second.refused += 1);
-        let again =
-            after.filter(|_| asked.tries < self.shape.retries).map(|after| self.now + after.max(0.001));
+        self.second(asked.due)
+            .into_iter()
+            .for_each(|second| second.refused += 1);
+        let again = after
+            .filter(|_| asked.tries < self.shape.retries)
+            .map(|after| self.now + after.max(0.001));
         if let Some(at) = again.filter(|at| *at < asked.until) {
             asked.tries += 1;
             self.at(at, Event::Due(asked));
@@ -520,11 +556,17 @@
         let members = self.shape.members;
         let all = usize::from(group) * members..(usize::from(group) + 1) * members;
         let takes = |node: &usize| workload < 2 || self.nodes[*node].leads;
-        let able: Vec<usize> = all.filter(takes).filter(|node| self.nodes[*node].up).collect();
+        let able: Vec<usize> = all
+            .filter(takes)
+            .filter(|node| self.nodes[*node].up)
+            .collect();
         if able.is_empty() {
             return "no member lives";
         }
-        let able: Vec<usize> = able.into_iter().filter(|node| !self.is_cut(router, *node)).collect();
+        let able: Vec<usize> = able
+            .into_iter()
+            .filter(|node| !self.is_cut(router, *node))
+            .collect();
         if able.is_empty() {
             return "cut off";
         }
@@ -539,17 +581,24 @@
     }
 
     fn execute(&mut self, router: usize, stmt: u32, node: usize, limit: f64) {
-        let Some(open) = self.routers[router].open.get_mut(&stmt) else { return };
+        let Some(open) = self.routers[router].open.get_mut(&stmt) else {
+            return;
+        };
         let execution = open.1;
         open.1 += 1;
         self.ran.executions += 1;
-        self.ran.copies +=
-            usize::from(self.routers[router].running.contains_key(&(stmt, execution.wrapping_sub(1))));
+        self.ran.copies += usize::from(
+            self.routers[router]
+                .running
+                .contains_key(&(stmt, execution.wrapping_sub(1))),
+        );
         self.dial(router, Some((stmt, execution)), node, limit);
     }
 
     fn is_cut(&self, router: usize, node: usize) -> bool {
-        self.cut.iter().any(|(routers, nodes)| routers.contains(&router) && nodes.contains(&node))
+        self.cut
+            .iter()
+            .any(|(routers, nodes)| routers.contains(&router) && nodes.contains(&node))
     }
 
     /// Sends on an idle connection, or opens one.
@@ -558,11 +607,19 @@
         let of = &mut self.routers[router];
         let reused = of.idle.get_mut(&node).and_then(Vec::pop).is_some();
         let phase = if reused { Phase::Out } else { Phase::Dialing };
-        let execution = Execution { router, life: of.life, stmt, node, sent: now, phase };
+        let execution = Execution {
+            router,
+            life: of.life,
+            stmt,
+            node,
+            sent: now,
+            phase,
+        };
         // Numbers are never used again: what is still to happen to an old one finds it over.
         let number = self.executions.len();
         self.executions.push(execution);
-        stmt.into_iter().for_each(|key| _ = self.routers[router].running.insert(key, number));
+        stmt.into_iter()
+            .for_each(|key| _ = self.routers[router].running.insert(key, number));
         self.at(now + limit, Event::Expire(number));
         if reused {
             if !cut {
@@ -570,7 +627,9 @@
             }
             return;
         }
-        self.second(now).into_iter().for_each(|second| second.opened += 1);
+        self.second(now)
+            .into_iter()
+            .for_each(|second| second.opened += 1);
         if cut {
             self.at(now + DIAL_S, Event::DialOver(number));
         } else if !self.nodes[node].up {
@@ -621,7 +680,9 @@
     /// Takes what waits at a node into its slots.
     fn work(&mut self, node: usize) {
         while self.nodes[node].busy < self.shape.slots {
-            let Some((execution, shake)) = self.nodes[node].queue.pop_front() else { return };
+            let Some((execution, shake)) = self.nodes[node].queue.pop_front() else {
+                return;
+            };
             let of = self.executions[execution];
             let wanted = of.phase != Phase::Over && of.node == node;
             if !wanted && !shake {
@@ -631,7 +692,11 @@
             // What is turned away or only asked about costs nothing.
             let free = !shake && (of.stmt.is_none() || self.misses(&of));
             let takes = if shake { s.handshake_s } else { s.service_s };
-            let takes = if free { 0.0 } else { takes * self.nodes[node].slower / self.warmth(node) };
+            let takes = if free {
+                0.0
+            } else {
+                takes * self.nodes[node].slower / self.warmth(node)
+            };
             self.nodes[node].busy += 1;
             let life = self.nodes[node].life;
             self.at(self.now + takes, Event::Done(node, life, execution, shake));
@@ -639,7 +704,9 @@
     }
 
     fn misses(&self, of: &Execution) -> bool {
-        let open = of.stmt.and_then(|(stmt, _)| self.routers[of.router].open.get(&stmt));
+        let open = of
+            .stmt
+            .and_then(|(stmt, _)| self.routers[of.router].open.get(&stmt));
         open.is_some_and(|(asked, _)| asked.workload >= 2) && !self.nodes[of.node].leads
     }
 
@@ -649,8 +716,16 @@
         if of.node == node && of.phase == Phase::Dialing && shake {
             self.executions[execution].phase = Phase::Out;
             self.enqueue(node, execution, false);
-        } else if of.node == node && of.phase == Phase::Out && !shake && !self.is_cut(of.router, node) {
-            let ending = if self.misses(&of) { Ending::Missed } else { Ending::Completed };
+        } else if of.node == node
+            && of.phase == Phase::Out
+            && !shake
+            && !self.is_cut(of.router, node)
+        {
+            let ending = if self.misses(&of) {
+                Ending::Missed
+            } else {
+                Ending::Completed
+            };
             self.at(self.now + TRIP_S, Event::Heard(execution, ending));
         }
         self.work(node);
@@ -665,7 +740,11 @@
         let good = matches!(ending, Ending::Completed | Ending::Missed) && of.phase == Phase::Out;
         let (now, leads) = (self.now, self.nodes[of.node].leads);
         if good && of.life == self.routers[of.router].life {
-            self.routers[of.router].idle.entry(of.node).or_default().push(now);
+            self.routers[of.router]
+                .idle
+                .entry(of.node)
+                .or_default()
+                .push(now);
         }
         self.executions[number].phase = Phase::Over;
         if of.life != self.routers[of.router].life || !self.routers[of.router].up {
@@ -675,11 +754,21 @@
         let lsn = if leads { now } else { now - self.shape.lag_s };
         let role = if leads { Role::Primary } else { Role::Replica };
         let held = self.nodes[of.node].held as f64;
-        let own = self.routers[of.router].held.get(&of.node).copied().unwrap_or(0) as f64;
+        let own = self.routers[of.router]
+            .held
+            .get(&of.node)
+            .copied()
+            .unwrap_or(0) as f64;
         match of.stmt {
             None => {
                 let answered = ending == Ending::Completed;
-                self.routers[of.router].instance.probed(now, id, answered, answered.then_some(leads), lsn);
+                self.routers[of.router].instance.probed(
+                    now,
+                    id,
+                    answered,
+                    answered.then_some(leads),
+                    lsn,
+                );
             }
             Some(key) => {
                 self.routers[of.router].running.remove(&key);
@@ -703,7 +792,9 @@
 
     /// The final answer to a client; true if it was open still.
     fn answer(&mut self, router: usize, stmt: u32, lsn: f64) -> bool {
-        let Some((asked, _)) = self.routers[router].open.remove(&stmt) else { return false };
+        let Some((asked, _)) = self.routers[router].open.remove(&stmt) else {
+            return false;
+        };
         let now = self.now;
         self.ran.stale += usize::from(asked.wrote > 0.0 && lsn < asked.wrote - 0.002);
         if asked.workload >= 2 {
@@ -713,7 +804,15 @@
                 let due = now + 0.2;
                 let until = due + self.shape.patience_s;
                 let home = self.home();
-                let read = Asked { due, until, workload: 1, wrote: now, tries: 0, home, ..asked };
+                let read = Asked {
+                    due,
+                    until,
+                    workload: 1,
+                    wrote: now,
+                    tries: 0,
+                    home,
+                    ..asked
+                };
                 self.at(due, Event::Due(read));
             }
         }
@@ -745,7 +844,9 @@
         let (now, id) = (self.now, of.node as u32);
         match of.stmt {
             None => {
-                self.routers[of.router].instance.probed(now, id, false, None, f64::NEG_INFINITY);
+                self.routers[of.router]
+                    .instance
+                    .probed(now, id, false, None, f64::NEG_INFINITY);
                 self.settle(of.router);
             }
             Some(key) => {
@@ -776,7 +877,11 @@
         let instance = &mut self.routers[router].instance;
         instance.listing();
         for (id, node) in self.nodes.iter().enumerate() {
-            let standing = if node.up { Standing::Ready } else { Standing::Gone };
+            let standing = if node.up {
+                Standing::Ready
+            } else {
+                Standing::Gone
+            };
             instance.named(id as u32, &format!("node-{id}"));
             let place = ((id / members) as u16, 0);
             instance.member(now, id as u32, place, standing, node.since, node.leads);
@@ -796,12 +901,16 @@
 
     fn deed(&mut self, deed: Do) {
         match deed {
-            Do::KillRouters(these) => these.into_iter().for_each(|router| self.kill_router(router)),
+            Do::KillRouters(these) => these
+                .into_iter()
+                .for_each(|router| self.kill_router(router)),
             Do::StartRouters(these) => {
                 for router in these {
                     let life = self.routers[router].life + 1;
                     // It was served once: so it can be again.
-                    let Ok(instance) = self.born(router, life) else { continue };
+                    let Ok(instance) = self.born(router, life) else {
+                        continue;
+                    };
                     let of = &mut self.routers[router];
                     (of.instance, of.life, of.up) = (instance, life, true);
                     self.at(self.now + LISTED_S, Event::List(router, life));
@@ -823,7 +932,9 @@
                 }
                 self.publish();
             }
-            Do::Slow(these, times) => these.iter().for_each(|node| self.nodes[*node].slower = times),
+            Do::Slow(these, times) => these
+                .iter()
+                .for_each(|node| self.nodes[*node].slower = times),
             Do::Cut(routers, nodes) => self.cut.push((routers, nodes)),
             Do::Heal => self.cut.clear(),
             Do::Weights(weights) => self.weights = weights,
@@ -834,7 +945,10 @@
     fn lead(&mut self, group: usize) {
         let members = self.shape.members;
         let all = group * members..(group + 1) * members;
-        if !all.clone().any(|node| self.nodes[node].leads && self.nodes[node].up) {
+        if !all
+            .clone()
+            .any(|node| self.nodes[node].leads && self.nodes[node].up)
+        {
             let first = all.clone().find(|node| self.nodes[*node].up);
             all.for_each(|node| self.nodes[node].leads = Some(node) == first);
         }
@@ -860,11 +974,18 @@
             router.idle.remove(&node);
             router.held.remove(&node);
         }
-        let there =
-            self.executions.iter().enumerate().filter(|e| e.1.node == node && e.1.phase != Phase::Over);
+        let there = self
+            .executions
+            .iter()
+            .enumerate()
+            .filter(|e| e.1.node == node && e.1.phase != Phase::Over);
         let there: Vec<(usize, Phase)> = there.map(|(number, of)| (number, of.phase)).collect();
         for (number, phase) in there {
-            let ending = if phase == Phase::Out { Ending::Dropped } else { Ending::Unconnected };
+            let ending = if phase == Phase::Out {
+                Ending::Dropped
+            } else {
+                Ending::Unconnected
+            };
             self.at(self.now + TRIP_S, Event::Heard(number, ending));
         }
     }
@@ -879,7 +1000,9 @@
                 closed.push((*node, before - idle.len()));
             }
             closed.sort_unstable();
-            closed.into_iter().for_each(|(node, count)| self.close(router, node, count));
+            closed
+                .into_iter()
+                .for_each(|(node, count)| self.close(router, node, count));
         }
         self.at(self.now + 1.0, Event::Sweep);
     }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -112,7 +112,11 @@
     let groups = options.nodes.div_ceil(MEMBERS);
     Shape {
         routers,
-        told: if options.plan == Plan::Grow { 5 } else { routers },
+        told: if options.plan == Plan::Grow {
+            5
+        } else {
+            routers
+        },
         groups,
         members: MEMBERS,
         slots: 2,
@@ -130,7 +134,11 @@
         patience_s: 2.0,
         slo_s: 0.4,
         retries: 3,
-        length_s: if options.plan == Plan::Calm { 30.0 } else { 36.0 },
+        length_s: if options.plan == Plan::Calm {
+            30.0
+        } else {
+            36.0
+        },
     }
 }
 
@@ -164,13 +172,19 @@
             (CALM_S + 5.0, Do::StartRouters(third(routers))),
         ],
         Plan::Split => {
-            vec![(CALM_S, Do::Cut(third(routers), third(nodes))), (CALM_S + 6.0, Do::Heal)]
+            vec![
+                (CALM_S, Do::Cut(third(routers), third(nodes))),
+                (CALM_S + 6.0, Do::Heal),
+            ]
         }
         Plan::Join => {
             let these = some(nodes, 0.6);
             let step = |(i, node): (usize, &usize)| {
                 let at = CALM_S + 7.0 * i as f64 / these.len() as f64;
-                [(at, Do::KillNodes(vec![*node])), (at + 1.0, Do::StartNodes(vec![*node]))]
+                [
+                    (at, Do::KillNodes(vec![*node])),
+                    (at + 1.0, Do::StartNodes(vec![*node])),
+                ]
             };
             these.iter().enumerate().flat_map(step).collect()
         }
@@ -187,14 +201,21 @@
                 };
                 Do::Weights((0..routers).map(weight).collect())
             };
-            vec![(0.0, weights(0, routers - 1)), (CALM_S + 3.0, weights(routers - 1, 0))]
+            vec![
+                (0.0, weights(0, routers - 1)),
+                (CALM_S + 3.0, weights(routers - 1, 0)),
+            ]
         }
         Plan::Grow => vec![
             (CALM_S, Do::StartRouters((5..routers).collect())),
             (CALM_S + 12.0, Do::KillRouters((3..routers).collect())),
         ],
     };
-    let up = if plan == Plan::Grow { 5.min(routers) } else { routers };
+    let up = if plan == Plan::Grow {
+        5.min(routers)
+    } else {
+        routers
+    };
     let mut deeds = deeds;
     deeds.sort_by(|a, b| a.0.total_cmp(&b.0));
     (deeds, up)
@@ -206,7 +227,10 @@
         Some(file) => std::fs::read_to_string(file).map_err(|e| Fault::File(file.clone(), e))?,
         None => {
             let named = options.plan != Plan::Grow;
-            let names: Vec<String> = (0..routers).filter(|_| named).map(|r| format!("router-{r}")).collect();
+            let names: Vec<String> = (0..routers)
+                .filter(|_| named)
+                .map(|r| format!("router-{r}"))
+                .collect();
             json!({"fleet": {"routers": names, "held_field": "x4", "subset": 2, "little_per_s": 5.0}})
                 .to_string()
         }
@@ -221,10 +245,20 @@
 
 /// Jain's index of what each was served of what it asked.
 fn evenness(of: &[Of]) -> f64 {
-    let parts: Vec<f64> =
-        of.iter().filter(|o| o.demand >= LEAST_DEMAND).map(|o| o.served / o.demand).collect();
-    let (sum, squares) = (parts.iter().sum::<f64>(), parts.iter().map(|p| p * p).sum::<f64>());
-    if squares > 0.0 { sum * sum / (parts.len() as f64 * squares) } else { 1.0 }
+    let parts: Vec<f64> = of
+        .iter()
+        .filter(|o| o.demand >= LEAST_DEMAND)
+        .map(|o| o.served / o.demand)
+        .collect();
+    let (sum, squares) = (
+        parts.iter().sum::<f64>(),
+        parts.iter().map(|p| p * p).sum::<f64>(),
+    );
+    if squares > 0.0 {
+        sum * sum / (parts.len() as f64 * squares)
+    } else {
+        1.0
+    }
 }
 
 /// Over three seconds, as a second of one router is a handful of statements.
@@ -246,13 +280,22 @@
     let counted = &ran.seconds[WARM_UP_S.min(end)..end];
     let count = |of: fn(&Second) -> usize| counted.iter().map(of).sum::<usize>();
     let asked = count(|s| s.asked).max(1);
-    let fault = if plan == Plan::Calm { WARM_UP_S } else { CALM_S as usize };
+    let fault = if plan == Plan::Calm {
+        WARM_UP_S
+    } else {
+        CALM_S as usize
+    };
     let calm = share(&ran.seconds[WARM_UP_S..CALM_S as usize]);
-    let last = deeds.iter().rfind(|d| matches!(d.1, Do::StartRouters(_) | Do::Heal | Do::StartNodes(_)));
+    let last = deeds
+        .iter()
+        .rfind(|d| matches!(d.1, Do::StartRouters(_) | Do::Heal | Do::StartNodes(_)));
     let last = last.map(|deed| deed.0);
     let whole = |from: usize| from + 3 <= end && share(&ran.seconds[from..from + 3]) >= 0.95 * calm;
-    let full =
-        last.and_then(|last| (last.ceil() as usize..end).find(|from| whole(*from)).map(|s| s as f64 - last));
+    let full = last.and_then(|last| {
+        (last.ceil() as usize..end)
+            .find(|from| whole(*from))
+            .map(|s| s as f64 - last)
+    });
     let evens = (fault + 3..end.saturating_sub(2)).map(|s| evenness_around(&ran.seconds[s..s + 3]));
     let mean = ran.by_node.iter().sum::<usize>() as f64 / ran.by_node.len().max(1) as f64;
     let spread = |of: Option<&usize>| of.map_or(0.0, |most| *most as f64 / mean.max(1.0));
@@ -270,7 +313,10 @@
         stale: ran.stale,
         lost: ran.lost,
         cold_most: ran.cold_most,
-        node_spread: (spread(ran.by_node.iter().max()), spread(ran.by_node.iter().min())),
+        node_spread: (
+            spread(ran.by_node.iter().max()),
+            spread(ran.by_node.iter().min()),
+        ),
         pairs: ran.pairs,
         full_service_s: full,
         evenness_least: evens.fold(1.0, f64::min),
@@ -281,11 +327,22 @@
 /// # Errors
 /// Settings that can't be read, or a plot that can't be written.
 pub fn run(options: &Options) -> Result<Report, Fault> {
-    if options.routers < 3 || options.nodes < MEMBERS || options.routers > 5000 || options.nodes > 2000 {
-        return Err(Fault::Wrong("it takes 3 to 5000 routers and 4 to 2000 nodes".to_string()));
+    if options.routers < 3
+        || options.nodes < MEMBERS
+        || options.routers > 5000
+        || options.nodes > 2000
+    {
+        return Err(Fault::Wrong(
+            "it takes 3 to 5000 routers and 4 to 2000 nodes".to_string(),
+        ));
     }
-    if options.per_s.is_some_and(|per_s| !(1.0..=100_000.0).contains(&per_s)) {
-        return Err(Fault::Wrong("it takes 1 to 100000 statements a second".to_string()));
+    if options
+        .per_s
+        .is_some_and(|per_s| !(1.0..=100_000.0).contains(&per_s))
+    {
+        return Err(Fault::Wrong(
+            "it takes 1 to 100000 statements a second".to_string(),
+        ));
     }
     let played = |routers: usize, with: bool| {
         let (shape, own) = (shape(options, routers), own(options, routers)?);
@@ -301,40 +358,70 @@
         }
     } else {
         let both = options.beside;
-        with = (!options.baseline).then(|| played(options.routers, true)).transpose()?;
-        baseline = (options.baseline || both).then(|| played(options.routers, false)).transpose()?;
+        with = (!options.baseline)
+            .then(|| played(options.routers, true))
+            .transpose()?;
+        baseline = (options.baseline || both)
+            .then(|| played(options.routers, false))
+            .transpose()?;
     }
     if let Some(place) = &options.plot {
         let over_time = |ran: &Ran, of: fn(&Second) -> f64| {
-            ran.seconds.iter().enumerate().map(|(at, s)| (at as f64, of(s))).collect::<Vec<_>>()
+            ran.seconds
+                .iter()
+                .enumerate()
+                .map(|(at, s)| (at as f64, of(s)))
+                .collect::<Vec<_>>()
         };
         let lines = |of: fn(&Second) -> f64, by: fn(&Figures) -> f64| {
             let with_line = with.as_ref().map(|w| ("with", over_time(&w.1, of)));
             let without = baseline.as_ref().map(|b| ("without", over_time(&b.1, of)));
             if options.scale {
                 let line = |name, pick: fn(&(usize, Figures, Figures)) -> &Figures| {
-                    (name, scale.iter().map(|row| ((row.0 as f64).log10(), by(pick(row)))).collect())
+                    (
+                        name,
+                        scale
+                            .iter()
+                            .map(|row| ((row.0 as f64).log10(), by(pick(row))))
+                            .collect(),
+                    )
                 };
                 return vec![line("with", |row| &row.1), line("without", |row| &row.2)];
             }
             with_line.into_iter().chain(without).collect()
         };
         let panels = [
-            ("Served share of the worth due", lines(|s| s.served / s.due.max(1e-9), |f| f.served)),
+            (
+                "Served share of the worth due",
+                lines(|s| s.served / s.due.max(1e-9), |f| f.served),
+            ),
             (
                 "Refused, for each statement",
-                lines(|s| s.refused as f64 / s.asked.max(1) as f64, |f| f.refused_share),
+                lines(
+                    |s| s.refused as f64 / s.asked.max(1) as f64,
+                    |f| f.refused_share,
+                ),
             ),
             (
                 "Probes, for each statement",
-                lines(|s| s.probes as f64 / s.asked.max(1) as f64, |f| f.probes_each),
+                lines(
+                    |s| s.probes as f64 / s.asked.max(1) as f64,
+                    |f| f.probes_each,
+                ),
             ),
             (
                 "Connections opened, for each statement",
-                lines(|s| s.opened as f64 / s.asked.max(1) as f64, |f| f.opened_each),
+                lines(
+                    |s| s.opened as f64 / s.asked.max(1) as f64,
+                    |f| f.opened_each,
+                ),
             ),
         ];
-        let along = if options.scale { "routers, powers of ten" } else { "seconds" };
+        let along = if options.scale {
+            "routers, powers of ten"
+        } else {
+            "seconds"
+        };
         plot(&panels, along, place).map_err(Fault::Wrong)?;
     }
     let (with, baseline) = (with.map(|w| w.0), baseline.map(|b| b.0));
@@ -356,7 +443,10 @@
 
 /// Which stated bounds do not hold.
 fn broken(
-    plan: Plan, with: Option<&Figures>, baseline: Option<&Figures>, scale: &[(usize, Figures, Figures)],
+    plan: Plan,
+    with: Option<&Figures>,
+    baseline: Option<&Figures>,
+    scale: &[(usize, Figures, Figures)],
 ) -> Vec<String> {
     let mut broken = Vec::new();
     let mut holds = |fits: bool, what: String| {
@@ -364,30 +454,51 @@
             broken.push(what);
         }
     };
-    let all = with.into_iter().chain(baseline).chain(scale.iter().flat_map(|row| [&row.1, &row.2]));
+    let all = with
+        .into_iter()
+        .chain(baseline)
+        .chain(scale.iter().flat_map(|row| [&row.1, &row.2]));
     for figures in all {
-        holds(figures.stale == 0, format!("{} reads did not show their session's write", figures.stale));
+        holds(
+            figures.stale == 0,
+            format!("{} reads did not show their session's write", figures.stale),
+        );
         holds(
             figures.cold_most <= 1.0,
-            format!("a cold node was sent {:.2} of what it bears", figures.cold_most),
+            format!(
+                "a cold node was sent {:.2} of what it bears",
+                figures.cold_most
+            ),
         );
     }
     let Some(f) = with else { return broken };
     match plan {
         Plan::Calm => {
-            holds(f.refused_share < 0.05, format!("{:.3} refused, under 0.05 is allowed", f.refused_share));
+            holds(
+                f.refused_share < 0.05,
+                format!("{:.3} refused, under 0.05 is allowed", f.refused_share),
+            );
             holds(
                 f.probes_each < 0.05,
-                format!("{:.3} probes a statement, under 0.05 is allowed", f.probes_each),
+                format!(
+                    "{:.3} probes a statement, under 0.05 is allowed",
+                    f.probes_each
+                ),
             );
         }
         Plan::Herd => {
             let took = f.full_service_s;
-            holds(took.is_some_and(|s| s <= 5.0), format!("full service after {took:?} s, 5 are allowed"));
+            holds(
+                took.is_some_and(|s| s <= 5.0),
+                format!("full service after {took:?} s, 5 are allowed"),
+            );
         }
         Plan::Grow => {
             let least = f.evenness_least;
-            holds(least >= 0.95, format!("evenness {least:.3}, at least 0.95 is asked for"));
+            holds(
+                least >= 0.95,
+                format!("evenness {least:.3}, at least 0.95 is asked for"),
+            );
         }
         Plan::Zone | Plan::Split | Plan::Join | Plan::Uneven => {}
     }
@@ -413,14 +524,30 @@
             .y_label_area_size(56)
             .build_cartesian_2d(0.0..right, 0.0..top * 1.1)
             .map_err(told)?;
-        chart.configure_mesh().x_desc(along).light_line_style(WHITE).draw().map_err(told)?;
-        for ((name, points), colour) in lines.iter().zip([RGBColor(31, 92, 171), RGBColor(196, 56, 42)]) {
+        chart
+            .configure_mesh()
+            .x_desc(along)
+            .light_line_style(WHITE)
+            .draw()
+            .map_err(told)?;
+        for ((name, points), colour) in lines
+            .iter()
+            .zip([RGBColor(31, 92, 171), RGBColor(196, 56, 42)])
+        {
             let line = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
             let legend = move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour);
-            chart.draw_series(line).map_err(told)?.label(*name).legend(legend);
+            chart
+                .draw_series(line)
+                .map_err(told)?
+                .label(*name)
+                .legend(legend);
         }
         let mut labels = chart.configure_series_labels();
-        labels.background_style(WHITE.mix(0.85)).border_style(BLACK.mix(0.3)).draw().map_err(told)?;
+        labels
+            .background_style(WHITE.mix(0.85))
+            .border_style(BLACK.mix(0.3))
+            .draw()
+            .map_err(told)?;
     }
     area.present().map_err(told)
 }
@@ -434,11 +561,17 @@
     let line = |name: &str, f: &Figures| {
         println!(
             "{name}: served {:.3} ({:.3} behind the fault)  refused {:.3}  probes {:.3}  opened {:.3}  executions {:.2} a statement",
-            f.served, f.served_after, f.refused_share, f.probes_each, f.opened_each, f.executions_each
+            f.served,
+            f.served_after,
+            f.refused_share,
+            f.probes_each,
+            f.opened_each,
+            f.executions_each
         );
         println!(
             "  full service after {} s; evenness {:.3}; cold {:.2} of the bound; nodes {:.2} to {:.2} of the mean; {} pairs; {} copies; {} turned away; {} lost; stale {}",
-            f.full_service_s.map_or("-".to_string(), |s| format!("{s:.1}")),
+            f.full_service_s
+                .map_or("-".to_string(), |s| format!("{s:.1}")),
             f.evenness_least,
             f.cold_most,
             f.node_spread.1,
@@ -458,5 +591,8 @@
         line("without", without);
         line("with", with);
     }
-    report.broken.iter().for_each(|line| println!("BROKEN: {line}"));
+    report
+        .broken
+        .iter()
+        .for_each(|line| println!("BROKEN: {line}"));
 }
--- a/crates/lab/src/honest_load.rs
+++ b/crates/lab/src/honest_load.rs
@@ -165,10 +165,16 @@
 
 fn judge(name: &str, stall: &Stall, broken: &mut Vec<String>) {
     if stall.open_longest_ms < LEAST_LONGEST_MS {
-        broken.push(format!("{name}: the open loop's longest wait was {:.0} ms", stall.open_longest_ms));
+        broken.push(format!(
+            "{name}: the open loop's longest wait was {:.0} ms",
+            stall.open_longest_ms
+        ));
     }
     if (stall.charged as f64) < stall.due as f64 * LEAST_CHARGED || stall.due == 0 {
-        broken.push(format!("{name}: {} of {} due were charged", stall.charged, stall.due));
+        broken.push(format!(
+            "{name}: {} of {} due were charged",
+            stall.charged, stall.due
+        ));
     }
 }
 
@@ -186,15 +192,25 @@
     Scenario::read(&text).expect("a scenario of our own")
 }
 
-fn played(scenario: &Scenario, closed: Option<usize>, folder: Option<&Path>) -> Result<Played, Fault> {
-    let setup = Play { run: fastrand::u64(..), closed, ..Play::default() };
+fn played(
+    scenario: &Scenario,
+    closed: Option<usize>,
+    folder: Option<&Path>,
+) -> Result<Played, Fault> {
+    let setup = Play {
+        run: fastrand::u64(..),
+        closed,
+        ..Play::default()
+    };
     let folder = folder.map(|folder| (folder, "{}"));
     play(scenario, &setup, folder).map_err(|e| Fault::Start(std::io::Error::other(e.to_string())))
 }
 
 /// The server stands still for a while under load, once for each loop; `stall` tells from when until when.
 fn stalled(
-    server: SocketAddr, seed: u64, stall: &(dyn Fn() -> (Instant, Instant) + Sync),
+    server: SocketAddr,
+    seed: u64,
+    stall: &(dyn Fn() -> (Instant, Instant) + Sync),
 ) -> Result<Stall, Fault> {
     let folder = router::folder(None)?;
     let kept = folder.join("open");
@@ -221,7 +237,8 @@
             due += 1;
             let left = (until - at).saturating_sub(SLACK);
             charged += u64::from(Duration::from_micros(seen.latency_us) >= left);
-            unanswered += u64::from(seen.outcome.name() == "timed_out" || seen.outcome.name() == "unsent");
+            unanswered +=
+                u64::from(seen.outcome.name() == "timed_out" || seen.outcome.name() == "unsent");
         }
     })
     .map_err(|e| Fault::Start(std::io::Error::other(e.to_string())))?;
@@ -229,8 +246,10 @@
     let (closed, _) = during(Some(clients), None)?;
     let closed = closed?;
     let _ = std::fs::remove_dir_all(&folder);
-    let ms = |played: &Played, quantile: f64| played.latency.value_at_quantile(quantile) as f64 / 1e3;
-    let sent = closed.summary.statements as f64 / (closed.summary.seconds - STALL.as_secs_f64()).max(0.1);
+    let ms =
+        |played: &Played, quantile: f64| played.latency.value_at_quantile(quantile) as f64 / 1e3;
+    let sent =
+        closed.summary.statements as f64 / (closed.summary.seconds - STALL.as_secs_f64()).max(0.1);
     Ok(Stall {
         open_longest_ms: ms(&open, 1.0),
         open_p99_ms: ms(&open, 0.99),
@@ -246,8 +265,16 @@
 }
 
 fn routed(seed: u64) -> Result<(std::sync::Arc<Emulator>, Router), Fault> {
-    let replication = Replication { synchronous: true, lag_ms: 0, mark_memory_ms: 60_000 };
-    let shape = Shape { groups: 2, replication, ..Shape::default() };
+    let replication = Replication {
+        synchronous: true,
+        lag_ms: 0,
+        mark_memory_ms: 60_000,
+    };
+    let shape = Shape {
+        groups: 2,
+        replication,
+        ..Shape::default()
+    };
     let emulator = Emulator::start(shape, &[]).map_err(Fault::Start)?;
     let (folder, program) = (router::folder(None)?, router::program()?);
     let setup = Setup {
@@ -275,16 +302,22 @@
 impl Apart {
     fn start() -> Result<Apart, Fault> {
         let mut command = Command::new(router::program()?);
-        command.arg("scripted").stdin(Stdio::piped()).stdout(Stdio::piped());
+        command
+            .arg("scripted")
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped());
         let mut child = command.spawn().map_err(Fault::Start)?;
         let mut line = String::new();
         if let Some(said) = child.stdout.take() {
-            BufReader::new(said).read_line(&mut line).map_err(Fault::Start)?;
+            BufReader::new(said)
+                .read_line(&mut line)
+                .map_err(Fault::Start)?;
         }
-        let address = line
-            .trim()
-            .parse()
-            .map_err(|_| Fault::Start(std::io::Error::other(format!("the scripted server said {line:?}"))))?;
+        let address = line.trim().parse().map_err(|_| {
+            Fault::Start(std::io::Error::other(format!(
+                "the scripted server said {line:?}"
+            )))
+        })?;
         Ok(Apart { child, address })
     }
 }
@@ -311,8 +344,14 @@
 fn most(options: &Options) -> Result<Most, Fault> {
     let server = Apart::start()?;
     let search = |threads: usize| -> Result<f64, Fault> {
-        let bounds =
-            Bounds { first: 5000.0, least: 100.0, most: 1e6, precision: 0.05, confirm: 1, plays: 24 };
+        let bounds = Bounds {
+            first: 5000.0,
+            least: 100.0,
+            most: 1e6,
+            precision: 0.05,
+            confirm: 1,
+            plays: 24,
+        };
         let mut search = Search::new(bounds);
         loop {
             match search.next() {
@@ -351,7 +390,13 @@
     let server = Apart::start()?;
     let folder = router::folder(None)?;
     let seconds = options.minutes * 60.0;
-    let scenario = scenario(server.address, options.seed, options.per_s, seconds, options.threads);
+    let scenario = scenario(
+        server.address,
+        options.seed,
+        options.per_s,
+        seconds,
+        options.threads,
+    );
     let (played, early) = thread::scope(|scope| {
         let early = scope.spawn(|| {
             thread::sleep(Duration::from_secs_f64(seconds / 5.0));
@@ -415,7 +460,10 @@
                     () if summary.own_lateness_ms.p99 > ON_TIME_MS * 5.0 => Verdict::Limited,
                     () => Verdict::Broken,
                 };
-                eprintln!("{rate:.0} a second: {:.2} % within 100 ms, {verdict:?}", share * 1e2);
+                eprintln!(
+                    "{rate:.0} a second: {:.2} % within 100 ms, {verdict:?}",
+                    share * 1e2
+                );
                 search.told(rate, verdict);
                 // What was held back is over before the next play.
                 thread::sleep(Duration::from_millis(500));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -60,50 +60,91 @@
         Experiment::ClusterClients { file } => helper("clients", clients::send(&file)),
         Experiment::Comeback(options) if options.print => {
             let script = comeback::script(options.plan, options.routers, options.nodes);
-            println!("{}", serde_json::to_string_pretty(&script).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&script).unwrap_or_default()
+            );
             ExitCode::SUCCESS
         }
         Experiment::Comeback(options) => told(comeback::run(&options), |report| {
             if !options.json {
                 comeback::print(report);
             }
-            (if options.json { json(report) } else { String::new() }, !report.broken.is_empty())
+            (
+                if options.json {
+                    json(report)
+                } else {
+                    String::new()
+                },
+                !report.broken.is_empty(),
+            )
         }),
         Experiment::Fleet(options) => told(fleet::run(&options), |report| {
             if !options.json {
                 fleet::print(report);
             }
-            (if options.json { json(report) } else { String::new() }, !report.broken.is_empty())
+            (
+                if options.json {
+                    json(report)
+                } else {
+                    String::new()
+                },
+                !report.broken.is_empty(),
+            )
         }),
         Experiment::ClusterFleet(options) if options.print => {
             let script = cluster_fleet::script(options.plan, options.routers, options.nodes);
-            println!("{}", serde_json::to_string_pretty(&script).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&script).unwrap_or_default()
+            );
             ExitCode::SUCCESS
         }
         Experiment::ClusterFleet(options) => told(cluster_fleet::run(&options), |report| {
             if !options.json {
                 cluster_fleet::print(report);
             }
-            (if options.json { json(report) } else { String::new() }, !report.broken.is_empty())
+            (
+                if options.json {
+                    json(report)
+                } else {
+                    String::new()
+                },
+                !report.broken.is_empty(),
+            )
         }),
         Experiment::Tally(options) => told(tally::run(&options), |report| {
             if !options.json {
                 tally::print(report);
             }
-            (if options.json { json(report) } else { String::new() }, false)
+            (
+                if options.json {
+                    json(report)
+                } else {
+                    String::new()
+                },
+                false,
+            )
         }),
         Experiment::Scripted => ExitCode::from(u8::from(honest_load::scripted().is_err())),
-        Experiment::HonestLoad(options) => {
-            told(honest_load::run(&options), |report| (json(report), !report.broken.is_empty()))
-        }
-        Experiment::SuccessionCost(options) => {
-            told(succession_cost::run(&options), |report| (json(report), !report.broken.is_empty()))
-        }
+        Experiment::HonestLoad(options) => told(honest_load::run(&options), |report| {
+            (json(report), !report.broken.is_empty())
+        }),
+        Experiment::SuccessionCost(options) => told(succession_cost::run(&options), |report| {
+            (json(report), !report.broken.is_empty())
+        }),
         Experiment::PrimaryChanges(options) => told(primary_changes::run(&options), |report| {
             if !options.json {
                 primary_changes::print(report, options.keep.as_deref());
             }
-            (if options.json { json(report) } else { String::new() }, !report.broken.is_empty())
+            (
+                if options.json {
+                    json(report)
+                } else {
+                    String::new()
+                },
+                !report.broken.is_empty(),
+            )
         }),
     }
 }
--- a/crates/lab/src/primary_changes.rs
+++ b/crates/lab/src/primary_changes.rs
@@ -120,7 +120,11 @@
 }
 
 pub fn run(options: &Options) -> Result<Report, Fault> {
-    let patience = if options.plan == Plan::Impatient { 150 } else { 10_000 };
+    let patience = if options.plan == Plan::Impatient {
+        150
+    } else {
+        10_000
+    };
     let shape = Shape {
         groups: GROUPS,
         replication: Replication {
@@ -156,18 +160,28 @@
         routers.push(Router::start(&setup, place)?);
     }
     let length_ms = (options.writes * 1000 / options.rate.max(1)) as u64;
-    let script = script::draw(options.plan, options.seed, GROUPS, 300, length_ms.saturating_sub(200));
+    let script = script::draw(
+        options.plan,
+        options.seed,
+        GROUPS,
+        300,
+        length_ms.saturating_sub(200),
+    );
     let over = AtomicBool::new(false);
     let start = Instant::now();
     let (seen, changes) = thread::scope(|scope| {
-        let playing = scope.spawn(|| script::play(&emulator, &script, &|| over.load(Ordering::Relaxed)));
+        let playing =
+            scope.spawn(|| script::play(&emulator, &script, &|| over.load(Ordering::Relaxed)));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|number| {
                 let router = routers[number % routers.len()].address;
                 scope.spawn(move || client(number, router, options, patience, start))
             })
             .collect();
-        let seen: Vec<Seen> = clients.into_iter().filter_map(|client| client.join().ok()).collect();
+        let seen: Vec<Seen> = clients
+            .into_iter()
+            .filter_map(|client| client.join().ok())
+            .collect();
         over.store(true, Ordering::Relaxed);
         (seen, playing.join().unwrap_or(0))
     });
@@ -177,12 +191,19 @@
     let mut report = judge(options, &emulator, seen);
     report.changes = changes;
     report.peak_memory_kib = routers.iter().map(Router::peak_kib).max().unwrap_or(0);
-    report.ended_in_order = routers.iter_mut().map(|r| usize::from(r.end(Duration::from_secs(20)))).sum();
+    report.ended_in_order = routers
+        .iter_mut()
+        .map(|r| usize::from(r.end(Duration::from_secs(20))))
+        .sum();
     for router in &routers {
         told(&router.said(), &mut report);
     }
-    report.most_busy =
-        emulator.nodes.iter().map(|node| node.most_busy.load(Ordering::SeqCst)).max().unwrap_or(0);
+    report.most_busy = emulator
+        .nodes
+        .iter()
+        .map(|node| node.most_busy.load(Ordering::SeqCst))
+        .max()
+        .unwrap_or(0);
     report.broken = broken(options, &report);
     if options.keep.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
@@ -211,12 +232,22 @@
 
 /// The settings that such a store allows.
 fn own(asynchronous: bool) -> String {
-    let log = if asynchronous { "branch_field: 'x2', promoted_field: 'x3'," } else { "" };
-    format!("{{succession: {{expected_change_ms: 700, release_spread_ms: 5, outcomes: true, {log}}}}}")
+    let log = if asynchronous {
+        "branch_field: 'x2', promoted_field: 'x3',"
+    } else {
+        ""
+    };
+    format!(
+        "{{succession: {{expected_change_ms: 700, release_spread_ms: 5, outcomes: true, {log}}}}}"
+    )
 }
 
 fn client(
-    number: usize, router: std::net::SocketAddr, options: &Options, patience: u64, start: Instant,
+    number: usize,
+    router: std::net::SocketAddr,
+    options: &Options,
+    patience: u64,
+    start: Instant,
 ) -> Seen {
     let (mut client, mut seen) = (Client::new(router), Seen::default());
     let (group, key) = (number as u16 % GROUPS, format!("session-{number}"));
@@ -234,7 +265,14 @@
         if let Outcome::Completed(_) = outcome {
             (last, after) = (Some(i as u64), now());
         }
-        seen.writes.push(Asked { asked, mark, group, key: key.clone(), outcome, took });
+        seen.writes.push(Asked {
+            asked,
+            mark,
+            group,
+            key: key.clone(),
+            outcome,
+            took,
+        });
         if let (0, Some(last)) = ((turn + 1) % READ_EVERY, last) {
             let text = format!(
                 "SELECT v FROM records WHERE k = '{key}' /* id=r{i},c=own-read,t=lab,d={patience},cluster={group},after={after} */"
@@ -264,7 +302,10 @@
     for ledger in &ledgers {
         let mut places: HashMap<&str, Vec<usize>> = HashMap::new();
         for (place, entry) in ledger.effects.iter().enumerate() {
-            places.entry(entry.mark.as_deref().unwrap_or_default()).or_default().push(place);
+            places
+                .entry(entry.mark.as_deref().unwrap_or_default())
+                .or_default()
+                .push(place);
         }
         report.discarded += ledger.discarded.len();
         effects.push(places);
@@ -285,7 +326,8 @@
                 report.missing += usize::from(count == 0);
                 if let Some(place) = places.and_then(|places| places.first()) {
                     let before = last_of.insert(write.key.clone(), *place);
-                    report.out_of_order += usize::from(before.is_some_and(|before| before > *place));
+                    report.out_of_order +=
+                        usize::from(before.is_some_and(|before| before > *place));
                 }
             }
             Outcome::Rejected(advice) => {
@@ -309,7 +351,9 @@
         report.stale += seen.stale;
     }
     given_up.sort();
-    report.given_up_after_ms = given_up.get(given_up.len() / 2).map_or(0, |took| took.as_millis() as u64);
+    report.given_up_after_ms = given_up
+        .get(given_up.len() / 2)
+        .map_or(0, |took| took.as_millis() as u64);
     let ms = |us: u64| us as f64 / 1e3;
     report.p50_ms = ms(waits.value_at_quantile(0.5));
     report.p99_ms = ms(waits.value_at_quantile(0.99));
@@ -320,14 +364,26 @@
 /// What a router's log tells of its hold and of losses.
 fn told(log: &str, report: &mut Report) {
     let figure = |line: &str, behind: &str| -> Option<usize> {
-        line.split_once(behind)?.1.split([' ', ',']).next()?.parse().ok()
+        line.split_once(behind)?
+            .1
+            .split([' ', ','])
+            .next()?
+            .parse()
+            .ok()
     };
     for line in log.lines() {
         if line.contains("most held so far") {
-            report.most_held = report.most_held.max(figure(line, "most held so far ").unwrap_or(0));
-            report.most_held_bytes = report.most_held_bytes.max(figure(line, "statements, ").unwrap_or(0));
+            report.most_held = report
+                .most_held
+                .max(figure(line, "most held so far ").unwrap_or(0));
+            report.most_held_bytes = report
+                .most_held_bytes
+                .max(figure(line, "statements, ").unwrap_or(0));
         }
-        if let Some(span) = line.split_once("LOSS").and_then(|(_, rest)| rest.split_once(" up to ")) {
+        if let Some(span) = line
+            .split_once("LOSS")
+            .and_then(|(_, rest)| rest.split_once(" up to "))
+        {
             report.losses_told += figure(span.1, ": ").unwrap_or(0);
         }
     }
@@ -345,20 +401,47 @@
         report.asked == options.writes,
         format!("{} of {} writes were asked", report.asked, options.writes),
     );
-    holds(report.unanswered == 0, format!("{} writes have no final answer", report.unanswered));
-    holds(report.doubled == 0, format!("{} writes had their effect twice", report.doubled));
+    holds(
+        report.unanswered == 0,
+        format!("{} writes have no final answer", report.unanswered),
+    );
+    holds(
+        report.doubled == 0,
+        format!("{} writes had their effect twice", report.doubled),
+    );
     let untrue = report.rejected_and_applied;
-    holds(untrue == 0, format!("{untrue} writes were rejected and applied"));
-    holds(report.out_of_order == 0, format!("{} writes overtook one of their session", report.out_of_order));
-    holds(report.stale == 0, format!("{} session reads did not see their write", report.stale));
-    holds(report.ended_in_order == options.routers, "a router did not end in order".to_string());
+    holds(
+        untrue == 0,
+        format!("{untrue} writes were rejected and applied"),
+    );
+    holds(
+        report.out_of_order == 0,
+        format!(
+            "{} writes overtook one of their session",
+            report.out_of_order
+        ),
+    );
+    holds(
+        report.stale == 0,
+        format!("{} session reads did not see their write", report.stale),
+    );
+    holds(
+        report.ended_in_order == options.routers,
+        "a router did not end in order".to_string(),
+    );
     if !options.asynchronous {
-        holds(report.missing == 0, format!("{} completed writes are not there", report.missing));
+        holds(
+            report.missing == 0,
+            format!("{} completed writes are not there", report.missing),
+        );
     } else if !options.baseline {
         let gone = report.missing;
         holds(
             report.losses_told == gone,
-            format!("{gone} answered writes are gone, {} told", report.losses_told),
+            format!(
+                "{gone} answered writes are gone, {} told",
+                report.losses_told
+            ),
         );
     }
     let least = match options.plan {
@@ -370,7 +453,10 @@
     if !options.asynchronous && long_memory && !options.baseline {
         holds(
             report.completed >= least,
-            format!("{} writes completed, at least {least} should", report.completed),
+            format!(
+                "{} writes completed, at least {least} should",
+                report.completed
+            ),
         );
     }
     broken
@@ -408,5 +494,8 @@
     if let Some(folder) = folder {
         println!("logs are in {}", folder.display());
     }
-    report.broken.iter().for_each(|line| println!("BROKEN: {line}"));
+    report
+        .broken
+        .iter()
+        .for_each(|line| println!("BROKEN: {line}"));
 }
--- a/crates/lab/src/succession_cost.rs
+++ b/crates/lab/src/succession_cost.rs
@@ -51,7 +51,11 @@
 pub fn run(options: &Options) -> Result<Report, Fault> {
     let shape = Shape {
         groups: 2,
-        replication: Replication { synchronous: true, lag_ms: 0, mark_memory_ms: 60_000 },
+        replication: Replication {
+            synchronous: true,
+            lag_ms: 0,
+            mark_memory_ms: 60_000,
+        },
         ..Shape::default()
     };
     let emulator = Emulator::start(shape, &[]).map_err(Fault::Start)?;
@@ -102,7 +106,10 @@
     let (rate, tail) = (quartiles(&mut rates), quartiles(&mut tails));
     let mut broken = Vec::new();
     if processor_ratio > 1.0 + MOST {
-        broken.push(format!("{:.1} % more processor time a statement", (processor_ratio - 1.0) * 1e2));
+        broken.push(format!(
+            "{:.1} % more processor time a statement",
+            (processor_ratio - 1.0) * 1e2
+        ));
     }
     Ok(Report {
         turns: options.turns,
@@ -118,7 +125,8 @@
 
 fn quartiles(values: &mut [f64]) -> [f64; 3] {
     values.sort_by(f64::total_cmp);
-    let at = |part: usize| values.get((values.len() * part / 4).min(values.len().saturating_sub(1)));
+    let at =
+        |part: usize| values.get((values.len() * part / 4).min(values.len().saturating_sub(1)));
     [1, 2, 3].map(|part| at(part).copied().unwrap_or(f64::NAN))
 }
 
@@ -126,13 +134,19 @@
 fn load(router: SocketAddr, turn: usize, turn_ms: u64) -> (u64, f64) {
     let end = Instant::now() + Duration::from_millis(turn_ms);
     let each = thread::scope(|scope| {
-        let clients: Vec<_> =
-            (0..CLIENTS).map(|number| scope.spawn(move || ask(router, turn, number, end))).collect();
-        clients.into_iter().filter_map(|client| client.join().ok()).collect::<Vec<_>>()
+        let clients: Vec<_> = (0..CLIENTS)
+            .map(|number| scope.spawn(move || ask(router, turn, number, end)))
+            .collect();
+        clients
+            .into_iter()
+            .filter_map(|client| client.join().ok())
+            .collect::<Vec<_>>()
     });
     // Constants that fit: microseconds up to a minute.
     let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit");
-    each.iter().flatten().for_each(|took| all.saturating_record(took.as_micros() as u64));
+    each.iter()
+        .flatten()
+        .for_each(|took| all.saturating_record(took.as_micros() as u64));
     (all.len(), all.value_at_quantile(0.99) as f64)
 }
 
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -35,7 +35,9 @@
 fn read(line: &str) -> Option<Report> {
     let told = line.split_once(MARK)?.1.trim_end();
     let number = |name: &str| -> Option<u64> {
-        let at = told.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))?;
+        let at = told
+            .split_whitespace()
+            .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))?;
         at.parse().ok()
     };
     let list = |name: &str| -> Option<BTreeMap<String, u64>> {
@@ -44,7 +46,10 @@
             let (name, count) = entry.rsplit_once('=')?;
             Some((name.replace('_', " "), count.parse().ok()?))
         };
-        list.split(',').filter(|entry| !entry.is_empty()).map(pair).collect()
+        list.split(',')
+            .filter(|entry| !entry.is_empty())
+            .map(pair)
+            .collect()
     };
     Some(Report {
         logs: 0,
@@ -70,7 +75,8 @@
             (&mut self.waits_for, &other.waits_for),
         ];
         for (all, of) in lists {
-            of.iter().for_each(|(name, count)| *all.entry(name.clone()).or_default() += count);
+            of.iter()
+                .for_each(|(name, count)| *all.entry(name.clone()).or_default() += count);
         }
     }
 
@@ -78,7 +84,10 @@
     fn add_log(&mut self, text: &str) {
         let mut last: Option<Report> = None;
         for line in text.lines().filter_map(read) {
-            if let Some(before) = last.replace(line.clone()).filter(|before| before.taken > line.taken) {
+            if let Some(before) = last
+                .replace(line.clone())
+                .filter(|before| before.taken > line.taken)
+            {
                 self.add(&before);
             }
         }
@@ -137,7 +146,10 @@
     );
     let lists = [
         ("given up, by rule", &report.given_up),
-        ("for each of these, members of its group by what stood in the way", &report.in_the_way),
+        (
+            "for each of these, members of its group by what stood in the way",
+            &report.in_the_way,
+        ),
         ("the same for what waited, each second", &report.waits_for),
     ];
     for (title, counts) in lists {
@@ -145,7 +157,9 @@
         let all: u64 = counts.values().sum();
         let mut order: Vec<_> = counts.iter().collect();
         order.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
-        order.iter().for_each(|(name, count)| println!("  {count:9}  {:5.3}  {name}", share(**count, all)));
+        order
+            .iter()
+            .for_each(|(name, count)| println!("  {count:9}  {:5.3}  {name}", share(**count, all)));
     }
 }
 
@@ -163,9 +177,19 @@
     #[test]
     fn the_last_line_of_each_start_counts() {
         let mut report = Report::default();
-        let log = [line(5, 1), line(20, 2), "serves on".to_string(), line(3, 0), line(8, 4)].join("\n");
+        let log = [
+            line(5, 1),
+            line(20, 2),
+            "serves on".to_string(),
+            line(3, 0),
+            line(8, 4),
+        ]
+        .join("\n");
         report.add_log(&log);
-        assert_eq!((report.logs, report.starts, report.taken, report.sent), (1, 2, 28, 18));
+        assert_eq!(
+            (report.logs, report.starts, report.taken, report.sent),
+            (1, 2, 28, 18)
+        );
         assert_eq!(report.given_up["too late"], 6);
         assert_eq!(report.in_the_way["no room"], 8);
     }
--- a/crates/lab/tests/coming_back.rs
+++ b/crates/lab/tests/coming_back.rs
@@ -24,7 +24,8 @@
 
 const HERD: &str =
     "{at_ms: 2000, do: {kill: {share: 0.7}}}, {at_ms: 2300, within_ms: 50, do: {start: 'down'}}";
-const ALL: &str = "{at_ms: 2000, do: {kill: 'all'}}, {at_ms: 2300, within_ms: 50, do: {start: 'down'}}";
+const ALL: &str =
+    "{at_ms: 2000, do: {kill: 'all'}}, {at_ms: 2300, within_ms: 50, do: {start: 'down'}}";
 const AGAIN: &str =
     "{at_ms: 2000, do: {kill: {share: 0.7}}}, {at_ms: 2300, within_ms: 50, do: {start: 'down'}},
     {at_ms: 2500, do: {kill: {share: 0.5}}}, {at_ms: 2700, within_ms: 50, do: {start: 'down'}}";
@@ -36,29 +37,42 @@
 #[test_case("again", AGAIN; "killed again while they come back")]
 fn those_who_return_ask_for_less_than_half_of_the_connections(name: &str, steps: &str) {
     let script = script(steps, "");
-    let (with, without) =
-        (played(name, &script, Some(&own(""))), played(&format!("{name}-off"), &script, None));
+    let (with, without) = (
+        played(name, &script, Some(&own(""))),
+        played(&format!("{name}-off"), &script, None),
+    );
     with.keeps_the_rules();
     without.keeps_the_rules();
     assert!(with.all_came_back());
-    assert!(with.said("from sounding to turns") > 0, "nobody noticed that others came back, too");
+    assert!(
+        with.said("from sounding to turns") > 0,
+        "nobody noticed that others came back, too"
+    );
     let (with, without) = (with.opened(), without.opened());
     println!("{name}: {with} connections with it, {without} without");
-    assert!(with * 2 <= without, "{with} connections with it, {without} without");
+    assert!(
+        with * 2 <= without,
+        "{with} connections with it, {without} without"
+    );
 }
 
 #[test]
 fn one_beside_the_others_is_at_full_pace_at_once() {
     let steps = "{at_ms: 2000, do: {kill: {these: [2]}}}, {at_ms: 2300, do: {start: 'down'}}";
     // What a node tells of its connections decides, however long a busy machine takes for a handshake.
-    let told =
-        own_with("handshake_ms: 1400, longest_handshake_ms: 1500", "sounding_ms: 3000, list_wait_ms: 3000");
+    let told = own_with(
+        "handshake_ms: 1400, longest_handshake_ms: 1500",
+        "sounding_ms: 3000, list_wait_ms: 3000",
+    );
     let one = played("one", &script(steps, ""), Some(&told));
     assert!(one.keeps_the_rules().all_came_back());
     let log = &one.logs()[2];
     let back = log.rsplit_once("serves on").map_or("", |(_, rest)| rest);
     assert!(back.contains("from sounding to full"), "{log}");
-    assert!(!back.contains("to turns"), "it took its restart for everybody's: {log}");
+    assert!(
+        !back.contains("to turns"),
+        "it took its restart for everybody's: {log}"
+    );
 }
 
 /// The start list says nothing of a drain that its discovery tells late: nothing is sent before that is heard.
@@ -69,7 +83,12 @@
         {at_ms: 2700, do: {kill: 'all'}}, {at_ms: 2900, within_ms: 50, do: {start: 'down'}}";
     let script = script(steps, "known: 'first',");
     let late = |played: &Played| {
-        let started = played.evidence.deeds.iter().find(|d| d.what == What::Started).map_or(0, |d| d.at_us);
+        let started = played
+            .evidence
+            .deeds
+            .iter()
+            .find(|d| d.what == What::Started)
+            .map_or(0, |d| d.at_us);
         let sent = |a: &&Arrived| a.node == 1 && a.kind == Kind::Statement && a.at_us > started;
         played.evidence.seen.arrivals.iter().filter(sent).count()
     };
@@ -78,7 +97,10 @@
     assert!(with.keeps_the_rules().all_came_back());
     without.keeps_the_rules();
     assert_eq!(late(&with), 0, "statements to a node that drains");
-    assert!(late(&without) > 0, "without it the start list is believed: the case shows nothing");
+    assert!(
+        late(&without) > 0,
+        "without it the start list is believed: the case shows nothing"
+    );
 }
 
 /// Frozen at the list of before the crash, which shows a drain; the primary of the other group changes meanwhile.
@@ -91,10 +113,27 @@
         {at_ms: 3200, do: {store: {restart: {group: 1}}}}, {at_ms: 5000, do: {store: 'thaw'}}";
     let frozen = played("frozen", &script(steps, ""), Some(&own("")));
     assert!(frozen.keeps_the_rules().all_came_back());
-    let started = frozen.evidence.deeds.iter().find(|d| d.what == What::Started).map_or(0, |d| d.at_us);
-    let to_it = frozen.evidence.seen.arrivals.iter().filter(|a| a.node == 1 && a.at_us > started);
-    assert_eq!(to_it.filter(|a| a.kind == Kind::Statement).count(), 0, "the start list shows that it drains");
-    assert!(!frozen.evidence.seen.born.is_empty(), "no node started cold: the case shows nothing");
+    let started = frozen
+        .evidence
+        .deeds
+        .iter()
+        .find(|d| d.what == What::Started)
+        .map_or(0, |d| d.at_us);
+    let to_it = frozen
+        .evidence
+        .seen
+        .arrivals
+        .iter()
+        .filter(|a| a.node == 1 && a.at_us > started);
+    assert_eq!(
+        to_it.filter(|a| a.kind == Kind::Statement).count(),
+        0,
+        "the start list shows that it drains"
+    );
+    assert!(
+        !frozen.evidence.seen.born.is_empty(),
+        "no node started cold: the case shows nothing"
+    );
 }
 
 #[test]
@@ -110,8 +149,18 @@
         8,
         "each waits for its time, then goes by what it was told"
     );
-    let healed = alone.evidence.deeds.iter().rfind(|d| d.what == What::Healed).map_or(0, |d| d.at_us);
-    let sent = alone.evidence.seen.arrivals.iter().filter(|a| a.kind == Kind::Statement && a.at_us < healed);
+    let healed = alone
+        .evidence
+        .deeds
+        .iter()
+        .rfind(|d| d.what == What::Healed)
+        .map_or(0, |d| d.at_us);
+    let sent = alone
+        .evidence
+        .seen
+        .arrivals
+        .iter()
+        .filter(|a| a.kind == Kind::Statement && a.at_us < healed);
     assert!(
         sent.filter(|a| a.at_us > alone.fault() + 500_000).count() > 100,
         "it did not serve without discovery"
@@ -126,14 +175,37 @@
         {at_ms: 4200, do: {continue: 'same'}}";
     let stopped = played("pause", &script(steps, ""), Some(&own("")));
     stopped.keeps_the_rules();
-    assert!(stopped.said("stood still") >= 4, "each of the four notices it");
-    let went_on: Vec<_> = stopped.evidence.deeds.iter().filter(|d| d.what == What::Continued).collect();
+    assert!(
+        stopped.said("stood still") >= 4,
+        "each of the four notices it"
+    );
+    let went_on: Vec<_> = stopped
+        .evidence
+        .deeds
+        .iter()
+        .filter(|d| d.what == What::Continued)
+        .collect();
     for deed in went_on {
-        let after =
-            |a: &&Arrived| a.router == deed.router && a.at_us > deed.at_us && a.kind == Kind::Statement;
-        let sent: Vec<_> = stopped.evidence.seen.arrivals.iter().filter(after).collect();
-        assert!(sent.iter().all(|a| a.node != 2), "router {:?} went by an old list", deed.router);
-        assert!(!sent.is_empty(), "router {:?} did not come back", deed.router);
+        let after = |a: &&Arrived| {
+            a.router == deed.router && a.at_us > deed.at_us && a.kind == Kind::Statement
+        };
+        let sent: Vec<_> = stopped
+            .evidence
+            .seen
+            .arrivals
+            .iter()
+            .filter(after)
+            .collect();
+        assert!(
+            sent.iter().all(|a| a.node != 2),
+            "router {:?} went by an old list",
+            deed.router
+        );
+        assert!(
+            !sent.is_empty(),
+            "router {:?} did not come back",
+            deed.router
+        );
     }
 }
 
@@ -153,7 +225,10 @@
     without.keeps_the_rules();
     let (with, without) = (broken.opened(), without.opened());
     println!("{links}: {with} connections with it, {without} without");
-    assert!(with < without, "{with} connections with it, {without} without");
+    assert!(
+        with < without,
+        "{with} connections with it, {without} without"
+    );
 }
 
 #[test]
@@ -179,8 +254,10 @@
             "{{at_ms: {start}, do: {{start: {{these: [5]}}}}}}, {{at_ms: {kill}, do: {{kill: {{these: [5]}}}}}},"
         )
     };
-    let steps =
-        format!("{{at_ms: 2000, do: {{kill: {{these: [5]}}}}}}, {}", (0..8).map(turn).collect::<String>());
+    let steps = format!(
+        "{{at_ms: 2000, do: {{kill: {{these: [5]}}}}}}, {}",
+        (0..8).map(turn).collect::<String>()
+    );
     let dying = played("dying", &script(&steps, ""), Some(&own("")));
     dying.keeps_the_rules();
     let log = dying.logs();
@@ -188,7 +265,10 @@
     // Each came to full pace once, at the beginning, and stayed there, unless the machine stood still.
     for (router, log) in others {
         let starts = 1 + log.matches("stood still").count();
-        assert!((1..=starts).contains(&log.matches("to full").count()), "router {router}: {log}");
+        assert!(
+            (1..=starts).contains(&log.matches("to full").count()),
+            "router {router}: {log}"
+        );
     }
 }
 
@@ -197,12 +277,19 @@
 fn survivors_give_up_what_they_took_on() {
     let full = script(HERD, "").store;
     let mut tight = script(HERD, "");
-    tight.store = badgerstream_cluster::script::Store { connections: 12, ..full };
+    tight.store = badgerstream_cluster::script::Store {
+        connections: 12,
+        ..full
+    };
     let with = played("tight", &tight, Some(&own("surplus_ms: 500")));
     assert!(with.keeps_the_rules().all_came_back());
     let without = played("tight-off", &tight, None);
     let turned_away = |played: &Played| played.verdict.figures.turned_away;
-    println!("turned away: {} with it, {} without", turned_away(&with), turned_away(&without));
+    println!(
+        "turned away: {} with it, {} without",
+        turned_away(&with),
+        turned_away(&without)
+    );
     assert!(
         turned_away(&with) < turned_away(&without),
         "{} and {}",
--- a/crates/lab/tests/primary_changes.rs
+++ b/crates/lab/tests/primary_changes.rs
@@ -24,7 +24,9 @@
 
 fn lab(arguments: &[&str]) -> Value {
     let mut command = Command::new(program());
-    command.args(["primary-changes", "--json", "--rate", "400"]).args(arguments);
+    command
+        .args(["primary-changes", "--json", "--rate", "400"])
+        .args(arguments);
     let output = command.output().unwrap();
     let said = String::from_utf8(output.stdout).unwrap();
     serde_json::from_str(&said)
@@ -41,23 +43,45 @@
 #[test_case(&["--plan", "mixed", "--baseline"]; "each statement by itself")]
 fn every_effect_once_and_every_answer_true(arguments: &[&str]) {
     let report = lab(&[arguments, &["--writes", "1200", "--seed", "5"]].concat());
-    for figure in ["missing", "doubled", "rejected_and_applied", "unanswered", "out_of_order", "stale"] {
+    for figure in [
+        "missing",
+        "doubled",
+        "rejected_and_applied",
+        "unanswered",
+        "out_of_order",
+        "stale",
+    ] {
         assert_eq!(report[figure], 0, "{figure}: {report}");
     }
     assert_eq!(report["asked"], 1200, "{report}");
-    assert!(report["changes"].as_u64() >= Some(2) && report["completed"].as_u64() > Some(300), "{report}");
+    assert!(
+        report["changes"].as_u64() >= Some(2) && report["completed"].as_u64() > Some(300),
+        "{report}"
+    );
 }
 
 #[test_case("kill")]
 #[test_case("mixed")]
 fn what_an_asynchronous_store_loses_is_told_to_the_last_write(plan: &str) {
-    let report = lab(&["--plan", plan, "--asynchronous", "--writes", "1200", "--seed", "5"]);
+    let report = lab(&[
+        "--plan",
+        plan,
+        "--asynchronous",
+        "--writes",
+        "1200",
+        "--seed",
+        "5",
+    ]);
     assert_eq!(
         (&report["losses_told"], &report["doubled"]),
         (&report["missing"], &Value::from(0)),
         "{report}"
     );
-    assert_eq!((&report["stale"], &report["unanswered"]), (&Value::from(0), &Value::from(0)), "{report}");
+    assert_eq!(
+        (&report["stale"], &report["unanswered"]),
+        (&Value::from(0), &Value::from(0)),
+        "{report}"
+    );
 }
 
 struct Rig {
@@ -106,13 +130,22 @@
     fn until(&self, said: &str) {
         let begun = Instant::now();
         while !self.router.said().contains(said) {
-            assert!(begun.elapsed() < PATIENCE, "{said:?} was not said: {}", self.router.said());
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "{said:?} was not said: {}",
+                self.router.said()
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     fn effects(&self) -> Vec<String> {
-        self.emulator.ledger(0).effects.iter().filter_map(|entry| entry.mark.clone()).collect()
+        self.emulator
+            .ledger(0)
+            .effects
+            .iter()
+            .filter_map(|entry| entry.mark.clone())
+            .collect()
     }
 
     /// The primary dies at this point of the next write, and the router knows that it is gone.
@@ -143,8 +176,14 @@
         assert_eq!(rig.effects(), ["m-a", "m-b"]);
     } else {
         // Its outcome was asked for by its mark, as this store offers that: the row is the one it made.
-        assert!(completed(&outcome) || matches!(outcome, Outcome::Aborted(_)), "{outcome:?}");
-        assert_eq!(rig.effects().iter().filter(|mark| *mark == "m-b").count(), 1);
+        assert!(
+            completed(&outcome) || matches!(outcome, Outcome::Aborted(_)),
+            "{outcome:?}"
+        );
+        assert_eq!(
+            rig.effects().iter().filter(|mark| *mark == "m-b").count(),
+            1
+        );
     }
 }
 
@@ -167,7 +206,10 @@
     assert!(completed(&rig.now("a")));
     let asked = rig.dies(Point::Before, "b", "episode-write");
     let refused = rig.now("c");
-    assert!(matches!(refused, Outcome::Rejected(Some(ms)) if ms > 0), "{refused:?}");
+    assert!(
+        matches!(refused, Outcome::Rejected(Some(ms)) if ms > 0),
+        "{refused:?}"
+    );
     assert!(rig.emulator.promote(0, None));
     assert!(completed(&asked.join().unwrap()));
     assert_eq!(rig.effects(), ["m-a", "m-b"]);
@@ -175,7 +217,14 @@
 
 #[test]
 fn a_list_that_names_the_wrong_one_deposes_nobody() {
-    let rig = rig("list", OWN, Shape { late_ms: 60_000, ..Shape::default() });
+    let rig = rig(
+        "list",
+        OWN,
+        Shape {
+            late_ms: 60_000,
+            ..Shape::default()
+        },
+    );
     assert!(completed(&rig.now("a")));
     // The list goes on naming the dead one, and was never right about the next.
     let asked = rig.dies(Point::After, "b", "episode-write");
--- a/crates/lab/tests/rigged/mod.rs
+++ b/crates/lab/tests/rigged/mod.rs
@@ -60,15 +60,24 @@
     let mut least: Option<Played> = None;
     for number in 0..TRIES {
         let alone = number > 0;
-        let played = places::with(alone, || once(seed, &format!("{name}/{number}"), script, own));
-        let Evidence { stood_still_ms, run_delay_ms, .. } = played.evidence;
+        let played = places::with(alone, || {
+            once(seed, &format!("{name}/{number}"), script, own)
+        });
+        let Evidence {
+            stood_still_ms,
+            run_delay_ms,
+            ..
+        } = played.evidence;
         if !disturbed(&played.evidence) {
             return played;
         }
         println!(
             "{name}: of half a second a thread had no processor for {run_delay_ms} ms, the rig stood still for {stood_still_ms} ms"
         );
-        if least.as_ref().is_none_or(|least| run_delay_ms < least.evidence.run_delay_ms) {
+        if least
+            .as_ref()
+            .is_none_or(|least| run_delay_ms < least.evidence.run_delay_ms)
+        {
             least = Some(played);
         }
     }
@@ -81,10 +90,20 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let router = Program::ours(helper());
-    let setup = Setup { router: &router, own, helper: helper(), folder: &folder, seed };
+    let setup = Setup {
+        router: &router,
+        own,
+        helper: helper(),
+        folder: &folder,
+        seed,
+    };
     let evidence = play(script, &setup).unwrap();
     let verdict = judge::judge(&evidence);
-    Played { evidence, verdict, folder }
+    Played {
+        evidence,
+        verdict,
+        folder,
+    }
 }
 
 impl Played {
@@ -105,7 +124,12 @@
     /// Connections asked for behind the first fault.
     pub fn opened(&self) -> usize {
         let asks = |kind| matches!(kind, Kind::Opened | Kind::Full);
-        let behind = self.evidence.seen.arrivals.iter().filter(|a| a.at_us >= self.fault());
+        let behind = self
+            .evidence
+            .seen
+            .arrivals
+            .iter()
+            .filter(|a| a.at_us >= self.fault());
         behind.filter(|a| asks(a.kind)).count()
     }
 
@@ -113,12 +137,20 @@
     pub fn all_came_back(&self) -> bool {
         (0..self.evidence.script.routers).all(|router| {
             let of = |d: &&Deed| d.what == What::Started && d.router == Some(router);
-            let started = self.evidence.deeds.iter().rfind(of).map_or(0, |deed| deed.at_us);
-            let sent =
-                |a: &Arrived| a.router == Some(router) && a.kind == Kind::Statement && a.at_us > started;
+            let started = self
+                .evidence
+                .deeds
+                .iter()
+                .rfind(of)
+                .map_or(0, |deed| deed.at_us);
+            let sent = |a: &Arrived| {
+                a.router == Some(router) && a.kind == Kind::Statement && a.at_us > started
+            };
             // A connection that was refused, or came in its last moments, asked nothing.
             let led = |r: &Route| {
-                r.router == router && r.from_us > started && r.to_us.saturating_sub(r.from_us) > LASTS_US
+                r.router == router
+                    && r.from_us > started
+                    && r.to_us.saturating_sub(r.from_us) > LASTS_US
             };
             let served = self.evidence.seen.arrivals.iter().any(sent);
             served || !self.evidence.routes.iter().any(led)
@@ -126,11 +158,17 @@
     }
 
     pub fn logs(&self) -> Vec<String> {
-        let read = |router| std::fs::read_to_string(self.folder.join(format!("router-{router}.log")));
-        (0..self.evidence.script.routers).map(|router| read(router).unwrap_or_default()).collect()
+        let read =
+            |router| std::fs::read_to_string(self.folder.join(format!("router-{router}.log")));
+        (0..self.evidence.script.routers)
+            .map(|router| read(router).unwrap_or_default())
+            .collect()
     }
 
     pub fn said(&self, what: &str) -> usize {
-        self.logs().iter().map(|log| log.matches(what).count()).sum()
+        self.logs()
+            .iter()
+            .map(|log| log.matches(what).count())
+            .sum()
     }
 }
--- a/crates/lab/tests/rigged/places.rs
+++ b/crates/lab/tests/rigged/places.rs
@@ -20,12 +20,20 @@
     let_in: Option<Instant>,
 }
 
-static PLACES: Mutex<Places> = Mutex::new(Places { playing: 0, waiting_alone: 0, let_in: None });
+static PLACES: Mutex<Places> = Mutex::new(Places {
+    playing: 0,
+    waiting_alone: 0,
+    let_in: None,
+});
 static CHANGED: Condvar = Condvar::new();
 
 /// Plays once there is room beside the others, or, alone, once nobody else plays.
 pub fn with<T>(alone: bool, play: impl FnOnce() -> T) -> T {
-    let _place = if alone { Place::enter_alone() } else { Place::enter() };
+    let _place = if alone {
+        Place::enter_alone()
+    } else {
+        Place::enter()
+    };
     play()
 }
 
@@ -54,7 +62,9 @@
         let mut places = places();
         places.waiting_alone += 1;
         let busy = |places: &mut Places| places.playing > 0;
-        let mut places = CHANGED.wait_while(places, busy).unwrap_or_else(PoisonError::into_inner);
+        let mut places = CHANGED
+            .wait_while(places, busy)
+            .unwrap_or_else(PoisonError::into_inner);
         places.playing += 1;
         drop(places);
         let begun = Instant::now();
@@ -95,7 +105,12 @@
 /// Ticks of all processors since the system's start: idle, and in all.
 fn ticks() -> Option<(f64, f64)> {
     let stat = std::fs::read_to_string("/proc/stat").ok()?;
-    let ticks = stat.lines().next()?.split_whitespace().skip(1).filter_map(|ticks| ticks.parse().ok());
+    let ticks = stat
+        .lines()
+        .next()?
+        .split_whitespace()
+        .skip(1)
+        .filter_map(|ticks| ticks.parse().ok());
     // The last two, guests', are in the first two as well.
     let ticks: Vec<f64> = ticks.take(8).collect();
     Some((ticks.get(3)? + ticks.get(4)?, ticks.iter().sum()))
--- a/crates/load/src/attempts.rs
+++ b/crates/load/src/attempts.rs
@@ -100,7 +100,14 @@
     }
 
     /// An attempt has ended; `lot` is from 0 to 1.
-    pub fn ended(&mut self, ended: Ended, now: Moment, facts: &Facts, rules: &Retries, lot: f64) -> Next {
+    pub fn ended(
+        &mut self,
+        ended: Ended,
+        now: Moment,
+        facts: &Facts,
+        rules: &Retries,
+        lot: f64,
+    ) -> Next {
         self.rejected |= matches!(ended, Ended::Rejected(_));
         self.doubtful |= matches!(ended, Ended::Aborted | Ended::GivenUp { sent: true });
         match self.again(ended, now, facts, rules, lot) {
@@ -109,11 +116,20 @@
         }
     }
 
-    fn again(&self, ended: Ended, now: Moment, facts: &Facts, rules: &Retries, lot: f64) -> Option<Moment> {
+    fn again(
+        &self,
+        ended: Ended,
+        now: Moment,
+        facts: &Facts,
+        rules: &Retries,
+        lot: f64,
+    ) -> Option<Moment> {
         let wanted = match ended {
             Ended::Completed | Ended::GivenUp { .. } => false,
             // What may have run before must not run again, though this attempt has not.
-            Ended::Rejected(_) | Ended::Unreached => rules.rejected && (facts.repeatable || !self.doubtful),
+            Ended::Rejected(_) | Ended::Unreached => {
+                rules.rejected && (facts.repeatable || !self.doubtful)
+            }
             Ended::Aborted => rules.aborted && facts.repeatable,
         };
         if !wanted || self.count > rules.most {
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -77,7 +77,10 @@
     let (mut outcomes, mut attempts, mut stretches) = ([0u64; 6], 0, 0);
     for window in drawn.iter().flat_map(|windows| windows.iter()) {
         window.latency.add_to(sums);
-        outcomes.iter_mut().zip(window.outcomes).for_each(|(sum, count)| *sum += count);
+        outcomes
+            .iter_mut()
+            .zip(window.outcomes)
+            .for_each(|(sum, count)| *sum += count);
         (attempts, stretches) = (attempts + window.attempts, stretches + 1);
     }
     let of = |outcome: Outcome| outcomes[outcome as usize] as f64;
@@ -102,18 +105,27 @@
         // The last stretch is seldom whole.
         Over::Windows => {
             let whole = |run: &'_ Series| run.windows.len().saturating_sub(1).max(1);
-            runs.iter().flat_map(|run| run.windows[..whole(run)].chunks(1)).collect()
+            runs.iter()
+                .flat_map(|run| run.windows[..whole(run)].chunks(1))
+                .collect()
         }
     }
 }
 
 /// Compares the runs of two sides; both have the same length of stretches.
 pub fn compare(a: &[Series], b: &[Series], seed: u64) -> Comparison {
-    let over = if a.len().min(b.len()) >= RUNS { Over::Runs } else { Over::Windows };
+    let over = if a.len().min(b.len()) >= RUNS {
+        Over::Runs
+    } else {
+        Over::Windows
+    };
     let window_s = a.first().map_or(1.0, |run| run.window_s);
     let (of_a, of_b) = (units(a, over), units(b, over));
     let mut sums = Sums::default();
-    let (all_a, all_b) = (measured(&of_a, window_s, &mut sums), measured(&of_b, window_s, &mut sums));
+    let (all_a, all_b) = (
+        measured(&of_a, window_s, &mut sums),
+        measured(&of_b, window_s, &mut sums),
+    );
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut apart: Vec<Vec<f64>> = MEASURES.iter().map(|_| Vec::with_capacity(DRAWS)).collect();
     let mut drawn = Vec::new();
@@ -151,6 +163,14 @@
     let too_few = few < if over == Over::Runs { RUNS } else { LEAST };
     let mut differences: Vec<_> = MEASURES.iter().enumerate().map(difference).collect();
     // An interval of too few units is too narrow to be believed.
-    differences.iter_mut().for_each(|d| d.exceeds_noise &= !too_few);
-    Comparison { drawn_over: over, units_a: of_a.len(), units_b: of_b.len(), too_few, differences }
+    differences
+        .iter_mut()
+        .for_each(|d| d.exceeds_noise &= !too_few);
+    Comparison {
+        drawn_over: over,
+        units_a: of_a.len(),
+        units_b: of_b.len(),
+        too_few,
+        differences,
+    }
 }
--- a/crates/load/src/connection.rs
+++ b/crates/load/src/connection.rs
@@ -73,9 +73,14 @@
     /// # Errors
     /// It can't even be begun.
     pub fn open(server: SocketAddr) -> Result<Connection, Unopened> {
-        let family = if server.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if server.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-        let socket = socket_with(family, SocketType::STREAM, flags, None).map_err(|_| Unopened::Short)?;
+        let socket =
+            socket_with(family, SocketType::STREAM, flags, None).map_err(|_| Unopened::Short)?;
         sockopt::set_tcp_nodelay(&socket, true).map_err(|_| Unopened::Short)?;
         match rustix::net::connect(&socket, &server) {
             Ok(()) | Err(Errno::INPROGRESS) => {}
@@ -213,8 +218,10 @@
                 self.told(told, None)?;
             }
             (State::Asking, b'Z') => {
-                let mut answer =
-                    self.answer.take().ok_or(Close::Malformed("an answer with neither row nor error"))?;
+                let mut answer = self
+                    .answer
+                    .take()
+                    .ok_or(Close::Malformed("an answer with neither row nor error"))?;
                 answer.position = self.position;
                 self.state = State::Idle;
                 heard.push(Heard::Answer(answer));
@@ -229,7 +236,11 @@
         if self.answer.is_some() {
             return Err(Close::Malformed("two answers to one statement"));
         }
-        self.answer = Some(Answer { told, value, position: None });
+        self.answer = Some(Answer {
+            told,
+            value,
+            position: None,
+        });
         Ok(())
     }
 
@@ -246,7 +257,9 @@
     if ![*b"53300", *b"57P03"].contains(&code) {
         return Ok(Told::Aborted);
     }
-    let detail = body.split(|b| *b == 0).find_map(|field| field.strip_prefix(b"D"));
+    let detail = body
+        .split(|b| *b == 0)
+        .find_map(|field| field.strip_prefix(b"D"));
     let told = detail.and_then(|text| std::str::from_utf8(text).ok()?.trim().parse().ok());
     Ok(Told::Rejected(told))
 }
--- a/crates/load/src/count.rs
+++ b/crates/load/src/count.rs
@@ -110,7 +110,10 @@
         let latency = r.ended.saturating_sub(r.work.due);
         self.outcomes.one(r.outcome);
         record(&mut self.latency, latency);
-        record(self.by_outcome[r.outcome as usize].get_or_insert_with(times), latency);
+        record(
+            self.by_outcome[r.outcome as usize].get_or_insert_with(times),
+            latency,
+        );
         if let Some(service) = service(r) {
             record(&mut self.service, service);
         }
@@ -123,7 +126,9 @@
 /// From the last byte sent to the last one that came, of what was answered.
 pub fn service(r: &Record) -> Option<u64> {
     let answered = r.first.is_some() && r.outcome != Outcome::TimedOut;
-    r.asked.filter(|_| answered).map(|asked| r.ended.saturating_sub(asked))
+    r.asked
+        .filter(|_| answered)
+        .map(|asked| r.ended.saturating_sub(asked))
 }
 
 /// All of a run.
@@ -222,8 +227,10 @@
         if let Some(of) = self.of.get_mut(usize::from(r.work.workload)) {
             of.ended(r);
         }
-        let group =
-            self.groups.entry(r.work.group.min(GROUPS)).or_insert_with(|| (Outcomes::default(), times()));
+        let group = self
+            .groups
+            .entry(r.work.group.min(GROUPS))
+            .or_insert_with(|| (Outcomes::default(), times()));
         group.0.one(r.outcome);
         record(&mut group.1, r.ended.saturating_sub(r.work.due));
     }
@@ -252,7 +259,10 @@
             latency_by_outcome_ms: OUTCOMES
                 .iter()
                 .filter_map(|o| {
-                    Some((o.name().to_string(), Percentiles::of(of.by_outcome[*o as usize].as_ref()?)))
+                    Some((
+                        o.name().to_string(),
+                        Percentiles::of(of.by_outcome[*o as usize].as_ref()?),
+                    ))
                 })
                 .collect(),
         };
@@ -261,7 +271,10 @@
             why.push(format!("it began statements {:.1} ms late at p99", own.p99));
         }
         if run.sockets.short > 0 {
-            why.push(format!("the system had no descriptor or port for {} connections", run.sockets.short));
+            why.push(format!(
+                "the system had no descriptor or port for {} connections",
+                run.sockets.short
+            ));
         }
         let s = &run.sockets;
         Summary {
--- a/crates/load/src/engine.rs
+++ b/crates/load/src/engine.rs
@@ -166,7 +166,11 @@
     /// # Errors
     /// The system's, where it gives no epoll.
     pub fn new(
-        shared: Arc<Shared>, source: S, most: usize, closed: Option<Closed>, seed: u64,
+        shared: Arc<Shared>,
+        source: S,
+        most: usize,
+        closed: Option<Closed>,
+        seed: u64,
         out: SyncSender<Vec<Record>>,
     ) -> std::io::Result<Engine<S>> {
         Ok(Engine {
@@ -203,8 +207,10 @@
     pub fn run(mut self) -> std::io::Result<Sockets> {
         self.coming = self.source.next();
         std::thread::sleep(self.shared.start.saturating_duration_since(Instant::now()));
-        let mut events =
-            [epoll::Event { flags: epoll::EventFlags::empty(), data: epoll::EventData::new_u64(0) }; EVENTS];
+        let mut events = [epoll::Event {
+            flags: epoll::EventFlags::empty(),
+            data: epoll::EventData::new_u64(0),
+        }; EVENTS];
         loop {
             let stop = self.shared.stop.load(Ordering::Relaxed);
             let behind = stop == 0 && self.begin();
@@ -217,8 +223,10 @@
             }
             self.hand_over(false);
             let wait = if behind { 0 } else { self.wait(stop) };
-            let wait =
-                Timespec { tv_sec: (wait / 1_000_000_000) as i64, tv_nsec: (wait % 1_000_000_000) as _ };
+            let wait = Timespec {
+                tv_sec: (wait / 1_000_000_000) as i64,
+                tv_nsec: (wait % 1_000_000_000) as _,
+            };
             let count = match epoll::wait(&self.epoll, &mut events[..], Some(&wait)) {
                 Ok(count) => count,
                 Err(rustix::io::Errno::INTR) => 0,
@@ -226,7 +234,8 @@
             };
             for event in &events[..count] {
                 let (data, flags) = (event.data, event.flags);
-                let ending = epoll::EventFlags::RDHUP | epoll::EventFlags::HUP | epoll::EventFlags::ERR;
+                let ending =
+                    epoll::EventFlags::RDHUP | epoll::EventFlags::HUP | epoll::EventFlags::ERR;
                 self.turn(Ticket::read(data.u64()), flags.intersects(ending));
             }
         }
@@ -242,7 +251,11 @@
     fn wait(&self, stop: u8) -> u64 {
         let now = self.now();
         let alarm = self.alarms.peek().map(|Reverse((at, _))| *at);
-        let due = self.coming.as_ref().filter(|_| stop == 0 && self.closed.is_none()).map(|work| work.due);
+        let due = self
+            .coming
+            .as_ref()
+            .filter(|_| stop == 0 && self.closed.is_none())
+            .map(|work| work.due);
         let next = alarm.into_iter().chain(due).min().unwrap_or(Moment::MAX);
         next.saturating_sub(now).min(LONGEST_WAIT)
     }
@@ -251,7 +264,9 @@
     fn begin(&mut self) -> bool {
         for _ in 0..IN_A_ROW {
             let now = self.now();
-            let Some(work) = &self.coming else { return false };
+            let Some(work) = &self.coming else {
+                return false;
+            };
             let due = match self.closed {
                 None => work.due <= now,
                 Some(closed) => self.jobs.len() < closed.clients && now < closed.until,
@@ -259,7 +274,9 @@
             if !due {
                 return false;
             }
-            let Some(mut work) = self.coming.take() else { return false };
+            let Some(mut work) = self.coming.take() else {
+                return false;
+            };
             self.coming = self.source.next();
             if self.closed.is_some() {
                 work.due = now;
@@ -284,34 +301,46 @@
             wrote: None,
         };
         let ticket = self.jobs.add(job);
-        self.alarms.push(Reverse((deadline, Alarm::Deadline(ticket))));
+        self.alarms
+            .push(Reverse((deadline, Alarm::Deadline(ticket))));
         self.attempt(ticket);
     }
 
     /// A further attempt waits for a connection, or has one at once.
     fn attempt(&mut self, ticket: Ticket) {
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         job.attempts.begun();
         self.enqueue(ticket);
         self.dispatch();
     }
 
     fn enqueue(&mut self, ticket: Ticket) {
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         (job.place, job.asked, job.first) = (Place::Waiting, None, None);
         self.waiting += 1;
         self.queue.push_back(ticket);
         // Those that gave up meanwhile would add up while no connection falls free.
         if self.queue.len() > 2 * self.waiting + 1024 {
             let jobs = &mut self.jobs;
-            self.queue.retain(|ticket| jobs.get(*ticket).is_some_and(|job| job.place == Place::Waiting));
+            self.queue.retain(|ticket| {
+                jobs.get(*ticket)
+                    .is_some_and(|job| job.place == Place::Waiting)
+            });
         }
     }
 
     /// The longest waiting; it no longer waits.
     fn next_waiting(&mut self) -> Option<Ticket> {
         while let Some(ticket) = self.queue.pop_front() {
-            if self.jobs.get(ticket).is_some_and(|job| job.place == Place::Waiting) {
+            if self
+                .jobs
+                .get(ticket)
+                .is_some_and(|job| job.place == Place::Waiting)
+            {
                 self.waiting -= 1;
                 return Some(ticket);
             }
@@ -362,11 +391,23 @@
     fn open(&mut self, reserved: Option<Ticket>) -> Result<(), Unopened> {
         use epoll::EventFlags;
         let connection = Connection::open(self.shared.target)?;
-        let link = self.links.add(Link { connection, job: None, reserved, ending: false, idle_since: 0 });
+        let link = self.links.add(Link {
+            connection,
+            job: None,
+            reserved,
+            ending: false,
+            idle_since: 0,
+        });
         let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
-        let Some(there) = self.links.get(link) else { return Ok(()) };
-        let added =
-            epoll::add(&self.epoll, there.connection.fd(), epoll::EventData::new_u64(link.word()), flags);
+        let Some(there) = self.links.get(link) else {
+            return Ok(());
+        };
+        let added = epoll::add(
+            &self.epoll,
+            there.connection.fd(),
+            epoll::EventData::new_u64(link.word()),
+            flags,
+        );
         if added.is_err() {
             self.links.remove(link);
             return Err(Unopened::Short);
@@ -379,17 +420,30 @@
 
     fn send(&mut self, link: Ticket, ticket: Ticket) {
         let now = self.now();
-        let (Some(job), Some(there)) = (self.jobs.get(ticket), self.links.get(link)) else { return };
+        let (Some(job), Some(there)) = (self.jobs.get(ticket), self.links.get(link)) else {
+            return;
+        };
         let work = &job.work;
-        job.wrote = if work.own { self.sessions.get(&work.session).copied() } else { None };
+        job.wrote = if work.own {
+            self.sessions.get(&work.session).copied()
+        } else {
+            None
+        };
         let asked = Asked {
             run: self.shared.run,
             attempt: job.attempts.count,
             told: self.shared.retries.told,
-            left: work.deadline().saturating_sub(now).saturating_sub(self.shared.grace),
+            left: work
+                .deadline()
+                .saturating_sub(now)
+                .saturating_sub(self.shared.grace),
             wrote: job.wrote,
         };
-        let name = self.shared.workloads.get(usize::from(work.workload)).map_or("", String::as_str);
+        let name = self
+            .shared
+            .workloads
+            .get(usize::from(work.workload))
+            .map_or("", String::as_str);
         let text = work.text(name, &asked);
         job.place = Place::On(link);
         there.job = Some(ticket);
@@ -403,7 +457,9 @@
 
     /// A socket is ready for something.
     fn turn(&mut self, link: Ticket, ending: bool) {
-        let Some(there) = self.links.get(link) else { return };
+        let Some(there) = self.links.get(link) else {
+            return;
+        };
         let mut heard = std::mem::take(&mut self.heard);
         let went = there.connection.turn(ending, &mut heard);
         there.ending = went.is_err();
@@ -453,12 +509,17 @@
     /// A connection is free: for who waits longest, or kept.
     fn free(&mut self, link: Ticket, now: Moment) {
         let holding = self.shared.holding;
-        let Some(there) = self.links.get(link) else { return };
+        let Some(there) = self.links.get(link) else {
+            return;
+        };
         if there.ending {
             return;
         }
         there.idle_since = now;
-        if holding.uses.is_some_and(|uses| there.connection.uses >= uses) {
+        if holding
+            .uses
+            .is_some_and(|uses| there.connection.uses >= uses)
+        {
             self.links.remove(link);
         } else {
             self.idle.push(link);
@@ -467,7 +528,9 @@
     }
 
     fn answered(&mut self, ticket: Ticket, answer: Answer, now: Moment) {
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         let ended = match answer.told {
             Told::Completed => Ended::Completed,
             Told::Rejected(ms) => Ended::Rejected(ms.map(|ms| ms.saturating_mul(1_000_000))),
@@ -478,10 +541,16 @@
             let work = &job.work;
             stale = work.check
                 && job.wrote.is_some_and(|wrote| {
-                    !answer.value.as_deref().is_some_and(|value| written_by(value, wrote.number))
+                    !answer
+                        .value
+                        .as_deref()
+                        .is_some_and(|value| written_by(value, wrote.number))
                 });
             if work.writes.is_some() && work.session != 0 {
-                let wrote = Wrote { number: work.number, position: answer.position };
+                let wrote = Wrote {
+                    number: work.number,
+                    position: answer.position,
+                };
                 let session = work.session;
                 self.remember(session, wrote);
             }
@@ -502,11 +571,17 @@
 
     /// A connection has ended, and what it carried with it.
     fn closed(&mut self, link: Ticket, close: Close) {
-        let Some(mut there) = self.links.remove(link) else { return };
+        let Some(mut there) = self.links.remove(link) else {
+            return;
+        };
         if !there.connection.is_up() {
             self.opening -= usize::from(there.reserved.is_none());
             self.sockets.refused += 1;
-            let ended = if close == Close::TurnedAway { Ended::Rejected(None) } else { Ended::Unreached };
+            let ended = if close == Close::TurnedAway {
+                Ended::Rejected(None)
+            } else {
+                Ended::Unreached
+            };
             match there.reserved {
                 Some(ticket) => self.ended(ticket, ended),
                 None => self.unreached(ended),
@@ -523,7 +598,9 @@
             return self.dispatch();
         }
         self.sockets.broken += 1;
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         // A server may close a connection between statements: one that crosses it is sent once more. So is one
         // whose last byte was never handed over.
         let (sent, reused) = (job.asked.is_some(), there.connection.uses > 1);
@@ -534,14 +611,23 @@
             }
             self.once_more(ticket);
         } else {
-            self.ended(ticket, if sent { Ended::Aborted } else { Ended::Unreached });
+            self.ended(
+                ticket,
+                if sent {
+                    Ended::Aborted
+                } else {
+                    Ended::Unreached
+                },
+            );
         }
         self.dispatch();
     }
 
     /// On a new connection of its own: others that stand idle may be closing, too.
     fn once_more(&mut self, ticket: Ticket) {
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         (job.resent, job.place, job.asked, job.first) = (true, Place::Reserved, None, None);
         if self.open(Some(ticket)).is_err() {
             self.enqueue(ticket);
@@ -555,7 +641,9 @@
 
     fn ended_at(&mut self, ticket: Ticket, ended: Ended, now: Moment, stale: bool) {
         let lot = self.chance.f64();
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         let facts = Facts {
             due: job.work.due,
             slo: job.work.slo,
@@ -563,7 +651,10 @@
             deadline: job.work.deadline().saturating_sub(self.shared.grace),
             repeatable: job.work.repeatable(),
         };
-        match job.attempts.ended(ended, now, &facts, &self.shared.retries, lot) {
+        match job
+            .attempts
+            .ended(ended, now, &facts, &self.shared.retries, lot)
+        {
             Next::Again(at) => {
                 job.place = Place::Paused;
                 self.alarms.push(Reverse((at, Alarm::Again(ticket))));
@@ -573,7 +664,9 @@
     }
 
     fn over(&mut self, ticket: Ticket, outcome: Outcome, now: Moment, stale: bool) {
-        let Some(job) = self.jobs.remove(ticket) else { return };
+        let Some(job) = self.jobs.remove(ticket) else {
+            return;
+        };
         self.shared.ended.fetch_add(1, Ordering::Relaxed);
         self.batch.push(Record {
             work: job.work,
@@ -607,7 +700,9 @@
 
     /// Its client leaves, and takes its connection along: an answer may still be on its way.
     fn give_up(&mut self, ticket: Ticket) {
-        let Some(job) = self.jobs.get(ticket) else { return };
+        let Some(job) = self.jobs.get(ticket) else {
+            return;
+        };
         let (place, sent) = (job.place, job.asked.is_some());
         match place {
             Place::Waiting => self.waiting -= 1,
@@ -617,21 +712,34 @@
             Place::Paused | Place::Reserved => {}
         }
         // Who pauses was answered before: that answer stands.
-        self.ended(ticket, Ended::GivenUp { sent: sent && place != Place::Paused });
+        self.ended(
+            ticket,
+            Ended::GivenUp {
+                sent: sent && place != Place::Paused,
+            },
+        );
         self.dispatch();
     }
 
     fn give_up_all(&mut self) {
-        self.jobs.tickets().into_iter().for_each(|ticket| self.give_up(ticket));
+        self.jobs
+            .tickets()
+            .into_iter()
+            .for_each(|ticket| self.give_up(ticket));
     }
 
     /// Closes connections that stood idle for as long as clients hold them; the longest idle are at the bottom.
     fn leave_idle(&mut self) {
-        let Some(most) = self.shared.holding.idle_ms else { return };
+        let Some(most) = self.shared.holding.idle_ms else {
+            return;
+        };
         let most = (most * 1e6) as u64;
         let now = self.now();
         while let Some(first) = self.idle.first().copied() {
-            let idle = self.links.get(first).map_or(u64::MAX, |there| now.saturating_sub(there.idle_since));
+            let idle = self
+                .links
+                .get(first)
+                .map_or(u64::MAX, |there| now.saturating_sub(there.idle_since));
             if idle < most {
                 break;
             }
--- a/crates/load/src/keep.rs
+++ b/crates/load/src/keep.rs
@@ -61,7 +61,10 @@
     pub fn new(path: &Path, scenario: &str) -> Result<Folder, Fault> {
         let folder = Folder(path.to_path_buf());
         std::fs::create_dir_all(path).map_err(|e| Fault::File(path.to_path_buf(), e))?;
-        if [SCENARIO, SUMMARY, STATEMENTS].iter().any(|name| path.join(name).exists()) {
+        if [SCENARIO, SUMMARY, STATEMENTS]
+            .iter()
+            .any(|name| path.join(name).exists())
+        {
             return Err(Fault::Taken(path.to_path_buf()));
         }
         folder.write(SCENARIO, scenario)?;
@@ -76,8 +79,8 @@
     /// # Errors
     /// The disk's.
     pub fn summary(&self, summary: &Summary) -> Result<(), Fault> {
-        let text =
-            serde_json::to_string_pretty(summary).map_err(|e| Fault::Summary(self.0.join(SUMMARY), e))?;
+        let text = serde_json::to_string_pretty(summary)
+            .map_err(|e| Fault::Summary(self.0.join(SUMMARY), e))?;
         self.write(SUMMARY, &(text + "\n"))
     }
 }
@@ -87,23 +90,34 @@
 /// # Errors
 /// The disk's. What could not be written is no reason to stop counting: the tally stands beside it.
 pub fn collect(
-    records: &Receiver<Vec<Record>>, workloads: &[String], folder: Option<&Folder>,
+    records: &Receiver<Vec<Record>>,
+    workloads: &[String],
+    folder: Option<&Folder>,
 ) -> (Tally, Result<(), Fault>) {
     let mut tally = Tally::new(workloads);
     let kept = match folder {
         None => {
-            records.iter().flatten().for_each(|record| tally.ended(&record));
+            records
+                .iter()
+                .flatten()
+                .for_each(|record| tally.ended(&record));
             Ok(())
         }
         Some(folder) => keep(records, workloads, folder, &mut tally),
     };
     // After a disk's error those that send must still be heard out.
-    records.iter().flatten().for_each(|record| tally.ended(&record));
+    records
+        .iter()
+        .flatten()
+        .for_each(|record| tally.ended(&record));
     (tally, kept)
 }
 
 fn keep(
-    records: &Receiver<Vec<Record>>, workloads: &[String], folder: &Folder, tally: &mut Tally,
+    records: &Receiver<Vec<Record>>,
+    workloads: &[String],
+    folder: &Folder,
+    tally: &mut Tally,
 ) -> Result<(), Fault> {
     let place = folder.0.join(STATEMENTS);
     let wrong = |e| Fault::Parquet(place.clone(), e);
@@ -114,14 +128,23 @@
     let mut file = BufWriter::new(File::create(&log).map_err(broken)?);
     let mut serializer = V2DeflateSerializer::new();
     let mut builder = IntervalLogWriterBuilder::new();
-    builder.add_comment("latency from when each statement was due, microseconds, by the second of its end");
-    builder.with_start_time(SystemTime::now()).with_max_value_divisor(1e3);
-    let mut writer = builder.begin_log_with(&mut file, &mut serializer).map_err(broken)?;
+    builder.add_comment(
+        "latency from when each statement was due, microseconds, by the second of its end",
+    );
+    builder
+        .with_start_time(SystemTime::now())
+        .with_max_value_divisor(1e3);
+    let mut writer = builder
+        .begin_log_with(&mut file, &mut serializer)
+        .map_err(broken)?;
     let mut seconds: BTreeMap<u64, Vec<Option<Times>>> = BTreeMap::new();
     let mut flush = |second: u64, of: Vec<Option<Times>>| {
         for (name, times) in workloads.iter().zip(of) {
             let Some(times) = times else { continue };
-            let (start, length) = (Duration::from_secs(second * INTERVAL), Duration::from_secs(INTERVAL));
+            let (start, length) = (
+                Duration::from_secs(second * INTERVAL),
+                Duration::from_secs(INTERVAL),
+            );
             let written = writer.write_histogram(&times, start, length, Tag::new(name));
             written.map_err(|e| Fault::File(log.clone(), std::io::Error::other(e.to_string())))?;
         }
@@ -131,7 +154,9 @@
         for record in batch {
             tally.ended(&record);
             let second = record.ended / (INTERVAL * 1_000_000_000);
-            let of = seconds.entry(second).or_insert_with(|| vec![None; workloads.len()]);
+            let of = seconds
+                .entry(second)
+                .or_insert_with(|| vec![None; workloads.len()]);
             if let Some(of) = of.get_mut(usize::from(record.work.workload)) {
                 let latency = record.ended.saturating_sub(record.work.due);
                 // One that grows takes any value.
@@ -140,23 +165,36 @@
             put(&mut sheet, workloads, &record).map_err(wrong)?;
         }
         let newest = seconds.last_key_value().map_or(0, |(second, _)| *second);
-        while let Some(first) = seconds.first_entry().filter(|first| *first.key() + HELD_BACK < newest) {
+        while let Some(first) = seconds
+            .first_entry()
+            .filter(|first| *first.key() + HELD_BACK < newest)
+        {
             let (second, of) = first.remove_entry();
             flush(second, of)?;
         }
     }
-    std::mem::take(&mut seconds).into_iter().try_for_each(|(second, of)| flush(second, of))?;
+    std::mem::take(&mut seconds)
+        .into_iter()
+        .try_for_each(|(second, of)| flush(second, of))?;
     drop(writer);
-    file.flush().map_err(|e| Fault::File(folder.0.join(HISTOGRAMS), e))?;
+    file.flush()
+        .map_err(|e| Fault::File(folder.0.join(HISTOGRAMS), e))?;
     sheet.close().map_err(wrong)
 }
 
 fn put(sheet: &mut Sheet, workloads: &[String], r: &Record) -> parquet::errors::Result<()> {
     let work = &r.work;
-    let session = if work.session == 0 { String::new() } else { format!("{:x}", work.session) };
+    let session = if work.session == 0 {
+        String::new()
+    } else {
+        format!("{:x}", work.session)
+    };
     let row = Row {
         at_ms: work.due as f64 / 1e6,
-        workload: workloads.get(usize::from(work.workload)).cloned().unwrap_or_default(),
+        workload: workloads
+            .get(usize::from(work.workload))
+            .cloned()
+            .unwrap_or_default(),
         customer: work.customer.clone(),
         group: work.group,
         key: work.key.clone(),
@@ -200,6 +238,7 @@
 /// What is known of a run that could not be kept.
 pub fn problem(run: &mut Run, kept: &Result<(), Fault>) {
     if let Err(fault) = kept {
-        run.problems.push(format!("not all statements were kept: {fault}"));
+        run.problems
+            .push(format!("not all statements were kept: {fault}"));
     }
 }
