--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -184,9 +184,12 @@
         Command::Record { listen, to, out } => recording(listen, to, &out),
         Command::Inspect { what, json } => inspect(&what, json),
         Command::Compare(options) => comparing(&options),
-        Command::Plot { runs, out, workload, window } => {
-            plotting(&runs, out.as_deref(), workload.as_deref(), window)
-        }
+        Command::Plot {
+            runs,
+            out,
+            workload,
+            window,
+        } => plotting(&runs, out.as_deref(), workload.as_deref(), window),
         Command::Check { scenario } => read(&scenario).map(|(_, scenario)| {
             tell(&scenario);
             ExitCode::SUCCESS
@@ -212,9 +215,11 @@
 fn stop() -> Result<Arc<AtomicU8>, String> {
     let stop = Arc::new(AtomicU8::new(0));
     let told = stop.clone();
-    let mut signals =
-        signal_hook::iterator::Signals::new([signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM])
-            .map_err(words)?;
+    let mut signals = signal_hook::iterator::Signals::new([
+        signal_hook::consts::SIGINT,
+        signal_hook::consts::SIGTERM,
+    ])
+    .map_err(words)?;
     std::thread::spawn(move || {
         for _ in &mut signals {
             if told.fetch_add(1, Ordering::Relaxed) > 1 {
@@ -228,15 +233,27 @@
 
 fn setup(closed: Option<usize>) -> Result<Setup, String> {
     run::descriptors();
-    Ok(Setup { run: fastrand::u64(..), closed, stop: stop()?, progress: true })
+    Ok(Setup {
+        run: fastrand::u64(..),
+        closed,
+        stop: stop()?,
+        progress: true,
+    })
 }
 
 fn tell(scenario: &Scenario) {
     for (number, phase) in scenario.phases.iter().enumerate() {
         let expected: f64 = pieces(phase).iter().map(|piece| piece.mass()).sum();
-        let kind = if phase.random { "at random" } else { "evenly spaced" };
+        let kind = if phase.random {
+            "at random"
+        } else {
+            "evenly spaced"
+        };
         let bunches = phase.together.map_or(String::new(), |together| {
-            format!(", {} at a time within {} ms", together.statements, together.within_ms)
+            format!(
+                ", {} at a time within {} ms",
+                together.statements, together.within_ms
+            )
         });
         println!(
             "phase {number} {}: {:.1} s, {expected:.0} statements expected, {kind}{bunches}",
@@ -245,7 +262,10 @@
         );
     }
     let drawn = Arrivals::new(&scenario.phases, scenario.seed).count();
-    println!("with seed {}: {drawn} statements, sessions' own reads not counted", scenario.seed);
+    println!(
+        "with seed {}: {drawn} statements, sessions' own reads not counted",
+        scenario.seed
+    );
     let whole: f64 = scenario.workloads.iter().map(|w| w.share).sum();
     for w in &scenario.workloads {
         match &w.follows {
@@ -308,7 +328,10 @@
 
 fn finish(played: &Played) -> Done {
     warn(&played.summary);
-    println!("{}", serde_json::to_string_pretty(&played.summary).map_err(words)?);
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&played.summary).map_err(words)?
+    );
     Ok(ExitCode::from(match &played.summary {
         summary if summary.interrupted => INTERRUPTED,
         summary if summary.bottleneck => BOTTLENECK,
@@ -321,7 +344,9 @@
         eprintln!("badgerload: THE GENERATOR WAS THE BOTTLENECK: {why}");
     }
     if summary.loop_kind == "closed" {
-        eprintln!("badgerload: a closed loop waits with its server and hides stalls: for comparison only");
+        eprintln!(
+            "badgerload: a closed loop waits with its server and hides stalls: for comparison only"
+        );
     }
     if summary.interrupted {
         eprintln!("badgerload: interrupted: this is what was measured until then");
@@ -334,7 +359,10 @@
         return Err("--share is from 0 to 1, --precision from 0.001 up to 1".to_string());
     }
     if options.out.is_some() {
-        return Err("--search keeps no run; play the rate that it finds with --faster and --out".to_string());
+        return Err(
+            "--search keeps no run; play the rate that it finds with --faster and --out"
+                .to_string(),
+        );
     }
     let mean = pieces_of(&scenario) / scenario.seconds();
     if mean <= 0.0 {
@@ -355,7 +383,13 @@
         let rate = match search.next() {
             Step::Done(found) => {
                 println!("{}", serde_json::to_string_pretty(&found).map_err(words)?);
-                let limited = matches!(found, Found::AtLeast { limited_by_generator: true, .. });
+                let limited = matches!(
+                    found,
+                    Found::AtLeast {
+                        limited_by_generator: true,
+                        ..
+                    }
+                );
                 let code = match found {
                     Found::Nowhere { .. } => NOWHERE,
                     _ if limited => BOTTLENECK,
@@ -381,19 +415,31 @@
             () if summary.bottleneck => Verdict::Limited,
             () => Verdict::Broken,
         };
-        eprintln!("{rate:.0} a second: {:.3} % within their SLO times, {verdict:?}", share * 1e2);
+        eprintln!(
+            "{rate:.0} a second: {:.3} % within their SLO times, {verdict:?}",
+            share * 1e2
+        );
         search.told(rate, verdict);
     }
 }
 
 /// Statements expected over the whole scenario.
 fn pieces_of(scenario: &Scenario) -> f64 {
-    scenario.phases.iter().flat_map(pieces).map(|piece| piece.mass()).sum()
+    scenario
+        .phases
+        .iter()
+        .flat_map(pieces)
+        .map(|piece| piece.mass())
+        .sum()
 }
 
 fn replay(options: &ReplayOptions) -> Done {
     let folder = options.trace.join(keep::STATEMENTS);
-    let trace = if options.trace.is_dir() { folder } else { options.trace.clone() };
+    let trace = if options.trace.is_dir() {
+        folder
+    } else {
+        options.trace.clone()
+    };
     let mut scenario = match &options.as_in {
         None => run::bare(options.target),
         Some(file) => read(file)?.1,
@@ -420,7 +466,10 @@
         run::replay(&trace, change, options.skip_broken, &scenario, &setup, out).map_err(words)?;
     if survey.broken > 0 {
         eprintln!("badgerload: {} broken rows were left out:", survey.broken);
-        survey.first_broken.iter().for_each(|row| eprintln!("  {row}"));
+        survey
+            .first_broken
+            .iter()
+            .for_each(|row| eprintln!("  {row}"));
     }
     if survey.retries > 0 && !options.with_retries {
         let retries = survey.retries;
@@ -434,7 +483,10 @@
     let stop = stop()?;
     eprintln!("badgerload: recording what comes to {listen} and goes to {to}; SIGINT ends it");
     let recorded = record::record(&listener, to, out, &stop).map_err(words)?;
-    println!("{}", serde_json::to_string_pretty(&recorded).map_err(words)?);
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&recorded).map_err(words)?
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -499,25 +551,37 @@
     if !(0.01..=3600.0).contains(&window) {
         return Err("--window is from 0.01 to 3600 seconds".to_string());
     }
-    folders.iter().map(|folder| Series::read(folder, workload, window).map_err(words)).collect()
+    folders
+        .iter()
+        .map(|folder| Series::read(folder, workload, window).map_err(words))
+        .collect()
 }
 
 fn comparing(options: &CompareOptions) -> Done {
     let workload = options.workload.as_deref();
-    let (a, b) =
-        (series(&options.a, workload, options.window)?, series(&options.b, workload, options.window)?);
+    let (a, b) = (
+        series(&options.a, workload, options.window)?,
+        series(&options.b, workload, options.window)?,
+    );
     for folder in options.a.iter().chain(&options.b) {
         // What is wrong with a run is told before its figures are.
         warn(&keep::summary(folder).map_err(words)?);
     }
     let comparison = compare::compare(&a, &b, options.seed);
     if options.json {
-        println!("{}", serde_json::to_string_pretty(&comparison).map_err(words)?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&comparison).map_err(words)?
+        );
     } else {
         show_comparison(&comparison);
     }
     let differs = comparison.differences.iter().any(|d| d.exceeds_noise);
-    Ok(ExitCode::from(if differs && options.exit_code { DIFFERS } else { 0 }))
+    Ok(ExitCode::from(if differs && options.exit_code {
+        DIFFERS
+    } else {
+        0
+    }))
 }
 
 fn show_comparison(comparison: &Comparison) {
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -23,8 +23,11 @@
 /// # Errors
 /// A file can't be written.
 pub fn plot(runs: &[Series], folder: &Path) -> Result<Vec<PathBuf>, Fault> {
-    let pictures: [(&str, Draw); 3] =
-        [("percentiles.svg", percentiles), ("latency.svg", over_time), ("outcomes.svg", outcomes)];
+    let pictures: [(&str, Draw); 3] = [
+        ("percentiles.svg", percentiles),
+        ("latency.svg", over_time),
+        ("outcomes.svg", outcomes),
+    ];
     let draw = |(name, draw): (&str, Draw)| {
         let place = folder.join(name);
         draw(runs, &place).map_err(|e| Fault(place.clone(), e))?;
@@ -46,14 +49,19 @@
 
 type Chart<'a, 'b, X, Y> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<X, Y>>;
 
-fn area<'b>(place: &'b Path) -> Result<DrawingArea<SVGBackend<'b>, plotters::coord::Shift>, String> {
+fn area<'b>(
+    place: &'b Path,
+) -> Result<DrawingArea<SVGBackend<'b>, plotters::coord::Shift>, String> {
     let area = SVGBackend::new(place, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(told)?;
     Ok(area)
 }
 
 fn frame<'a, 'b, X, Y>(
-    area: &'a DrawingArea<SVGBackend<'b>, plotters::coord::Shift>, of: &Frame<'_>, x: X, y: Y,
+    area: &'a DrawingArea<SVGBackend<'b>, plotters::coord::Shift>,
+    of: &Frame<'_>,
+    x: X,
+    y: Y,
     ticks: &dyn Fn(&f64) -> String,
 ) -> Result<Chart<'a, 'b, X::CoordDescType, Y::CoordDescType>, String>
 where
@@ -70,7 +78,10 @@
         .build_cartesian_2d(x, y)
         .map_err(told)?;
     let mut mesh = chart.configure_mesh();
-    mesh.x_desc(of.x).y_desc(of.y).light_line_style(WHITE).bold_line_style(BLACK.mix(0.12));
+    mesh.x_desc(of.x)
+        .y_desc(of.y)
+        .light_line_style(WHITE)
+        .bold_line_style(BLACK.mix(0.12));
     mesh.x_label_formatter(ticks).draw().map_err(told)?;
     Ok(chart)
 }
@@ -94,8 +105,14 @@
 
 /// The longest and the shortest latency of all runs, as a range that holds both.
 fn range(values: impl Iterator<Item = f64>) -> (f64, f64) {
-    let (low, high) = values.fold((f64::MAX, 0f64), |(low, high), value| (low.min(value), high.max(value)));
-    if high <= 0.0 { (0.1, 1.0) } else { (low.max(0.001) * 0.8, high * 1.3) }
+    let (low, high) = values.fold((f64::MAX, 0f64), |(low, high), value| {
+        (low.min(value), high.max(value))
+    });
+    if high <= 0.0 {
+        (0.1, 1.0)
+    } else {
+        (low.max(0.001) * 0.8, high * 1.3)
+    }
 }
 
 fn percentiles(runs: &[Series], place: &Path) -> Result<(), String> {
@@ -122,10 +139,20 @@
         let digits = (of.log10().round() as usize).saturating_sub(2);
         format!("{percent:.digits$} %")
     };
-    let mut chart = frame(&area, &of, (1.0..most).log_scale(), (low..high).log_scale(), &percent)?;
+    let mut chart = frame(
+        &area,
+        &of,
+        (1.0..most).log_scale(),
+        (low..high).log_scale(),
+        &percent,
+    )?;
     for ((run, points), colour) in runs.iter().zip(lines).zip(RUNS) {
-        let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(2))).map_err(told)?;
-        drawn.label(&run.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
+        let drawn = chart
+            .draw_series(LineSeries::new(points, colour.stroke_width(2)))
+            .map_err(told)?;
+        drawn
+            .label(&run.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
     }
     legend!(chart)?;
     area.present().map_err(told)
@@ -133,7 +160,9 @@
 
 /// The end of the longest run, in seconds.
 fn length(runs: &[Series]) -> f64 {
-    runs.iter().map(|run| run.windows.len() as f64 * run.window_s).fold(1.0, f64::max)
+    runs.iter()
+        .map(|run| run.windows.len() as f64 * run.window_s)
+        .fold(1.0, f64::max)
 }
 
 fn over_time(runs: &[Series], place: &Path) -> Result<(), String> {
@@ -145,8 +174,15 @@
         };
         run.windows.iter().enumerate().filter_map(at).collect()
     };
-    let lines: Vec<Vec<_>> =
-        runs.iter().map(|run| SHADES.iter().map(|(quantile, _)| of_run(run, *quantile)).collect()).collect();
+    let lines: Vec<Vec<_>> = runs
+        .iter()
+        .map(|run| {
+            SHADES
+                .iter()
+                .map(|(quantile, _)| of_run(run, *quantile))
+                .collect()
+        })
+        .collect();
     let (low, high) = range(lines.iter().flatten().flatten().map(|(_, ms)| *ms));
     let area = area(place)?;
     let of = Frame {
@@ -154,11 +190,20 @@
         x: "seconds since the start",
         y: "milliseconds",
     };
-    let mut chart = frame(&area, &of, 0.0..length(runs), (low..high).log_scale(), &seconds)?;
+    let mut chart = frame(
+        &area,
+        &of,
+        0.0..length(runs),
+        (low..high).log_scale(),
+        &seconds,
+    )?;
     for ((run, lines), colour) in runs.iter().zip(lines).zip(RUNS) {
-        for ((points, (_, name)), strength) in lines.into_iter().zip(SHADES).zip([0.35, 0.65, 1.0]) {
+        for ((points, (_, name)), strength) in lines.into_iter().zip(SHADES).zip([0.35, 0.65, 1.0])
+        {
             let style = colour.mix(strength);
-            let drawn = chart.draw_series(LineSeries::new(points, style.stroke_width(2))).map_err(told)?;
+            let drawn = chart
+                .draw_series(LineSeries::new(points, style.stroke_width(2)))
+                .map_err(told)?;
             drawn
                 .label(format!("{} {name}", run.name))
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], style));
@@ -182,11 +227,16 @@
 fn outcomes(runs: &[Series], place: &Path) -> Result<(), String> {
     let per_s = |run: &Series, outcome: Outcome| -> Vec<(f64, f64)> {
         let at = |(i, window): (usize, &crate::series::Window)| {
-            ((i as f64 + 0.5) * run.window_s, window.outcomes[outcome as usize] as f64 / run.window_s)
+            (
+                (i as f64 + 0.5) * run.window_s,
+                window.outcomes[outcome as usize] as f64 / run.window_s,
+            )
         };
         run.windows.iter().enumerate().map(at).collect()
     };
-    let most = runs.iter().flat_map(|run| run.windows.iter().map(|w| w.all() as f64 / run.window_s));
+    let most = runs
+        .iter()
+        .flat_map(|run| run.windows.iter().map(|w| w.all() as f64 / run.window_s));
     let most = most.fold(1.0, f64::max);
     let area = area(place)?;
     let of = Frame {
@@ -204,13 +254,22 @@
             // The second run's lines are thin and broken.
             let colour = colour(outcome);
             let label = format!("{} {}", run.name, outcome.name());
-            let legend = move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2));
+            let legend =
+                move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2));
             if place == 0 {
                 let line = LineSeries::new(points, colour.stroke_width(2));
-                chart.draw_series(line).map_err(told)?.label(label).legend(legend);
+                chart
+                    .draw_series(line)
+                    .map_err(told)?
+                    .label(label)
+                    .legend(legend);
             } else {
                 let line = DashedLineSeries::new(points, 6, 4, colour.stroke_width(1));
-                chart.draw_series(line).map_err(told)?.label(label).legend(legend);
+                chart
+                    .draw_series(line)
+                    .map_err(told)?
+                    .label(label)
+                    .legend(legend);
             }
         }
     }
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -50,15 +50,25 @@
 /// # Errors
 /// The place can't be listened on, or the file can't be written.
 pub fn record(
-    listener: &TcpListener, server: SocketAddr, file: &Path, stop: &AtomicU8,
+    listener: &TcpListener,
+    server: SocketAddr,
+    file: &Path,
+    stop: &AtomicU8,
 ) -> Result<Recorded, Fault> {
     let place = || file.to_path_buf();
     let writer = Writer::new(file)?;
-    listener.set_nonblocking(true).map_err(|e| Fault::File(place(), e))?;
+    listener
+        .set_nonblocking(true)
+        .map_err(|e| Fault::File(place(), e))?;
     let (to, from) = sync_channel(ROWS);
     let written = thread::spawn(move || write(writer, &from));
-    let book =
-        Book { start: None, seen: HashSet::new(), order: VecDeque::new(), recorded: Recorded::default(), to };
+    let book = Book {
+        start: None,
+        seen: HashSet::new(),
+        order: VecDeque::new(),
+        recorded: Recorded::default(),
+        to,
+    };
     let book = Arc::new(Mutex::new(book));
     let mut streams: Vec<TcpStream> = Vec::new();
     let mut passing = Vec::new();
@@ -85,7 +95,10 @@
     drop(book);
     match written.join() {
         Ok(result) => result.map(|()| recorded),
-        Err(_) => Err(Fault::File(place(), std::io::Error::other("who writes has panicked"))),
+        Err(_) => Err(Fault::File(
+            place(),
+            std::io::Error::other("who writes has panicked"),
+        )),
     }
 }
 
@@ -102,14 +115,19 @@
 fn pass(client: &TcpStream, server: SocketAddr, book: &Shared) -> std::io::Result<()> {
     client.set_nonblocking(false)?;
     client.set_nodelay(true)?;
-    let upstream = TcpStream::connect(server).inspect_err(|_| drop(client.shutdown(Shutdown::Both)))?;
+    let upstream =
+        TcpStream::connect(server).inspect_err(|_| drop(client.shutdown(Shutdown::Both)))?;
     upstream.set_nodelay(true)?;
     let (mut answers, mut back) = (upstream.try_clone()?, client.try_clone()?);
     let returning = thread::spawn(move || {
         let _ = std::io::copy(&mut answers, &mut back);
         let _ = back.shutdown(Shutdown::Both);
     });
-    let mut reading = Reading { startup: true, input: Ring::new(message::LONGEST), lost: false };
+    let mut reading = Reading {
+        startup: true,
+        input: Ring::new(message::LONGEST),
+        lost: false,
+    };
     let (mut from, mut to, mut piece) = (client, &upstream, vec![0; PIECE]);
     loop {
         let count = match from.read(&mut piece) {
@@ -187,13 +205,20 @@
         };
         let now = Instant::now();
         let start = *self.start.get_or_insert(now);
-        let again = statement.mark.as_ref().is_some_and(|mark| !self.first(mark));
+        let again = statement
+            .mark
+            .as_ref()
+            .is_some_and(|mark| !self.first(mark));
         let retry = again || text.contains(",r=1") || text.contains(" r=1");
         self.recorded.rows += 1;
         self.recorded.retries += u64::from(retry);
         let row = Row {
             at_ms: (now - start).as_nanos() as f64 / 1e6,
-            bytes: if statement.writes { value_bytes(text) } else { 0 },
+            bytes: if statement.writes {
+                value_bytes(text)
+            } else {
+                0
+            },
             workload: statement.workload,
             customer: statement.customer,
             group: statement.group,
@@ -228,6 +253,9 @@
 
 /// The size of the value that an INSERT carries in hex.
 fn value_bytes(text: &str) -> u32 {
-    let hex = text.split_once("'\\x").and_then(|(_, rest)| rest.split_once('\'')).map_or("", |(hex, _)| hex);
+    let hex = text
+        .split_once("'\\x")
+        .and_then(|(_, rest)| rest.split_once('\''))
+        .map_or("", |(hex, _)| hex);
     (hex.len() / 2) as u32
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -63,7 +63,11 @@
 ///
 /// # Errors
 /// A folder that can't be written to.
-pub fn play(scenario: &Scenario, setup: &Setup, folder: Option<(&Path, &str)>) -> Result<Played, Fault> {
+pub fn play(
+    scenario: &Scenario,
+    setup: &Setup,
+    folder: Option<(&Path, &str)>,
+) -> Result<Played, Fault> {
     let mut scenario = scenario.clone();
     if setup.closed.is_some() {
         scenario.phases = vec![endless(scenario.seconds())];
@@ -78,7 +82,13 @@
 /// Clients that wait take the next statement when they like: there is always one more, as long as the phases last.
 fn endless(seconds: f64) -> Phase {
     let shape = Shape::Constant { per_s: MOST_PER_S };
-    Phase { name: String::new(), for_ms: seconds * 1e3, random: false, together: None, shape }
+    Phase {
+        name: String::new(),
+        for_ms: seconds * 1e3,
+        random: false,
+        together: None,
+        shape,
+    }
 }
 
 /// Replays a trace with the scenario's connections, threads and retries; its workloads and phases don't count.
@@ -86,7 +96,11 @@
 /// # Errors
 /// A trace with a broken row, before anything is sent; a folder that can't be written to.
 pub fn replay(
-    file: &Path, change: Change, skip_broken: bool, scenario: &Scenario, setup: &Setup,
+    file: &Path,
+    change: Change,
+    skip_broken: bool,
+    scenario: &Scenario,
+    setup: &Setup,
     folder: Option<(&Path, &str)>,
 ) -> Result<(Played, Survey), Fault> {
     if let Some(problem) = change.problem() {
@@ -96,31 +110,52 @@
     if survey.broken > 0 && !skip_broken {
         let first = trace::open(file)?.filter_map(Result::err).take(3).collect();
         let (broken, rows) = (survey.broken, survey.rows);
-        return Err(trace::Fault::Broken { file: file.to_path_buf(), broken, rows, first }.into());
+        return Err(trace::Fault::Broken {
+            file: file.to_path_buf(),
+            broken,
+            rows,
+            first,
+        }
+        .into());
     }
     if survey.workloads.is_empty() {
         return Err(trace::Fault::Empty(file.to_path_buf()).into());
     }
     let names: Vec<_> = survey.workloads.keys().cloned().collect();
     let threads = scenario.threads;
-    let (to, from): (Vec<_>, Vec<_>) = (0..threads).map(|_| sync_channel::<Vec<Work>>(AHEAD)).unzip();
+    let (to, from): (Vec<_>, Vec<_>) = (0..threads)
+        .map(|_| sync_channel::<Vec<Work>>(AHEAD))
+        .unzip();
     let rows = trace::open(file)?.filter_map(Result::ok);
     let places = names.clone();
     // It ends with its file, or once nobody listens any more.
     let reader = thread::spawn(move || hand_out(Changed::new(rows, change), &places, &to));
-    let sources = from.into_iter().map(|from| -> Source { Box::new(from.into_iter().flatten()) }).collect();
+    let sources = from
+        .into_iter()
+        .map(|from| -> Source { Box::new(from.into_iter().flatten()) })
+        .collect();
     let played = send(scenario, names, sources, setup, folder)?;
     drop(reader.join());
     Ok((played, survey))
 }
 
 /// Rows go to the threads, those of one session to the same.
-fn hand_out(rows: impl Iterator<Item = trace::Row>, names: &[String], to: &[SyncSender<Vec<Work>>]) {
+fn hand_out(
+    rows: impl Iterator<Item = trace::Row>,
+    names: &[String],
+    to: &[SyncSender<Vec<Work>>],
+) {
     let mut ahead: Vec<Vec<Work>> = to.iter().map(|_| Vec::new()).collect();
     for (number, row) in (0u64..).zip(rows) {
-        let Ok(workload) = names.binary_search(&row.workload) else { continue };
+        let Ok(workload) = names.binary_search(&row.workload) else {
+            continue;
+        };
         let work = row.work(number, workload as u16);
-        let place = if work.session == 0 { number } else { work.session };
+        let place = if work.session == 0 {
+            number
+        } else {
+            work.session
+        };
         let place = (place % to.len() as u64) as usize;
         ahead[place].push(work);
         // Small at first, so that the first statements are not kept waiting.
@@ -130,14 +165,21 @@
             return;
         }
     }
-    to.iter().zip(ahead).for_each(|(to, rest)| drop(to.send(rest)));
+    to.iter()
+        .zip(ahead)
+        .for_each(|(to, rest)| drop(to.send(rest)));
 }
 
 fn send(
-    scenario: &Scenario, workloads: Vec<String>, sources: Vec<Source>, setup: &Setup,
+    scenario: &Scenario,
+    workloads: Vec<String>,
+    sources: Vec<Source>,
+    setup: &Setup,
     folder: Option<(&Path, &str)>,
 ) -> Result<Played, Fault> {
-    let folder = folder.map(|(path, text)| Folder::new(path, text)).transpose()?;
+    let folder = folder
+        .map(|(path, text)| Folder::new(path, text))
+        .transpose()?;
     let shared = Arc::new(Shared {
         start: Instant::now() + BEFORE,
         run: setup.run,
@@ -152,7 +194,10 @@
     });
     let (to, from) = sync_channel(BATCHES);
     let over = AtomicBool::new(false);
-    let mut run = Run { closed: setup.closed.is_some(), ..Run::default() };
+    let mut run = Run {
+        closed: setup.closed.is_some(),
+        ..Run::default()
+    };
     let (tally, kept) = thread::scope(|scope| {
         let (names, kept) = (&shared.workloads, folder.as_ref());
         let counts = scope.spawn(move || keep::collect(&from, names, kept));
@@ -161,7 +206,11 @@
         let senders: Vec<_> = (0..)
             .zip(sources)
             .map(|(place, source)| {
-                let thread = Thread { place, threads, closed: setup.closed };
+                let thread = Thread {
+                    place,
+                    threads,
+                    closed: setup.closed,
+                };
                 let (shared, to) = (shared.clone(), to.clone());
                 scope.spawn(move || thread.work(shared, source, scenario, to))
             })
@@ -171,7 +220,9 @@
             match sender.join() {
                 Ok(Ok(sockets)) => run.sockets.add(&sockets),
                 Ok(Err(e)) => run.problems.push(format!("a thread could not send: {e}")),
-                Err(_) => run.problems.push("a thread has panicked: its statements are missing".to_string()),
+                Err(_) => run
+                    .problems
+                    .push("a thread has panicked: its statements are missing".to_string()),
             }
         }
         over.store(true, Ordering::Relaxed);
@@ -189,7 +240,11 @@
         folder.summary(&summary)?;
     }
     kept?;
-    Ok(Played { summary, start: shared.start, latency: tally.latency() })
+    Ok(Played {
+        summary,
+        start: shared.start,
+        latency: tally.latency(),
+    })
 }
 
 struct Thread {
@@ -205,12 +260,27 @@
     }
 
     fn work(
-        &self, shared: Arc<Shared>, source: Source, scenario: &Scenario, to: SyncSender<Vec<Record>>,
+        &self,
+        shared: Arc<Shared>,
+        source: Source,
+        scenario: &Scenario,
+        to: SyncSender<Vec<Record>>,
     ) -> std::io::Result<Sockets> {
         let until = (scenario.seconds() * 1e9) as u64;
-        let closed = self.closed.map(|clients| Closed { clients: self.part(clients), until });
+        let closed = self.closed.map(|clients| Closed {
+            clients: self.part(clients),
+            until,
+        });
         let seed = scenario.seed ^ (self.place as u64 + 1);
-        Engine::new(shared, source, self.part(scenario.connections), closed, seed, to)?.run()
+        Engine::new(
+            shared,
+            source,
+            self.part(scenario.connections),
+            closed,
+            seed,
+            to,
+        )?
+        .run()
     }
 }
 
@@ -221,9 +291,14 @@
     let mut before = 0;
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(20));
-        shared.stop.fetch_max(setup.stop.load(Ordering::Relaxed), Ordering::Relaxed);
+        shared
+            .stop
+            .fetch_max(setup.stop.load(Ordering::Relaxed), Ordering::Relaxed);
         if shows && shown.elapsed() >= Duration::from_secs(1) {
-            let (begun, ended) = (shared.begun.load(Ordering::Relaxed), shared.ended.load(Ordering::Relaxed));
+            let (begun, ended) = (
+                shared.begun.load(Ordering::Relaxed),
+                shared.ended.load(Ordering::Relaxed),
+            );
             let rate = (begun - before) as f64 / shown.elapsed().as_secs_f64();
             let line = format!(
                 "\r{:.0} s: {begun} begun, {rate:.0} a second, {} open   ",
@@ -245,7 +320,13 @@
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let limit = getrlimit(Resource::Nofile);
     // Refused, it stays as it is.
-    let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
+    let _ = setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: limit.maximum,
+            maximum: limit.maximum,
+        },
+    );
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -249,7 +249,8 @@
 
 /// Letters that a mark of the protocol may have.
 pub fn plain(text: &str) -> bool {
-    text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b))
+    text.bytes()
+        .all(|b| b.is_ascii_alphanumeric() || b"-_.:".contains(&b))
 }
 
 impl Scenario {
@@ -269,10 +270,24 @@
         for phase in &mut scenario.phases {
             match &mut phase.shape {
                 Shape::Constant { per_s } => *per_s *= by,
-                Shape::Ramp { from_per_s: a, to_per_s: b }
-                | Shape::Bursts { per_s: a, base_per_s: b, .. }
-                | Shape::Day { low_per_s: a, high_per_s: b }
-                | Shape::Release { base_per_s: a, peak_per_s: b, .. } => {
+                Shape::Ramp {
+                    from_per_s: a,
+                    to_per_s: b,
+                }
+                | Shape::Bursts {
+                    per_s: a,
+                    base_per_s: b,
+                    ..
+                }
+                | Shape::Day {
+                    low_per_s: a,
+                    high_per_s: b,
+                }
+                | Shape::Release {
+                    base_per_s: a,
+                    peak_per_s: b,
+                    ..
+                } => {
                     *a *= by;
                     *b *= by;
                 }
@@ -298,7 +313,10 @@
         }
         let r = &self.retries;
         if !positive(r.base_ms) || !positive(r.most_ms) || r.base_ms > r.most_ms {
-            return wrong("retries.base_ms", "or most_ms is no time, or the pause would shrink");
+            return wrong(
+                "retries.base_ms",
+                "or most_ms is no time, or the pause would shrink",
+            );
         }
         if self.phases.is_empty() {
             return wrong("phases", "has none");
@@ -315,12 +333,25 @@
     fn fault(&self, scenario: &Scenario) -> Wrong {
         let name = &self.name;
         if name.is_empty() || !plain(name) || !plain(&self.customer) {
-            return wrong("workloads.name", format!("of {name:?} has letters that no statement carries"));
+            return wrong(
+                "workloads.name",
+                format!("of {name:?} has letters that no statement carries"),
+            );
         }
-        if scenario.workloads.iter().filter(|other| other.name == *name).count() > 1 {
+        if scenario
+            .workloads
+            .iter()
+            .filter(|other| other.name == *name)
+            .count()
+            > 1
+        {
             return wrong("workloads.name", format!("{name:?} stands twice"));
         }
-        let share = if self.follows.is_some() { self.share == 0.0 } else { positive(self.share) };
+        let share = if self.follows.is_some() {
+            self.share == 0.0
+        } else {
+            positive(self.share)
+        };
         if !share {
             return wrong(
                 "workloads.share",
@@ -328,24 +359,38 @@
             );
         }
         if !positive(self.patience_ms) || !positive(self.slo_ms) {
-            return wrong("workloads.patience_ms", format!("or slo_ms of {name:?} is no time"));
+            return wrong(
+                "workloads.patience_ms",
+                format!("or slo_ms of {name:?} is no time"),
+            );
         }
         if !self.zipf.is_finite() || self.zipf < 0.0 || self.keys == 0 || self.groups == 0 {
-            return wrong("workloads.keys", format!("of {name:?}: no key, no group, or a negative exponent"));
+            return wrong(
+                "workloads.keys",
+                format!("of {name:?}: no key, no group, or a negative exponent"),
+            );
         }
         if self.customers == 0 || (self.customers > 1 && self.customer.is_empty()) {
-            return wrong("workloads.customers", format!("of {name:?}: none, or several without a name"));
+            return wrong(
+                "workloads.customers",
+                format!("of {name:?}: none, or several without a name"),
+            );
         }
         if let Some(hot) = self.hot
             && (hot.keys == 0 || hot.keys > self.keys || !(0.0..=1.0).contains(&hot.share))
         {
-            return wrong("workloads.hot", format!("of {name:?}: no key, too many, or no share up to 1"));
+            return wrong(
+                "workloads.hot",
+                format!("of {name:?}: no key, too many, or no share up to 1"),
+            );
         }
         match self.bytes {
             Size::Always(bytes) if bytes > LARGEST => {
                 return wrong("workloads.bytes", format!("of {name:?} is over 64 KiB"));
             }
-            Size::Drawn { median, p99 } if !positive(median) || p99 < median || p99 > LARGEST as f64 => {
+            Size::Drawn { median, p99 }
+                if !positive(median) || p99 < median || p99 > LARGEST as f64 =>
+            {
                 return wrong(
                     "workloads.bytes",
                     format!("of {name:?}: median and p99 must rise, up to 64 KiB"),
@@ -354,7 +399,10 @@
             _ => {}
         }
         if self.marked && !self.writes {
-            return wrong("workloads.marked", format!("of {name:?}: only writes carry marks"));
+            return wrong(
+                "workloads.marked",
+                format!("of {name:?}: only writes carry marks"),
+            );
         }
         let follows = self.follows.as_ref()?;
         let other = scenario.workloads.iter().find(|w| w.name == follows.of);
@@ -364,7 +412,10 @@
                 format!("of {name:?}: only reads follow, and only a workload that writes"),
             );
         }
-        if !(0.0..=1.0).contains(&follows.chance) || follows.times == 0 || !positive(follows.think_ms) {
+        if !(0.0..=1.0).contains(&follows.chance)
+            || follows.times == 0
+            || !positive(follows.think_ms)
+        {
             return wrong(
                 "workloads.follows",
                 format!("of {name:?}: no chance up to 1, no read, or no time"),
@@ -380,23 +431,45 @@
             return wrong("phases.for_ms", "is no time");
         }
         if let Some(together) = self.together
-            && (together.statements == 0 || !together.within_ms.is_finite() || together.within_ms < 0.0)
+            && (together.statements == 0
+                || !together.within_ms.is_finite()
+                || together.within_ms < 0.0)
         {
             return wrong("phases.together", "has no statement, or no time");
         }
         let rates = match &self.shape {
             Shape::Constant { per_s } => vec![*per_s],
-            Shape::Ramp { from_per_s, to_per_s } => vec![*from_per_s, *to_per_s],
+            Shape::Ramp {
+                from_per_s,
+                to_per_s,
+            } => vec![*from_per_s, *to_per_s],
             Shape::Steps { per_s } => per_s.clone(),
-            Shape::Bursts { per_s, base_per_s, on_ms, off_ms } => {
+            Shape::Bursts {
+                per_s,
+                base_per_s,
+                on_ms,
+                off_ms,
+            } => {
                 if !positive(*on_ms) || !positive(*off_ms) {
                     return wrong("phases.on_ms", "and off_ms must be times");
                 }
                 vec![*per_s, *base_per_s]
             }
-            Shape::Day { low_per_s, high_per_s } => vec![*low_per_s, *high_per_s],
-            Shape::Release { base_per_s, peak_per_s, at_ms, half_ms, .. } => {
-                if !(0.0..self.for_ms).contains(at_ms) || !positive(*half_ms) || peak_per_s < base_per_s {
+            Shape::Day {
+                low_per_s,
+                high_per_s,
+            } => vec![*low_per_s, *high_per_s],
+            Shape::Release {
+                base_per_s,
+                peak_per_s,
+                at_ms,
+                half_ms,
+                ..
+            } => {
+                if !(0.0..self.for_ms).contains(at_ms)
+                    || !positive(*half_ms)
+                    || peak_per_s < base_per_s
+                {
                     return wrong(
                         "phases.at_ms",
                         "is beyond the phase, half_ms is no time, or the peak is below the base",
--- a/crates/load/src/search.rs
+++ b/crates/load/src/search.rs
@@ -34,7 +34,10 @@
     /// It holds up to here; a little above it does not.
     Highest { per_s: f64, broken_at_per_s: f64 },
     /// It holds here, and the bounds or the generator end before it breaks.
-    AtLeast { per_s: f64, limited_by_generator: bool },
+    AtLeast {
+        per_s: f64,
+        limited_by_generator: bool,
+    },
     /// It does not hold even at the lowest rate.
     Nowhere { least_per_s: f64 },
     /// Plays ran out: it lies between these.
@@ -60,7 +63,14 @@
 
 impl Search {
     pub fn new(bounds: Bounds) -> Search {
-        Search { bounds, held: None, broken: None, limited: false, confirmed: 0, plays: 0 }
+        Search {
+            bounds,
+            held: None,
+            broken: None,
+            limited: false,
+            confirmed: 0,
+            plays: 0,
+        }
     }
 
     pub fn next(&self) -> Step {
@@ -70,17 +80,29 @@
         }
         match (self.held, self.broken) {
             (None, None) => Step::Play(b.first.clamp(b.least, b.most)),
-            (Some(held), None) if held >= b.most => {
-                self.confirm(held, Found::AtLeast { per_s: held, limited_by_generator: self.limited })
-            }
+            (Some(held), None) if held >= b.most => self.confirm(
+                held,
+                Found::AtLeast {
+                    per_s: held,
+                    limited_by_generator: self.limited,
+                },
+            ),
             (Some(held), None) => Step::Play((held * 2.0).min(b.most)),
-            (None, Some(broken)) if broken <= b.least => Step::Done(Found::Nowhere { least_per_s: broken }),
+            (None, Some(broken)) if broken <= b.least => Step::Done(Found::Nowhere {
+                least_per_s: broken,
+            }),
             (None, Some(broken)) => Step::Play((broken / 2.0).max(b.least)),
             (Some(held), Some(broken)) if broken <= held * (1.0 + b.precision) => {
                 let found = if self.limited {
-                    Found::AtLeast { per_s: held, limited_by_generator: true }
+                    Found::AtLeast {
+                        per_s: held,
+                        limited_by_generator: true,
+                    }
                 } else {
-                    Found::Highest { per_s: held, broken_at_per_s: broken }
+                    Found::Highest {
+                        per_s: held,
+                        broken_at_per_s: broken,
+                    }
                 };
                 self.confirm(held, found)
             }
@@ -90,14 +112,26 @@
     }
 
     fn confirm(&self, held: f64, found: Found) -> Step {
-        if self.confirmed < self.bounds.confirm { Step::Play(held) } else { Step::Done(found) }
+        if self.confirmed < self.bounds.confirm {
+            Step::Play(held)
+        } else {
+            Step::Done(found)
+        }
     }
 
     fn out_of_plays(&self) -> Found {
         match (self.held, self.broken) {
-            (Some(per_s), Some(broken_at_per_s)) => Found::Between { per_s, broken_at_per_s },
-            (Some(per_s), None) => Found::AtLeast { per_s, limited_by_generator: self.limited },
-            (None, broken) => Found::Nowhere { least_per_s: broken.unwrap_or(self.bounds.least) },
+            (Some(per_s), Some(broken_at_per_s)) => Found::Between {
+                per_s,
+                broken_at_per_s,
+            },
+            (Some(per_s), None) => Found::AtLeast {
+                per_s,
+                limited_by_generator: self.limited,
+            },
+            (None, broken) => Found::Nowhere {
+                least_per_s: broken.unwrap_or(self.bounds.least),
+            },
         }
     }
 
--- a/crates/load/src/series.rs
+++ b/crates/load/src/series.rs
@@ -126,13 +126,21 @@
         if windows.is_empty() {
             return Err(Fault::Empty(folder.join(STATEMENTS)));
         }
-        let name = folder.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-        Ok(Series { name, window_s, windows })
+        let name = folder
+            .file_name()
+            .map_or_else(String::new, |name| name.to_string_lossy().into_owned());
+        Ok(Series {
+            name,
+            window_s,
+            windows,
+        })
     }
 
     pub fn sums(&self) -> Sums {
         let mut sums = Sums::default();
-        self.windows.iter().for_each(|window| window.latency.add_to(&mut sums));
+        self.windows
+            .iter()
+            .for_each(|window| window.latency.add_to(&mut sums));
         sums
     }
 }
@@ -170,18 +178,30 @@
         _ => Err(name),
     };
     Ok(Seen {
-        at_ms: if let Some(Field::Double(at)) = field(row, "at_ms") { *at } else { return Err("at_ms") },
+        at_ms: if let Some(Field::Double(at)) = field(row, "at_ms") {
+            *at
+        } else {
+            return Err("at_ms");
+        },
         workload: text(row, "workload").ok_or("workload")?,
         latency_us: whole("latency_us")?,
         attempts: whole("attempts")?,
-        outcome: text(row, "outcome").and_then(Outcome::read).ok_or("outcome")?,
+        outcome: text(row, "outcome")
+            .and_then(Outcome::read)
+            .ok_or("outcome")?,
     })
 }
 
 fn field<'a>(row: &'a Row, name: &str) -> Option<&'a Field> {
-    row.get_column_iter().find(|(column, _)| *column == name).map(|(_, field)| field)
+    row.get_column_iter()
+        .find(|(column, _)| *column == name)
+        .map(|(_, field)| field)
 }
 
 fn text<'a>(row: &'a Row, name: &str) -> Option<&'a str> {
-    if let Some(Field::Str(text)) = field(row, name) { Some(text) } else { None }
+    if let Some(Field::Str(text)) = field(row, name) {
+        Some(text)
+    } else {
+        None
+    }
 }
--- a/crates/load/src/sheet.rs
+++ b/crates/load/src/sheet.rs
@@ -52,11 +52,22 @@
     /// # Errors
     /// The file can't be made.
     pub fn new(file: &Path, columns: &[(&str, Kind)]) -> Result<Sheet> {
-        let fields = columns.iter().map(|(name, kind)| field(name, *kind)).collect::<Result<Vec<_>>>()?;
-        let schema = Type::group_type_builder("statements").with_fields(fields).build()?;
-        let properties = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
+        let fields = columns
+            .iter()
+            .map(|(name, kind)| field(name, *kind))
+            .collect::<Result<Vec<_>>>()?;
+        let schema = Type::group_type_builder("statements")
+            .with_fields(fields)
+            .build()?;
+        let properties = WriterProperties::builder()
+            .set_compression(Compression::SNAPPY)
+            .build();
         let part = file.with_extension("parquet.part");
-        let writer = SerializedFileWriter::new(File::create(&part)?, Arc::new(schema), Arc::new(properties))?;
+        let writer = SerializedFileWriter::new(
+            File::create(&part)?,
+            Arc::new(schema),
+            Arc::new(properties),
+        )?;
         let empty = |(_, kind): &(&str, Kind)| match kind {
             Kind::Float => Column::Float(Vec::new()),
             Kind::Whole => Column::Whole(Vec::new()),
@@ -65,7 +76,12 @@
             Kind::Text => Column::Text(Vec::new()),
         };
         let columns = columns.iter().map(empty).collect();
-        Ok(Sheet { writer, columns, rows: 0, names: (part, file.to_path_buf()) })
+        Ok(Sheet {
+            writer,
+            columns,
+            rows: 0,
+            names: (part, file.to_path_buf()),
+        })
     }
 
     /// # Errors
@@ -75,24 +91,37 @@
         let each = self.columns.iter_mut().zip(cells);
         let fits = fits && each.fold(true, |fits, (column, cell)| column.push(cell) && fits);
         if !fits {
-            return Err(ParquetError::General("a row does not fit its table".to_string()));
+            return Err(ParquetError::General(
+                "a row does not fit its table".to_string(),
+            ));
         }
         self.rows += 1;
-        if self.rows >= GROUP { self.flush() } else { Ok(()) }
+        if self.rows >= GROUP {
+            self.flush()
+        } else {
+            Ok(())
+        }
     }
 
     fn flush(&mut self) -> Result<()> {
         let mut group = self.writer.next_row_group()?;
         for column in &mut self.columns {
-            let Some(mut to) = group.next_column()? else { break };
+            let Some(mut to) = group.next_column()? else {
+                break;
+            };
             match column {
-                Column::Float(values) => to.typed::<DoubleType>().write_batch(values, None, None)?,
+                Column::Float(values) => {
+                    to.typed::<DoubleType>().write_batch(values, None, None)?
+                }
                 Column::Whole(values) => to.typed::<Int64Type>().write_batch(values, None, None)?,
                 Column::Maybe(values, there) => {
-                    to.typed::<Int64Type>().write_batch(values, Some(there), None)?
+                    to.typed::<Int64Type>()
+                        .write_batch(values, Some(there), None)?
                 }
                 Column::Flag(values) => to.typed::<BoolType>().write_batch(values, None, None)?,
-                Column::Text(values) => to.typed::<ByteArrayType>().write_batch(values, None, None)?,
+                Column::Text(values) => to
+                    .typed::<ByteArrayType>()
+                    .write_batch(values, None, None)?,
             };
             to.close()?;
             column.clear();
@@ -121,7 +150,11 @@
         Kind::Flag => Physical::BOOLEAN,
         Kind::Text => Physical::BYTE_ARRAY,
     };
-    let needed = if kind == Kind::Maybe { Repetition::OPTIONAL } else { Repetition::REQUIRED };
+    let needed = if kind == Kind::Maybe {
+        Repetition::OPTIONAL
+    } else {
+        Repetition::REQUIRED
+    };
     let logical = (kind == Kind::Text).then_some(LogicalType::String);
     let field = Type::primitive_type_builder(name, physical).with_repetition(needed);
     Ok(Arc::new(field.with_logical_type(logical).build()?))
--- a/crates/load/src/slab.rs
+++ b/crates/load/src/slab.rs
@@ -13,7 +13,10 @@
     }
 
     pub fn read(word: u64) -> Ticket {
-        Ticket { place: (word >> 32) as u32, turn: word as u32 }
+        Ticket {
+            place: (word >> 32) as u32,
+            turn: word as u32,
+        }
     }
 }
 
@@ -24,7 +27,10 @@
 
 impl<T> Default for Slab<T> {
     fn default() -> Slab<T> {
-        Slab { places: Vec::new(), free: Vec::new() }
+        Slab {
+            places: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -49,7 +55,11 @@
 
     pub fn get(&mut self, ticket: Ticket) -> Option<&mut T> {
         let (turn, there) = self.places.get_mut(ticket.place as usize)?;
-        if *turn == ticket.turn { there.as_mut() } else { None }
+        if *turn == ticket.turn {
+            there.as_mut()
+        } else {
+            None
+        }
     }
 
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
@@ -63,6 +73,8 @@
     pub fn tickets(&self) -> Vec<Ticket> {
         let all = (0..).zip(&self.places);
         let there = all.filter(|(_, (_, there))| there.is_some());
-        there.map(|(place, (turn, _))| Ticket { place, turn: *turn }).collect()
+        there
+            .map(|(place, (turn, _))| Ticket { place, turn: *turn })
+            .collect()
     }
 }
--- a/crates/load/src/soonest.rs
+++ b/crates/load/src/soonest.rs
@@ -25,7 +25,9 @@
 
 impl<T> Ord for Timed<T> {
     fn cmp(&self, other: &Timed<T>) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.number.cmp(&other.number))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.number.cmp(&other.number))
     }
 }
 
--- a/crates/load/src/tests/arrivals.rs
+++ b/crates/load/src/tests/arrivals.rs
@@ -5,7 +5,13 @@
 use test_case::test_case;
 
 fn phase(shape: Shape, random: bool) -> Phase {
-    Phase { name: String::new(), for_ms: 10_000.0, random, together: None, shape }
+    Phase {
+        name: String::new(),
+        for_ms: 10_000.0,
+        random,
+        together: None,
+        shape,
+    }
 }
 
 fn arrivals(phase: Phase) -> Vec<Arrival> {
@@ -13,7 +19,10 @@
 }
 
 fn due(shape: Shape, random: bool) -> Vec<f64> {
-    arrivals(phase(shape, random)).into_iter().map(|arrival| arrival.at).collect()
+    arrivals(phase(shape, random))
+        .into_iter()
+        .map(|arrival| arrival.at)
+        .collect()
 }
 
 #[test_case(Shape::Constant { per_s: 100.0 }, 1000, 500; "constant")]
@@ -45,7 +54,10 @@
     let due = due(Shape::Constant { per_s: 1000.0 }, true);
     let gaps: Vec<f64> = due.windows(2).map(|pair| pair[1] - pair[0]).collect();
     let n = gaps.len() as f64;
-    assert!(is_exponential(gaps.clone(), 1000.0) && (n - 10_000.0).abs() < 330.0, "{n}");
+    assert!(
+        is_exponential(gaps.clone(), 1000.0) && (n - 10_000.0).abs() < 330.0,
+        "{n}"
+    );
     // The test itself can fail: evenly spaced ones, and another rate, are none.
     assert!(!is_exponential(gaps, 1100.0) && !is_exponential(vec![1e-3; 10_000], 1000.0));
 }
@@ -55,27 +67,52 @@
 #[test_case(20, 20.0; "twenty at a time")]
 fn customers_come_together(statements: u32, ratio: f64) {
     let mut phase = phase(Shape::Constant { per_s: 2000.0 }, true);
-    phase.together = Some(Together { statements, within_ms: 1.0 });
+    phase.together = Some(Together {
+        statements,
+        within_ms: 1.0,
+    });
     let all = arrivals(phase);
     assert!(all.iter().map(|arrival| arrival.at).is_sorted());
     assert!(all.len().abs_diff(20_000) < 1500, "{}", all.len());
     let mut counts = vec![0f64; 100];
-    all.iter().for_each(|arrival| counts[((arrival.at * 10.0) as usize).min(99)] += 1.0);
+    all.iter()
+        .for_each(|arrival| counts[((arrival.at * 10.0) as usize).min(99)] += 1.0);
     let mean = counts.iter().sum::<f64>() / 100.0;
-    let variance = counts.iter().map(|count| (count - mean).powi(2)).sum::<f64>() / 99.0;
-    assert!((0.7..1.4).contains(&(variance / mean / ratio)), "{variance} of {mean}");
-    let members = all.iter().filter(|arrival| arrival.bunch == all[0].bunch).count();
+    let variance = counts
+        .iter()
+        .map(|count| (count - mean).powi(2))
+        .sum::<f64>()
+        / 99.0;
+    assert!(
+        (0.7..1.4).contains(&(variance / mean / ratio)),
+        "{variance} of {mean}"
+    );
+    let members = all
+        .iter()
+        .filter(|arrival| arrival.bunch == all[0].bunch)
+        .count();
     assert_eq!(members, statements as usize);
 }
 
 #[test]
 fn a_release_is_part_of_the_rate_while_it_lasts() {
-    let shape =
-        Shape::Release { base_per_s: 100.0, peak_per_s: 900.0, at_ms: 2000.0, half_ms: 500.0, group: 3 };
+    let shape = Shape::Release {
+        base_per_s: 100.0,
+        peak_per_s: 900.0,
+        at_ms: 2000.0,
+        half_ms: 500.0,
+        group: 3,
+    };
     let all = arrivals(phase(shape, false));
-    let part = |at: f64| all.iter().find(|arrival| arrival.at >= at).and_then(|arrival| arrival.release);
+    let part = |at: f64| {
+        all.iter()
+            .find(|arrival| arrival.at >= at)
+            .and_then(|arrival| arrival.release)
+    };
     assert_eq!(part(1.0), None);
-    let Some((3, first)) = part(2.01) else { panic!("no release") };
+    let Some((3, first)) = part(2.01) else {
+        panic!("no release")
+    };
     assert!((0.85..0.9).contains(&first), "{first}");
     assert!(part(9.9).is_some_and(|(_, last)| last < 0.01));
 }
--- a/crates/load/src/tests/attempts.rs
+++ b/crates/load/src/tests/attempts.rs
@@ -16,7 +16,12 @@
 };
 
 fn facts(repeatable: bool) -> Facts {
-    Facts { due: 0, slo: 100 * MS, deadline: 1000 * MS, repeatable }
+    Facts {
+        due: 0,
+        slo: 100 * MS,
+        deadline: 1000 * MS,
+        repeatable,
+    }
 }
 
 fn ended(before: &[Ended], last: Ended, now: u64, repeatable: bool) -> Next {
@@ -66,10 +71,16 @@
 
 #[test]
 fn an_unmarked_write_that_may_have_run_is_not_tried_again_by_a_rejection() {
-    let rules = Retries { aborted: false, ..RULES };
+    let rules = Retries {
+        aborted: false,
+        ..RULES
+    };
     let mut attempts = Attempts::default();
     attempts.begun();
     attempts.ended(Ended::Aborted, 0, &facts(false), &rules, 0.5);
     attempts.begun();
-    assert_eq!(attempts.ended(REJECTED, 0, &facts(false), &rules, 0.5), Next::Over(Outcome::Aborted));
+    assert_eq!(
+        attempts.ended(REJECTED, 0, &facts(false), &rules, 0.5),
+        Next::Over(Outcome::Aborted)
+    );
 }
--- a/crates/load/src/tests/figures.rs
+++ b/crates/load/src/tests/figures.rs
@@ -14,16 +14,27 @@
         let mut window = Window::default();
         for _ in 0..200 {
             let us = -(1.0 - chance.f64()).ln() * mean_ms * 1e3;
-            let outcome = if chance.f64() < 0.01 { Outcome::Rejected } else { Outcome::Completed };
+            let outcome = if chance.f64() < 0.01 {
+                Outcome::Rejected
+            } else {
+                Outcome::Completed
+            };
             window.ended(outcome, us as u64, 1);
         }
         window
     };
-    Series { name: name.to_string(), window_s: 1.0, windows: (0..seconds).map(|_| window()).collect() }
+    Series {
+        name: name.to_string(),
+        window_s: 1.0,
+        windows: (0..seconds).map(|_| window()).collect(),
+    }
 }
 
 fn exceeds(comparison: &Comparison, measure: Measure) -> bool {
-    comparison.differences.iter().any(|d| d.measure == measure && d.exceeds_noise)
+    comparison
+        .differences
+        .iter()
+        .any(|d| d.measure == measure && d.exceeds_noise)
 }
 
 #[test]
@@ -49,15 +60,26 @@
             && exceeds(&slower, Measure::P99Ms)
     );
     assert!(!exceeds(&slower, Measure::Failed) && !exceeds(&slower, Measure::Attempts));
-    let p50 = slower.differences.iter().find(|d| d.measure == Measure::P50Ms).unwrap();
-    assert!(p50.from < 1.386 && 1.386 < p50.to, "the median of 2 ms more is 1.386 ms more: {p50:?}");
+    let p50 = slower
+        .differences
+        .iter()
+        .find(|d| d.measure == Measure::P50Ms)
+        .unwrap();
+    assert!(
+        p50.from < 1.386 && 1.386 < p50.to,
+        "the median of 2 ms more is 1.386 ms more: {p50:?}"
+    );
 }
 
 /// Of intervals of 95 %, about one in twenty misses; with fixed seeds the verdict is fixed.
 #[test]
 fn the_same_thing_twice_is_seldom_a_difference() {
     let missed = |seed: u64| {
-        let alike = compare(&[series("a", 16, 10.0, seed)], &[series("b", 16, 10.0, seed + 500)], seed);
+        let alike = compare(
+            &[series("a", 16, 10.0, seed)],
+            &[series("b", 16, 10.0, seed + 500)],
+            seed,
+        );
         exceeds(&alike, Measure::P50Ms)
     };
     let missed = (0..20).filter(|seed| missed(*seed)).count();
@@ -68,7 +90,11 @@
 #[test_case(20, 1, Over::Windows, false; "twenty seconds")]
 #[test_case(20, 5, Over::Runs, false; "five runs")]
 fn too_few_to_tell_is_told(seconds: usize, runs: u64, over: Over, too_few: bool) {
-    let side = |of: u64, mean| (0..runs).map(|run| series("x", seconds, mean, of + run)).collect::<Vec<_>>();
+    let side = |of: u64, mean| {
+        (0..runs)
+            .map(|run| series("x", seconds, mean, of + run))
+            .collect::<Vec<_>>()
+    };
     let comparison = compare(&side(1, 10.0), &side(90, 30.0), 3);
     assert_eq!((comparison.drawn_over, comparison.too_few), (over, too_few));
     assert_eq!(
@@ -88,7 +114,12 @@
     assert_eq!(files.len(), 3);
     for file in files {
         let drawn = std::fs::read_to_string(&file).unwrap();
-        assert!(drawn.starts_with("<svg") && drawn.trim_end().ends_with("</svg>"), "{}", file.display());
-        runs.iter().for_each(|run| assert!(drawn.contains(&run.name), "{} is named", run.name));
+        assert!(
+            drawn.starts_with("<svg") && drawn.trim_end().ends_with("</svg>"),
+            "{}",
+            file.display()
+        );
+        runs.iter()
+            .for_each(|run| assert!(drawn.contains(&run.name), "{} is named", run.name));
     }
 }
--- a/crates/load/src/tests/lines.rs
+++ b/crates/load/src/tests/lines.rs
@@ -7,7 +7,13 @@
 use badgerstream_protocol::comment::Statement;
 use test_case::test_case;
 
-const FIRST: Asked = Asked { run: 5, attempt: 1, told: true, left: 1_500_000, wrote: None };
+const FIRST: Asked = Asked {
+    run: 5,
+    attempt: 1,
+    told: true,
+    left: 1_500_000,
+    wrote: None,
+};
 
 fn works(scenario: Scenario) -> Vec<Work> {
     Plan::new(&shared(scenario), 0, 1).collect()
@@ -26,7 +32,10 @@
     for work in &all {
         let name = ["read", "write"][usize::from(work.workload)];
         let read = Statement::read(&work.text(name, &FIRST)).unwrap();
-        assert_eq!((read.writes, read.mark.is_some()), (work.workload == 1, work.workload == 1));
+        assert_eq!(
+            (read.writes, read.mark.is_some()),
+            (work.workload == 1, work.workload == 1)
+        );
         assert_eq!((read.wait, read.workload.as_str()), (0.002, name));
         writes += usize::from(read.writes);
         first += usize::from(!read.writes && read.key == "k0");
@@ -43,7 +52,9 @@
     let mut follows = long();
     follow(&mut follows);
     let scenario = shared(follows);
-    let mut parts: Vec<Work> = (0..3).flat_map(|place| Plan::new(&scenario, place, 3)).collect();
+    let mut parts: Vec<Work> = (0..3)
+        .flat_map(|place| Plan::new(&scenario, place, 3))
+        .collect();
     let all: Vec<Work> = Plan::new(&scenario, 0, 1).collect();
     assert!(all.iter().map(|work| work.due).is_sorted());
     parts.sort_by_key(|work| (work.due, work.number));
@@ -55,8 +66,13 @@
 fn follow(scenario: &mut Scenario) {
     let mut reader = scenario.workloads[0].clone();
     (reader.name, reader.share) = ("again".to_string(), 0.0);
-    reader.follows =
-        Some(Follows { of: "write".to_string(), chance: 0.5, times: 2, think_ms: 100.0, check: true });
+    reader.follows = Some(Follows {
+        of: "write".to_string(),
+        chance: 0.5,
+        times: 2,
+        think_ms: 100.0,
+        check: true,
+    });
     scenario.workloads.push(reader);
     assert_eq!(scenario.fault(), None);
 }
@@ -68,12 +84,22 @@
     let all = works(scenario);
     let reads: Vec<&Work> = all.iter().filter(|work| work.workload == 2).collect();
     let writes = all.iter().filter(|work| work.workload == 1).count();
-    assert!(reads.len().abs_diff(writes) < writes / 10, "{} behind {writes}", reads.len());
+    assert!(
+        reads.len().abs_diff(writes) < writes / 10,
+        "{} behind {writes}",
+        reads.len()
+    );
     for read in reads {
-        let write = all.iter().find(|work| work.session == read.session && work.writes.is_some()).unwrap();
+        let write = all
+            .iter()
+            .find(|work| work.session == read.session && work.writes.is_some())
+            .unwrap();
         assert!(read.own && read.due >= write.due);
         assert_eq!((&read.key, read.group), (&write.key, write.group));
-        let wrote = Some(Wrote { number: write.number, position: Some(77) });
+        let wrote = Some(Wrote {
+            number: write.number,
+            position: Some(77),
+        });
         let text = read.text("again", &Asked { wrote, ..FIRST });
         assert_eq!(Statement::read(&text).unwrap().after, Some(0.077));
     }
@@ -92,29 +118,49 @@
 #[test]
 fn hot_keys_customers_and_sizes_are_drawn_as_told() {
     let mut scenario = long();
-    scenario.workloads[0].hot = Some(Hot { keys: 2, share: 0.5 });
+    scenario.workloads[0].hot = Some(Hot {
+        keys: 2,
+        share: 0.5,
+    });
     scenario.workloads[0].zipf = 0.0;
     scenario.workloads[1].customers = 10;
-    scenario.workloads[1].bytes = Size::Drawn { median: 200.0, p99: 2000.0 };
+    scenario.workloads[1].bytes = Size::Drawn {
+        median: 200.0,
+        p99: 2000.0,
+    };
     assert_eq!(scenario.fault(), None);
     let all = works(scenario);
     let reads = all.iter().filter(|work| work.workload == 0);
-    let hot = reads.clone().filter(|work| work.key == "k0" || work.key == "k1").count() as f64;
+    let hot = reads
+        .clone()
+        .filter(|work| work.key == "k0" || work.key == "k1")
+        .count() as f64;
     let part = hot / reads.count() as f64;
     // Half of them, and two in fifty of the others.
     assert!((0.48..0.56).contains(&part), "{part}");
     let mut sizes: Vec<u32> = all.iter().filter_map(|work| work.writes).collect();
     sizes.sort();
     let (median, p99) = (sizes[sizes.len() / 2], sizes[sizes.len() * 99 / 100]);
-    assert!((170..230).contains(&median) && (1300..3000).contains(&p99), "{median}, {p99}");
+    assert!(
+        (170..230).contains(&median) && (1300..3000).contains(&p99),
+        "{median}, {p99}"
+    );
     let first = all.iter().filter(|work| work.customer == "acme-0").count() as f64;
     // The first of ten has 1 / 2.93 with an exponent of 1.
-    assert!((0.29..0.39).contains(&(first / sizes.len() as f64)), "{first}");
+    assert!(
+        (0.29..0.39).contains(&(first / sizes.len() as f64)),
+        "{first}"
+    );
 }
 
 #[test]
 fn a_value_tells_who_wrote_it() {
-    let work = Work { number: 0x0102_0304, writes: Some(20), key: "k".to_string(), ..Work::default() };
+    let work = Work {
+        number: 0x0102_0304,
+        writes: Some(20),
+        key: "k".to_string(),
+        ..Work::default()
+    };
     let text = work.text("w", &FIRST);
     assert!(text.contains("'\\x0000000001020304"), "{text}");
     assert!(written_by(&[0, 0, 0, 0, 1, 2, 3, 4, 99], 0x0102_0304));
@@ -138,5 +184,8 @@
 fn wrong_scenarios_are_told_with_their_place(from: &str, to: &str, problem: &str) {
     assert!(SCENARIO.contains(from));
     let fault = Scenario::read(&SCENARIO.replacen(from, to, 1)).unwrap_err();
-    assert!(fault.problem.contains(problem) && fault.line >= 1, "{fault}");
+    assert!(
+        fault.problem.contains(problem) && fault.line >= 1,
+        "{fault}"
+    );
 }
--- a/crates/load/src/tests/mod.rs
+++ b/crates/load/src/tests/mod.rs
@@ -29,11 +29,16 @@
 
 /// Against a server that goes by this script; clients wait for `patience_ms`.
 pub fn played(
-    mut scenario: Scenario, patience_ms: f64, script: impl Fn(u64, &str) -> Turn + Send + Sync + 'static,
+    mut scenario: Scenario,
+    patience_ms: f64,
+    script: impl Fn(u64, &str) -> Turn + Send + Sync + 'static,
 ) -> (Played, Scripted) {
     let server = Scripted::start(true, script).unwrap();
     scenario.target = server.address;
-    scenario.workloads.iter_mut().for_each(|w| w.patience_ms = patience_ms);
+    scenario
+        .workloads
+        .iter_mut()
+        .for_each(|w| w.patience_ms = patience_ms);
     (play(&scenario, &Setup::default(), None).unwrap(), server)
 }
 
--- a/crates/load/src/tests/sending.rs
+++ b/crates/load/src/tests/sending.rs
@@ -29,8 +29,17 @@
     let (played, server) = played(scenario(), patience_ms, move |_, _| turn);
     assert_eq!(played.summary.statements, 200);
     // An answer out of turn spoils the connection, and none of the statements. On a slow machine some are late.
-    let late = if outcome == Outcome::Completed { of(&played, Outcome::Late) } else { 0 };
-    assert_eq!(of(&played, outcome) + late, 200, "{:?}", played.summary.outcomes());
+    let late = if outcome == Outcome::Completed {
+        of(&played, Outcome::Late)
+    } else {
+        0
+    };
+    assert_eq!(
+        of(&played, outcome) + late,
+        200,
+        "{:?}",
+        played.summary.outcomes()
+    );
     assert!(server.asked() >= 200);
 }
 
@@ -49,7 +58,10 @@
 fn a_pause_is_charged_to_all_that_were_due_in_it() {
     let mut scenario = scenario();
     (scenario.connections, scenario.phases[0].for_ms) = (32, 1500.0);
-    scenario.workloads.iter_mut().for_each(|w| w.patience_ms = LONG);
+    scenario
+        .workloads
+        .iter_mut()
+        .for_each(|w| w.patience_ms = LONG);
     let pause = Duration::from_millis(600);
     let pausing = || {
         let server = Scripted::start(false, |_, _| Turn::Answer).unwrap();
@@ -68,7 +80,10 @@
     let open = play(&scenario, &Setup::default(), Some((&folder, "{}"))).unwrap();
     let (from, until) = thread.join().unwrap();
     assert_eq!(
-        (open.summary.statements, of(&open, Outcome::Completed) + of(&open, Outcome::Late)),
+        (
+            open.summary.statements,
+            of(&open, Outcome::Completed) + of(&open, Outcome::Late)
+        ),
         (300, 300)
     );
     // What each one due within the pause had still to wait, at least; one that was answered as it began is none.
@@ -84,25 +99,47 @@
     assert!(due >= 100 && charged >= due * 9 / 10, "{charged} of {due}");
     let (server, thread) = pausing();
     scenario.target = server.address;
-    let closed = play(&scenario, &Setup { closed: Some(1), ..Setup::default() }, None).unwrap();
+    let closed = play(
+        &scenario,
+        &Setup {
+            closed: Some(1),
+            ..Setup::default()
+        },
+        None,
+    )
+    .unwrap();
     thread.join().unwrap();
     let slow = closed.latency.count_between(300_000, u64::MAX >> 1);
-    assert!(slow >= 1 && slow < u64::from(charged) / 4, "one client that waits meets the pause once: {slow}");
-    assert_eq!((open.summary.loop_kind.as_str(), closed.summary.loop_kind.as_str()), ("open", "closed"));
+    assert!(
+        slow >= 1 && slow < u64::from(charged) / 4,
+        "one client that waits meets the pause once: {slow}"
+    );
+    assert_eq!(
+        (
+            open.summary.loop_kind.as_str(),
+            closed.summary.loop_kind.as_str()
+        ),
+        ("open", "closed")
+    );
 }
 
 #[test]
 fn rejections_are_tried_again_with_the_same_mark() {
     let mut scenario = scenario();
-    scenario.retries = Retries { most: 4, base_ms: 1.0, most_ms: 2.0, told: true, ..Retries::default() };
-    let (played, server) =
-        played(
-            scenario,
-            LONG,
-            |number, _| {
-                if number % 2 == 0 { Turn::Reject(Some(1)) } else { Turn::Answer }
-            },
-        );
+    scenario.retries = Retries {
+        most: 4,
+        base_ms: 1.0,
+        most_ms: 2.0,
+        told: true,
+        ..Retries::default()
+    };
+    let (played, server) = played(scenario, LONG, |number, _| {
+        if number % 2 == 0 {
+            Turn::Reject(Some(1))
+        } else {
+            Turn::Answer
+        }
+    });
     let attempts: u64 = played.summary.workloads.iter().map(|w| w.attempts).sum();
     assert_eq!((played.summary.statements, attempts), (200, server.asked()));
     assert!(of(&played, Outcome::Completed) > 150 && of(&played, Outcome::Aborted) == 0);
@@ -113,19 +150,32 @@
         assert!(ids.insert(read.id.clone()), "{} came twice", read.id);
         *marks.entry(read.mark.unwrap_or_default()).or_default() += 1;
     }
-    assert!(marks.len() > 30 && marks.iter().any(|(mark, times)| !mark.is_empty() && *times > 1));
+    assert!(
+        marks.len() > 30
+            && marks
+                .iter()
+                .any(|(mark, times)| !mark.is_empty() && *times > 1)
+    );
 }
 
 #[test]
 fn what_breaks_within_its_answer_is_never_sent_again() {
     let mut scenario = scenario();
     scenario.connections = 1;
-    let (played, server) =
-        played(scenario, LONG, |number, _| if number % 10 == 5 { Turn::BreakOff } else { Turn::Answer });
+    let (played, server) = played(scenario, LONG, |number, _| {
+        if number % 10 == 5 {
+            Turn::BreakOff
+        } else {
+            Turn::Answer
+        }
+    });
     // Broken within its answer, it may have run: those are never sent again.
     assert_eq!((of(&played, Outcome::Aborted), server.asked()), (20, 200));
     let connections = played.summary.connections;
-    assert!(connections.most_open == 1 && connections.opened >= 20, "{connections:?}");
+    assert!(
+        connections.most_open == 1 && connections.opened >= 20,
+        "{connections:?}"
+    );
 }
 
 #[test]
@@ -134,8 +184,13 @@
         let mut scenario = scenario();
         let mut reader = scenario.workloads[0].clone();
         (reader.name, reader.share) = ("again".to_string(), 0.0);
-        reader.follows =
-            Some(Follows { of: "write".to_string(), chance: 1.0, times: 1, think_ms: 200.0, check: true });
+        reader.follows = Some(Follows {
+            of: "write".to_string(),
+            chance: 1.0,
+            times: 1,
+            think_ms: 200.0,
+            check: true,
+        });
         scenario.workloads[0].share = 1e-9;
         scenario.workloads.push(reader);
         // One writer at a time: the scripted server keeps a single value.
@@ -145,7 +200,11 @@
     let (played, server) = sessions(|_, _| Turn::Answer);
     let again = &played.summary.workloads[2];
     assert!(again.statements == 20 && again.stale <= 20);
-    let carried = server.heard().iter().filter(|(_, text)| text.contains("after=1767225600123")).count();
+    let carried = server
+        .heard()
+        .iter()
+        .filter(|(_, text)| text.contains("after=1767225600123"))
+        .count();
     assert_eq!(carried, 20, "the position of the write's answer is carried");
     // The server shows the last value of anybody: who is overtaken by another's write must see that as stale.
     let mut last = String::new();
@@ -168,7 +227,10 @@
     scenario.holding.uses = Some(10);
     let (played, _) = played(scenario, LONG, |_, _| Turn::Answer);
     assert!(played.summary.connections.opened >= 20);
-    assert_eq!(of(&played, Outcome::Completed) + of(&played, Outcome::Late), 200);
+    assert_eq!(
+        of(&played, Outcome::Completed) + of(&played, Outcome::Late),
+        200
+    );
 }
 
 #[test]
@@ -176,9 +238,15 @@
     let mut scenario = scenario();
     (scenario.threads, scenario.connections) = (3, 7);
     let (played, server) = played(scenario, LONG, |_, _| Turn::Answer);
-    let ids: BTreeSet<String> =
-        server.heard().iter().map(|(_, text)| Statement::read(text).unwrap().id).collect();
-    assert_eq!((played.summary.statements, ids.len(), server.asked()), (200, 200, 200));
+    let ids: BTreeSet<String> = server
+        .heard()
+        .iter()
+        .map(|(_, text)| Statement::read(text).unwrap().id)
+        .collect();
+    assert_eq!(
+        (played.summary.statements, ids.len(), server.asked()),
+        (200, 200, 200)
+    );
     assert!(server.most_open() <= 7);
 }
 
@@ -186,10 +254,19 @@
 fn an_interrupted_run_keeps_what_was_measured() {
     let mut scenario = scenario();
     scenario.phases[0].for_ms = 600_000.0;
-    let server =
-        Scripted::start(false, |number, _| if number < 20 { Turn::Answer } else { Turn::Silence }).unwrap();
+    let server = Scripted::start(false, |number, _| {
+        if number < 20 {
+            Turn::Answer
+        } else {
+            Turn::Silence
+        }
+    })
+    .unwrap();
     scenario.target = server.address;
-    scenario.workloads.iter_mut().for_each(|w| w.patience_ms = LONG);
+    scenario
+        .workloads
+        .iter_mut()
+        .for_each(|w| w.patience_ms = LONG);
     let (setup, folder) = (Setup::default(), place("interrupted"));
     let stop = setup.stop.clone();
     let begun = Instant::now();
@@ -208,8 +285,14 @@
     each(&folder, |_| kept += 1).unwrap();
     assert!(summary.interrupted && kept == summary.statements && kept >= 40);
     // What was open is given up, and said to be so: it was sent.
-    assert_eq!(of(&played, Outcome::Completed) + of(&played, Outcome::Late), 20);
-    assert_eq!(of(&played, Outcome::TimedOut) + of(&played, Outcome::Unsent), kept - 20);
+    assert_eq!(
+        of(&played, Outcome::Completed) + of(&played, Outcome::Late),
+        20
+    );
+    assert_eq!(
+        of(&played, Outcome::TimedOut) + of(&played, Outcome::Unsent),
+        kept - 20
+    );
 }
 
 #[test]
@@ -217,6 +300,8 @@
     let folder = place("taken");
     let scenario = scenario();
     play(&scenario, &Setup::default(), Some((&folder, "{}"))).unwrap();
-    let again = play(&scenario, &Setup::default(), Some((&folder, "{}"))).err().unwrap();
+    let again = play(&scenario, &Setup::default(), Some((&folder, "{}")))
+        .err()
+        .unwrap();
     assert!(again.to_string().contains("holds a run already"), "{again}");
 }
--- a/crates/load/src/tests/traces.rs
+++ b/crates/load/src/tests/traces.rs
@@ -28,9 +28,15 @@
     };
     vec![
         write,
-        Row { own: true, ..row(0.1234567, "a") },
+        Row {
+            own: true,
+            ..row(0.1234567, "a")
+        },
         row(250.25, ""),
-        Row { retry: true, ..row(250.25, "b") },
+        Row {
+            retry: true,
+            ..row(250.25, "b")
+        },
     ]
 }
 
@@ -59,9 +65,19 @@
     std::fs::write(&file, text).unwrap();
     let survey = Survey::of(&file).unwrap();
     assert_eq!(survey.broken, broken, "{survey:?}");
-    assert!(survey.first_broken.iter().all(|row| row.starts_with("row ")), "{survey:?}");
+    assert!(
+        survey
+            .first_broken
+            .iter()
+            .all(|row| row.starts_with("row ")),
+        "{survey:?}"
+    );
     let good: u64 = survey.workloads.values().sum();
-    assert_eq!(survey.rows, good + survey.broken, "nothing is dropped silently");
+    assert_eq!(
+        survey.rows,
+        good + survey.broken,
+        "nothing is dropped silently"
+    );
 }
 
 #[test]
@@ -85,8 +101,15 @@
         all.sort();
         let of = |(at, session, retry): (u32, u8, bool)| {
             // Session 0 is none.
-            let session = if session == 0 { String::new() } else { session.to_string() };
-            Row { retry: retry && at % 7 == 0, ..row(f64::from(at) / 4.0, &session) }
+            let session = if session == 0 {
+                String::new()
+            } else {
+                session.to_string()
+            };
+            Row {
+                retry: retry && at % 7 == 0,
+                ..row(f64::from(at) / 4.0, &session)
+            }
         };
         all.into_iter().map(of).collect()
     })
@@ -147,7 +170,17 @@
 #[test]
 fn retries_are_left_out_unless_asked_for() {
     assert_eq!(changed(rows(), Change::default()).len(), 3);
-    assert_eq!(changed(rows(), Change { retries: true, ..Change::default() }).len(), 4);
+    assert_eq!(
+        changed(
+            rows(),
+            Change {
+                retries: true,
+                ..Change::default()
+            }
+        )
+        .len(),
+        4
+    );
 }
 
 #[test_case(Change { speed: 0.0, ..Change::default() }, "speed")]
--- a/crates/load/src/trace/change.rs
+++ b/crates/load/src/trace/change.rs
@@ -133,7 +133,11 @@
         for copy in 0..self.change.times {
             let mut row = row.clone();
             // A row of no session is one of its own.
-            let session = if row.session.is_empty() { self.number + 1 } else { named(&row.session) };
+            let session = if row.session.is_empty() {
+                self.number + 1
+            } else {
+                named(&row.session)
+            };
             row.at_ms = at + self.change.later(session, copy);
             if copy > 0 {
                 row.key = format!("{}.{copy}", row.key);
@@ -152,7 +156,10 @@
 
     fn next(&mut self) -> Option<Row> {
         loop {
-            let ready = self.pending.at().is_some_and(|first| self.over || first < self.safe);
+            let ready = self
+                .pending
+                .at()
+                .is_some_and(|first| self.over || first < self.safe);
             if ready || self.over {
                 return self.pending.pop();
             }
--- a/crates/load/src/trace/mod.rs
+++ b/crates/load/src/trace/mod.rs
@@ -71,7 +71,12 @@
     Kind(PathBuf),
     #[error("{file}: {broken} of {rows} rows are broken and nothing was sent; the first: {}",
             first.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Broken { file: PathBuf, broken: u64, rows: u64, first: Vec<Broken> },
+    Broken {
+        file: PathBuf,
+        broken: u64,
+        rows: u64,
+        first: Vec<Broken>,
+    },
     #[error("{0}: there is nothing in it to send")]
     Empty(PathBuf),
 }
@@ -83,7 +88,10 @@
             return Some(format!("at_ms is no time: {}", self.at_ms));
         }
         if self.workload.is_empty() || !plain(&self.workload) || !plain(&self.customer) {
-            return Some(format!("no statement carries workload {:?} of {:?}", self.workload, self.customer));
+            return Some(format!(
+                "no statement carries workload {:?} of {:?}",
+                self.workload, self.customer
+            ));
         }
         if self.key.is_empty() || !plain(&self.key) {
             return Some(format!("no statement carries key {:?}", self.key));
@@ -116,7 +124,11 @@
             writes: self.writes.then_some(self.bytes),
             marked: self.marked,
             patience,
-            slo: if self.slo_ms > 0.0 { (self.slo_ms * 1e6) as u64 } else { patience },
+            slo: if self.slo_ms > 0.0 {
+                (self.slo_ms * 1e6) as u64
+            } else {
+                patience
+            },
             session: named(&self.session),
             own: self.own,
             check: false,
--- a/crates/load/src/trace/read.rs
+++ b/crates/load/src/trace/read.rs
@@ -39,9 +39,13 @@
     let mut disorder = 0.0;
     let form = match path.extension().and_then(|ending| ending.to_str()) {
         Some("csv") => {
-            let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(file()?);
+            let mut reader = csv::ReaderBuilder::new()
+                .trim(csv::Trim::All)
+                .from_reader(file()?);
             // A heading that can't be read is no row's fault.
-            reader.headers().map_err(|e| Fault::Csv(path.to_path_buf(), e))?;
+            reader
+                .headers()
+                .map_err(|e| Fault::Csv(path.to_path_buf(), e))?;
             Form::Csv(reader.into_deserialize())
         }
         Some("jsonl" | "ndjson") => Form::Lines(BufReader::new(file()?).lines()),
@@ -53,15 +57,33 @@
         }
         _ => return Err(Fault::Kind(path.to_path_buf())),
     };
-    Ok(Reader { form, row: 0, before: 0.0, over: false, disorder, held: Soonest::default(), newest: 0.0 })
+    Ok(Reader {
+        form,
+        row: 0,
+        before: 0.0,
+        over: false,
+        disorder,
+        held: Soonest::default(),
+        newest: 0.0,
+    })
 }
 
 /// How far a kept run's rows go back in time at most: those of a run have a column that no trace has.
 fn disorder_of(reader: &SerializedFileReader<File>) -> Result<f64, ParquetError> {
     let schema = reader.metadata().file_metadata().schema();
-    let has = |name: &str| schema.get_fields().iter().find(|field| field.name() == name).cloned();
-    let (Some(at), Some(_)) = (has("at_ms"), has("ended_ns")) else { return Ok(0.0) };
-    let only = Type::group_type_builder("statements").with_fields(vec![at]).build()?;
+    let has = |name: &str| {
+        schema
+            .get_fields()
+            .iter()
+            .find(|field| field.name() == name)
+            .cloned()
+    };
+    let (Some(at), Some(_)) = (has("at_ms"), has("ended_ns")) else {
+        return Ok(0.0);
+    };
+    let only = Type::group_type_builder("statements")
+        .with_fields(vec![at])
+        .build()?;
     let (mut newest, mut disorder) = (0f64, 0f64);
     for row in reader.get_row_iter(Some(only))? {
         if let Some((_, Field::Double(at))) = row?.get_column_iter().next() {
@@ -83,14 +105,20 @@
             Form::Lines(lines) => loop {
                 return match lines.next()? {
                     Ok(line) if line.trim().is_empty() => continue,
-                    Ok(line) => Some(serde_json::from_str(&line).map_err(|e| (e.to_string(), false))),
+                    Ok(line) => {
+                        Some(serde_json::from_str(&line).map_err(|e| (e.to_string(), false)))
+                    }
                     // A line that is not UTF-8 is over at its end all the same.
-                    Err(e) => Some(Err((e.to_string(), e.kind() != std::io::ErrorKind::InvalidData))),
+                    Err(e) => Some(Err((
+                        e.to_string(),
+                        e.kind() != std::io::ErrorKind::InvalidData,
+                    ))),
                 };
             },
             Form::Parquet(rows) => rows.next().map(|cells| {
                 let cells = cells.map_err(|e| (e.to_string(), true))?;
-                serde_json::from_value(Value::Object(object(&cells))).map_err(|e| (e.to_string(), false))
+                serde_json::from_value(Value::Object(object(&cells)))
+                    .map_err(|e| (e.to_string(), false))
             }),
         }
     }
@@ -101,7 +129,11 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         loop {
-            if self.held.at().is_some_and(|first| self.over || first + self.disorder <= self.newest) {
+            if self
+                .held
+                .at()
+                .is_some_and(|first| self.over || first + self.disorder <= self.newest)
+            {
                 return self.held.pop().map(Ok);
             }
             if self.over {
@@ -126,7 +158,10 @@
     /// A row as it was read, if nothing is wrong with it.
     fn checked(&mut self, raw: Result<Row, (String, bool)>) -> Result<Row, Broken> {
         self.row += 1;
-        let broken = |problem| Broken { row: self.row, problem };
+        let broken = |problem| Broken {
+            row: self.row,
+            problem,
+        };
         match raw {
             Err((problem, over)) => {
                 self.over = over;
@@ -134,9 +169,10 @@
             }
             Ok(row) => match row.problem() {
                 Some(problem) => Err(broken(problem)),
-                None if row.at_ms + self.disorder < self.before => {
-                    Err(broken(format!("goes back in time, from {} ms to {} ms", self.before, row.at_ms)))
-                }
+                None if row.at_ms + self.disorder < self.before => Err(broken(format!(
+                    "goes back in time, from {} ms to {} ms",
+                    self.before, row.at_ms
+                ))),
                 None => {
                     self.before = row.at_ms;
                     Ok(row)
@@ -171,7 +207,9 @@
         Field::Bytes(bytes) => bytes.as_utf8().map_or(Value::Null, Value::from),
         _ => Value::Null,
     };
-    let named = cells.get_column_iter().map(|(name, field)| (name.clone(), value(field)));
+    let named = cells
+        .get_column_iter()
+        .map(|(name, field)| (name.clone(), value(field)));
     // What is not there has its default, or is missing by name.
     named.filter(|(_, value)| !value.is_null()).collect()
 }
--- a/crates/load/src/trace/write.rs
+++ b/crates/load/src/trace/write.rs
@@ -58,12 +58,16 @@
     /// The disk's.
     pub fn row(&mut self, row: &Row) -> Result<(), Fault> {
         match &mut self.form {
-            Form::Csv(to) => to.serialize(row).map_err(|e| Fault::Csv(self.path.clone(), e)),
+            Form::Csv(to) => to
+                .serialize(row)
+                .map_err(|e| Fault::Csv(self.path.clone(), e)),
             Form::Lines(to) => {
                 let line = serde_json::to_string(row).unwrap_or_default();
                 writeln!(to, "{line}").map_err(|e| Fault::File(self.path.clone(), e))
             }
-            Form::Parquet(to) => to.row(&cells(row)).map_err(|e| Fault::Parquet(self.path.clone(), e)),
+            Form::Parquet(to) => to
+                .row(&cells(row))
+                .map_err(|e| Fault::Parquet(self.path.clone(), e)),
         }
     }
 
--- a/crates/load/src/traffic.rs
+++ b/crates/load/src/traffic.rs
@@ -37,7 +37,8 @@
 }
 
 fn drawn(sums: &[f64], lot: f64) -> usize {
-    sums.partition_point(|sum| *sum <= lot).min(sums.len().saturating_sub(1))
+    sums.partition_point(|sum| *sum <= lot)
+        .min(sums.len().saturating_sub(1))
 }
 
 fn popularity(count: usize, exponent: f64) -> Vec<f64> {
@@ -57,14 +58,28 @@
         let workloads = &scenario.workloads;
         let follows = |w: &Workload| {
             let of = |(_, other): &(usize, &Workload)| {
-                other.follows.as_ref().is_some_and(|follows| follows.of == w.name)
+                other
+                    .follows
+                    .as_ref()
+                    .is_some_and(|follows| follows.of == w.name)
             };
-            workloads.iter().enumerate().filter(of).map(|(place, _)| place).collect()
+            workloads
+                .iter()
+                .enumerate()
+                .filter(of)
+                .map(|(place, _)| place)
+                .collect()
         };
         Traffic {
             shares: added_up(workloads.iter().map(|w| w.share)),
-            keys: workloads.iter().map(|w| popularity(w.keys, w.zipf)).collect(),
-            customers: workloads.iter().map(|w| popularity(w.customers, 1.0)).collect(),
+            keys: workloads
+                .iter()
+                .map(|w| popularity(w.keys, w.zipf))
+                .collect(),
+            customers: workloads
+                .iter()
+                .map(|w| popularity(w.customers, 1.0))
+                .collect(),
             followed: workloads.iter().map(follows).collect(),
             scenario: scenario.clone(),
         }
@@ -78,10 +93,20 @@
     pub fn statement(&self, number: u64, arrival: &Arrival) -> (Work, Vec<Work>) {
         let mut chance = self.chance(number);
         let lot = chance.f64();
-        let released = arrival.release.filter(|(_, part)| chance.f64() < *part).map(|(group, _)| group);
+        let released = arrival
+            .release
+            .filter(|(_, part)| chance.f64() < *part)
+            .map(|(group, _)| group);
         // A release is read: the first workload that does so by share.
-        let reads = || self.scenario.workloads.iter().position(|w| !w.writes && w.share > 0.0);
-        let place = released.and_then(|_| reads()).unwrap_or_else(|| drawn(&self.shares, lot));
+        let reads = || {
+            self.scenario
+                .workloads
+                .iter()
+                .position(|w| !w.writes && w.share > 0.0)
+        };
+        let place = released
+            .and_then(|_| reads())
+            .unwrap_or_else(|| drawn(&self.shares, lot));
         let w = &self.scenario.workloads[place];
         let mut work = self.base(w, place, number, (arrival.at * 1e9) as u64);
         let key = self.key(place, &mut chance);
@@ -139,7 +164,11 @@
         let mut later = Vec::new();
         for reader in &self.followed[place] {
             let w = &self.scenario.workloads[*reader];
-            let Some(follows) = w.follows.as_ref().filter(|follows| chance.f64() < follows.chance) else {
+            let Some(follows) = w
+                .follows
+                .as_ref()
+                .filter(|follows| chance.f64() < follows.chance)
+            else {
                 continue;
             };
             work.session = work.number + 1;
@@ -148,7 +177,8 @@
             for _ in 0..follows.times {
                 due += (-(1.0 - chance.f64()).ln() * follows.think_ms * 1e6) as u64;
                 let mut read = self.base(w, *reader, 0, due);
-                (read.group, read.key, read.customer) = (work.group, work.key.clone(), work.customer.clone());
+                (read.group, read.key, read.customer) =
+                    (work.group, work.key.clone(), work.customer.clone());
                 (read.session, read.own, read.check) = (work.session, true, follows.check);
                 read.number = work.number + READ_STRIDE * (later.len() as u64 + 1);
                 later.push(read);
@@ -163,8 +193,8 @@
         Size::Always(bytes) => bytes as u32,
         Size::Drawn { median, p99 } => {
             // Box and Muller's normal variate.
-            let normal =
-                (-2.0 * (1.0 - chance.f64()).ln()).sqrt() * (std::f64::consts::TAU * chance.f64()).cos();
+            let normal = (-2.0 * (1.0 - chance.f64()).ln()).sqrt()
+                * (std::f64::consts::TAU * chance.f64()).cos();
             let bytes = median * ((p99 / median).ln() / TO_P99 * normal).exp();
             bytes.clamp(1.0, LARGEST as f64) as u32
         }
@@ -216,7 +246,11 @@
     fn next(&mut self) -> Option<Work> {
         // Whole nanoseconds on both sides: exact in an f64 for a hundred days.
         let coming = self.coming.map(|(_, arrival)| (arrival.at * 1e9).floor());
-        if self.later.at().is_some_and(|later| coming.is_none_or(|coming| later < coming)) {
+        if self
+            .later
+            .at()
+            .is_some_and(|later| coming.is_none_or(|coming| later < coming))
+        {
             return self.later.pop();
         }
         let (number, arrival) = self.coming?;
--- a/crates/load/src/work.rs
+++ b/crates/load/src/work.rs
@@ -95,7 +95,11 @@
             let _ = write!(text, ",k=m{run:x}-{number:x}");
         }
         let _ = write!(text, ",cluster={}", self.group);
-        if let Some(position) = asked.wrote.and_then(|wrote| wrote.position).filter(|_| self.own) {
+        if let Some(position) = asked
+            .wrote
+            .and_then(|wrote| wrote.position)
+            .filter(|_| self.own)
+        {
             let _ = write!(text, ",after={position}");
         }
         text.push_str(" */");
@@ -110,7 +114,11 @@
         text.push(char::from(DIGITS[usize::from(byte >> 4)]));
         text.push(char::from(DIGITS[usize::from(byte & 15)]));
     };
-    number.to_be_bytes().into_iter().take(size).for_each(&mut put);
+    number
+        .to_be_bytes()
+        .into_iter()
+        .take(size)
+        .for_each(&mut put);
     let mut state = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     for _ in SIGNED..size {
         state ^= state << 13;
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -94,13 +94,17 @@
         Command::Check { file, json } => settings::check(&file, json, out),
         Command::Config(ConfigCommand::Check { file, json }) => config::check(&file, json, out),
         Command::Config(ConfigCommand::Get(asking)) => {
-            let (_, mut body) = Client::new(&asking.at).config()?.ok_or(CliError::NoConfig)?;
+            let (_, mut body) = Client::new(&asking.at)
+                .config()?
+                .ok_or(CliError::NoConfig)?;
             if body.last() != Some(&b'\n') {
                 body.push(b'\n');
             }
             print(out, &body)
         }
-        Command::Config(ConfigCommand::Put { file, base, asking }) => config::put(&file, base, &asking, out),
+        Command::Config(ConfigCommand::Put { file, base, asking }) => {
+            config::put(&file, base, &asking, out)
+        }
         Command::Config(ConfigCommand::Diff { file, asking }) => config::diff(&file, &asking, out),
         Command::Status(asking) => {
             let status = Client::new(&asking.at).status()?;
@@ -108,11 +112,15 @@
         }
         Command::Members(asking) => {
             let status = Client::new(&asking.at).status()?;
-            show(out, asking.json, &status.members, |_| status::members(&status))
+            show(out, asking.json, &status.members, |_| {
+                status::members(&status)
+            })
         }
         Command::Primaries(asking) => {
             let status = Client::new(&asking.at).status()?;
-            show(out, asking.json, &status.primaries, |_| status::primaries(&status))
+            show(out, asking.json, &status.primaries, |_| {
+                status::primaries(&status)
+            })
         }
     }
 }
--- a/crates/node/src/cli/client.rs
+++ b/crates/node/src/cli/client.rs
@@ -41,7 +41,11 @@
 
     /// For these addresses, each with this time limit.
     pub fn within(at: &[SocketAddr], limit: Duration) -> Client {
-        Client { at: at.to_vec(), limit, sent: false }
+        Client {
+            at: at.to_vec(),
+            limit,
+            sent: false,
+        }
     }
 
     /// The configuration in force, read and as it was sent; none if there is none yet.
@@ -50,7 +54,8 @@
         match answer.status {
             404 => Ok(None),
             200 => {
-                let config = Config::read(&answer.body).map_err(|e| CliError::Answer(at, e.to_string()))?;
+                let config =
+                    Config::read(&answer.body).map_err(|e| CliError::Answer(at, e.to_string()))?;
                 Ok(Some((config, answer.body)))
             }
             status => Err(CliError::Refused(at, status, why(&answer))),
@@ -61,7 +66,12 @@
     pub fn replace(&mut self, base: u64, body: &[u8]) -> Result<(), CliError> {
         let base_version = base.to_string();
         // That it was taken may be told to nobody: the same bytes are answered 200 again, at any address.
-        let sent = self.call(Replace::METHOD, Replace::PATH, &[(BASE_VERSION, &base_version)], body);
+        let sent = self.call(
+            Replace::METHOD,
+            Replace::PATH,
+            &[(BASE_VERSION, &base_version)],
+            body,
+        );
         match sent {
             Ok((_, answer)) if answer.status == 200 => Ok(()),
             Ok((at, answer)) => Err(CliError::Refused(at, answer.status, why(&answer))),
@@ -78,19 +88,34 @@
             return Ok(status);
         }
         // The port is the same on all machines.
-        let Some(leader) = status.leader.as_ref().and_then(|l| l.parse::<IpAddr>().ok()) else {
+        let Some(leader) = status
+            .leader
+            .as_ref()
+            .and_then(|l| l.parse::<IpAddr>().ok())
+        else {
             return Ok(status);
         };
         let leader = SocketAddr::new(leader, at.port());
-        let asked =
-            Client::within(&[leader], self.limit).call(ReadStatus::METHOD, ReadStatus::PATH, &[], b"");
+        let asked = Client::within(&[leader], self.limit).call(
+            ReadStatus::METHOD,
+            ReadStatus::PATH,
+            &[],
+            b"",
+        );
         let of_leader = asked.and_then(|(at, answer)| read_status(at, &answer));
-        Ok(of_leader.ok().filter(|status| status.leads).unwrap_or(status))
+        Ok(of_leader
+            .ok()
+            .filter(|status| status.leads)
+            .unwrap_or(status))
     }
 
     /// The first answer that settles the call, and whose it is.
     fn call(
-        &mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8],
+        &mut self,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
     ) -> Result<(SocketAddr, Response), CliError> {
         let mut tries: Vec<String> = Vec::new();
         self.sent = false;
@@ -110,7 +135,12 @@
 
     /// The answer of this address, or of the one that it sends the call on to.
     fn follow(
-        &mut self, first: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8],
+        &mut self,
+        first: SocketAddr,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
     ) -> Result<(SocketAddr, Response), String> {
         let until = Instant::now() + self.limit;
         let (mut at, mut path) = (first, path.to_owned());
@@ -138,7 +168,10 @@
             }
             let location = answer.header("Location").unwrap_or_default();
             let next = target(location, at).ok_or_else(|| {
-                format!("{at}: sent on to {:?}, which is no address", text::clean(location))
+                format!(
+                    "{at}: sent on to {:?}, which is no address",
+                    text::clean(location)
+                )
             })?;
             (at, path) = next;
         }
@@ -158,7 +191,14 @@
     }
     let rest = location.strip_prefix("http://")?;
     let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-    Some((host.parse().ok()?, if path.is_empty() { "/".to_owned() } else { path.to_owned() }))
+    Some((
+        host.parse().ok()?,
+        if path.is_empty() {
+            "/".to_owned()
+        } else {
+            path.to_owned()
+        },
+    ))
 }
 
 /// What an answer says besides its status, in one line.
@@ -183,7 +223,11 @@
 
 fn remaining(until: Instant) -> std::io::Result<Duration> {
     let remaining = until.saturating_duration_since(Instant::now());
-    if remaining.is_zero() { Err(ErrorKind::TimedOut.into()) } else { Ok(remaining) }
+    if remaining.is_zero() {
+        Err(ErrorKind::TimedOut.into())
+    } else {
+        Ok(remaining)
+    }
 }
 
 fn connect(at: SocketAddr, until: Instant) -> std::io::Result<TcpStream> {
@@ -194,14 +238,20 @@
 
 /// One request on a connection of its own, and its answer.
 fn exchange(
-    mut stream: TcpStream, at: SocketAddr, until: Instant, method: &str, path: &str,
-    headers: &[(&str, &str)], body: &[u8],
+    mut stream: TcpStream,
+    at: SocketAddr,
+    until: Instant,
+    method: &str,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
 ) -> std::io::Result<Response> {
     let mut headers = headers.to_vec();
     headers.push(("Connection", "close"));
     let mut rest = &request(method, path, &at.to_string(), &headers, body)[..];
-    let invalid =
-        |e: badgerstream_calls::http::HttpError| std::io::Error::new(ErrorKind::InvalidData, e.to_string());
+    let invalid = |e: badgerstream_calls::http::HttpError| {
+        std::io::Error::new(ErrorKind::InvalidData, e.to_string())
+    };
     let mut answered = Responses::new(MAX_ANSWER_BYTES);
     let mut bytes = vec![0; 16 << 10];
     while !rest.is_empty() {
@@ -210,7 +260,9 @@
             Ok(count) => rest = &rest[count..],
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             // Who refuses a body may have answered before its end: that answer is still to be read.
-            Err(e) if matches!(e.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => break,
+            Err(e) if matches!(e.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => {
+                break;
+            }
             Err(e) => return Err(e),
         }
     }
@@ -221,7 +273,8 @@
         stream.set_read_timeout(Some(remaining(until)?))?;
         match stream.read(&mut bytes) {
             Ok(0) => {
-                let closed = std::io::Error::new(ErrorKind::UnexpectedEof, "closed without an answer");
+                let closed =
+                    std::io::Error::new(ErrorKind::UnexpectedEof, "closed without an answer");
                 return answered.finish().map_err(invalid)?.ok_or(closed);
             }
             Ok(count) => answered.feed(&bytes[..count]),
--- a/crates/node/src/cli/config.rs
+++ b/crates/node/src/cli/config.rs
@@ -32,7 +32,9 @@
 
 /// An error with the line and column where a configuration breaks off.
 fn locate(error: &ConfigError, body: &[u8]) -> String {
-    let ConfigError::Unreadable(JsonError::Syntax(at, what)) = error else { return error.to_string() };
+    let ConfigError::Unreadable(JsonError::Syntax(at, what)) = error else {
+        return error.to_string();
+    };
     let before = &body[..(*at).min(body.len())];
     let line = before.iter().filter(|b| **b == b'\n').count() + 1;
     let column = before.iter().rev().take_while(|b| **b != b'\n').count() + 1;
@@ -61,10 +63,17 @@
         return Ok(());
     }
     let (routes, services) = (config.routes.len(), config.services.len());
-    let mut text =
-        format!("{}: valid: version {}, {routes} routes, {services} services\n", name(file), config.epoch);
+    let mut text = format!(
+        "{}: valid: version {}, {routes} routes, {services} services\n",
+        name(file),
+        config.epoch
+    );
     for place in without_effect {
-        text += &format!("{}: note: {} is kept and has no effect\n", name(file), text::clean(&place));
+        text += &format!(
+            "{}: note: {} is kept and has no effect\n",
+            name(file),
+            text::clean(&place)
+        );
     }
     print(out, text.as_bytes())
 }
@@ -80,7 +89,10 @@
 
 /// Puts a configuration in force, unless it is already.
 pub(super) fn put(
-    file: &Path, base: Option<u64>, asking: &Asking, out: &mut impl Write,
+    file: &Path,
+    base: Option<u64>,
+    asking: &Asking,
+    out: &mut impl Write,
 ) -> Result<(), CliError> {
     let (body, config) = read_config(file)?;
     let epoch = config?.epoch;
@@ -95,10 +107,19 @@
     if !was_in_force {
         client.replace(base, &body)?;
     }
-    show(out, asking.json, &PutVerdict { epoch, base, was_in_force }, |_| match was_in_force {
-        true => format!("version {epoch} is in force already\n"),
-        false => format!("version {epoch} is taken; it builds on {base}\n"),
-    })
+    show(
+        out,
+        asking.json,
+        &PutVerdict {
+            epoch,
+            base,
+            was_in_force,
+        },
+        |_| match was_in_force {
+            true => format!("version {epoch} is in force already\n"),
+            false => format!("version {epoch} is taken; it builds on {base}\n"),
+        },
+    )
 }
 
 /// What `config diff --json` prints.
@@ -118,12 +139,19 @@
         None => Config::read(br#"{"epoch":0,"routes":[],"backends":[]}"#)
             .map_err(|e| CliError::Wrong("the empty configuration".to_owned(), e.to_string()))?,
     };
-    let found =
-        Difference { from: current.epoch, to: config.epoch, changes: config::diff(&current, &config) };
+    let found = Difference {
+        from: current.epoch,
+        to: config.epoch,
+        changes: config::diff(&current, &config),
+    };
     show(out, asking.json, &found, |found| {
         if found.changes.is_empty() {
             return format!("no difference to version {}\n", found.from);
         }
-        found.changes.iter().map(|line| text::clean(line) + "\n").collect()
+        found
+            .changes
+            .iter()
+            .map(|line| text::clean(line) + "\n")
+            .collect()
     })
 }
--- a/crates/node/src/cli/files.rs
+++ b/crates/node/src/cli/files.rs
@@ -6,7 +6,11 @@
 
 /// The name of a file in messages; `-` is the standard input.
 pub(super) fn name(file: &Path) -> String {
-    if file == Path::new("-") { "standard input".to_owned() } else { file.display().to_string() }
+    if file == Path::new("-") {
+        "standard input".to_owned()
+    } else {
+        file.display().to_string()
+    }
 }
 
 /// Reads a file whole; `-` is the standard input.
@@ -16,5 +20,6 @@
         true => io::stdin().read_to_end(&mut bytes).map(drop),
         false => std::fs::read(file).map(|read| bytes = read),
     };
-    done.map(|()| bytes).map_err(|e| CliError::File(name(file), e))
+    done.map(|()| bytes)
+        .map_err(|e| CliError::File(name(file), e))
 }
--- a/crates/node/src/cli/output.rs
+++ b/crates/node/src/cli/output.rs
@@ -15,8 +15,15 @@
 
 /// Prints a value as one line of JSON, or as `text` renders it.
 pub(super) fn show<T: SerJson>(
-    out: &mut impl Write, json: bool, what: &T, text: impl Fn(&T) -> String,
+    out: &mut impl Write,
+    json: bool,
+    what: &T,
+    text: impl Fn(&T) -> String,
 ) -> Result<(), CliError> {
-    let text = if json { what.serialize_json() + "\n" } else { text(what) };
+    let text = if json {
+        what.serialize_json() + "\n"
+    } else {
+        text(what)
+    };
     print(out, text.as_bytes())
 }
--- a/crates/node/src/cli/settings.rs
+++ b/crates/node/src/cli/settings.rs
@@ -25,8 +25,11 @@
     let checked = match String::from_utf8(bytes) {
         Ok(text) => Settings::read(&text).and_then(check_complete),
         Err(e) => {
-            let line =
-                e.as_bytes()[..e.utf8_error().valid_up_to()].iter().filter(|b| **b == b'\n').count() + 1;
+            let line = e.as_bytes()[..e.utf8_error().valid_up_to()]
+                .iter()
+                .filter(|b| **b == b'\n')
+                .count()
+                + 1;
             Err(SettingsError::Line(line, "no UTF-8".to_owned()))
         }
     };
@@ -34,7 +37,9 @@
         Ok(_) | Err(SettingsError::Line(0, _)) => (None, None),
         Err(SettingsError::Line(line, _)) => (Some(*line), None),
         Err(SettingsError::Missing(field)) => (None, Some((*field).to_owned())),
-        Err(SettingsError::Wrong(line, field, ..)) => (Some(*line).filter(|l| *l > 0), Some(field.clone())),
+        Err(SettingsError::Wrong(line, field, ..)) => {
+            (Some(*line).filter(|l| *l > 0), Some(field.clone()))
+        }
     };
     if json {
         let verdict = SettingsVerdict {
@@ -56,7 +61,10 @@
         (None, Some(control)) => format!("control at {control}"),
         (None, None) => "neither router nor control".to_owned(),
     };
-    print(out, format!("{}: valid: {}, {part}\n", name(file), settings.node_name).as_bytes())
+    print(
+        out,
+        format!("{}: valid: {}, {part}\n", name(file), settings.node_name).as_bytes(),
+    )
 }
 
 /// What each field alone doesn't show: whether a process can do with the file what it is told to.
--- a/crates/node/src/cli/status.rs
+++ b/crates/node/src/cli/status.rs
@@ -74,7 +74,10 @@
         pairs.row(&["routers", &status.routers.to_string()]);
     }
     pairs.row(&["lease", &format!("{} s", status.lease_s)]);
-    pairs.row(&["servers", &format!("{}, of which {draining} draining", status.members.len())]);
+    pairs.row(&[
+        "servers",
+        &format!("{}, of which {draining} draining", status.members.len()),
+    ]);
     let mut text = pairs.text();
     match status.leads {
         true => write!(text, "\n{}", primaries(status)).unwrap_or_default(),
@@ -85,7 +88,9 @@
 
 /// The table of database servers.
 pub(super) fn members(status: &Status) -> String {
-    let mut table = Table::new(&["SERVICE", "SERVER", "ENDPOINT", "ZONE", "SLOTS", "ROLE", "STATE"]);
+    let mut table = Table::new(&[
+        "SERVICE", "SERVER", "ENDPOINT", "ZONE", "SLOTS", "ROLE", "STATE",
+    ]);
     let mut members: Vec<&MemberStatus> = status.members.iter().collect();
     members.sort_by(|a, b| (&a.service, &a.zone, &a.id).cmp(&(&b.service, &b.zone, &b.id)));
     for m in members {
@@ -96,10 +101,20 @@
             None => "-",
         };
         let state = if m.draining { "draining" } else { "ready" };
-        table.row(&[&m.service, &m.id, &m.endpoint, or_dash(&m.zone), &m.slots.to_string(), role, state]);
+        table.row(&[
+            &m.service,
+            &m.id,
+            &m.endpoint,
+            or_dash(&m.zone),
+            &m.slots.to_string(),
+            role,
+            state,
+        ]);
     }
     match status.members.is_empty() {
-        true => "no servers are known\n".to_owned() + &follower_note(status) + &trouble_notes(status),
+        true => {
+            "no servers are known\n".to_owned() + &follower_note(status) + &trouble_notes(status)
+        }
         false => table.text() + &follower_note(status) + &trouble_notes(status),
     }
 }
@@ -116,11 +131,25 @@
     let mut primaries: Vec<&PrimaryStatus> = status.primaries.iter().collect();
     primaries.sort_by(|a, b| a.service.cmp(&b.service));
     for p in primaries {
-        let member = status.members.iter().find(|m| m.id == p.id && m.service == p.service);
+        let member = status
+            .members
+            .iter()
+            .find(|m| m.id == p.id && m.service == p.service);
         let endpoint = member.map_or("-", |m| or_dash(&m.endpoint));
         let zone = member.map_or("-", |m| or_dash(&m.zone));
-        let term = if p.id.is_empty() { "-".to_owned() } else { p.term.to_string() };
-        table.row(&[&p.service, or_dash(&p.id), &term, endpoint, zone, phase_text(p)]);
+        let term = if p.id.is_empty() {
+            "-".to_owned()
+        } else {
+            p.term.to_string()
+        };
+        table.row(&[
+            &p.service,
+            or_dash(&p.id),
+            &term,
+            endpoint,
+            zone,
+            phase_text(p),
+        ]);
     }
     table.text() + &trouble_notes(status)
 }
--- a/crates/node/src/cli/text.rs
+++ b/crates/node/src/cli/text.rs
@@ -17,7 +17,8 @@
 
     /// Adds a row below.
     pub fn row(&mut self, cells: &[&str]) {
-        self.rows.push(cells.iter().map(|cell| clean(cell)).collect());
+        self.rows
+            .push(cells.iter().map(|cell| clean(cell)).collect());
     }
 
     /// The whole table, two blanks between columns and none at the ends of lines.
@@ -25,11 +26,19 @@
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let of = |column: usize| self.rows.iter().filter_map(move |row| row.get(column));
         let widths: Vec<usize> = (0..columns)
-            .map(|column| of(column).map(|cell| cell.chars().count()).max().unwrap_or(0))
+            .map(|column| {
+                of(column)
+                    .map(|cell| cell.chars().count())
+                    .max()
+                    .unwrap_or(0)
+            })
             .collect();
         let line = |row: &Vec<String>| {
-            let cells: Vec<String> =
-                row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+            let cells: Vec<String> = row
+                .iter()
+                .zip(&widths)
+                .map(|(cell, width)| format!("{cell:width$}"))
+                .collect();
             cells.join("  ").trim_end().to_owned() + "\n"
         };
         self.rows.iter().map(line).collect()
@@ -38,5 +47,7 @@
 
 /// The text without what would steer a terminal or end the line.
 pub fn clean(text: &str) -> String {
-    text.chars().map(|c| if c.is_control() { '?' } else { c }).collect()
+    text.chars()
+        .map(|c| if c.is_control() { '?' } else { c })
+        .collect()
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -24,8 +24,8 @@
 use badgerstream_calls::settings::Settings;
 use badgerstream_calls::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
 use badgerstream_control::{
-    Answer, Beat, Call, ControlTiming, Controller, FOUNDING, GrantNews, MemberNews, Node, Output, Phase,
-    Recipient, Timing, ToRouter, Voter,
+    Answer, Beat, Call, ControlTiming, Controller, FOUNDING, GrantNews, MemberNews, Node, Output,
+    Phase, Recipient, Timing, ToRouter, Voter,
 };
 use disk::Disk;
 use futures_lite::{AsyncReadExt, future, io};
@@ -99,7 +99,11 @@
 
 /// The control machines that the settings name.
 fn known_nodes(settings: &Settings) -> Vec<Node> {
-    settings.seeds.iter().filter_map(|s| node_of(s.ip())).collect()
+    settings
+        .seeds
+        .iter()
+        .filter_map(|s| node_of(s.ip()))
+        .collect()
 }
 
 /// How many control machines may be lost at once: a zone or a region may hold one of them, or more; one is what is counted.
@@ -135,14 +139,25 @@
 impl Control {
     /// Opens the disk and starts all tasks. An error tells why this machine can't take part.
     pub fn start(
-        tasks: &Rc<LocalExecutor<'static>>, settings: &Settings, seed: u64,
+        tasks: &Rc<LocalExecutor<'static>>,
+        settings: &Settings,
+        seed: u64,
     ) -> Result<Rc<Control>, String> {
-        let folder =
-            settings.state_dir.as_ref().ok_or("state_dir is missing: control keeps its state there")?;
+        let folder = settings
+            .state_dir
+            .as_ref()
+            .ok_or("state_dir is missing: control keeps its state there")?;
         let control = settings.control.ok_or("bind_addrs.control is missing")?;
-        let identity = if settings.bootstrap { FOUNDING } else { seed.max(FOUNDING + 1) };
+        let identity = if settings.bootstrap {
+            FOUNDING
+        } else {
+            seed.max(FOUNDING + 1)
+        };
         let disk = Disk::open(folder, identity, &known_nodes(settings))?;
-        let me = Voter { node: u32::from(settings.ip), incarnation: disk.identity() };
+        let me = Voter {
+            node: u32::from(settings.ip),
+            incarnation: disk.identity(),
+        };
         let record = disk.kept().clone();
         log::info!(
             "event=control_starts node={} voter={me} epoch={} promised={}",
@@ -185,7 +200,15 @@
         let peers = bind(SocketAddr::from((settings.ip, this.port)))?;
         let calls = bind(control)?;
         tasks.spawn(this.clone().accept(peers)).detach();
-        tasks.spawn(http::serve(tasks.clone(), calls, this.clone(), 2 << 20, this.open.clone())).detach();
+        tasks
+            .spawn(http::serve(
+                tasks.clone(),
+                calls,
+                this.clone(),
+                2 << 20,
+                this.open.clone(),
+            ))
+            .detach();
         tasks.spawn(this.clone().run()).detach();
         Ok(this)
     }
@@ -204,7 +227,9 @@
 
     /// The settings have changed: other control machines may be named.
     pub fn changed(&self, settings: &Settings) {
-        self.controller.borrow_mut().settings(known_nodes(settings), losses(settings));
+        self.controller
+            .borrow_mut()
+            .settings(known_nodes(settings), losses(settings));
     }
 
     async fn run(self: Rc<Self>) {
@@ -212,9 +237,15 @@
             let out = self.controller.borrow_mut().tick(clock::now());
             self.perform(out);
             let changes = self.controller.borrow_mut().take_primary_changes();
-            changes.into_iter().for_each(|seconds| self.counts.primary_changed(seconds));
+            changes
+                .into_iter()
+                .for_each(|seconds| self.counts.primary_changed(seconds));
             self.servers.keep(clock::now(), &self.controller.borrow());
-            let pause = if self.controller.borrow().leads() { 20 } else { 50 };
+            let pause = if self.controller.borrow().leads() {
+                20
+            } else {
+                50
+            };
             Timer::after(Duration::from_millis(pause)).await;
         }
     }
@@ -231,8 +262,13 @@
                     waiting = then;
                 }
                 Output::KeepServers(then) => {
-                    if self.servers.keep_now(clock::now(), &self.controller.borrow()) {
-                        then.into_iter().rev().for_each(|next| waiting.push_front(next));
+                    if self
+                        .servers
+                        .keep_now(clock::now(), &self.controller.borrow())
+                    {
+                        then.into_iter()
+                            .rev()
+                            .for_each(|next| waiting.push_front(next));
                     }
                 }
                 Output::Peer(to, message) => self.link(to, message),
@@ -241,13 +277,36 @@
                     self.counts.told();
                     self.sessions.tell(session, news);
                 }
-                Output::Ask { id, endpoint, service, statement, fence } => {
+                Output::Ask {
+                    id,
+                    endpoint,
+                    service,
+                    statement,
+                    fence,
+                } => {
                     if let Ok(endpoint) = endpoint.parse() {
-                        self.ask(Target { id, service, endpoint }, Query { statement, fence });
+                        self.ask(
+                            Target {
+                                id,
+                                service,
+                                endpoint,
+                            },
+                            Query { statement, fence },
+                        );
                     }
                 }
-                Output::Promote { service, id, fence, before } => {
-                    self.promote(duties::Promotion { service, id, fence, before });
+                Output::Promote {
+                    service,
+                    id,
+                    fence,
+                    before,
+                } => {
+                    self.promote(duties::Promotion {
+                        service,
+                        id,
+                        fence,
+                        before,
+                    });
                 }
                 Output::Reply(call, answer) => {
                     if let Some(waits) = self.calls.borrow_mut().remove(&call) {
@@ -266,7 +325,11 @@
         if self.read.replace(now) != now
             && let Ok(config) = Config::read(controller.config().1)
         {
-            let sync = config.services.iter().map(|s| (s.name.clone(), s.sync_replicas)).collect();
+            let sync = config
+                .services
+                .iter()
+                .map(|s| (s.name.clone(), s.sync_replicas))
+                .collect();
             controller.replicas_waited_for(sync);
         }
     }
--- a/crates/node/src/control/calls.rs
+++ b/crates/node/src/control/calls.rs
@@ -10,12 +10,17 @@
             Err(e) => return response(400, &[], format!("{e}\n").as_bytes(), keep),
         };
         let call = match operation {
-            Operation::Beat { id, beat } => Call::Beat { id, beat: read_beat(beat) },
+            Operation::Beat { id, beat } => Call::Beat {
+                id,
+                beat: read_beat(beat),
+            },
             Operation::Depart { id } => Call::Depart { id },
             Operation::Replace { base, body } => match Config::read(body) {
-                Ok(config) => {
-                    Call::Replace { base: base.unwrap_or(0), epoch: config.epoch, body: body.into() }
-                }
+                Ok(config) => Call::Replace {
+                    base: base.unwrap_or(0),
+                    epoch: config.epoch,
+                    body: body.into(),
+                },
                 Err(e) => {
                     log::info!("event=config_refused error={:?}", e.to_string());
                     self.counts.answered("replace", 400);
@@ -33,7 +38,12 @@
         let answer = self.settle(call).await;
         if clock::now() >= answer.until {
             // It rested on contact with a majority, which may be over: a process may have stood still since.
-            return response(503, &[], b"out of contact with the other control machines\n", keep);
+            return response(
+                503,
+                &[],
+                b"out of contact with the other control machines\n",
+                keep,
+            );
         }
         if is_read && answer.status == 200 && answer.body.is_empty() {
             return response(404, &[], b"there is no configuration yet\n", keep);
--- a/crates/node/src/control/disk.rs
+++ b/crates/node/src/control/disk.rs
@@ -41,15 +41,25 @@
         };
         if saved.value.is_empty() {
             // What this machine starts from is on its disk before anybody hears of it.
-            let first = badgerstream_store::Record { value: state.bytes(), ..saved.clone() };
-            store.save(&first).map_err(|e| format!("{}: {e}", folder.display()))?;
+            let first = badgerstream_store::Record {
+                value: state.bytes(),
+                ..saved.clone()
+            };
+            store
+                .save(&first)
+                .map_err(|e| format!("{}: {e}", folder.display()))?;
         }
         let kept = Record {
             promised: Ballot(saved.promised),
             accepted: Ballot(saved.accepted),
             state: Rc::new(state),
         };
-        Ok(Disk { folder, store: Some(store), identity, kept })
+        Ok(Disk {
+            folder,
+            store: Some(store),
+            identity,
+            kept,
+        })
     }
 
     /// The incarnation of the disk.
@@ -64,15 +74,23 @@
 
     /// Puts this record on the disk. After an error nothing is saved before the store is opened anew.
     pub(super) fn save(&mut self, record: &Record) -> Result<(), StoreError> {
-        let Some(store) = &mut self.store else { return Err(StoreError::Closed(self.folder.clone())) };
-        let (promised, accepted) = (record.promised.0, record.accepted.0);
-        let saved = if Rc::ptr_eq(&record.state, &self.kept.state) || record.state == self.kept.state {
-            store.save_ballots(promised, accepted)
-        } else {
-            let value = record.state.bytes();
-            let identity = self.identity;
-            store.save(&badgerstream_store::Record { promised, accepted, value, identity })
+        let Some(store) = &mut self.store else {
+            return Err(StoreError::Closed(self.folder.clone()));
         };
+        let (promised, accepted) = (record.promised.0, record.accepted.0);
+        let saved =
+            if Rc::ptr_eq(&record.state, &self.kept.state) || record.state == self.kept.state {
+                store.save_ballots(promised, accepted)
+            } else {
+                let value = record.state.bytes();
+                let identity = self.identity;
+                store.save(&badgerstream_store::Record {
+                    promised,
+                    accepted,
+                    value,
+                    identity,
+                })
+            };
         match saved {
             Ok(()) => self.kept = record.clone(),
             Err(_) => self.store = None,
@@ -89,8 +107,16 @@
         }
         store.save(&saved).map_err(text)?;
         let state = State::read(&saved.value).ok_or("the state on disk can't be read")?;
-        let state = if state == *self.kept.state { self.kept.state.clone() } else { Rc::new(state) };
-        self.kept = Record { promised: Ballot(saved.promised), accepted: Ballot(saved.accepted), state };
+        let state = if state == *self.kept.state {
+            self.kept.state.clone()
+        } else {
+            Rc::new(state)
+        };
+        self.kept = Record {
+            promised: Ballot(saved.promised),
+            accepted: Ballot(saved.accepted),
+            state,
+        };
         self.store = Some(store);
         Ok(())
     }
--- a/crates/node/src/control/duties.rs
+++ b/crates/node/src/control/duties.rs
@@ -36,14 +36,25 @@
             _ => {}
         }
         let kept = (KEPT_SHARE * self.settings.limits.file_limit as f64) as usize;
-        let idle_s = if queries.len() < kept { server_queries::IDLE_S } else { 0.0 };
+        let idle_s = if queries.len() < kept {
+            server_queries::IDLE_S
+        } else {
+            0.0
+        };
         let (to_server, receiver) = async_channel::bounded(4);
         let _ = to_server.try_send(query);
         queries.insert(key.clone(), to_server);
-        let waits = Waits { answer_s: timing(&self.settings).service.answer, idle_s };
+        let waits = Waits {
+            answer_s: timing(&self.settings).service.answer,
+            idle_s,
+        };
         let this = self.clone();
         let run = async move {
-            let may_act = |query: Query| this.controller.borrow().may_act_under(clock::now(), query.fence);
+            let may_act = |query: Query| {
+                this.controller
+                    .borrow()
+                    .may_act_under(clock::now(), query.fence)
+            };
             let tell = |query: Query, asked| this.answered(&target, query, asked);
             server_queries::run(target.clone(), receiver, waits, may_act, tell).await;
             let mut queries = this.queries.borrow_mut();
@@ -69,7 +80,9 @@
         };
         let this = self.clone();
         let task = async move {
-            let Promotion { service, id, fence, .. } = &promotion;
+            let Promotion {
+                service, id, fence, ..
+            } = &promotion;
             log::info!("event=promote service={service} id={id} fence={fence}");
             let ended = this.call_platform(provider, &promotion).await;
             let outcome = match &ended {
@@ -97,13 +110,23 @@
 
     /// The status of the platform's answer. Without one the connection is reset, so that what a cut holds up of the call is
     /// lost.
-    async fn call_platform(&self, provider: SocketAddr, promotion: &Promotion) -> Result<u16, ExchangeError> {
+    async fn call_platform(
+        &self,
+        provider: SocketAddr,
+        promotion: &Promotion,
+    ) -> Result<u16, ExchangeError> {
         exchange::run(PLATFORM_S, async |progress| {
             let mut stream = Async::<TcpStream>::connect(provider).await?;
             frames::prepare(&stream, PLATFORM_S);
             frames::reset_on_close(&stream, true);
-            let Promotion { service, id, fence, before } = promotion;
-            let request = promotion::promotion(service, id, &self.name, *fence, &provider.to_string());
+            let Promotion {
+                service,
+                id,
+                fence,
+                before,
+            } = promotion;
+            let request =
+                promotion::promotion(service, id, &self.name, *fence, &provider.to_string());
             // Whoever was frozen since this was decided must not call: another one may hold the duty.
             let now = clock::now();
             if now >= *before || !self.controller.borrow().may_act_under(now, *fence) {
@@ -122,7 +145,10 @@
     let mut responses = Responses::new(PLATFORM_ANSWER_BYTES);
     let mut bytes = [0; 1024];
     loop {
-        if let Some(answer) = responses.next().map_err(|e| io::Error::other(e.to_string()))? {
+        if let Some(answer) = responses
+            .next()
+            .map_err(|e| io::Error::other(e.to_string()))?
+        {
             return Ok(answer.status);
         }
         match stream.read(&mut bytes).await? {
--- a/crates/node/src/control/links.rs
+++ b/crates/node/src/control/links.rs
@@ -24,7 +24,9 @@
         let mut links = self.links.borrow_mut();
         let link = links.entry(node).or_insert_with(|| {
             let (sender, receiver) = async_channel::bounded(WAITING);
-            self.tasks.spawn(self.clone().speak(node, receiver)).detach();
+            self.tasks
+                .spawn(self.clone().speak(node, receiver))
+                .detach();
             sender
         });
         let _ = link.try_send(Frame::Peer { to, message });
@@ -34,7 +36,9 @@
     pub(super) async fn speak(self: Rc<Self>, node: Node, messages: Receiver<Frame>) {
         let to = SocketAddr::from((Ipv4Addr::from(node), self.port));
         loop {
-            let Ok(first) = messages.recv().await else { return };
+            let Ok(first) = messages.recv().await else {
+                return;
+            };
             let heard = self.heard_of(node);
             let generation = heard.generation();
             let Ok(mut stream) = future::or(frames::connect(to, frames::CONNECT, 1.0), async {
@@ -54,8 +58,19 @@
                 }
                 continue;
             };
-            let hello = frames::write(&mut stream, &Frame::Hello { from: self.me, life: self.life }).await;
-            let mut told = if hello.is_ok() { frames::write(&mut stream, &first).await } else { hello };
+            let hello = frames::write(
+                &mut stream,
+                &Frame::Hello {
+                    from: self.me,
+                    life: self.life,
+                },
+            )
+            .await;
+            let mut told = if hello.is_ok() {
+                frames::write(&mut stream, &first).await
+            } else {
+                hello
+            };
             let met = self.controller.borrow_mut().met(node);
             self.perform(met);
             while told.is_ok() {
@@ -114,7 +129,9 @@
                     self.heard_of(from.node).notify_waiters();
                 }
                 Frame::Peer { to, message } => {
-                    let Some((from, connection)) = peer else { break };
+                    let Some((from, connection)) = peer else {
+                        break;
+                    };
                     // Whatever comes on a connection from before is from a life that may be over.
                     if self.connections.borrow().get(&from.node) != Some(&connection) {
                         break;
--- a/crates/node/src/control/sessions.rs
+++ b/crates/node/src/control/sessions.rs
@@ -40,7 +40,9 @@
 impl Sessions {
     /// An answer to this router, in place of one that still waits; a question that answers nothing takes no lease's place.
     pub(super) fn answer(&self, session: u64, answer: ToRouter) {
-        let Some(outbox) = self.all.borrow().get(&session).cloned() else { return };
+        let Some(outbox) = self.all.borrow().get(&session).cloned() else {
+            return;
+        };
         let waiting = outbox.answer.take();
         outbox.answer.replace(Some(merged(waiting, answer)));
         outbox.filled.notify_waiters();
@@ -49,7 +51,9 @@
     /// News to this router. While the last is still being written it is left out: the controller tells it again.
     pub(super) fn tell(&self, session: u64, news: Rc<ToRouter>) {
         let outbox = self.all.borrow().get(&session).cloned();
-        let Some(outbox) = outbox.filter(|o| o.news.borrow().is_none()) else { return };
+        let Some(outbox) = outbox.filter(|o| o.news.borrow().is_none()) else {
+            return;
+        };
         *outbox.news.borrow_mut() = Some(self.encode(news));
         outbox.filled.notify_waiters();
     }
@@ -62,7 +66,10 @@
         // What only this list still holds is not told any more.
         encoded.retain(|known| Rc::strong_count(&known.news) > 1);
         let bytes: Rc<[u8]> = frames::bytes(&Frame::News(news.clone())).into();
-        encoded.push(Encoded { news, bytes: bytes.clone() });
+        encoded.push(Encoded {
+            news,
+            bytes: bytes.clone(),
+        });
         bytes
     }
 }
@@ -75,7 +82,11 @@
         let outbox = Rc::new(Outbox::default());
         self.sessions.all.borrow_mut().insert(id, outbox.clone());
         let writer = self.tasks.spawn(write(stream.clone(), outbox));
-        OpenSession { id, control: self.clone(), _writer: writer }
+        OpenSession {
+            id,
+            control: self.clone(),
+            _writer: writer,
+        }
     }
 }
 
@@ -88,11 +99,23 @@
 
 /// What goes to a router for which an answer waits when another is to be sent.
 fn merged(waiting: Option<ToRouter>, answer: ToRouter) -> ToRouter {
-    let (Some(mut waiting), ToRouter::News { sent: None, evidence_wanted: wanted, .. }) = (waiting, &answer)
+    let (
+        Some(mut waiting),
+        ToRouter::News {
+            sent: None,
+            evidence_wanted: wanted,
+            ..
+        },
+    ) = (waiting, &answer)
     else {
         return answer;
     };
-    if let ToRouter::News { sent: Some(_), evidence_wanted, .. } = &mut waiting {
+    if let ToRouter::News {
+        sent: Some(_),
+        evidence_wanted,
+        ..
+    } = &mut waiting
+    {
         evidence_wanted.clone_from(wanted);
         return waiting;
     }
--- a/crates/node/src/control/status.rs
+++ b/crates/node/src/control/status.rs
@@ -45,8 +45,18 @@
             *primaries.entry(phase).or_default() += 1;
         }
         let mut servers = BTreeMap::from([("ready", 0), ("draining", 0)]);
-        for member in controller.members().all().filter(|member| !member.news.gone) {
-            *servers.entry(if member.news.draining { "draining" } else { "ready" }).or_default() += 1;
+        for member in controller
+            .members()
+            .all()
+            .filter(|member| !member.news.gone)
+        {
+            *servers
+                .entry(if member.news.draining {
+                    "draining"
+                } else {
+                    "ready"
+                })
+                .or_default() += 1;
         }
         ControlFigures {
             leads: controller.leads(),
@@ -103,7 +113,13 @@
             routers: controller.routers(now) as u64,
             lease_s: self.lease,
             primaries: controller.primaries().into_iter().map(primary).collect(),
-            members: controller.members().all().map(|m| &m.news).filter(|n| !n.gone).map(member).collect(),
+            members: controller
+                .members()
+                .all()
+                .map(|m| &m.news)
+                .filter(|n| !n.gone)
+                .map(member)
+                .collect(),
         }
     }
 }
--- a/crates/node/src/edge/client.rs
+++ b/crates/node/src/edge/client.rs
@@ -43,8 +43,13 @@
     if net::options(&stream, USER_TIMEOUT_MS).is_err() {
         return;
     }
-    let client = ClientConnection { stream, lines: RefCell::default() };
-    let Some(database) = handshake(edge, &client).await else { return };
+    let client = ClientConnection {
+        stream,
+        lines: RefCell::default(),
+    };
+    let Some(database) = handshake(edge, &client).await else {
+        return;
+    };
     let mut session = ClientSession {
         edge: edge.clone(),
         database,
@@ -81,7 +86,9 @@
     /// Answers one statement after the other until the session ends.
     async fn run(&mut self) {
         loop {
-            let Some(line) = self.next_request().await else { return };
+            let Some(line) = self.next_request().await else {
+                return;
+            };
             let working = ActiveStatement::new(&self.edge);
             let arrived = clock::now();
             let response = match Request::parse(&line) {
@@ -96,7 +103,9 @@
                 Err(e) => self.malformed(&e.to_string()),
             };
             drop(line);
-            self.handle.in_transaction.set(self.session.transaction != Transaction::None);
+            self.handle
+                .in_transaction
+                .set(self.session.transaction != Transaction::None);
             let sent = self.respond(response).await;
             drop(working);
             if !sent {
@@ -111,12 +120,18 @@
             Response::Forward(raw) => self.client.write(&raw).await,
             Response::Error(code, text, state) => {
                 let blank = if text.is_empty() { "" } else { " " };
-                let line = format!("ERROR {}{blank}{text}\r\nIDLE {} -\r\n", code.word(), state.letter());
+                let line = format!(
+                    "ERROR {}{blank}{text}\r\nIDLE {} -\r\n",
+                    code.word(),
+                    state.letter()
+                );
                 self.client.write(line.as_bytes()).await
             }
             Response::Done => {
                 let state = self.session.transaction.state().letter();
-                self.client.write(format!("COMPLETE -\r\nIDLE {state} -\r\n").as_bytes()).await
+                self.client
+                    .write(format!("COMPLETE -\r\nIDLE {state} -\r\n").as_bytes())
+                    .await
             }
             Response::ClientGone => false,
         }
--- a/crates/node/src/edge/client/commit.rs
+++ b/crates/node/src/edge/client/commit.rs
@@ -22,7 +22,9 @@
                 response => response,
             };
         }
-        let Transaction::Open { wrote, .. } = self.session.transaction else { return Response::ClientGone };
+        let Transaction::Open { wrote, .. } = self.session.transaction else {
+            return Response::ClientGone;
+        };
         let (Some(mut checkout), Some(terms)) = (self.checkout.take(), self.terms.take()) else {
             return Response::ClientGone;
         };
@@ -40,7 +42,8 @@
         let term = self.edge.granted_term(&checkout.pool.server, clock::now());
         checkout.keep_changes();
         let pass = async |_: &[u8]| true;
-        let asked = checkout.ask_patiently(line.as_bytes(), &mut answer, terms.target, deadline, pass);
+        let asked =
+            checkout.ask_patiently(line.as_bytes(), &mut answer, terms.target, deadline, pass);
         let mut outcome = self.handle.before_cut_off(asked).await;
         if outcome == Err(ExchangeError::Overdue) && wrote {
             checkout.leave();
@@ -51,7 +54,12 @@
     }
 
     /// Waits until the commit may be sent; false if it may not.
-    async fn ready_to_commit(&mut self, checkout: &mut Checkout, service: &str, wrote: bool) -> bool {
+    async fn ready_to_commit(
+        &mut self,
+        checkout: &mut Checkout,
+        service: &str,
+        wrote: bool,
+    ) -> bool {
         // Values that were set since are its client's wherever it runs.
         if checkout.prepare(&self.session.values, None).await.is_err() {
             return false;
@@ -77,7 +85,11 @@
 
     /// The commit was sent: what the client may know of it.
     fn conclude_commit(
-        &mut self, checkout: &Checkout, term: Option<u64>, raw: Vec<u8>, wrote: bool,
+        &mut self,
+        checkout: &Checkout,
+        term: Option<u64>,
+        raw: Vec<u8>,
+        wrote: bool,
         outcome: Result<Outcome, ExchangeError>,
     ) -> Response {
         match outcome {
--- a/crates/node/src/edge/client/connection.rs
+++ b/crates/node/src/edge/client/connection.rs
@@ -20,7 +20,11 @@
 impl ClientConnection {
     /// Whether all of it was taken.
     pub(super) async fn write(&self, bytes: &[u8]) -> bool {
-        let written = net::until(clock::now() + WRITE_TIMEOUT_S, net::write(&self.stream, bytes)).await;
+        let written = net::until(
+            clock::now() + WRITE_TIMEOUT_S,
+            net::write(&self.stream, bytes),
+        )
+        .await;
         matches!(written, Some(Ok(())))
     }
 
@@ -48,6 +52,10 @@
 
     /// The next line; none if the stream can't be read on.
     pub(super) fn next_line(&self) -> Result<Option<Vec<u8>>, ()> {
-        self.lines.borrow_mut().next().map(|l| l.map(<[u8]>::to_vec)).map_err(drop)
+        self.lines
+            .borrow_mut()
+            .next()
+            .map(|l| l.map(<[u8]>::to_vec))
+            .map_err(drop)
     }
 }
--- a/crates/node/src/edge/client/dispatch.rs
+++ b/crates/node/src/edge/client/dispatch.rs
@@ -41,7 +41,11 @@
                 return self.malformed("inside a transaction");
             }
             Text::Begin { fetch } => {
-                self.session.transaction = Transaction::Open { fetch, arrived, wrote: false };
+                self.session.transaction = Transaction::Open {
+                    fetch,
+                    arrived,
+                    wrote: false,
+                };
                 return Response::Done;
             }
             Text::Abort | Text::Commit if transaction == Transaction::None => {
@@ -59,7 +63,9 @@
             Text::Fetch => (Kind::Fetch, None),
             Text::Put => (Kind::Put, None),
             Text::Execute { name, rest } => {
-                let Some(shape) = self.session.shape(name).cloned() else { return self.unknown_shape(name) };
+                let Some(shape) = self.session.shape(name).cloned() else {
+                    return self.unknown_shape(name);
+                };
                 (shape.kind, Some((shape, rest)))
             }
         };
@@ -67,7 +73,13 @@
             return self.refuse_at_the_end();
         }
         let execute = execute.as_ref().map(|(shape, rest)| (shape, *rest));
-        let statement = Statement { id, text, kind, execute, arrived };
+        let statement = Statement {
+            id,
+            text,
+            kind,
+            execute,
+            arrived,
+        };
         if transaction == Transaction::None {
             self.run_single(&statement).await
         } else {
--- a/crates/node/src/edge/client/handshake.rs
+++ b/crates/node/src/edge/client/handshake.rs
@@ -27,7 +27,9 @@
     })
     .await??;
     let Ok(Request::Connect { database, .. }) = Request::parse(&line) else {
-        client.write(b"ERROR MALFORMED CONNECT comes first\r\n").await;
+        client
+            .write(b"ERROR MALFORMED CONNECT comes first\r\n")
+            .await;
         return None;
     };
     let until = clock::now() + CONFIG_WAIT_S;
@@ -40,11 +42,16 @@
                 return answered.then(|| database.into());
             }
             Some(_) => {
-                client.write(format!("ERROR NODB {database}\r\n").as_bytes()).await;
+                client
+                    .write(format!("ERROR NODB {database}\r\n").as_bytes())
+                    .await;
                 return None;
             }
             None => {
-                if net::until(until, edge.shared.changed.notified_since(generation)).await.is_none() {
+                if net::until(until, edge.shared.changed.notified_since(generation))
+                    .await
+                    .is_none()
+                {
                     let line = format!("ERROR RETRY {}\r\n", retry_after_ms(RETRY_AFTER_S));
                     client.write(line.as_bytes()).await;
                     return None;
--- a/crates/node/src/edge/client/input.rs
+++ b/crates/node/src/edge/client/input.rs
@@ -53,7 +53,13 @@
 
     async fn next_input(&self) -> Input {
         let read = or(
-            async { if self.client.read(&self.edge).await { Input::Bytes } else { Input::Closed } },
+            async {
+                if self.client.read(&self.edge).await {
+                    Input::Bytes
+                } else {
+                    Input::Closed
+                }
+            },
             async {
                 self.handle.reached(SessionEnd::AtRest).await;
                 Input::Closing
@@ -64,16 +70,23 @@
         }
         let idle_ms = {
             let view = self.edge.shared.view.borrow();
-            view.config.as_ref().map_or(DEFAULT_TRANSACTION_IDLE_MS, |c| c.limits.txn_idle_ms)
+            view.config
+                .as_ref()
+                .map_or(DEFAULT_TRANSACTION_IDLE_MS, |c| c.limits.txn_idle_ms)
         };
         let limit = clock::now() + idle_ms as f64 / 1000.0;
-        net::until(limit, read).await.unwrap_or(Input::TransactionIdle)
+        net::until(limit, read)
+            .await
+            .unwrap_or(Input::TransactionIdle)
     }
 
     /// The router closes the session: what has arrived meanwhile is still answered.
     async fn last_request(&self) -> Option<Vec<u8>> {
-        let arrived =
-            net::read_now(&self.client.stream, &self.edge.scratch, &mut self.client.lines.borrow_mut());
+        let arrived = net::read_now(
+            &self.client.stream,
+            &self.edge.scratch,
+            &mut self.client.lines.borrow_mut(),
+        );
         if matches!(arrived, Ok(Some(n)) if n > 0)
             && let Some(line) = self.client.next_line().ok()?
         {
@@ -81,7 +94,9 @@
             return Some(line);
         }
         if self.session.transaction != Transaction::None {
-            self.client.write(b"ERROR ABORTED the router ends\r\n").await;
+            self.client
+                .write(b"ERROR ABORTED the router ends\r\n")
+                .await;
         }
         None
     }
--- a/crates/node/src/edge/client/placing.rs
+++ b/crates/node/src/edge/client/placing.rs
@@ -19,9 +19,18 @@
 impl ClientSession {
     /// Waits for a connection, until this second and no longer than the client is there.
     pub(super) async fn place(
-        &self, request: &PlacementRequest<'_>, tried: &[String], give_up: f64,
+        &self,
+        request: &PlacementRequest<'_>,
+        tried: &[String],
+        give_up: f64,
     ) -> Result<Placement, NoPlacement> {
-        let place = async { Some(self.edge.place(request, &self.session, tried, give_up).await) };
+        let place = async {
+            Some(
+                self.edge
+                    .place(request, &self.session, tried, give_up)
+                    .await,
+            )
+        };
         let ending = async {
             self.handle.reached(SessionEnd::Unplaced).await;
             Some(Err(RETRY_AFTER_S))
@@ -43,7 +52,9 @@
     /// What comes of this before a second of the steady clock, and before the router's end refuses what no server was
     /// offered; none if nothing does.
     pub(super) fn before_refusal<T>(
-        &self, at: f64, what: impl Future<Output = T>,
+        &self,
+        at: f64,
+        what: impl Future<Output = T>,
     ) -> impl Future<Output = Option<T>> {
         or(net::until(at, what), async {
             self.reached(SessionEnd::Unplaced).await;
@@ -53,7 +64,8 @@
 
     /// What comes of an exchange with a server; `Silent` once the router's end lets it wait no longer.
     pub(super) fn before_cut_off<T>(
-        &self, exchange: impl Future<Output = Result<T, ExchangeError>>,
+        &self,
+        exchange: impl Future<Output = Result<T, ExchangeError>>,
     ) -> impl Future<Output = Result<T, ExchangeError>> {
         or(exchange, async {
             self.reached(SessionEnd::InFlight).await;
--- a/crates/node/src/edge/client/response.rs
+++ b/crates/node/src/edge/client/response.rs
@@ -35,7 +35,10 @@
 }
 
 fn first_word(line: &[u8]) -> &str {
-    let end = line.iter().position(u8::is_ascii_whitespace).unwrap_or(line.len());
+    let end = line
+        .iter()
+        .position(u8::is_ascii_whitespace)
+        .unwrap_or(line.len());
     std::str::from_utf8(&line[..end]).unwrap_or_default()
 }
 
--- a/crates/node/src/edge/client/single.rs
+++ b/crates/node/src/edge/client/single.rs
@@ -44,7 +44,10 @@
     fn place_limit(&self, attempt: u32) -> f64 {
         match attempt {
             0 => self.give_up,
-            _ => self.give_up.max(clock::now() + MIN_PLACE_WAIT_S).min(self.deadline),
+            _ => self
+                .give_up
+                .max(clock::now() + MIN_PLACE_WAIT_S)
+                .min(self.deadline),
         }
     }
 
@@ -55,7 +58,9 @@
             return self.deadline;
         }
         let terms = self.request.terms;
-        let first_try = (terms.target / 2.0).max(MIN_FIRST_TRY_S).min(terms.deadline / 3.0);
+        let first_try = (terms.target / 2.0)
+            .max(MIN_FIRST_TRY_S)
+            .min(terms.deadline / 3.0);
         (now + first_try).min(self.deadline)
     }
 }
@@ -82,7 +87,9 @@
 impl ClientSession {
     /// Runs a statement outside a transaction.
     pub(super) async fn run_single(&mut self, statement: &Statement<'_>) -> Response {
-        let Some(terms) = self.route_terms() else { return error(Code::NoDb, &*self.database, State::Idle) };
+        let Some(terms) = self.route_terms() else {
+            return error(Code::NoDb, &*self.database, State::Idle);
+        };
         let reads = statement.kind == Kind::Fetch;
         let arrived = statement.arrived;
         let request = PlacementRequest {
@@ -123,7 +130,9 @@
     }
 
     async fn next_placement(
-        &self, attempts: &mut Attempts<'_>, attempt: u32,
+        &self,
+        attempts: &mut Attempts<'_>,
+        attempt: u32,
     ) -> Result<Placement, NoPlacement> {
         if let Some(placement) = attempts.next.take() {
             return Ok(placement);
@@ -134,10 +143,15 @@
 
     /// Sends the statement to one server and waits for its answer.
     async fn attempt(
-        &mut self, attempts: &mut Attempts<'_>, mut placement: Placement, attempt: u32,
+        &mut self,
+        attempts: &mut Attempts<'_>,
+        mut placement: Placement,
+        attempt: u32,
     ) -> Attempt {
         let primary = placement.proof.is_none();
-        let waitpos = placement.proof.map_or(String::new(), |p| format!("WAITPOS {p} "));
+        let waitpos = placement
+            .proof
+            .map_or(String::new(), |p| format!("WAITPOS {p} "));
         let Some(line) = attempts.statement.line(&placement.checkout, &waitpos) else {
             return Attempt::NotPrepared;
         };
@@ -155,22 +169,34 @@
             forwarded.set(true);
             client.write(part).await
         };
-        let asked = placement.checkout.ask_patiently(&line, &mut answer, target, limit, &pass);
+        let asked = placement
+            .checkout
+            .ask_patiently(&line, &mut answer, target, limit, &pass);
         let mut outcome = self.handle.before_cut_off(asked).await;
         if outcome == Err(ExchangeError::Overdue) {
             let waited = self.wait_or_reissue(attempts, &mut placement, &mut answer, &pass);
             outcome = self.handle.before_cut_off(waited).await;
         }
-        let exchange = Exchange { answer, forwarded: forwarded.get(), term };
+        let exchange = Exchange {
+            answer,
+            forwarded: forwarded.get(),
+            term,
+        };
         match outcome {
-            Ok(outcome) => self.conclude_answer(attempts, placement, attempt, exchange, &outcome).await,
+            Ok(outcome) => {
+                self.conclude_answer(attempts, placement, attempt, exchange, &outcome)
+                    .await
+            }
             Err(failure) => self.conclude_failure(attempts, &placement, &exchange, failure),
         }
     }
 
     /// Waits on for an answer that is overdue; a read is asked again if another connection is had before.
     async fn wait_or_reissue(
-        &self, attempts: &mut Attempts<'_>, placement: &mut Placement, answer: &mut Answer,
+        &self,
+        attempts: &mut Attempts<'_>,
+        placement: &mut Placement,
+        answer: &mut Answer,
         pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
         // It holds its place here no longer, since it most likely holds none there. Its answer is still welcome.
@@ -180,13 +206,23 @@
             if !may_reissue {
                 return pending().await;
             }
-            let place = self.edge.place(&attempts.request, &self.session, &attempts.tried, attempts.deadline);
+            let place = self.edge.place(
+                &attempts.request,
+                &self.session,
+                &attempts.tried,
+                attempts.deadline,
+            );
             match place.await {
                 Ok(other) => Err(other),
                 Err(_) => pending().await,
             }
         };
-        let wait = async { Ok(placement.checkout.wait(answer, attempts.deadline, &pass).await) };
+        let wait = async {
+            Ok(placement
+                .checkout
+                .wait(answer, attempts.deadline, &pass)
+                .await)
+        };
         let first = or(wait, reissue).await;
         match first {
             Ok(outcome) => outcome,
@@ -200,7 +236,11 @@
 
     /// The server has answered.
     async fn conclude_answer(
-        &mut self, attempts: &Attempts<'_>, placement: Placement, attempt: u32, exchange: Exchange,
+        &mut self,
+        attempts: &Attempts<'_>,
+        placement: Placement,
+        attempt: u32,
+        exchange: Exchange,
         outcome: &Outcome,
     ) -> Attempt {
         let pool = placement.checkout.pool.clone();
@@ -215,7 +255,9 @@
                 }
                 Attempt::Done(self.forward(exchange.answer.raw, outcome))
             }
-            Some(_) if exchange.forwarded => Attempt::Done(self.forward(exchange.answer.raw, outcome)),
+            Some(_) if exchange.forwarded => {
+                Attempt::Done(self.forward(exchange.answer.raw, outcome))
+            }
             Some(code) if code.verdict() == Verdict::NotRun => {
                 if let (Code::Lagging, Some(proof)) = (code, placement.proof) {
                     pool.mark_lagging(proof);
@@ -228,14 +270,20 @@
                 }
                 Attempt::TryNext(server)
             }
-            Some(Code::Failed) if attempts.reads && attempt < MAX_FAILED_READS => Attempt::TryNext(server),
+            Some(Code::Failed) if attempts.reads && attempt < MAX_FAILED_READS => {
+                Attempt::TryNext(server)
+            }
             Some(_) => Attempt::Done(self.forward(exchange.answer.raw, outcome)),
         }
     }
 
     /// There is no clear answer.
     fn conclude_failure(
-        &self, attempts: &Attempts<'_>, placement: &Placement, exchange: &Exchange, failure: ExchangeError,
+        &self,
+        attempts: &Attempts<'_>,
+        placement: &Placement,
+        exchange: &Exchange,
+        failure: ExchangeError,
     ) -> Attempt {
         let server = placement.checkout.pool.server.id.clone();
         match failure {
@@ -248,7 +296,10 @@
             }
             ExchangeError::Broken => {}
             ExchangeError::Overdue => {
-                log::debug!("event=asked_again server={server} database={}", self.database);
+                log::debug!(
+                    "event=asked_again server={server} database={}",
+                    self.database
+                );
             }
             ExchangeError::Silent => {
                 if clock::now() >= attempts.deadline {
--- a/crates/node/src/edge/client/statement.rs
+++ b/crates/node/src/edge/client/statement.rs
@@ -25,7 +25,10 @@
                 Some((shape, rest)) => {
                     let number = out.number(shape)?;
                     let blank = if rest.is_empty() { "" } else { " " };
-                    format!("QUERY {} {waitpos}EXECUTE p{number}{blank}{rest}\r\n", self.id)
+                    format!(
+                        "QUERY {} {waitpos}EXECUTE p{number}{blank}{rest}\r\n",
+                        self.id
+                    )
                 }
             }
             .into_bytes(),
--- a/crates/node/src/edge/client/transaction.rs
+++ b/crates/node/src/edge/client/transaction.rs
@@ -19,12 +19,21 @@
 impl ClientSession {
     /// Begins the open transaction at a server, if it isn't; what to answer the client if that can't be.
     pub(super) async fn begin_at_server(
-        &mut self, arrived: f64, shape: Option<&Shape>,
+        &mut self,
+        arrived: f64,
+        shape: Option<&Shape>,
     ) -> Result<(), Response> {
         if self.checkout.is_some() {
             return Ok(());
         }
-        let Transaction::Open { fetch, arrived: began, .. } = self.session.transaction else { return Ok(()) };
+        let Transaction::Open {
+            fetch,
+            arrived: began,
+            ..
+        } = self.session.transaction
+        else {
+            return Ok(());
+        };
         let Some(terms) = self.route_terms() else {
             self.fail_transaction();
             return Err(error(Code::Aborted, "the database is gone", State::Failed));
@@ -50,11 +59,15 @@
                 }
             };
             let pool = placement.checkout.pool.clone();
-            let Some(mut checkout) = self.begin_on(placement, fetch, &terms, arrived, attempt).await else {
+            let Some(mut checkout) = self
+                .begin_on(placement, fetch, &terms, arrived, attempt)
+                .await
+            else {
                 tried.push(pool.server.id.clone());
                 continue;
             };
-            let admission = request.admission(&pool, give_up.max(clock::now() + MIN_ADMISSION_WAIT_S));
+            let admission =
+                request.admission(&pool, give_up.max(clock::now() + MIN_ADMISSION_WAIT_S));
             let entered = checkout.enter_first(&admission);
             if self.handle.before_refusal(admission.give_up, entered).await != Some(true) {
                 retry_after = pool.wait(&admission, clock::now());
@@ -66,12 +79,20 @@
             return Ok(());
         }
         self.fail_transaction();
-        Err(retry_later(terms.bound_retry_after(retry_after), State::Failed))
+        Err(retry_later(
+            terms.bound_retry_after(retry_after),
+            State::Failed,
+        ))
     }
 
     /// Begins the open transaction on this connection; none if another is to be tried.
     async fn begin_on(
-        &mut self, mut placement: Placement, fetch: bool, terms: &RouteTerms, arrived: f64, attempt: u32,
+        &mut self,
+        mut placement: Placement,
+        fetch: bool,
+        terms: &RouteTerms,
+        arrived: f64,
+        attempt: u32,
     ) -> Option<Checkout> {
         let primary = placement.proof.is_none();
         let line = match (placement.proof, fetch) {
@@ -86,8 +107,13 @@
         let mut answer = Answer::default();
         let discard = async |_: &[u8]| true;
         // Nothing has run in it yet: it may be begun once more as soon as its answer most likely is lost.
-        let begun =
-            placement.checkout.ask_patiently(line.as_bytes(), &mut answer, terms.target, limit, discard);
+        let begun = placement.checkout.ask_patiently(
+            line.as_bytes(),
+            &mut answer,
+            terms.target,
+            limit,
+            discard,
+        );
         let outcome = begun.await.ok()?;
         if outcome.error.is_none() && outcome.state == State::Open {
             return Some(placement.checkout);
@@ -116,7 +142,10 @@
             return Response::ClientGone;
         };
         // What was begun elsewhere than where the grant is now can't be kept.
-        let usable = *fetch || !self.edge.is_granted_elsewhere(&terms.service, &checkout.pool.server);
+        let usable = *fetch
+            || !self
+                .edge
+                .is_granted_elsewhere(&terms.service, &checkout.pool.server);
         let ready = usable
             && self
                 .handle
@@ -127,7 +156,11 @@
                 })
                 .await
                 == Some(Ok(()));
-        let line = if ready { statement.line(checkout, "") } else { None };
+        let line = if ready {
+            statement.line(checkout, "")
+        } else {
+            None
+        };
         let Some(line) = line else {
             self.fail_transaction();
             return error(Code::Aborted, "the transaction was lost", State::Failed);
@@ -146,7 +179,11 @@
     }
 
     /// A statement inside the transaction has ended.
-    fn conclude_in_transaction(&mut self, raw: Vec<u8>, outcome: Result<Outcome, ExchangeError>) -> Response {
+    fn conclude_in_transaction(
+        &mut self,
+        raw: Vec<u8>,
+        outcome: Result<Outcome, ExchangeError>,
+    ) -> Response {
         match outcome {
             Ok(outcome) => {
                 match outcome.state {
--- a/crates/node/src/edge/gate.rs
+++ b/crates/node/src/edge/gate.rs
@@ -18,7 +18,10 @@
 impl Gate {
     /// Lets in this many at once.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Self { queue: RefCell::new(Queue::new(limit)), waiting: RefCell::default() })
+        Rc::new(Self {
+            queue: RefCell::new(Queue::new(limit)),
+            waiting: RefCell::default(),
+        })
     }
 
     /// Changes how many are let in.
@@ -58,7 +61,10 @@
         let Some(place) = self.queue.borrow_mut().enter(rank, latest_start) else {
             return Permit(self.clone());
         };
-        let _ticket = Ticket { gate: self.clone(), place };
+        let _ticket = Ticket {
+            gate: self.clone(),
+            place,
+        };
         poll_fn(|cx| {
             let mut waiting = self.waiting.borrow_mut();
             if let Some(None) = waiting.get(&place) {
@@ -80,7 +86,9 @@
     fn admit(&self) {
         let now = clock::now();
         loop {
-            let Some(place) = self.queue.borrow_mut().admit(now) else { return };
+            let Some(place) = self.queue.borrow_mut().admit(now) else {
+                return;
+            };
             let waker = self.waiting.borrow_mut().insert(place, None).flatten();
             if let Some(waker) = waker {
                 waker.wake();
@@ -107,7 +115,12 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let waits = self.gate.queue.borrow_mut().cancel(self.place);
-        let let_in = self.gate.waiting.borrow_mut().remove(&self.place).is_some_and(|w| w.is_none());
+        let let_in = self
+            .gate
+            .waiting
+            .borrow_mut()
+            .remove(&self.place)
+            .is_some_and(|w| w.is_none());
         if !waits && let_in {
             self.gate.leave();
         }
--- a/crates/node/src/edge/link.rs
+++ b/crates/node/src/edge/link.rs
@@ -40,22 +40,44 @@
 impl Link {
     /// Opens a connection to the server of this id, within `OPEN_S`; also where its log stands.
     pub async fn open(
-        endpoint: SocketAddr, service: &str, who: &str, id: &str, scratch: &Scratch,
+        endpoint: SocketAddr,
+        service: &str,
+        who: &str,
+        id: &str,
+        scratch: &Scratch,
     ) -> Result<(Self, Option<Position>), OpenError> {
         let opened = net::until(clock::now() + OPEN_S, async {
-            let stream = net::connect(endpoint, USER_TIMEOUT_MS).await.map_err(|_| OpenError::Unreachable)?;
+            let stream = net::connect(endpoint, USER_TIMEOUT_MS)
+                .await
+                .map_err(|_| OpenError::Unreachable)?;
             let hello = format!("CONNECT {service} {who} {id}\r\n");
-            net::write(&stream, hello.as_bytes()).await.map_err(|_| OpenError::Unreachable)?;
+            net::write(&stream, hello.as_bytes())
+                .await
+                .map_err(|_| OpenError::Unreachable)?;
             let mut lines = LineBuffer::default();
             loop {
                 if let Some(line) = lines.next().map_err(|_| OpenError::Refused)? {
                     let position = match Reply::parse(line) {
-                        Some(Reply::Idle { state: State::Idle, position }) => position,
-                        Some(Reply::Error { code: Code::WrongNode, .. }) => return Err(OpenError::WrongNode),
-                        Some(Reply::Error { code: Code::ConnLimit, .. }) => return Err(OpenError::Full),
+                        Some(Reply::Idle {
+                            state: State::Idle,
+                            position,
+                        }) => position,
+                        Some(Reply::Error {
+                            code: Code::WrongNode,
+                            ..
+                        }) => return Err(OpenError::WrongNode),
+                        Some(Reply::Error {
+                            code: Code::ConnLimit,
+                            ..
+                        }) => return Err(OpenError::Full),
                         _ => return Err(OpenError::Refused),
                     };
-                    let link = Self { stream, lines, held: ConnectionState::default(), idle_since: 0.0 };
+                    let link = Self {
+                        stream,
+                        lines,
+                        held: ConnectionState::default(),
+                        idle_since: 0.0,
+                    };
                     return Ok((link, position));
                 }
                 match net::read(&stream, scratch, &mut lines).await {
@@ -70,7 +92,11 @@
 
     /// The far end has closed it, or has said what nobody asked: of no more use.
     pub fn is_spent(&mut self, scratch: &Scratch) -> bool {
-        !self.lines.is_empty() || !matches!(net::read_now(&self.stream, scratch, &mut self.lines), Ok(None))
+        !self.lines.is_empty()
+            || !matches!(
+                net::read_now(&self.stream, scratch, &mut self.lines),
+                Ok(None)
+            )
     }
 
     /// Sends lines.
@@ -80,7 +106,11 @@
 
     /// Waits for the rest of an answer. None if it has grown past `PART`: pass `answer.raw` on, clear it, and call
     /// again. An error: the connection has broken off or speaks another language.
-    pub async fn answer(&mut self, answer: &mut Answer, scratch: &Scratch) -> Result<Option<Outcome>, ()> {
+    pub async fn answer(
+        &mut self,
+        answer: &mut Answer,
+        scratch: &Scratch,
+    ) -> Result<Option<Outcome>, ()> {
         loop {
             if let Some(outcome) = answer.take(&mut self.lines).map_err(drop)? {
                 return Ok(Some(outcome));
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -167,7 +167,10 @@
     /// Opens the front and serves on it for as long as the executor runs. A front that can't be bound is tried again
     /// every half second.
     pub fn start(
-        tasks: &Rc<LocalExecutor<'static>>, shared: Shared, front: SocketAddr, limits: EdgeLimits,
+        tasks: &Rc<LocalExecutor<'static>>,
+        shared: Shared,
+        front: SocketAddr,
+        limits: EdgeLimits,
     ) -> Rc<Self> {
         let edge = Rc::new(Self {
             tasks: tasks.clone(),
@@ -199,7 +202,9 @@
     /// What the traffic tells of the servers of these services.
     pub fn evidence(&self, services: &[String], now: f64) -> Vec<Evidence> {
         let pools = self.pools.borrow();
-        let wanted = pools.values().filter(|pool| services.contains(&pool.server.service));
+        let wanted = pools
+            .values()
+            .filter(|pool| services.contains(&pool.server.service));
         let of_pool = |pool: &Rc<Pool>| Evidence {
             service: pool.server.service.clone(),
             id: pool.server.id.clone(),
@@ -217,8 +222,9 @@
     /// Of each service how old the newest position is that its primary answered, in seconds.
     pub fn proof_ages(&self, now: f64) -> Vec<(String, f64)> {
         let all = self.freshness.borrow();
-        let age =
-            |(service, known): (&String, &Freshness)| Some((service.clone(), now - known.history.newest()?));
+        let age = |(service, known): (&String, &Freshness)| {
+            Some((service.clone(), now - known.history.newest()?))
+        };
         all.iter().filter_map(age).collect()
     }
 
@@ -244,7 +250,12 @@
 
     /// How many statements are in work or transactions open.
     pub fn open(&self) -> usize {
-        let inside = self.sessions.borrow().values().filter(|s| s.in_transaction.get()).count();
+        let inside = self
+            .sessions
+            .borrow()
+            .values()
+            .filter(|s| s.in_transaction.get())
+            .count();
         self.working.get() + inside
     }
 
@@ -256,13 +267,17 @@
     /// The term in which this server may be used as the primary now.
     fn granted_term(&self, server: &Server, now: f64) -> Option<u64> {
         let view = self.shared.view.borrow();
-        view.primary(&server.service, now).filter(|g| g.id == server.id).map(|g| g.term)
+        view.primary(&server.service, now)
+            .filter(|g| g.id == server.id)
+            .map(|g| g.term)
     }
 
     /// The grant of this service has gone to another server than this one, or is being taken back.
     fn is_granted_elsewhere(&self, service: &str, server: &Server) -> bool {
         let view = self.shared.view.borrow();
-        view.grants.get(service).is_some_and(|g| g.id != server.id || g.closing)
+        view.grants
+            .get(service)
+            .is_some_and(|g| g.id != server.id || g.closing)
     }
 
     /// The server answered this position, asked then under the lease.
@@ -276,8 +291,16 @@
         let mut all = self.freshness.borrow_mut();
         if !all.contains_key(service) {
             // Anywhere, so that routers which start together do not all go to the same replica.
-            let rotation = Rotation { next: self.random.borrow_mut().usize(..) };
-            all.insert(service.to_owned(), Freshness { rotation, ..Freshness::default() });
+            let rotation = Rotation {
+                next: self.random.borrow_mut().usize(..),
+            };
+            all.insert(
+                service.to_owned(),
+                Freshness {
+                    rotation,
+                    ..Freshness::default()
+                },
+            );
         }
         with(all.get_mut(service).expect("just put there"))
     }
@@ -298,10 +321,17 @@
 
     /// The most clients at once.
     fn max_clients(&self) -> usize {
-        self.limits.file_limit.saturating_sub(RESERVED_DESCRIPTORS).max(16)
+        self.limits
+            .file_limit
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(16)
     }
 
-    async fn accept(self: Rc<Self>, front: SocketAddr, listener: std::io::Result<Async<TcpListener>>) {
+    async fn accept(
+        self: Rc<Self>,
+        front: SocketAddr,
+        listener: std::io::Result<Async<TcpListener>>,
+    ) {
         let listener = bind_until_bound(front, listener).await;
         log::info!("event=front_open front={front}");
         loop {
@@ -315,7 +345,12 @@
                     continue;
                 }
             };
-            if self.shared.ending.get().is_some_and(|at| clock::now() > at + ACCEPT_AFTER_TERM_S) {
+            if self
+                .shared
+                .ending
+                .get()
+                .is_some_and(|at| clock::now() > at + ACCEPT_AFTER_TERM_S)
+            {
                 return;
             }
             if self.sessions.borrow().len() >= self.max_clients() {
@@ -346,11 +381,15 @@
     /// The session that has rested longest is closed: at rest, with nothing asked, that is no failure.
     fn make_room(&self) {
         let sessions = self.sessions.borrow();
-        let resting =
-            sessions.values().filter(|s| s.end.get() == SessionEnd::None && s.idle_since.get().is_some());
-        if let Some(longest) =
-            resting.min_by(|a, b| a.idle_since.get().partial_cmp(&b.idle_since.get()).expect("clock"))
-        {
+        let resting = sessions
+            .values()
+            .filter(|s| s.end.get() == SessionEnd::None && s.idle_since.get().is_some());
+        if let Some(longest) = resting.min_by(|a, b| {
+            a.idle_since
+                .get()
+                .partial_cmp(&b.idle_since.get())
+                .expect("clock")
+        }) {
             longest.advance(SessionEnd::AtRest);
         }
     }
@@ -360,12 +399,17 @@
         let mut swept = clock::now();
         loop {
             let ending = self.shared.ending.get().is_some();
-            net::sleep_until(clock::now() + if ending { ENDING_LOOK_S } else { SWEEP_LOOK_S }).await;
+            net::sleep_until(clock::now() + if ending { ENDING_LOOK_S } else { SWEEP_LOOK_S })
+                .await;
             let now = clock::now();
             if let Some(ending) = self.shared.ending.get() {
                 for session in self.sessions.borrow().values() {
                     let in_transaction = session.in_transaction.get();
-                    session.advance(SessionEnd::at(now - ending, self.limits.grace_s, in_transaction));
+                    session.advance(SessionEnd::at(
+                        now - ending,
+                        self.limits.grace_s,
+                        in_transaction,
+                    ));
                 }
             } else if now > swept + 1.0 {
                 swept = now;
@@ -381,9 +425,15 @@
             self.routers.set(view.routers);
         }
         pools.retain(|id, pool| {
-            let known = view.servers.get(id).is_some_and(|s| s.endpoint == pool.server.endpoint);
+            let known = view
+                .servers
+                .get(id)
+                .is_some_and(|s| s.endpoint == pool.server.endpoint);
             let max_conns = view.config.as_ref().and_then(|c| {
-                c.services.iter().find(|s| s.name == pool.server.service).map(|s| s.max_conns as usize)
+                c.services
+                    .iter()
+                    .find(|s| s.name == pool.server.service)
+                    .map(|s| s.max_conns as usize)
             });
             if let Some(max_conns) = max_conns {
                 pool.set_share(max_conns, self.routers.get());
@@ -396,7 +446,8 @@
 
 /// The listener, once the front can be bound.
 async fn bind_until_bound(
-    front: SocketAddr, first: std::io::Result<Async<TcpListener>>,
+    front: SocketAddr,
+    first: std::io::Result<Async<TcpListener>>,
 ) -> Async<TcpListener> {
     let mut bound = first;
     loop {
--- a/crates/node/src/edge/net.rs
+++ b/crates/node/src/edge/net.rs
@@ -29,7 +29,10 @@
 
 /// What comes of this until a second of the steady clock; none if nothing does.
 pub fn until<F: Future>(at: f64, what: F) -> Until<F> {
-    Until { what, timer: Timer::after(duration_until(at)) }
+    Until {
+        what,
+        timer: Timer::after(duration_until(at)),
+    }
 }
 
 pin_project! {
@@ -71,7 +74,9 @@
 
 /// Takes what has arrived, without waiting: how much, 0 at the end of the stream, none if nothing is there.
 pub fn read_now(
-    stream: &Async<TcpStream>, scratch: &Scratch, into: &mut LineBuffer,
+    stream: &Async<TcpStream>,
+    scratch: &Scratch,
+    into: &mut LineBuffer,
 ) -> io::Result<Option<usize>> {
     let mut scratch = scratch.borrow_mut();
     loop {
@@ -88,7 +93,11 @@
 }
 
 /// Waits for bytes and takes them: how many, 0 at the end of the stream.
-pub async fn read(stream: &Async<TcpStream>, scratch: &Scratch, into: &mut LineBuffer) -> io::Result<usize> {
+pub async fn read(
+    stream: &Async<TcpStream>,
+    scratch: &Scratch,
+    into: &mut LineBuffer,
+) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         if let Some(n) = read_now(stream, scratch, into)? {
@@ -113,10 +122,16 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                 if stream.writable().await.is_err() {
-                    return Err(NotSent { none: bytes.len() == whole });
+                    return Err(NotSent {
+                        none: bytes.len() == whole,
+                    });
                 }
             }
-            _ => return Err(NotSent { none: bytes.len() == whole }),
+            _ => {
+                return Err(NotSent {
+                    none: bytes.len() == whole,
+                });
+            }
         }
     }
     Ok(())
--- a/crates/node/src/edge/place.rs
+++ b/crates/node/src/edge/place.rs
@@ -90,7 +90,11 @@
     /// How it waits at this server, until this second at most.
     pub fn admission(&self, pool: &Pool, give_up: f64) -> Admission {
         let latest_start = self.waiting_since + self.terms.target - pool.latency().mean();
-        Admission { rank: self.terms.rank.saturating_add(1), latest_start, give_up }
+        Admission {
+            rank: self.terms.rank.saturating_add(1),
+            latest_start,
+            give_up,
+        }
     }
 }
 
@@ -115,12 +119,17 @@
     /// is plain that there will be none by then: in how many seconds to come back. Servers that were `tried` in vain
     /// come last.
     pub async fn place(
-        self: &Rc<Self>, request: &PlacementRequest<'_>, session: &Session, tried: &[String], give_up: f64,
+        self: &Rc<Self>,
+        request: &PlacementRequest<'_>,
+        session: &Session,
+        tried: &[String],
+        give_up: f64,
     ) -> Result<Placement, f64> {
         let began = clock::now();
         let placed = self.place_or_wait(request, session, tried, give_up).await;
         if let Ok(placement) = &placed {
-            self.counts.placed(placement.proof.is_none(), clock::now() - began);
+            self.counts
+                .placed(placement.proof.is_none(), clock::now() - began);
         }
         placed.map_err(|wait| {
             self.counts.unplaced();
@@ -130,7 +139,11 @@
     }
 
     async fn place_or_wait(
-        self: &Rc<Self>, request: &PlacementRequest<'_>, session: &Session, tried: &[String], give_up: f64,
+        self: &Rc<Self>,
+        request: &PlacementRequest<'_>,
+        session: &Session,
+        tried: &[String],
+        give_up: f64,
     ) -> Result<Placement, f64> {
         loop {
             let now = clock::now();
@@ -142,14 +155,21 @@
                 Target::Primary(pool) => (pool, None),
                 Target::Replica(pool, proof) => (pool, Some(proof)),
                 Target::Nobody(at) => {
-                    net::until(at.min(give_up), self.shared.changed.notified_since(generation)).await;
+                    net::until(
+                        at.min(give_up),
+                        self.shared.changed.notified_since(generation),
+                    )
+                    .await;
                     continue;
                 }
             };
             let admission = request.admission(&pool, give_up);
             let (values, shape) = (&session.values, request.shape);
             let take = async {
-                Some(Checkout::take(self, &pool, &admission, values, shape, request.takes_slot).await)
+                Some(
+                    Checkout::take(self, &pool, &admission, values, shape, request.takes_slot)
+                        .await,
+                )
             };
             let invalid = async {
                 self.until_invalid(&pool, proof.is_none(), generation).await;
@@ -184,7 +204,8 @@
     fn is_still_valid(&self, pool: &Pool, primary: bool) -> bool {
         let view = self.shared.view.borrow();
         if primary {
-            view.primary(&pool.server.service, clock::now()).is_some_and(|g| g.id == pool.server.id)
+            view.primary(&pool.server.service, clock::now())
+                .is_some_and(|g| g.id == pool.server.id)
         } else {
             view.servers
                 .get(&pool.server.id)
@@ -192,18 +213,31 @@
         }
     }
 
-    fn pick(&self, request: &PlacementRequest<'_>, session: &Session, tried: &[String], now: f64) -> Target {
+    fn pick(
+        &self,
+        request: &PlacementRequest<'_>,
+        session: &Session,
+        tried: &[String],
+        now: f64,
+    ) -> Target {
         let view = self.shared.view.borrow();
         let service = &*request.terms.service;
         let max_conns = request.terms.max_conns;
-        let primary =
-            view.primary(service, now).and_then(|g| view.servers.get(&g.id)).map(|s| self.pool(s, max_conns));
-        let slow = primary.as_ref().is_none_or(|p| p.is_full() || !p.health().is_up(now));
+        let primary = view
+            .primary(service, now)
+            .and_then(|g| view.servers.get(&g.id))
+            .map(|s| self.pool(s, max_conns));
+        let slow = primary
+            .as_ref()
+            .is_none_or(|p| p.is_full() || !p.health().is_up(now));
         let input = ChoiceInput {
             consistency: request.terms.consistency,
             access: request.access,
             arrived: request.arrived,
-            primary_slow: slow || tried.iter().any(|t| primary.as_ref().is_some_and(|p| p.server.id == *t)),
+            primary_slow: slow
+                || tried
+                    .iter()
+                    .any(|t| primary.as_ref().is_some_and(|p| p.server.id == *t)),
         };
         if let Choice::Replica(proof) =
             self.with_freshness(service, |f| choose(&input, session, &f.history, now))
@@ -213,13 +247,18 @@
                 .servers
                 .values()
                 .filter(|s| {
-                    s.service == service && !s.draining && Some(&s.id) != leads && !tried.contains(&s.id)
+                    s.service == service
+                        && !s.draining
+                        && Some(&s.id) != leads
+                        && !tried.contains(&s.id)
                 })
                 .map(|s| self.pool(s, max_conns))
                 .filter(|p| p.health().is_up(now) && p.health().may_have(proof, now))
                 .collect();
             replicas.sort_by(|a, b| a.server.id.cmp(&b.server.id));
-            if let Some(at) = self.with_freshness(service, |f| f.rotation.next(replicas.len(), |_| true)) {
+            if let Some(at) =
+                self.with_freshness(service, |f| f.rotation.next(replicas.len(), |_| true))
+            {
                 return Target::Replica(replicas.swap_remove(at), proof);
             }
         }
--- a/crates/node/src/edge/pool.rs
+++ b/crates/node/src/edge/pool.rs
@@ -98,7 +98,11 @@
     }
 
     fn set_in_flight(&self) {
-        let limit = in_flight(self.server.slots as usize, self.routers.get(), self.latency.get().stretch());
+        let limit = in_flight(
+            self.server.slots as usize,
+            self.routers.get(),
+            self.latency.get().stretch(),
+        );
         if limit != self.slots.limit() {
             self.slots.set_limit(limit);
         }
@@ -107,7 +111,9 @@
     /// In how many seconds a place to work may come free for whoever comes now; more than that, not less.
     pub fn wait(&self, admission: &Admission, now: f64) -> f64 {
         let ahead = |gate: &Gate| gate.ahead(admission.rank, admission.latest_start, now);
-        self.latency.get().queue_wait(ahead(&self.conns) + ahead(&self.slots), self.slots.limit())
+        self.latency
+            .get()
+            .queue_wait(ahead(&self.conns) + ahead(&self.slots), self.slots.limit())
     }
 
     /// Waits to be let in, unless it is plain that it can't be in time: at the beginning, or once its latest start is past.
@@ -122,15 +128,18 @@
         if let Some(busy) = busy(clock::now()) {
             return Err(busy);
         }
-        or(async { Ok(gate.enter(admission.rank, admission.latest_start).await) }, async {
-            if admission.latest_start > clock::now() {
-                sleep_until(admission.latest_start).await;
-                if let Some(busy) = busy(clock::now()) {
-                    return Err(busy);
+        or(
+            async { Ok(gate.enter(admission.rank, admission.latest_start).await) },
+            async {
+                if admission.latest_start > clock::now() {
+                    sleep_until(admission.latest_start).await;
+                    if let Some(busy) = busy(clock::now()) {
+                        return Err(busy);
+                    }
                 }
-            }
-            std::future::pending().await
-        })
+                std::future::pending().await
+            },
+        )
         .await
     }
 
--- a/crates/node/src/edge/pool/acquire.rs
+++ b/crates/node/src/edge/pool/acquire.rs
@@ -17,7 +17,9 @@
 impl Pool {
     /// The idle connection that is nearest to these values, or a new one.
     pub(super) async fn acquire(
-        self: &Rc<Self>, edge: &Edge, values: &Values,
+        self: &Rc<Self>,
+        edge: &Edge,
+        values: &Values,
     ) -> Result<Link, CheckoutError> {
         let mut pause = FULL_PAUSE_S;
         loop {
@@ -34,7 +36,10 @@
                 }
                 Err(error) => {
                     self.mark_unreachable();
-                    log::debug!("event=no_connection server={} error={error:?}", self.server.id);
+                    log::debug!(
+                        "event=no_connection server={} error={error:?}",
+                        self.server.id
+                    );
                     return Err(CheckoutError::Unreachable);
                 }
             }
@@ -45,7 +50,14 @@
         let server = &self.server;
         let router = &edge.limits.name;
         let opening = Unanswered::new(self, clock::now(), false);
-        let opened = Link::open(server.endpoint, &server.service, router, &server.id, &edge.scratch).await;
+        let opened = Link::open(
+            server.endpoint,
+            &server.service,
+            router,
+            &server.id,
+            &edge.scratch,
+        )
+        .await;
         drop(opening);
         let (link, position) = opened?;
         self.mark_answered(position);
--- a/crates/node/src/edge/pool/checkout.rs
+++ b/crates/node/src/edge/pool/checkout.rs
@@ -48,7 +48,11 @@
     /// Waits for a connection, makes it hold exactly these values and know this shape, and waits for a place to work if
     /// what comes next `takes_slot` of the server. Our own statements take none.
     pub async fn take(
-        edge: &Rc<Edge>, pool: &Rc<Pool>, admission: &Admission, values: &Values, shape: Option<&Shape>,
+        edge: &Rc<Edge>,
+        pool: &Rc<Pool>,
+        admission: &Admission,
+        values: &Values,
+        shape: Option<&Shape>,
         takes_slot: bool,
     ) -> Result<Self, CheckoutError> {
         let conn = pool.enter(&pool.conns, admission).await?;
@@ -65,7 +69,10 @@
             unanswered: None,
             takes_slot: false,
         };
-        checkout.prepare(values, shape).await.map_err(|()| CheckoutError::Unreachable)?;
+        checkout
+            .prepare(values, shape)
+            .await
+            .map_err(|()| CheckoutError::Unreachable)?;
         if takes_slot {
             checkout.slot = Some(pool.enter(&pool.slots, admission).await?);
         }
@@ -112,7 +119,14 @@
         self.slot = None;
         let work = async move {
             let at = clock::now() + OWN_STATEMENT_S;
-            let _ = self.ask(b"QUERY - ABORT\r\n", &mut Answer::default(), at, async |_: &[u8]| true).await;
+            let _ = self
+                .ask(
+                    b"QUERY - ABORT\r\n",
+                    &mut Answer::default(),
+                    at,
+                    async |_: &[u8]| true,
+                )
+                .await;
         };
         edge.tasks.spawn(work).detach();
     }
--- a/crates/node/src/edge/pool/drain.rs
+++ b/crates/node/src/edge/pool/drain.rs
@@ -22,12 +22,17 @@
         let (edge, pool) = (self.edge.clone(), self.pool.clone());
         let slot = self.slot.take().filter(|_| !overdue);
         let unanswered = self.unanswered.take();
-        let sent = unanswered.as_ref().filter(|_| self.takes_slot).map(|u| u.sent);
+        let sent = unanswered
+            .as_ref()
+            .filter(|_| self.takes_slot)
+            .map(|u| u.sent);
         let permits = (self.conn.take(), slot, unanswered);
         let tasks = edge.tasks.clone();
         let work = async move {
             let limit = clock::now() + longest;
-            if let Some(Ok(outcome)) = net::until(limit, discard_answer(&mut link, &edge.scratch)).await {
+            if let Some(Ok(outcome)) =
+                net::until(limit, discard_answer(&mut link, &edge.scratch)).await
+            {
                 pool.conclude_drain(link, &outcome, sent);
             }
             drop(permits);
--- a/crates/node/src/edge/pool/exchange.rs
+++ b/crates/node/src/edge/pool/exchange.rs
@@ -42,9 +42,15 @@
     /// Sends a statement and waits for its outcome until this second. `answer` then holds what is to be passed on;
     /// long answers are passed on in parts by `pass`, which tells whether the client is still there.
     pub async fn ask(
-        &mut self, line: &[u8], answer: &mut Answer, at: f64, pass: impl AsyncFn(&[u8]) -> bool,
+        &mut self,
+        line: &[u8],
+        answer: &mut Answer,
+        at: f64,
+        pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
-        let Some(link) = &mut self.link else { return Err(ExchangeError::Unsent) };
+        let Some(link) = &mut self.link else {
+            return Err(ExchangeError::Unsent);
+        };
         let sent = clock::now();
         // Under the lease at this moment no other primary exists, so its log has all that was acknowledged.
         let leased = self.edge.is_leased(&self.pool.server, sent);
@@ -71,7 +77,12 @@
 
     /// As `ask`; `Overdue` as soon as the answer of a statement with this target (seconds) most likely is lost.
     pub async fn ask_patiently(
-        &mut self, line: &[u8], answer: &mut Answer, target: f64, at: f64, pass: impl AsyncFn(&[u8]) -> bool,
+        &mut self,
+        line: &[u8],
+        answer: &mut Answer,
+        target: f64,
+        at: f64,
+        pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
         let look = |now: f64, pool: &Pool| (now + pool.latency().overdue_after(target)).min(at);
         let first = look(clock::now(), &self.pool);
@@ -93,9 +104,14 @@
 
     /// Waits on, until this second, for the outcome of what was asked and is `Silent`.
     pub async fn wait(
-        &mut self, answer: &mut Answer, at: f64, pass: impl AsyncFn(&[u8]) -> bool,
+        &mut self,
+        answer: &mut Answer,
+        at: f64,
+        pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
-        let Some(link) = &mut self.link else { return Err(ExchangeError::Broken) };
+        let Some(link) = &mut self.link else {
+            return Err(ExchangeError::Broken);
+        };
         loop {
             match net::until(at, link.answer(answer, &self.edge.scratch)).await {
                 None => return Err(ExchangeError::Silent),
@@ -133,7 +149,8 @@
                 self.pool.record_round_trip(asked.sent);
             }
             if asked.leased && idle {
-                self.edge.sample(&self.pool.server, asked.sent, outcome.position);
+                self.edge
+                    .sample(&self.pool.server, asked.sent, outcome.position);
             }
         }
         let Some(link) = &mut self.link else { return };
@@ -148,6 +165,8 @@
 
     /// The server has answered what was sent after this statement, so that its answer may be lost.
     pub fn is_overtaken(&self) -> bool {
-        self.unanswered.as_ref().is_some_and(|u| !u.partly && self.pool.last_answered.get() > u.sent)
+        self.unanswered
+            .as_ref()
+            .is_some_and(|u| !u.partly && self.pool.last_answered.get() > u.sent)
     }
 }
--- a/crates/node/src/edge/pool/health.rs
+++ b/crates/node/src/edge/pool/health.rs
@@ -77,7 +77,13 @@
     /// Since when it fails to answer; none while it does answer, or nothing is asked.
     pub fn failing_since(&self, now: f64) -> Option<f64> {
         let last = self.last_answer.get();
-        let oldest = self.unanswered.borrow().iter().copied().filter(|t| *t > last).reduce(f64::min);
+        let oldest = self
+            .unanswered
+            .borrow()
+            .iter()
+            .copied()
+            .filter(|t| *t > last)
+            .reduce(f64::min);
         let silent = oldest.filter(|t| now - t > SILENCE_S);
         match (silent, self.failing_since.get()) {
             (Some(a), Some(b)) => Some(a.min(b)),
@@ -99,7 +105,12 @@
 impl Unanswered {
     pub(super) fn new(pool: &Rc<Pool>, sent: f64, leased: bool) -> Self {
         pool.unanswered.borrow_mut().push(sent);
-        Self { pool: pool.clone(), sent, leased, partly: false }
+        Self {
+            pool: pool.clone(),
+            sent,
+            leased,
+            partly: false,
+        }
     }
 }
 
--- a/crates/node/src/edge/pool/idle.rs
+++ b/crates/node/src/edge/pool/idle.rs
@@ -33,7 +33,11 @@
         let mut idle = self.idle.borrow_mut();
         loop {
             // The one used last among equals: the others may then rest until they are closed.
-            let (at, _) = idle.iter().enumerate().rev().min_by_key(|(_, l)| l.held.distance(values))?;
+            let (at, _) = idle
+                .iter()
+                .enumerate()
+                .rev()
+                .min_by_key(|(_, l)| l.held.distance(values))?;
             let mut link = idle.swap_remove(at);
             if !link.is_spent(scratch) {
                 return Some(link);
--- a/crates/node/src/edge/pool/prepare.rs
+++ b/crates/node/src/edge/pool/prepare.rs
@@ -13,7 +13,9 @@
 impl Checkout {
     /// Makes the connection hold exactly these values and know this shape. On failure it is closed.
     pub async fn prepare(&mut self, values: &Values, shape: Option<&Shape>) -> Result<(), ()> {
-        let Some(link) = &mut self.link else { return Err(()) };
+        let Some(link) = &mut self.link else {
+            return Err(());
+        };
         let changes = link.held.changes(values, shape);
         if changes.is_empty() {
             return Ok(());
@@ -44,8 +46,16 @@
 }
 
 /// Sends the changes and waits until the server has acknowledged all of them, in this state.
-async fn apply(link: &mut Link, changes: &[StateChange], state: State, scratch: &Scratch) -> Result<(), ()> {
-    let lines: String = changes.iter().map(|change| format!("QUERY - {}\r\n", change.text())).collect();
+async fn apply(
+    link: &mut Link,
+    changes: &[StateChange],
+    state: State,
+    scratch: &Scratch,
+) -> Result<(), ()> {
+    let lines: String = changes
+        .iter()
+        .map(|change| format!("QUERY - {}\r\n", change.text()))
+        .collect();
     link.send(lines.as_bytes()).await.map_err(drop)?;
     for change in changes {
         let mut answer = Answer::default();
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -32,7 +32,9 @@
 impl ExchangeError {
     /// Whether it was given up since another machine may hold the duty.
     pub fn is_duty_lost(&self) -> bool {
-        self.error.get_ref().is_some_and(|error| error.is::<DutyLost>())
+        self.error
+            .get_ref()
+            .is_some_and(|error| error.is::<DutyLost>())
     }
 }
 
@@ -54,9 +56,13 @@
 
 /// Runs an exchange that may take so many seconds. It must send its request by [`Progress::send`].
 pub async fn run<T>(
-    seconds: f64, exchange: impl AsyncFnOnce(&Progress) -> Result<T>,
+    seconds: f64,
+    exchange: impl AsyncFnOnce(&Progress) -> Result<T>,
 ) -> std::result::Result<T, ExchangeError> {
     let progress = Progress(Cell::new(Verdict::NotRun));
     let ended = frames::within(seconds, exchange(&progress)).await;
-    ended.map_err(|error| ExchangeError { verdict: progress.0.get(), error })
+    ended.map_err(|error| ExchangeError {
+        verdict: progress.0.get(),
+        error,
+    })
 }
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -94,7 +94,9 @@
 
 /// Writes all of it, however long that takes, for as long as the other side takes some of it within so many seconds.
 pub async fn write_slowly(
-    stream: &mut (impl AsyncWriteExt + Unpin), bytes: &[u8], stalled_s: f64,
+    stream: &mut (impl AsyncWriteExt + Unpin),
+    bytes: &[u8],
+    stalled_s: f64,
 ) -> Result<()> {
     for part in bytes.chunks(WRITTEN_AT_ONCE) {
         within(stalled_s, stream.write_all(part)).await?;
@@ -103,7 +105,10 @@
 }
 
 /// This work, unless the time runs out first.
-pub fn within<T>(seconds: f64, work: impl Future<Output = Result<T>>) -> impl Future<Output = Result<T>> {
+pub fn within<T>(
+    seconds: f64,
+    work: impl Future<Output = Result<T>>,
+) -> impl Future<Output = Result<T>> {
     let late = async move {
         Timer::after(Duration::from_secs_f64(seconds)).await;
         Err(ErrorKind::TimedOut.into())
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -24,7 +24,10 @@
 
 /// Serves this address for as long as the program runs. `open` counts requests that are not answered yet.
 pub async fn serve<H: Handler + 'static>(
-    tasks: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>, handler: Rc<H>, body: usize,
+    tasks: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+    handler: Rc<H>,
+    body: usize,
     open: Rc<Cell<usize>>,
 ) {
     let connections = Rc::new(Cell::new(0usize));
@@ -49,7 +52,10 @@
 }
 
 async fn connection<H: Handler>(
-    mut stream: Async<TcpStream>, handler: Rc<H>, body: usize, open: Rc<Cell<usize>>,
+    mut stream: Async<TcpStream>,
+    handler: Rc<H>,
+    body: usize,
+    open: Rc<Cell<usize>>,
 ) {
     let mut requests = Requests::new(body);
     let mut bytes = vec![0; 2048];
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -31,7 +31,8 @@
 fn main() -> ExitCode {
     let ended = match Arguments::parse().command {
         Command::Node { settings, metrics } => {
-            env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
+            env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
+                .init();
             node::run(settings, metrics).inspect_err(|e| log::error!("event=failed error={e:?}"))
         }
         Command::Operator(command) => {
