--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -63,7 +63,12 @@
     }
 
     /// Counts that only rise within one life of the process; their names get `_total`.
-    fn counters(&mut self, name: &str, help: &str, values: impl IntoIterator<Item = (Labels, u64)>) {
+    fn counters(
+        &mut self,
+        name: &str,
+        help: &str,
+        values: impl IntoIterator<Item = (Labels, u64)>,
+    ) {
         let family = Family::<Labels, Counter>::default();
         for (labels, value) in values {
             family.get_or_create(&labels).inc_by(value);
@@ -117,7 +122,15 @@
             }
         };
         let open = Rc::new(Cell::new(0));
-        tasks.spawn(http::serve(tasks.clone(), listener, Rc::new(self), MAX_BODY_BYTES, open)).detach();
+        tasks
+            .spawn(http::serve(
+                tasks.clone(),
+                listener,
+                Rc::new(self),
+                MAX_BODY_BYTES,
+                open,
+            ))
+            .detach();
     }
 }
 
@@ -125,12 +138,22 @@
     async fn answer(self: Rc<Self>, request: Request) -> Vec<u8> {
         let path = request.path.split('?').next().unwrap_or_default();
         if path != PATH {
-            return response(404, &[], b"the figures are at /metrics\n", request.keep_alive);
+            return response(
+                404,
+                &[],
+                b"the figures are at /metrics\n",
+                request.keep_alive,
+            );
         }
         if request.method != "GET" {
             return response(405, &[], b"ask with GET\n", request.keep_alive);
         }
-        response(200, &[("Content-Type", CONTENT_TYPE)], self.text().as_bytes(), request.keep_alive)
+        response(
+            200,
+            &[("Content-Type", CONTENT_TYPE)],
+            self.text().as_bytes(),
+            request.keep_alive,
+        )
     }
 }
 
--- a/crates/node/src/metrics/counters.rs
+++ b/crates/node/src/metrics/counters.rs
@@ -8,8 +8,9 @@
 /// Bounds of waits and saves, in seconds.
 const SECONDS: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 /// The texts of the wire by their first words; whatever else is asked counts as the last.
-const WORDS: [&str; 10] =
-    ["FETCH", "PUT", "EXECUTE", "COMMIT", "BEGIN", "ABORT", "SET", "PREPARE", "RELEASE", "other"];
+const WORDS: [&str; 10] = [
+    "FETCH", "PUT", "EXECUTE", "COMMIT", "BEGIN", "ABORT", "SET", "PREPARE", "RELEASE", "other",
+];
 /// How a statement ended for its client, by the words of the wire.
 const ENDS: [&str; 10] = [
     "complete",
@@ -40,7 +41,10 @@
         match self {
             Self::Complete => "complete",
             Self::ClientGone => "client_gone",
-            Self::Error(code) => ENDS.into_iter().find(|end| *end == code.word()).unwrap_or("other"),
+            Self::Error(code) => ENDS
+                .into_iter()
+                .find(|end| *end == code.word())
+                .unwrap_or("other"),
         }
     }
 }
@@ -75,14 +79,24 @@
     /// A statement of this text has ended.
     pub fn ended(&self, text: &str, end: End) {
         let first = text.split(' ').next().unwrap_or_default();
-        let word = WORDS.iter().position(|word| *word == first).unwrap_or(WORDS.len() - 1);
-        let end = ENDS.iter().position(|known| *known == end.word()).unwrap_or(ENDS.len() - 1);
+        let word = WORDS
+            .iter()
+            .position(|word| *word == first)
+            .unwrap_or(WORDS.len() - 1);
+        let end = ENDS
+            .iter()
+            .position(|known| *known == end.word())
+            .unwrap_or(ENDS.len() - 1);
         increase(&self.ended[word][end]);
     }
 
     /// A statement or a transaction has a connection, after so many seconds.
     pub fn placed(&self, at_primary: bool, waited: f64) {
-        increase(if at_primary { &self.primary } else { &self.replica });
+        increase(if at_primary {
+            &self.primary
+        } else {
+            &self.replica
+        });
         self.wait.observe(waited.max(0.0));
     }
 
@@ -95,13 +109,21 @@
     pub(super) fn all_ended(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
         let counts = self.ended.iter().zip(WORDS);
         counts
-            .flat_map(|(ends, word)| ends.iter().zip(ENDS).map(move |(count, end)| (word, end, count.get())))
+            .flat_map(|(ends, word)| {
+                ends.iter()
+                    .zip(ENDS)
+                    .map(move |(count, end)| (word, end, count.get()))
+            })
             .filter(|(_, _, count)| *count > 0)
     }
 
     /// Connections had at a primary and at a replica, and statements that got none.
     pub(super) fn placements(&self) -> [(&'static str, u64); 3] {
-        [("primary", self.primary.get()), ("replica", self.replica.get()), ("none", self.unplaced.get())]
+        [
+            ("primary", self.primary.get()),
+            ("replica", self.replica.get()),
+            ("none", self.unplaced.get()),
+        ]
     }
 }
 
@@ -131,7 +153,11 @@
 impl CallCounts {
     /// A call of this name was answered with this status.
     pub fn answered(&self, call: &'static str, status: u16) {
-        *self.answered.borrow_mut().entry((call, status)).or_default() += 1;
+        *self
+            .answered
+            .borrow_mut()
+            .entry((call, status))
+            .or_default() += 1;
     }
 
     /// News was handed to a router's session.
@@ -154,7 +180,11 @@
 
     /// Name, status and number of calls that were answered.
     pub(super) fn all_answered(&self) -> Vec<(&'static str, u16, u64)> {
-        self.answered.borrow().iter().map(|((call, status), count)| (*call, *status, *count)).collect()
+        self.answered
+            .borrow()
+            .iter()
+            .map(|((call, status), count)| (*call, *status, *count))
+            .collect()
     }
 
     /// How often news was told.
--- a/crates/node/src/metrics/router.rs
+++ b/crates/node/src/metrics/router.rs
@@ -19,17 +19,31 @@
     snapshot.gauge(
         "router_grants",
         "Services whose primary may be used now",
-        view.grants.keys().filter(|service| view.primary(service, now).is_some()).count() as f64,
+        view.grants
+            .keys()
+            .filter(|service| view.primary(service, now).is_some())
+            .count() as f64,
     );
     snapshot.gauge(
         "router_config_epoch",
         "Version of the configuration in force; 0 before the first",
         view.config.as_ref().map_or(0, |config| config.epoch) as f64,
     );
-    snapshot.gauge("router_servers", "Database servers that are known", view.servers.len() as f64);
+    snapshot.gauge(
+        "router_servers",
+        "Database servers that are known",
+        view.servers.len() as f64,
+    );
     let ending = shared.ending.get().is_some();
-    snapshot.gauge("router_ending", "1 once the process was asked to end", f64::from(u8::from(ending)));
-    let ages = edge.proof_ages(now).into_iter().map(|(service, age)| (of_service(service), age));
+    snapshot.gauge(
+        "router_ending",
+        "1 once the process was asked to end",
+        f64::from(u8::from(ending)),
+    );
+    let ages = edge
+        .proof_ages(now)
+        .into_iter()
+        .map(|(service, age)| (of_service(service), age));
     snapshot.gauges(
         "router_proof_age_seconds",
         "Age of the newest position that a service's primary answered",
@@ -39,11 +53,20 @@
 
 fn add_statements(snapshot: &mut Snapshot, edge: &Edge) {
     let counts = edge.counts();
-    let ended = counts
-        .all_ended()
-        .map(|(word, end, count)| (vec![("statement", word.to_owned()), ("end", end.to_owned())], count));
-    snapshot.counters("router_statements", "Statements of clients by first word and end", ended);
-    let placed = counts.placements().map(|(target, count)| (vec![("target", target.to_owned())], count));
+    let ended = counts.all_ended().map(|(word, end, count)| {
+        (
+            vec![("statement", word.to_owned()), ("end", end.to_owned())],
+            count,
+        )
+    });
+    snapshot.counters(
+        "router_statements",
+        "Statements of clients by first word and end",
+        ended,
+    );
+    let placed = counts
+        .placements()
+        .map(|(target, count)| (vec![("target", target.to_owned())], count));
     snapshot.counters(
         "router_placements",
         "Connections that statements and transactions got, by whose they are",
@@ -54,7 +77,11 @@
         "How long statements and transactions waited for a connection",
         &counts.wait,
     );
-    snapshot.gauge("router_clients", "Clients that are connected", edge.clients() as f64);
+    snapshot.gauge(
+        "router_clients",
+        "Clients that are connected",
+        edge.clients() as f64,
+    );
     snapshot.gauge(
         "router_open_work",
         "Statements in work, and sessions inside a transaction",
@@ -66,14 +93,36 @@
     let pools = edge.pool_figures();
     let connections = pools.iter().flat_map(|pool| {
         [("idle", pool.idle), ("in_use", pool.in_use)].map(|(state, count)| {
-            (vec![("service", pool.service.clone()), ("state", state.to_owned())], count as f64)
+            (
+                vec![
+                    ("service", pool.service.clone()),
+                    ("state", state.to_owned()),
+                ],
+                count as f64,
+            )
         })
     });
-    snapshot.gauges("router_connections", "Connections to servers of a service", connections);
-    let working = pools.iter().map(|pool| (of_service(pool.service.clone()), pool.working as f64));
-    snapshot.gauges("router_slots_in_use", "Places to work that are taken at servers of a service", working);
-    let waiting = pools.iter().map(|pool| (of_service(pool.service.clone()), pool.waiting as f64));
-    snapshot.gauges("router_waiting", "Statements that wait for a place at a service's servers", waiting);
+    snapshot.gauges(
+        "router_connections",
+        "Connections to servers of a service",
+        connections,
+    );
+    let working = pools
+        .iter()
+        .map(|pool| (of_service(pool.service.clone()), pool.working as f64));
+    snapshot.gauges(
+        "router_slots_in_use",
+        "Places to work that are taken at servers of a service",
+        working,
+    );
+    let waiting = pools
+        .iter()
+        .map(|pool| (of_service(pool.service.clone()), pool.waiting as f64));
+    snapshot.gauges(
+        "router_waiting",
+        "Statements that wait for a place at a service's servers",
+        waiting,
+    );
 }
 
 fn of_service(service: String) -> Labels {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -49,8 +49,9 @@
 impl Readiness {
     fn ready(&self) -> bool {
         let view = self.shared.view.borrow();
-        let able =
-            view.config.is_some() && !view.servers.is_empty() && clock::now() < view.leased_until() + 1.0;
+        let able = view.config.is_some()
+            && !view.servers.is_empty()
+            && clock::now() < view.leased_until() + 1.0;
         able && self.shared.ending.get().is_none()
     }
 }
@@ -88,7 +89,10 @@
 }
 
 async fn serve(
-    tasks: Rc<LocalExecutor<'static>>, path: PathBuf, settings: Settings, metrics: Option<u16>,
+    tasks: Rc<LocalExecutor<'static>>,
+    path: PathBuf,
+    settings: Settings,
+    metrics: Option<u16>,
 ) -> Result<(), String> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .map_err(|e| format!("signals can't be heard: {e}"))?;
@@ -98,13 +102,20 @@
         Some(_) => Some(Control::start(&tasks, &settings, seed)?),
         None => None,
     };
-    let router = settings.front.map(|front| start_router(&tasks, &settings, front, &shared, seed));
+    let router = settings
+        .front
+        .map(|front| start_router(&tasks, &settings, front, &shared, seed));
     if let Some(at) = settings.readiness {
         readiness(&tasks, at, &shared)?;
     }
     if let Some(port) = metrics {
-        let router = router.as_ref().map(|router| (router.edge.clone(), shared.clone()));
-        let metrics = Metrics { router, control: control.clone() };
+        let router = router
+            .as_ref()
+            .map(|router| (router.edge.clone(), shared.clone()));
+        let metrics = Metrics {
+            router,
+            control: control.clone(),
+        };
         metrics.serve(&tasks, SocketAddr::from((settings.ip, port)));
     }
     log::info!(
@@ -113,7 +124,14 @@
         router.is_some(),
         control.is_some()
     );
-    let settings = follow_settings(&mut signals, &path, settings, control.as_ref(), router.as_ref()).await;
+    let settings = follow_settings(
+        &mut signals,
+        &path,
+        settings,
+        control.as_ref(),
+        router.as_ref(),
+    )
+    .await;
     let asked = clock::now();
     log::info!("event=ending");
     shared.ending.set(Some(asked));
@@ -121,13 +139,23 @@
     if let Some(control) = &control {
         control.end();
     }
-    drain(asked, settings.bounds.grace_s, control.as_ref(), router.as_ref()).await;
+    drain(
+        asked,
+        settings.bounds.grace_s,
+        control.as_ref(),
+        router.as_ref(),
+    )
+    .await;
     Ok(())
 }
 
 /// Starts the data plane and its session with control.
 fn start_router(
-    tasks: &Rc<LocalExecutor<'static>>, settings: &Settings, front: SocketAddr, shared: &Shared, seed: u64,
+    tasks: &Rc<LocalExecutor<'static>>,
+    settings: &Settings,
+    front: SocketAddr,
+    shared: &Shared,
+    seed: u64,
 ) -> Router {
     let limits = EdgeLimits {
         file_limit: settings.limits.file_limit as usize,
@@ -139,7 +167,11 @@
     let edge = Edge::start(tasks, shared.clone(), front, limits);
     let observed = edge.clone();
     let evidence = move |services: &[String], now: f64| {
-        observed.evidence(services, now).into_iter().map(|e| to_control(e, now)).collect()
+        observed
+            .evidence(services, now)
+            .into_iter()
+            .map(|e| to_control(e, now))
+            .collect()
     };
     // A machine that leads no longer is left while the lease still has time to be had from the next one.
     let spans = Spans {
@@ -161,13 +193,24 @@
 
 /// The evidence of the data plane as control is told.
 fn to_control(evidence: crate::edge::Evidence, now: f64) -> Evidence {
-    let answered = if evidence.last_answer > 0.0 { now - evidence.last_answer } else { NEVER_ANSWERED_S };
-    Evidence { service: evidence.service, id: evidence.id, answered }
+    let answered = if evidence.last_answer > 0.0 {
+        now - evidence.last_answer
+    } else {
+        NEVER_ANSWERED_S
+    };
+    Evidence {
+        service: evidence.service,
+        id: evidence.id,
+        answered,
+    }
 }
 
 /// Reads the settings file again at each SIGHUP, and from time to time, until SIGTERM; returns the settings in force.
 async fn follow_settings(
-    signals: &mut Signals, path: &Path, settings: Settings, control: Option<&Rc<Control>>,
+    signals: &mut Signals,
+    path: &Path,
+    settings: Settings,
+    control: Option<&Rc<Control>>,
     router: Option<&Router>,
 ) -> Settings {
     let mut in_force = settings;
@@ -200,7 +243,11 @@
 /// Waits until nothing is in work, within the grace period that began when the process was asked to end.
 async fn drain(asked: f64, grace: f64, control: Option<&Rc<Control>>, router: Option<&Router>) {
     // The platform passes connections on for a moment longer, and callers of control are answered.
-    let least = if router.is_some() { MIN_DRAIN_OF_GRACE * grace } else { MIN_CONTROL_DRAIN_S };
+    let least = if router.is_some() {
+        MIN_DRAIN_OF_GRACE * grace
+    } else {
+        MIN_CONTROL_DRAIN_S
+    };
     loop {
         Timer::after(DRAIN_LOOK).await;
         let past = clock::now() - asked;
@@ -215,11 +262,23 @@
 }
 
 /// Answers readiness probes at this address.
-fn readiness(tasks: &Rc<LocalExecutor<'static>>, at: SocketAddr, shared: &Shared) -> Result<(), String> {
+fn readiness(
+    tasks: &Rc<LocalExecutor<'static>>,
+    at: SocketAddr,
+    shared: &Shared,
+) -> Result<(), String> {
     let listener = http::listen(at).map_err(|e| format!("{at}: {e}"))?;
-    let handler = Rc::new(Readiness { shared: shared.clone() });
+    let handler = Rc::new(Readiness {
+        shared: shared.clone(),
+    });
     tasks
-        .spawn(http::serve(tasks.clone(), listener, handler, READINESS_BODY_BYTES, Rc::new(Cell::new(0))))
+        .spawn(http::serve(
+            tasks.clone(),
+            listener,
+            handler,
+            READINESS_BODY_BYTES,
+            Rc::new(Cell::new(0)),
+        ))
         .detach();
     Ok(())
 }
--- a/crates/node/src/server_queries.rs
+++ b/crates/node/src/server_queries.rs
@@ -70,14 +70,25 @@
 /// Sends the queries that come, until none has come for a while, and tells what became of each. `may_act` is asked just
 /// before a statement leaves that only the present leader may send.
 pub async fn run(
-    target: Target, queries: Receiver<Query>, waits: Waits, may_act: impl Fn(Query) -> bool,
+    target: Target,
+    queries: Receiver<Query>,
+    waits: Waits,
+    may_act: impl Fn(Query) -> bool,
     tell: impl Fn(Query, Asked),
 ) {
-    let mut session = Session { target, answer_s: waits.answer_s, connection: None };
+    let mut session = Session {
+        target,
+        answer_s: waits.answer_s,
+        connection: None,
+    };
     while let Some(query) = next(&queries, waits.idle_s).await {
         let asked_at = clock::now();
         let asked = match session.ask(query, &may_act).await {
-            Ok(Some(row)) => Asked::Row { statement: query.statement, row, asked: asked_at },
+            Ok(Some(row)) => Asked::Row {
+                statement: query.statement,
+                row,
+                asked: asked_at,
+            },
             Ok(None) => Asked::Busy,
             Err(failed) => {
                 log::debug!(
@@ -121,22 +132,32 @@
 impl Session {
     /// The row that answers a query; none if the server answered without one.
     async fn ask(
-        &mut self, query: Query, may_act: &impl Fn(Query) -> bool,
+        &mut self,
+        query: Query,
+        may_act: &impl Fn(Query) -> bool,
     ) -> std::result::Result<Option<Row>, ExchangeError> {
-        if self.connection.as_mut().is_some_and(|connection| !connection.is_usable()) {
+        if self
+            .connection
+            .as_mut()
+            .is_some_and(|connection| !connection.is_usable())
+        {
             self.connection = None;
         }
         let reused = self.connection.is_some();
         let first = self.exchange(query, may_act).await;
         match first {
             // The server ended the connection while it rested: a new one tells how things stand.
-            Err(failed) if reused && may_try_again(query, &failed) => self.exchange(query, may_act).await,
+            Err(failed) if reused && may_try_again(query, &failed) => {
+                self.exchange(query, may_act).await
+            }
             ended => ended,
         }
     }
 
     async fn exchange(
-        &mut self, query: Query, may_act: &impl Fn(Query) -> bool,
+        &mut self,
+        query: Query,
+        may_act: &impl Fn(Query) -> bool,
     ) -> std::result::Result<Option<Row>, ExchangeError> {
         let connection = self.connection.take();
         let (target, answer_s) = (&self.target, self.answer_s);
@@ -177,13 +198,20 @@
         // Bytes that are not acknowledged in time are dropped, also when this process is frozen or killed meanwhile.
         frames::prepare(&stream, answer_s);
         frames::reset_on_close(&stream, true);
-        let mut connection = Connection { stream, lines: LineBuffer::default() };
+        let mut connection = Connection {
+            stream,
+            lines: LineBuffer::default(),
+        };
         let hello = format!("CONNECT {} control {}\r\n", target.service, target.id);
-        net::write(&connection.stream, hello.as_bytes()).await.map_err(|_| ErrorKind::BrokenPipe)?;
+        net::write(&connection.stream, hello.as_bytes())
+            .await
+            .map_err(|_| ErrorKind::BrokenPipe)?;
         match Reply::parse(&connection.line().await?) {
             Some(Reply::Idle { .. }) => Ok(connection),
             // Somebody else is at this address now.
-            Some(Reply::Error { code, .. }) if code.word() == "WRONGNODE" => Err(ErrorKind::NotFound.into()),
+            Some(Reply::Error { code, .. }) if code.word() == "WRONGNODE" => {
+                Err(ErrorKind::NotFound.into())
+            }
             Some(Reply::Error { code, .. }) => Err(Error::other(code.word())),
             _ => Err(ErrorKind::InvalidData.into()),
         }
@@ -192,10 +220,19 @@
     /// Whether it may carry another exchange: the server has not ended it, nor said what nobody asked for.
     fn is_usable(&mut self) -> bool {
         let scratch = RefCell::new(vec![0; READ_BYTES]);
-        self.lines.is_empty() && matches!(net::read_now(&self.stream, &scratch, &mut self.lines), Ok(None))
+        self.lines.is_empty()
+            && matches!(
+                net::read_now(&self.stream, &scratch, &mut self.lines),
+                Ok(None)
+            )
     }
 
-    async fn exchange(&mut self, progress: &Progress, query: Query, id: &str) -> Result<Option<Row>> {
+    async fn exchange(
+        &mut self,
+        progress: &Progress,
+        query: Query,
+        id: &str,
+    ) -> Result<Option<Row>> {
         progress.send(&self.stream, query.line().as_bytes()).await?;
         let mut row = None;
         loop {
@@ -236,5 +273,10 @@
     let term = words.next()?.parse().ok()?;
     let received: Position = words.next()?.parse().ok()?;
     let held = words.next()?.parse().ok()?;
-    Some(Row { leader, term, received: (received.term, received.number), held })
+    Some(Row {
+        leader,
+        term,
+        received: (received.term, received.number),
+        held,
+    })
 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -23,17 +23,23 @@
 impl Servers {
     /// The file at this path; it need not be there.
     pub fn new(path: PathBuf) -> Servers {
-        Servers { path, written: Cell::new((f64::NEG_INFINITY, 0)) }
+        Servers {
+            path,
+            written: Cell::new((f64::NEG_INFINITY, 0)),
+        }
     }
 
     /// What was kept; nothing if it can't be read whole.
     pub fn read(&self) -> Vec<MemberNews> {
         let mut bytes = Vec::new();
-        let read = File::open(&self.path).and_then(|file| file.take(MAX_BYTES).read_to_end(&mut bytes));
+        let read =
+            File::open(&self.path).and_then(|file| file.take(MAX_BYTES).read_to_end(&mut bytes));
         if read.is_err() {
             return Vec::new();
         }
-        let Some(body) = unpack(&bytes) else { return Vec::new() };
+        let Some(body) = unpack(&bytes) else {
+            return Vec::new();
+        };
         let read = bincode::decode_from_slice(
             body,
             bincode::config::standard().with_limit::<{ MAX_BYTES as usize }>(),
@@ -63,8 +69,8 @@
 
     /// Puts a new file in the place of the one before, which is there whole until then.
     fn write(&self, kept: &[MemberNews]) -> std::io::Result<()> {
-        let body =
-            bincode::encode_to_vec(kept, bincode::config::standard()).map_err(std::io::Error::other)?;
+        let body = bincode::encode_to_vec(kept, bincode::config::standard())
+            .map_err(std::io::Error::other)?;
         let next = self.path.with_extension("next");
         let mut file = File::create(&next)?;
         file.write_all(&pack(&body))?;
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -6,7 +6,9 @@
 use crate::{clock, frames::within};
 use async_io::{Async, Timer};
 use badgerstream_calls::config::Config;
-use badgerstream_control::{Ballot, ConfigNews, Evidence, GrantNews, MemberNews, Node, ToControl, ToRouter};
+use badgerstream_control::{
+    Ballot, ConfigNews, Evidence, GrantNews, MemberNews, Node, ToControl, ToRouter,
+};
 use futures_lite::{AsyncRead, future, io};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -69,7 +71,11 @@
 impl Session {
     /// A router of this name, in a life that was drawn at its start.
     pub fn new(
-        router: String, life: u64, port: u16, spans: Spans, shared: Shared,
+        router: String,
+        life: u64,
+        port: u16,
+        spans: Spans,
+        shared: Shared,
         evidence: impl Fn(&[String], f64) -> Vec<Evidence> + 'static,
     ) -> Rc<Session> {
         Rc::new(Session {
@@ -112,7 +118,9 @@
     fn next_node(&self, turn: usize, tries: usize) -> Option<Node> {
         let voters = self.voters.borrow();
         let others = self.others.borrow();
-        let others = others.iter().filter(|node| tries >= voters.len() && !voters.contains(node));
+        let others = others
+            .iter()
+            .filter(|node| tries >= voters.len() && !voters.contains(node));
         let all: Vec<Node> = voters.iter().chain(others).copied().collect();
         all.get(turn % all.len().max(1)).copied()
     }
@@ -173,7 +181,13 @@
         let (news, told) = async_channel::bounded(64);
         let heard = Cell::new(clock::now());
         let read = async {
-            let mut reader = io::BufReader::with_capacity(1024, Heard { stream: &stream, at: &heard });
+            let mut reader = io::BufReader::with_capacity(
+                1024,
+                Heard {
+                    stream: &stream,
+                    at: &heard,
+                },
+            );
             loop {
                 let Frame::News(one) = frames::read(&mut reader).await? else {
                     return Err(io::ErrorKind::InvalidData.into());
@@ -187,7 +201,10 @@
     }
 
     async fn talk(
-        &self, stream: &Async<TcpStream>, told: &async_channel::Receiver<ToRouter>, heard: &Cell<f64>,
+        &self,
+        stream: &Async<TcpStream>,
+        told: &async_channel::Receiver<ToRouter>,
+        heard: &Cell<f64>,
     ) -> io::Result<Option<Node>> {
         self.renew(stream).await?;
         let mut renewed = clock::now();
@@ -233,8 +250,18 @@
 
     async fn renew(&self, stream: &Async<TcpStream>) -> io::Result<()> {
         let now = clock::now();
-        let known = self.shared.view.borrow().config.as_ref().map_or(0, |c| c.epoch);
-        let epoch = if self.config_text.borrow().is_empty() { 0 } else { known };
+        let known = self
+            .shared
+            .view
+            .borrow()
+            .config
+            .as_ref()
+            .map_or(0, |c| c.epoch);
+        let epoch = if self.config_text.borrow().is_empty() {
+            0
+        } else {
+            known
+        };
         let call = ToControl {
             router: self.router.clone(),
             life: self.life,
@@ -244,7 +271,11 @@
             evidence: self.wanted_evidence(now),
         };
         let mut writer = stream;
-        within(self.spans.suspect, frames::write(&mut writer, &Frame::Renew(call))).await
+        within(
+            self.spans.suspect,
+            frames::write(&mut writer, &Frame::Renew(call)),
+        )
+        .await
     }
 
     /// The configuration that control tells, against the text that is held. What can't be read is asked for whole.
@@ -254,7 +285,9 @@
         if config.is_none() {
             log::warn!("event=config_not_read");
         }
-        *self.config_text.borrow_mut() = text.filter(|_| config.is_some()).unwrap_or_else(|| Rc::from([]));
+        *self.config_text.borrow_mut() = text
+            .filter(|_| config.is_some())
+            .unwrap_or_else(|| Rc::from([]));
         config
     }
 
@@ -293,19 +326,32 @@
         }
         if whole {
             let until = view.lease_until;
-            let old: Vec<(String, Grant)> = view.grants.drain().filter(|(_, g)| !g.closing).collect();
+            let old: Vec<(String, Grant)> =
+                view.grants.drain().filter(|(_, g)| !g.closing).collect();
             view.fading.retain(|_, (_, until)| now < *until);
             if now < until {
-                view.fading.extend(old.into_iter().map(|(service, grant)| (service, (grant, until))));
+                view.fading.extend(
+                    old.into_iter()
+                        .map(|(service, grant)| (service, (grant, until))),
+                );
             }
             // The lease of the leader before goes on only for what it granted.
             view.lease_until = f64::NEG_INFINITY;
             *self.untold.borrow_mut() = view.servers.keys().map(|id| (id.clone(), now)).collect();
             changed = true;
         }
-        for GrantNews { service, id, term, closing } in grants {
+        for GrantNews {
+            service,
+            id,
+            term,
+            closing,
+        } in grants
+        {
             // Under the old lease the same primary may be used until the new one is there.
-            let same = view.fading.get(&service).is_some_and(|(old, _)| old.id == id && old.term == term);
+            let same = view
+                .fading
+                .get(&service)
+                .is_some_and(|(old, _)| old.id == id && old.term == term);
             if closing || !same {
                 view.fading.remove(&service);
             }
@@ -367,7 +413,9 @@
 
 impl AsyncRead for Heard<'_> {
     fn poll_read(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &mut [u8],
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.stream).poll_read(cx, bytes);
         if read.is_ready() {
@@ -379,6 +427,20 @@
 
 fn read_member(member: MemberNews) -> Option<Server> {
     let endpoint = member.endpoint.parse().ok()?;
-    let MemberNews { id, service, zone, slots, draining, .. } = member;
-    Some(Server { id, service, endpoint, zone, slots, draining })
+    let MemberNews {
+        id,
+        service,
+        zone,
+        slots,
+        draining,
+        ..
+    } = member;
+    Some(Server {
+        id,
+        service,
+        endpoint,
+        zone,
+        slots,
+        draining,
+    })
 }
--- a/crates/node/src/tests/cli.rs
+++ b/crates/node/src/tests/cli.rs
@@ -48,7 +48,10 @@
             }
             got
         };
-        Machine { at, thread: std::thread::spawn(serve) }
+        Machine {
+            at,
+            thread: std::thread::spawn(serve),
+        }
     }
 
     fn got(self) -> Vec<Request> {
@@ -66,7 +69,8 @@
 
 impl File {
     fn new(name: &str, text: &str) -> File {
-        let path = std::env::temp_dir().join(format!("badgerpool-cli-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("badgerpool-cli-{}-{name}", std::process::id()));
         std::fs::write(&path, text).unwrap();
         File(path)
     }
@@ -97,7 +101,10 @@
     let mut out = Vec::new();
     let ended = cli::run(parse(words).unwrap(), &mut out);
     let error = ended.err().map(|e| e.to_string());
-    assert!(error.as_ref().is_none_or(|e| !e.contains('\n')), "an error is one line: {error:?}");
+    assert!(
+        error.as_ref().is_none_or(|e| !e.contains('\n')),
+        "an error is one line: {error:?}"
+    );
     (String::from_utf8(out).unwrap(), error)
 }
 
@@ -141,18 +148,34 @@
             term: 3,
             in_use: true,
         }],
-        members: vec![member("db-2", "lima-b", true), member("db-1", "lima-a", false)],
+        members: vec![
+            member("db-2", "lima-b", true),
+            member("db-1", "lima-a", false),
+        ],
     }
 }
 
 #[test]
 fn wrong_usage_is_told_by_clap_with_code_2() {
-    for words in [&["members", "--at", "nowhere"][..], &["config"], &["frobnicate"], &["check"]] {
-        assert_eq!(parse(words).err().map(|e| e.exit_code()), Some(2), "{words:?}");
+    for words in [
+        &["members", "--at", "nowhere"][..],
+        &["config"],
+        &["frobnicate"],
+        &["check"],
+    ] {
+        assert_eq!(
+            parse(words).err().map(|e| e.exit_code()),
+            Some(2),
+            "{words:?}"
+        );
     }
-    let Ok(Command::Status(asking)) =
-        parse(&["status", "--at", "10.0.0.1:80,10.0.0.2:80", "--at", "10.0.0.3:80"])
-    else {
+    let Ok(Command::Status(asking)) = parse(&[
+        "status",
+        "--at",
+        "10.0.0.1:80,10.0.0.2:80",
+        "--at",
+        "10.0.0.3:80",
+    ]) else {
         panic!("no status")
     };
     assert_eq!(asking.at.len(), 3);
@@ -160,22 +183,32 @@
 
 #[test]
 fn check_tells_line_and_field() {
-    let right = "node_name=core-1\nrole=control\nip=10.1.0.8\nzone=a\nbind_addrs.control=10.1.0.8:8782\n";
+    let right =
+        "node_name=core-1\nrole=control\nip=10.1.0.8\nzone=a\nbind_addrs.control=10.1.0.8:8782\n";
     let file = File::new("no-disk", right);
     let (out, error) = run(&["check", file.name(), "--json"]);
-    let told =
-        "\"valid\":false,\"line\":null,\"field\":\"state_dir\",\"error\":\"field state_dir: missing\"}\n";
+    let told = "\"valid\":false,\"line\":null,\"field\":\"state_dir\",\"error\":\"field state_dir: missing\"}\n";
     assert!(out.ends_with(told), "{out}");
     assert!(error.unwrap().ends_with("field state_dir: missing"));
 
     let file = File::new("valid", &format!("{right}state_dir=/var/lib/badgerpool\n"));
     let (out, error) = run(&["check", file.name()]);
-    assert_eq!((out, error), (format!("{}: valid: core-1, control at 10.1.0.8:8782\n", file.name()), None));
+    assert_eq!(
+        (out, error),
+        (
+            format!("{}: valid: core-1, control at 10.1.0.8:8782\n", file.name()),
+            None
+        )
+    );
 
     let file = File::new("wrong", &right.replace("zone=a", "zone=a\nport_range=9,3"));
     let (out, error) = run(&["check", file.name()]);
     assert_eq!(out, "");
-    assert!(error.unwrap().contains("line 5: field port_range: \"9,3\" is no range"));
+    assert!(
+        error
+            .unwrap()
+            .contains("line 5: field port_range: \"9,3\" is no range")
+    );
 
     let (_, error) = run(&["check", "/nowhere/boot.conf"]);
     assert!(error.unwrap().starts_with("/nowhere/boot.conf: "));
@@ -188,25 +221,47 @@
     let (out, error) = run(&["config", "check", file.name()]);
     let name = file.name();
     let note = format!("{name}: note: routes[].split is kept and has no effect\n");
-    assert_eq!((out, error), (format!("{name}: valid: version 7, 1 routes, 1 services\n{note}"), None));
+    assert_eq!(
+        (out, error),
+        (
+            format!("{name}: valid: version 7, 1 routes, 1 services\n{note}"),
+            None
+        )
+    );
     let (out, _) = run(&["config", "check", "--json", name]);
-    assert!(out.contains(r#""without_effect":["routes[].split"]"#), "{out}");
+    assert!(
+        out.contains(r#""without_effect":["routes[].split"]"#),
+        "{out}"
+    );
 }
 
 #[test]
 fn config_check_tells_the_place() {
     let file = File::new("config", CONFIG);
     let (out, error) = run(&["config", "check", file.name()]);
-    assert_eq!((out, error), (format!("{}: valid: version 7, 1 routes, 1 services\n", file.name()), None));
+    assert_eq!(
+        (out, error),
+        (
+            format!("{}: valid: version 7, 1 routes, 1 services\n", file.name()),
+            None
+        )
+    );
 
     let file = File::new("cut", &CONFIG[..CONFIG.len() - 2]);
     let (out, error) = run(&["config", "check", file.name(), "--json"]);
     assert!(error.unwrap().contains("line 2, column "));
     assert!(out.contains("\"valid\":false"), "{out}");
 
-    let file = File::new("no-service", &CONFIG.replace("\"backend\":\"catalog-pg\"", "\"backend\":\"x\""));
+    let file = File::new(
+        "no-service",
+        &CONFIG.replace("\"backend\":\"catalog-pg\"", "\"backend\":\"x\""),
+    );
     let (_, error) = run(&["config", "check", file.name()]);
-    assert!(error.unwrap().ends_with("routes[0] (r1): backend \"x\" is unknown"));
+    assert!(
+        error
+            .unwrap()
+            .ends_with("routes[0] (r1): backend \"x\" is unknown")
+    );
 }
 
 /// A machine that is cut off, can't save or doesn't decide says so, and for how long.
@@ -220,7 +275,10 @@
         no_voter: true,
         ..status()
     };
-    let machine = Machine::new(vec![ok(&cut_off.serialize_json()), ok(&cut_off.serialize_json())]);
+    let machine = Machine::new(vec![
+        ok(&cut_off.serialize_json()),
+        ok(&cut_off.serialize_json()),
+    ]);
     let (out, error) = run(&["status", "--at", &machine.at.to_string()]);
     assert_eq!(error, None);
     let notes = "core-lima-a-1 has had no contact with most control machines for 12.3 s: what it shows may be old\n\
@@ -235,11 +293,17 @@
     let (out, error) = run(&["config", "get", "--at", &machine.at.to_string()]);
     assert_eq!((out, error), (format!("{CONFIG}\n"), None));
     let got = machine.got();
-    assert_eq!((got[0].method.as_str(), got[0].path.as_str()), ("GET", "/api/Config.Read"));
+    assert_eq!(
+        (got[0].method.as_str(), got[0].path.as_str()),
+        ("GET", "/api/Config.Read")
+    );
 
     let machine = Machine::new(vec![reply(404, "there is no configuration yet\n")]);
     let (out, error) = run(&["config", "get", "--at", &machine.at.to_string()]);
-    assert_eq!((out.as_str(), error.as_deref()), ("", Some("there is no configuration yet")));
+    assert_eq!(
+        (out.as_str(), error.as_deref()),
+        ("", Some("there is no configuration yet"))
+    );
 }
 
 #[test]
@@ -264,27 +328,57 @@
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let well = Machine::new(vec![ok(CONFIG)]);
     let at = [silent.local_addr().unwrap(), well.at];
-    let found = Client::within(&at, Duration::from_millis(40)).config().unwrap();
+    let found = Client::within(&at, Duration::from_millis(40))
+        .config()
+        .unwrap();
     assert_eq!(found.map(|(config, _)| config.epoch), Some(7));
     let none = Client::within(&at[..1], Duration::from_millis(40)).config();
-    assert!(matches!(none, Err(CliError::NoAnswer(told)) if told.contains("no answer within 0.04 s")));
+    assert!(
+        matches!(none, Err(CliError::NoAnswer(told)) if told.contains("no answer within 0.04 s"))
+    );
 }
 
 #[test]
 fn a_call_is_sent_on_twice() {
     let last = Machine::new(vec![ok("")]);
-    let second = Machine::new(vec![sent_on(&format!("http://{}/api/Config.Replace", last.at))]);
-    let first = Machine::new(vec![sent_on(&format!("http://{}/api/Config.Replace", second.at))]);
+    let second = Machine::new(vec![sent_on(&format!(
+        "http://{}/api/Config.Replace",
+        last.at
+    ))]);
+    let first = Machine::new(vec![sent_on(&format!(
+        "http://{}/api/Config.Replace",
+        second.at
+    ))]);
     let file = File::new("sent-on", CONFIG);
-    let (out, error) = run(&["config", "put", file.name(), "--base", "5", "--at", &first.at.to_string()]);
-    assert_eq!((out.as_str(), error), ("version 7 is taken; it builds on 5\n", None));
+    let (out, error) = run(&[
+        "config",
+        "put",
+        file.name(),
+        "--base",
+        "5",
+        "--at",
+        &first.at.to_string(),
+    ]);
+    assert_eq!(
+        (out.as_str(), error),
+        ("version 7 is taken; it builds on 5\n", None)
+    );
     let got = last.got();
-    assert_eq!((got[0].method.as_str(), got[0].header("X-Base-Version")), ("POST", Some("5")));
+    assert_eq!(
+        (got[0].method.as_str(), got[0].header("X-Base-Version")),
+        ("POST", Some("5"))
+    );
     assert_eq!(got[0].body, CONFIG.as_bytes());
 
     let round = Machine::new(vec![sent_on("/a"), sent_on("/b"), sent_on("/c")]);
     let (_, error) = run(&["config", "get", "--at", &round.at.to_string()]);
-    assert_eq!(error, Some(format!("no answer: {}: sent on more than 2 times", round.at)));
+    assert_eq!(
+        error,
+        Some(format!(
+            "no answer: {}: sent on more than 2 times",
+            round.at
+        ))
+    );
     assert_eq!(round.got()[2].path, "/b");
 }
 
@@ -292,16 +386,38 @@
 fn put_builds_on_what_is_in_force() {
     let machine = Machine::new(vec![ok(&CONFIG.replace(":7", ":4")), ok("")]);
     let file = File::new("put", CONFIG);
-    let (out, error) = run(&["config", "put", file.name(), "--json", "--at", &machine.at.to_string()]);
-    assert_eq!((out.as_str(), error), ("{\"epoch\":7,\"base\":4,\"was_in_force\":false}\n", None));
+    let (out, error) = run(&[
+        "config",
+        "put",
+        file.name(),
+        "--json",
+        "--at",
+        &machine.at.to_string(),
+    ]);
+    assert_eq!(
+        (out.as_str(), error),
+        ("{\"epoch\":7,\"base\":4,\"was_in_force\":false}\n", None)
+    );
     assert_eq!(machine.got()[1].header("X-Base-Version"), Some("4"));
 
     let machine = Machine::new(vec![reply(404, ""), ok("")]);
-    let (out, _) = run(&["config", "put", file.name(), "--at", &machine.at.to_string()]);
+    let (out, _) = run(&[
+        "config",
+        "put",
+        file.name(),
+        "--at",
+        &machine.at.to_string(),
+    ]);
     assert_eq!(out, "version 7 is taken; it builds on 0\n");
 
     let machine = Machine::new(vec![ok(CONFIG)]);
-    let (out, _) = run(&["config", "put", file.name(), "--at", &machine.at.to_string()]);
+    let (out, _) = run(&[
+        "config",
+        "put",
+        file.name(),
+        "--at",
+        &machine.at.to_string(),
+    ]);
     assert_eq!(out, "version 7 is in force already\n");
 }
 
@@ -309,18 +425,52 @@
 fn put_tells_what_came_of_it() {
     let file = File::new("put-ends", CONFIG);
     let put = |machine: &Machine| {
-        run(&["config", "put", file.name(), "--base", "4", "--at", &machine.at.to_string()])
+        run(&[
+            "config",
+            "put",
+            file.name(),
+            "--base",
+            "4",
+            "--at",
+            &machine.at.to_string(),
+        ])
     };
     let other = Machine::new(vec![reply(412, "version 6 is in place\n")]);
-    assert_eq!(put(&other).1, Some(format!("refused by {} (412): version 6 is in place", other.at)));
+    assert_eq!(
+        put(&other).1,
+        Some(format!(
+            "refused by {} (412): version 6 is in place",
+            other.at
+        ))
+    );
     let invalid = Machine::new(vec![reply(400, "{\"error\":\"epoch is not above 7\"}")]);
-    assert_eq!(put(&invalid).1, Some(format!("refused by {} (400): epoch is not above 7", invalid.at)));
+    assert_eq!(
+        put(&invalid).1,
+        Some(format!(
+            "refused by {} (400): epoch is not above 7",
+            invalid.at
+        ))
+    );
     let unclear = Machine::new(vec![Vec::new()]);
     let told = put(&unclear).1.unwrap();
-    assert!(told.contains("isn't known") && told.contains("--base 4"), "{told}");
+    assert!(
+        told.contains("isn't known") && told.contains("--base 4"),
+        "{told}"
+    );
 
-    let (_, error) = run(&["config", "put", file.name(), "--base", "4", "--at", &dead().to_string()]);
-    assert_eq!(error, Some(format!("no answer: {}: nobody listens there", dead())));
+    let (_, error) = run(&[
+        "config",
+        "put",
+        file.name(),
+        "--base",
+        "4",
+        "--at",
+        &dead().to_string(),
+    ]);
+    assert_eq!(
+        error,
+        Some(format!("no answer: {}: nobody listens there", dead()))
+    );
 
     // What is wrong is found before anybody is asked.
     let file = File::new("put-wrong", &CONFIG.replace("\"leader\"", "\"lead\""));
@@ -332,7 +482,13 @@
 fn diff_tells_each_change() {
     let file = File::new("diff", &CONFIG.replace(":7", ":8").replace("1000", "1500"));
     let machine = Machine::new(vec![ok(CONFIG)]);
-    let (out, _) = run(&["config", "diff", file.name(), "--at", &machine.at.to_string()]);
+    let (out, _) = run(&[
+        "config",
+        "diff",
+        file.name(),
+        "--at",
+        &machine.at.to_string(),
+    ]);
     assert_eq!(
         out,
         "part=whole change=changed field=epoch from=7 to=8\n\
@@ -341,17 +497,35 @@
     );
     let same = File::new("same", CONFIG);
     let machine = Machine::new(vec![ok(CONFIG)]);
-    let (out, _) = run(&["config", "diff", same.name(), "--at", &machine.at.to_string()]);
+    let (out, _) = run(&[
+        "config",
+        "diff",
+        same.name(),
+        "--at",
+        &machine.at.to_string(),
+    ]);
     assert_eq!(out, "no difference to version 7\n");
     let machine = Machine::new(vec![reply(404, "")]);
-    let (out, _) = run(&["config", "diff", same.name(), "--json", "--at", &machine.at.to_string()]);
+    let (out, _) = run(&[
+        "config",
+        "diff",
+        same.name(),
+        "--json",
+        "--at",
+        &machine.at.to_string(),
+    ]);
     assert!(out.contains("service=catalog-pg change=added"), "{out}");
 }
 
 #[test]
 fn status_and_tables() {
-    let machine =
-        || Machine::new(vec![call::reply(&call::Reply::Done(status()), "/api/System.Status", false)]);
+    let machine = || {
+        Machine::new(vec![call::reply(
+            &call::Reply::Done(status()),
+            "/api/System.Status",
+            false,
+        )])
+    };
     let asked = |word: &str| run(&[word, "--at", &machine().at.to_string()]).0;
     assert_eq!(
         asked("status"),
@@ -373,7 +547,10 @@
          catalog-pg  db-2    10.128.0.9:8080  lima-b  4      replica  draining\n"
     );
     let (out, _) = run(&["primaries", "--json", "--at", &machine().at.to_string()]);
-    assert_eq!(Vec::<PrimaryStatus>::deserialize_json(&out).unwrap(), status().primaries);
+    assert_eq!(
+        Vec::<PrimaryStatus>::deserialize_json(&out).unwrap(),
+        status().primaries
+    );
     let (out, _) = run(&["status", "--json", "--at", &machine().at.to_string()]);
     assert_eq!(Status::read(out.as_bytes()).unwrap(), status());
 }
@@ -397,7 +574,10 @@
     // Where it can't be asked, the other's view is told for what it is.
     let machine = Machine::new(vec![ok(&seen_text)]);
     let (out, error) = run(&["primaries", "--at", &machine.at.to_string()]);
-    assert_eq!(out, "core-lima-a-1 answered and doesn't lead: primaries and routers aren't known to it\n");
+    assert_eq!(
+        out,
+        "core-lima-a-1 answered and doesn't lead: primaries and routers aren't known to it\n"
+    );
     assert_eq!(error, None);
 }
 
@@ -407,12 +587,21 @@
     seen.members[0].id = "x\u{1b}[2J\n\"y\\".to_owned();
     let machine = Machine::new(vec![ok(&seen.serialize_json())]);
     let (out, _) = run(&["members", "--at", &machine.at.to_string()]);
-    assert!(out.contains("x?[2J?\"y\\") && out.lines().count() == 3, "{out}");
-    assert_eq!(Status::read(seen.serialize_json().as_bytes()).unwrap(), seen);
+    assert!(
+        out.contains("x?[2J?\"y\\") && out.lines().count() == 3,
+        "{out}"
+    );
+    assert_eq!(
+        Status::read(seen.serialize_json().as_bytes()).unwrap(),
+        seen
+    );
 }
 
 #[test]
 fn a_status_of_another_version_is_read() {
     let found = Status::read(br#"{"node":"n","leads":true,"epoch":1,"newer":[{"x":1}]}"#).unwrap();
-    assert_eq!((found.node.as_str(), found.epoch, found.leader), ("n", 1, None));
+    assert_eq!(
+        (found.node.as_str(), found.epoch, found.leader),
+        ("n", 1, None)
+    );
 }
--- a/crates/node/src/tests/edge.rs
+++ b/crates/node/src/tests/edge.rs
@@ -123,7 +123,10 @@
             };
             let (id, text) = match Request::parse(&line).unwrap() {
                 Request::Connect { .. } => {
-                    stream.write_all(format!("IDLE I 3.{}\r\n", self.log.get()).as_bytes()).await.ok()?;
+                    stream
+                        .write_all(format!("IDLE I 3.{}\r\n", self.log.get()).as_bytes())
+                        .await
+                        .ok()?;
                     continue;
                 }
                 Request::Query { id, text } => (id, text),
@@ -141,12 +144,18 @@
             self.changed.notify_waiters();
             let trick = {
                 let mut tricks = self.tricks.borrow_mut();
-                tricks.iter().position(|(t, _)| text.contains(t)).map(|at| tricks.remove(at).1)
+                tricks
+                    .iter()
+                    .position(|(t, _)| text.contains(t))
+                    .map(|at| tricks.remove(at).1)
             };
             let mut text = text;
             if let Some(Trick::Error(error)) = trick {
                 stream
-                    .write_all(format!("ERROR {error}\r\nIDLE {state} 3.{}\r\n", self.log.get()).as_bytes())
+                    .write_all(
+                        format!("ERROR {error}\r\nIDLE {state} 3.{}\r\n", self.log.get())
+                            .as_bytes(),
+                    )
                     .await
                     .ok()?;
                 continue;
@@ -156,7 +165,10 @@
                 let position: Position = position.parse().unwrap();
                 if position.number > self.log.get() {
                     stream
-                        .write_all(format!("ERROR LAGGING x\r\nIDLE I 3.{}\r\n", self.log.get()).as_bytes())
+                        .write_all(
+                            format!("ERROR LAGGING x\r\nIDLE I 3.{}\r\n", self.log.get())
+                                .as_bytes(),
+                        )
                         .await
                         .ok()?;
                     continue;
@@ -208,7 +220,10 @@
                 Some(Trick::Late) => self.release.notified_since(self.release.generation()).await,
                 _ => {}
             }
-            let answer = format!("{row}COMPLETE {stamp}\r\nIDLE {state} 3.{}\r\n", self.log.get());
+            let answer = format!(
+                "{row}COMPLETE {stamp}\r\nIDLE {state} 3.{}\r\n",
+                self.log.get()
+            );
             stream.write_all(answer.as_bytes()).await.ok()?;
         }
     }
@@ -229,7 +244,10 @@
 
     async fn start(at: SocketAddr, database: &str) -> Self {
         let stream = Async::<TcpStream>::connect(at).await.unwrap();
-        let mut client = Self { stream, lines: LineBuffer::default() };
+        let mut client = Self {
+            stream,
+            lines: LineBuffer::default(),
+        };
         client.say(&format!("CONNECT {database} u1\r\n")).await;
         client
     }
@@ -307,20 +325,38 @@
                 };
                 view.servers.insert(id, server);
             }
-            view.grants.insert("db".into(), Grant { id: "i-0".into(), term: 3, closing: false });
+            view.grants.insert(
+                "db".into(),
+                Grant {
+                    id: "i-0".into(),
+                    term: 3,
+                    closing: false,
+                },
+            );
             view.lease_until = 1e9;
             view.config = Some(Rc::new(Config::read(CONFIG.as_bytes()).unwrap()));
         }
         let free = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let front = free.local_addr().unwrap();
         drop(free);
-        let limits =
-            EdgeLimits { file_limit: 1000, name: "edge-1".into(), zone: "a".into(), seed: 7, grace_s: 0.2 };
+        let limits = EdgeLimits {
+            file_limit: 1000,
+            name: "edge-1".into(),
+            zone: "a".into(),
+            seed: 7,
+            grace_s: 0.2,
+        };
         let edge = Edge::start(tasks, shared.clone(), front, limits);
         let mut fakes = fakes.into_iter().map(|(fake, _)| fake);
         let primary = fakes.next().unwrap();
         let replicas = [fakes.next().unwrap(), fakes.next().unwrap()];
-        Self { shared, edge, front, primary, replicas }
+        Self {
+            shared,
+            edge,
+            front,
+            primary,
+            replicas,
+        }
     }
 
     /// Changes what the router knows.
@@ -344,10 +380,16 @@
 #[test]
 fn clients_share_a_connection_and_meet_their_own_values() {
     play(async |rig| {
-        let (mut a, mut b) = (Client::open(rig.front, "lead").await, Client::open(rig.front, "lead").await);
+        let (mut a, mut b) = (
+            Client::open(rig.front, "lead").await,
+            Client::open(rig.front, "lead").await,
+        );
         assert_eq!(a.ask("a1", "SET tz one two").await, "COMPLETE -|IDLE I -");
         assert_eq!(a.ask("a2", "PREPARE s PUT q1").await, "COMPLETE -|IDLE I -");
-        assert_eq!(b.ask("b1", "PREPARE s FETCH q2").await, "COMPLETE -|IDLE I -");
+        assert_eq!(
+            b.ask("b1", "PREPARE s FETCH q2").await,
+            "COMPLETE -|IDLE I -"
+        );
         for round in 0..2 {
             let id = format!("a{}", round + 3);
             let wrote = format!("COMPLETE s.{id}|IDLE I 3.{}", round + 1);
@@ -359,13 +401,26 @@
         let got = rig.primary.got.borrow().clone();
         assert!(got.iter().all(|g| g.conn == 0));
         for g in got.iter().filter(|g| g.id != "-") {
-            let (shape, values) =
-                if g.id.starts_with('a') { ("PUT q1", "tz=one two;") } else { ("FETCH q2", "") };
-            assert_eq!((g.shape.as_deref(), g.values.as_str()), (Some(shape), values), "{g:?}");
+            let (shape, values) = if g.id.starts_with('a') {
+                ("PUT q1", "tz=one two;")
+            } else {
+                ("FETCH q2", "")
+            };
+            assert_eq!(
+                (g.shape.as_deref(), g.values.as_str()),
+                (Some(shape), values),
+                "{g:?}"
+            );
         }
         assert_eq!(b.ask("b9", "RELEASE s").await, "COMPLETE -|IDLE I -");
-        assert_eq!(b.ask("b10", "EXECUTE s thing").await, "ERROR UNKNOWN s|IDLE I -");
-        assert_eq!(b.ask("b11", "WAITPOS 3.1 FETCH a").await, "ERROR MALFORMED unknown statement|IDLE I -");
+        assert_eq!(
+            b.ask("b10", "EXECUTE s thing").await,
+            "ERROR UNKNOWN s|IDLE I -"
+        );
+        assert_eq!(
+            b.ask("b11", "WAITPOS 3.1 FETCH a").await,
+            "ERROR MALFORMED unknown statement|IDLE I -"
+        );
     });
 }
 
@@ -402,13 +457,21 @@
             assert_eq!(replica.texts(), ["WAITPOS 3.5 FETCH x"]);
         }
         // One lags: the other is asked; both: the primary.
-        rig.replicas[0].tricks.borrow_mut().push(("FETCH", Trick::Error("LAGGING 3.4")));
-        rig.replicas[1].tricks.borrow_mut().push(("FETCH", Trick::Error("LAGGING 3.4")));
+        rig.replicas[0]
+            .tricks
+            .borrow_mut()
+            .push(("FETCH", Trick::Error("LAGGING 3.4")));
+        rig.replicas[1]
+            .tricks
+            .borrow_mut()
+            .push(("FETCH", Trick::Error("LAGGING 3.4")));
         assert!(b.ask("b3", "FETCH x").await.ends_with("IDLE I 3.5"));
         assert!(rig.replicas.iter().all(|r| r.tricks.borrow().is_empty()));
         // Broken off and failed: asked elsewhere.
         let mut c = Client::open(rig.front, "bounded").await;
-        rig.replicas.iter().for_each(|r| r.tricks.borrow_mut().push(("FETCH", Trick::Close)));
+        rig.replicas
+            .iter()
+            .for_each(|r| r.tricks.borrow_mut().push(("FETCH", Trick::Close)));
         assert!(c.ask("c1", "FETCH x").await.ends_with("IDLE I 3.5"));
     });
 }
@@ -416,16 +479,23 @@
 #[test]
 fn a_transaction_that_reads_goes_to_a_replica_as_a_whole() {
     play(async |rig| {
-        rig.edge.samples("db", clock::now() + 1.0, Position { term: 3, number: 2 });
+        rig.edge
+            .samples("db", clock::now() + 1.0, Position { term: 3, number: 2 });
         rig.replicas.iter().for_each(|r| r.log.set(2));
         let mut a = Client::open(rig.front, "house").await;
         assert_eq!(a.ask("a1", "BEGIN FETCH").await, "COMPLETE -|IDLE T -");
         for id in ["a2", "a3"] {
-            assert_eq!(a.ask(id, "FETCH x").await, format!("ROW r.{id}|COMPLETE s.{id}|IDLE T 3.2"));
+            assert_eq!(
+                a.ask(id, "FETCH x").await,
+                format!("ROW r.{id}|COMPLETE s.{id}|IDLE T 3.2")
+            );
         }
         assert_eq!(a.ask("a4", "COMMIT").await, "COMPLETE s.a4|IDLE I 3.2");
         let texts: Vec<_> = rig.replicas.iter().flat_map(|r| r.texts()).collect();
-        assert_eq!(texts, ["WAITPOS 3.2 BEGIN FETCH", "FETCH x", "FETCH x", "COMMIT"]);
+        assert_eq!(
+            texts,
+            ["WAITPOS 3.2 BEGIN FETCH", "FETCH x", "FETCH x", "COMMIT"]
+        );
         assert!(rig.primary.texts().is_empty());
     });
 }
@@ -433,7 +503,8 @@
 #[test]
 fn in_house_reads_owe_the_sessions_writes() {
     play(async |rig| {
-        rig.edge.samples("db", clock::now() + 1.0, Position { term: 3, number: 2 });
+        rig.edge
+            .samples("db", clock::now() + 1.0, Position { term: 3, number: 2 });
         rig.replicas.iter().for_each(|r| r.log.set(9));
         let mut a = Client::open(rig.front, "house").await;
         rig.primary.log.set(6);
@@ -471,7 +542,10 @@
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
         assert_eq!(rig.primary.writes.get(), 2);
         assert_eq!(rig.primary.conns.get(), 1);
-        assert_eq!(a.ask("a11", "COMMIT").await, "ERROR MALFORMED outside a transaction|IDLE I -");
+        assert_eq!(
+            a.ask("a11", "COMMIT").await,
+            "ERROR MALFORMED outside a transaction|IDLE I -"
+        );
     });
 }
 
@@ -495,21 +569,43 @@
     play(async |rig| {
         let mut a = Client::open(rig.front, "lead").await;
         rig.primary.tricks.borrow_mut().push(("PUT", Trick::Close));
-        assert_eq!(a.ask("a1", "PUT x 1").await, "ERROR INDOUBT no clear answer|IDLE I -");
+        assert_eq!(
+            a.ask("a1", "PUT x 1").await,
+            "ERROR INDOUBT no clear answer|IDLE I -"
+        );
         assert_eq!(rig.primary.writes.get(), 1);
 
         a.ask("a2", "BEGIN").await;
         a.ask("a3", "PUT x 1").await;
-        rig.primary.tricks.borrow_mut().push(("COMMIT", Trick::Close));
-        assert_eq!(a.ask("a4", "COMMIT").await, "ERROR INDOUBT no clear answer to COMMIT|IDLE I -");
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("COMMIT", Trick::Close));
+        assert_eq!(
+            a.ask("a4", "COMMIT").await,
+            "ERROR INDOUBT no clear answer to COMMIT|IDLE I -"
+        );
         assert_eq!(rig.primary.writes.get(), 2);
 
         // Silence until the deadline.
         let mut b = Client::open(rig.front, "short").await;
-        rig.primary.tricks.borrow_mut().push(("PUT", Trick::Silence));
-        assert_eq!(b.ask("b1", "PUT x 1").await, "ERROR INDOUBT no clear answer|IDLE I -");
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("PUT", Trick::Silence));
+        assert_eq!(
+            b.ask("b1", "PUT x 1").await,
+            "ERROR INDOUBT no clear answer|IDLE I -"
+        );
         assert_eq!(rig.primary.writes.get(), 3);
-        assert_eq!(rig.primary.texts().iter().filter(|t| t.starts_with("PUT")).count(), 3);
+        assert_eq!(
+            rig.primary
+                .texts()
+                .iter()
+                .filter(|t| t.starts_with("PUT"))
+                .count(),
+            3
+        );
     });
 }
 
@@ -519,9 +615,18 @@
         let mut a = Client::open(rig.front, "lead").await;
         a.ask("a1", "BEGIN").await;
         rig.primary.tricks.borrow_mut().push(("PUT", Trick::Close));
-        assert_eq!(a.ask("a2", "PUT x 1").await, "ERROR ABORTED the server was lost|IDLE E -");
-        assert_eq!(a.ask("a3", "PUT x 1").await, "ERROR MALFORMED the transaction has failed|IDLE E -");
-        assert_eq!(a.ask("a4", "COMMIT").await, "ERROR ABORTED the transaction had failed|IDLE I -");
+        assert_eq!(
+            a.ask("a2", "PUT x 1").await,
+            "ERROR ABORTED the server was lost|IDLE E -"
+        );
+        assert_eq!(
+            a.ask("a3", "PUT x 1").await,
+            "ERROR MALFORMED the transaction has failed|IDLE E -"
+        );
+        assert_eq!(
+            a.ask("a4", "COMMIT").await,
+            "ERROR ABORTED the transaction had failed|IDLE I -"
+        );
         assert_eq!(rig.primary.writes.get(), 0);
     });
 }
@@ -530,14 +635,23 @@
 fn what_has_not_run_is_sent_again() {
     play(async |rig| {
         let mut a = Client::open(rig.front, "lead").await;
-        rig.primary.tricks.borrow_mut().push(("PUT", Trick::Error("RETRY busy")));
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("PUT", Trick::Error("RETRY busy")));
         assert_eq!(a.ask("a1", "PUT x 1").await, "COMPLETE s.a1|IDLE I 3.1");
         a.ask("a2", "BEGIN").await;
-        rig.primary.tricks.borrow_mut().push(("BEGIN", Trick::Error("RETRY busy")));
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("BEGIN", Trick::Error("RETRY busy")));
         assert_eq!(a.ask("a3", "PUT x 1").await, "COMPLETE s.a3|IDLE T 3.1");
         assert_eq!(a.ask("a4", "COMMIT").await, "COMPLETE s.a4|IDLE I 3.2");
         // A failure that has run is the client's to judge.
-        rig.primary.tricks.borrow_mut().push(("PUT", Trick::Error("FAILED no")));
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("PUT", Trick::Error("FAILED no")));
         assert_eq!(a.ask("a5", "PUT x 1").await, "ERROR FAILED no|IDLE I 3.2");
         // A connection that the server has closed at rest is not used.
         rig.primary.hang_up.notify_waiters();
@@ -574,13 +688,27 @@
             a.ask(&format!("a{round}2"), "PUT x 1").await;
             let id = if closing { "i-0" } else { "i-1" };
             rig.tell(|view| {
-                view.grants.insert("db".into(), Grant { id: id.into(), term: 4, closing });
+                view.grants.insert(
+                    "db".into(),
+                    Grant {
+                        id: id.into(),
+                        term: 4,
+                        closing,
+                    },
+                );
             });
             let told = a.ask(&format!("a{round}3"), "COMMIT").await;
             assert_eq!(told, "ERROR ABORTED the primary changes|IDLE I -");
             rig.primary.sees(|p| p.rolled_back.get() == round + 1).await;
             rig.tell(|view| {
-                view.grants.insert("db".into(), Grant { id: "i-0".into(), term: 3, closing: false });
+                view.grants.insert(
+                    "db".into(),
+                    Grant {
+                        id: "i-0".into(),
+                        term: 3,
+                        closing: false,
+                    },
+                );
             });
         }
         assert_eq!(rig.primary.writes.get(), 0);
@@ -613,7 +741,10 @@
         a.ask("a1", "BEGIN").await;
         a.ask("a2", "PUT x 1").await;
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
-        assert_eq!(a.ask("a3", "PUT x 1").await, "ERROR ABORTED the transaction was ended|IDLE E -");
+        assert_eq!(
+            a.ask("a3", "PUT x 1").await,
+            "ERROR ABORTED the transaction was ended|IDLE E -"
+        );
         assert_eq!(a.ask("a4", "ABORT").await, "COMPLETE -|IDLE I -");
         assert_eq!(rig.primary.writes.get(), 0);
     });
@@ -629,7 +760,10 @@
         rig.shared.ending.set(Some(clock::now()));
         rig.shared.changed.notify_waiters();
         assert_eq!(idle.line().await, None);
-        assert_eq!(a.line().await.as_deref(), Some("ERROR ABORTED the router ends"));
+        assert_eq!(
+            a.line().await.as_deref(),
+            Some("ERROR ABORTED the router ends")
+        );
         assert_eq!(a.line().await, None);
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
         assert_eq!((rig.edge.open(), rig.primary.writes.get()), (0, 0));
@@ -665,11 +799,24 @@
         rig.shared.changed.notify_waiters();
         assert_eq!(held.answer().await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(begun.answer().await, "ERROR RETRY 200|IDLE E -");
-        assert_eq!(writer.answer().await, "ERROR INDOUBT no clear answer|IDLE I -");
+        assert_eq!(
+            writer.answer().await,
+            "ERROR INDOUBT no clear answer|IDLE I -"
+        );
         assert_eq!(reader.answer().await, "ERROR RETRY 200|IDLE I -");
-        assert_eq!(inside.answer().await, "ERROR ABORTED the server was lost|IDLE E -");
+        assert_eq!(
+            inside.answer().await,
+            "ERROR ABORTED the server was lost|IDLE E -"
+        );
         assert_eq!(held.line().await, None);
-        assert_eq!(rig.primary.texts().iter().filter(|t| t.starts_with("PUT x 3")).count(), 1);
+        assert_eq!(
+            rig.primary
+                .texts()
+                .iter()
+                .filter(|t| t.starts_with("PUT x 3"))
+                .count(),
+            1
+        );
     });
 }
 
@@ -684,11 +831,24 @@
             SessionEnd::None,
             "half of it is a transaction's"
         );
-        assert_eq!(SessionEnd::at(0.51 * grace, grace, true), SessionEnd::Unplaced);
-        assert_eq!(SessionEnd::at(grace * 5.0 / 6.0, grace, true), SessionEnd::Unplaced);
-        assert_eq!(SessionEnd::at(0.87 * grace, grace, false), SessionEnd::InFlight);
+        assert_eq!(
+            SessionEnd::at(0.51 * grace, grace, true),
+            SessionEnd::Unplaced
+        );
+        assert_eq!(
+            SessionEnd::at(grace * 5.0 / 6.0, grace, true),
+            SessionEnd::Unplaced
+        );
+        assert_eq!(
+            SessionEnd::at(0.87 * grace, grace, false),
+            SessionEnd::InFlight
+        );
     }
-    assert_eq!(SessionEnd::at(1.9, 6.0, false), SessionEnd::None, "some connections still come");
+    assert_eq!(
+        SessionEnd::at(1.9, 6.0, false),
+        SessionEnd::None,
+        "some connections still come"
+    );
     assert_eq!(SessionEnd::at(2.1, 6.0, false), SessionEnd::AtRest);
     assert_eq!(SessionEnd::at(2.1, 6.0, true), SessionEnd::None);
 }
@@ -703,10 +863,20 @@
         a.ask("a1", "BEGIN").await;
         a.ask("a2", "PUT x 1").await;
         c.ask("c1", "BEGIN").await;
-        rig.edge.sessions.borrow().values().for_each(|s| s.end.set(SessionEnd::Unplaced));
-        assert_eq!(a.ask("a3", "COMMIT").await, "ERROR ABORTED the router ends|IDLE I -");
+        rig.edge
+            .sessions
+            .borrow()
+            .values()
+            .for_each(|s| s.end.set(SessionEnd::Unplaced));
+        assert_eq!(
+            a.ask("a3", "COMMIT").await,
+            "ERROR ABORTED the router ends|IDLE I -"
+        );
         assert_eq!(a.line().await, None);
-        assert_eq!(c.ask("c2", "FETCH x").await, "ERROR ABORTED the router ends|IDLE E -");
+        assert_eq!(
+            c.ask("c2", "FETCH x").await,
+            "ERROR ABORTED the router ends|IDLE E -"
+        );
         assert_eq!(b.ask("b1", "PUT x 2").await, "ERROR RETRY 200|IDLE I -");
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
         assert_eq!(rig.primary.writes.get(), 0);
@@ -723,7 +893,10 @@
         a.say("QUERY a3 COMMIT\r\n").await;
         rig.shared.ending.set(Some(clock::now()));
         rig.shared.changed.notify_waiters();
-        assert_eq!(a.answer().await, "ERROR ABORTED the primary changes|IDLE I -");
+        assert_eq!(
+            a.answer().await,
+            "ERROR ABORTED the primary changes|IDLE I -"
+        );
         assert_eq!(rig.primary.writes.get(), 0);
     });
 }
@@ -736,22 +909,39 @@
         let mut a = Client::open(rig.front, "lead").await;
         a.ask("a1", "FETCH x").await;
         let well = rig.edge.evidence(&services, clock::now());
-        assert_eq!((well.len(), well[0].id.as_str(), well[0].failing_since), (1, "i-0", None));
+        assert_eq!(
+            (well.len(), well[0].id.as_str(), well[0].failing_since),
+            (1, "i-0", None)
+        );
         assert!(well[0].last_answer > 0.0);
-        assert!(rig.edge.evidence(&["other".to_owned()], clock::now()).is_empty());
+        assert!(
+            rig.edge
+                .evidence(&["other".to_owned()], clock::now())
+                .is_empty()
+        );
         let mut b = Client::open(rig.front, "bounded").await;
         b.ask("b1", "FETCH x").await;
         let told = rig.edge.evidence(&services, clock::now());
-        let mut answered: Vec<&str> =
-            told.iter().filter(|seen| seen.last_answer > 0.0).map(|seen| seen.id.as_str()).collect();
+        let mut answered: Vec<&str> = told
+            .iter()
+            .filter(|seen| seen.last_answer > 0.0)
+            .map(|seen| seen.id.as_str())
+            .collect();
         answered.sort_unstable();
         assert_eq!((answered.len(), answered[0]), (2, "i-0"));
-        rig.primary.tricks.borrow_mut().push(("PUT", Trick::Silence));
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("PUT", Trick::Silence));
         a.say("QUERY a2 PUT x 1\r\n").await;
         rig.primary.sees(|p| p.writes.get() == 1).await;
         let now = clock::now();
         let primary = |now: f64| {
-            let seen = rig.edge.evidence(&services, now).into_iter().find(|seen| seen.id == "i-0");
+            let seen = rig
+                .edge
+                .evidence(&services, now)
+                .into_iter()
+                .find(|seen| seen.id == "i-0");
             seen.expect("it was asked").failing_since
         };
         assert_eq!(primary(now), None);
@@ -765,7 +955,9 @@
     let rig = Rig::start(&tasks);
     async_io::block_on(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let stream = Async::<TcpStream>::connect(listener.local_addr().unwrap()).await.unwrap();
+        let stream = Async::<TcpStream>::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
         let size = std::mem::size_of_val(&client::serve(&rig.edge, stream, Rc::default()));
         assert!(size < 2048, "{size} bytes");
     });
@@ -773,7 +965,8 @@
 
 /// Answers are overdue soon, and there are connections enough.
 fn impatient(text: String) -> String {
-    text.replace("\"target_ms\":20000", "\"target_ms\":40").replace("\"max_conns\":1", "\"max_conns\":90")
+    text.replace("\"target_ms\":20000", "\"target_ms\":40")
+        .replace("\"max_conns\":1", "\"max_conns\":90")
 }
 
 #[test]
@@ -781,20 +974,35 @@
     play(async |rig| {
         rig.configure(impatient);
         let began = clock::now();
-        let (mut a, mut b) = (Client::open(rig.front, "lead").await, Client::open(rig.front, "lead").await);
+        let (mut a, mut b) = (
+            Client::open(rig.front, "lead").await,
+            Client::open(rig.front, "lead").await,
+        );
         a.say("QUERY a1 FETCH lost\r\n").await;
         // Twice, each time on another connection.
-        rig.primary.tricks.borrow_mut().extend([("FETCH lost", Trick::Silence); 2]);
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .extend([("FETCH lost", Trick::Silence); 2]);
         for round in 1..3 {
-            rig.primary.sees(|p| p.texts().iter().filter(|t| *t == "FETCH lost").count() == round).await;
-            assert!(b.ask(&format!("b{round}"), "FETCH x").await.starts_with("ROW"));
+            rig.primary
+                .sees(|p| p.texts().iter().filter(|t| *t == "FETCH lost").count() == round)
+                .await;
+            assert!(
+                b.ask(&format!("b{round}"), "FETCH x")
+                    .await
+                    .starts_with("ROW")
+            );
         }
         assert_eq!(a.answer().await, "ROW r.a1|COMPLETE s.a1|IDLE I 3.0");
         // Well before its deadline, which is a minute away.
         assert!(clock::now() - began < 30.0);
         let got = rig.primary.got.borrow();
-        let conns: std::collections::BTreeSet<_> =
-            got.iter().filter(|g| g.id == "a1").map(|g| g.conn).collect();
+        let conns: std::collections::BTreeSet<_> = got
+            .iter()
+            .filter(|g| g.id == "a1")
+            .map(|g| g.conn)
+            .collect();
         assert_eq!(conns.len(), 3);
     });
 }
@@ -809,14 +1017,22 @@
         // More than may be in work at once.
         for i in 0..6 {
             let mut a = Client::open(rig.front, "lead").await;
-            rig.primary.tricks.borrow_mut().push(("PUT", Trick::Silence));
+            rig.primary
+                .tricks
+                .borrow_mut()
+                .push(("PUT", Trick::Silence));
             a.say(&format!("QUERY a{i} PUT x 1\r\n")).await;
             rig.primary.sees(|p| p.writes.get() == i + 1).await;
             let id = format!("b{i}");
             assert!(b.ask(&id, "FETCH x").await.starts_with("ROW"));
             lost.push(a);
         }
-        let puts = rig.primary.texts().iter().filter(|t| t.starts_with("PUT")).count();
+        let puts = rig
+            .primary
+            .texts()
+            .iter()
+            .filter(|t| t.starts_with("PUT"))
+            .count();
         assert_eq!((puts, rig.primary.writes.get(), rig.edge.open()), (6, 6, 6));
         assert!(clock::now() - began < 30.0);
     });
@@ -826,14 +1042,25 @@
 fn a_transaction_that_waits_for_a_lost_answer_is_aborted_early() {
     play(async |rig| {
         rig.configure(impatient);
-        let (mut a, mut b) = (Client::open(rig.front, "lead").await, Client::open(rig.front, "lead").await);
+        let (mut a, mut b) = (
+            Client::open(rig.front, "lead").await,
+            Client::open(rig.front, "lead").await,
+        );
         let began = clock::now();
         a.ask("a1", "BEGIN").await;
-        rig.primary.tricks.borrow_mut().push(("PUT", Trick::Silence));
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("PUT", Trick::Silence));
         a.say("QUERY a2 PUT x 1\r\n").await;
-        rig.primary.sees(|p| p.got.borrow().iter().any(|g| g.id == "a2")).await;
+        rig.primary
+            .sees(|p| p.got.borrow().iter().any(|g| g.id == "a2"))
+            .await;
         assert!(b.ask("b1", "FETCH x").await.starts_with("ROW"));
-        assert_eq!(a.answer().await, "ERROR ABORTED the server was lost|IDLE E -");
+        assert_eq!(
+            a.answer().await,
+            "ERROR ABORTED the server was lost|IDLE E -"
+        );
         assert!(clock::now() - began < 30.0);
         assert_eq!(a.ask("a3", "ABORT").await, "COMPLETE -|IDLE I -");
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
@@ -848,7 +1075,10 @@
         let mut lost = Vec::new();
         for i in 0..2 {
             let mut a = Client::open(rig.front, "lead").await;
-            rig.primary.tricks.borrow_mut().push(("PUT", Trick::Silence));
+            rig.primary
+                .tricks
+                .borrow_mut()
+                .push(("PUT", Trick::Silence));
             a.say(&format!("QUERY a{i} PUT x 1\r\n")).await;
             rig.primary.sees(|p| p.writes.get() == i + 1).await;
             lost.push(a);
@@ -859,7 +1089,10 @@
         assert_eq!(c.ask("c2", "BEGIN").await, "COMPLETE -|IDLE T -");
         // The longer this lasts, the later is it to come back.
         let told = c.ask("c3", "PUT x 1").await;
-        assert!(told.starts_with("ERROR RETRY ") && told.ends_with("|IDLE E -"), "{told}");
+        assert!(
+            told.starts_with("ERROR RETRY ") && told.ends_with("|IDLE E -"),
+            "{told}"
+        );
         assert_eq!(c.ask("c4", "ABORT").await, "COMPLETE -|IDLE I -");
         assert_eq!(rig.primary.writes.get(), 2);
         // With fewer routers its part is larger.
@@ -874,15 +1107,24 @@
 fn an_own_statement_whose_answer_is_lost_costs_its_connection_only() {
     play(async |rig| {
         rig.configure(impatient);
-        let (mut a, mut b) = (Client::open(rig.front, "lead").await, Client::open(rig.front, "lead").await);
-        rig.primary.tricks.borrow_mut().push(("SET tz", Trick::Silence));
+        let (mut a, mut b) = (
+            Client::open(rig.front, "lead").await,
+            Client::open(rig.front, "lead").await,
+        );
+        rig.primary
+            .tricks
+            .borrow_mut()
+            .push(("SET tz", Trick::Silence));
         a.ask("a1", "SET tz here").await;
         a.say("QUERY a2 PUT x 1\r\n").await;
         rig.primary.sees(|p| !p.got.borrow().is_empty()).await;
         assert!(b.ask("b1", "FETCH x").await.starts_with("ROW"));
         assert_eq!(a.answer().await, "COMPLETE s.a2|IDLE I 3.1");
         let got = rig.primary.got.borrow();
-        assert!(got.iter().all(|g| g.id != "a2" || g.values == "tz=here;"), "{got:?}");
+        assert!(
+            got.iter().all(|g| g.id != "a2" || g.values == "tz=here;"),
+            "{got:?}"
+        );
     });
 }
 
@@ -910,7 +1152,10 @@
                 rig.primary.sees(|f| f.writes.get() == 1).await;
                 rig.tell(change);
                 rig.primary.release.notify_waiters();
-                assert_eq!(a.answer().await, "ERROR INDOUBT the primary changes|IDLE I -");
+                assert_eq!(
+                    a.answer().await,
+                    "ERROR INDOUBT the primary changes|IDLE I -"
+                );
             });
         }
     }
--- a/crates/node/src/tests/frames.rs
+++ b/crates/node/src/tests/frames.rs
@@ -20,7 +20,10 @@
     };
     Frame::Peer {
         to: Recipient::Node(7),
-        message: PeerMessage::Members { round: None, news: (0..count).map(member).collect() },
+        message: PeerMessage::Members {
+            round: None,
+            news: (0..count).map(member).collect(),
+        },
     }
 }
 
@@ -31,7 +34,13 @@
 #[test]
 fn what_is_written_is_read() {
     for frame in [
-        Frame::Hello { from: Voter { node: 7, incarnation: 3 }, life: 9 },
+        Frame::Hello {
+            from: Voter {
+                node: 7,
+                incarnation: 3,
+            },
+            life: 9,
+        },
         members(1),
         members(15),
         members(1000),
@@ -45,8 +54,10 @@
 fn long_frames_are_compressed() {
     let length = frames::bytes(&members(1000)).len();
     assert!(length < 25_000, "{length} bytes");
-    let short =
-        Frame::Peer { to: Recipient::Node(7), message: PeerMessage::RosterWanted { ballot: Ballot(1) } };
+    let short = Frame::Peer {
+        to: Recipient::Node(7),
+        message: PeerMessage::RosterWanted { ballot: Ballot(1) },
+    };
     assert!(frames::bytes(&short).len() < 32);
 }
 
@@ -58,7 +69,10 @@
     bytes.extend_from_slice(&body);
     assert!(bytes.len() < 64 << 10);
     for refused in [&bytes[..], &[0x80, 0, 0, 2, 1, 2]] {
-        assert_eq!(read(refused).unwrap_err().to_string(), "a frame can't be decompressed");
+        assert_eq!(
+            read(refused).unwrap_err().to_string(),
+            "a frame can't be decompressed"
+        );
     }
 }
 
@@ -88,7 +102,10 @@
     let written = frames::write_slowly(&mut writer, &bytes, STALLED_S);
     let (written, ()) = future::block_on(future::zip(written, slow));
     written.unwrap();
-    assert!(begin.elapsed().as_secs_f64() > 1.5 * STALLED_S, "it was not slow");
+    assert!(
+        begin.elapsed().as_secs_f64() > 1.5 * STALLED_S,
+        "it was not slow"
+    );
     let (mut writer, _reader) = connection();
     let stalled = future::block_on(frames::write_slowly(&mut writer, &bytes, STALLED_S));
     assert_eq!(stalled.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
--- a/crates/node/src/tests/metrics.rs
+++ b/crates/node/src/tests/metrics.rs
@@ -12,7 +12,11 @@
 fn the_text_has_the_form_of_openmetrics() {
     let mut snapshot = Snapshot::default();
     snapshot.gauge("router_clients", "Clients", 3.0);
-    snapshot.counters("control_calls", "Calls", [(vec![("call", "read".to_owned())], 2)]);
+    snapshot.counters(
+        "control_calls",
+        "Calls",
+        [(vec![("call", "read".to_owned())], 2)],
+    );
     let labels: Labels = vec![("service", "a\"b\\c\n".to_owned())];
     snapshot.gauges("router_waiting", "Waiting", [(labels, 1.5)]);
     let text = snapshot.text();
@@ -60,7 +64,10 @@
     counts.placed(false, -0.1);
     counts.placed(false, 20.0);
     counts.unplaced();
-    assert_eq!(counts.placements(), [("primary", 1), ("replica", 2), ("none", 1)]);
+    assert_eq!(
+        counts.placements(),
+        [("primary", 1), ("replica", 2), ("none", 1)]
+    );
     let mut snapshot = Snapshot::default();
     snapshot.histogram("wait_seconds", "Waits", &counts.wait);
     let text = snapshot.text();
--- a/crates/node/src/tests/server_queries.rs
+++ b/crates/node/src/tests/server_queries.rs
@@ -14,7 +14,10 @@
 use std::time::Duration;
 
 /// So long a query may take here, in seconds.
-const WAITS: Waits = Waits { answer_s: 0.3, idle_s: IDLE_S };
+const WAITS: Waits = Waits {
+    answer_s: 0.3,
+    idle_s: IDLE_S,
+};
 const ROW: &str = "ROW follower 3 3.7 0 12 2 17\r\nCOMPLETE -\r\nIDLE I 3.7\r\n";
 
 /// What the server does with a statement.
@@ -73,7 +76,11 @@
         let mut lines = LineBuffer::default();
         let mut bytes = [0; 256];
         loop {
-            let Some(line) = lines.next().unwrap().map(|l| String::from_utf8(l.to_vec()).unwrap()) else {
+            let Some(line) = lines
+                .next()
+                .unwrap()
+                .map(|l| String::from_utf8(l.to_vec()).unwrap())
+            else {
                 match stream.read(&mut bytes).await? {
                     0 => return Ok(()),
                     count => lines.feed(&bytes[..count]),
@@ -85,7 +92,9 @@
                 stream.write_all(b"IDLE I 3.7\r\n").await?;
                 continue;
             }
-            self.got.borrow_mut().push((connection, line["QUERY - ".len()..].to_owned()));
+            self.got
+                .borrow_mut()
+                .push((connection, line["QUERY - ".len()..].to_owned()));
             let step = self.steps.borrow_mut().pop_front().unwrap_or(Step::Answer);
             match step {
                 Step::Answer => stream.write_all(ROW.as_bytes()).await?,
@@ -113,17 +122,29 @@
     let tasks = Rc::new(LocalExecutor::new());
     let (server, endpoint) = Server::start(&tasks, steps);
     let told = RefCell::new(Vec::new());
-    let target = Target { id: "i-1".to_owned(), service: "db".to_owned(), endpoint };
+    let target = Target {
+        id: "i-1".to_owned(),
+        service: "db".to_owned(),
+        endpoint,
+    };
     let (sender, receiver) = async_channel::bounded(1);
     let (answered, answers) = async_channel::bounded(1);
     let work = async {
         for statement in statements {
-            sender.send(Query { statement: *statement, fence: 5 }).await.unwrap();
+            sender
+                .send(Query {
+                    statement: *statement,
+                    fence: 5,
+                })
+                .await
+                .unwrap();
             let answer = answers.recv().await.unwrap();
             told.borrow_mut().push(answer);
             // Whatever the server has ended is seen before the next one is sent.
             let closed = server.got.borrow().len();
-            server.until(|s| s.ends.borrow().len() >= ended_by_server(steps, closed)).await;
+            server
+                .until(|s| s.ends.borrow().len() >= ended_by_server(steps, closed))
+                .await;
         }
         sender.close();
     };
@@ -143,11 +164,19 @@
 }
 
 fn texts(server: &Server) -> Vec<String> {
-    server.got.borrow().iter().map(|(_, text)| text.clone()).collect()
+    server
+        .got
+        .borrow()
+        .iter()
+        .map(|(_, text)| text.clone())
+        .collect()
 }
 
-const CHANGES: [(Statement, &str); 3] =
-    [(Statement::Pause(4), "PAUSE 4"), (Statement::Resume, "RESUME"), (Statement::StepDown(4), "STEPDOWN 4")];
+const CHANGES: [(Statement, &str); 3] = [
+    (Statement::Pause(4), "PAUSE 4"),
+    (Statement::Resume, "RESUME"),
+    (Statement::StepDown(4), "STEPDOWN 4"),
+];
 
 #[test]
 fn what_changes_a_server_is_never_sent_again_without_an_answer() {
@@ -164,9 +193,19 @@
 #[test]
 fn a_status_is_asked_again_on_a_new_connection() {
     for end in [Step::Close, Step::HalfAnswer] {
-        let (server, told) = asked(&[Step::Answer, end], &[Statement::Status, Statement::Status], true);
+        let (server, told) = asked(
+            &[Step::Answer, end],
+            &[Statement::Status, Statement::Status],
+            true,
+        );
         assert_eq!(texts(&server), ["STATUS", "STATUS", "STATUS"]);
-        assert!(matches!(told[1], Asked::Row { statement: Statement::Status, .. }));
+        assert!(matches!(
+            told[1],
+            Asked::Row {
+                statement: Statement::Status,
+                ..
+            }
+        ));
         assert_eq!(server.connections.get(), 2);
     }
 }
@@ -174,8 +213,15 @@
 #[test]
 fn a_connection_that_ended_at_rest_carries_nothing() {
     for (statement, text) in CHANGES {
-        let (server, told) = asked(&[Step::AnswerAndClose], &[Statement::Status, statement], true);
-        assert_eq!(*server.got.borrow(), [(0, "STATUS".to_owned()), (1, text.to_owned())]);
+        let (server, told) = asked(
+            &[Step::AnswerAndClose],
+            &[Statement::Status, statement],
+            true,
+        );
+        assert_eq!(
+            *server.got.borrow(),
+            [(0, "STATUS".to_owned()), (1, text.to_owned())]
+        );
         assert!(matches!(told[1], Asked::Row { .. }), "{told:?}");
     }
 }
@@ -185,7 +231,10 @@
     for (statement, _) in CHANGES {
         let (server, told) = asked(&[], &[statement, Statement::Status], false);
         assert_eq!(texts(&server), ["STATUS"]);
-        assert!(matches!(told[..], [Asked::NotSent, Asked::Row { .. }]), "{told:?}");
+        assert!(
+            matches!(told[..], [Asked::NotSent, Asked::Row { .. }]),
+            "{told:?}"
+        );
     }
 }
 
@@ -193,20 +242,54 @@
 fn a_connection_without_an_answer_in_time_is_reset() {
     let tasks = Rc::new(LocalExecutor::new());
     let (server, endpoint) = Server::start(&tasks, &[Step::Silence]);
-    let target = Target { id: "i-1".to_owned(), service: "db".to_owned(), endpoint };
+    let target = Target {
+        id: "i-1".to_owned(),
+        service: "db".to_owned(),
+        endpoint,
+    };
     let (sender, receiver) = async_channel::bounded(2);
     let told = RefCell::new(Vec::new());
-    let ask = run(target, receiver, WAITS, |_| true, |_, asked| told.borrow_mut().push(asked));
+    let ask = run(
+        target,
+        receiver,
+        WAITS,
+        |_| true,
+        |_, asked| told.borrow_mut().push(asked),
+    );
     let work = async {
-        sender.send(Query { statement: Statement::Resume, fence: 5 }).await.unwrap();
+        sender
+            .send(Query {
+                statement: Statement::Resume,
+                fence: 5,
+            })
+            .await
+            .unwrap();
         server.until(|s| s.ends.borrow().len() == 1).await;
-        sender.send(Query { statement: Statement::Pause(4), fence: 5 }).await.unwrap();
+        sender
+            .send(Query {
+                statement: Statement::Pause(4),
+                fence: 5,
+            })
+            .await
+            .unwrap();
         sender.close();
     };
     async_io::block_on(tasks.run(future::zip(work, ask)));
     assert_eq!(server.ends.borrow()[0], Some(ErrorKind::ConnectionReset));
-    assert_eq!(*server.got.borrow(), [(0, "RESUME".to_owned()), (1, "PAUSE 4".to_owned())]);
-    assert!(matches!(told.borrow()[..], [Asked::Silent, Asked::Row { statement: Statement::Pause(4), .. }]));
+    assert_eq!(
+        *server.got.borrow(),
+        [(0, "RESUME".to_owned()), (1, "PAUSE 4".to_owned())]
+    );
+    assert!(matches!(
+        told.borrow()[..],
+        [
+            Asked::Silent,
+            Asked::Row {
+                statement: Statement::Pause(4),
+                ..
+            }
+        ]
+    ));
 }
 
 /// Whether the connection is still open so many milliseconds after the answer to its one question.
@@ -214,11 +297,30 @@
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let endpoint = listener.get_ref().local_addr().unwrap();
     let (sender, questions) = async_channel::bounded(4);
-    sender.try_send(Query { statement: Statement::Status, fence: 5 }).unwrap();
-    let target = Target { id: "i".to_owned(), service: "s".to_owned(), endpoint };
+    sender
+        .try_send(Query {
+            statement: Statement::Status,
+            fence: 5,
+        })
+        .unwrap();
+    let target = Target {
+        id: "i".to_owned(),
+        service: "s".to_owned(),
+        endpoint,
+    };
     let told = |_, asked| assert!(matches!(asked, Asked::Row { .. }), "{asked:?}");
     let asking = async {
-        run(target, questions, Waits { answer_s: 1.0, idle_s }, |_| true, told).await;
+        run(
+            target,
+            questions,
+            Waits {
+                answer_s: 1.0,
+                idle_s,
+            },
+            |_| true,
+            told,
+        )
+        .await;
         future::pending().await
     };
     let server = async {
@@ -227,7 +329,10 @@
         assert!(stream.read(&mut bytes).await.unwrap() > 0);
         stream.write_all(b"IDLE I -\r\n").await.unwrap();
         assert!(stream.read(&mut bytes).await.unwrap() > 0);
-        stream.write_all(b"ROW leader 1 1.7 1 0 0 0\r\nCOMPLETE -\r\nIDLE I 1.7\r\n").await.unwrap();
+        stream
+            .write_all(b"ROW leader 1 1.7 1 0 0 0\r\nCOMPLETE -\r\nIDLE I 1.7\r\n")
+            .await
+            .unwrap();
         let ended = async { stream.read(&mut bytes).await.unwrap_or(0) > 0 };
         let kept = async {
             Timer::after(Duration::from_millis(300)).await;
--- a/crates/node/src/tests/servers.rs
+++ b/crates/node/src/tests/servers.rs
@@ -1,7 +1,9 @@
 //! The file of the servers that a control machine knows: torn ones and those of other forms are passed over.
 
 use super::{Servers, pack, unpack};
-use badgerstream_control::{ControlTiming, Controller, FOUNDING, MemberNews, Record, Timing, Voter};
+use badgerstream_control::{
+    ControlTiming, Controller, FOUNDING, MemberNews, Record, Timing, Voter,
+};
 use std::path::Path;
 
 #[test]
@@ -42,12 +44,36 @@
         gone: false,
         call_seq: 0,
     };
-    let service =
-        Timing { ask: 0.2, ask_replica: 1.0, silence: 0.6, answer: 0.6, heartbeat: 1.2, drain: 7.0 };
-    let (lease, suspect, contact, platform, turn, call, forget) = (1.5, 0.6, 1.0, 1.0, 0.0, 0.9, 4.8);
-    let timing = ControlTiming { lease, suspect, contact, platform, turn, call, forget, service };
-    let mut controller =
-        Controller::new(Voter { node: 1, incarnation: FOUNDING }, Record::default(), 0.0, 7, timing);
+    let service = Timing {
+        ask: 0.2,
+        ask_replica: 1.0,
+        silence: 0.6,
+        answer: 0.6,
+        heartbeat: 1.2,
+        drain: 7.0,
+    };
+    let (lease, suspect, contact, platform, turn, call, forget) =
+        (1.5, 0.6, 1.0, 1.0, 0.0, 0.9, 4.8);
+    let timing = ControlTiming {
+        lease,
+        suspect,
+        contact,
+        platform,
+        turn,
+        call,
+        forget,
+        service,
+    };
+    let mut controller = Controller::new(
+        Voter {
+            node: 1,
+            incarnation: FOUNDING,
+        },
+        Record::default(),
+        0.0,
+        7,
+        timing,
+    );
     controller.recall(0.0, known.iter().map(member).collect(), 0.0);
     controller
 }
@@ -65,6 +91,13 @@
         assert_eq!(read, known);
     }
     std::fs::remove_dir_all(&folder).unwrap();
-    assert!(!servers.keep_now(2.0, &controller(&["a"])), "its folder is gone");
-    assert!(Servers::new(Path::new("/nowhere/servers").to_path_buf()).read().is_empty());
+    assert!(
+        !servers.keep_now(2.0, &controller(&["a"])),
+        "its folder is gone"
+    );
+    assert!(
+        Servers::new(Path::new("/nowhere/servers").to_path_buf())
+            .read()
+            .is_empty()
+    );
 }
--- a/crates/node/src/tests/session.rs
+++ b/crates/node/src/tests/session.rs
@@ -14,7 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const SPANS: Spans = Spans { renew: 0.3, suspect: 0.4 };
+const SPANS: Spans = Spans {
+    renew: 0.3,
+    suspect: 0.4,
+};
 const OLD: Ballot = Ballot(1 << 32);
 const NEW: Ballot = Ballot(2 << 32);
 
@@ -39,7 +42,14 @@
             let all = [seen("a"), seen("b")].into_iter();
             all.filter(|seen| wanted.contains(&seen.service)).collect()
         };
-        let session = Session::new("edge-1".to_owned(), 7, address.port(), SPANS, shared.clone(), seen);
+        let session = Session::new(
+            "edge-1".to_owned(),
+            7,
+            address.port(),
+            SPANS,
+            shared.clone(),
+            seen,
+        );
         session.seeds(&[address]);
         tasks.spawn(session.run()).detach();
         let rig = Rig { listener, shared };
@@ -52,7 +62,11 @@
 
     /// Whether this service's primary may be used now.
     fn may_use(&self, id: &str) -> bool {
-        self.shared.view.borrow().primary("a", clock::now()).is_some_and(|grant| grant.id == id)
+        self.shared
+            .view
+            .borrow()
+            .primary("a", clock::now())
+            .is_some_and(|grant| grant.id == id)
     }
 }
 
@@ -64,7 +78,9 @@
 }
 
 async fn say(stream: &mut Async<TcpStream>, news: ToRouter) {
-    frames::write(stream, &Frame::News(Rc::new(news))).await.unwrap();
+    frames::write(stream, &Frame::News(Rc::new(news)))
+        .await
+        .unwrap();
 }
 
 fn news(known: (Ballot, u64), whole: bool) -> ToRouter {
@@ -85,14 +101,25 @@
 fn granting(known: (Ballot, u64), id: &str, closing: bool) -> ToRouter {
     let mut granting = news(known, true);
     if let ToRouter::News { grants, .. } = &mut granting {
-        grants.push(GrantNews { service: "a".to_owned(), id: id.to_owned(), term: 1, closing });
+        grants.push(GrantNews {
+            service: "a".to_owned(),
+            id: id.to_owned(),
+            term: 1,
+            closing,
+        });
     }
     granting
 }
 
 fn answer(call: &ToControl, known: (Ballot, u64), given: f64, wanted: &[&str]) -> ToRouter {
     let mut answer = news(known, false);
-    if let ToRouter::News { sent, lease, evidence_wanted, .. } = &mut answer {
+    if let ToRouter::News {
+        sent,
+        lease,
+        evidence_wanted,
+        ..
+    } = &mut answer
+    {
         (*sent, *lease) = (Some(call.sent), given);
         evidence_wanted.extend(wanted.iter().map(|service| (*service).to_owned()));
     }
@@ -146,7 +173,11 @@
         let first = renewal(&mut stream).await;
         say(&mut stream, granting((OLD, 5), "x", false)).await;
         say(&mut stream, answer(&first, (OLD, 3), 1.0, &[])).await;
-        assert_eq!(renewal(&mut stream).await.known, (OLD, 5), "in answer to the news");
+        assert_eq!(
+            renewal(&mut stream).await.known,
+            (OLD, 5),
+            "in answer to the news"
+        );
         assert_eq!(renewal(&mut stream).await.known, (OLD, 5), "in its time");
         assert!(rig.may_use("x"));
     });
@@ -169,7 +200,10 @@
         while call.known != (NEW, 1) {
             call = renewal(&mut stream).await;
         }
-        assert!(clock::now() < until, "the machine is too slow for this test");
+        assert!(
+            clock::now() < until,
+            "the machine is too slow for this test"
+        );
         assert!(rig.may_use("x"));
         while call.sent < until {
             say(&mut stream, answer(&call, (NEW, 1), 0.0, &[])).await;
@@ -227,7 +261,11 @@
         assert!(call.evidence.is_empty());
         say(&mut stream, answer(&call, (OLD, 0), 0.0, &["b"])).await;
         let call = renewal(&mut stream).await;
-        let told: Vec<&str> = call.evidence.iter().map(|seen| seen.service.as_str()).collect();
+        let told: Vec<&str> = call
+            .evidence
+            .iter()
+            .map(|seen| seen.service.as_str())
+            .collect();
         assert_eq!(told, ["b"]);
         say(&mut stream, answer(&call, (OLD, 0), 0.0, &[])).await;
         assert!(renewal(&mut stream).await.evidence.is_empty());
@@ -244,7 +282,14 @@
                 let mut stream = rig.accept().await;
                 renewal(&mut stream).await;
                 let voters = vec![u32::from(Ipv4Addr::new(127, 0, 0, 58))];
-                say(&mut stream, ToRouter::Elsewhere { leader: None, voters }).await;
+                say(
+                    &mut stream,
+                    ToRouter::Elsewhere {
+                        leader: None,
+                        voters,
+                    },
+                )
+                .await;
                 streams.push(stream);
             }
         };
@@ -288,8 +333,19 @@
     Rig::play(Ipv4Addr::new(127, 0, 0, 55), async |rig| {
         let mut stream = rig.accept().await;
         assert_eq!(renewal(&mut stream).await.epoch, 0);
-        let in_force = || rig.shared.view.borrow().config.as_ref().map(|config| config.epoch);
-        say(&mut stream, telling((OLD, 1), ConfigNews::Whole(config(3, 500)))).await;
+        let in_force = || {
+            rig.shared
+                .view
+                .borrow()
+                .config
+                .as_ref()
+                .map(|config| config.epoch)
+        };
+        say(
+            &mut stream,
+            telling((OLD, 1), ConfigNews::Whole(config(3, 500))),
+        )
+        .await;
         assert_eq!((renewal(&mut stream).await.epoch, in_force()), (3, Some(3)));
         let step = |from: (u64, u64), to: (u64, u64)| {
             Rc::new(Difference::between(&config(from.0, from.1), &config(to.0, to.1)).unwrap())
@@ -300,7 +356,11 @@
         let other = ConfigNews::Changes(vec![step((7, 500), (8, 500))]);
         say(&mut stream, telling((OLD, 3), other)).await;
         assert_eq!((renewal(&mut stream).await.epoch, in_force()), (0, Some(6)));
-        say(&mut stream, telling((OLD, 4), ConfigNews::Whole(config(8, 500)))).await;
+        say(
+            &mut stream,
+            telling((OLD, 4), ConfigNews::Whole(config(8, 500))),
+        )
+        .await;
         assert_eq!((renewal(&mut stream).await.epoch, in_force()), (8, Some(8)));
     });
 }
@@ -316,9 +376,17 @@
             let mut stream = accepted.expect("it comes back");
             renewal(&mut stream).await;
             let voters = vec![gone(60), gone(61), gone(62)];
-            say(&mut stream, ToRouter::Elsewhere { leader: None, voters }).await;
+            say(
+                &mut stream,
+                ToRouter::Elsewhere {
+                    leader: None,
+                    voters,
+                },
+            )
+            .await;
             // It has taken that once it closes.
-            let closed = frames::within(3.0, async { Ok(frames::read(&mut stream).await.is_err()) }).await;
+            let closed =
+                frames::within(3.0, async { Ok(frames::read(&mut stream).await.is_err()) }).await;
             assert!(closed.expect("it goes on"));
         }
     });
--- a/crates/node/src/tests/sessions.rs
+++ b/crates/node/src/tests/sessions.rs
@@ -21,9 +21,18 @@
 
 fn news(number: u64) -> Rc<ToRouter> {
     let mut news = answer(0.0);
-    if let ToRouter::News { known, sent, config, .. } = &mut news {
-        (*known, *sent, *config) =
-            ((Ballot(1), number), None, Some(ConfigNews::Whole(random_bytes(100_000).into())));
+    if let ToRouter::News {
+        known,
+        sent,
+        config,
+        ..
+    } = &mut news
+    {
+        (*known, *sent, *config) = (
+            (Ballot(1), number),
+            None,
+            Some(ConfigNews::Whole(random_bytes(100_000).into())),
+        );
     }
     Rc::new(news)
 }
@@ -61,16 +70,34 @@
     let sessions = Sessions::default();
     let outbox = open(&sessions, 1);
     let mut question = answer(0.0);
-    if let ToRouter::News { sent, lease, evidence_wanted, .. } = &mut question {
+    if let ToRouter::News {
+        sent,
+        lease,
+        evidence_wanted,
+        ..
+    } = &mut question
+    {
         (*sent, *lease, *evidence_wanted) = (None, 0.0, vec!["catalog".to_owned()]);
     }
     sessions.answer(1, answer(5.0));
     sessions.answer(1, question.clone());
-    let Some(ToRouter::News { sent, lease, evidence_wanted, .. }) = outbox.answer.borrow().clone() else {
+    let Some(ToRouter::News {
+        sent,
+        lease,
+        evidence_wanted,
+        ..
+    }) = outbox.answer.borrow().clone()
+    else {
         panic!();
     };
-    assert_eq!((sent, lease, evidence_wanted), (Some(5.0), 1.0, vec!["catalog".to_owned()]));
-    let elsewhere = ToRouter::Elsewhere { leader: None, voters: Vec::new() };
+    assert_eq!(
+        (sent, lease, evidence_wanted),
+        (Some(5.0), 1.0, vec!["catalog".to_owned()])
+    );
+    let elsewhere = ToRouter::Elsewhere {
+        leader: None,
+        voters: Vec::new(),
+    };
     sessions.answer(1, elsewhere.clone());
     assert_eq!(*outbox.answer.borrow(), Some(elsewhere));
 }
@@ -108,8 +135,16 @@
         let read = async {
             let first = frames::read(&mut far).await.unwrap();
             assert_eq!(first, Frame::News(Rc::new(answer(3.0))));
-            let Frame::News(second) = frames::read(&mut far).await.unwrap() else { panic!() };
-            assert!(matches!(&*second, ToRouter::News { known: (Ballot(1), 7), .. }));
+            let Frame::News(second) = frames::read(&mut far).await.unwrap() else {
+                panic!()
+            };
+            assert!(matches!(
+                &*second,
+                ToRouter::News {
+                    known: (Ballot(1), 7),
+                    ..
+                }
+            ));
         };
         future::or(read, async {
             writer.as_mut().await;
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -58,13 +58,24 @@
 impl View {
     /// The primary of this service, if it may be used now.
     pub fn primary(&self, service: &str, now: f64) -> Option<&Grant> {
-        let granted = self.grants.get(service).filter(|grant| now < self.lease_until && !grant.closing);
-        granted.or_else(|| self.fading.get(service).filter(|(_, until)| now < *until).map(|(grant, _)| grant))
+        let granted = self
+            .grants
+            .get(service)
+            .filter(|grant| now < self.lease_until && !grant.closing);
+        granted.or_else(|| {
+            self.fading
+                .get(service)
+                .filter(|(_, until)| now < *until)
+                .map(|(grant, _)| grant)
+        })
     }
 
     /// When the last lease ends, of the leader that is there or of the one before.
     pub fn leased_until(&self) -> f64 {
-        self.fading.values().map(|(_, until)| *until).fold(self.lease_until, f64::max)
+        self.fading
+            .values()
+            .map(|(_, until)| *until)
+            .fold(self.lease_until, f64::max)
     }
 }
 
--- a/crates/pooling/src/connection.rs
+++ b/crates/pooling/src/connection.rs
@@ -66,7 +66,11 @@
             Distance::Reset
         } else if self.values == *values {
             Distance::Same
-        } else if self.values.iter().all(|(name, _)| values.get(name).is_some()) {
+        } else if self
+            .values
+            .iter()
+            .all(|(name, _)| values.get(name).is_some())
+        {
             Distance::Sets
         } else {
             Distance::Reset
@@ -78,17 +82,24 @@
     pub fn changes(&self, values: &Values, shape: Option<&Shape>) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let known = shape.is_none_or(|s| self.number(s).is_some());
-        let reset = self.distance(values) == Distance::Reset || !known && self.shapes.len() >= MAX_SHAPES;
+        let reset =
+            self.distance(values) == Distance::Reset || !known && self.shapes.len() >= MAX_SHAPES;
         if reset {
             changes.push(StateChange::Reset);
         }
         for (name, value) in values.iter() {
             if reset || self.values.get(name) != Some(value) {
-                changes.push(StateChange::Set { name: name.into(), value: value.into() });
+                changes.push(StateChange::Set {
+                    name: name.into(),
+                    value: value.into(),
+                });
             }
         }
         if let Some(shape) = shape.filter(|_| reset || !known) {
-            changes.push(StateChange::Prepare { number: self.last_number + 1, shape: shape.clone() });
+            changes.push(StateChange::Prepare {
+                number: self.last_number + 1,
+                shape: shape.clone(),
+            });
         }
         changes
     }
@@ -116,6 +127,9 @@
 
     /// The number in our name for this shape.
     pub fn number(&self, shape: &Shape) -> Option<u32> {
-        self.shapes.iter().find(|(s, _)| s == shape).map(|(_, n)| *n)
+        self.shapes
+            .iter()
+            .find(|(s, _)| s == shape)
+            .map(|(_, n)| *n)
     }
 }
--- a/crates/pooling/src/freshness.rs
+++ b/crates/pooling/src/freshness.rs
@@ -25,7 +25,10 @@
             return;
         }
         // The other way round it takes the place of those it outdoes.
-        let from = self.samples.partition_point(|(_, p)| *p < position).min(after);
+        let from = self
+            .samples
+            .partition_point(|(_, p)| *p < position)
+            .min(after);
         if from < after {
             self.samples.drain(from..after);
         }
--- a/crates/pooling/src/health.rs
+++ b/crates/pooling/src/health.rs
@@ -51,6 +51,8 @@
     /// costs a way there and back and never a rule.
     pub fn may_have(&self, position: Position, now: f64) -> bool {
         self.confirmed.is_some_and(|k| k >= position)
-            || !self.lagging.is_some_and(|(p, until)| now < until && p <= position)
+            || !self
+                .lagging
+                .is_some_and(|(p, until)| now < until && p <= position)
     }
 }
--- a/crates/pooling/src/latency.rs
+++ b/crates/pooling/src/latency.rs
@@ -29,8 +29,9 @@
 
     /// What takes no slot there was answered after so many seconds: no more than the round trip.
     pub fn record_round_trip(&mut self, took: f64) {
-        let round_trip =
-            self.round_trip.map_or(took, |round_trip| took.min(round_trip + (took - round_trip) / 16.0));
+        let round_trip = self.round_trip.map_or(took, |round_trip| {
+            took.min(round_trip + (took - round_trip) / 16.0)
+        });
         self.round_trip = Some(round_trip);
     }
 
--- a/crates/pooling/src/queue.rs
+++ b/crates/pooling/src/queue.rs
@@ -25,7 +25,13 @@
 impl Queue {
     /// Lets in this many at once.
     pub fn new(limit: usize) -> Self {
-        Self { limit, busy: 0, arrivals: 0, waiting: BTreeMap::new(), late: BTreeSet::new() }
+        Self {
+            limit,
+            busy: 0,
+            arrivals: 0,
+            waiting: BTreeMap::new(),
+            late: BTreeSet::new(),
+        }
     }
 
     /// Changes how many are let in; those let in by it are taken by `admit`.
@@ -45,7 +51,10 @@
             return None;
         }
         self.arrivals += 1;
-        let place = Place { rank, arrival: self.arrivals };
+        let place = Place {
+            rank,
+            arrival: self.arrivals,
+        };
         self.waiting.insert(place, latest_start);
         Some(place)
     }
@@ -86,13 +95,23 @@
     /// How many would be admitted before one of this rank who came at this second with this latest start. Who has missed
     /// its own is among those before only for others who have.
     pub fn ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
-        let in_time =
-            self.waiting.iter().filter(|(place, a)| **a >= now && (latest_start < now || place.rank <= rank));
+        let in_time = self
+            .waiting
+            .iter()
+            .filter(|(place, a)| **a >= now && (latest_start < now || place.rank <= rank));
         if latest_start >= now {
             return in_time.count();
         }
-        let missed = self.waiting.iter().filter(|(_, a)| **a < now).map(|(place, _)| place);
-        in_time.count() + missed.chain(&self.late).filter(|place| place.rank <= rank).count()
+        let missed = self
+            .waiting
+            .iter()
+            .filter(|(_, a)| **a < now)
+            .map(|(place, _)| place);
+        in_time.count()
+            + missed
+                .chain(&self.late)
+                .filter(|place| place.rank <= rank)
+                .count()
     }
 
     /// Whoever comes now must wait.
--- a/crates/pooling/src/session.rs
+++ b/crates/pooling/src/session.rs
@@ -43,7 +43,10 @@
 
     /// The value of this name.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.binary_search_by(|(n, _)| (**n).cmp(name)).ok().map(|at| &*self.0[at].1)
+        self.0
+            .binary_search_by(|(n, _)| (**n).cmp(name))
+            .ok()
+            .map(|at| &*self.0[at].1)
     }
 
     /// All, by name.
@@ -127,7 +130,9 @@
 impl Session {
     /// Takes a value; to be acknowledged once taken.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), SessionError> {
-        if self.values.len() >= MAX_NAMES || self.values.bytes() + name.len() + value.len() > MAX_BYTES {
+        if self.values.len() >= MAX_NAMES
+            || self.values.bytes() + name.len() + value.len() > MAX_BYTES
+        {
             return Err(SessionError::Full);
         }
         self.values.set(name, value);
@@ -136,11 +141,18 @@
 
     /// Takes a prepared name, in the place of an older one of that name; to be acknowledged once taken.
     pub fn prepare(&mut self, name: &str, kind: Kind, shape: &str) -> Result<(), SessionError> {
-        let bytes: usize = self.prepared.iter().map(|(n, s)| n.len() + s.text.len()).sum();
+        let bytes: usize = self
+            .prepared
+            .iter()
+            .map(|(n, s)| n.len() + s.text.len())
+            .sum();
         if bytes + name.len() + shape.len() > MAX_BYTES {
             return Err(SessionError::Full);
         }
-        let shape = Shape { kind, text: shape.into() };
+        let shape = Shape {
+            kind,
+            text: shape.into(),
+        };
         match self.prepared.iter().position(|(n, _)| **n == *name) {
             Some(at) => self.prepared[at].1 = shape,
             None if self.prepared.len() >= MAX_NAMES => return Err(SessionError::Full),
@@ -154,12 +166,19 @@
 
     /// What this name runs.
     pub fn shape(&self, name: &str) -> Option<&Shape> {
-        self.prepared.iter().find(|(n, _)| **n == *name).map(|(_, s)| s)
+        self.prepared
+            .iter()
+            .find(|(n, _)| **n == *name)
+            .map(|(_, s)| s)
     }
 
     /// Forgets a prepared name.
     pub fn release(&mut self, name: &str) -> Result<(), SessionError> {
-        let at = self.prepared.iter().position(|(n, _)| **n == *name).ok_or(SessionError::Unknown)?;
+        let at = self
+            .prepared
+            .iter()
+            .position(|(n, _)| **n == *name)
+            .ok_or(SessionError::Unknown)?;
         self.prepared.swap_remove(at);
         Ok(())
     }
--- a/crates/pooling/src/share.rs
+++ b/crates/pooling/src/share.rs
@@ -27,7 +27,11 @@
 impl Share {
     /// Of this many connections, among this many routers.
     pub fn new(max_conns: usize, routers: usize) -> Self {
-        Self { max_conns, routers: routers.max(1), caution_until: 0.0 }
+        Self {
+            max_conns,
+            routers: routers.max(1),
+            caution_until: 0.0,
+        }
     }
 
     /// Another number of connections or routers.
@@ -43,11 +47,16 @@
 
     /// The plain share, of what is left besides control's connections.
     pub fn plain(&self) -> usize {
-        (self.max_conns.saturating_sub(RESERVED_CONNS) / self.routers).clamp(2, self.max_conns.max(2))
+        (self.max_conns.saturating_sub(RESERVED_CONNS) / self.routers)
+            .clamp(2, self.max_conns.max(2))
     }
 
     /// How many may be open now.
     pub fn limit(&self, now: f64) -> usize {
-        if now < self.caution_until { (self.plain() / 2).max(2) } else { self.plain() }
+        if now < self.caution_until {
+            (self.plain() / 2).max(2)
+        } else {
+            self.plain()
+        }
     }
 }
--- a/crates/pooling/src/tests/choices.rs
+++ b/crates/pooling/src/tests/choices.rs
@@ -11,7 +11,12 @@
 }
 
 fn ask(consistency: Consistency, access: Access, arrived: f64) -> ChoiceInput {
-    ChoiceInput { consistency, access, arrived, primary_slow: false }
+    ChoiceInput {
+        consistency,
+        access,
+        arrived,
+        primary_slow: false,
+    }
 }
 
 fn history() -> History {
@@ -24,7 +29,11 @@
 #[test]
 fn writes_and_fresh_reads_go_to_the_primary() {
     let session = Session::default();
-    for consistency in [Consistency::Strong, Consistency::Bounded(1.5), Consistency::ReadYourWrites(2.5)] {
+    for consistency in [
+        Consistency::Strong,
+        Consistency::Bounded(1.5),
+        Consistency::ReadYourWrites(2.5),
+    ] {
         let ask = ask(consistency, Access::Write, 10.0);
         assert_eq!(choose(&ask, &session, &history(), 10.0), Choice::Primary);
     }
@@ -39,7 +48,12 @@
 fn bounded_reads_take_the_smallest_proof_inside_their_bound() {
     let session = Session::default();
     let read = |s, arrived| {
-        choose(&ask(Consistency::Bounded(s), Access::Read, arrived), &session, &history(), arrived)
+        choose(
+            &ask(Consistency::Bounded(s), Access::Read, arrived),
+            &session,
+            &history(),
+            arrived,
+        )
     };
     assert_eq!(read(1.5, 10.0), Choice::Replica(at(50)));
     assert_eq!(read(0.7, 10.0), Choice::Replica(at(60)));
@@ -53,11 +67,17 @@
     session.mark.touch(7.5);
     let mut read = ask(Consistency::ReadYourWrites(5.0), Access::Read, 10.0);
     assert_eq!(choose(&read, &session, &history(), 10.0), Choice::Primary);
-    assert_eq!(choose(&read, &session, &history(), 7.5 + MARK_S), Choice::Replica(at(50)));
+    assert_eq!(
+        choose(&read, &session, &history(), 7.5 + MARK_S),
+        Choice::Replica(at(50))
+    );
     // A full or slow primary is left for a replica that is known past the session's write.
     session.wrote(Some(at(70)));
     read.primary_slow = true;
-    assert_eq!(choose(&read, &session, &history(), 10.0), Choice::Replica(at(70)));
+    assert_eq!(
+        choose(&read, &session, &history(), 10.0),
+        Choice::Replica(at(70))
+    );
 }
 
 #[test]
@@ -68,14 +88,24 @@
     session.wrote(None);
     let own = ask(Consistency::ReadYourWrites(2.5), Access::Read, 10.0);
     let bounded = ask(Consistency::Bounded(2.5), Access::Read, 10.0);
-    assert_eq!(choose(&own, &session, &history(), 10.0), Choice::Replica(at(70)));
-    assert_eq!(choose(&bounded, &session, &history(), 10.0), Choice::Replica(at(50)));
+    assert_eq!(
+        choose(&own, &session, &history(), 10.0),
+        Choice::Replica(at(70))
+    );
+    assert_eq!(
+        choose(&bounded, &session, &history(), 10.0),
+        Choice::Replica(at(50))
+    );
 }
 
 #[test]
 fn the_counter_takes_each_in_turn_and_wraps() {
-    let mut rotation = Rotation { next: usize::MAX - 1 };
-    let taken: Vec<_> = (0..6).map(|_| rotation.next(2, |_| true).unwrap()).collect();
+    let mut rotation = Rotation {
+        next: usize::MAX - 1,
+    };
+    let taken: Vec<_> = (0..6)
+        .map(|_| rotation.next(2, |_| true).unwrap())
+        .collect();
     assert_eq!(taken, [0, 1, 0, 1, 0, 1]);
     assert_eq!(rotation.next(0, |_| true), None);
 }
--- a/crates/pooling/src/tests/conns.rs
+++ b/crates/pooling/src/tests/conns.rs
@@ -41,7 +41,9 @@
                 0 => session.set(name, u.choose(&["1", "2 2"])?).unwrap(),
                 1 => {
                     let kind = *u.choose(&[Kind::Fetch, Kind::Put])?;
-                    session.prepare(name, kind, u.choose(&["q1", "q2", "q3 x"])?).unwrap();
+                    session
+                        .prepare(name, kind, u.choose(&["q1", "q2", "q3 x"])?)
+                        .unwrap();
                 }
                 2 => {
                     let known = session.shape(name).is_some();
@@ -52,15 +54,21 @@
                     let shape = session.shape(name).cloned();
                     let before = conn.distance(&session.values);
                     let changes = conn.changes(&session.values, shape.as_ref());
-                    assert_eq!(changes.contains(&StateChange::Reset), before == Distance::Reset);
+                    assert_eq!(
+                        changes.contains(&StateChange::Reset),
+                        before == Distance::Reset
+                    );
                     for change in &changes {
                         held.run(&change.text());
                         conn.acknowledged(change);
                     }
                     assert_eq!(conn.distance(&session.values), Distance::Same);
                     assert!(conn.changes(&session.values, shape.as_ref()).is_empty());
-                    let expected: BTreeMap<String, String> =
-                        session.values.iter().map(|(n, v)| (n.into(), v.into())).collect();
+                    let expected: BTreeMap<String, String> = session
+                        .values
+                        .iter()
+                        .map(|(n, v)| (n.into(), v.into()))
+                        .collect();
                     assert_eq!(held.values, expected);
                     if let Some(shape) = shape {
                         let ours = format!("p{}", conn.number(&shape).unwrap());
@@ -115,7 +123,10 @@
         session.prepare(&format!("n{i}"), Kind::Put, "q").unwrap();
     }
     assert_eq!(session.set("more", "v"), Err(SessionError::Full));
-    assert_eq!(session.prepare("more", Kind::Put, "q"), Err(SessionError::Full));
+    assert_eq!(
+        session.prepare("more", Kind::Put, "q"),
+        Err(SessionError::Full)
+    );
     // An older name is replaced all the same.
     assert_eq!(session.prepare("n1", Kind::Fetch, "q2"), Ok(()));
     assert_eq!(session.shape("n1").unwrap().kind, Kind::Fetch);
--- a/crates/pooling/src/tests/freshness.rs
+++ b/crates/pooling/src/tests/freshness.rs
@@ -29,7 +29,10 @@
         for _ in 0..10 {
             let since = f64::from(u.int_in_range(0..=6000u32)?) / 1000.0;
             if let Some(proof) = history.proof(since) {
-                assert!(proof >= at(log(since)), "{proof} lacks a commit before {since}");
+                assert!(
+                    proof >= at(log(since)),
+                    "{proof} lacks a commit before {since}"
+                );
                 assert!(samples.iter().any(|(t, p)| *t >= since && at(*p) == proof));
             }
         }
--- a/crates/pooling/src/tests/queues.rs
+++ b/crates/pooling/src/tests/queues.rs
@@ -28,14 +28,17 @@
         for _ in 0..u.int_in_range(0..=60)? {
             match u.int_in_range(0..=3)? {
                 0 => {
-                    let (rank, latest_start) =
-                        (u.int_in_range(0..=2)?, now + f64::from(u.int_in_range(-2..=4)?));
+                    let (rank, latest_start) = (
+                        u.int_in_range(0..=2)?,
+                        now + f64::from(u.int_in_range(-2..=4)?),
+                    );
                     let ahead = queue.ahead(rank, latest_start, now);
                     match queue.enter(rank, latest_start) {
                         None => inside += 1,
                         Some(place) => {
-                            let before =
-                                |&&(p, a): &&(Place, f64)| (a < now, p) < (latest_start < now, place);
+                            let before = |&&(p, a): &&(Place, f64)| {
+                                (a < now, p) < (latest_start < now, place)
+                            };
                             assert_eq!(ahead, waiting.iter().filter(before).count());
                             waiting.push((place, latest_start));
                         }
@@ -54,7 +57,10 @@
             }
             while let Some(place) = queue.admit(now) {
                 // Whoever missed its latest start comes after all who have not; then rank and arrival.
-                let next = waiting.iter().copied().min_by_key(|(p, latest_start)| (*latest_start < now, *p));
+                let next = waiting
+                    .iter()
+                    .copied()
+                    .min_by_key(|(p, latest_start)| (*latest_start < now, *p));
                 assert_eq!(next.map(|(p, _)| p), Some(place));
                 waiting.retain(|(p, _)| *p != place);
                 inside += 1;
@@ -91,7 +97,14 @@
     let missed = queue.enter(0, 1.0).unwrap();
     let low = queue.enter(2, 9.0).unwrap();
     // Before its latest start is past it is ahead of those of lower rank; afterwards it is behind them.
-    assert_eq!((queue.ahead(1, 9.0, 0.5), queue.ahead(1, 9.0, 2.0), queue.ahead(2, 9.0, 2.0)), (1, 0, 1));
+    assert_eq!(
+        (
+            queue.ahead(1, 9.0, 0.5),
+            queue.ahead(1, 9.0, 2.0),
+            queue.ahead(2, 9.0, 2.0)
+        ),
+        (1, 0, 1)
+    );
     assert_eq!(queue.ahead(0, 1.0, 2.0), 2);
     queue.leave();
     assert_eq!(queue.admit(2.0), Some(low));
@@ -102,11 +115,23 @@
 
 #[test]
 fn in_flight_is_twice_the_plain_share_and_two_at_least() {
-    let limits =
-        [(4, 9), (4, 3), (4, 1), (7, 9), (7, 6), (7, 4), (1, 9), (0, 0)].map(|(s, r)| in_flight(s, r, 1.0));
+    let limits = [
+        (4, 9),
+        (4, 3),
+        (4, 1),
+        (7, 9),
+        (7, 6),
+        (7, 4),
+        (1, 9),
+        (0, 0),
+    ]
+    .map(|(s, r)| in_flight(s, r, 1.0));
     assert_eq!(limits, [2, 3, 4, 2, 3, 4, 2, 2]);
     // Where the way is long, more are on it; never more than the server has slots.
-    assert_eq!([1.0, 2.0, 3.0, 8.0].map(|stretch| in_flight(7, 9, stretch)), [2, 4, 5, 7]);
+    assert_eq!(
+        [1.0, 2.0, 3.0, 8.0].map(|stretch| in_flight(7, 9, stretch)),
+        [2, 4, 5, 7]
+    );
     let mut latency = Latency::default();
     assert_eq!(latency.stretch(), 1.0);
     latency.record_answer(0.034);
@@ -122,11 +147,20 @@
 #[test]
 fn an_answer_is_overdue_by_the_pace_and_never_before_a_quarter_of_its_aim() {
     let mut latency = Latency::default();
-    assert_eq!((latency.mean(), latency.overdue_after(0.04), latency.overdue_after(0.4)), (0.0, 0.025, 0.1));
+    assert_eq!(
+        (
+            latency.mean(),
+            latency.overdue_after(0.04),
+            latency.overdue_after(0.4)
+        ),
+        (0.0, 0.025, 0.1)
+    );
     for _ in 0..100 {
         latency.record_answer(0.02);
     }
-    assert!((latency.mean() - 0.02).abs() < 1e-6 && (latency.overdue_after(0.12) - 0.08).abs() < 1e-3);
+    assert!(
+        (latency.mean() - 0.02).abs() < 1e-6 && (latency.overdue_after(0.12) - 0.08).abs() < 1e-3
+    );
     assert!((latency.queue_wait(9, 2) - 0.1).abs() < 1e-6);
     // A server that turns slow is waited for.
     for _ in 0..12 {
@@ -138,7 +172,13 @@
 #[test]
 fn who_is_refused_comes_back_the_later_the_longer_it_lasts() {
     let mut refusals = Refusals::default();
-    let backs = [(5.0, 0.2), (5.5, 0.2), (6.25, 0.2), (6.5, 3.0), (7.75, 0.25)];
+    let backs = [
+        (5.0, 0.2),
+        (5.5, 0.2),
+        (6.25, 0.2),
+        (6.5, 3.0),
+        (7.75, 0.25),
+    ];
     let backs = backs.map(|(now, wait)| refusals.refused(now, wait));
     // After a second of calm it begins anew.
     assert_eq!(backs, [0.2, 0.5, 1.25, 3.0, 0.25]);
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -40,7 +40,10 @@
 
 impl Default for Client {
     fn default() -> Client {
-        Client { state: State::Starting, asked: false }
+        Client {
+            state: State::Starting,
+            asked: false,
+        }
     }
 }
 
@@ -69,16 +72,24 @@
         })
     }
 
-    fn start(&mut self, input: &mut Ring, output: &mut Ring) -> Result<Turn, (Option<&'static str>, Close)> {
+    fn start(
+        &mut self,
+        input: &mut Ring,
+        output: &mut Ring,
+    ) -> Result<Turn, (Option<&'static str>, Close)> {
         if input.len() < 8 {
             return Ok(Turn::Read);
         }
         let mut head = [0; 8];
         input.copy(0, &mut head);
-        let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let word =
+            |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (length, version) = (word(0) as usize, word(4));
         if !(8..=LONGEST_START).contains(&length) {
-            return Err((Some("08P01"), Close::Malformed("the startup's length can't be right")));
+            return Err((
+                Some("08P01"),
+                Close::Malformed("the startup's length can't be right"),
+            ));
         }
         if input.len() < length {
             return Ok(Turn::Read);
@@ -90,9 +101,10 @@
                 Ok(Turn::Write)
             }
             CANCEL => Err((None, Close::Left)),
-            _ if version >> 16 != 3 => {
-                Err((Some("0A000"), Close::Malformed("only version 3 of the protocol is spoken")))
-            }
+            _ if version >> 16 != 3 => Err((
+                Some("0A000"),
+                Close::Malformed("only version 3 of the protocol is spoken"),
+            )),
             _ => {
                 let names = started(&body).map_err(|close| (Some("08P01"), close))?;
                 if !names.iter().any(|n| n == "user") {
@@ -115,18 +127,30 @@
     }
 
     fn message(
-        &mut self, kind: u8, body: &[u8], output: &mut Ring,
+        &mut self,
+        kind: u8,
+        body: &[u8],
+        output: &mut Ring,
     ) -> Result<Turn, (Option<&'static str>, Close)> {
         self.asked = true;
         match (kind, self.state) {
             (b'X', _) => return Err((None, Close::Left)),
             (b'S', _) => self.ready(output),
-            (b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'd' | b'c' | b'f' | b'Q', State::Skipping) => {
+            (
+                b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'd' | b'c' | b'f' | b'Q',
+                State::Skipping,
+            ) => {
                 return Ok(Turn::Write);
             }
             (b'Q', _) => return Ok(self.query(body, output)),
             (b'P' | b'B' | b'D' | b'E' | b'C', _) => {
-                put_error(output, "ERROR", "0A000", "only simple queries are served here", "");
+                put_error(
+                    output,
+                    "ERROR",
+                    "0A000",
+                    "only simple queries are served here",
+                    "",
+                );
                 self.state = State::Skipping;
             }
             (b'F', _) => self.failed(output, ("0A000", "no functions are called here")),
@@ -171,14 +195,27 @@
 
     /// Trying again is harmless, after so many seconds.
     pub fn rejected(&mut self, output: &mut Ring, retry_after: f64) {
-        let detail = if retry_after > 0.0 { format!("{:.0}", retry_after * 1e3) } else { String::new() };
-        put_error(output, "ERROR", "53300", "rejected, nothing has been executed for good", &detail);
+        let detail = if retry_after > 0.0 {
+            format!("{:.0}", retry_after * 1e3)
+        } else {
+            String::new()
+        };
+        put_error(
+            output,
+            "ERROR",
+            "53300",
+            "rejected, nothing has been executed for good",
+            &detail,
+        );
         self.ready(output);
     }
 
     /// No promise whether it has been executed.
     pub fn aborted(&mut self, output: &mut Ring) {
-        self.failed(output, ("40003", "aborted, whether it was executed is not known"));
+        self.failed(
+            output,
+            ("40003", "aborted, whether it was executed is not known"),
+        );
     }
 
     pub fn failed(&mut self, output: &mut Ring, (code, text): Fault) {
@@ -194,9 +231,14 @@
 
 /// The names among the startup's pairs of name and value.
 fn started(body: &[u8]) -> Result<Vec<String>, Close> {
-    let pairs = body.strip_suffix(&[0]).ok_or(Close::Malformed("the startup has no end"))?;
+    let pairs = body
+        .strip_suffix(&[0])
+        .ok_or(Close::Malformed("the startup has no end"))?;
     if pairs.is_empty() {
         return Ok(Vec::new());
     }
-    Ok(message::strings(pairs)?.chunks(2).map(|pair| pair[0].to_string()).collect())
+    Ok(message::strings(pairs)?
+        .chunks(2)
+        .map(|pair| pair[0].to_string())
+        .collect())
 }
--- a/crates/protocol/src/comment.rs
+++ b/crates/protocol/src/comment.rs
@@ -34,8 +34,10 @@
         let marks = &comment[..comment.len() - "*/".len()];
         let mut found = Marks::default();
         for mark in marks.trim().split(',') {
-            let (name, value) =
-                mark.trim().split_once('=').ok_or((SYNTAX, "a mark in the comment has no value"))?;
+            let (name, value) = mark
+                .trim()
+                .split_once('=')
+                .ok_or((SYNTAX, "a mark in the comment has no value"))?;
             if value.is_empty() || !value.bytes().all(plain) {
                 return Err((SYNTAX, "a mark in the comment has a value of unknown form"));
             }
@@ -56,10 +58,16 @@
         let needed = |mark: Option<_>, fault| mark.ok_or((SYNTAX, fault));
         let id = needed(found.id, "the comment has no id")?;
         let wait = needed(found.wait, "the comment has no d")?;
-        let wait_ms = wait.parse().ok().filter(|ms| (1..=LONGEST_WAIT_MS).contains(ms));
+        let wait_ms = wait
+            .parse()
+            .ok()
+            .filter(|ms| (1..=LONGEST_WAIT_MS).contains(ms));
         let wait_ms = wait_ms.ok_or(("22023", "d is no time to wait"))?;
         let group = needed(found.group, "the comment has no cluster")?;
-        let after = found.after.map(|ms| ms.parse::<u64>().map_err(|_| ("22023", "after is no position")));
+        let after = found.after.map(|ms| {
+            ms.parse::<u64>()
+                .map_err(|_| ("22023", "after is no position"))
+        });
         // `wait` is a piece of `comment`, which is the end of `text`.
         let start = at + (wait.as_ptr() as usize - comment.as_ptr() as usize);
         Ok(Statement {
@@ -70,7 +78,9 @@
             workload: needed(found.workload, "the comment has no c")?.to_string(),
             customer: found.customer.unwrap_or_default().to_string(),
             wait: wait_ms as f64 / 1e3,
-            group: group.parse().map_err(|_| ("22023", "cluster is no number of a group"))?,
+            group: group
+                .parse()
+                .map_err(|_| ("22023", "cluster is no number of a group"))?,
             mark: found.marked.map(str::to_string),
             after: after.transpose()?.map(|ms| ms as f64 / 1e3),
             text: text.to_string(),
@@ -85,15 +95,25 @@
     /// The statement as a node gets it: unchanged but for how long it is waited for.
     pub fn for_node(&self, wait: f64) -> String {
         let wait_ms = (wait * 1e3).max(1.0) as u64;
-        let (before, behind) = (&self.text[..self.wait_at.start], &self.text[self.wait_at.end..]);
+        let (before, behind) = (
+            &self.text[..self.wait_at.start],
+            &self.text[self.wait_at.end..],
+        );
         format!("{before}{wait_ms}{behind}")
     }
 
     /// The question for a write's outcome, by its mark, for stores that offer it: the write's own row if it
     /// ran, code 02000 if it never did and never will, any other error if that can't be told.
     pub fn for_inquiry(&self, wait: f64) -> String {
-        let (mark, id, wait_ms) = (self.mark.as_deref().unwrap_or_default(), &self.id, (wait * 1e3).max(1.0));
-        format!("{INQUIRY}{mark}' /* id={id},d={wait_ms:.0},cluster={} */", self.group)
+        let (mark, id, wait_ms) = (
+            self.mark.as_deref().unwrap_or_default(),
+            &self.id,
+            (wait * 1e3).max(1.0),
+        );
+        format!(
+            "{INQUIRY}{mark}' /* id={id},d={wait_ms:.0},cluster={} */",
+            self.group
+        )
     }
 }
 
@@ -124,11 +144,19 @@
 fn split(text: &str) -> Result<(bool, &str, &str), Fault> {
     const READ: &str = "SELECT v FROM records WHERE k = '";
     const WRITE: &str = "INSERT INTO records (k, v) VALUES ('";
-    let wrong = (SYNTAX, "the statement is neither the read nor the write of one record");
+    let wrong = (
+        SYNTAX,
+        "the statement is neither the read nor the write of one record",
+    );
     let (writes, rest) = match (text.strip_prefix(READ), text.strip_prefix(WRITE)) {
         (Some(rest), _) => (false, rest),
         (_, Some(rest)) => (true, rest),
-        _ => return Err(("0A000", "only reads and writes of one record are served here")),
+        _ => {
+            return Err((
+                "0A000",
+                "only reads and writes of one record are served here",
+            ));
+        }
     };
     let (key, rest) = rest.split_once('\'').ok_or(wrong)?;
     if key.is_empty() || !key.bytes().all(plain) {
@@ -144,7 +172,9 @@
     } else {
         rest
     };
-    let comment = rest.strip_prefix(" /*").ok_or((SYNTAX, "the statement has no comment"))?;
+    let comment = rest
+        .strip_prefix(" /*")
+        .ok_or((SYNTAX, "the statement has no comment"))?;
     if comment.find("*/").is_none_or(|at| at + 2 != comment.len()) {
         return Err((SYNTAX, "the statement does not end with its comment"));
     }
--- a/crates/protocol/src/discovery.rs
+++ b/crates/protocol/src/discovery.rs
@@ -37,7 +37,11 @@
 
 impl Default for Watch {
     fn default() -> Watch {
-        Watch { part: Part::Head, chunked: false, line: Vec::new() }
+        Watch {
+            part: Part::Head,
+            chunked: false,
+            line: Vec::new(),
+        }
     }
 }
 
@@ -61,11 +65,19 @@
                         return Ok(None);
                     }
                     if input.take(2) != b"\r\n" {
-                        return Err(Close::Malformed("a chunk of discovery's answer does not end"));
+                        return Err(Close::Malformed(
+                            "a chunk of discovery's answer does not end",
+                        ));
                     }
                     self.part = Part::Length;
                 }
-                Part::Body(0) => self.part = if self.chunked { Part::Behind } else { Part::Over },
+                Part::Body(0) => {
+                    self.part = if self.chunked {
+                        Part::Behind
+                    } else {
+                        Part::Over
+                    }
+                }
                 Part::Body(left) => {
                     let front = input.front();
                     if front.is_empty() {
@@ -94,7 +106,9 @@
         input.copy(0, &mut bytes);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut answer = httparse::Response::new(&mut headers);
-        let parsed = answer.parse(&bytes).map_err(|_| Close::Malformed("discovery's answer is no HTTP"))?;
+        let parsed = answer
+            .parse(&bytes)
+            .map_err(|_| Close::Malformed("discovery's answer is no HTTP"))?;
         let httparse::Status::Complete(length) = parsed else {
             let too_long = bytes.len() == LONGEST_HEAD;
             return if too_long {
@@ -106,12 +120,21 @@
         if answer.code != Some(200) {
             return Err(Close::Malformed("discovery answers with an error"));
         }
-        let named = |name: &str| answer.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        self.chunked = named("transfer-encoding").is_some_and(|h| h.value.eq_ignore_ascii_case(b"chunked"));
-        let length_told = named("content-length").map(|h| std::str::from_utf8(h.value).ok()?.parse().ok());
+        let named = |name: &str| {
+            answer
+                .headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case(name))
+        };
+        self.chunked =
+            named("transfer-encoding").is_some_and(|h| h.value.eq_ignore_ascii_case(b"chunked"));
+        let length_told =
+            named("content-length").map(|h| std::str::from_utf8(h.value).ok()?.parse().ok());
         self.part = match length_told {
             _ if self.chunked => Part::Length,
-            Some(told) => Part::Body(told.ok_or(Close::Malformed("discovery's answer has no length"))?),
+            Some(told) => {
+                Part::Body(told.ok_or(Close::Malformed("discovery's answer has no length"))?)
+            }
             None => Part::Body(u64::MAX),
         };
         input.skip(length);
@@ -126,7 +149,11 @@
         match httparse::parse_chunk_size(&bytes[..count]).map_err(|_| wrong)? {
             httparse::Status::Complete((read, size)) => {
                 input.skip(read);
-                self.part = if size == 0 { Part::Over } else { Part::Body(size) };
+                self.part = if size == 0 {
+                    Part::Over
+                } else {
+                    Part::Body(size)
+                };
                 Ok(true)
             }
             httparse::Status::Partial if count == bytes.len() => Err(wrong),
@@ -139,7 +166,8 @@
 /// zone, group, standing, start (seconds of Unix time) and whether it is listed as a primary. Nothing is told
 /// of a list that can't be read to its end: half a list would make nodes vanish.
 pub fn list(
-    told: &Value, mut host: impl FnMut(&str, SocketAddr, &str, u16, Standing, f64, bool),
+    told: &Value,
+    mut host: impl FnMut(&str, SocketAddr, &str, u16, Standing, f64, bool),
 ) -> Result<(u64, bool), Close> {
     let wrong = Close::Malformed("a list of nodes can't be read");
     let seq = told["seq"].as_u64().ok_or(wrong)?;
@@ -164,5 +192,13 @@
     let born = host["born_ms"].as_f64().filter(|ms| *ms >= 0.0)? / 1e3;
     let leads = host.get("rank").and_then(Value::as_str) == Some("source");
     let dial = host["dial"].as_str()?.parse().ok()?;
-    Some((host["host"].as_str()?, dial, host["site"].as_str()?, group, standing, born, leads))
+    Some((
+        host["host"].as_str()?,
+        dial,
+        host["site"].as_str()?,
+        group,
+        standing,
+        born,
+        leads,
+    ))
 }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -9,7 +9,9 @@
 
 /// Takes the next whole message: its type and body, or none while bytes are missing.
 pub fn next(ring: &mut Ring) -> Result<Option<(u8, Vec<u8>)>, Close> {
-    let Some((kind, length)) = whole(ring)? else { return Ok(None) };
+    let Some((kind, length)) = whole(ring)? else {
+        return Ok(None);
+    };
     ring.skip(5);
     Ok(Some((kind, ring.take(length - 5))))
 }
@@ -47,7 +49,13 @@
 /// An ErrorResponse; `detail` may be empty.
 pub fn put_error(ring: &mut Ring, severity: &str, code: &str, text: &str, detail: &str) {
     let mut body = Vec::new();
-    for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', text), (b'D', detail)] {
+    for (field, value) in [
+        (b'S', severity),
+        (b'V', severity),
+        (b'C', code),
+        (b'M', text),
+        (b'D', detail),
+    ] {
         if !value.is_empty() {
             body.push(field);
             body.extend(value.bytes().filter(|b| *b != 0));
@@ -63,19 +71,24 @@
         return Err(Close::Malformed("a text in a message has no end"));
     };
     let texts = body.split(|b| *b == 0).map(std::str::from_utf8);
-    texts.collect::<Result<_, _>>().map_err(|_| Close::Malformed("a text in a message is not UTF-8"))
+    texts
+        .collect::<Result<_, _>>()
+        .map_err(|_| Close::Malformed("a text in a message is not UTF-8"))
 }
 
 /// The code of an ErrorResponse.
 pub fn error_code(body: &[u8]) -> Result<[u8; 5], Close> {
     let mut fields = body.split(|b| *b == 0);
     let code = fields.find_map(|field| field.strip_prefix(b"C"));
-    code.and_then(|c| c.try_into().ok()).ok_or(Close::Malformed("an error without a code"))
+    code.and_then(|c| c.try_into().ok())
+        .ok_or(Close::Malformed("an error without a code"))
 }
 
 /// How many columns a RowDescription or DataRow has.
 pub fn columns(body: &[u8]) -> Result<u16, Close> {
-    let count = body.get(..2).ok_or(Close::Malformed("a row is cut short"))?;
+    let count = body
+        .get(..2)
+        .ok_or(Close::Malformed("a row is cut short"))?;
     Ok(u16::from_be_bytes([count[0], count[1]]))
 }
 
@@ -84,7 +97,9 @@
     if columns(body)? != 1 {
         return Err(Close::Malformed("a row has not one column"));
     }
-    let length = body.get(2..6).ok_or(Close::Malformed("a row is cut short"))?;
+    let length = body
+        .get(2..6)
+        .ok_or(Close::Malformed("a row is cut short"))?;
     let length = i32::from_be_bytes([length[0], length[1], length[2], length[3]]);
     match usize::try_from(length) {
         Err(_) if length == -1 && body.len() == 6 => Ok(None),
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -82,8 +82,12 @@
                 return Err(Close::Malformed("the node sends without end"));
             }
             let heard = match (self.state, kind) {
-                (State::Idle, _) => return Err(Close::Malformed("the node speaks without being asked")),
-                (State::Executing, b'T' | b'D' | b'C') => self.part(kind, input, length).map(|()| None)?,
+                (State::Idle, _) => {
+                    return Err(Close::Malformed("the node speaks without being asked"));
+                }
+                (State::Executing, b'T' | b'D' | b'C') => {
+                    self.part(kind, input, length).map(|()| None)?
+                }
                 (state, _) => {
                     let body = input.take(length).split_off(5);
                     if state == State::Starting {
@@ -97,7 +101,11 @@
                 return Ok(heard);
             }
         }
-        if self.state == State::Executing { beginning(input).map(|()| None) } else { Ok(None) }
+        if self.state == State::Executing {
+            beginning(input).map(|()| None)
+        } else {
+            Ok(None)
+        }
     }
 
     fn starting(&mut self, kind: u8, body: &[u8]) -> Result<Option<Heard>, Close> {
@@ -166,7 +174,11 @@
 
     /// The connection has ended: an answer that was whole but for its last message still counts.
     pub fn ended(&mut self) -> Option<Answer> {
-        if self.state == State::Executing { self.answer().ok() } else { None }
+        if self.state == State::Executing {
+            self.answer().ok()
+        } else {
+            None
+        }
     }
 
     fn answer(&mut self) -> Result<Answer, Close> {
@@ -180,7 +192,13 @@
         self.state = State::Idle;
         let value = std::mem::replace(&mut self.value, 0..0);
         let (primary, as_of, vitals) = (self.primary.take(), self.as_of.take(), self.vitals.take());
-        Ok(Answer { row, value, primary, as_of, vitals })
+        Ok(Answer {
+            row,
+            value,
+            primary,
+            as_of,
+            vitals,
+        })
     }
 }
 
@@ -190,7 +208,9 @@
     let mut head = [0; 11];
     let there = input.len().min(head.len());
     input.copy(0, &mut head[..there]);
-    let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]) as usize;
+    let word = |at: usize| {
+        u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]) as usize
+    };
     let fits = match head[0] {
         _ if there == 0 => true,
         kind if !b"TDCSNEZ".contains(&kind) => false,
@@ -200,12 +220,20 @@
         b'D' => there < head.len() || word(1) == 10 + word(7),
         _ => word(1) <= LONGEST_WORDS,
     };
-    if fits { Ok(()) } else { Err(Close::Malformed("a message does not fit its length")) }
+    if fits {
+        Ok(())
+    } else {
+        Err(Close::Malformed("a message does not fit its length"))
+    }
 }
 
 /// One figure of a load report: `inflight=7,util=0.61`.
 pub fn vital(report: &str, name: &str) -> Option<f64> {
-    let figures = report.split(',').filter_map(|figure| figure.split_once('='));
-    let value = { figures }.find(|(n, _)| n.trim() == name).and_then(|(_, v)| v.trim().parse::<f64>().ok());
+    let figures = report
+        .split(',')
+        .filter_map(|figure| figure.split_once('='));
+    let value = { figures }
+        .find(|(n, _)| n.trim() == name)
+        .and_then(|(_, v)| v.trim().parse::<f64>().ok());
     value.filter(|v| v.is_finite())
 }
--- a/crates/protocol/src/ring.rs
+++ b/crates/protocol/src/ring.rs
@@ -23,7 +23,10 @@
 
 impl Memory {
     pub fn new(most: usize) -> Rc<Memory> {
-        Rc::new(Memory { used: Cell::new(0), most })
+        Rc::new(Memory {
+            used: Cell::new(0),
+            most,
+        })
     }
 
     /// Small pieces are always there: it is the large ones that add up.
@@ -35,7 +38,10 @@
     fn take(self: &Rc<Self>, bytes: usize) -> Hold {
         let bytes = if bytes > KEPT { bytes } else { 0 };
         self.used.set(self.used.get() + bytes);
-        Hold { memory: self.clone(), bytes }
+        Hold {
+            memory: self.clone(),
+            bytes,
+        }
     }
 }
 
@@ -63,7 +69,15 @@
     }
 
     pub fn within(most: usize, memory: &Rc<Memory>) -> Ring {
-        Ring { bytes: Vec::new(), head: 0, len: 0, most, wanted: 0, memory: memory.clone(), held: None }
+        Ring {
+            bytes: Vec::new(),
+            head: 0,
+            len: 0,
+            most,
+            wanted: 0,
+            memory: memory.clone(),
+            held: None,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -149,7 +163,11 @@
 
     pub fn skip(&mut self, count: usize) {
         self.len -= count.min(self.len);
-        self.head = if self.len == 0 { 0 } else { (self.head + count) % self.bytes.len() };
+        self.head = if self.len == 0 {
+            0
+        } else {
+            (self.head + count) % self.bytes.len()
+        };
         self.wanted = 0;
         if self.len == 0 && self.bytes.len() > KEPT {
             (self.bytes, self.held) = (Vec::new(), None);
--- a/crates/protocol/src/tests/client.rs
+++ b/crates/protocol/src/tests/client.rs
@@ -5,7 +5,12 @@
 use test_case::test_case;
 
 fn startup(version: u32, body: &[u8]) -> Vec<u8> {
-    [&(8 + body.len() as u32).to_be_bytes()[..], &version.to_be_bytes(), body].concat()
+    [
+        &(8 + body.len() as u32).to_be_bytes()[..],
+        &version.to_be_bytes(),
+        body,
+    ]
+    .concat()
 }
 
 fn hello() -> Vec<u8> {
@@ -18,7 +23,8 @@
 
 /// Feeds bytes in pieces of a size, answers every statement with a row, and tells the answers and the end.
 fn fed(bytes: &[u8], piece: usize) -> (Vec<u8>, Result<(), Close>) {
-    let (mut client, mut input, mut output) = (Client::default(), Ring::new(LONGEST), Ring::new(LONGEST));
+    let (mut client, mut input, mut output) =
+        (Client::default(), Ring::new(LONGEST), Ring::new(LONGEST));
     let mut pieces = bytes.chunks(piece);
     loop {
         match client.next(&mut input, &mut output) {
@@ -37,8 +43,14 @@
 #[test_case(7; "in sevens")]
 #[test_case(10_000; "at once")]
 fn statements_are_answered_in_order(piece: usize) {
-    let bytes =
-        [startup(80_877_103, b""), startup(80_877_104, b""), hello(), query(""), query(READ)].concat();
+    let bytes = [
+        startup(80_877_103, b""),
+        startup(80_877_104, b""),
+        hello(),
+        query(""),
+        query(READ),
+    ]
+    .concat();
     let bytes = [bytes, query("nonsense"), query(READ), message(b'X', b"")].concat();
     let (answers, end) = fed(&bytes, piece);
     assert_eq!(&answers[..2], b"NN", "neither TLS nor GSS");
@@ -52,13 +64,19 @@
     let mut input = ring(&[hello(), query(READ), query(READ)].concat());
     assert_eq!(client.next(&mut input, &mut output), Ok(Turn::Write));
     assert!(client.fresh());
-    assert!(matches!(client.next(&mut input, &mut output), Ok(Turn::Execute(_))));
+    assert!(matches!(
+        client.next(&mut input, &mut output),
+        Ok(Turn::Execute(_))
+    ));
     assert!(!client.fresh());
     let waiting = input.len();
     assert_eq!(client.next(&mut input, &mut output), Ok(Turn::Read));
     assert_eq!(input.len(), waiting, "the second stays where it is");
     client.aborted(&mut output);
-    assert!(matches!(client.next(&mut input, &mut output), Ok(Turn::Execute(_))));
+    assert!(matches!(
+        client.next(&mut input, &mut output),
+        Ok(Turn::Execute(_))
+    ));
 }
 
 #[test]
@@ -79,10 +97,18 @@
 
 #[test]
 fn the_extended_protocol_is_declined_up_to_its_end() {
-    let asked =
-        [message(b'P', b"\0\0\0\0"), message(b'B', b""), message(b'E', b""), message(b'S', b"")].concat();
+    let asked = [
+        message(b'P', b"\0\0\0\0"),
+        message(b'B', b""),
+        message(b'E', b""),
+        message(b'S', b""),
+    ]
+    .concat();
     let (answers, end) = fed(&[hello(), asked, query("")].concat(), 10_000);
-    assert_eq!((outline(&answers).as_str(), end), ("R S S S Z E0A000 Z I Z", Ok(())));
+    assert_eq!(
+        (outline(&answers).as_str(), end),
+        ("R S S S Z E0A000 Z I Z", Ok(()))
+    );
 }
 
 #[test]
@@ -114,7 +140,10 @@
 #[test_case(&message(b'S', b""), "Z"; "a sync")]
 fn the_connection_goes_on(bytes: &[u8], expected: &str) {
     let (answers, end) = fed(&[&hello(), bytes, &query("")].concat(), 4);
-    let expected = ["R S S S Z", expected, "I Z"].map(str::to_string).join(" ").replace("  ", " ");
+    let expected = ["R S S S Z", expected, "I Z"]
+        .map(str::to_string)
+        .join(" ")
+        .replace("  ", " ");
     assert_eq!((outline(&answers), end), (expected, Ok(())));
 }
 
@@ -124,5 +153,8 @@
         "INSERT INTO records (k, v) VALUES ('7', '\\x{}') RETURNING v /* id=9,c=b,d=480,k=5,cluster=2 */",
         "9f".repeat(1 << 16)
     );
-    assert_eq!(outline(&fed(&[hello(), query(&text)].concat(), 1000).0), "R S S S Z D Z");
+    assert_eq!(
+        outline(&fed(&[hello(), query(&text)].concat(), 1000).0),
+        "R S S S Z D Z"
+    );
 }
--- a/crates/protocol/src/tests/comment.rs
+++ b/crates/protocol/src/tests/comment.rs
@@ -8,22 +8,35 @@
 #[test]
 fn a_read_is_split() {
     let s = Statement::read(&READ.replace("d=480", "d=480,after=1767225600123")).unwrap();
-    assert_eq!((s.writes, s.key.as_str(), s.mark.is_some()), (false, "7f3a", false));
-    assert_eq!((s.workload.as_str(), s.customer.as_str(), s.group), ("basket", "acme", 2));
+    assert_eq!(
+        (s.writes, s.key.as_str(), s.mark.is_some()),
+        (false, "7f3a", false)
+    );
+    assert_eq!(
+        (s.workload.as_str(), s.customer.as_str(), s.group),
+        ("basket", "acme", 2)
+    );
     assert_eq!((s.wait, s.after), (0.48, Some(1_767_225_600.123)));
 }
 
 #[test]
 fn a_write_is_split() {
     let s = Statement::read(WRITE).unwrap();
-    assert_eq!((s.writes, s.key.as_str(), s.mark.is_some(), s.after), (true, "7f3a", true, None));
+    assert_eq!(
+        (s.writes, s.key.as_str(), s.mark.is_some(), s.after),
+        (true, "7f3a", true, None)
+    );
 }
 
 #[test]
 fn a_node_gets_all_unchanged_but_the_wait() {
     let s = Statement::read(WRITE).unwrap();
     assert_eq!(s.for_node(0.1239), WRITE.replace("d=480", "d=123"));
-    assert_eq!(s.for_node(0.0), WRITE.replace("d=480", "d=1"), "0 would be no time at all");
+    assert_eq!(
+        s.for_node(0.0),
+        WRITE.replace("d=480", "d=1"),
+        "0 would be no time at all"
+    );
 }
 
 #[test_case("SHOW vitals", "0A000"; "a probe from a client")]
--- a/crates/protocol/src/tests/damage.rs
+++ b/crates/protocol/src/tests/damage.rs
@@ -29,7 +29,8 @@
 fn hurt(whole: &[u8], mut feed: impl FnMut() -> Box<dyn FnMut(&mut Ring) -> bool>) {
     for seed in 0..ROUNDS {
         let mut chance = fastrand::Rng::with_seed(seed);
-        let (bytes, mut input, mut machine) = (damaged(whole, &mut chance), Ring::new(LONGEST), feed());
+        let (bytes, mut input, mut machine) =
+            (damaged(whole, &mut chance), Ring::new(LONGEST), feed());
         for piece in bytes.chunks(chance.usize(1..40)) {
             input.push(piece);
             if !machine(&mut input) {
@@ -43,7 +44,14 @@
 fn a_client() {
     let start = b"\0\0\0\x12\0\x03\0\0user\0svc\0\0".to_vec();
     let query = message(b'Q', &[READ.as_bytes(), &[0]].concat());
-    let whole = [start, query.clone(), message(b'P', b"\0\0\0\0"), message(b'S', b""), query].concat();
+    let whole = [
+        start,
+        query.clone(),
+        message(b'P', b"\0\0\0\0"),
+        message(b'S', b""),
+        query,
+    ]
+    .concat();
     hurt(&whole, || {
         let (mut client, mut output) = (Client::default(), Ring::new(LONGEST));
         Box::new(move |input| {
@@ -62,11 +70,25 @@
 #[test]
 fn a_node() {
     let row = message(b'D', b"\0\x01\0\0\0\x01v");
-    let described = message(b'T', b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
+    let described = message(
+        b'T',
+        b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01",
+    );
     let told = message(b'S', b"as_of\x001767225600123\0");
-    let parts =
-        [message(b'R', &[0; 4]), message(b'Z', b"I"), described, row, message(b'C', b"SELECT 1\0"), told];
-    let whole = [parts.concat(), message(b'Z', b"I"), message(b'E', b"SERROR\0CXX000\0Mno\0\0")].concat();
+    let parts = [
+        message(b'R', &[0; 4]),
+        message(b'Z', b"I"),
+        described,
+        row,
+        message(b'C', b"SELECT 1\0"),
+        told,
+    ];
+    let whole = [
+        parts.concat(),
+        message(b'Z', b"I"),
+        message(b'E', b"SERROR\0CXX000\0Mno\0\0"),
+    ]
+    .concat();
     hurt(&whole, || {
         let mut output = Ring::new(LONGEST);
         let mut node = Node::start(&mut output);
@@ -84,8 +106,7 @@
 
 #[test]
 fn discovery() {
-    let whole =
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{\"a\":1}\n\r\n1\r\n\n\r\n0\r\n\r\n";
+    let whole = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{\"a\":1}\n\r\n1\r\n\n\r\n0\r\n\r\n";
     hurt(whole.as_bytes(), || {
         let mut watch = Watch::default();
         Box::new(move |input| {
--- a/crates/protocol/src/tests/discovery.rs
+++ b/crates/protocol/src/tests/discovery.rs
@@ -4,7 +4,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// The lines of an answer that is fed in pieces, and how it ended.
 fn lines(bytes: &[u8], piece: usize) -> (Vec<String>, Option<Close>) {
@@ -27,7 +28,8 @@
 #[test_case(10_000; "at once")]
 fn lines_come_out_of_chunks(piece: usize) {
     // A line over two chunks, an empty one, two in one chunk, the end.
-    let bytes = format!("{HEAD}4\r\n{{\"a\"\r\n4\r\n:1}}\n\r\n1\r\n\n\r\n6\r\n{{}}\n[]\n\r\n0\r\n\r\n");
+    let bytes =
+        format!("{HEAD}4\r\n{{\"a\"\r\n4\r\n:1}}\n\r\n1\r\n\n\r\n6\r\n{{}}\n[]\n\r\n0\r\n\r\n");
     let (told, end) = lines(bytes.as_bytes(), piece);
     assert_eq!(told, ["{\"a\":1}\n", "\n", "{}\n", "[]\n"]);
     assert_eq!(end, Some(Close::Left));
@@ -45,19 +47,27 @@
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n"; "no chunk")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\nxx"; "a chunk that does not end")]
 fn garbage_ends_the_watch(bytes: &str) {
-    assert!(matches!(lines(bytes.as_bytes(), 5).1, Some(Close::Malformed(_))));
+    assert!(matches!(
+        lines(bytes.as_bytes(), 5).1,
+        Some(Close::Malformed(_))
+    ));
 }
 
 #[test]
 fn an_endless_head_ends_the_watch() {
     let bytes = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(1 << 15));
-    assert!(matches!(lines(bytes.as_bytes(), 1000).1, Some(Close::Malformed(_))));
+    assert!(matches!(
+        lines(bytes.as_bytes(), 1000).1,
+        Some(Close::Malformed(_))
+    ));
 }
 
 #[test]
 fn it_asks_for_what_comes_after_its_version() {
     let asked = request("127.0.0.1:8500".parse().unwrap(), 41);
-    assert!(asked.starts_with("GET /v1/servers?stream=1&index=41 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n"));
+    assert!(
+        asked.starts_with("GET /v1/servers?stream=1&index=41 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n")
+    );
     assert!(asked.ends_with("\r\n\r\n"));
     assert!(Watch::default().next(&mut ring(b"")).unwrap().is_none());
 }
@@ -70,10 +80,15 @@
         {"host": "s-2", "dial": "127.0.0.2:6432", "site": "b", "block": 3, "health": "in_service", "born_ms": 0}]});
     let mut nodes = Vec::new();
     let heard = list(&told, |name, dial, zone, group, standing, since, leads| {
-        nodes.push(format!("{name} {dial} {zone} {group} {standing:?} {since} {leads}"));
+        nodes.push(format!(
+            "{name} {dial} {zone} {group} {standing:?} {since} {leads}"
+        ));
     });
     assert_eq!(heard, Ok((43, true)));
-    assert_eq!(nodes[0], "s-1 127.0.0.1:6432 a 3 Draining 1767225600.123 true");
+    assert_eq!(
+        nodes[0],
+        "s-1 127.0.0.1:6432 a 3 Draining 1767225600.123 true"
+    );
     assert_eq!(nodes[1], "s-2 127.0.0.2:6432 b 3 Ready 0 false");
 }
 
--- a/crates/protocol/src/tests/mod.rs
+++ b/crates/protocol/src/tests/mod.rs
@@ -10,7 +10,8 @@
 use crate::Ring;
 use crate::message::put;
 
-pub const READ: &str = "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */";
+pub const READ: &str =
+    "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */";
 
 pub fn ring(bytes: &[u8]) -> Ring {
     let mut ring = Ring::new(1 << 18);
--- a/crates/protocol/src/tests/node.rs
+++ b/crates/protocol/src/tests/node.rs
@@ -11,11 +11,22 @@
 }
 
 fn described(columns: u16) -> Vec<u8> {
-    message(b'T', &[&columns.to_be_bytes()[..], b"v\0", &[0; 18]].concat())
+    message(
+        b'T',
+        &[&columns.to_be_bytes()[..], b"v\0", &[0; 18]].concat(),
+    )
 }
 
 fn row(columns: u16, value: &[u8]) -> Vec<u8> {
-    message(b'D', &[&columns.to_be_bytes()[..], &(value.len() as u32).to_be_bytes(), value].concat())
+    message(
+        b'D',
+        &[
+            &columns.to_be_bytes()[..],
+            &(value.len() as u32).to_be_bytes(),
+            value,
+        ]
+        .concat(),
+    )
 }
 
 fn done() -> Vec<u8> {
@@ -31,7 +42,13 @@
 }
 
 fn greeting() -> Vec<u8> {
-    [message(b'R', &[0; 4]), status("server_version", "15"), message(b'K', &[0; 8]), ready()].concat()
+    [
+        message(b'R', &[0; 4]),
+        status("server_version", "15"),
+        message(b'K', &[0; 8]),
+        ready(),
+    ]
+    .concat()
 }
 
 /// A node that was greeted and asked, fed an answer in pieces; what it comes to once all is read.
@@ -57,10 +74,19 @@
 #[test_case(10_000; "at once")]
 fn a_row_comes_through_as_it_was(piece: usize) {
     let row = [described(1), row(1, b"\x9f\x00\x03"), done()].concat();
-    let told = [status("rank", "copy"), status("as_of", "1767225600123"), status("vitals", "x0=5,x1=0")];
-    let answer = answered(&[row.clone(), told.concat(), ready()].concat(), piece).unwrap().unwrap();
+    let told = [
+        status("rank", "copy"),
+        status("as_of", "1767225600123"),
+        status("vitals", "x0=5,x1=0"),
+    ];
+    let answer = answered(&[row.clone(), told.concat(), ready()].concat(), piece)
+        .unwrap()
+        .unwrap();
     assert_eq!(&row[answer.value.clone()], b"\x9f\x00\x03");
-    assert_eq!((answer.row, answer.primary, answer.as_of), (Ok(row), Some(false), Some(1_767_225_600.123)));
+    assert_eq!(
+        (answer.row, answer.primary, answer.as_of),
+        (Ok(row), Some(false), Some(1_767_225_600.123))
+    );
     assert_eq!(answer.vitals.as_deref(), Some("x0=5,x1=0"));
 }
 
@@ -68,16 +94,33 @@
 #[test_case(&status("as_of", "soon"); "no position")]
 #[test_case(&message(b'S', b"rank"); "no pair")]
 fn what_a_node_says_of_itself_never_spoils_its_row(told: &[u8]) {
-    let bytes = [&[described(1), row(1, b"v"), done()].concat(), told, &ready()].concat();
+    let bytes = [
+        &[described(1), row(1, b"v"), done()].concat(),
+        told,
+        &ready(),
+    ]
+    .concat();
     let answer = answered(&bytes, 4).unwrap().unwrap();
-    assert_eq!((answer.row.is_ok(), answer.primary, answer.as_of), (true, None, None));
+    assert_eq!(
+        (answer.row.is_ok(), answer.primary, answer.as_of),
+        (true, None, None)
+    );
 }
 
 #[test]
 fn an_error_tells_of_its_node_too() {
-    let bytes = [error("25006"), status("rank", "copy"), status("as_of", "5"), ready()].concat();
+    let bytes = [
+        error("25006"),
+        status("rank", "copy"),
+        status("as_of", "5"),
+        ready(),
+    ]
+    .concat();
     let answer = answered(&bytes, 3).unwrap().unwrap();
-    assert_eq!((answer.row, answer.primary, answer.as_of), (Err(*b"25006"), Some(false), Some(0.005)));
+    assert_eq!(
+        (answer.row, answer.primary, answer.as_of),
+        (Err(*b"25006"), Some(false), Some(0.005))
+    );
 }
 
 #[test_case(&[described(1), row(1, b"v")].concat(), None; "a row that is not completed")]
--- a/crates/protocol/src/tests/ring.rs
+++ b/crates/protocol/src/tests/ring.rs
@@ -29,7 +29,11 @@
     }
     assert_eq!(ring.len(), 1 << 16);
     ring.skip(1 << 16);
-    assert_eq!(ring.room().len(), 1 << 10, "an idle connection keeps no large buffer");
+    assert_eq!(
+        ring.room().len(),
+        1 << 10,
+        "an idle connection keeps no large buffer"
+    );
 }
 
 #[test]
@@ -65,7 +69,11 @@
         ring.push(&[0; 1 << 10]);
         ring.want(40_000);
     }
-    assert_eq!((rings[0].room().len(), rings[1].room().len()), (40_000 - 1024, 0), "the second waits");
+    assert_eq!(
+        (rings[0].room().len(), rings[1].room().len()),
+        (40_000 - 1024, 0),
+        "the second waits"
+    );
     rings[0].filled(39_000);
     rings[0].skip(1 << 20);
     assert_eq!(rings[1].room().len(), 40_000 - 1024);
--- a/crates/provision/src/instance.rs
+++ b/crates/provision/src/instance.rs
@@ -2,7 +2,8 @@
 
 use crate::pairs::{Pairs, parse};
 use badgerstream_routing::{
-    Allowance, ColdStart, Currency, Drain, Fairness, Instance, Quota, Repeat, Replication, Within, Workload,
+    Allowance, ColdStart, Currency, Drain, Fairness, Instance, Quota, Repeat, Replication, Within,
+    Workload,
 };
 
 /// What a front itself must know to read what it is told for an instance.
@@ -24,14 +25,22 @@
     let bounds: Vec<&str> = pairs.text("domain.max_age_ms")?.split(',').collect();
     let mut workloads = Vec::new();
     for i in 0..count {
-        let need = needs.get(i).ok_or_else(|| format!("setting domain.needs_by_class has no entry {i}"))?;
-        let bound = bounds.get(i).ok_or_else(|| format!("setting domain.max_age_ms has no entry {i}"))?;
+        let need = needs
+            .get(i)
+            .ok_or_else(|| format!("setting domain.needs_by_class has no entry {i}"))?;
+        let bound = bounds
+            .get(i)
+            .ok_or_else(|| format!("setting domain.max_age_ms has no entry {i}"))?;
         let bound = parse::<f64>("domain.max_age_ms", bound)? / 1e3;
         workloads.push(workload(pairs, i, need, bound)?);
     }
     let beyond = pairs.read_or("over_share_worth", 1.0)?;
     let customers: usize = pairs.read_or("tenants.count", 0)?;
-    let quota = |i| pairs.read(&format!("tenants.{i}.quota_per_s")).map(|per_s| Quota { per_s, beyond });
+    let quota = |i| {
+        pairs
+            .read(&format!("tenants.{i}.quota_per_s"))
+            .map(|per_s| Quota { per_s, beyond })
+    };
     let quotas = (0..customers).map(quota).collect::<Result<_, String>>()?;
     let fairness = Fairness {
         whole: pairs.read_or("goal.whole", 1.0)?,
@@ -59,7 +68,11 @@
         cancelling: pairs.read("policy_limits.cancelling")?,
         probes: pairs.read("policy_limits.probes")?,
         probe_price: pairs.read_or("prices.probe", 0.0)?,
-        retry_after: if pairs.read("policy_limits.retry_after")? { advice } else { 0.0 },
+        retry_after: if pairs.read("policy_limits.retry_after")? {
+            advice
+        } else {
+            0.0
+        },
         step: pairs.seconds("tick_ms")?,
     };
     let columns: Vec<&str> = pairs.text("load_info.columns")?.split(',').collect();
@@ -71,8 +84,17 @@
         workloads: workloads.clone(),
     };
     let routers = pairs.read("siblings")?;
-    let instance =
-        Instance::new(seed, routers, workloads, quotas, fairness, replication, cold, drain, allowance);
+    let instance = Instance::new(
+        seed,
+        routers,
+        workloads,
+        quotas,
+        fairness,
+        replication,
+        cold,
+        drain,
+        allowance,
+    );
     Ok((instance, reading))
 }
 
@@ -86,9 +108,10 @@
     };
     let repeat = match pairs.text(&path("repeat"))? {
         "pure" => Repeat::Idempotent,
-        "token" => {
-            Repeat::Deduplicated { within: within()?, memory: pairs.seconds(&path("memory_span_ms"))? }
-        }
+        "token" => Repeat::Deduplicated {
+            within: within()?,
+            memory: pairs.seconds(&path("memory_span_ms"))?,
+        },
         "side_effect" => Repeat::NonIdempotent,
         other => return Err(format!("setting {} is unknown: {other:?}", path("repeat"))),
     };
@@ -98,7 +121,11 @@
         "own_writes" => Currency::OwnWrites,
         "recent" => Currency::Recent { bound },
         "loose" => Currency::Loose,
-        other => return Err(format!("setting domain.needs_by_class is unknown: {other:?}")),
+        other => {
+            return Err(format!(
+                "setting domain.needs_by_class is unknown: {other:?}"
+            ));
+        }
     };
     Ok(Workload {
         slo: pairs.seconds(&path("aim_ms"))?,
--- a/crates/provision/src/own.rs
+++ b/crates/provision/src/own.rs
@@ -31,9 +31,23 @@
     /// `bytes` is what the process may spend on statements that wait.
     pub fn read(text: &str, bytes: usize) -> Result<Own, Fault> {
         json5_file(text, |own: &Own| {
-            let succession = own.succession.as_ref().and_then(|s| s.fault(bytes)).map(|f| ("succession", f));
-            let recovery = || own.recovery.as_ref().and_then(|r| r.fault()).map(|f| ("recovery", f));
-            let fleet = || own.fleet.as_ref().and_then(|f| f.fault()).map(|f| ("fleet", f));
+            let succession = own
+                .succession
+                .as_ref()
+                .and_then(|s| s.fault(bytes))
+                .map(|f| ("succession", f));
+            let recovery = || {
+                own.recovery
+                    .as_ref()
+                    .and_then(|r| r.fault())
+                    .map(|f| ("recovery", f))
+            };
+            let fleet = || {
+                own.fleet
+                    .as_ref()
+                    .and_then(|f| f.fault())
+                    .map(|f| ("fleet", f))
+            };
             let (part, (field, why)) = succession.or_else(recovery).or_else(fleet)?;
             Some((format!("{part}.{field}"), why))
         })
@@ -42,20 +56,31 @@
 
 /// Reads a file of ours. `fault` finds what is wrong beyond types: a field's path, and why.
 pub fn json5_file<T: DeserializeOwned>(
-    text: &str, fault: impl FnOnce(&T) -> Option<(String, String)>,
+    text: &str,
+    fault: impl FnOnce(&T) -> Option<(String, String)>,
 ) -> Result<T, Fault> {
     let told: T = json5::from_str(text).map_err(|e| {
         let at = e.position().map_or((1, 1), |p| (p.line + 1, p.column + 1));
         // The library ends its own text with the place.
         let told = e.to_string();
-        let problem = told.rsplit_once(" at line ").map_or(told.as_str(), |(problem, _)| problem);
-        Fault { line: at.0, column: at.1, problem: problem.to_string() }
+        let problem = told
+            .rsplit_once(" at line ")
+            .map_or(told.as_str(), |(problem, _)| problem);
+        Fault {
+            line: at.0,
+            column: at.1,
+            problem: problem.to_string(),
+        }
     })?;
     match fault(&told) {
         None => Ok(told),
         Some((path, why)) => {
             let (line, column) = place(text, &path);
-            Err(Fault { line, column, problem: format!("{path} {why}") })
+            Err(Fault {
+                line,
+                column,
+                problem: format!("{path} {why}"),
+            })
         }
     }
 }
@@ -64,19 +89,29 @@
 /// was left out has the place of what it would be in.
 fn place(text: &str, path: &str) -> (usize, usize) {
     let bare = without_comments(text);
-    let at = path.split('.').try_fold(0, |from, key| key_behind(&bare, from, key).ok_or(from));
+    let at = path
+        .split('.')
+        .try_fold(0, |from, key| key_behind(&bare, from, key).ok_or(from));
     let at = at.unwrap_or_else(|found| found);
     let before = &bare[..at];
-    (before.matches('\n').count() + 1, before.len() - before.rfind('\n').map_or(0, |end| end + 1) + 1)
+    (
+        before.matches('\n').count() + 1,
+        before.len() - before.rfind('\n').map_or(0, |end| end + 1) + 1,
+    )
 }
 
 /// The first place behind `from` where this key, quoted or not, is followed by a colon.
 fn key_behind(text: &str, from: usize, key: &str) -> Option<usize> {
-    text[from..].match_indices(key).map(|(at, _)| from + at).find(|at| {
-        let before = text[..*at].chars().next_back().unwrap_or(' ');
-        let behind = text[at + key.len()..].trim_start_matches(['"', '\'']).trim_start();
-        !(before.is_alphanumeric() || before == '_') && behind.starts_with(':')
-    })
+    text[from..]
+        .match_indices(key)
+        .map(|(at, _)| from + at)
+        .find(|at| {
+            let before = text[..*at].chars().next_back().unwrap_or(' ');
+            let behind = text[at + key.len()..]
+                .trim_start_matches(['"', '\''])
+                .trim_start();
+            !(before.is_alphanumeric() || before == '_') && behind.starts_with(':')
+        })
 }
 
 /// Comments as blanks: all else keeps its place, counted in bytes.
--- a/crates/provision/src/start.rs
+++ b/crates/provision/src/start.rs
@@ -22,12 +22,22 @@
 impl Provision {
     pub fn read(text: &str) -> Result<Provision, String> {
         let told: Value = serde_json::from_str(text).map_err(|e| format!("it is no JSON: {e}"))?;
-        let field = |path: &str| told.pointer(path).ok_or_else(|| format!("{path} is missing"));
-        let text = |path: &str| field(path)?.as_str().ok_or_else(|| format!("{path} is no text"));
-        let address =
-            |path: &str| text(path)?.parse::<SocketAddr>().map_err(|e| format!("{path} can't be read: {e}"));
-        let seed =
-            u64::from_str_radix(text("/seed")?, 16).map_err(|e| format!("/seed can't be read: {e}"))?;
+        let field = |path: &str| {
+            told.pointer(path)
+                .ok_or_else(|| format!("{path} is missing"))
+        };
+        let text = |path: &str| {
+            field(path)?
+                .as_str()
+                .ok_or_else(|| format!("{path} is no text"))
+        };
+        let address = |path: &str| {
+            text(path)?
+                .parse::<SocketAddr>()
+                .map_err(|e| format!("{path} can't be read: {e}"))
+        };
+        let seed = u64::from_str_radix(text("/seed")?, 16)
+            .map_err(|e| format!("/seed can't be read: {e}"))?;
         let limit = |path: &str| {
             let told = field(path)?.as_f64().filter(|limit| *limit >= 0.0);
             told.ok_or_else(|| format!("{path} is no number"))
--- a/crates/provision/src/tests.rs
+++ b/crates/provision/src/tests.rs
@@ -29,24 +29,50 @@
 #[test]
 fn the_file_is_read() {
     let start = started("", "").unwrap();
-    assert_eq!((start.name.as_str(), start.seed, start.descriptors), ("n0", 0x9209_4eb9_40cf_389a, 1024));
-    assert_eq!((start.listen.port(), start.discovery.port(), start.memory_mb), (6432, 8500, 192.0));
+    assert_eq!(
+        (start.name.as_str(), start.seed, start.descriptors),
+        ("n0", 0x9209_4eb9_40cf_389a, 1024)
+    );
+    assert_eq!(
+        (start.listen.port(), start.discovery.port(), start.memory_mb),
+        (6432, 8500, 192.0)
+    );
     let (born, reading) = instance(start.seed, &start.pairs).unwrap();
-    assert_eq!((born.routers, born.drain.grace, born.allowance.retry_after), (2.0, 0.25, 2.0));
-    assert_eq!((reading.position_column, reading.role_column), (Some(0), Some(1)));
+    assert_eq!(
+        (born.routers, born.drain.grace, born.allowance.retry_after),
+        (2.0, 0.25, 2.0)
+    );
+    assert_eq!(
+        (reading.position_column, reading.role_column),
+        (Some(0), Some(1))
+    );
     let kinds = reading.workloads;
     assert_eq!(kinds[0].currency, Currency::Recent { bound: 0.5 });
-    assert_eq!(kinds[1].repeat, Repeat::Deduplicated { within: Within::Group, memory: 1.2 });
-    assert_eq!((kinds[1].slo, kinds[1].timeout, kinds[1].currency), (0.6, 2.0, Currency::Primary));
+    assert_eq!(
+        kinds[1].repeat,
+        Repeat::Deduplicated {
+            within: Within::Group,
+            memory: 1.2
+        }
+    );
+    assert_eq!(
+        (kinds[1].slo, kinds[1].timeout, kinds[1].currency),
+        (0.6, 2.0, Currency::Primary)
+    );
 }
 
 #[test]
 fn json_and_lines_come_to_the_same() {
     let json = started("", "").unwrap().pairs;
-    let lines =
-        Pairs::from_lines("classes.count=2\nclasses.1.aim_ms=600.0\nzones=surco,ate\ndomain.notes=a__b");
+    let lines = Pairs::from_lines(
+        "classes.count=2\nclasses.1.aim_ms=600.0\nzones=surco,ate\ndomain.notes=a__b",
+    );
     for path in ["classes.count", "classes.1.aim_ms", "zones", "domain.notes"] {
-        assert_eq!(json.text(path).unwrap(), lines.text(path).unwrap(), "{path}");
+        assert_eq!(
+            json.text(path).unwrap(),
+            lines.text(path).unwrap(),
+            "{path}"
+        );
     }
     assert_eq!(json.names("tenants").unwrap(), ["radio_andina"]);
 }
@@ -84,7 +110,10 @@
 #[test]
 fn the_file_with_every_setting_says_what_goes_without_saying() {
     let told = Own::read(include_str!("../../../deploy/settings.json5"), 16 << 20).unwrap();
-    assert_eq!(told, Own::read("{succession: {}, recovery: {}, fleet: {}}", 16 << 20).unwrap());
+    assert_eq!(
+        told,
+        Own::read("{succession: {}, recovery: {}, fleet: {}}", 16 << 20).unwrap()
+    );
 }
 
 #[test_case("{recovery: {\n  opens_in_100ms: 0.2}}", (2, 3), "recovery.opens_in_100ms is 0.2"; "less than one")]
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -86,7 +86,18 @@
         let routers = routers.max(settings.routers.len() as f64);
         let (nodes, moved, lines) = Default::default();
         let course = Course::begin(now);
-        Recovery { settings, chance, routers, turns, course, beat: now, sounded: None, nodes, moved, lines }
+        Recovery {
+            settings,
+            chance,
+            routers,
+            turns,
+            course,
+            beat: now,
+            sounded: None,
+            nodes,
+            moved,
+            lines,
+        }
     }
 
     /// It was turned on in a router that serves: all is as ever until something happens.
@@ -169,7 +180,10 @@
 
     /// An execution ended there: with an answer that shows it at work, or with none, or turned away.
     pub fn answered(&mut self, node: u32, good: bool) {
-        self.nodes.get_mut(&node).into_iter().for_each(|known| known.answered(good));
+        self.nodes
+            .get_mut(&node)
+            .into_iter()
+            .for_each(|known| known.answered(good));
     }
 
     /// A node told how many connections it holds, and how many were opened in the last 100 ms. This router's own
@@ -197,7 +211,10 @@
     /// For one cycle of turns nobody opens there out of turn.
     fn crowd(&mut self, now: f64, node: u32) {
         let until = now + self.turns.cycle().max(turns::WINDOW_S);
-        self.nodes.get_mut(&node).into_iter().for_each(|known| known.crowded_until = until);
+        self.nodes
+            .get_mut(&node)
+            .into_iter()
+            .for_each(|known| known.crowded_until = until);
         self.sign(now, Sign::Crowd);
     }
 
@@ -211,7 +228,9 @@
     pub fn pass(&mut self, now: f64) -> bool {
         let stood = now - std::mem::replace(&mut self.beat, now);
         if stood * 1e3 >= self.settings.stood_still_ms {
-            self.lines.push(format!("{now:.3} recovery: it stood still for {stood:.1} s, and begins anew"));
+            self.lines.push(format!(
+                "{now:.3} recovery: it stood still for {stood:.1} s, and begins anew"
+            ));
             self.course = Course::begin(now);
             self.sounded = None;
             self.nodes.values_mut().for_each(Node::doubt);
@@ -235,8 +254,12 @@
         let phase = self.course.phase;
         if phase != before {
             self.moved = true;
-            let (before, phase) = (format!("{before:?}").to_lowercase(), format!("{phase:?}").to_lowercase());
-            self.lines.push(format!("{now:.3} recovery: from {before} to {phase}"));
+            let (before, phase) = (
+                format!("{before:?}").to_lowercase(),
+                format!("{phase:?}").to_lowercase(),
+            );
+            self.lines
+                .push(format!("{now:.3} recovery: from {before} to {phase}"));
         }
     }
 }
@@ -245,7 +268,9 @@
 impl Recovery {
     /// Whether one more statement may go to a node that `out` are out at.
     pub fn may_send(&self, now: f64, node: u32, out: usize) -> bool {
-        let Some(known) = self.nodes.get(&node) else { return self.course.phase == Phase::Full };
+        let Some(known) = self.nodes.get(&node) else {
+            return self.course.phase == Phase::Full;
+        };
         let within = (out as f64) < known.room && (known.met || known.closed(now).is_none());
         match self.course.phase {
             Phase::Full => true,
@@ -257,13 +282,21 @@
     }
 
     fn turn(&self, now: f64, node: &Node) -> Option<u64> {
-        self.turns.turn(now, node.place).filter(|slot| node.unused(*slot) && node.closed(now).is_none())
+        self.turns
+            .turn(now, node.place)
+            .filter(|slot| node.unused(*slot) && node.closed(now).is_none())
     }
 
     /// A statement goes there: what let it go without a connection is its own from now on.
     pub fn sent(&mut self, now: f64, node: u32) {
-        let turn = self.nodes.get(&node).filter(|n| !n.met).and_then(|n| self.turn(now, n));
-        if let (Phase::Turns, Some(known), Some(slot)) = (self.phase(), self.nodes.get_mut(&node), turn) {
+        let turn = self
+            .nodes
+            .get(&node)
+            .filter(|n| !n.met)
+            .and_then(|n| self.turn(now, n));
+        if let (Phase::Turns, Some(known), Some(slot)) =
+            (self.phase(), self.nodes.get_mut(&node), turn)
+        {
             known.grant(now, slot);
         }
     }
@@ -277,7 +310,9 @@
         let place = |node: &u32| (self.nodes.get(node).map_or(0, |known| known.place), *node);
         let mut able = able.to_vec();
         able.sort_by_key(place);
-        let chosen = able.get(self.turns.rank() as usize % able.len().max(1)).copied()?;
+        let chosen = able
+            .get(self.turns.rank() as usize % able.len().max(1))
+            .copied()?;
         self.sounded = Some(chosen);
         Some(chosen)
     }
@@ -285,9 +320,13 @@
     /// Whether a node may be probed: in doubt only one that a connection is there to already, or whose turn it
     /// is. A decision that waits for it comes again.
     pub fn may_probe(&self, now: f64, node: u32) -> bool {
-        let Some(known) = self.nodes.get(&node) else { return self.course.phase == Phase::Full };
+        let Some(known) = self.nodes.get(&node) else {
+            return self.course.phase == Phase::Full;
+        };
         match self.course.phase {
-            Phase::Full => known.met || now >= known.crowded_until || self.turn(now, known).is_some(),
+            Phase::Full => {
+                known.met || now >= known.crowded_until || self.turn(now, known).is_some()
+            }
             Phase::Listing => false,
             Phase::Sounding => known.met || self.sounded == Some(node),
             Phase::Turns | Phase::Climbing => known.met || self.turn(now, known).is_some(),
@@ -299,7 +338,11 @@
         let phase = self.course.phase;
         // One that no list names any more is only closed.
         let Some(known) = self.nodes.get_mut(&node) else {
-            return if phase == Phase::Full { Open::Now } else { Open::After(LOOK_S) };
+            return if phase == Phase::Full {
+                Open::Now
+            } else {
+                Open::After(LOOK_S)
+            };
         };
         if let Some(wait) = known.closed(now) {
             return Open::After(wait);
@@ -320,7 +363,10 @@
         // many is one of few.
         let small = held < self.settings.turns_below && (held > 0 || phase == Phase::Climbing);
         if phase == Phase::Turns || now < known.crowded_until || small {
-            let turn = self.turns.turn(now, known.place).filter(|slot| known.unused(*slot));
+            let turn = self
+                .turns
+                .turn(now, known.place)
+                .filter(|slot| known.unused(*slot));
             let Some(slot) = turn.filter(|_| stand.opening == 0) else {
                 return Open::After(self.turns.next(now, known.place));
             };
@@ -328,15 +374,27 @@
             return Open::Now;
         }
         // Slow start: no more at once than there are.
-        let most = if phase == Phase::Climbing { held / 2 } else { held };
-        if stand.opening < most.max(1) { Open::Now } else { Open::After(LOOK_S) }
+        let most = if phase == Phase::Climbing {
+            held / 2
+        } else {
+            held
+        };
+        if stand.opening < most.max(1) {
+            Open::Now
+        } else {
+            Open::After(LOOK_S)
+        }
     }
 
     /// How long until this router's next turn at a node that it has no connection to, if that is what is waited
     /// for: whoever waits is looked at then.
     pub fn next_turn(&self, now: f64) -> Option<f64> {
         let waits = |node: &&Node| !node.met;
-        let turns = self.nodes.values().filter(waits).map(|node| self.turns.next(now, node.place));
+        let turns = self
+            .nodes
+            .values()
+            .filter(waits)
+            .map(|node| self.turns.next(now, node.place));
         Some(turns.fold(f64::INFINITY, f64::min))
             .filter(|next| self.course.phase == Phase::Turns && next.is_finite())
     }
@@ -366,7 +424,12 @@
     /// How many idle connections to keep at a node: what took on others' clients gives them up again.
     pub fn keep(&mut self, now: f64, node: u32, stand: Stand) -> usize {
         let stretch = self.settings.surplus_ms / 1e3;
-        let Some(known) = self.nodes.get_mut(&node) else { return 0 };
-        known.in_use(now, stand.busy, stretch).max(1).saturating_sub(stand.busy)
+        let Some(known) = self.nodes.get_mut(&node) else {
+            return 0;
+        };
+        known
+            .in_use(now, stand.busy, stretch)
+            .max(1)
+            .saturating_sub(stand.busy)
     }
 }
--- a/crates/recovery/src/node.rs
+++ b/crates/recovery/src/node.rs
@@ -49,13 +49,21 @@
 impl Node {
     /// What was known before a standstill counts for nothing; its place stays.
     pub fn doubt(&mut self) {
-        *self =
-            Node { place: self.place, most_used: self.most_used, stretch: self.stretch, ..Node::default() };
+        *self = Node {
+            place: self.place,
+            most_used: self.most_used,
+            stretch: self.stretch,
+            ..Node::default()
+        };
     }
 
     /// One more statement at once for each good answer, half after a bad one.
     pub fn answered(&mut self, good: bool) {
-        self.room = if good { (self.room + 1.0).min(2.0 * BELIEVED) } else { (self.room / 2.0).max(1.0) };
+        self.room = if good {
+            (self.room + 1.0).min(2.0 * BELIEVED)
+        } else {
+            (self.room / 2.0).max(1.0)
+        };
     }
 
     pub fn believed(&self) -> bool {
@@ -100,7 +108,11 @@
     /// How many of its connections were in use at once lately; a stretch ends after this.
     pub fn in_use(&mut self, now: f64, busy: usize, stretch: f64) -> usize {
         if now - self.stretch >= stretch {
-            let before = if now - self.stretch >= 2.0 * stretch { 0 } else { self.most_used[0] };
+            let before = if now - self.stretch >= 2.0 * stretch {
+                0
+            } else {
+                self.most_used[0]
+            };
             (self.most_used, self.stretch) = ([0, before], now);
         }
         self.most_used[0] = self.most_used[0].max(busy);
--- a/crates/recovery/src/phase.rs
+++ b/crates/recovery/src/phase.rs
@@ -45,11 +45,20 @@
 
 impl Course {
     pub fn begin(now: f64) -> Course {
-        Course { phase: Phase::Listing, since: now, signed: now, back: 0, spoke: false }
+        Course {
+            phase: Phase::Listing,
+            since: now,
+            signed: now,
+            back: 0,
+            spoke: false,
+        }
     }
 
     pub fn done(now: f64) -> Course {
-        Course { phase: Phase::Full, ..Course::begin(now) }
+        Course {
+            phase: Phase::Full,
+            ..Course::begin(now)
+        }
     }
 
     pub fn spoke(&mut self) {
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -67,7 +67,11 @@
 impl Settings {
     /// New connections that a node is to see in 100 ms from so many routers.
     pub fn opens(&self, routers: f64) -> f64 {
-        if self.opens_in_100ms > 0.0 { self.opens_in_100ms } else { (routers / 5.0).max(8.0) }
+        if self.opens_in_100ms > 0.0 {
+            self.opens_in_100ms
+        } else {
+            (routers / 5.0).max(8.0)
+        }
     }
 
     /// The first field that can't be, and why.
@@ -77,7 +81,11 @@
             ("list_wait_ms", self.list_wait_ms, 0.0),
             ("sounding_ms", self.sounding_ms, 1.0),
             ("handshake_ms", self.handshake_ms, 0.001),
-            ("longest_handshake_ms", self.longest_handshake_ms, self.handshake_ms),
+            (
+                "longest_handshake_ms",
+                self.longest_handshake_ms,
+                self.handshake_ms,
+            ),
             ("calm_ms", self.calm_ms, 1.0),
             ("longest_ms", self.longest_ms, 1.0),
             ("stood_still_ms", self.stood_still_ms, 200.0),
@@ -86,13 +94,21 @@
             ("linger_ms", self.linger_ms, 0.0),
             ("surplus_ms", self.surplus_ms, 100.0),
         ];
-        let wrong = times.iter().find(|(_, told, least)| !(*told >= *least && *told <= longest));
+        let wrong = times
+            .iter()
+            .find(|(_, told, least)| !(*told >= *least && *told <= longest));
         if let Some((field, told, least)) = wrong {
-            return Some((field, format!("is {told}, no time from {least} ms to ten minutes")));
+            return Some((
+                field,
+                format!("is {told}, no time from {least} ms to ten minutes"),
+            ));
         }
         let opens = self.opens_in_100ms;
         if !(1.0..=1e6).contains(&opens) && opens != 0.0 {
-            return Some(("opens_in_100ms", format!("is {opens}, no number from 1 on, and not 0")));
+            return Some((
+                "opens_in_100ms",
+                format!("is {opens}, no number from 1 on, and not 0"),
+            ));
         }
         let mut names: Vec<&String> = self.routers.iter().collect();
         names.sort();
--- a/crates/recovery/src/tests/fleet.rs
+++ b/crates/recovery/src/tests/fleet.rs
@@ -27,7 +27,13 @@
 /// Plays a herd against nodes whose handshakes take longer the more are waiting; of each node the moments at which
 /// it was called. Routers look when they like, by `chance`.
 fn play(settings: &Settings, herd: Herd, until: f64) -> (Vec<Router>, Vec<Vec<f64>>) {
-    let Herd { routers, nodes, within, seed, reports_often } = herd;
+    let Herd {
+        routers,
+        nodes,
+        within,
+        seed,
+        reports_often,
+    } = herd;
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut fleet: Vec<Router> = (0..routers)
         .map(|number| Router {
@@ -53,7 +59,11 @@
 
 /// One look of one router: what came up is told, what waits is tried.
 fn turn(
-    router: &mut Router, now: f64, calls: &mut [Vec<f64>], chance: &mut fastrand::Rng, reports_often: bool,
+    router: &mut Router,
+    now: f64,
+    calls: &mut [Vec<f64>],
+    chance: &mut fastrand::Rng,
+    reports_often: bool,
 ) {
     let recovery = &mut router.recovery;
     recovery.pass(now);
@@ -63,7 +73,11 @@
     }
     for (node, calls) in calls.iter_mut().enumerate() {
         let id = node as u32;
-        let lately = calls.iter().rev().take_while(|at| now - **at <= WINDOW_S).count();
+        let lately = calls
+            .iter()
+            .rev()
+            .take_while(|at| now - **at <= WINDOW_S)
+            .count();
         if let Some(begun) = router.opening[node] {
             let takes = 0.005 * lately as f64;
             if now - begun < takes {
@@ -84,7 +98,11 @@
             recovery.reported(now, id, calls.len() as f64, lately as f64);
         }
         // Somebody always waits for one more, up to three.
-        let stand = Stand { opening: 0, busy: router.opened[node], idle: 0 };
+        let stand = Stand {
+            opening: 0,
+            busy: router.opened[node],
+            idle: 0,
+        };
         let wants = router.opened[node] < 3;
         let may = router.opened[node] > 0 || recovery.may_send(now, id, 0);
         if wants && may {
@@ -101,7 +119,8 @@
 
 /// The most of these in any window.
 fn burst(calls: &[f64]) -> usize {
-    let most = |(last, at): (usize, &f64)| last + 1 - calls.partition_point(|t| *t + WINDOW_S <= *at);
+    let most =
+        |(last, at): (usize, &f64)| last + 1 - calls.partition_point(|t| *t + WINDOW_S <= *at);
     calls.iter().enumerate().map(most).max().unwrap_or(0)
 }
 
@@ -113,9 +132,15 @@
 
 /// The most that any node saw in any window, and what it may have seen.
 fn greatest_burst(herd: Herd, turns_below: usize, until: f64) -> (usize, usize) {
-    let settings = Settings { turns_below, ..named(herd.routers) };
+    let settings = Settings {
+        turns_below,
+        ..named(herd.routers)
+    };
     let (_, calls) = play(&settings, herd, until);
-    (calls.iter().map(|calls| burst(calls)).max().unwrap_or(0), allowed_burst(&settings, herd))
+    (
+        calls.iter().map(|calls| burst(calls)).max().unwrap_or(0),
+        allowed_burst(&settings, herd),
+    )
 }
 
 /// Herds in which those who started last met many connections of the first, and few that were just opened, and
@@ -127,9 +152,20 @@
 #[test_case(11, 4, 0.18160679312092132, 1400963093492980122, 4, 4.0; "fourteen of thirteen at four nodes")]
 #[test_case(10, 5, 0.22819589245144484, 4988167839337678672, 4, 4.0; "thirteen of twelve at five nodes")]
 fn the_last_of_a_herd_are_not_alone(
-    routers: usize, nodes: usize, within: f64, seed: u64, turns_below: usize, until: f64,
+    routers: usize,
+    nodes: usize,
+    within: f64,
+    seed: u64,
+    turns_below: usize,
+    until: f64,
 ) {
-    let herd = Herd { routers, nodes, within, seed, reports_often: false };
+    let herd = Herd {
+        routers,
+        nodes,
+        within,
+        seed,
+        reports_often: false,
+    };
     let (seen, allowed) = greatest_burst(herd, turns_below, until);
     assert!(seen <= allowed, "{seen} of {allowed}");
 }
--- a/crates/recovery/src/tests/mod.rs
+++ b/crates/recovery/src/tests/mod.rs
@@ -10,12 +10,19 @@
 pub const START: f64 = 1_800_000_000.0;
 
 pub fn settings() -> Settings {
-    Settings { held_field: "held".into(), opened_field: "opened".into(), ..Settings::default() }
+    Settings {
+        held_field: "held".into(),
+        opened_field: "opened".into(),
+        ..Settings::default()
+    }
 }
 
 /// Named routers, so that turns are exact.
 pub fn named(routers: usize) -> Settings {
-    Settings { routers: (0..routers).map(name).collect(), ..settings() }
+    Settings {
+        routers: (0..routers).map(name).collect(),
+        ..settings()
+    }
 }
 
 pub fn name(router: usize) -> String {
@@ -24,7 +31,13 @@
 
 /// One of so many routers that has just started and knows these nodes.
 pub fn born(settings: Settings, routers: usize, number: usize, nodes: u32) -> Recovery {
-    let mut born = Recovery::new(START, settings, number as u64, routers as f64, &name(number));
+    let mut born = Recovery::new(
+        START,
+        settings,
+        number as u64,
+        routers as f64,
+        &name(number),
+    );
     (0..nodes).for_each(|node| born.named(node, &format!("node-{node}")));
     born
 }
--- a/crates/recovery/src/tests/model.rs
+++ b/crates/recovery/src/tests/model.rs
@@ -49,7 +49,11 @@
 }
 
 fn replay(events: &[Event], eager: bool) -> Seen {
-    let settings = Settings { list_wait_ms: if eager { 0.0 } else { 250.0 }, longest_ms: 500.0, ..named(2) };
+    let settings = Settings {
+        list_wait_ms: if eager { 0.0 } else { 250.0 },
+        longest_ms: 500.0,
+        ..named(2)
+    };
     let mut routers: Vec<Recovery> = (0..2).map(|n| born(settings.clone(), 2, n, 1)).collect();
     let mut seen = Seen::default();
     let mut listed: [Option<usize>; 2] = [None; 2];
@@ -59,7 +63,11 @@
         seen.others += usize::from(!matches!(event, Event::Pass | Event::Rest));
         match *event {
             Event::Pass | Event::Rest => {
-                let more = if *event == Event::Pass { 1 } else { ENOUGH - seen.passes.min(ENOUGH) };
+                let more = if *event == Event::Pass {
+                    1
+                } else {
+                    ENOUGH - seen.passes.min(ENOUGH)
+                };
                 for _ in 0..more {
                     seen.passes += 1;
                     let now = START + seen.passes as f64 * STEP_S;
@@ -105,7 +113,10 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<Run> {
-        vec![Run { events: Vec::new(), seen: replay(&[], self.eager) }]
+        vec![Run {
+            events: Vec::new(),
+            seen: replay(&[], self.eager),
+        }]
     }
 
     fn actions(&self, run: &Run, actions: &mut Vec<Event>) {
@@ -113,7 +124,13 @@
             return;
         }
         actions.push(Event::Rest);
-        if run.events.iter().filter(|event| **event == Event::Pass).count() < PASSES {
+        if run
+            .events
+            .iter()
+            .filter(|event| **event == Event::Pass)
+            .count()
+            < PASSES
+        {
             actions.push(Event::Pass);
         }
         if run.seen.others < EVENTS {
@@ -138,13 +155,21 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is sent before the list, or its time", |_, run: &Run| {
-                !run.seen.sent_unlisted
-            }),
+            Property::always(
+                "nothing is sent before the list, or its time",
+                |_, run: &Run| !run.seen.sent_unlisted,
+            ),
             Property::always("every phase ends", |_, run: &Run| {
-                run.seen.passes < ENOUGH || run.seen.phases.iter().all(|phase| *phase == Some(Phase::Full))
+                run.seen.passes < ENOUGH
+                    || run
+                        .seen
+                        .phases
+                        .iter()
+                        .all(|phase| *phase == Some(Phase::Full))
+            }),
+            Property::sometimes("both open", |_, run: &Run| {
+                run.seen.opened.iter().all(|opened| *opened > 0)
             }),
-            Property::sometimes("both open", |_, run: &Run| run.seen.opened.iter().all(|opened| *opened > 0)),
             Property::sometimes("one stands still and comes back", |_, run: &Run| {
                 run.events.iter().any(|e| matches!(e, Event::Still(_))) && run.seen.passes >= ENOUGH
             }),
@@ -154,13 +179,29 @@
 
 #[test]
 fn every_order_of_start_list_doubt_and_step_back() {
-    let checker = Fleet { eager: false }.checker().threads(4).spawn_bfs().join();
+    let checker = Fleet { eager: false }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join();
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{}",
+        checker.unique_state_count()
+    );
 }
 
 #[test]
 fn a_router_that_does_not_wait_for_its_list_is_found() {
-    let checker = Fleet { eager: true }.checker().threads(4).spawn_bfs().join();
-    assert!(checker.discovery("nothing is sent before the list, or its time").is_some());
+    let checker = Fleet { eager: true }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join();
+    assert!(
+        checker
+            .discovery("nothing is sent before the list, or its time")
+            .is_some()
+    );
 }
