--- a/crates/recovery/src/tests/rules.rs
+++ b/crates/recovery/src/tests/rules.rs
@@ -5,7 +5,11 @@
 use crate::{Open, Phase, Recovery, Settings, Sign, Stand, Unopened, phase::Course, place};
 use test_case::test_case;
 
-const NONE: Stand = Stand { opening: 0, busy: 0, idle: 0 };
+const NONE: Stand = Stand {
+    opening: 0,
+    busy: 0,
+    idle: 0,
+};
 
 /// Brings one of 40 routers into a phase, by what leads there.
 fn at(phase: Phase) -> (Recovery, f64) {
@@ -32,7 +36,11 @@
     assert_eq!(recovery.phase(), phase);
     assert_eq!(recovery.may_send(now, 0, 0), first);
     assert_eq!(recovery.may_probe(now, 0), probe);
-    assert_eq!(recovery.may_send(now, 0, 1), phase == Phase::Full, "a second one at the same time");
+    assert_eq!(
+        recovery.may_send(now, 0, 1),
+        phase == Phase::Full,
+        "a second one at the same time"
+    );
 }
 
 #[test]
@@ -44,7 +52,10 @@
     assert!(recovery.may_send(now, 1, 0) && recovery.may_probe(now, 1));
     assert!(!recovery.may_send(now, 0, 0) && !recovery.may_probe(now, 0));
     assert_eq!(recovery.may_open(now, 1, NONE), Open::Now);
-    assert_ne!(recovery.may_open(now, 1, Stand { opening: 1, ..NONE }), Open::Now);
+    assert_ne!(
+        recovery.may_open(now, 1, Stand { opening: 1, ..NONE }),
+        Open::Now
+    );
     assert_ne!(recovery.may_open(now, 0, NONE), Open::Now);
 }
 
@@ -124,7 +135,11 @@
         assert!(now - begun < 30.0, "it never ends");
     }
     let longest = Settings::default().longest_ms / 1e3;
-    assert!(now - begun >= 2.0 * longest, "signs count, {:.2} s", now - begun);
+    assert!(
+        now - begun >= 2.0 * longest,
+        "signs count, {:.2} s",
+        now - begun
+    );
     // Three steps back, each with both phases, and one more of both.
     assert!(now - begun <= 8.0 * longest + 1.0, "{:.2} s", now - begun);
 }
@@ -146,18 +161,33 @@
 fn a_standstill_is_a_start() {
     let (mut recovery, now) = at(Phase::Full);
     recovery.opened(now, 0, 0.01);
-    assert!(!recovery.pass(now + 0.05), "a beat later nothing has changed");
+    assert!(
+        !recovery.pass(now + 0.05),
+        "a beat later nothing has changed"
+    );
     assert!(recovery.pass(now + 5.0));
     assert_eq!(recovery.phase(), Phase::Listing);
-    assert!(!recovery.may_send(now + 5.0, 0, 0), "lists that lie in its sockets come first");
-    assert!(recovery.lines().iter().any(|line| line.contains("stood still")));
+    assert!(
+        !recovery.may_send(now + 5.0, 0, 0),
+        "lists that lie in its sockets come first"
+    );
+    assert!(
+        recovery
+            .lines()
+            .iter()
+            .any(|line| line.contains("stood still"))
+    );
 }
 
 #[test]
 fn a_node_is_believed_step_by_step() {
     let (mut recovery, now) = at(Phase::Climbing);
     recovery.opened(now, 0, 0.01);
-    let room = |recovery: &Recovery| (0..100).find(|out| !recovery.may_send(now, 0, *out)).unwrap_or(100);
+    let room = |recovery: &Recovery| {
+        (0..100)
+            .find(|out| !recovery.may_send(now, 0, *out))
+            .unwrap_or(100)
+    };
     assert_eq!(room(&recovery), 1);
     (0..4).for_each(|_| recovery.answered(0, true));
     assert_eq!(room(&recovery), 5);
@@ -173,7 +203,11 @@
 #[test_case(2, 2, false; "no more than there are")]
 fn connections_double_on_a_calm_day(opening: usize, held: usize, may: bool) {
     let (mut recovery, now) = at(Phase::Full);
-    let stand = Stand { opening, busy: held, idle: 0 };
+    let stand = Stand {
+        opening,
+        busy: held,
+        idle: 0,
+    };
     assert_eq!(recovery.may_open(now, 0, stand) == Open::Now, may);
 }
 
@@ -183,11 +217,18 @@
 #[test_case(Phase::Climbing, 0, false; "while it climbs the first one waits, too")]
 fn small_routers_open_in_turn_behind_turns(phase: Phase, held: usize, at_once: bool) {
     let (mut recovery, now) = at(phase);
-    recovery.reset(Settings { turns_below: 4, ..recovery.settings().clone() }, &name(7));
+    recovery.reset(
+        Settings {
+            turns_below: 4,
+            ..recovery.settings().clone()
+        },
+        &name(7),
+    );
     let stand = Stand { busy: held, ..NONE };
     // A cycle's moments, of which one is its own.
-    let opens =
-        (0..45).filter(|i| recovery.may_open(now + 0.01 * f64::from(*i), 0, stand) == Open::Now).count();
+    let opens = (0..45)
+        .filter(|i| recovery.may_open(now + 0.01 * f64::from(*i), 0, stand) == Open::Now)
+        .count();
     assert_eq!(opens > 2, at_once, "{opens} of 45");
     assert!(opens > 0, "its turn never came");
 }
@@ -198,11 +239,20 @@
     recovery.opened(now, 0, 0.01);
     recovery.reported(now, 0, 40.0, 30.0);
     let held = Stand { busy: 4, ..NONE };
-    let opens =
-        (0..40).filter(|i| recovery.may_open(now + 0.01 * f64::from(*i), 0, held) == Open::Now).count();
+    let opens = (0..40)
+        .filter(|i| recovery.may_open(now + 0.01 * f64::from(*i), 0, held) == Open::Now)
+        .count();
     assert!((1..=2).contains(&opens), "{opens} in one cycle");
-    assert_eq!(recovery.may_open(now, 1, held), Open::Now, "another node is none of it");
-    assert_eq!(recovery.may_open(now + 1.0, 0, held), Open::Now, "and it passes");
+    assert_eq!(
+        recovery.may_open(now, 1, held),
+        Open::Now,
+        "another node is none of it"
+    );
+    assert_eq!(
+        recovery.may_open(now + 1.0, 0, held),
+        Open::Now,
+        "and it passes"
+    );
 }
 
 #[test]
@@ -226,11 +276,68 @@
 #[test]
 fn taken_on_connections_are_given_up_again() {
     let (mut recovery, now) = at(Phase::Full);
-    assert_eq!(recovery.keep(now, 0, Stand { busy: 9, idle: 0, opening: 0 }), 0);
-    assert_eq!(recovery.keep(now + 1.0, 0, Stand { busy: 2, idle: 7, opening: 0 }), 7, "lately in use");
-    assert_eq!(recovery.keep(now + 4.0, 0, Stand { busy: 2, idle: 7, opening: 0 }), 7);
-    assert_eq!(recovery.keep(now + 8.0, 0, Stand { busy: 2, idle: 7, opening: 0 }), 0);
-    assert_eq!(recovery.keep(now + 30.0, 0, Stand { busy: 0, idle: 9, opening: 0 }), 1, "one stays");
+    assert_eq!(
+        recovery.keep(
+            now,
+            0,
+            Stand {
+                busy: 9,
+                idle: 0,
+                opening: 0
+            }
+        ),
+        0
+    );
+    assert_eq!(
+        recovery.keep(
+            now + 1.0,
+            0,
+            Stand {
+                busy: 2,
+                idle: 7,
+                opening: 0
+            }
+        ),
+        7,
+        "lately in use"
+    );
+    assert_eq!(
+        recovery.keep(
+            now + 4.0,
+            0,
+            Stand {
+                busy: 2,
+                idle: 7,
+                opening: 0
+            }
+        ),
+        7
+    );
+    assert_eq!(
+        recovery.keep(
+            now + 8.0,
+            0,
+            Stand {
+                busy: 2,
+                idle: 7,
+                opening: 0
+            }
+        ),
+        0
+    );
+    assert_eq!(
+        recovery.keep(
+            now + 30.0,
+            0,
+            Stand {
+                busy: 0,
+                idle: 9,
+                opening: 0
+            }
+        ),
+        1,
+        "one stays"
+    );
 }
 
 #[test]
@@ -242,7 +349,10 @@
     recovery.answered(2, true);
     recovery.reported(now, 2, 3.0, 100.0);
     assert_eq!(recovery.keep(now, 2, Stand { idle: 3, ..NONE }), 0);
-    assert_eq!(recovery.may_open(now, 2, Stand { opening: 5, ..NONE }), Open::Now);
+    assert_eq!(
+        recovery.may_open(now, 2, Stand { opening: 5, ..NONE }),
+        Open::Now
+    );
     assert_eq!(recovery.known(), 2);
 }
 
@@ -253,7 +363,11 @@
     assert!(advice.iter().all(|after| (0.5..=2.0).contains(after)));
     assert!(advice.iter().filter(|after| **after < 1.25).count() > 25);
     assert_eq!(recovery.advice(0.0), 0.0, "none where none is passed on");
-    assert!((0..100).map(|tries| recovery.pause(tries)).all(|pause| (0.025..=1.0).contains(&pause)));
+    assert!(
+        (0..100)
+            .map(|tries| recovery.pause(tries))
+            .all(|pause| (0.025..=1.0).contains(&pause))
+    );
 }
 
 #[test]
@@ -263,7 +377,13 @@
         let place = place(node);
         for slot in 0..20 {
             let now = START + 0.01 * f64::from(slot) + 0.005;
-            assert_eq!(turns.iter().filter(|turns| turns.turn(now, place).is_some()).count(), 1);
+            assert_eq!(
+                turns
+                    .iter()
+                    .filter(|turns| turns.turn(now, place).is_some())
+                    .count(),
+                1
+            );
         }
     }
     let (mine, place) = (&turns[2], place("a"));
@@ -283,11 +403,16 @@
         }
         ((now - START) * 1e3).round() as u64
     };
-    let mut exact: Vec<u64> = (0..40).map(|number| first(number, named(40)) * 2 / 25).collect();
+    let mut exact: Vec<u64> = (0..40)
+        .map(|number| first(number, named(40)) * 2 / 25)
+        .collect();
     exact.sort_unstable();
     exact.dedup();
     assert!(exact.len() >= 39, "named routers share no slot: {exact:?}");
-    let unnamed = Settings { routers: vec![name(900)], ..settings() };
+    let unnamed = Settings {
+        routers: vec![name(900)],
+        ..settings()
+    };
     assert!(
         first(3, unnamed.clone()) != first(4, unnamed.clone())
             || first(5, unnamed.clone()) != first(3, unnamed)
--- a/crates/recovery/src/turns.rs
+++ b/crates/recovery/src/turns.rs
@@ -16,7 +16,11 @@
     /// `opens` is the bound of all routers together, a node and window.
     pub fn new(rank: u64, routers: u64, opens: f64) -> Turns {
         let routers = routers.max(1);
-        Turns { rank: rank % routers, routers, step: WINDOW_S / opens.max(1.0) }
+        Turns {
+            rank: rank % routers,
+            routers,
+            step: WINDOW_S / opens.max(1.0),
+        }
     }
 
     pub fn rank(&self) -> u64 {
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -61,7 +61,15 @@
     pub fn new(descriptors: usize) -> Rc<Budget> {
         let (used, clients, most, numbered) = Default::default();
         let (idle, closing) = (RefCell::default(), Cell::new(Closing::None));
-        let budget = Rc::new(Budget { used, clients, most, freed: bounded(1), numbered, idle, closing });
+        let budget = Rc::new(Budget {
+            used,
+            clients,
+            most,
+            freed: bounded(1),
+            numbered,
+            idle,
+            closing,
+        });
         budget.resize(descriptors);
         budget
     }
@@ -91,7 +99,11 @@
         let used = self.used.get();
         (used < most).then(|| {
             self.used.set(used + 1);
-            Lease { budget: self.clone(), client: false, number: self.number() }
+            Lease {
+                budget: self.clone(),
+                client: false,
+                number: self.number(),
+            }
         })
     }
 
@@ -108,7 +120,10 @@
     /// Asks a waiting connection to close, if there is one: it does once its task has its turn, unless there
     /// is something to read on it.
     pub fn make_room(&self) -> bool {
-        self.idle.borrow_mut().pop_first().is_some_and(|(_, (.., unwant))| unwant.try_send(()).is_ok())
+        self.idle
+            .borrow_mut()
+            .pop_first()
+            .is_some_and(|(_, (.., unwant))| unwant.try_send(()).is_ok())
     }
 
     /// From now on clients' connections close as they fall idle, but for the silent.
@@ -123,7 +138,12 @@
 
     fn close(&self, closing: Closing) {
         self.closing.set(closing);
-        for (.., unwant) in self.idle.borrow().values().filter(|idle| self.closes(idle.0)) {
+        for (.., unwant) in self
+            .idle
+            .borrow()
+            .values()
+            .filter(|idle| self.closes(idle.0))
+        {
             let _ = unwant.try_send(());
         }
     }
@@ -159,14 +179,28 @@
     /// Its connection has nothing to do until something can be read on it.
     pub fn wait(&self, kind: Kind) -> Place {
         let silent = kind == Kind::Silent;
-        let rank = (!silent, if silent { self.number } else { self.budget.number() });
+        let rank = (
+            !silent,
+            if silent {
+                self.number
+            } else {
+                self.budget.number()
+            },
+        );
         let (unwant, unwanted) = bounded(1);
         if self.budget.closes(kind) {
             let _ = unwant.try_send(());
         }
-        self.budget.idle.borrow_mut().insert(rank, (kind, Instant::now(), unwant));
+        self.budget
+            .idle
+            .borrow_mut()
+            .insert(rank, (kind, Instant::now(), unwant));
         let _ = self.budget.freed.0.try_send(());
-        Place { budget: self.budget.clone(), rank, unwanted }
+        Place {
+            budget: self.budget.clone(),
+            rank,
+            unwanted,
+        }
     }
 }
 
@@ -187,7 +221,9 @@
     fn drop(&mut self) {
         let budget = &self.budget;
         budget.used.set(budget.used.get() - 1);
-        budget.clients.set(budget.clients.get() - usize::from(self.client));
+        budget
+            .clients
+            .set(budget.clients.get() - usize::from(self.client));
         let _ = budget.freed.0.try_send(());
     }
 }
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -53,7 +53,9 @@
         let workloads = workloads.into_iter().zip(kinds).enumerate();
         let customers = customers.into_iter().enumerate();
         Names {
-            workloads: workloads.map(|(i, (name, kind))| (name, (i, kind))).collect(),
+            workloads: workloads
+                .map(|(i, (name, kind))| (name, (i, kind)))
+                .collect(),
             customers: customers.map(|(i, name)| (name, i)).collect(),
             open: RefCell::default(),
         }
@@ -62,10 +64,15 @@
 
 /// Takes a statement, unless no node may see it.
 pub fn take(
-    desk: &Rc<Router>, names: &Rc<Names>, memory: &Rc<Memory>, s: Statement,
+    desk: &Rc<Router>,
+    names: &Rc<Names>,
+    memory: &Rc<Memory>,
+    s: Statement,
 ) -> Result<(Ticket<Statement, Row>, Opened), Fault> {
-    let (workload, kind) =
-        *names.workloads.get(&s.workload).ok_or(("42704", "the workload in c is unknown"))?;
+    let (workload, kind) = *names
+        .workloads
+        .get(&s.workload)
+        .ok_or(("42704", "the workload in c is unknown"))?;
     if s.writes != (kind.currency == Currency::Primary) {
         return Err(("42601", "the workload in c does not fit the statement"));
     }
@@ -76,15 +83,25 @@
         return Err(("42704", "the group in cluster is unknown"));
     }
     // Nothing has run: 53300 tells that it may come again.
-    let held = memory.hold(s.size()).ok_or(("53300", "too many large statements are open"))?;
+    let held = memory
+        .hold(s.size())
+        .ok_or(("53300", "too many large statements are open"))?;
     if !names.open.borrow_mut().insert(s.id.clone()) {
         return Err(("42710", "a statement with this id is open"));
     }
-    let opened = Opened { names: names.clone(), id: s.id.clone(), _memory: held };
+    let opened = Opened {
+        names: names.clone(),
+        id: s.id.clone(),
+        _memory: held,
+    };
     let has_session = s.writes || kind.currency == Currency::OwnWrites;
     let session = if has_session { number(&s.key) } else { 0 };
     // A customer without a quota has no place in the list.
-    let customer = names.customers.get(&s.customer).copied().unwrap_or(usize::MAX);
+    let customer = names
+        .customers
+        .get(&s.customer)
+        .copied()
+        .unwrap_or(usize::MAX);
     let (group, wait, after, size, marked) = (s.group, s.wait, s.after, s.size(), s.mark.is_some());
     let ticket = desk.arrived(s, workload, group, session, customer, wait, after);
     desk.carries(&ticket, size, marked);
@@ -100,7 +117,11 @@
 
 /// Serves a client until its connection ends.
 pub async fn serve(
-    stream: Async<TcpStream>, desk: Rc<Router>, names: Rc<Names>, memory: Rc<Memory>, lease: &Lease,
+    stream: Async<TcpStream>,
+    desk: Rc<Router>,
+    names: Rc<Names>,
+    memory: Rc<Memory>,
+    lease: &Lease,
     malformed: Rc<Seldom>,
 ) {
     let mut output = Ring::within(message::LONGEST, &memory);
@@ -117,7 +138,11 @@
 }
 
 async fn talk(
-    stream: &Async<TcpStream>, output: &mut Ring, desk: &Rc<Router>, names: &Rc<Names>, memory: &Rc<Memory>,
+    stream: &Async<TcpStream>,
+    output: &mut Ring,
+    desk: &Rc<Router>,
+    names: &Rc<Names>,
+    memory: &Rc<Memory>,
     lease: &Lease,
 ) -> Result<Infallible, Close> {
     let (mut machine, mut input) = (Client::default(), Ring::within(message::LONGEST, memory));
@@ -161,18 +186,30 @@
 
 /// Reads on; once some time is over without a byte, the connection is the first to make room.
 async fn silent(
-    stream: &Async<TcpStream>, input: &mut Ring, lease: &Lease, since: Instant,
+    stream: &Async<TcpStream>,
+    input: &mut Ring,
+    lease: &Lease,
+    since: Instant,
 ) -> Result<(), Close> {
     let read = async { wire::read(stream, input).await.map(|()| true) };
     let quiet = async {
         Timer::after(JUST_COME.saturating_sub(since.elapsed())).await;
         Ok(false)
     };
-    if future::or(read, quiet).await? { Ok(()) } else { idle(stream, input, lease, Kind::Silent).await }
+    if future::or(read, quiet).await? {
+        Ok(())
+    } else {
+        idle(stream, input, lease, Kind::Silent).await
+    }
 }
 
 /// Reads on, unless the router wants the connection closed: never one whose bytes are unread.
-async fn idle(stream: &Async<TcpStream>, input: &mut Ring, lease: &Lease, kind: Kind) -> Result<(), Close> {
+async fn idle(
+    stream: &Async<TcpStream>,
+    input: &mut Ring,
+    lease: &Lease,
+    kind: Kind,
+) -> Result<(), Close> {
     let unwanted = {
         let wanted = lease.wait(kind);
         let read = async { wire::read(stream, input).await.map(|()| false) };
@@ -182,12 +219,18 @@
         })
         .await?
     };
-    if unwanted && !wire::read_now(stream, input)? { Err(Close::Idle) } else { Ok(()) }
+    if unwanted && !wire::read_now(stream, input)? {
+        Err(Close::Idle)
+    } else {
+        Ok(())
+    }
 }
 
 /// The final answer; meanwhile the client may leave, or send its next statement.
 async fn answer(
-    stream: &Async<TcpStream>, input: &mut Ring, ticket: &Ticket<Statement, Row>,
+    stream: &Async<TcpStream>,
+    input: &mut Ring,
+    ticket: &Ticket<Statement, Row>,
 ) -> Result<Final<Row>, Close> {
     let left = async {
         loop {
--- a/crates/router/src/decide.rs
+++ b/crates/router/src/decide.rs
@@ -57,8 +57,13 @@
 
 impl Clock {
     pub fn new() -> Clock {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { anchor: since.as_secs_f64(), start: Instant::now() }
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            anchor: since.as_secs_f64(),
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> f64 {
@@ -154,23 +159,46 @@
 impl<S: 'static, A: 'static> Out<S, A> {
     /// It ended. `lsn` is minus infinity where none was told, a report tells role and position.
     pub fn ended(
-        self, ending: Ending, role: Option<Role>, lsn: f64, report: Option<Report>, answer: Option<A>,
+        self,
+        ending: Ending,
+        role: Option<Role>,
+        lsn: f64,
+        report: Option<Report>,
+        answer: Option<A>,
     ) {
-        self.desk.executed(self.key, ending, role, lsn, report, answer);
+        self.desk
+            .executed(self.key, ending, role, lsn, report, answer);
     }
 }
 
 impl<S: 'static, A: 'static> Drop for Out<S, A> {
     fn drop(&mut self) {
-        self.desk.executed(self.key, Ending::Dropped, None, f64::NEG_INFINITY, None, None);
+        self.desk.executed(
+            self.key,
+            Ending::Dropped,
+            None,
+            f64::NEG_INFINITY,
+            None,
+            None,
+        );
     }
 }
 
 impl<S: 'static, A: 'static> Desk<S, A> {
     pub fn new(instance: Instance, clock: Clock) -> Rc<Desk<S, A>> {
         let (taken, running) = (HashMap::new(), HashMap::new());
-        let inner = Inner { instance, clock, numbered: 0, wakes: BTreeSet::new(), taken, running };
-        Rc::new(Desk { inner: RefCell::new(inner), told: bounded(1) })
+        let inner = Inner {
+            instance,
+            clock,
+            numbered: 0,
+            wakes: BTreeSet::new(),
+            taken,
+            running,
+        };
+        Rc::new(Desk {
+            inner: RefCell::new(inner),
+            told: bounded(1),
+        })
     }
 
     /// Tells the instance a fact; it settles once all that is ready now has been told.
@@ -190,7 +218,13 @@
     /// Takes a statement whose last byte has just arrived. `wait` is how long its client waits, `after` the
     /// position that it must see.
     pub fn arrived(
-        self: &Rc<Self>, statement: S, workload: usize, group: u16, session: u64, customer: usize, wait: f64,
+        self: &Rc<Self>,
+        statement: S,
+        workload: usize,
+        group: u16,
+        session: u64,
+        customer: usize,
+        wait: f64,
         after: Option<f64>,
     ) -> Ticket<S, A> {
         let mut inner = self.inner.borrow_mut();
@@ -199,30 +233,54 @@
         let stmt = inner.numbered;
         // 0 would mean that nothing was written; a commit that is rounded up may lie just ahead.
         let age = after.map_or(0.0, |at| (now - at).max(1e-6));
-        inner.instance.arrived(now, stmt, workload, group, session, customer, 0.0, now + wait, age);
+        inner.instance.arrived(
+            now,
+            stmt,
+            workload,
+            group,
+            session,
+            customer,
+            0.0,
+            now + wait,
+            age,
+        );
         let (sender, answer) = bounded(1);
-        let taken = Taken { statement: Rc::new(statement), answer: sender, executions: 0 };
+        let taken = Taken {
+            statement: Rc::new(statement),
+            answer: sender,
+            executions: 0,
+        };
         inner.taken.insert(stmt, taken);
         self.touch();
-        Ticket { desk: self.clone(), stmt, answer }
+        Ticket {
+            desk: self.clone(),
+            stmt,
+            answer,
+        }
     }
 
     /// What is known of a statement beside its routing, see [`Instance::carries`].
     pub fn carries(&self, ticket: &Ticket<S, A>, bytes: usize, marked: bool) {
-        self.inner.borrow_mut().instance.carries(ticket.stmt, bytes, marked);
+        self.inner
+            .borrow_mut()
+            .instance
+            .carries(ticket.stmt, bytes, marked);
     }
 
     /// The fields of load reports in which nodes tell of their logs and of their connections, if any do.
     pub fn fields(&self) -> Fields {
         let inner = self.inner.borrow();
-        let pair = |(a, b): (&String, &String)| (!a.is_empty()).then(|| Rc::new((a.clone(), b.clone())));
+        let pair =
+            |(a, b): (&String, &String)| (!a.is_empty()).then(|| Rc::new((a.clone(), b.clone())));
         let succession = inner.instance.succession.as_ref().map(|of| of.settings());
         let recovery = inner.instance.recovery.as_ref().map(|of| of.settings());
         let fleet = inner.instance.fleet.as_ref().map(|of| of.settings());
         Fields {
             log: succession.and_then(|of| pair((&of.branch_field, &of.promoted_field))),
             connections: recovery.and_then(|of| pair((&of.held_field, &of.opened_field))),
-            held: fleet.filter(|of| !of.held_field.is_empty()).map(|of| Rc::new(of.held_field.clone())),
+            held: fleet
+                .filter(|of| !of.held_field.is_empty())
+                .map(|of| Rc::new(of.held_field.clone())),
         }
     }
 
@@ -244,7 +302,10 @@
     }
 
     pub fn out(self: &Rc<Self>, stmt: u32, execution: u8) -> Out<S, A> {
-        Out { desk: self.clone(), key: (stmt, execution) }
+        Out {
+            desk: self.clone(),
+            key: (stmt, execution),
+        }
     }
 
     /// Whether what let an execution go still holds, for one that had to wait for its connection: a drain
@@ -252,18 +313,30 @@
     pub fn still_stands(&self, stmt: u32, node: u32) -> bool {
         let inner = self.inner.borrow();
         let (now, instance) = (inner.clock.now(), &inner.instance);
-        let Some(known) = instance.nodes.get(&node) else { return false };
-        let current = instance.statements.get(&stmt).is_some_and(|s| instance.current(s, node, now));
+        let Some(known) = instance.nodes.get(&node) else {
+            return false;
+        };
+        let current = instance
+            .statements
+            .get(&stmt)
+            .is_some_and(|s| instance.current(s, node, now));
         current && !known.closed(&instance.drain, true, now)
     }
 
     /// Every end of an execution comes through here, once.
     fn executed(
-        &self, key: (u32, u8), ending: Ending, role: Option<Role>, lsn: f64, report: Option<Report>,
+        &self,
+        key: (u32, u8),
+        ending: Ending,
+        role: Option<Role>,
+        lsn: f64,
+        report: Option<Report>,
         answer: Option<A>,
     ) {
         let mut inner = self.inner.borrow_mut();
-        let Some(running) = inner.running.remove(&key) else { return };
+        let Some(running) = inner.running.remove(&key) else {
+            return;
+        };
         let (now, (stmt, execution)) = (inner.clock.now(), key);
         let vain = ending == Ending::Completed && !inner.instance.vouches(stmt, running.node);
         let ending = if vain { Ending::Dropped } else { ending };
@@ -274,9 +347,13 @@
         }
         let over = !inner.taken.contains_key(&stmt);
         let (node, took) = (running.node, now - running.sent);
-        inner.instance.executed(now, stmt, execution, node, ending, took, over, role, lsn);
+        inner
+            .instance
+            .executed(now, stmt, execution, node, ending, took, over, role, lsn);
         if let Some(report) = report {
-            inner.instance.reported(now, node, report.primary, report.lsn);
+            inner
+                .instance
+                .reported(now, node, report.primary, report.lsn);
             report.tell(&mut inner.instance, now, node);
         }
         self.touch();
@@ -308,18 +385,26 @@
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
         inner.instance.settle(now, &mut asked);
-        let wakes = asked.wakes.iter().map(|after| ((now + after.clamp(0.0, 3600.0)) * 1e6) as u64 + 1);
+        let wakes = asked
+            .wakes
+            .iter()
+            .map(|after| ((now + after.clamp(0.0, 3600.0)) * 1e6) as u64 + 1);
         inner.wakes.extend(wakes);
         let now_us = (now * 1e6) as u64;
         inner.wakes = inner.wakes.split_off(&(now_us + 1));
-        let next = inner.wakes.first().map(|at| Duration::from_micros(at - now_us));
+        let next = inner
+            .wakes
+            .first()
+            .map(|at| Duration::from_micros(at - now_us));
         drop(inner);
         for line in asked.lines {
             tracing::info!("{line}");
         }
         for action in asked.actions {
             match action {
-                Action::Execute(stmt, node, limit, asks) => self.execute(now, stmt, node, limit, asks, carry),
+                Action::Execute(stmt, node, limit, asks) => {
+                    self.execute(now, stmt, node, limit, asks, carry)
+                }
                 Action::Cancel(stmt, execution) => self.cancel(stmt, execution),
                 Action::Conclude(stmt, last) => self.conclude(stmt, last),
                 Action::Probe(node) => carry(Order::Probe { node }),
@@ -328,7 +413,15 @@
         next
     }
 
-    fn execute(&self, now: f64, stmt: u32, node: u32, limit: f64, asks: bool, carry: &impl Fn(Order<S>)) {
+    fn execute(
+        &self,
+        now: f64,
+        stmt: u32,
+        node: u32,
+        limit: f64,
+        asks: bool,
+        carry: &impl Fn(Order<S>),
+    ) {
         let mut inner = self.inner.borrow_mut();
         let Some(taken) = inner.taken.get_mut(&stmt) else {
             tracing::error!("statement {stmt} is over and was to be executed");
@@ -337,9 +430,24 @@
         let (execution, statement) = (taken.executions, taken.statement.clone());
         taken.executions += 1;
         let (wanted, unwanted) = bounded(1);
-        inner.running.insert((stmt, execution), Running { node, sent: now, wanted });
+        inner.running.insert(
+            (stmt, execution),
+            Running {
+                node,
+                sent: now,
+                wanted,
+            },
+        );
         drop(inner);
-        carry(Order::Execute { stmt, execution, node, limit, asks, statement, unwanted });
+        carry(Order::Execute {
+            stmt,
+            execution,
+            node,
+            limit,
+            asks,
+            statement,
+            unwanted,
+        });
     }
 
     /// Its end is told by who executes it: an answer that is there already still counts for what it tells.
@@ -372,7 +480,11 @@
 
 impl<A> Default for Asked<A> {
     fn default() -> Asked<A> {
-        Asked { actions: Vec::new(), lines: Vec::new(), wakes: Vec::new() }
+        Asked {
+            actions: Vec::new(),
+            lines: Vec::new(),
+            wakes: Vec::new(),
+        }
     }
 }
 
@@ -390,7 +502,8 @@
     }
 
     fn reject(&mut self, stmt: u32, retry_after: f64) {
-        self.actions.push(Action::Conclude(stmt, Final::Rejected(retry_after)));
+        self.actions
+            .push(Action::Conclude(stmt, Final::Rejected(retry_after)));
     }
 
     fn abort(&mut self, stmt: u32) {
--- a/crates/router/src/execute.rs
+++ b/crates/router/src/execute.rs
@@ -21,16 +21,35 @@
 
 pub async fn carry(desk: Rc<Router>, pool: Rc<Pool>, roster: Rc<Roster>, order: Order<Statement>) {
     match order {
-        Order::Execute { stmt, execution, node, limit, asks, statement, unwanted } => {
-            execute(desk, pool, roster, stmt, execution, node, limit, asks, statement, unwanted).await;
+        Order::Execute {
+            stmt,
+            execution,
+            node,
+            limit,
+            asks,
+            statement,
+            unwanted,
+        } => {
+            execute(
+                desk, pool, roster, stmt, execution, node, limit, asks, statement, unwanted,
+            )
+            .await;
         }
         Order::Probe { node } => crate::probe::probe(desk, pool, roster, node).await,
     }
 }
 
 async fn execute(
-    desk: Rc<Router>, pool: Rc<Pool>, roster: Rc<Roster>, stmt: u32, execution: u8, node: u32, limit: f64,
-    asks: bool, statement: Rc<Statement>, unwanted: Receiver<()>,
+    desk: Rc<Router>,
+    pool: Rc<Pool>,
+    roster: Rc<Roster>,
+    stmt: u32,
+    execution: u8,
+    node: u32,
+    limit: f64,
+    asks: bool,
+    statement: Rc<Statement>,
+    unwanted: Receiver<()>,
 ) {
     let out = desk.out(stmt, execution);
     let limit = Duration::from_secs_f64(limit.clamp(0.0, 86_400.0));
@@ -45,7 +64,11 @@
         }
         let left = until.saturating_duration_since(Instant::now());
         let left = left.as_secs_f64();
-        let text = if asks { statement.for_inquiry(left) } else { statement.for_node(left) };
+        let text = if asks {
+            statement.for_inquiry(left)
+        } else {
+            statement.for_node(left)
+        };
         let answer = connection.query(&text, &told).await?;
         Ok((connection, answer))
     });
@@ -58,21 +81,35 @@
     match ended {
         Ok((connection, answer)) => {
             pool.put(node, connection);
-            let role = answer.primary.map(|leads| if leads { Role::Primary } else { Role::Replica });
+            let role = answer
+                .primary
+                .map(|leads| if leads { Role::Primary } else { Role::Replica });
             let lsn = answer.as_of.unwrap_or(f64::NEG_INFINITY);
             let own = pool.held(node);
-            let report = answer.vitals.as_deref().map(|vitals| report(vitals, &desk.fields(), own));
+            let report = answer
+                .vitals
+                .as_deref()
+                .map(|vitals| report(vitals, &desk.fields(), own));
             match answer.row {
                 Ok(row) => out.ended(Ending::Completed, role, lsn, report, Some(row)),
                 Err(code) => out.ended(ending::of_error(code, asks), role, lsn, report, None),
             }
         }
         Err(close) => {
-            tracing::debug!("node {node}: execution ended, {close}, written {}", written.get());
+            tracing::debug!(
+                "node {node}: execution ended, {close}, written {}",
+                written.get()
+            );
             if written.get() && matches!(close, Close::Cancelled | Close::TimedOut) {
                 pool.linger(node, run);
             }
-            out.ended(ending::of_close(close, written.get()), None, f64::NEG_INFINITY, None, None);
+            out.ended(
+                ending::of_close(close, written.get()),
+                None,
+                f64::NEG_INFINITY,
+                None,
+                None,
+            );
         }
     }
 }
@@ -83,10 +120,23 @@
 /// Role, position and log that a load report tells; `own` is how many connections this router has there.
 pub fn report(vitals: &str, fields: &Fields, own: usize) -> Report {
     let primary = vital(vitals, badgerstream_provision::ROLE).map(|told| told >= 0.5);
-    let lsn = vital(vitals, badgerstream_provision::POSITION).map_or(f64::NEG_INFINITY, |at| at - ROUNDING_S);
+    let lsn = vital(vitals, badgerstream_provision::POSITION)
+        .map_or(f64::NEG_INFINITY, |at| at - ROUNDING_S);
     let both = |f: &Rc<(String, String)>| vital(vitals, &f.0).zip(vital(vitals, &f.1));
-    let (took_over, connections) =
-        (fields.log.as_ref().and_then(both), fields.connections.as_ref().and_then(both));
-    let held = fields.held.as_ref().and_then(|field| vital(vitals, field)).map(|held| (held, own as f64));
-    Report { primary, lsn, took_over, connections, held }
+    let (took_over, connections) = (
+        fields.log.as_ref().and_then(both),
+        fields.connections.as_ref().and_then(both),
+    );
+    let held = fields
+        .held
+        .as_ref()
+        .and_then(|field| vital(vitals, field))
+        .map(|held| (held, own as f64));
+    Report {
+        primary,
+        lsn,
+        took_over,
+        connections,
+        held,
+    }
 }
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/gate.rs
@@ -13,7 +13,9 @@
 impl Gate {
     pub fn of(desk: &Rc<Router>) -> Gate {
         let desk = desk.clone();
-        Gate(Box::new(move |tells, ask| desk.recovery(tells, ask).is_some()))
+        Gate(Box::new(move |tells, ask| {
+            desk.recovery(tells, ask).is_some()
+        }))
     }
 
     /// Nothing is ever held back.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -108,7 +108,8 @@
 fn command(
     arguments: impl IntoIterator<Item = impl Into<std::ffi::OsString>>,
 ) -> Result<Command, lexopt::Error> {
-    let (mut arguments, mut words, mut help) = (lexopt::Parser::from_args(arguments), Vec::new(), false);
+    let (mut arguments, mut words, mut help) =
+        (lexopt::Parser::from_args(arguments), Vec::new(), false);
     let mut settings = None;
     while let Some(argument) = arguments.next()? {
         match argument {
@@ -127,9 +128,15 @@
         (["help"], _) | ([], true) => Ok(Command::Tell(USAGE)),
         (["serve"], true) => Ok(Command::Tell(SERVE)),
         (["check", ..], true) => Ok(Command::Tell(CHECK)),
-        (["version"], _) => Ok(Command::Tell(concat!("badgerstream ", env!("CARGO_PKG_VERSION")))),
+        (["version"], _) => Ok(Command::Tell(concat!(
+            "badgerstream ",
+            env!("CARGO_PKG_VERSION")
+        ))),
         (["serve"], false) => Ok(Command::Serve(settings)),
-        (["check", file], false) => Ok(Command::Check(Files { file: file.to_string(), settings })),
+        (["check", file], false) => Ok(Command::Check(Files {
+            file: file.to_string(),
+            settings,
+        })),
         (["check"], false) => Err("check needs a file".into()),
         ([], false) => Err("a sub-command is missing".into()),
         _ => Err(format!("there is no such command: {}", words.join(" ")).into()),
@@ -173,9 +180,8 @@
     let provision = Provision::read(&text(file)?).map_err(|e| format!("{file}: {e}"))?;
     let own = match &files.settings {
         None => Own::default(),
-        Some(file) => {
-            Own::read(&text(file)?, part(&provision, FOR_STATEMENTS)).map_err(|e| format!("{file}: {e}"))?
-        }
+        Some(file) => Own::read(&text(file)?, part(&provision, FOR_STATEMENTS))
+            .map_err(|e| format!("{file}: {e}"))?,
     };
     Ok((provision, own))
 }
@@ -204,11 +210,20 @@
     let clock = decide::Clock::new();
     instance.recover(clock.now(), own.recovery, provision.seed, &provision.name);
     instance.join(own.fleet, provision.seed, &provision.name);
-    let zones = pairs.text("zones")?.split(',').map(str::to_string).collect();
+    let zones = pairs
+        .text("zones")?
+        .split(',')
+        .map(str::to_string)
+        .collect();
     let roster = watch::Roster::new(zones);
-    let seq =
-        roster.list(&mut instance, clock.now(), &provision.known).map_err(|e| format!("/known: {e}"))?;
-    let names = client::Names::new(pairs.names("classes")?, reading.workloads, pairs.names("tenants")?);
+    let seq = roster
+        .list(&mut instance, clock.now(), &provision.known)
+        .map_err(|e| format!("/known: {e}"))?;
+    let names = client::Names::new(
+        pairs.names("classes")?,
+        reading.workloads,
+        pairs.names("tenants")?,
+    );
     Ok(Ready {
         desk: decide::Desk::new(instance, clock),
         roster,
@@ -222,25 +237,57 @@
 /// Without any time, no connection would ever come up or be kept.
 fn positive(pairs: &Pairs, path: &str) -> Result<f64, String> {
     let told = pairs.seconds(path)?;
-    if told > 0.0 { Ok(told) } else { Err(format!("setting {path} is no time: 0")) }
+    if told > 0.0 {
+        Ok(told)
+    } else {
+        Err(format!("setting {path} is no time: 0"))
+    }
 }
 
 fn serve(
-    files: Files, provision: Provision, own: Own, name: &str, address: SocketAddr, discovery: SocketAddr,
+    files: Files,
+    provision: Provision,
+    own: Own,
+    name: &str,
+    address: SocketAddr,
+    discovery: SocketAddr,
 ) -> Result<(), String> {
     let level = tracing_subscriber::EnvFilter::try_from_env("BADGERSTREAM_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
-    tracing_subscriber::fmt().with_env_filter(level).with_ansi(false).with_writer(std::io::stderr).init();
-    let Ready { desk, roster, names, seq, dial_limit, node_idle_limit } = router(&provision, own)?;
+    tracing_subscriber::fmt()
+        .with_env_filter(level)
+        .with_ansi(false)
+        .with_writer(std::io::stderr)
+        .init();
+    let Ready {
+        desk,
+        roster,
+        names,
+        seq,
+        dial_limit,
+        node_idle_limit,
+    } = router(&provision, own)?;
     let hangups = reload::signals()?;
-    let listener = Async::<TcpListener>::bind(address).map_err(|e| format!("listening on {address}: {e}"))?;
-    let (tasks, budget) = (spawn::Tasks::default(), budget::Budget::new(provision.descriptors));
+    let listener =
+        Async::<TcpListener>::bind(address).map_err(|e| format!("listening on {address}: {e}"))?;
+    let (tasks, budget) = (
+        spawn::Tasks::default(),
+        budget::Budget::new(provision.descriptors),
+    );
     let memory = |of: f64| Memory::new(part(&provision, of));
     let (answers, statements) = (memory(FOR_ANSWERS), memory(FOR_STATEMENTS));
     let gate = gate::Gate::of(&desk);
-    let pool = pool::Pool::new(tasks.clone(), budget.clone(), answers, gate, dial_limit, node_idle_limit);
+    let pool = pool::Pool::new(
+        tasks.clone(),
+        budget.clone(),
+        answers,
+        gate,
+        dial_limit,
+        node_idle_limit,
+    );
     let carry = {
-        let (tasks, desk, pool, roster) = (tasks.clone(), desk.clone(), pool.clone(), roster.clone());
+        let (tasks, desk, pool, roster) =
+            (tasks.clone(), desk.clone(), pool.clone(), roster.clone());
         move |order| {
             let work = execute::carry(desk.clone(), pool.clone(), roster.clone(), order);
             tasks.spawn("an execution", work).detach();
@@ -248,14 +295,40 @@
     };
     let decisions = tasks.spawn("the decisions", desk.clone().run(carry));
     let (heard, first_list) = async_channel::bounded(1);
-    let watches = reload::Watches::begin(tasks.clone(), desk.clone(), roster.clone(), discovery, seq, heard);
-    tasks.spawn("idle clients", listen::thin_out(budget.clone())).detach();
-    tasks.spawn("what is gone", watch::forget(desk.clone(), roster)).detach();
-    let reload = reload::reload(hangups, provision, move || checked(&files), watches, budget.clone());
+    let watches = reload::Watches::begin(
+        tasks.clone(),
+        desk.clone(),
+        roster.clone(),
+        discovery,
+        seq,
+        heard,
+    );
+    tasks
+        .spawn("idle clients", listen::thin_out(budget.clone()))
+        .detach();
+    tasks
+        .spawn("what is gone", watch::forget(desk.clone(), roster))
+        .detach();
+    let reload = reload::reload(
+        hangups,
+        provision,
+        move || checked(&files),
+        watches,
+        budget.clone(),
+    );
     tasks.spawn("reload", reload).detach();
-    tasks.spawn("what is believed", belief::tell(desk.clone(), pool.clone())).detach();
+    tasks
+        .spawn("what is believed", belief::tell(desk.clone(), pool.clone()))
+        .detach();
     tasks.spawn("the pool", pool.clone().retire()).detach();
-    let accept = listen::listen(listener, tasks.clone(), desk, names, statements, budget.clone());
+    let accept = listen::listen(
+        listener,
+        tasks.clone(),
+        desk,
+        names,
+        statements,
+        budget.clone(),
+    );
     let accept = tasks.spawn("the listener", async move {
         // The list that was handed over may be old: what discovery has to tell comes first, if it is there.
         let heard = async { first_list.recv().await.map_err(|_| Close::Left) };
--- a/crates/router/src/listen.rs
+++ b/crates/router/src/listen.rs
@@ -24,7 +24,11 @@
 }
 
 pub async fn listen(
-    listener: Async<TcpListener>, tasks: Tasks, desk: Rc<Router>, names: Rc<Names>, memory: Rc<Memory>,
+    listener: Async<TcpListener>,
+    tasks: Tasks,
+    desk: Rc<Router>,
+    names: Rc<Names>,
+    memory: Rc<Memory>,
     budget: Rc<Budget>,
 ) {
     let (malformed, refused) = (Rc::new(Seldom::new()), Seldom::new());
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -75,7 +75,11 @@
 
 /// A node that is there may still break a connection as it comes up.
 fn refused(e: std::io::Error) -> Close {
-    if e.kind() == ErrorKind::ConnectionReset { Close::Broken } else { Close::Refused }
+    if e.kind() == ErrorKind::ConnectionReset {
+        Close::Broken
+    } else {
+        Close::Refused
+    }
 }
 
 struct Idle {
@@ -102,7 +106,11 @@
 impl Stand {
     fn counts(&self) -> recovery::Stand {
         let opening = self.opening;
-        recovery::Stand { opening, busy: self.busy.get().saturating_sub(opening), idle: self.idle.len() }
+        recovery::Stand {
+            opening,
+            busy: self.busy.get().saturating_sub(opening),
+            idle: self.idle.len(),
+        }
     }
 }
 
@@ -124,7 +132,11 @@
 
 impl Pool {
     pub fn new(
-        tasks: Tasks, budget: Rc<Budget>, memory: Rc<Memory>, gate: Gate, dial_limit: f64,
+        tasks: Tasks,
+        budget: Rc<Budget>,
+        memory: Rc<Memory>,
+        gate: Gate,
+        dial_limit: f64,
         node_idle_limit: f64,
     ) -> Rc<Pool> {
         Rc::new(Pool {
@@ -146,7 +158,11 @@
 
     /// An idle connection, else the first that is opened or falls idle. True with it if it had to be waited
     /// for.
-    pub async fn take(self: &Rc<Self>, node: u32, address: SocketAddr) -> Result<(Connection, bool), Close> {
+    pub async fn take(
+        self: &Rc<Self>,
+        node: u32,
+        address: SocketAddr,
+    ) -> Result<(Connection, bool), Close> {
         while let Some(mut idle) = self.last_idle(node) {
             drop(idle.watch);
             if idle.connection.address == address && idle.connection.quiet() {
@@ -155,14 +171,25 @@
             }
         }
         let (waiting, connection) = bounded(1);
-        self.nodes.borrow_mut().entry(node).or_default().waiting.push_back(waiting.clone());
+        self.nodes
+            .borrow_mut()
+            .entry(node)
+            .or_default()
+            .waiting
+            .push_back(waiting.clone());
         if self.gate.ask(|_, _| ()).is_some() {
             self.open_more(node, address);
-            return Ok((connection.recv().await.unwrap_or(Err(Close::Refused))?, true));
+            return Ok((
+                connection.recv().await.unwrap_or(Err(Close::Refused))?,
+                true,
+            ));
         }
         let (pool, own) = (self.clone(), waiting);
         let dial = async move {
-            match pool.dial(address, Busy::new(&pool.busy(node)), pool.dial_limit).await {
+            match pool
+                .dial(address, Busy::new(&pool.busy(node)), pool.dial_limit)
+                .await
+            {
                 Ok(connection) => pool.put(node, connection),
                 Err(close) => pool.dial_failed(node, &own, close),
             }
@@ -177,12 +204,20 @@
     }
 
     fn busy(&self, node: u32) -> Rc<Cell<usize>> {
-        self.nodes.borrow_mut().entry(node).or_default().busy.clone()
+        self.nodes
+            .borrow_mut()
+            .entry(node)
+            .or_default()
+            .busy
+            .clone()
     }
 
     /// How many of a node's connections are busy, and how many are idle.
     pub fn stand(&self, node: u32) -> (usize, usize) {
-        self.nodes.borrow().get(&node).map_or((0, 0), |s| (s.busy.get(), s.idle.len()))
+        self.nodes
+            .borrow()
+            .get(&node)
+            .map_or((0, 0), |s| (s.busy.get(), s.idle.len()))
     }
 
     /// How many connections to a node are up.
@@ -223,7 +258,10 @@
                 }
                 stand.counts()
             };
-            match self.gate.ask(|recovery, now| recovery.may_open(now, node, stand)) {
+            match self
+                .gate
+                .ask(|recovery, now| recovery.may_open(now, node, stand))
+            {
                 None | Some(Open::Now) => self.open_one(node, address),
                 Some(Open::After(wait)) => return self.ask_again(node, address, wait),
             }
@@ -231,7 +269,10 @@
     }
 
     fn ask_again(self: &Rc<Self>, node: u32, address: SocketAddr, wait: f64) {
-        if std::mem::replace(&mut self.nodes.borrow_mut().entry(node).or_default().asks, true) {
+        if std::mem::replace(
+            &mut self.nodes.borrow_mut().entry(node).or_default().asks,
+            true,
+        ) {
             return;
         }
         let (pool, wait) = (self.clone(), Duration::from_secs_f64(wait).min(ASK_AGAIN));
@@ -252,21 +293,32 @@
             let patience = pool.gate.ask(|recovery, _| recovery.patience());
             let patience = patience.map_or(pool.dial_limit, Duration::from_secs_f64);
             let begun = Instant::now();
-            let opened = pool.dial(address, Busy::new(&pool.busy(node)), patience).await;
+            let opened = pool
+                .dial(address, Busy::new(&pool.busy(node)), patience)
+                .await;
             pool.nodes.borrow_mut().entry(node).or_default().opening -= 1;
             match opened {
                 Ok(connection) => {
                     let took = begun.elapsed().as_secs_f64();
-                    pool.gate.tell(|recovery, now| recovery.opened(now, node, took));
+                    pool.gate
+                        .tell(|recovery, now| recovery.opened(now, node, took));
                     pool.put(node, connection);
                 }
                 Err(close) => {
-                    let why = if close == Close::TurnedAway { Unopened::Full } else { Unopened::Unreached };
-                    pool.gate.tell(|recovery, now| recovery.unopened(now, node, why));
+                    let why = if close == Close::TurnedAway {
+                        Unopened::Full
+                    } else {
+                        Unopened::Unreached
+                    };
+                    pool.gate
+                        .tell(|recovery, now| recovery.unopened(now, node, why));
                     // Nobody gets one there now: whoever waits may go elsewhere.
-                    let waiting =
-                        std::mem::take(&mut pool.nodes.borrow_mut().entry(node).or_default().waiting);
-                    waiting.iter().for_each(|waiting| drop(waiting.try_send(Err(close))));
+                    let waiting = std::mem::take(
+                        &mut pool.nodes.borrow_mut().entry(node).or_default().waiting,
+                    );
+                    waiting
+                        .iter()
+                        .for_each(|waiting| drop(waiting.try_send(Err(close))));
                 }
             }
             pool.open_more(node, address);
@@ -277,9 +329,14 @@
     /// Lets an execution that nobody waits for any more end on its connection, for a while: its node has the work
     /// in any case, and a new connection would cost it more.
     pub fn linger(
-        self: &Rc<Self>, node: u32, run: impl Future<Output = Result<(Connection, Answer), Close>> + 'static,
+        self: &Rc<Self>,
+        node: u32,
+        run: impl Future<Output = Result<(Connection, Answer), Close>> + 'static,
     ) {
-        let Some(linger) = self.gate.ask(|recovery, _| recovery.linger()).filter(|linger| *linger > 0.0)
+        let Some(linger) = self
+            .gate
+            .ask(|recovery, _| recovery.linger())
+            .filter(|linger| *linger > 0.0)
         else {
             return;
         };
@@ -291,22 +348,41 @@
                 pool.put(node, connection);
             }
         };
-        self.tasks.spawn("an execution that is not waited for", end).detach();
+        self.tasks
+            .spawn("an execution that is not waited for", end)
+            .detach();
     }
 
-    async fn dial(&self, address: SocketAddr, busy: Busy, limit: Duration) -> Result<Connection, Close> {
-        let lease = wire::within(limit, Close::NoDescriptor, async { Ok(self.lease().await) }).await?;
+    async fn dial(
+        &self,
+        address: SocketAddr,
+        busy: Busy,
+        limit: Duration,
+    ) -> Result<Connection, Close> {
+        let lease =
+            wire::within(limit, Close::NoDescriptor, async { Ok(self.lease().await) }).await?;
         let opened = async {
-            let stream = Async::<TcpStream>::connect(address).await.map_err(refused)?;
+            let stream = Async::<TcpStream>::connect(address)
+                .await
+                .map_err(refused)?;
             let _ = stream.get_ref().set_nodelay(true);
-            let [mut input, mut output] = [(); 2].map(|()| Ring::within(message::LONGEST, &self.memory));
+            let [mut input, mut output] =
+                [(); 2].map(|()| Ring::within(message::LONGEST, &self.memory));
             let mut machine = Node::start(&mut output);
             wire::write(&stream, &mut output).await?;
             while machine.next(&mut input)? != Some(Heard::Ready) {
                 wire::read(&stream, &mut input).await?;
             }
             let stream = Rc::new(stream);
-            Ok(Connection { stream, machine, input, output, address, busy: Some(busy), lease })
+            Ok(Connection {
+                stream,
+                machine,
+                input,
+                output,
+                address,
+                busy: Some(busy),
+                lease,
+            })
         };
         wire::within(limit, Close::Silent, opened).await
     }
@@ -353,19 +429,31 @@
                 };
                 let wanted = !future::or(told, unwanted).await;
                 // The poller may be mistaken: only what can be read is news.
-                if pool.upgrade().is_none_or(|pool: Rc<Pool>| pool.ended_idle(node, number, wanted)) {
+                if pool
+                    .upgrade()
+                    .is_none_or(|pool: Rc<Pool>| pool.ended_idle(node, number, wanted))
+                {
                     break;
                 }
             }
         });
-        stand.idle.push(Idle { number, connection, since: Instant::now(), watch });
+        stand.idle.push(Idle {
+            number,
+            connection,
+            since: Instant::now(),
+            watch,
+        });
     }
 
     /// Takes an idle connection away if it is not wanted, has ended or spoken; false if it stays.
     fn ended_idle(&self, node: u32, number: u64, wanted: bool) -> bool {
         let mut nodes = self.nodes.borrow_mut();
-        let Some(stand) = nodes.get_mut(&node) else { return true };
-        let Some(at) = stand.idle.iter().position(|i| i.number == number) else { return true };
+        let Some(stand) = nodes.get_mut(&node) else {
+            return true;
+        };
+        let Some(at) = stand.idle.iter().position(|i| i.number == number) else {
+            return true;
+        };
         if wanted && stand.idle[at].connection.quiet() {
             return false;
         }
@@ -377,16 +465,26 @@
     pub async fn retire(self: Rc<Self>) {
         loop {
             let decided = self.gate.ask(|_, _| ()).is_some();
-            Timer::after(if decided { LOOK_OVER.min(self.idle_limit / 8) } else { self.idle_limit / 8 })
-                .await;
+            Timer::after(if decided {
+                LOOK_OVER.min(self.idle_limit / 8)
+            } else {
+                self.idle_limit / 8
+            })
+            .await;
             self.nodes.borrow_mut().retain(|node, stand| {
-                stand.idle.retain(|idle| idle.since.elapsed() < self.idle_limit);
+                stand
+                    .idle
+                    .retain(|idle| idle.since.elapsed() < self.idle_limit);
                 let counts = stand.counts();
-                if let Some(keep) = self.gate.ask(|recovery, now| recovery.keep(now, *node, counts)) {
+                if let Some(keep) = self
+                    .gate
+                    .ask(|recovery, now| recovery.keep(now, *node, counts))
+                {
                     // The last used are kept.
                     stand.idle.drain(..stand.idle.len().saturating_sub(keep));
                 }
-                let used = !stand.idle.is_empty() || !stand.waiting.is_empty() || stand.busy.get() > 0;
+                let used =
+                    !stand.idle.is_empty() || !stand.waiting.is_empty() || stand.busy.get() > 0;
                 used || stand.asks || stand.opening > 0
             });
         }
--- a/crates/router/src/probe.rs
+++ b/crates/router/src/probe.rs
@@ -18,7 +18,11 @@
     let told = match wire::within(pool.dial_limit(), Close::TimedOut, asked).await {
         Ok(answer) => answer.row.ok().map(|row| {
             let value = row.get(answer.value).unwrap_or_default();
-            report(std::str::from_utf8(value).unwrap_or_default(), &desk.fields(), pool.held(node))
+            report(
+                std::str::from_utf8(value).unwrap_or_default(),
+                &desk.fields(),
+                pool.held(node),
+            )
         }),
         Err(close) => {
             tracing::debug!("node {node}: probe ended, {close}");
@@ -26,7 +30,8 @@
         }
     };
     desk.tell(|instance, now| {
-        let (primary, lsn) = told.map_or((None, f64::NEG_INFINITY), |told| (told.primary, told.lsn));
+        let (primary, lsn) =
+            told.map_or((None, f64::NEG_INFINITY), |told| (told.primary, told.lsn));
         instance.probed(now, node, told.is_some(), primary, lsn);
         told.iter().for_each(|told| told.tell(instance, now, node));
     });
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -28,11 +28,24 @@
 impl Watches {
     /// Begins with the first watch, which tells `heard` of its first answer.
     pub fn begin(
-        tasks: Tasks, desk: Rc<Router>, roster: Rc<Roster>, address: SocketAddr, seq: u64, heard: Sender<()>,
+        tasks: Tasks,
+        desk: Rc<Router>,
+        roster: Rc<Roster>,
+        address: SocketAddr,
+        seq: u64,
+        heard: Sender<()>,
     ) -> Rc<Watches> {
         let (current, next) = (RefCell::default(), RefCell::default());
         let (seq, told) = (Rc::new(Cell::new(seq)), address);
-        let watches = Watches { tasks, desk, roster, seq, address: Cell::new(told), current, next };
+        let watches = Watches {
+            tasks,
+            desk,
+            roster,
+            seq,
+            address: Cell::new(told),
+            current,
+            next,
+        };
         let first = watches.watch(address, move || {
             let _ = heard.try_send(());
         });
@@ -41,7 +54,13 @@
     }
 
     fn watch(&self, address: SocketAddr, heard: impl Fn() + 'static) -> Task<()> {
-        let watch = watch::watch(self.desk.clone(), self.roster.clone(), address, self.seq.clone(), heard);
+        let watch = watch::watch(
+            self.desk.clone(),
+            self.roster.clone(),
+            address,
+            self.seq.clone(),
+            heard,
+        );
         self.tasks.spawn("discovery", watch)
     }
 
@@ -72,8 +91,11 @@
 
 /// Reads the file anew at each signal, for as long as the router runs.
 pub async fn reload(
-    mut signals: Signals, started: Provision, read: impl Fn() -> Result<(Provision, Own), String>,
-    watches: Rc<Watches>, budget: Rc<Budget>,
+    mut signals: Signals,
+    started: Provision,
+    read: impl Fn() -> Result<(Provision, Own), String>,
+    watches: Rc<Watches>,
+    budget: Rc<Budget>,
 ) {
     while signals.next().await.is_some() {
         match read() {
@@ -86,7 +108,10 @@
                 });
                 watches.moved(told.discovery);
                 budget.resize(told.descriptors);
-                tracing::info!("the file was read again, discovery is at {}", told.discovery);
+                tracing::info!(
+                    "the file was read again, discovery is at {}",
+                    told.discovery
+                );
                 let fixed = [
                     ("name", started.name != told.name),
                     ("listen", started.listen != told.listen),
@@ -97,7 +122,9 @@
                     tracing::warn!("{field} has changed in the file: that needs a restart");
                 }
             }
-            Err(problem) => tracing::error!("the file was not taken, all goes on as before: {problem}"),
+            Err(problem) => {
+                tracing::error!("the file was not taken, all goes on as before: {problem}")
+            }
         }
     }
 }
--- a/crates/router/src/tests/clients.rs
+++ b/crates/router/src/tests/clients.rs
@@ -15,16 +15,35 @@
 use test_case::test_case;
 
 /// A router before one stand-in: where it listens, its desk and its descriptors.
-fn router(tasks: &Tasks, script: Script, descriptors: usize) -> (SocketAddr, Rc<Router>, Rc<Budget>) {
+fn router(
+    tasks: &Tasks,
+    script: Script,
+    descriptors: usize,
+) -> (SocketAddr, Rc<Router>, Rc<Budget>) {
     let (desk, roster) = desk(&[node(&[script])]);
     let budget = Budget::new(descriptors);
     let pool = super::pool(tasks, &budget);
-    tasks.spawn("the decisions", desk.clone().run(carried(tasks, &desk, &pool, &roster))).detach();
+    tasks
+        .spawn(
+            "the decisions",
+            desk.clone().run(carried(tasks, &desk, &pool, &roster)),
+        )
+        .detach();
     let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     let names = ["any", "write"].map(str::to_string).to_vec();
-    let (names, memory) = (Rc::new(Names::new(names, kinds(), Vec::new())), Memory::new(1 << 18));
-    let accept = listen(listener, tasks.clone(), desk.clone(), names, memory, budget.clone());
+    let (names, memory) = (
+        Rc::new(Names::new(names, kinds(), Vec::new())),
+        Memory::new(1 << 18),
+    );
+    let accept = listen(
+        listener,
+        tasks.clone(),
+        desk.clone(),
+        names,
+        memory,
+        budget.clone(),
+    );
     tasks.spawn("the listener", accept).detach();
     (address, desk, budget)
 }
@@ -52,7 +71,8 @@
             if self.0.read_exact(&mut head).await.is_err() {
                 return told + "end";
             }
-            let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
+            let mut body =
+                vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
             self.0.read_exact(&mut body).await.unwrap();
             told.push(head[0] as char);
             if head[0] == b'E' {
@@ -76,7 +96,9 @@
     let (address, ..) = router(&tasks, Answers(answer), 1024);
     run(&tasks, async {
         let mut caller = Caller::new(address, "").await;
-        caller.send(&[query(READ), query("BEGIN"), query(READ)].concat()).await;
+        caller
+            .send(&[query(READ), query("BEGIN"), query(READ)].concat())
+            .await;
         assert_eq!(caller.heard().await, "RSSSZ");
         for expected in ["IZ", "TDCZ", "E0A000Z", "TDCZ"] {
             assert_eq!(caller.heard().await, expected);
@@ -125,7 +147,10 @@
     let (address, _, budget) = router(&tasks, Answers(answer), 1024);
     run(&tasks, async {
         let mut idle = Caller::new(address, "").await;
-        assert_eq!((idle.heard().await, idle.heard().await), ("RSSSZ".to_string(), "IZ".to_string()));
+        assert_eq!(
+            (idle.heard().await, idle.heard().await),
+            ("RSSSZ".to_string(), "IZ".to_string())
+        );
         budget.close_all_but_silent();
         assert_eq!(idle.heard().await, "end");
         // Who still comes is answered, and closed behind the answer.
@@ -216,7 +241,11 @@
         }
         let mut second = Caller::new(address, READ).await;
         assert_eq!(second.heard().await + &second.heard().await, "RSSSZE42710Z");
-        assert_eq!((out(), desk.tell(|instance, _| instance.statements.len())), (1, 1), "the first goes on");
+        assert_eq!(
+            (out(), desk.tell(|instance, _| instance.statements.len())),
+            (1, 1),
+            "the first goes on"
+        );
         drop(first);
         while out() > 0 {
             futures_lite::future::yield_now().await;
@@ -252,10 +281,15 @@
             callers.push(caller);
         }
         let last = callers.pop().expect("four");
-        let told =
-            futures_lite::future::or(heard_any(&mut callers), async { last.0.readable().await.is_ok() });
+        let told = futures_lite::future::or(heard_any(&mut callers), async {
+            last.0.readable().await.is_ok()
+        });
         assert!(told.await);
-        let mut caller = Caller::new(address, &READ.replace("9b1f", "small").replace("d=60000", "d=1")).await;
+        let mut caller = Caller::new(
+            address,
+            &READ.replace("9b1f", "small").replace("d=60000", "d=1"),
+        )
+        .await;
         assert_eq!(
             caller.heard().await + &caller.heard().await,
             "RSSSZE53300Z",
@@ -267,8 +301,14 @@
 async fn heard_any(callers: &mut [Caller]) -> bool {
     let mut waits: Vec<_> = callers.iter().map(|c| Box::pin(c.0.readable())).collect();
     std::future::poll_fn(|cx| {
-        let any = waits.iter_mut().any(|w| std::future::Future::poll(w.as_mut(), cx).is_ready());
-        if any { std::task::Poll::Ready(true) } else { std::task::Poll::Pending }
+        let any = waits
+            .iter_mut()
+            .any(|w| std::future::Future::poll(w.as_mut(), cx).is_ready());
+        if any {
+            std::task::Poll::Ready(true)
+        } else {
+            std::task::Poll::Pending
+        }
     })
     .await
 }
@@ -281,7 +321,9 @@
     std::thread::spawn(move || {
         use std::io::Write;
         let mut stream = TcpStream::connect(address).unwrap();
-        stream.write_all(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0").unwrap();
+        stream
+            .write_all(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0")
+            .unwrap();
         let piece = messages(&[(b'H', b"")]).repeat(1 << 12);
         while stream.write_all(&piece).is_ok() {}
     });
--- a/crates/router/src/tests/decide.rs
+++ b/crates/router/src/tests/decide.rs
@@ -11,7 +11,9 @@
 type Any = Desk<&'static str, &'static str>;
 
 fn nodes() -> Vec<SocketAddr> {
-    (1..4).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect()
+    (1..4)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect()
 }
 
 /// A read that was taken, and the execution that it was sent on.
@@ -19,7 +21,13 @@
     let (desk, _) = desk(&nodes());
     let ticket = desk.arrived("read", 0, 2, 0, 0, 60.0, None);
     let mut orders = settled(&desk);
-    let Some(Order::Execute { stmt, execution, statement, .. }) = orders.pop() else {
+    let Some(Order::Execute {
+        stmt,
+        execution,
+        statement,
+        ..
+    }) = orders.pop()
+    else {
         panic!("nothing sent")
     };
     assert!(orders.is_empty() && *statement == "read");
@@ -34,7 +42,13 @@
 fn a_completion_is_the_answer() {
     let tasks = Tasks::default();
     let (desk, ticket, stmt, execution) = sent();
-    desk.out(stmt, execution).ended(Ending::Completed, None, f64::NEG_INFINITY, None, Some("row"));
+    desk.out(stmt, execution).ended(
+        Ending::Completed,
+        None,
+        f64::NEG_INFINITY,
+        None,
+        Some("row"),
+    );
     assert_eq!(answer(&tasks, &ticket), Final::Completed("row"));
     settled(&desk);
     desk.tell(|instance, _| {
@@ -48,16 +62,33 @@
     let tasks = Tasks::default();
     let (desk, ticket, stmt, execution) = sent();
     let [first, late] = [0, 1].map(|_| desk.out(stmt, execution));
-    first.ended(Ending::Completed, None, f64::NEG_INFINITY, None, Some("row"));
-    late.ended(Ending::Completed, None, f64::NEG_INFINITY, None, Some("another"));
+    first.ended(
+        Ending::Completed,
+        None,
+        f64::NEG_INFINITY,
+        None,
+        Some("row"),
+    );
+    late.ended(
+        Ending::Completed,
+        None,
+        f64::NEG_INFINITY,
+        None,
+        Some("another"),
+    );
     assert_eq!(answer(&tasks, &ticket), Final::Completed("row"));
-    assert_eq!(answer(&tasks, &ticket), Final::Aborted, "the channel is closed behind the one answer");
+    assert_eq!(
+        answer(&tasks, &ticket),
+        Final::Aborted,
+        "the channel is closed behind the one answer"
+    );
 }
 
 #[test]
 fn an_execution_that_fails_is_sent_anew() {
     let (desk, _ticket, stmt, execution) = sent();
-    desk.out(stmt, execution).ended(Ending::TurnedAway, None, f64::NEG_INFINITY, None, None);
+    desk.out(stmt, execution)
+        .ended(Ending::TurnedAway, None, f64::NEG_INFINITY, None, None);
     let orders = settled(&desk);
     assert!(matches!(orders[..], [Order::Execute { execution: 1, .. }]));
 }
@@ -73,7 +104,13 @@
 fn a_client_that_left_frees_its_executions() {
     let (desk, _) = desk::<&str, &str>(&nodes());
     let ticket = desk.arrived("read", 0, 2, 0, 0, 60.0, None);
-    let Some(Order::Execute { stmt, execution, unwanted, .. }) = settled(&desk).pop() else {
+    let Some(Order::Execute {
+        stmt,
+        execution,
+        unwanted,
+        ..
+    }) = settled(&desk).pop()
+    else {
         panic!("unsent")
     };
     assert!(!unwanted.is_closed());
@@ -83,7 +120,13 @@
     // Two ends of one execution count once, and an answer goes nowhere.
     let [first, second] = [0, 1].map(|_| desk.out(stmt, execution));
     first.ended(Ending::Cancelled, None, f64::NEG_INFINITY, None, None);
-    second.ended(Ending::Completed, None, f64::NEG_INFINITY, None, Some("row"));
+    second.ended(
+        Ending::Completed,
+        None,
+        f64::NEG_INFINITY,
+        None,
+        Some("row"),
+    );
     desk.tell(|instance, _| {
         assert_eq!(instance.nodes.values().map(|n| n.out).sum::<usize>(), 0);
         assert_eq!(
@@ -99,7 +142,10 @@
     let (desk, _) = desk::<&str, &str>(&nodes());
     let beat = || desk.settle(&|_| {});
     assert!(beat().is_some());
-    assert!(beat().is_some(), "the beat asked for before is still to come");
+    assert!(
+        beat().is_some(),
+        "the beat asked for before is still to come"
+    );
 }
 
 #[test]
@@ -117,7 +163,10 @@
     let (desk, _ticket, stmt, _) = sent();
     desk.tell(|instance, now| instance.nodes.get_mut(&1).unwrap().stands(standing, now));
     assert_eq!(desk.still_stands(stmt, 1), expected);
-    assert!(!desk.still_stands(stmt + 1, 1) && !desk.still_stands(stmt, 9), "neither is known");
+    assert!(
+        !desk.still_stands(stmt + 1, 1) && !desk.still_stands(stmt, 9),
+        "neither is known"
+    );
 }
 
 #[test]
@@ -134,11 +183,17 @@
 #[test]
 fn positions_share_the_clock() {
     let (desk, _) = desk::<&str, &str>(&[node(&[super::Script::Hangs])]);
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs_f64();
+    let unix = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap()
+        .as_secs_f64();
     desk.tell(|_, now| assert!((now - unix).abs() < 60.0));
     let _ticket = desk.arrived("read", 0, 2, 5, 0, 60.0, Some(unix + 0.0005));
     desk.tell(|instance, _| {
         let owed = instance.statements.values().next().unwrap().owed;
-        assert!(owed > unix, "a commit that is rounded up to just ahead of now is owed all the same");
+        assert!(
+            owed > unix,
+            "a commit that is rounded up to just ahead of now is owed all the same"
+        );
     });
 }
--- a/crates/router/src/tests/mod.rs
+++ b/crates/router/src/tests/mod.rs
@@ -27,7 +27,8 @@
 use std::rc::Rc;
 use std::thread;
 
-pub const READ: &str = "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=any,t=acme,d=60000,cluster=2 */";
+pub const READ: &str =
+    "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=any,t=acme,d=60000,cluster=2 */";
 
 /// Reads that any member answers, and writes that only the primary takes.
 pub fn kinds() -> Vec<Workload> {
@@ -40,7 +41,14 @@
         currency: Currency::Loose,
         ..Workload::default()
     };
-    vec![any, Workload { currency: Currency::Primary, repeat: Repeat::NonIdempotent, ..any }]
+    vec![
+        any,
+        Workload {
+            currency: Currency::Primary,
+            repeat: Repeat::NonIdempotent,
+            ..any
+        },
+    ]
 }
 
 /// A whole list of nodes of group 2, named by their addresses; the first is the primary.
@@ -53,8 +61,12 @@
 }
 
 pub fn instance() -> Instance {
-    let allowance =
-        Allowance { executions: 8, second_copies: true, cancelling: true, ..Allowance::default() };
+    let allowance = Allowance {
+        executions: 8,
+        second_copies: true,
+        cancelling: true,
+        ..Allowance::default()
+    };
     Instance::new(
         7,
         1,
@@ -70,18 +82,34 @@
 
 pub fn desk<S: 'static, A: 'static>(dials: &[SocketAddr]) -> (Rc<Desk<S, A>>, Rc<Roster>) {
     let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
-    roster.list(&mut born, clock.now(), &listed(1, dials)).unwrap();
+    roster
+        .list(&mut born, clock.now(), &listed(1, dials))
+        .unwrap();
     (Desk::new(born, clock), roster)
 }
 
 /// With times so generous that no verdict hangs on how fast the machine is.
 pub fn pool(tasks: &Tasks, budget: &Rc<Budget>) -> Rc<Pool> {
-    Pool::new(tasks.clone(), budget.clone(), Memory::new(usize::MAX), Gate::open(), 60.0, 600.0)
+    Pool::new(
+        tasks.clone(),
+        budget.clone(),
+        Memory::new(usize::MAX),
+        Gate::open(),
+        60.0,
+        600.0,
+    )
 }
 
 /// The same with decisions on what may be opened.
 pub fn pool_behind(tasks: &Tasks, gate: Gate) -> Rc<Pool> {
-    Pool::new(tasks.clone(), Budget::new(1024), Memory::new(usize::MAX), gate, 60.0, 600.0)
+    Pool::new(
+        tasks.clone(),
+        Budget::new(1024),
+        Memory::new(usize::MAX),
+        gate,
+        60.0,
+        600.0,
+    )
 }
 
 /// What a settling orders.
@@ -103,12 +131,21 @@
 
 /// How the first execution of a statement ended, by what the instance was told.
 pub fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<Ending> {
-    desk.tell(|instance, _| instance.statements.values().next().and_then(|s| s.executions[0].ended))
+    desk.tell(|instance, _| {
+        instance
+            .statements
+            .values()
+            .next()
+            .and_then(|s| s.executions[0].ended)
+    })
 }
 
 /// Executes orders for real, against the stand-ins.
 pub fn carried(
-    tasks: &Tasks, desk: &Rc<Router>, pool: &Rc<Pool>, roster: &Rc<Roster>,
+    tasks: &Tasks,
+    desk: &Rc<Router>,
+    pool: &Rc<Pool>,
+    roster: &Rc<Roster>,
 ) -> impl Fn(Order<Statement>) + use<> {
     let (tasks, desk, pool, roster) = (tasks.clone(), desk.clone(), pool.clone(), roster.clone());
     move |order| {
@@ -120,10 +157,17 @@
 /// A stand-in for a node: what it does with each connection, in their order; the last goes for all further.
 pub fn node(scripts: &[Script]) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let (address, mut scripts) = (listener.local_addr().unwrap(), VecDeque::from(scripts.to_vec()));
+    let (address, mut scripts) = (
+        listener.local_addr().unwrap(),
+        VecDeque::from(scripts.to_vec()),
+    );
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let script = if scripts.len() > 1 { scripts.pop_front() } else { scripts.front().copied() };
+            let script = if scripts.len() > 1 {
+                scripts.pop_front()
+            } else {
+                scripts.front().copied()
+            };
             thread::spawn(move || play(stream, script.unwrap()));
         }
     });
@@ -185,7 +229,9 @@
 
 pub fn messages(parts: &[(u8, &[u8])]) -> Vec<u8> {
     let mut ring = Ring::new(message::LONGEST);
-    parts.iter().for_each(|(kind, body)| put(&mut ring, *kind, &[body]));
+    parts
+        .iter()
+        .for_each(|(kind, body)| put(&mut ring, *kind, &[body]));
     let length = ring.len();
     ring.take(length)
 }
@@ -193,7 +239,11 @@
 const DESCRIBED: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
 pub fn row() -> Vec<u8> {
-    messages(&[(b'T', DESCRIBED), (b'D', b"\0\x01\0\0\0\x01v"), (b'C', b"SELECT 1\0")])
+    messages(&[
+        (b'T', DESCRIBED),
+        (b'D', b"\0\x01\0\0\0\x01v"),
+        (b'C', b"SELECT 1\0"),
+    ])
 }
 
 pub fn answer() -> Vec<u8> {
@@ -201,5 +251,8 @@
 }
 
 pub fn error(code: &str) -> Vec<u8> {
-    messages(&[(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()), (b'Z', b"I")])
+    messages(&[
+        (b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
+        (b'Z', b"I"),
+    ])
 }
--- a/crates/router/src/tests/nodes.rs
+++ b/crates/router/src/tests/nodes.rs
@@ -26,12 +26,30 @@
     }
     let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     let orders = super::settled(&desk);
-    let Some(Order::Execute { stmt, execution, node, statement, unwanted, .. }) = orders.into_iter().next()
+    let Some(Order::Execute {
+        stmt,
+        execution,
+        node,
+        statement,
+        unwanted,
+        ..
+    }) = orders.into_iter().next()
     else {
         panic!("nothing was sent")
     };
-    let order = Order::Execute { stmt, execution, node, limit, asks: false, statement, unwanted };
-    run(&tasks, crate::execute::carry(desk.clone(), pool, roster, order));
+    let order = Order::Execute {
+        stmt,
+        execution,
+        node,
+        limit,
+        asks: false,
+        statement,
+        unwanted,
+    };
+    run(
+        &tasks,
+        crate::execute::carry(desk.clone(), pool, roster, order),
+    );
     ended(&desk)
 }
 
@@ -60,8 +78,17 @@
     let pool = pool(&tasks);
     let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     let order = super::settled(&desk).pop().expect("sent");
-    desk.tell(|instance, now| instance.nodes.get_mut(&0).unwrap().stands(Standing::Gone, now));
-    run(&tasks, crate::execute::carry(desk.clone(), pool.clone(), roster, order));
+    desk.tell(|instance, now| {
+        instance
+            .nodes
+            .get_mut(&0)
+            .unwrap()
+            .stands(Standing::Gone, now)
+    });
+    run(
+        &tasks,
+        crate::execute::carry(desk.clone(), pool.clone(), roster, order),
+    );
     assert_eq!((ended(&desk), pool.idle()), (Some(Ending::Moot), 1));
 }
 
@@ -72,20 +99,30 @@
     let (desk, roster) = desk(&[node(&[Hangs])]);
     let pool = pool(&tasks);
     if connected {
-        let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap())).unwrap().0;
+        let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap()))
+            .unwrap()
+            .0;
         pool.put(0, connection);
     }
     let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     let order = super::settled(&desk).pop().expect("sent");
-    let Order::Execute { unwanted, .. } = &order else { panic!("no execution") };
+    let Order::Execute { unwanted, .. } = &order else {
+        panic!("no execution")
+    };
     unwanted.close();
-    run(&tasks, crate::execute::carry(desk.clone(), pool, roster, order));
+    run(
+        &tasks,
+        crate::execute::carry(desk.clone(), pool, roster, order),
+    );
     assert_eq!(ended(&desk), Some(expected));
 }
 
 #[test]
 fn nobody_listens() {
-    let closed = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
+    let closed = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .unwrap()
+        .local_addr()
+        .unwrap();
     assert_eq!(executed(closed, 60.0, false), Some(Ending::Unconnected));
 }
 
@@ -107,7 +144,10 @@
         for round in 0..3 {
             let (mut connection, waited) = pool.take(0, address).await.unwrap();
             assert_eq!(waited, round == 0);
-            connection.query("SELECT 1", &Default::default()).await.unwrap();
+            connection
+                .query("SELECT 1", &Default::default())
+                .await
+                .unwrap();
             pool.put(0, connection);
         }
     });
@@ -115,11 +155,17 @@
 
 #[test]
 fn no_statement_meets_a_connection_that_was_closed_while_idle() {
-    let (tasks, address) = (Tasks::default(), node(&[AnswersOnce(answer), Answers(answer)]));
+    let (tasks, address) = (
+        Tasks::default(),
+        node(&[AnswersOnce(answer), Answers(answer)]),
+    );
     let pool = pool(&tasks);
     run(&tasks, async {
         let (mut connection, _) = pool.take(0, address).await.unwrap();
-        connection.query("SELECT 1", &Default::default()).await.unwrap();
+        connection
+            .query("SELECT 1", &Default::default())
+            .await
+            .unwrap();
         pool.put(0, connection);
         // The stand-in closes it; that is seen without a statement.
         while pool.idle() > 0 {
@@ -127,7 +173,12 @@
         }
         let (mut connection, waited) = pool.take(0, address).await.unwrap();
         assert!(waited, "a new one was opened");
-        assert!(connection.query("SELECT 1", &Default::default()).await.is_ok());
+        assert!(
+            connection
+                .query("SELECT 1", &Default::default())
+                .await
+                .is_ok()
+        );
     });
 }
 
@@ -138,7 +189,12 @@
     let pool = pool(&tasks);
     run(&tasks, async {
         let (mut connection, _) = pool.take(0, address).await.unwrap();
-        assert!(connection.query("SELECT 1", &Default::default()).await.is_ok());
+        assert!(
+            connection
+                .query("SELECT 1", &Default::default())
+                .await
+                .is_ok()
+        );
         pool.put(0, connection);
         assert_eq!(pool.idle(), 0);
     });
@@ -186,9 +242,15 @@
             taken.push(pool.take(0, address).await.unwrap().0);
         }
         let mut waits = std::pin::pin!(pool.take(1, address));
-        assert!(futures_lite::future::poll_once(&mut waits).await.is_none(), "all are at work");
+        assert!(
+            futures_lite::future::poll_once(&mut waits).await.is_none(),
+            "all are at work"
+        );
         pool.put(0, taken.pop().unwrap());
-        assert!(waits.await.is_ok(), "the idle one made room for another node's");
+        assert!(
+            waits.await.is_ok(),
+            "the idle one made room for another node's"
+        );
     });
 }
 
@@ -197,7 +259,12 @@
     let tasks = Tasks::default();
     let (desk, roster) = desk(&[node(&[Answers(answer)])]);
     let pool = pool(&tasks);
-    tasks.spawn("the decisions", desk.clone().run(carried(&tasks, &desk, &pool, &roster))).detach();
+    tasks
+        .spawn(
+            "the decisions",
+            desk.clone().run(carried(&tasks, &desk, &pool, &roster)),
+        )
+        .detach();
     let ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     assert_eq!(run(&tasks, ticket.answer()), Final::Completed(row()));
 }
@@ -207,10 +274,21 @@
     let tasks = Tasks::default();
     let vitals = || {
         let value = b"\0\x01\0\0\0\x09x0=5,x1=0";
-        let described = (b'T', b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0".as_slice());
+        let described = (
+            b'T',
+            b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0".as_slice(),
+        );
         messages(&[described, (b'D', value), (b'C', b"SHOW\0"), (b'Z', b"I")])
     };
     let (desk, roster) = desk(&[node(&[Answers(vitals)])]);
-    run(&tasks, crate::probe::probe(desk.clone(), pool(&tasks), roster, 0));
-    desk.tell(|instance, _| assert_eq!((instance.nodes[&0].lsn, instance.nodes[&0].denied), (4.999, 4.999)));
+    run(
+        &tasks,
+        crate::probe::probe(desk.clone(), pool(&tasks), roster, 0),
+    );
+    desk.tell(|instance, _| {
+        assert_eq!(
+            (instance.nodes[&0].lsn, instance.nodes[&0].denied),
+            (4.999, 4.999)
+        )
+    });
 }
--- a/crates/router/src/tests/parts.rs
+++ b/crates/router/src/tests/parts.rs
@@ -25,7 +25,13 @@
 #[test_case(Close::NoMemory, Ending::Moot, Ending::Cancelled)]
 #[test_case(Close::NoDescriptor, Ending::Moot, Ending::Dropped)]
 fn only_what_was_not_written_is_proved_unrun(close: Close, unwritten: Ending, written: Ending) {
-    assert_eq!((ending::of_close(close, false), ending::of_close(close, true)), (unwritten, written));
+    assert_eq!(
+        (
+            ending::of_close(close, false),
+            ending::of_close(close, true)
+        ),
+        (unwritten, written)
+    );
     assert!(unwritten.proves_unrun() && !written.proves_unrun());
 }
 
@@ -36,13 +42,17 @@
     let nodes: Vec<_> = std::iter::from_fn(|| budget.for_node()).collect();
     assert_eq!((clients.len(), nodes.len()), (6, 2));
     drop(clients);
-    assert!(budget.for_client().is_some(), "what ends gives its own back");
+    assert!(
+        budget.for_client().is_some(),
+        "what ends gives its own back"
+    );
 }
 
 /// Who of these is asked to close, in this order.
 fn asked(places: &[&Place]) -> Vec<usize> {
     let tasks = Tasks::default();
-    let is_asked = |i: &usize| super::run(&tasks, future::poll_once(places[*i].unwanted())).is_some();
+    let is_asked =
+        |i: &usize| super::run(&tasks, future::poll_once(places[*i].unwanted())).is_some();
     (0..places.len()).filter(is_asked).collect()
 }
 
@@ -50,8 +60,18 @@
 fn the_silent_make_room_first_then_who_is_idle_for_longest() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..5).map(|_| budget.for_client().unwrap()).collect();
-    let kinds = [Kind::Node, Kind::Client, Kind::Silent, Kind::Silent, Kind::Client];
-    let mut places: Vec<_> = leases.iter().zip(kinds).map(|(l, kind)| l.wait(kind)).collect();
+    let kinds = [
+        Kind::Node,
+        Kind::Client,
+        Kind::Silent,
+        Kind::Silent,
+        Kind::Client,
+    ];
+    let mut places: Vec<_> = leases
+        .iter()
+        .zip(kinds)
+        .map(|(l, kind)| l.wait(kind))
+        .collect();
     // A silent one that reads a byte keeps its turn: it came when it came.
     drop(places.remove(2));
     places.insert(2, leases[2].wait(Kind::Silent));
@@ -67,11 +87,19 @@
 fn at_the_end_who_has_just_come_is_closed_last() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..3).map(|_| budget.for_client().unwrap()).collect();
-    let [silent, client, node] =
-        [(0, Kind::Silent), (1, Kind::Client), (2, Kind::Node)].map(|(i, kind)| leases[i].wait(kind));
+    let [silent, client, node] = [(0, Kind::Silent), (1, Kind::Client), (2, Kind::Node)]
+        .map(|(i, kind)| leases[i].wait(kind));
     budget.close_all_but_silent();
-    assert_eq!(asked(&[&silent, &client, &node]), [1], "its first statement may be on its way");
-    assert_eq!(asked(&[&leases[1].wait(Kind::Client)]), [0], "who falls idle later closes, too");
+    assert_eq!(
+        asked(&[&silent, &client, &node]),
+        [1],
+        "its first statement may be on its way"
+    );
+    assert_eq!(
+        asked(&[&leases[1].wait(Kind::Client)]),
+        [0],
+        "who falls idle later closes, too"
+    );
     budget.close_all();
     assert_eq!(asked(&[&silent, &client, &node]), [0, 1]);
 }
@@ -81,14 +109,35 @@
 fn who_stays_without_asking_goes_while_many_are_connected() {
     let budget = Budget::new(24 + 16);
     let mut leases: Vec<_> = (0..7).map(|_| budget.for_client().unwrap()).collect();
-    leases.iter_mut().take(6).for_each(|lease| lease.connected());
-    let kinds =
-        [Kind::Client, Kind::Client, Kind::Silent, Kind::Client, Kind::Client, Kind::Client, Kind::Node];
-    let places: Vec<_> = leases.iter().zip(kinds).map(|(lease, kind)| lease.wait(kind)).collect();
+    leases
+        .iter_mut()
+        .take(6)
+        .for_each(|lease| lease.connected());
+    let kinds = [
+        Kind::Client,
+        Kind::Client,
+        Kind::Silent,
+        Kind::Client,
+        Kind::Client,
+        Kind::Client,
+        Kind::Node,
+    ];
+    let places: Vec<_> = leases
+        .iter()
+        .zip(kinds)
+        .map(|(lease, kind)| lease.wait(kind))
+        .collect();
     budget.thin_out(Duration::from_secs(60));
-    assert!(asked(&places.iter().collect::<Vec<_>>()).is_empty(), "nobody has waited for long");
+    assert!(
+        asked(&places.iter().collect::<Vec<_>>()).is_empty(),
+        "nobody has waited for long"
+    );
     budget.thin_out(Duration::ZERO);
-    assert_eq!(asked(&places.iter().collect::<Vec<_>>()), [0, 1], "a quarter stays, the longest idle go");
+    assert_eq!(
+        asked(&places.iter().collect::<Vec<_>>()),
+        [0, 1],
+        "a quarter stays, the longest idle go"
+    );
 }
 
 #[test]
@@ -104,15 +153,26 @@
 #[test]
 fn lines_that_peers_can_cause_are_counted_not_written() {
     let seldom = crate::wire::Seldom::new();
-    assert_eq!((seldom.due(), seldom.due(), seldom.due()), (Some(0), None, None));
+    assert_eq!(
+        (seldom.due(), seldom.due(), seldom.due()),
+        (Some(0), None, None)
+    );
 }
 
 #[test]
 fn what_takes_too_long_ends_but_what_is_there_counts() {
     let tasks = Tasks::default();
-    let within = |work| super::run(&tasks, crate::wire::within(Duration::ZERO, Close::Silent, work));
+    let within = |work| {
+        super::run(
+            &tasks,
+            crate::wire::within(Duration::ZERO, Close::Silent, work),
+        )
+    };
     assert_eq!(within(future::ready(Ok(7)).boxed_local()), Ok(7));
-    assert_eq!(within(future::pending::<Result<i32, Close>>().boxed_local()), Err(Close::Silent));
+    assert_eq!(
+        within(future::pending::<Result<i32, Close>>().boxed_local()),
+        Err(Close::Silent)
+    );
 }
 
 #[test]
@@ -126,7 +186,9 @@
 
 #[test]
 fn nodes_that_are_replaced_for_ever_leave_nothing_behind() {
-    let dials: Vec<SocketAddr> = (1..3).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+    let dials: Vec<SocketAddr> = (1..3)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
     let (mut born, roster) = (instance(), Roster::new(Vec::new()));
     for day in 0..100 {
         let now = 100.0 * f64::from(day);
@@ -144,19 +206,46 @@
 
 #[test]
 fn a_list_changes_standing_and_address() {
-    let dials: Vec<SocketAddr> = (1..3).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+    let dials: Vec<SocketAddr> = (1..3)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
     let (mut born, roster) = (instance(), Roster::new(Vec::new()));
     assert_eq!(roster.list(&mut born, 1.0, &listed(41, &dials)), Ok(41));
     let change = json!({"seq": 43, "whole": false, "hosts": [
         {"host": "s-1", "dial": "127.0.0.9:9", "site": "a", "block": 2, "health": "terminating", "born_ms": 0}]});
     assert_eq!(roster.list(&mut born, 2.0, &change), Ok(43));
-    assert_eq!((born.nodes[&0].standing, born.nodes[&1].standing), (Standing::Ready, Standing::Draining));
     assert_eq!(
-        (born.nodes[&1].told, roster.dial(1).unwrap().port(), roster.dial(0).unwrap().port()),
+        (born.nodes[&0].standing, born.nodes[&1].standing),
+        (Standing::Ready, Standing::Draining)
+    );
+    assert_eq!(
+        (
+            born.nodes[&1].told,
+            roster.dial(1).unwrap().port(),
+            roster.dial(0).unwrap().port()
+        ),
         (2.0, 9, 1)
     );
-    roster.list(&mut born, 3.0, &listed(44, &dials[..1])).unwrap();
-    assert_eq!(born.nodes[&1].standing, Standing::Gone, "a whole list leaves it out");
-    assert!(roster.list(&mut born, 4.0, &json!({"seq": 45, "whole": true, "hosts": [{}]})).is_err());
-    assert_eq!(born.nodes[&0].standing, Standing::Ready, "half a list takes nobody away");
+    roster
+        .list(&mut born, 3.0, &listed(44, &dials[..1]))
+        .unwrap();
+    assert_eq!(
+        born.nodes[&1].standing,
+        Standing::Gone,
+        "a whole list leaves it out"
+    );
+    assert!(
+        roster
+            .list(
+                &mut born,
+                4.0,
+                &json!({"seq": 45, "whole": true, "hosts": [{}]})
+            )
+            .is_err()
+    );
+    assert_eq!(
+        born.nodes[&0].standing,
+        Standing::Ready,
+        "half a list takes nobody away"
+    );
 }
--- a/crates/router/src/tests/returning.rs
+++ b/crates/router/src/tests/returning.rs
@@ -33,7 +33,9 @@
     };
     let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
     born.recover(clock.now(), Some(settings), 1, "r");
-    roster.list(&mut born, clock.now(), &listed(1, dials)).unwrap();
+    roster
+        .list(&mut born, clock.now(), &listed(1, dials))
+        .unwrap();
     (Desk::new(born, clock), roster)
 }
 
@@ -42,7 +44,10 @@
     let (desk, roster) = returning(dials, linger_ms);
     desk.tell(|instance, now| instance.list_spoke(now));
     desk.recovery(true, |recovery, now| recovery.opened(now, 0, 0.0));
-    assert_eq!(desk.recovery(false, |recovery, _| recovery.phase()), Some(Phase::Full));
+    assert_eq!(
+        desk.recovery(false, |recovery, _| recovery.phase()),
+        Some(Phase::Full)
+    );
     (desk, roster)
 }
 
@@ -64,7 +69,10 @@
     assert!(settled(&desk).is_empty());
     desk.tell(|instance, now| instance.list_spoke(now));
     let sent = |order: &Order<_>| matches!(order, Order::Execute { .. });
-    assert!(settled(&desk).iter().any(sent), "to the node that shows how things stand");
+    assert!(
+        settled(&desk).iter().any(sent),
+        "to the node that shows how things stand"
+    );
 }
 
 #[test_case(true, 1; "one after another")]
@@ -75,9 +83,14 @@
     let (desk, _) = returned(&[address], 0.0);
     let pool = pool(&tasks, &desk, gated);
     let all = async {
-        let takes =
-            future::zip(pool.take(0, address), future::zip(pool.take(0, address), pool.take(0, address)));
-        future::or(async { drop(takes.await) }, async { _ = Timer::after(MOMENT).await }).await;
+        let takes = future::zip(
+            pool.take(0, address),
+            future::zip(pool.take(0, address), pool.take(0, address)),
+        );
+        future::or(async { drop(takes.await) }, async {
+            _ = Timer::after(MOMENT).await
+        })
+        .await;
         pool.stand(0).0
     };
     assert_eq!(run(&tasks, all), opening);
@@ -90,8 +103,14 @@
     let address = silent().1;
     let (desk, _) = returned(&[address], 0.0);
     let pool = pool(&tasks, &desk, true);
-    let both = run(&tasks, future::zip(pool.take(0, address), pool.take(0, address)));
-    assert!(matches!((both.0.err(), both.1.err()), (Some(Close::Refused), Some(Close::Refused))));
+    let both = run(
+        &tasks,
+        future::zip(pool.take(0, address), pool.take(0, address)),
+    );
+    assert!(matches!(
+        (both.0.err(), both.1.err()),
+        (Some(Close::Refused), Some(Close::Refused))
+    ));
 }
 
 #[test_case(EVER, 1; "its connection is there for the next")]
@@ -100,14 +119,25 @@
     let tasks = Tasks::default();
     let (desk, roster) = returned(&[node(&[AnswersLate(answer)])], linger_ms);
     let pool = pool(&tasks, &desk, true);
-    let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap())).unwrap().0;
+    let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap()))
+        .unwrap()
+        .0;
     pool.put(0, connection);
     let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     let order = settled(&desk).pop().expect("sent");
-    let Order::Execute { unwanted, .. } = &order else { panic!("no execution") };
+    let Order::Execute { unwanted, .. } = &order else {
+        panic!("no execution")
+    };
     unwanted.close();
-    run(&tasks, crate::execute::carry(desk.clone(), pool.clone(), roster, order));
-    assert_eq!(ended(&desk), Some(Ending::Cancelled), "whatever becomes of it, it was given up");
+    run(
+        &tasks,
+        crate::execute::carry(desk.clone(), pool.clone(), roster, order),
+    );
+    assert_eq!(
+        ended(&desk),
+        Some(Ending::Cancelled),
+        "whatever becomes of it, it was given up"
+    );
     let waited = async {
         for _ in 0..600 {
             if pool.idle() > 0 {
@@ -127,7 +157,11 @@
         instance.recover(now, Some(Settings::default()), 1, "r");
         roster.name_all(instance);
     });
-    let _ticket: crate::decide::Ticket<_, Vec<u8>> = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let _ticket: crate::decide::Ticket<_, Vec<u8>> =
+        desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     assert!(!settled(&desk).is_empty());
-    assert_eq!(desk.recovery(false, |recovery, _| recovery.known()), Some(1));
+    assert_eq!(
+        desk.recovery(false, |recovery, _| recovery.known()),
+        Some(1)
+    );
 }
--- a/crates/router/src/tests/watch.rs
+++ b/crates/router/src/tests/watch.rs
@@ -21,7 +21,9 @@
         for answer in answers {
             open.clear();
             let (mut stream, _) = listener.accept().unwrap();
-            let mut lines = BufReader::new(stream.try_clone().unwrap()).lines().map_while(Result::ok);
+            let mut lines = BufReader::new(stream.try_clone().unwrap())
+                .lines()
+                .map_while(Result::ok);
             let _ = tell.send(lines.next().unwrap_or_default());
             while lines.next().is_some_and(|line| !line.is_empty()) {}
             stream.write_all(answer.as_bytes()).unwrap();
@@ -34,12 +36,17 @@
 
 fn told(lists: &[Value]) -> String {
     let lines: String = lists.iter().map(|list| format!("{list}\n")).collect();
-    format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{lines}\r\n", lines.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{lines}\r\n",
+        lines.len()
+    )
 }
 
 /// Watches until the second node drains.
 fn watched(answers: Vec<String>) -> Vec<String> {
-    let dials: Vec<SocketAddr> = (1..3).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+    let dials: Vec<SocketAddr> = (1..3)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
     let (tasks, (desk, roster)) = (Tasks::default(), desk(&dials));
     let (address, asked) = discovery(answers);
     let (heard, first) = async_channel::bounded(1);
@@ -52,7 +59,16 @@
         }
         desk.tell(|instance, _| assert_eq!(instance.nodes[&0].standing, Standing::Ready));
     });
-    asked.try_iter().map(|line| line.split(['=', ' ']).rev().nth(1).unwrap_or_default().to_string()).collect()
+    asked
+        .try_iter()
+        .map(|line| {
+            line.split(['=', ' '])
+                .rev()
+                .nth(1)
+                .unwrap_or_default()
+                .to_string()
+        })
+        .collect()
 }
 
 fn drains() -> Value {
@@ -62,25 +78,47 @@
 
 #[test]
 fn changes_are_followed() {
-    assert_eq!(watched(vec![told(&[json!({"seq": 43, "whole": false, "hosts": []}), drains()])]), ["41"]);
+    assert_eq!(
+        watched(vec![told(&[
+            json!({"seq": 43, "whole": false, "hosts": []}),
+            drains()
+        ])]),
+        ["41"]
+    );
 }
 
 #[test]
 fn a_watch_that_ends_is_resumed_by_its_version_and_the_list_stays() {
-    let dials: Vec<SocketAddr> = (1..3).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
-    let garbage = ["nonsense\r\n\r\n".to_string(), told(&[json!({"seq": 99, "whole": true, "hosts": [7]})])];
-    let answers = [&[told(&[listed(43, &dials)])][..], &garbage, &[told(&[drains()])]].concat();
+    let dials: Vec<SocketAddr> = (1..3)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
+    let garbage = [
+        "nonsense\r\n\r\n".to_string(),
+        told(&[json!({"seq": 99, "whole": true, "hosts": [7]})]),
+    ];
+    let answers = [
+        &[told(&[listed(43, &dials)])][..],
+        &garbage,
+        &[told(&[drains()])],
+    ]
+    .concat();
     assert_eq!(watched(answers), ["41", "43", "43", "43"]);
 }
 
 #[test]
 fn a_watch_that_moves_leaves_no_gap() {
-    let dials: Vec<SocketAddr> = (1..3).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+    let dials: Vec<SocketAddr> = (1..3)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
     let (tasks, (desk, roster)) = (Tasks::default(), desk(&dials));
     let quiet = || vec![told(&[json!({"seq": 43, "whole": false, "hosts": []})])];
-    let ((before, asked_before), (after, asked)) = (discovery(quiet()), discovery(vec![told(&[drains()])]));
+    let ((before, asked_before), (after, asked)) =
+        (discovery(quiet()), discovery(vec![told(&[drains()])]));
     // Nobody listens there any more: a file may name a wrong address before it names the right one.
-    let nowhere = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap().local_addr().unwrap();
+    let nowhere = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let (heard, first) = async_channel::bounded(1);
     let watches = Watches::begin(tasks.clone(), desk.clone(), roster, before, 41, heard);
     let draining = || desk.tell(|instance, _| instance.nodes[&1].standing == Standing::Draining);
@@ -93,6 +131,13 @@
             futures_lite::future::yield_now().await;
         }
     });
-    assert!(asked.recv().unwrap().contains("index=43"), "it goes on from the version that is known");
-    assert_eq!(asked_before.try_iter().count(), 1, "the old address was not asked again");
+    assert!(
+        asked.recv().unwrap().contains("index=43"),
+        "it goes on from the version that is known"
+    );
+    assert_eq!(
+        asked_before.try_iter().count(),
+        1,
+        "the old address was not asked again"
+    );
 }
--- a/crates/router/src/watch.rs
+++ b/crates/router/src/watch.rs
@@ -31,21 +31,35 @@
 
 impl Roster {
     pub fn new(zones: Vec<String>) -> Rc<Roster> {
-        Rc::new(Roster { zones: RefCell::new(zones), ..Roster::default() })
+        Rc::new(Roster {
+            zones: RefCell::new(zones),
+            ..Roster::default()
+        })
     }
 
     pub fn dial(&self, node: u32) -> Result<SocketAddr, Close> {
-        self.dials.borrow().get(&node).copied().ok_or(Close::Refused)
+        self.dials
+            .borrow()
+            .get(&node)
+            .copied()
+            .ok_or(Close::Refused)
     }
 
     /// Tells the instance the names of all nodes again.
     pub fn name_all(&self, instance: &mut Instance) {
-        self.nodes.borrow().iter().for_each(|(name, node)| instance.named(*node, name));
+        self.nodes
+            .borrow()
+            .iter()
+            .for_each(|(name, node)| instance.named(*node, name));
     }
 
     pub fn forget(&self, gone: &[u32]) {
-        self.nodes.borrow_mut().retain(|_, node| !gone.contains(node));
-        self.dials.borrow_mut().retain(|node, _| !gone.contains(node));
+        self.nodes
+            .borrow_mut()
+            .retain(|_, node| !gone.contains(node));
+        self.dials
+            .borrow_mut()
+            .retain(|node, _| !gone.contains(node));
     }
 
     fn node(&self, name: &str, dial: SocketAddr) -> u32 {
@@ -75,11 +89,12 @@
     /// Tells the instance a list; its version, or why it can't be read.
     pub fn list(&self, instance: &mut Instance, now: f64, told: &Value) -> Result<u64, Close> {
         instance.listing();
-        let (seq, whole) = discovery::list(told, |name, dial, zone, group, standing, since, leads| {
-            let (node, zone) = (self.node(name, dial), self.zone(zone));
-            instance.named(node, name);
-            instance.member(now, node, (group, zone), standing, since, leads);
-        })?;
+        let (seq, whole) =
+            discovery::list(told, |name, dial, zone, group, standing, since, leads| {
+                let (node, zone) = (self.node(name, dial), self.zone(zone));
+                instance.named(node, name);
+                instance.member(now, node, (group, zone), standing, since, leads);
+            })?;
         instance.listed(now, whole);
         Ok(seq)
     }
@@ -88,14 +103,20 @@
 /// Watches until it is dropped; the last list stays in use whatever happens to the watch. `heard` is called
 /// at each answer.
 pub async fn watch(
-    desk: Rc<Router>, roster: Rc<Roster>, address: SocketAddr, seq: Rc<Cell<u64>>, heard: impl Fn(),
+    desk: Rc<Router>,
+    roster: Rc<Roster>,
+    address: SocketAddr,
+    seq: Rc<Cell<u64>>,
+    heard: impl Fn(),
 ) {
     let mut tries = 0;
     loop {
         let before = seq.get();
         let close = follow(&desk, &roster, address, &seq, &mut tries, &heard).await;
         let seq = seq.get();
-        tracing::info!("discovery: the watch has ended at version {seq} (opened at {before}): {close}");
+        tracing::info!(
+            "discovery: the watch has ended at version {seq} (opened at {before}): {close}"
+        );
         let pause = (FIRST_PAUSE * (1 << tries.min(8))).min(LONGEST_PAUSE);
         // Routers that lost it together do not ask together again, where settings have it so.
         let spread = desk.recovery(false, |recovery, _| recovery.pause(tries));
@@ -113,13 +134,20 @@
 }
 
 async fn follow(
-    desk: &Router, roster: &Roster, address: SocketAddr, seq: &Cell<u64>, tries: &mut u32, heard: &impl Fn(),
+    desk: &Router,
+    roster: &Roster,
+    address: SocketAddr,
+    seq: &Cell<u64>,
+    tries: &mut u32,
+    heard: &impl Fn(),
 ) -> Close {
     let (mut input, mut output) = (Ring::new(1 << 16), Ring::new(1 << 12));
     let mut machine = discovery::Watch::default();
     output.push(discovery::request(address, seq.get()).as_bytes());
     let opened = async {
-        let stream = Async::<TcpStream>::connect(address).await.map_err(|_| Close::Refused)?;
+        let stream = Async::<TcpStream>::connect(address)
+            .await
+            .map_err(|_| Close::Refused)?;
         wire::write(&stream, &mut output).await?;
         Ok(stream)
     };
@@ -155,7 +183,8 @@
     if line.iter().all(u8::is_ascii_whitespace) {
         return Ok(None);
     }
-    let list: Value =
-        serde_json::from_slice(line).map_err(|_| Close::Malformed("a line of discovery's is no JSON"))?;
-    desk.tell(|instance, now| roster.list(instance, now, &list)).map(Some)
+    let list: Value = serde_json::from_slice(line)
+        .map_err(|_| Close::Malformed("a line of discovery's is no JSON"))?;
+    desk.tell(|instance, now| roster.list(instance, now, &list))
+        .map(Some)
 }
--- a/crates/router/src/wire.rs
+++ b/crates/router/src/wire.rs
@@ -14,7 +14,9 @@
 
 /// This work, or that end of it once so much time is over; what is done counts even if both are there.
 pub async fn within<T>(
-    limit: Duration, late: Close, work: impl Future<Output = Result<T, Close>>,
+    limit: Duration,
+    late: Close,
+    work: impl Future<Output = Result<T, Close>>,
 ) -> Result<T, Close> {
     let timer = async {
         Timer::after(limit).await;
@@ -32,7 +34,10 @@
         // Others hold what there is for large messages: theirs end, or their time does.
         Timer::after(SHORT).await;
     }
-    let count = stream.read_with(|mut s| s.read(input.room())).await.map_err(|_| Close::Broken)?;
+    let count = stream
+        .read_with(|mut s| s.read(input.room()))
+        .await
+        .map_err(|_| Close::Broken)?;
     input.filled(count);
     if count == 0 { Err(Close::Left) } else { Ok(()) }
 }
@@ -80,7 +85,11 @@
 
     /// How many were passed over, if a line may be written now.
     pub fn due(&self) -> Option<u64> {
-        if self.0.get().is_some_and(|at| at.elapsed() < Duration::from_secs(1)) {
+        if self
+            .0
+            .get()
+            .is_some_and(|at| at.elapsed() < Duration::from_secs(1))
+        {
             self.1.set(self.1.get() + 1);
             return None;
         }
--- a/crates/router/tests/command.rs
+++ b/crates/router/tests/command.rs
@@ -8,9 +8,16 @@
 
 fn run(arguments: &[&str], config: Option<&str>) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
-    command.args(arguments).env_remove("RELAY_CONFIG").env_remove("RELAY_LISTEN");
-    let output = command.envs(config.map(|file| ("RELAY_CONFIG", file))).output().unwrap();
-    let [said, problem] = [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).unwrap());
+    command
+        .args(arguments)
+        .env_remove("RELAY_CONFIG")
+        .env_remove("RELAY_LISTEN");
+    let output = command
+        .envs(config.map(|file| ("RELAY_CONFIG", file)))
+        .output()
+        .unwrap();
+    let [said, problem] =
+        [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).unwrap());
     (output.status.code(), said, problem)
 }
 
@@ -32,7 +39,10 @@
 fn wrong_words_get_the_usage(arguments: &[&str], expected: &str) {
     let (code, said, problem) = run(arguments, None);
     assert_eq!((code, said.as_str()), (Some(2), ""));
-    assert!(problem.contains(expected) && problem.contains("usage: badgerstream serve"), "{problem}");
+    assert!(
+        problem.contains(expected) && problem.contains("usage: badgerstream serve"),
+        "{problem}"
+    );
 }
 
 #[test_case(&["help"], "usage: badgerstream serve")]
@@ -58,14 +68,24 @@
     let (code, _, problem) = run(&["check", &file], None);
     assert_eq!(code, Some(i32::from(expected.is_some())), "{problem}");
     assert!(problem.contains(expected.unwrap_or_default()));
-    assert_eq!(problem.lines().count(), usize::from(expected.is_some()), "one line: {problem}");
+    assert_eq!(
+        problem.lines().count(),
+        usize::from(expected.is_some()),
+        "one line: {problem}"
+    );
 }
 
 #[test]
 fn a_start_without_its_file_names_what_is_missing() {
-    assert_eq!(run(&["serve"], None).2, "badgerstream: the variable RELAY_CONFIG is missing\n");
+    assert_eq!(
+        run(&["serve"], None).2,
+        "badgerstream: the variable RELAY_CONFIG is missing\n"
+    );
     let (code, _, problem) = run(&["serve"], Some("/nowhere/at/all"));
-    assert!(code == Some(1) && problem.starts_with("badgerstream: /nowhere/at/all: "), "{problem}");
+    assert!(
+        code == Some(1) && problem.starts_with("badgerstream: /nowhere/at/all: "),
+        "{problem}"
+    );
 }
 
 #[test]
@@ -74,7 +94,10 @@
     let address = taken.local_addr().unwrap().to_string();
     let file = file("taken", "127.0.0.1:6432", &address);
     let (code, _, problem) = run(&["serve"], Some(&file));
-    assert!(code == Some(1) && problem.contains(&format!("listening on {address}: ")), "{problem}");
+    assert!(
+        code == Some(1) && problem.contains(&format!("listening on {address}: ")),
+        "{problem}"
+    );
 }
 
 /// The type of a program header that names the dynamic loader (System V ABI, program header, PT_INTERP).
@@ -105,18 +128,35 @@
 /// ours is needed or started by a default.
 #[test]
 fn it_serves_alone_without_settings_of_ours() {
-    let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let address = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let place = file("alone-and-plain", "127.0.0.1:6432", &address);
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
-    command.arg("serve").env("RELAY_CONFIG", &place).env_remove("RELAY_LISTEN");
-    let mut serving = Serving(command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap());
+    command
+        .arg("serve")
+        .env("RELAY_CONFIG", &place)
+        .env_remove("RELAY_LISTEN");
+    let mut serving = Serving(
+        command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap(),
+    );
     let router = &mut serving.0;
-    let mut lines = BufReader::new(router.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(router.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     assert!(lines.any(|line| line.contains("serves on")));
     // Once it answers, all of its tasks have begun: what listens for signals, too.
     let mut client = TcpStream::connect(&address).unwrap();
     let body = b"\0\x03\0\0user\0svc\0database\0main\0\0";
-    client.write_all(&(body.len() as u32 + 4).to_be_bytes()).unwrap();
+    client
+        .write_all(&(body.len() as u32 + 4).to_be_bytes())
+        .unwrap();
     client.write_all(body).unwrap();
     client.read_exact(&mut [0]).unwrap();
     drop(client);
@@ -130,16 +170,31 @@
     // does not.
     let listens = |line: &&str| line.split_whitespace().nth(3) == Some("00010000");
     let listening = unix.lines().filter(listens);
-    let inodes: Vec<&str> = listening.filter_map(|line| line.split_whitespace().nth(6)).collect();
+    let inodes: Vec<&str> = listening
+        .filter_map(|line| line.split_whitespace().nth(6))
+        .collect();
     for open in std::fs::read_dir(own.join("fd")).unwrap() {
         // One that was closed meanwhile is none.
-        let Ok(open) = std::fs::read_link(open.unwrap().path()) else { continue };
+        let Ok(open) = std::fs::read_link(open.unwrap().path()) else {
+            continue;
+        };
         let open = open.to_string_lossy().into_owned();
-        let inode = open.strip_prefix("socket:[").and_then(|rest| rest.strip_suffix(']'));
-        assert!(!inode.is_some_and(|inode| inodes.contains(&inode)), "a door for a Unix socket");
+        let inode = open
+            .strip_prefix("socket:[")
+            .and_then(|rest| rest.strip_suffix(']'));
+        assert!(
+            !inode.is_some_and(|inode| inodes.contains(&inode)),
+            "a door for a Unix socket"
+        );
         assert!(!open.contains("io_uring"), "{open}");
     }
-    assert!(Command::new("kill").args(["-TERM", &router.id().to_string()]).status().unwrap().success());
+    assert!(
+        Command::new("kill")
+            .args(["-TERM", &router.id().to_string()])
+            .status()
+            .unwrap()
+            .success()
+    );
     assert!(router.wait().unwrap().success());
 }
 
@@ -147,30 +202,61 @@
 /// made of it in one line, and ends in order when asked to.
 #[test]
 fn a_reload_never_ends_it() {
-    let free = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let free = || {
+        TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap()
+            .to_string()
+    };
     let (address, moved) = (free(), free());
     let place = file("reloaded", "127.0.0.1:6432", &address);
     let good = std::fs::read_to_string(&place).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
-    command.arg("serve").env("RELAY_CONFIG", &place).env("RELAY_DISCOVERY", free()).stderr(Stdio::piped());
+    command
+        .arg("serve")
+        .env("RELAY_CONFIG", &place)
+        .env("RELAY_DISCOVERY", free())
+        .stderr(Stdio::piped());
     let mut router = command.spawn().unwrap();
-    let mut lines = BufReader::new(router.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(router.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let mut until = |text: &str| {
-        let line = lines.find(|line| !line.contains("the watch has ended")).unwrap_or_default();
+        let line = lines
+            .find(|line| !line.contains("the watch has ended"))
+            .unwrap_or_default();
         assert!(line.contains(text), "{text}: {line}");
     };
     let told = |signal: &str| {
         let id = router.id().to_string();
-        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([signal, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     };
     until("serves on");
-    let changed = good.replace("127.0.0.1:8500", &moved).replace("\"siblings\": 1", "\"siblings\": 2");
+    let changed = good
+        .replace("127.0.0.1:8500", &moved)
+        .replace("\"siblings\": 1", "\"siblings\": 2");
     for (text, expected) in [
         ("", "the file was not taken"),
         (&good[..good.len() / 2], "the file was not taken"),
-        (&good.replace("siblings", "cousins"), "the file was not taken"),
-        (&good, "the file was read again, discovery is at 127.0.0.1:8500"),
-        (&changed, &format!("the file was read again, discovery is at {moved}")),
+        (
+            &good.replace("siblings", "cousins"),
+            "the file was not taken",
+        ),
+        (
+            &good,
+            "the file was read again, discovery is at 127.0.0.1:8500",
+        ),
+        (
+            &changed,
+            &format!("the file was read again, discovery is at {moved}"),
+        ),
     ] {
         std::fs::write(&place, text).unwrap();
         told("-HUP");
--- a/crates/routing/src/instance.rs
+++ b/crates/routing/src/instance.rs
@@ -54,15 +54,26 @@
 
 impl Instance {
     pub fn new(
-        seed: u64, routers: usize, workloads: Vec<Workload>, quotas: Vec<Quota>, fairness: Fairness,
-        replication: Replication, cold: ColdStart, drain: Drain, allowance: Allowance,
+        seed: u64,
+        routers: usize,
+        workloads: Vec<Workload>,
+        quotas: Vec<Quota>,
+        fairness: Fairness,
+        replication: Replication,
+        cold: ColdStart,
+        drain: Drain,
+        allowance: Allowance,
     ) -> Instance {
         let mut born = Instance::default();
         (born.chance, born.routers) = (fastrand::Rng::with_seed(seed), routers.max(1) as f64);
         born.usage = vec![(NEVER, 0.0); quotas.len()];
         born.takes = vec![Taken::default(); workloads.len()];
-        born.shares = [vec![(0.0, 0.0); workloads.len()], vec![(0.0, 0.0); quotas.len()]];
-        (born.workloads, born.quotas, born.replication, born.cold) = (workloads, quotas, replication, cold);
+        born.shares = [
+            vec![(0.0, 0.0); workloads.len()],
+            vec![(0.0, 0.0); quotas.len()],
+        ];
+        (born.workloads, born.quotas, born.replication, born.cold) =
+            (workloads, quotas, replication, cold);
         (born.fairness, born.drain, born.allowance) = (fairness, drain, allowance);
         born
     }
@@ -80,7 +91,9 @@
     }
 
     pub fn abandoned(&mut self, stmt: u32) {
-        let Some(s) = self.statements.get_mut(&stmt) else { return };
+        let Some(s) = self.statements.get_mut(&stmt) else {
+            return;
+        };
         (s.over, _) = (true, self.touched.insert(stmt));
     }
 
@@ -97,6 +110,9 @@
     }
 
     pub(crate) fn members(&self, group: u16) -> impl Iterator<Item = (u32, &Node)> {
-        self.groups[&group].members.iter().map(|m| (*m, &self.nodes[m]))
+        self.groups[&group]
+            .members
+            .iter()
+            .map(|m| (*m, &self.nodes[m]))
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -84,7 +84,11 @@
 impl Workload {
     /// How old the data may be that its statements are answered from, where that is told as an age.
     pub fn bound(&self) -> Option<f64> {
-        if let Currency::Recent { bound } = self.currency { Some(bound) } else { None }
+        if let Currency::Recent { bound } = self.currency {
+            Some(bound)
+        } else {
+            None
+        }
     }
 }
 
@@ -171,11 +175,17 @@
 impl Ending {
     /// The node itself answered.
     pub fn spoken(self) -> bool {
-        matches!(self, Ending::Completed | Ending::Missed | Ending::TurnedAway | Ending::Errored)
+        matches!(
+            self,
+            Ending::Completed | Ending::Missed | Ending::TurnedAway | Ending::Errored
+        )
     }
 
     pub fn proves_unrun(self) -> bool {
-        matches!(self, Ending::Missed | Ending::TurnedAway | Ending::Unconnected | Ending::Cut | Ending::Moot)
+        matches!(
+            self,
+            Ending::Missed | Ending::TurnedAway | Ending::Unconnected | Ending::Cut | Ending::Moot
+        )
     }
 }
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -60,7 +60,9 @@
         while let Some(timer) = self.timers.first().copied().filter(|t| *t <= due) {
             _ = (self.timers.remove(&timer), self.touched.insert(timer.1));
         }
-        let beat = self.beat.is_none_or(|last| now - last >= BEAT_S - ROUNDING_S);
+        let beat = self
+            .beat
+            .is_none_or(|last| now - last >= BEAT_S - ROUNDING_S);
         if beat {
             self.beat = Some(now);
             self.look_over(now, out);
@@ -73,12 +75,17 @@
         let groups = std::mem::take(&mut self.touched_groups);
         let waiting = groups.iter().flat_map(|group| &self.groups[group].waiting);
         let mut queue: Vec<u32> = touched.iter().chain(waiting).copied().collect();
-        queue.sort_by_cached_key(|id| self.statements.get(id).map_or((0, 0), |s| self.rank(s, now)));
+        queue.sort_by_cached_key(|id| {
+            self.statements
+                .get(id)
+                .map_or((0, 0), |s| self.rank(s, now))
+        });
         for stmt in queue {
             if !beat && !touched.contains(&stmt) && self.stuck(stmt, now, &mut full) {
                 continue;
             }
-            let mut fires = |r: &Rule| self.statements.contains_key(&stmt) && r(self, stmt, now, out);
+            let mut fires =
+                |r: &Rule| self.statements.contains_key(&stmt) && r(self, stmt, now, out);
             while STATEMENT_RULES.iter().any(&mut fires) {}
         }
         if let Some(first) = self.timers.first() {
@@ -89,9 +96,13 @@
     /// Between beats a statement that nothing happened to need not be looked at while its group is full: with
     /// hundreds that wait, looking costs more than serving. Harm: what is asked for them comes a beat later.
     fn stuck(&self, stmt: u32, now: f64, full: &mut BTreeSet<u16>) -> bool {
-        let Some(s) = self.statements.get(&stmt) else { return true };
-        let taken = |m: (u32, &Node)| m.1.suspected.is_some() || m.1.out as f64 >= m.1.room.max(1.0);
-        let full = full.contains(&s.group) || self.members(s.group).all(taken) && full.insert(s.group);
+        let Some(s) = self.statements.get(&stmt) else {
+            return true;
+        };
+        let taken =
+            |m: (u32, &Node)| m.1.suspected.is_some() || m.1.out as f64 >= m.1.room.max(1.0);
+        let full =
+            full.contains(&s.group) || self.members(s.group).all(taken) && full.insert(s.group);
         full && self.succession.is_none() && now + self.needed(s) < s.last_use()
     }
 
@@ -102,7 +113,10 @@
         let ready = self.nodes.values().filter(|n| n.in_service(&self.drain));
         self.warm = ready.map(|n| n.warmth(&self.cold, now)).sum();
         self.touched_groups.extend(self.groups.keys());
-        let sent = self.statements.iter().filter(|s| s.1.live().next().is_some());
+        let sent = self
+            .statements
+            .iter()
+            .filter(|s| s.1.live().next().is_some());
         self.touched.extend(sent.map(|s| s.0));
         if self.replication.carried {
             // Past the mark, the carried age tells as much.
--- a/crates/routing/src/policy/choice.rs
+++ b/crates/routing/src/policy/choice.rs
@@ -36,12 +36,25 @@
     /// of any age: long ones can keep a replica from applying, and spread evenly they hold back all. Harm: less
     /// room for them.
     fn gathers(&self, s: &Statement, now: f64) -> Vec<u32> {
-        let most = self.workloads.iter().filter_map(Workload::bound).fold(MARK_S, f64::min) / 2.0;
+        let most = self
+            .workloads
+            .iter()
+            .filter_map(Workload::bound)
+            .fold(MARK_S, f64::min)
+            / 2.0;
         let late = |n: &Node| n.lag > most && now - n.placed < n.lag;
-        let (loose, primary) = (s.kind.currency == Currency::Loose, self.groups[&s.group].primary);
-        let replica = |m: &(u32, &Node)| loose && Some(m.0) != primary && m.1.in_service(&self.drain);
+        let (loose, primary) = (
+            s.kind.currency == Currency::Loose,
+            self.groups[&s.group].primary,
+        );
+        let replica =
+            |m: &(u32, &Node)| loose && Some(m.0) != primary && m.1.in_service(&self.drain);
         let mut replicas: Vec<(u32, &Node)> = self.members(s.group).filter(replica).collect();
-        let third = if replicas.iter().any(|m| late(m.1)) { replicas.len().div_ceil(3) } else { 0 };
+        let third = if replicas.iter().any(|m| late(m.1)) {
+            replicas.len().div_ceil(3)
+        } else {
+            0
+        };
         replicas.sort_unstable_by_key(|m| m.0);
         replicas[..third].iter().map(|m| m.0).collect()
     }
@@ -53,9 +66,15 @@
             return None;
         }
         let trusted = |n: &Node| n.suspected.is_none() && n.in_service(&self.drain);
-        let led = self.groups[&s.group].primary.filter(|p| trusted(&self.nodes[p]));
+        let led = self.groups[&s.group]
+            .primary
+            .filter(|p| trusted(&self.nodes[p]));
         let (pinned, loose) = (self.pinned(s, now), s.kind.currency == Currency::Loose);
-        let known = if pinned { led.is_some() } else { self.replication.checked || loose };
+        let known = if pinned {
+            led.is_some()
+        } else {
+            self.replication.checked || loose
+        };
         let idle = if pinned { SEARCH_S } else { IDLE_S };
         let asks = |(id, n): &(u32, &Node)| {
             let tells = pinned || Some(*id) != led && trusted(n) && !self.current(s, *id, now);
@@ -63,7 +82,9 @@
         };
         let unasked = |n: &Node| (n.probed.max(n.denied), !n.listed_primary);
         let members = self.members(s.group).filter(asks);
-        members.min_by(|a, b| unasked(a.1).partial_cmp(&unasked(b.1)).expect("no NaN")).map(|m| m.0)
+        members
+            .min_by(|a, b| unasked(a.1).partial_cmp(&unasked(b.1)).expect("no NaN"))
+            .map(|m| m.0)
     }
 
     /// The next eligible replica of the group's rotation.
@@ -74,10 +95,14 @@
         let gathers = self.gathers(s, now);
         let within = |id: u32| gathers.is_empty() || gathers.contains(&id);
         let replica = |i: usize| Some(group.members[i]) != group.primary;
-        let able = |i: usize| replica(i) && within(group.members[i]) && self.open(s, group.members[i], now);
+        let able = |i: usize| {
+            replica(i) && within(group.members[i]) && self.open(s, group.members[i], now)
+        };
         // Who keeps to some replicas takes any other where none of these will do.
         let kept = |i: usize| self.keeps(s.group, group.members[i]) && able(i);
-        let next = rotation.next(size, kept).or_else(|| rotation.next(size, able))?;
+        let next = rotation
+            .next(size, kept)
+            .or_else(|| rotation.next(size, able))?;
         let chosen = group.members[next];
         self.groups.get_mut(&s.group).expect("known").rotation = rotation;
         Some(chosen)
--- a/crates/routing/src/policy/guards.rs
+++ b/crates/routing/src/policy/guards.rs
@@ -26,13 +26,19 @@
 
     /// Guards rule 2: what may have run is repeated only where its repeat is harmless or dropped.
     pub fn repeatable(&self, s: &Statement, to: Option<u32>, now: f64) -> bool {
-        let Some(first) = s.may_have_run().next() else { return true };
+        let Some(first) = s.may_have_run().next() else {
+            return true;
+        };
         match s.kind.repeat {
             Repeat::Idempotent => true,
             Repeat::NonIdempotent => false,
             Repeat::Deduplicated { within, memory } => {
-                let (from, to) = (&self.nodes[&first.node], &self.nodes[&to.unwrap_or(first.node)]);
-                let same = from.group == to.group && (within == Within::Group || from.zone == to.zone);
+                let (from, to) = (
+                    &self.nodes[&first.node],
+                    &self.nodes[&to.unwrap_or(first.node)],
+                );
+                let same =
+                    from.group == to.group && (within == Within::Group || from.zone == to.zone);
                 let known = within == Within::Anywhere || same;
                 // The repeat must also get there: a quarter of the memory is left for that.
                 known && now - first.sent < memory * 0.75
@@ -49,16 +55,26 @@
         }
         let (window, floor) = (self.cold.window, LEAST_ROOM / self.routers);
         let budget = self.cold.factor * warmth * window * self.borne.1 / self.warm.max(1.0);
-        let left = budget.max(floor) - node.sends.iter().filter(|at| now - **at < window).count() as f64;
+        let left =
+            budget.max(floor) - node.sends.iter().filter(|at| now - **at < window).count() as f64;
         // What waited would go all at once: it shares with all that came meanwhile.
         let asks = self.asked(s.group, id) * window.max(now - s.arrived);
-        (left >= 1.0 || s.lot * asks <= COLD_PART * left) && (node.out as f64) < (node.room * warmth).max(1.0)
+        (left >= 1.0 || s.lot * asks <= COLD_PART * left)
+            && (node.out as f64) < (node.room * warmth).max(1.0)
     }
 
     /// Statements a second that would ask for this member if all were as good as another.
     pub(super) fn asked(&self, group: u16, id: u32) -> f64 {
-        let ready = self.members(group).filter(|m| m.1.in_service(&self.drain)).count().max(1);
-        let parts = if self.groups[&group].primary == Some(id) { ready.min(2) } else { ready };
+        let ready = self
+            .members(group)
+            .filter(|m| m.1.in_service(&self.drain))
+            .count()
+            .max(1);
+        let parts = if self.groups[&group].primary == Some(id) {
+            ready.min(2)
+        } else {
+            ready
+        };
         self.groups[&group].asked.1 / parts as f64
     }
 
--- a/crates/routing/src/policy/health.rs
+++ b/crates/routing/src/policy/health.rs
@@ -10,7 +10,14 @@
 const FAULTS: u32 = 6;
 
 impl Node {
-    pub(super) fn executed(&mut self, now: f64, ending: Ending, took: f64, slo: Option<f64>, signs: Signs) {
+    pub(super) fn executed(
+        &mut self,
+        now: f64,
+        ending: Ending,
+        took: f64,
+        slo: Option<f64>,
+        signs: Signs,
+    ) {
         self.leaves(now, signs.length);
         if ending.spoken() {
             (self.heard, self.awaited) = (now, 0.0);
@@ -22,7 +29,11 @@
                 // What is back shows it at once: the next trial need not wait for its turn.
                 let bad = self.suspected.filter(|_| self.faults >= FAULTS);
                 (self.suspected, self.trials, self.trial_at, self.missing) = (bad, 0, NEVER, 0);
-                self.broke = if now - took < self.broke + SEARCH_S { 0.0 } else { self.broke };
+                self.broke = if now - took < self.broke + SEARCH_S {
+                    0.0
+                } else {
+                    self.broke
+                };
                 self.answers += 1.0;
                 let took = took / signs.length.unwrap_or(1.0);
                 self.pace += (took - self.pace) * f64::max(GAIN, 1.0 / self.answers);
@@ -43,10 +54,18 @@
     /// The share of its capacity that a node is sure to have by now, had it warmed as slowly as is allowed.
     pub fn warmth(&self, cold: &ColdStart, now: f64) -> f64 {
         // A node that lives answers something soon: held back at once, it would never show that it does.
-        let broke = if now - self.broke > SEARCH_S { self.broke } else { 0.0 };
+        let broke = if now - self.broke > SEARCH_S {
+            self.broke
+        } else {
+            0.0
+        };
         let since = self.since.max(self.fell).max(broke);
         let warmed = ((now - since) / cold.lasts).clamp(0.0, 1.0);
-        if since > 0.0 { cold.share + (1.0 - cold.share) * warmed } else { 1.0 }
+        if since > 0.0 {
+            cold.share + (1.0 - cold.share) * warmed
+        } else {
+            1.0
+        }
     }
 
     /// Guards against a list that is wrong: where a drain alone binds, a node that is called gone without one
@@ -68,7 +87,10 @@
         let owed = awaited * node.warmth(&self.cold, now) / node.pace.max(usual);
         let fires = node.suspected.is_none() && (owed > OWED_ANSWERS || node.faults >= FAULTS);
         if fires {
-            out.log(&format!("{now:.3} node {id}: suspect, {owed:.0} answers owed, {} faults", node.faults));
+            out.log(&format!(
+                "{now:.3} node {id}: suspect, {owed:.0} answers owed, {} faults",
+                node.faults
+            ));
             (node.suspected, node.trials, node.trial_at) = (Some(now), 0, now);
             // Who speaks, if only to probes, is not lost: what refused a connection has told that by itself.
             if silent {
--- a/crates/routing/src/policy/pace.rs
+++ b/crates/routing/src/policy/pace.rs
@@ -18,11 +18,18 @@
     pub(super) fn strained(&mut self, now: f64, share: f64, signs: Signs) {
         let gain = f64::max(GAIN, 1.0 - (-(now - self.strained_at) / MARK_S).exp());
         (self.strain, self.strained_at) = (self.strain + (share - self.strain) * gain, now);
-        let used = if self.room < 1.0 { self.room < signs.usual } else { self.out as f64 + 2.0 >= self.room };
+        let used = if self.room < 1.0 {
+            self.room < signs.usual
+        } else {
+            self.out as f64 + 2.0 >= self.room
+        };
         if self.strain <= signs.strain && used {
             self.room += f64::min(1.0 / self.room, self.room);
         } else if self.strain > signs.strain && now - self.cut >= self.pace {
-            (self.room, self.cut) = ((self.room * (1.0 - gain.min(0.5))).max(self.least_room), now);
+            (self.room, self.cut) = (
+                (self.room * (1.0 - gain.min(0.5))).max(self.least_room),
+                now,
+            );
         }
     }
 
@@ -39,23 +46,36 @@
 impl Instance {
     /// The best that members of a group show; what is quicker than the front's clock can't be told apart.
     pub(super) fn pace(&self, group: u16) -> f64 {
-        self.members(group).map(|m| m.1.pace).fold(f64::INFINITY, f64::min).max(self.allowance.step)
+        self.members(group)
+            .map(|m| m.1.pace)
+            .fold(f64::INFINITY, f64::min)
+            .max(self.allowance.step)
     }
 
     /// How long this workload's statements take against all: a pace is that of one of length 1. Until their own
     /// answers tell, workloads are thought to take like shares of their SLO times.
     pub fn length(&self, workload: usize) -> f64 {
-        let usual = if self.taken.answers > 0.0 { self.taken.share.max(1e-6) } else { 1.0 };
+        let usual = if self.taken.answers > 0.0 {
+            self.taken.share.max(1e-6)
+        } else {
+            1.0
+        };
         let takes = |i: usize| self.workloads[i].slo * self.takes[i].expected(usual, PRIOR);
         let count = |i: usize| self.shares[0][i].0 / self.workloads[i].importance.max(1e-9);
         let sum = |of: &dyn Fn(usize) -> f64| (0..self.workloads.len()).map(of).sum::<f64>();
         let mean = sum(&|i| count(i) * takes(i)) / sum(&count);
-        if mean > 0.0 { takes(workload) / mean } else { 1.0 }
+        if mean > 0.0 {
+            takes(workload) / mean
+        } else {
+            1.0
+        }
     }
 
     /// What answers take at their best is learnt from what they took in the calmest while so far.
     pub(super) fn eases(&mut self, workload: usize, share: f64) {
-        [&mut self.takes[workload], &mut self.taken].into_iter().for_each(|t| t.add(share, EASE_ANSWERS));
+        [&mut self.takes[workload], &mut self.taken]
+            .into_iter()
+            .for_each(|t| t.add(share, EASE_ANSWERS));
         let (mean, new) = (self.taken.share, self.taken.answers < EASE_ANSWERS / 2.0);
         let risen = self.least + (mean - self.least) / (100.0 * EASE_ANSWERS);
         self.least = if new { mean } else { mean.min(risen) };
@@ -72,7 +92,9 @@
     /// It may never be answered: sent to what is a suspect now, or late while what is late mostly stays out.
     pub(crate) fn overdue(&self, e: &Execution, now: f64) -> bool {
         let (node, usual) = (&self.nodes[&e.node], self.pace(self.nodes[&e.node].group));
-        let stuck = node.suspected.is_some_and(|at| e.sent <= at || now - e.sent > 2.0 * usual * e.length);
+        let stuck = node
+            .suspected
+            .is_some_and(|at| e.sent <= at || now - e.sent > 2.0 * usual * e.length);
         stuck || self.in_vain > IN_VAIN && self.late(e, now)
     }
 
--- a/crates/routing/src/policy/rotation.rs
+++ b/crates/routing/src/policy/rotation.rs
@@ -10,7 +10,9 @@
 impl Rotation {
     /// The next of `count` members that is eligible, by its place. Where none is, the counter stays.
     pub fn next(&mut self, count: usize, eligible: impl Fn(usize) -> bool) -> Option<usize> {
-        let chosen = (0..count).map(|i| (self.next % count + i) % count).find(|i| eligible(*i))?;
+        let chosen = (0..count)
+            .map(|i| (self.next % count + i) % count)
+            .find(|i| eligible(*i))?;
         self.next = (chosen + 1) % count;
         Some(chosen)
     }
--- a/crates/routing/src/policy/rules.rs
+++ b/crates/routing/src/policy/rules.rs
@@ -26,7 +26,11 @@
     pub(super) fn give_up(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
         let sent = s.live().next().is_some();
-        let errors = s.executions.iter().filter(|e| e.ended == Some(Ending::Errored)).count();
+        let errors = s
+            .executions
+            .iter()
+            .filter(|e| e.ended == Some(Ending::Errored))
+            .count();
         let spent = s.executions.len() >= self.allowance.executions || errors >= ERRORS;
         let spent = spent || !self.repeatable(s, None, now) && !self.inquirable(s, now);
         let late = now + if sent { 0.0 } else { self.needed(s) } >= s.last_use();
@@ -37,20 +41,28 @@
     /// Half of its time is gone and no node had a byte of it: hopeless where who leads is out of reach, or an
     /// answer would be late. Its client can still try elsewhere. Harm: some late answers are never given.
     pub fn held_too_long(&self, s: &Statement, now: f64) -> bool {
-        let led = self.groups[&s.group].primary.is_some_and(|p| self.nodes[&p].suspected.is_none());
+        let led = self.groups[&s.group]
+            .primary
+            .is_some_and(|p| self.nodes[&p].suspected.is_none());
         let late = now + self.needed(s) >= s.slo_end;
-        let alone = self.succession.as_ref().is_none_or(|succession| succession.settled(s.group));
+        let alone = self
+            .succession
+            .as_ref()
+            .is_none_or(|succession| succession.settled(s.group));
         alone && (late || !led) && s.unwritten() && now >= s.halfway - ROUNDING_S
     }
 
     /// Its repeat is no longer sure to be dropped: the new primary is asked how it ended.
     pub(super) fn inquire(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let due = !s.waits && s.may_have_run().next().is_some() && s.live().all(|e| self.overdue(e, now));
+        let due =
+            !s.waits && s.may_have_run().next().is_some() && s.live().all(|e| self.overdue(e, now));
         if !due || self.next(s, now) != Next::Inquire || !self.inquirable(s, now) {
             return false;
         }
-        let leader = self.groups[&s.group].primary.filter(|p| self.open_for(s, *p, now, true));
+        let leader = self.groups[&s.group]
+            .primary
+            .filter(|p| self.open_for(s, *p, now, true));
         leader.is_some_and(|id| self.execute_for(stmt, id, now, true, out))
     }
 
@@ -59,12 +71,19 @@
         let (live, held) = (s.live().next().is_some(), s.held_until > now + ROUNDING_S);
         if held && !live {
             // Who is held looks again at each beat: else nothing would until half of its time is over.
-            self.groups.get_mut(&s.group).expect("known").waiting.insert(stmt);
+            self.groups
+                .get_mut(&s.group)
+                .expect("known")
+                .waiting
+                .insert(stmt);
         }
         if live || held {
             return false;
         }
-        if let Some(node) = self.choose(stmt, now).filter(|_| self.may_repeat(stmt, now)) {
+        if let Some(node) = self
+            .choose(stmt, now)
+            .filter(|_| self.may_repeat(stmt, now))
+        {
             return self.execute(stmt, node, now, out);
         }
         let s = self.statements.get_mut(&stmt).expect("open");
@@ -80,7 +99,9 @@
     /// routers that probed by the clock would cost more than they serve. Harm: who asks nothing hears late.
     pub(super) fn ask(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let Some(id) = self.unknown(s, now) else { return false };
+        let Some(id) = self.unknown(s, now) else {
+            return false;
+        };
         let s = self.statements.get_mut(&stmt).expect("open");
         (s.probes, s.probed) = (s.probes + 1.0, now);
         self.probe(id, now, out)
@@ -92,6 +113,9 @@
         let s = &self.statements[&stmt];
         let fires = s.live().next().is_some() && s.live().all(|e| self.overdue(e, now));
         let useful = fires && self.may_copy(now) && now + self.needed(s) < s.last_use();
-        useful && self.choose(stmt, now).is_some_and(|node| self.execute(stmt, node, now, out))
+        useful
+            && self
+                .choose(stmt, now)
+                .is_some_and(|node| self.execute(stmt, node, now, out))
     }
 }
--- a/crates/routing/src/policy/sends.rs
+++ b/crates/routing/src/policy/sends.rs
@@ -9,29 +9,56 @@
     }
 
     pub(super) fn execute_for(
-        &mut self, stmt: u32, id: u32, now: f64, asks: bool, out: &mut dyn Outbox,
+        &mut self,
+        stmt: u32,
+        id: u32,
+        now: f64,
+        asks: bool,
+        out: &mut dyn Outbox,
     ) -> bool {
         let s = &self.statements[&stmt];
         if !self.permitted(s, id, now, asks) {
             return false;
         }
         let (term, length) = (self.term(s.group), self.length(s.served_as[0]));
-        let (group, limit) = (self.groups.get_mut(&s.group).expect("known"), s.last_use() - now);
+        let (group, limit) = (
+            self.groups.get_mut(&s.group).expect("known"),
+            s.last_use() - now,
+        );
         group.waiting.remove(&stmt);
         if s.session != 0 && group.primary == Some(id) {
-            self.sessions.entry(s.session).or_insert((Mark::default(), NEVER)).0.touch(now);
+            self.sessions
+                .entry(s.session)
+                .or_insert((Mark::default(), NEVER))
+                .0
+                .touch(now);
         }
-        self.succession.iter_mut().for_each(|succession| succession.sent(stmt));
+        self.succession
+            .iter_mut()
+            .for_each(|succession| succession.sent(stmt));
         self.sending(stmt, id, now);
-        let sent = Execution { term, asks, length, ..Execution::new(id, now) };
-        self.statements.get_mut(&stmt).expect("open").executions.push(sent);
+        let sent = Execution {
+            term,
+            asks,
+            length,
+            ..Execution::new(id, now)
+        };
+        self.statements
+            .get_mut(&stmt)
+            .expect("open")
+            .executions
+            .push(sent);
         let node = self.nodes.get_mut(&id).expect("listed");
         node.enters(now, length);
         if node.suspected.is_some() {
             (node.trial_at, node.trials) = (now, node.trials + 1);
         }
         node.sends.push_back(now);
-        while node.sends.pop_front_if(|at| now - *at >= self.cold.window).is_some() {}
+        while node
+            .sends
+            .pop_front_if(|at| now - *at >= self.cold.window)
+            .is_some()
+        {}
         if asks {
             out.inquire(stmt, id, limit)
         } else {
@@ -59,15 +86,30 @@
     }
 
     pub(super) fn forget(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
-        let Some(s) = self.statements.remove(&stmt) else { return false };
-        s.timers(stmt, self.allowance.step).iter().for_each(|at| _ = self.timers.remove(at));
-        self.groups.get_mut(&s.group).expect("known").waiting.remove(&stmt);
-        self.succession.iter_mut().for_each(|succession| succession.leave(s.group, stmt));
+        let Some(s) = self.statements.remove(&stmt) else {
+            return false;
+        };
+        s.timers(stmt, self.allowance.step)
+            .iter()
+            .for_each(|at| _ = self.timers.remove(at));
+        self.groups
+            .get_mut(&s.group)
+            .expect("known")
+            .waiting
+            .remove(&stmt);
+        self.succession
+            .iter_mut()
+            .for_each(|succession| succession.leave(s.group, stmt));
         for (execution, e) in (0..).zip(&s.executions).filter(|e| e.1.ended.is_none()) {
             self.learn(self.late(e, now), true);
             let usual = self.asked(s.group, e.node) * self.nodes[&e.node].pace;
             let (strain, lossy) = (self.most_strain(), self.in_vain > IN_VAIN);
-            let signs = Signs { usual, strain, length: Some(e.length), lossy };
+            let signs = Signs {
+                usual,
+                strain,
+                length: Some(e.length),
+                lossy,
+            };
             let node = self.nodes.get_mut(&e.node).expect("listed");
             node.unanswered(now, (now - e.sent) / s.kind.slo, signs);
             if self.allowance.cancelling && s.due.is_finite() {
--- a/crates/routing/src/policy/worth.rs
+++ b/crates/routing/src/policy/worth.rs
@@ -11,7 +11,11 @@
     }
 
     pub(crate) fn last_use(&self) -> f64 {
-        if self.kind.late_worth > 0.0 { self.due } else { self.slo_end.min(self.due) }
+        if self.kind.late_worth > 0.0 {
+            self.due
+        } else {
+            self.slo_end.min(self.due)
+        }
     }
 }
 
@@ -20,7 +24,10 @@
     let served = |s: &(f64, f64)| if s.0 > 0.0 { s.1 / s.0 } else { 1.0 };
     let worst = shares.iter().map(served).fold(f64::INFINITY, f64::min);
     let all: f64 = shares.iter().map(|s| s.0).sum();
-    shares.get(index).filter(|s| served(s) <= worst).map_or(0.0, |s| all / s.0)
+    shares
+        .get(index)
+        .filter(|s| served(s) <= worst)
+        .map_or(0.0, |s| all / s.0)
 }
 
 impl Instance {
@@ -30,8 +37,12 @@
         let (mut before, mut all) = (0.0, 0.0);
         for (share, kind) in self.shares[0].iter().zip(&self.workloads) {
             let count = share.0 / kind.importance.max(1e-9);
-            before +=
-                count * if kind.importance == own { chance } else { (kind.importance > own) as u8 as f64 };
+            before += count
+                * if kind.importance == own {
+                    chance
+                } else {
+                    (kind.importance > own) as u8 as f64
+                };
             all += count;
         }
         before / all
@@ -39,11 +50,16 @@
 
     /// What a customer sends beyond its quota is worth less; each router sees about its share of the traffic.
     pub(super) fn within_quota(&mut self, now: f64, customer: usize) -> f64 {
-        let Some((quota, usage)) = self.quotas.get(customer).zip(self.usage.get_mut(customer)) else {
+        let Some((quota, usage)) = self.quotas.get(customer).zip(self.usage.get_mut(customer))
+        else {
             return 1.0;
         };
         count(usage, now);
-        if usage.1 * self.routers > quota.per_s { quota.beyond } else { 1.0 }
+        if usage.1 * self.routers > quota.per_s {
+            quota.beyond
+        } else {
+            1.0
+        }
     }
 
     /// The worthiest first, and of these the youngest: in a jam the oldest would all be too late.
@@ -51,8 +67,12 @@
         let late = now + self.needed(s) > s.slo_end;
         let left = if late { s.kind.late_worth } else { 1.0 };
         let [workload, customer] = [0, 1].map(|i| lift(&self.shares[i], s.served_as[i]));
-        let lifted = workload * self.fairness.worst_workload + customer * self.fairness.worst_customer;
-        (-(s.worth * left * (self.fairness.whole + lifted) * 1e3) as i64, -(s.arrived * 1e6) as i64)
+        let lifted =
+            workload * self.fairness.worst_workload + customer * self.fairness.worst_customer;
+        (
+            -(s.worth * left * (self.fairness.whole + lifted) * 1e3) as i64,
+            -(s.arrived * 1e6) as i64,
+        )
     }
 
     /// Within two paces, six in seven answers that come at random are back. Never more than half of its time:
--- a/crates/routing/src/recover.rs
+++ b/crates/routing/src/recover.rs
@@ -25,27 +25,41 @@
 
     /// A node's name, the same at every router.
     pub fn named(&mut self, id: u32, name: &str) {
-        self.recovery.iter_mut().for_each(|recovery| recovery.named(id, name));
-        self.fleet.iter_mut().for_each(|fleet| fleet.named(id, name));
+        self.recovery
+            .iter_mut()
+            .for_each(|recovery| recovery.named(id, name));
+        self.fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.named(id, name));
     }
 
     /// Discovery has spoken, if only to say that nothing has changed.
     pub fn list_spoke(&mut self, now: f64) {
-        self.recovery.iter_mut().for_each(|recovery| recovery.listed(now));
+        self.recovery
+            .iter_mut()
+            .for_each(|recovery| recovery.listed(now));
     }
 
     /// A node's own word on its connections, from a load report: how many it holds, and how many were opened there
     /// in the last 100 ms.
     pub fn crowded(&mut self, now: f64, id: u32, held: f64, opened: f64) {
-        self.recovery.iter_mut().for_each(|recovery| recovery.reported(now, id, held, opened));
+        self.recovery
+            .iter_mut()
+            .for_each(|recovery| recovery.reported(now, id, held, opened));
     }
 
     pub(crate) fn recovered(&mut self, id: u32, ending: Ending) {
-        let Some(recovery) = &mut self.recovery else { return };
+        let Some(recovery) = &mut self.recovery else {
+            return;
+        };
         match ending {
             Ending::Completed | Ending::Missed | Ending::Errored => recovery.answered(id, true),
             Ending::TurnedAway | Ending::TimedOut | Ending::Dropped => recovery.answered(id, false),
-            Ending::Unconnected | Ending::Cut | Ending::Spoilt | Ending::Cancelled | Ending::Moot => {}
+            Ending::Unconnected
+            | Ending::Cut
+            | Ending::Spoilt
+            | Ending::Cancelled
+            | Ending::Moot => {}
         }
     }
 
@@ -53,12 +67,17 @@
     /// things stand, as no statement may have come yet.
     pub(crate) fn settle_recovery(&mut self, now: f64, out: &mut dyn Outbox) {
         self.settle_fleet(now, out);
-        let Some(recovery) = &mut self.recovery else { return };
+        let Some(recovery) = &mut self.recovery else {
+            return;
+        };
         let moved = recovery.pass(now);
         recovery.lines().iter().for_each(|line| out.log(line));
         let turn = recovery.next_turn(now);
         if recovery.phase() == Phase::Sounding {
-            let able = self.nodes.iter().filter(|node| node.1.standing == Standing::Ready);
+            let able = self
+                .nodes
+                .iter()
+                .filter(|node| node.1.standing == Standing::Ready);
             let able: Vec<u32> = able.map(|node| *node.0).collect();
             if let Some(id) = recovery.sound(&able) {
                 self.probe(id, now, out);
@@ -75,26 +94,36 @@
         if !self.turn_at_new(id, now) {
             return false;
         }
-        let Some(recovery) = &self.recovery else { return true };
+        let Some(recovery) = &self.recovery else {
+            return true;
+        };
         // Who comes back has sent nothing that a drain would have to be patient with, not even as a last resort.
-        let drains = self.nodes[&id].standing == Standing::Draining && recovery.phase() < Phase::Full;
+        let drains =
+            self.nodes[&id].standing == Standing::Draining && recovery.phase() < Phase::Full;
         !drains && recovery.may_send(now, id, self.nodes[&id].out)
     }
 
     pub(crate) fn may_probe(&self, id: u32, now: f64) -> bool {
         self.turn_to_probe(id, now)
-            && self.recovery.as_ref().is_none_or(|recovery| recovery.may_probe(now, id))
+            && self
+                .recovery
+                .as_ref()
+                .is_none_or(|recovery| recovery.may_probe(now, id))
     }
 
     pub(crate) fn sending(&mut self, stmt: u32, id: u32, now: f64) {
         self.sends(stmt, id, now);
-        self.recovery.iter_mut().for_each(|recovery| recovery.sent(now, id));
+        self.recovery
+            .iter_mut()
+            .for_each(|recovery| recovery.sent(now, id));
     }
 
     /// A statement came: when its client should come back if it is rejected, unless something better is known.
     pub(crate) fn come_back(&mut self) -> f64 {
         self.tally.taken += 1;
         let most = self.allowance.retry_after;
-        self.recovery.as_mut().map_or(f64::INFINITY, |recovery| recovery.advice(most))
+        self.recovery
+            .as_mut()
+            .map_or(f64::INFINITY, |recovery| recovery.advice(most))
     }
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -168,7 +168,15 @@
 
 impl Execution {
     pub fn new(node: u32, sent: f64) -> Execution {
-        Execution { node, sent, ended: None, length: 1.0, term: 0, asks: false, barred: false }
+        Execution {
+            node,
+            sent,
+            ended: None,
+            length: 1.0,
+            term: 0,
+            asks: false,
+            barred: false,
+        }
     }
 }
 
@@ -189,7 +197,12 @@
 
     /// No node was ever sent a byte of it.
     pub fn unwritten(&self) -> bool {
-        let never = |e: &Execution| matches!(e.ended, Some(Ending::Unconnected | Ending::Cut | Ending::Moot));
+        let never = |e: &Execution| {
+            matches!(
+                e.ended,
+                Some(Ending::Unconnected | Ending::Cut | Ending::Moot)
+            )
+        };
         self.executions.iter().all(never)
     }
 
@@ -209,7 +222,8 @@
     }
 
     pub fn may_have_run(&self) -> impl Iterator<Item = &Execution> {
-        let ran = |e: &&Execution| !e.asks && !e.barred && !e.ended.is_some_and(Ending::proves_unrun);
+        let ran =
+            |e: &&Execution| !e.asks && !e.barred && !e.ended.is_some_and(Ending::proves_unrun);
         self.executions.iter().filter(ran)
     }
 }
@@ -219,21 +233,37 @@
     /// names again is a new one.
     pub fn forget_gone(&mut self, now: f64) -> Vec<u32> {
         let sent = self.statements.values().flat_map(|s| &s.executions);
-        let named: BTreeSet<u32> =
-            sent.map(|e| e.node).chain(self.groups.values().filter_map(|g| g.primary)).collect();
+        let named: BTreeSet<u32> = sent
+            .map(|e| e.node)
+            .chain(self.groups.values().filter_map(|g| g.primary))
+            .collect();
         let left = |(id, node): &(&u32, &Node)| {
-            let kept = if self.drain.only_draining && !node.drained { 10.0 * GONE_S } else { GONE_S };
-            node.standing == Standing::Gone && now - node.told > kept && node.out == 0 && !named.contains(id)
+            let kept = if self.drain.only_draining && !node.drained {
+                10.0 * GONE_S
+            } else {
+                GONE_S
+            };
+            node.standing == Standing::Gone
+                && now - node.told > kept
+                && node.out == 0
+                && !named.contains(id)
         };
         let gone: Vec<u32> = self.nodes.iter().filter(left).map(|n| *n.0).collect();
         for id in &gone {
-            self.recovery.iter_mut().for_each(|recovery| recovery.forget(*id));
+            self.recovery
+                .iter_mut()
+                .for_each(|recovery| recovery.forget(*id));
             self.fleet.iter_mut().for_each(|fleet| fleet.forget(*id));
             if let (Some(succession), Some(node)) = (&mut self.succession, self.nodes.get(id)) {
                 succession.forget(node.group, *id);
             }
-            let group = self.nodes.remove(id).and_then(|node| self.groups.get_mut(&node.group));
-            group.into_iter().for_each(|group| group.members.retain(|member| member != id));
+            let group = self
+                .nodes
+                .remove(id)
+                .and_then(|node| self.groups.get_mut(&node.group));
+            group
+                .into_iter()
+                .for_each(|group| group.members.retain(|member| member != id));
         }
         gone
     }
@@ -290,9 +320,14 @@
     /// Without a length it was as the others.
     pub fn leaves(&mut self, now: f64, length: Option<f64>) {
         self.await_until(now);
-        let owes = self.out as f64 * self.quickness - length.map_or(self.quickness, |length| 1.0 / length);
+        let owes =
+            self.out as f64 * self.quickness - length.map_or(self.quickness, |length| 1.0 / length);
         self.out = self.out.saturating_sub(1);
-        self.quickness = if self.out > 0 { (owes / self.out as f64).max(0.0) } else { 1.0 };
+        self.quickness = if self.out > 0 {
+            (owes / self.out as f64).max(0.0)
+        } else {
+            1.0
+        };
     }
 
     pub fn new(group: u16, zone: u8, rooms: (f64, f64), prior: (f64, f64)) -> Node {
@@ -322,13 +357,20 @@
 
 /// The shares of a statement's workload and customer.
 pub fn shares_of<'a>(
-    shares: &'a mut [Vec<(f64, f64)>; 2], s: &Statement,
+    shares: &'a mut [Vec<(f64, f64)>; 2],
+    s: &Statement,
 ) -> impl Iterator<Item = &'a mut (f64, f64)> {
     let served_as = s.served_as;
-    shares.iter_mut().zip(served_as).filter_map(|(all, i)| all.get_mut(i))
+    shares
+        .iter_mut()
+        .zip(served_as)
+        .filter_map(|(all, i)| all.get_mut(i))
 }
 
 /// One more: a rate a second, as of the last event. Rates fade over the time for which a session is marked.
 pub fn count(rate: &mut (f64, f64), now: f64) {
-    *rate = (now, rate.1 * (-(now - rate.0) / MARK_S).exp() + 1.0 / MARK_S);
+    *rate = (
+        now,
+        rate.1 * (-(now - rate.0) / MARK_S).exp() + 1.0 / MARK_S,
+    );
 }
--- a/crates/routing/src/succeed.rs
+++ b/crates/routing/src/succeed.rs
@@ -19,9 +19,19 @@
                 for (group, of) in &self.groups {
                     for (id, node) in of.members.iter().map(|m| (*m, &self.nodes[m])) {
                         if Some(id) == of.primary {
-                            succession.hear(node.claimed, *group, id, Evidence::Leads { at: node.claimed });
+                            succession.hear(
+                                node.claimed,
+                                *group,
+                                id,
+                                Evidence::Leads { at: node.claimed },
+                            );
                         } else if node.denied > NEVER {
-                            succession.hear(node.denied, *group, id, Evidence::Follows { at: node.denied });
+                            succession.hear(
+                                node.denied,
+                                *group,
+                                id,
+                                Evidence::Follows { at: node.denied },
+                            );
                         }
                     }
                 }
@@ -37,7 +47,9 @@
 
     /// The term that a group is in; 0 where terms are not counted.
     pub(crate) fn term(&self, group: u16) -> u64 {
-        self.succession.as_ref().map_or(0, |succession| succession.term(group))
+        self.succession
+            .as_ref()
+            .map_or(0, |succession| succession.term(group))
     }
 
     /// What a front knows of a statement beyond its routing: its size, and whether it carries a mark by which
@@ -50,7 +62,9 @@
 
     /// Whether a node's completion of a statement is the client's: a write's may be of a branch that is given up.
     pub fn vouches(&self, stmt: u32, id: u32) -> bool {
-        let (Some(succession), Some(s)) = (&self.succession, self.statements.get(&stmt)) else { return true };
+        let (Some(succession), Some(s)) = (&self.succession, self.statements.get(&stmt)) else {
+            return true;
+        };
         !s.writes() || succession.vouches(s.group, id)
     }
 
@@ -63,7 +77,9 @@
 
     /// Turns what was told of a node into evidence; its group is looked at where that moved it.
     pub(crate) fn witness(&mut self, now: f64, id: u32, told: Evidence) {
-        let (Some(succession), Some(node)) = (&mut self.succession, self.nodes.get(&id)) else { return };
+        let (Some(succession), Some(node)) = (&mut self.succession, self.nodes.get(&id)) else {
+            return;
+        };
         let (group, before) = (node.group, succession.leader(node.group));
         if !succession.hear(now, group, id, told) {
             return;
@@ -79,8 +95,14 @@
 
     /// The position that a node told, unless it is of a log of its own.
     pub(crate) fn position(&self, id: u32, lsn: f64) -> f64 {
-        let (Some(succession), Some(node)) = (&self.succession, self.nodes.get(&id)) else { return lsn };
-        if succession.deposed(node.group, id) { NEVER } else { lsn }
+        let (Some(succession), Some(node)) = (&self.succession, self.nodes.get(&id)) else {
+            return lsn;
+        };
+        if succession.deposed(node.group, id) {
+            NEVER
+        } else {
+            lsn
+        }
     }
 
     pub(crate) fn witness_role(&mut self, now: f64, id: u32, role: Option<Role>, at: f64) {
@@ -93,7 +115,15 @@
 
     pub(crate) fn witness_list(&mut self, now: f64, id: u32, at: Standing, leads: bool) {
         if self.succession.is_some() {
-            self.witness(now, id, if at == Standing::Ready { Evidence::Stays } else { Evidence::Leaving });
+            self.witness(
+                now,
+                id,
+                if at == Standing::Ready {
+                    Evidence::Stays
+                } else {
+                    Evidence::Leaving
+                },
+            );
             if leads && at == Standing::Ready {
                 self.witness(now, id, Evidence::Listed);
             }
@@ -102,7 +132,13 @@
 
     /// An execution's end: who refused or broke off is out of reach, and the release learns how it went.
     pub(crate) fn witness_end(
-        &mut self, now: f64, stmt: u32, id: u32, ending: Ending, role: Option<Role>, commit: Option<f64>,
+        &mut self,
+        now: f64,
+        stmt: u32,
+        id: u32,
+        ending: Ending,
+        role: Option<Role>,
+        commit: Option<f64>,
     ) {
         if self.succession.is_none() {
             return;
@@ -114,7 +150,9 @@
             self.witness(now, id, Evidence::Broke);
         }
         self.witness_role(now, id, role, now);
-        let Some(group) = self.nodes.get(&id).map(|node| node.group) else { return };
+        let Some(group) = self.nodes.get(&id).map(|node| node.group) else {
+            return;
+        };
         let succession = self.succession.as_mut().expect("asked above");
         let completed = ending == Ending::Completed;
         let failed = !completed && !matches!(ending, Ending::Cancelled | Ending::Moot);
@@ -127,7 +165,11 @@
     /// Asks what is to become of a statement that needs a primary, and notes whether it has to wait for one.
     pub(crate) fn verdict(&mut self, stmt: u32, now: f64) -> Verdict {
         let s = &self.statements[&stmt];
-        if self.succession.as_ref().is_none_or(|succession| succession.settled(s.group)) {
+        if self
+            .succession
+            .as_ref()
+            .is_none_or(|succession| succession.settled(s.group))
+        {
             if s.waits {
                 self.statements.get_mut(&stmt).expect("open").waits = false;
             }
@@ -141,7 +183,10 @@
             _ => Verdict::Go,
         };
         // A read of any member falls back to the primary as ever, once there is one.
-        let led = self.succession.as_ref().is_some_and(|x| x.phase(s.group) == Phase::Settling);
+        let led = self
+            .succession
+            .as_ref()
+            .is_some_and(|x| x.phase(s.group) == Phase::Settling);
         let any = led && !s.writes() && !self.pinned(s, now);
         let s = self.statements.get_mut(&stmt).expect("open");
         s.waits = free && !any || verdict != Verdict::Go;
@@ -165,7 +210,10 @@
         };
         // What may neither go again nor be asked about takes no place from who may.
         let stuck = !self.repeatable(s, None, now) && self.next(s, now) != Next::Inquire;
-        let led = self.succession.as_ref().is_some_and(|x| !x.in_doubt(now, s.group));
+        let led = self
+            .succession
+            .as_ref()
+            .is_some_and(|x| !x.in_doubt(now, s.group));
         let needs = needs && !(stuck && led);
         let tries = !self.allowance.probes && s.kind.repeat != Repeat::NonIdempotent;
         needs.then(|| Wish {
@@ -185,15 +233,20 @@
 
     /// Whether how it ended may still be asked for: now, or once a change that is under way has a new leader.
     pub(crate) fn inquirable(&self, s: &Statement, now: f64) -> bool {
-        let Some(succession) = &self.succession else { return false };
+        let Some(succession) = &self.succession else {
+            return false;
+        };
         let (asked, told) = s
             .executions
             .iter()
             .filter(|e| e.asks)
-            .fold((0, false), |(n, told), e| (n + 1, told || matches!(e.ended, Some(Ending::Errored))));
+            .fold((0, false), |(n, told), e| {
+                (n + 1, told || matches!(e.ended, Some(Ending::Errored)))
+            });
         let open = asked < INQUIRIES && !told;
         let changing = succession.in_doubt(now, s.group);
-        open && (self.next(s, now) == Next::Inquire || changing && s.marked && succession.settings().outcomes)
+        open && (self.next(s, now) == Next::Inquire
+            || changing && s.marked && succession.settings().outcomes)
     }
 
     /// What becomes of a write whose answer is missing.
@@ -204,29 +257,47 @@
         let repeat = match s.kind.repeat {
             Repeat::Idempotent => badgerstream_succession::Repeat::Harmless,
             Repeat::Deduplicated { .. } if self.repeatable(s, None, now) => {
-                badgerstream_succession::Repeat::Dropped { until: f64::INFINITY }
+                badgerstream_succession::Repeat::Dropped {
+                    until: f64::INFINITY,
+                }
             }
             _ => badgerstream_succession::Repeat::Harmful,
         };
         let sent = s.may_have_run().map(|e| e.term).max().unwrap_or(first.term);
         let outcomes = succession.settings().outcomes;
-        next(repeat, now, outcomes, s.marked, sent, succession.term(s.group))
+        next(
+            repeat,
+            now,
+            outcomes,
+            s.marked,
+            sent,
+            succession.term(s.group),
+        )
     }
 
     /// Whether a read owes a commit that is gone: nothing can show it, and nothing may pretend to.
     pub(crate) fn owes_lost(&self, s: &Statement) -> bool {
-        let Some(succession) = self.succession.as_ref().filter(|_| s.kind.currency == Currency::OwnWrites)
+        let Some(succession) = self
+            .succession
+            .as_ref()
+            .filter(|_| s.kind.currency == Currency::OwnWrites)
         else {
             return false;
         };
         // A carried age was rounded up by one step, and half of one parts neighbours.
-        [s.owed - 1.5 * ROUNDING_S, s.known].iter().any(|commit| succession.lost(s.group, *commit))
+        [s.owed - 1.5 * ROUNDING_S, s.known]
+            .iter()
+            .any(|commit| succession.lost(s.group, *commit))
     }
 
     /// Whether a position can't tell now that a session's writes are there.
     pub(crate) fn log_in_doubt(&self, s: &Statement) -> bool {
         let owing = s.kind.currency == Currency::OwnWrites && s.owed > NEVER;
-        owing && self.succession.as_ref().is_some_and(|succession| succession.log_in_doubt(s.group))
+        owing
+            && self
+                .succession
+                .as_ref()
+                .is_some_and(|succession| succession.log_in_doubt(s.group))
     }
 
     /// Who was given up for worthier ones is looked at now; what there is to tell goes to the log.
@@ -240,7 +311,9 @@
 
     /// Whether members of its group are asked who leads.
     pub(crate) fn searched(&self, group: u16, now: f64) -> bool {
-        self.succession.as_ref().is_some_and(|succession| succession.searching(now, group))
+        self.succession
+            .as_ref()
+            .is_some_and(|succession| succession.searching(now, group))
     }
 }
 
--- a/crates/routing/src/tally.rs
+++ b/crates/routing/src/tally.rs
@@ -24,7 +24,9 @@
     pub fn line(&self) -> String {
         let word = |name: &str| name.replace(',', "").replace(' ', "_");
         let counts = |of: &BTreeMap<&'static str, u64>| {
-            let each = of.iter().map(|(name, count)| format!("{}={count}", word(name)));
+            let each = of
+                .iter()
+                .map(|(name, count)| format!("{}={count}", word(name)));
             each.collect::<Vec<_>>().join(",")
         };
         format!(
@@ -46,7 +48,11 @@
         let met = s.executions.iter().any(|e| e.node == id);
         let pinned = matches!(s.kind.currency, Currency::Primary | Currency::Latest);
         if pinned && !leads {
-            return if self.groups[&s.group].primary.is_none() { "no primary known" } else { "no primary" };
+            return if self.groups[&s.group].primary.is_none() {
+                "no primary known"
+            } else {
+                "no primary"
+            };
         }
         let full = !self.has_room(s, id, now);
         let rules: [(&'static str, bool); 9] = [
@@ -61,13 +67,22 @@
             ("cold", !self.bearable(node, id, s, now)),
             ("primary, while replicas may do", leads && !pinned),
         ];
-        rules.iter().find(|rule| rule.1).map_or("nothing", |rule| rule.0)
+        rules
+            .iter()
+            .find(|rule| rule.1)
+            .map_or("nothing", |rule| rule.0)
     }
 
     /// A statement gets a final answer of ours: by which rule, in the order in which they act.
     pub(crate) fn note(&mut self, stmt: u32, now: f64) {
-        let Some(s) = self.statements.get(&stmt) else { return };
-        let errors = s.executions.iter().filter(|e| e.ended == Some(Ending::Errored)).count();
+        let Some(s) = self.statements.get(&stmt) else {
+            return;
+        };
+        let errors = s
+            .executions
+            .iter()
+            .filter(|e| e.ended == Some(Ending::Errored))
+            .count();
         let rule = if s.executions.is_empty() && now >= s.slo_end {
             "too late, never sent"
         } else if self.held_too_long(s, now) {
@@ -84,19 +99,29 @@
             "too late to repeat"
         };
         let members = self.groups[&s.group].members.clone();
-        let ways: Vec<&'static str> = members.iter().map(|id| self.in_the_way(s, *id, now)).collect();
+        let ways: Vec<&'static str> = members
+            .iter()
+            .map(|id| self.in_the_way(s, *id, now))
+            .collect();
         *self.tally.given_up.entry(rule).or_default() += 1;
-        ways.into_iter().for_each(|way| *self.tally.in_the_way.entry(way).or_default() += 1);
+        ways.into_iter()
+            .for_each(|way| *self.tally.in_the_way.entry(way).or_default() += 1);
     }
 
     /// Looks at what waits: for whoever reads the log.
     pub fn note_waiting(&mut self, now: f64) {
-        let waiting: Vec<u32> = self.groups.values().flat_map(|group| &group.waiting).copied().collect();
+        let waiting: Vec<u32> = self
+            .groups
+            .values()
+            .flat_map(|group| &group.waiting)
+            .copied()
+            .collect();
         let open = waiting.iter().filter_map(|stmt| self.statements.get(stmt));
         let ways: Vec<&'static str> = open
             .flat_map(|s| self.groups[&s.group].members.iter().map(move |id| (s, *id)))
             .map(|(s, id)| self.in_the_way(s, id, now))
             .collect();
-        ways.into_iter().for_each(|way| *self.tally.waits_for.entry(way).or_default() += 1);
+        ways.into_iter()
+            .for_each(|way| *self.tally.waits_for.entry(way).or_default() += 1);
     }
 }
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -50,12 +50,23 @@
 }
 
 fn workload(currency: Currency, repeat: Repeat, importance: f64) -> Workload {
-    Workload { slo: 0.4, slo_stretch: 0.0, timeout: 2.0, importance, late_worth: 0.2, repeat, currency }
+    Workload {
+        slo: 0.4,
+        slo_stretch: 0.0,
+        timeout: 2.0,
+        importance,
+        late_worth: 0.2,
+        repeat,
+        currency,
+    }
 }
 
 /// One group: A the primary, B and C replicas that stand at the present; nothing checked by the nodes.
 fn router(checked: bool) -> Instance {
-    let within = Repeat::Deduplicated { within: Within::Group, memory: 1.2 };
+    let within = Repeat::Deduplicated {
+        within: Within::Group,
+        memory: 1.2,
+    };
     let workloads = vec![
         workload(Currency::Primary, within, 6.0),
         workload(Currency::OwnWrites, Repeat::Idempotent, 1.0),
@@ -64,10 +75,25 @@
         workload(Currency::Latest, Repeat::Idempotent, 1.0),
         workload(Currency::Primary, Repeat::NonIdempotent, 6.0),
     ];
-    let fairness = Fairness { whole: 1.0, worst_workload: 0.0, worst_customer: 0.0 };
-    let replication = Replication { checked, carried: true };
-    let cold = ColdStart { share: 0.2, lasts: 10.0, factor: 2.0, window: 1.0 };
-    let drain = Drain { grace: 0.5, only_draining: false };
+    let fairness = Fairness {
+        whole: 1.0,
+        worst_workload: 0.0,
+        worst_customer: 0.0,
+    };
+    let replication = Replication {
+        checked,
+        carried: true,
+    };
+    let cold = ColdStart {
+        share: 0.2,
+        lasts: 10.0,
+        factor: 2.0,
+        window: 1.0,
+    };
+    let drain = Drain {
+        grace: 0.5,
+        only_draining: false,
+    };
     let allowance = Allowance {
         executions: 8,
         second_copies: true,
@@ -77,8 +103,21 @@
         retry_after: 1.0,
         step: 0.005,
     };
-    let quotas = vec![Quota { per_s: 10.0, beyond: 0.2 }];
-    let mut router = Instance::new(7, 2, workloads, quotas, fairness, replication, cold, drain, allowance);
+    let quotas = vec![Quota {
+        per_s: 10.0,
+        beyond: 0.2,
+    }];
+    let mut router = Instance::new(
+        7,
+        2,
+        workloads,
+        quotas,
+        fairness,
+        replication,
+        cold,
+        drain,
+        allowance,
+    );
     router.listing();
     for id in [A, B, C] {
         router.member(T, id, (G, 0), Standing::Ready, 0.0, id == A);
@@ -105,11 +144,19 @@
 }
 
 fn push(router: &mut Instance, execution: Execution) {
-    router.statements.get_mut(&1).unwrap().executions.push(execution);
+    router
+        .statements
+        .get_mut(&1)
+        .unwrap()
+        .executions
+        .push(execution);
 }
 
 fn sent(node: u32, at: f64, ended: Option<Ending>) -> Execution {
-    Execution { ended, ..Execution::new(node, at) }
+    Execution {
+        ended,
+        ..Execution::new(node, at)
+    }
 }
 
 #[test_case(WRITE, 0, 0.0, A; "a write goes to the primary")]
@@ -200,10 +247,23 @@
     assert_eq!(settle(&mut router, T), ["execute 1 13", "execute 2 13"]);
     for stmt in [1, 2] {
         let none = f64::NEG_INFINITY;
-        router.executed(T, stmt, 0, C, Ending::Missed, 0.001, false, Some(Role::Replica), none);
+        router.executed(
+            T,
+            stmt,
+            0,
+            C,
+            Ending::Missed,
+            0.001,
+            false,
+            Some(Role::Replica),
+            none,
+        );
     }
     assert!(settle(&mut router, T).is_empty(), "held after the round");
-    assert!(!settle(&mut router, T + 0.11).is_empty(), "tried again after the hold");
+    assert!(
+        !settle(&mut router, T + 0.11).is_empty(),
+        "tried again after the hold"
+    );
 }
 
 /// Found on reading: held writes sat out their hold although the new primary was known.
@@ -212,7 +272,9 @@
     let mut router = router(false);
     router.nodes.get_mut(&A).unwrap().denied = T + 0.1;
     settle(&mut router, T + 0.1);
-    [A, B, C].iter().for_each(|id| router.nodes.get_mut(id).unwrap().denied = T + 0.1);
+    [A, B, C]
+        .iter()
+        .for_each(|id| router.nodes.get_mut(id).unwrap().denied = T + 0.1);
     take(&mut router, T + 0.1, 1, ONCE, 0, 0.0);
     assert!(settle(&mut router, T + 0.1).is_empty());
     router.reported(T + 0.15, B, Some(true), T + 0.14);
@@ -345,7 +407,10 @@
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     push(&mut router, sent(A, T, Some(ending)));
-    assert_eq!(router.repeatable(&router.statements[&1], Some(A), T + later), expected);
+    assert_eq!(
+        router.repeatable(&router.statements[&1], Some(A), T + later),
+        expected
+    );
 }
 
 #[test_case(LOOSE, None, "reject 1"; "a read may always be tried again")]
@@ -358,8 +423,16 @@
     push(&mut router, sent(A, T, ended));
     let end = T + 2.0 - 0.01;
     let said = settle(&mut router, end);
-    assert_eq!(said.iter().filter(|l| !l.starts_with("cancel")).collect::<Vec<_>>(), [expected]);
-    assert!(settle(&mut router, end + 0.05).is_empty(), "nothing is sent after it");
+    assert_eq!(
+        said.iter()
+            .filter(|l| !l.starts_with("cancel"))
+            .collect::<Vec<_>>(),
+        [expected]
+    );
+    assert!(
+        settle(&mut router, end + 0.05).is_empty(),
+        "nothing is sent after it"
+    );
 }
 
 #[test_case(WRITE, true, &[], true; "a write")]
@@ -368,14 +441,24 @@
 #[test_case(WRITE, true, &[Ending::Missed], false; "a node has seen it")]
 #[test_case(WRITE, false, &[], true; "the primary has no room, and an answer would be late")]
 #[test_case(ONCE, false, &[], false; "the primary has no room, and an answer would be in time")]
-fn nobody_in_reach_for_half_of_its_time(workload: usize, suspect: bool, tried: &[Ending], expected: bool) {
+fn nobody_in_reach_for_half_of_its_time(
+    workload: usize,
+    suspect: bool,
+    tried: &[Ending],
+    expected: bool,
+) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     if workload == ONCE {
         router.statements.get_mut(&1).unwrap().slo_end = T + 1.5;
     }
-    router.nodes.values_mut().for_each(|n| (n.out, n.lsn) = (99, T - 9.0));
-    tried.iter().for_each(|ending| push(&mut router, sent(A, T, Some(*ending))));
+    router
+        .nodes
+        .values_mut()
+        .for_each(|n| (n.out, n.lsn) = (99, T - 9.0));
+    tried
+        .iter()
+        .for_each(|ending| push(&mut router, sent(A, T, Some(*ending))));
     router.groups.get_mut(&G).unwrap().primary = Some(A);
     let leader = router.nodes.get_mut(&A).unwrap();
     (leader.claimed, leader.suspected, leader.trial_at) = (T, suspect.then_some(T), T + 0.9);
@@ -395,14 +478,18 @@
 fn a_suspect_that_is_back(completes: bool, probed: bool, expected: &[&str]) {
     let mut router = router(false);
     for (id, node) in &mut router.nodes {
-        (node.out, node.pace, node.awaited_until) = if *id == B { (0, 0.1, T) } else { (99, 99.0, T) };
+        (node.out, node.pace, node.awaited_until) =
+            if *id == B { (0, 0.1, T) } else { (99, 99.0, T) };
     }
     let node = router.nodes.get_mut(&B).unwrap();
     let tried = if completes { T - 0.2 } else { T - 1.0 };
     (node.suspected, node.faults, node.trials, node.trial_at) = (Some(T - 9.0), 9, 3, tried);
     if completes {
         router.executed(T, 99, 0, B, Ending::Completed, 0.1, true, None, T);
-        assert!(router.nodes[&B].suspected.is_some(), "one good answer clears nobody");
+        assert!(
+            router.nodes[&B].suspected.is_some(),
+            "one good answer clears nobody"
+        );
     }
     if probed {
         router.probed(T, B, true, Some(false), T);
@@ -417,7 +504,17 @@
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     let executions = vec![sent(B, T, None), sent(C, T, None)];
     router.statements.get_mut(&1).unwrap().executions = executions;
-    router.executed(T + 0.1, 1, 0, B, Ending::Completed, 0.1, true, Some(Role::Replica), T);
+    router.executed(
+        T + 0.1,
+        1,
+        0,
+        B,
+        Ending::Completed,
+        0.1,
+        true,
+        Some(Role::Replica),
+        T,
+    );
     assert_eq!(settle(&mut router, T + 0.1), ["cancel 1 1"]);
 }
 
@@ -437,8 +534,14 @@
 fn drains(standing: Standing, later: f64, last_resort: bool, expected: bool) {
     let mut router = router(false);
     router.member(T, B, (G, 0), standing, 0.0, false);
-    let drain = Drain { grace: 0.5, only_draining: false };
-    assert_eq!(router.nodes[&B].closed(&drain, last_resort, T + later), expected);
+    let drain = Drain {
+        grace: 0.5,
+        only_draining: false,
+    };
+    assert_eq!(
+        router.nodes[&B].closed(&drain, last_resort, T + later),
+        expected
+    );
 }
 
 /// Found on a day on which the list called every node gone while all served: reads piled up on the primary.
@@ -483,7 +586,10 @@
     router.statements.get_mut(&1).unwrap().lot = lot;
     router.groups.get_mut(&G).unwrap().asked = (T, 1.0);
     let statement = &router.statements[&1];
-    assert_eq!(router.bearable(&router.nodes[&B], B, statement, T + 0.5), expected);
+    assert_eq!(
+        router.bearable(&router.nodes[&B], B, statement, T + 0.5),
+        expected
+    );
 }
 
 /// Found at 280 routers: probes by the clock cost more than all statements were worth.
@@ -505,10 +611,17 @@
 /// statement was executed eight times.
 #[test_case(&[B], Ending::Completed, 2, &[]; "another node completes it: the first is to blame")]
 #[test_case(&[B], Ending::Errored, 0, &["reject 1"]; "another errs too: it is the statement, and final")]
-fn errors_follow_the_node_or_the_statement(before: &[u32], ending: Ending, faults: u32, expected: &[&str]) {
+fn errors_follow_the_node_or_the_statement(
+    before: &[u32],
+    ending: Ending,
+    faults: u32,
+    expected: &[&str],
+) {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
-    before.iter().for_each(|id| push(&mut router, sent(*id, T, Some(Ending::Errored))));
+    before
+        .iter()
+        .for_each(|id| push(&mut router, sent(*id, T, Some(Ending::Errored))));
     push(&mut router, sent(C, T, None));
     let over = ending == Ending::Completed;
     router.executed(T, 1, 1, C, ending, 0.1, over, Some(Role::Replica), T);
@@ -525,7 +638,10 @@
 fn who_was_out_of_reach_may_be_cold(ending: Ending, expected: bool) {
     let mut router = router(false);
     router.executed(T, 99, 0, B, ending, 0.1, false, None, f64::NEG_INFINITY);
-    assert_eq!(router.nodes[&B].warmth(&router.cold, T + 1.0) < 1.0, expected);
+    assert_eq!(
+        router.nodes[&B].warmth(&router.cold, T + 1.0) < 1.0,
+        expected
+    );
 }
 
 /// Found on a day of connections that broke: a primary stood idle for seconds while all waited for it, as it
@@ -536,10 +652,24 @@
 fn a_node_that_answers_on_has_not_restarted(answered: f64, took: f64, cold: bool) {
     let mut router = router(false);
     let end = |router: &mut Instance, at: f64, ending| {
-        router.executed(T + at, 99, 0, B, ending, took, false, None, f64::NEG_INFINITY);
+        router.executed(
+            T + at,
+            99,
+            0,
+            B,
+            ending,
+            took,
+            false,
+            None,
+            f64::NEG_INFINITY,
+        );
     };
     end(&mut router, 0.0, Ending::Dropped);
-    assert_eq!(router.nodes[&B].warmth(&router.cold, T + 0.09), 1.0, "first it may show that it lives");
+    assert_eq!(
+        router.nodes[&B].warmth(&router.cold, T + 0.09),
+        1.0,
+        "first it may show that it lives"
+    );
     assert!(router.nodes[&B].warmth(&router.cold, T + 0.11) < 1.0);
     end(&mut router, answered, Ending::Completed);
     assert_eq!(router.nodes[&B].warmth(&router.cold, T + 1.0) < 1.0, cold);
@@ -583,7 +713,10 @@
     take(&mut router, T, 1, workload, 0, 0.0);
     router.groups.get_mut(&G).unwrap().waiting.clear();
     router.in_vain = in_vain;
-    push(&mut router, sent(if workload == LOOSE { B } else { A }, T, None));
+    push(
+        &mut router,
+        sent(if workload == LOOSE { B } else { A }, T, None),
+    );
     assert_eq!(settle(&mut router, T + later), expected);
 }
 
@@ -596,7 +729,17 @@
     router.in_vain = in_vain;
     for stmt in 1..=u32::from(times) {
         take(&mut router, T, stmt, LOOSE, 0, 0.0);
-        router.executed(T, stmt, 0, B, Ending::TimedOut, 0.4, false, None, f64::NEG_INFINITY);
+        router.executed(
+            T,
+            stmt,
+            0,
+            B,
+            Ending::TimedOut,
+            0.4,
+            false,
+            None,
+            f64::NEG_INFINITY,
+        );
     }
     assert_eq!(router.nodes[&B].strain > 0.0, expected);
 }
@@ -659,7 +802,17 @@
 #[test_case(T + 9.0, T; "ahead of the clock")]
 fn an_answer_tells_no_position_ahead_of_the_clock(lsn: f64, expected: f64) {
     let mut router = router(false);
-    router.executed(T + 1.0, 99, 0, B, Ending::Completed, 0.1, true, Some(Role::Replica), lsn);
+    router.executed(
+        T + 1.0,
+        99,
+        0,
+        B,
+        Ending::Completed,
+        0.1,
+        true,
+        Some(Role::Replica),
+        lsn,
+    );
     assert!((router.nodes[&B].lsn - expected).abs() < 1e-9);
 }
 
@@ -698,7 +851,17 @@
     let before = router.nodes[&B].room;
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     for _ in 0..5 {
-        router.executed(T, 1, 0, B, Ending::TurnedAway, 0.0, false, None, f64::NEG_INFINITY);
+        router.executed(
+            T,
+            1,
+            0,
+            B,
+            Ending::TurnedAway,
+            0.0,
+            false,
+            None,
+            f64::NEG_INFINITY,
+        );
     }
     let room = router.nodes[&B].room;
     assert!(room < before && room > before * 0.4, "{room}");
@@ -737,7 +900,10 @@
     router.nodes.get_mut(&C).unwrap().stands(standing, T);
     router.nodes.get_mut(&C).unwrap().out = out;
     assert!(router.forget_gone(T + 59.0).is_empty());
-    assert_eq!(router.forget_gone(T + 61.0), if expected { vec![C] } else { vec![] });
+    assert_eq!(
+        router.forget_gone(T + 61.0),
+        if expected { vec![C] } else { vec![] }
+    );
     assert_eq!(router.groups[&G].members.contains(&C), !expected);
 }
 
@@ -747,7 +913,11 @@
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     settle(&mut router, T);
     let sent = router.statements[&1].executions[0].node;
-    router.nodes.get_mut(&sent).unwrap().stands(Standing::Gone, T);
+    router
+        .nodes
+        .get_mut(&sent)
+        .unwrap()
+        .stands(Standing::Gone, T);
     router.nodes.get_mut(&sent).unwrap().out = 0;
     assert!(router.forget_gone(T + 100.0).is_empty());
 }
--- a/crates/routing/src/tests/further.rs
+++ b/crates/routing/src/tests/further.rs
@@ -7,7 +7,12 @@
 /// A read of a session that wrote `age` ago, executed at B and ended so, which tells no position.
 fn ended_at_b(router: &mut Instance, now: f64, age: f64, ending: Ending) {
     take(router, now - 0.05, 1, OWN, 5, age);
-    router.statements.get_mut(&1).unwrap().executions.push(sent(B, now - 0.05, None));
+    router
+        .statements
+        .get_mut(&1)
+        .unwrap()
+        .executions
+        .push(sent(B, now - 0.05, None));
     router.executed(now, 1, 0, B, ending, 0.05, true, Some(Role::Replica), NEVER);
     settle(router, now);
 }
@@ -21,12 +26,19 @@
 fn where_nodes_check_an_outcome_tells_the_lag(ending: Ending, then: f64, age: f64, expected: bool) {
     let mut router = router(true);
     let node = router.nodes.get_mut(&B).unwrap();
-    let known = if ending == Ending::Completed { 5.0 } else { 0.0 };
+    let known = if ending == Ending::Completed {
+        5.0
+    } else {
+        0.0
+    };
     (node.lsn, node.heard, node.lag, node.placed) = (T - 5.0, T, known, T);
     ended_at_b(&mut router, T, then, ending);
     router.nodes.get_mut(&B).unwrap().lsn = T - 5.0;
     take(&mut router, T + 0.01, 2, OWN, 6, age);
-    assert_eq!(router.current(&router.statements[&2], B, T + 0.01), expected);
+    assert_eq!(
+        router.current(&router.statements[&2], B, T + 0.01),
+        expected
+    );
 }
 
 #[test_case(0.9, 0.5, false; "missed a moment ago")]
@@ -37,15 +49,24 @@
     let node = router.nodes.get_mut(&B).unwrap();
     (node.lsn, node.lag, node.placed, node.heard) = (T - 9.0, lag, T, T + later);
     take(&mut router, T + later, 1, OWN, 5, 0.1);
-    assert_eq!(router.current(&router.statements[&1], B, T + later), expected);
+    assert_eq!(
+        router.current(&router.statements[&1], B, T + later),
+        expected
+    );
 }
 
 fn long_reports(router: &mut Instance) {
     for (workload, share) in [(RECENT, 0.1), (LOOSE, 1.5)] {
-        router.takes[workload] = Taken { answers: 50.0, share };
+        router.takes[workload] = Taken {
+            answers: 50.0,
+            share,
+        };
     }
     (router.shares[0][RECENT], router.shares[0][LOOSE]) = ((3.0 * 97.0, 0.0), (3.0, 0.0));
-    router.taken = Taken { answers: 50.0, share: 0.14 };
+    router.taken = Taken {
+        answers: 50.0,
+        share: 0.14,
+    };
 }
 
 /// Found on a day of timeplan-oslo: one long read in a mix of short ones owed twelve answers within half a second;
@@ -67,7 +88,10 @@
     let mut router = router(false);
     long_reports(&mut router);
     let lengths = [RECENT, LOOSE].map(|workload| router.length(workload));
-    assert!((0.97 * lengths[0] + 0.03 * lengths[1] - 1.0).abs() < 1e-6, "{lengths:?}");
+    assert!(
+        (0.97 * lengths[0] + 0.03 * lengths[1] - 1.0).abs() < 1e-6,
+        "{lengths:?}"
+    );
     assert!(lengths[1] > 9.0 * lengths[0], "{lengths:?}");
 }
 
@@ -108,17 +132,40 @@
 #[test_case(0.3, false; "so long that many would be late")]
 fn room_goes_by_what_answers_take_at_their_best(took: f64, grows: bool) {
     let mut router = router(false);
-    router.nodes.values_mut().for_each(|n| (n.room, n.out) = (8.0, 8));
+    router
+        .nodes
+        .values_mut()
+        .for_each(|n| (n.room, n.out) = (8.0, 8));
     for i in 0..60 {
         let now = T + 0.2 * f64::from(i);
         take(&mut router, now, 1, LOOSE, 0, 0.0);
-        router.statements.get_mut(&1).unwrap().executions.push(sent(B, now, None));
-        router.executed(now + took, 1, 0, B, Ending::Completed, took, true, None, NEVER);
+        router
+            .statements
+            .get_mut(&1)
+            .unwrap()
+            .executions
+            .push(sent(B, now, None));
+        router.executed(
+            now + took,
+            1,
+            0,
+            B,
+            Ending::Completed,
+            took,
+            true,
+            None,
+            NEVER,
+        );
         router.abandoned(1);
         settle(&mut router, now + took);
         router.nodes.get_mut(&B).unwrap().out = 8;
     }
-    assert_eq!(router.nodes[&B].room > 8.0, grows, "{}", router.nodes[&B].room);
+    assert_eq!(
+        router.nodes[&B].room > 8.0,
+        grows,
+        "{}",
+        router.nodes[&B].room
+    );
 }
 
 #[test]
@@ -137,7 +184,10 @@
 #[test]
 fn who_waits_at_a_full_group_is_given_up_between_beats_too() {
     let mut router = router(false);
-    router.nodes.values_mut().for_each(|n| (n.out, n.pace) = (99, 0.05));
+    router
+        .nodes
+        .values_mut()
+        .for_each(|n| (n.out, n.pace) = (99, 0.05));
     take(&mut router, T, 1, RECENT, 0, 0.0);
     let s = router.statements.get_mut(&1).unwrap();
     (s.due, s.slo_end, s.halfway) = (T + 0.52, T + 0.52, T + 9.0);
--- a/crates/routing/src/tests/pieces.rs
+++ b/crates/routing/src/tests/pieces.rs
@@ -34,7 +34,10 @@
     let mut rotation = Rotation { next: usize::MAX };
     assert_eq!(rotation.next(usize::MAX, |i| i < 2), Some(0));
     let mut rotation = Rotation { next: 5 };
-    assert_eq!([rotation.next(3, |_| true), rotation.next(3, |_| true)], [2, 0].map(Some));
+    assert_eq!(
+        [rotation.next(3, |_| true), rotation.next(3, |_| true)],
+        [2, 0].map(Some)
+    );
 }
 
 #[test]
@@ -63,9 +66,15 @@
     for _ in 0..2000 {
         let (count, bits) = (random.usize(0..9), random.u32(..));
         let eligible = |i: usize| bits >> i & 1 == 1;
-        let expected = (counter..counter + count).map(|place| place % count).find(|i| eligible(*i));
+        let expected = (counter..counter + count)
+            .map(|place| place % count)
+            .find(|i| eligible(*i));
         counter = expected.map_or(counter, |chosen| (chosen + 1) % count);
-        assert_eq!(rotation.next(count, eligible), expected, "{count} members, eligible {bits:b}");
+        assert_eq!(
+            rotation.next(count, eligible),
+            expected,
+            "{count} members, eligible {bits:b}"
+        );
     }
 }
 
