--- a/crates/routing/src/tests/succession.rs
+++ b/crates/routing/src/tests/succession.rs
@@ -6,7 +6,11 @@
 use test_case::test_case;
 
 fn settings() -> Settings {
-    Settings { expected_change_ms: 300.0, release_spread_ms: 0.0, ..Settings::default() }
+    Settings {
+        expected_change_ms: 300.0,
+        release_spread_ms: 0.0,
+        ..Settings::default()
+    }
 }
 
 /// A leads and is settled.
@@ -18,9 +22,30 @@
     router
 }
 
-fn ended(router: &mut Instance, now: f64, execution: u8, node: u32, ending: Ending, role: Option<Role>) {
-    let lsn = if ending == Ending::Completed { now } else { f64::NEG_INFINITY };
-    router.executed(now, 1, execution, node, ending, 0.01, ending == Ending::Completed, role, lsn);
+fn ended(
+    router: &mut Instance,
+    now: f64,
+    execution: u8,
+    node: u32,
+    ending: Ending,
+    role: Option<Role>,
+) {
+    let lsn = if ending == Ending::Completed {
+        now
+    } else {
+        f64::NEG_INFINITY
+    };
+    router.executed(
+        now,
+        1,
+        execution,
+        node,
+        ending,
+        0.01,
+        ending == Ending::Completed,
+        role,
+        lsn,
+    );
 }
 
 /// What a probe of a node brings.
@@ -70,7 +95,13 @@
 #[test]
 fn a_read_of_any_member_falls_back_to_a_new_primary_as_ever() {
     let mut router = refused(settings(), WRITE);
-    [A, C].iter().for_each(|id| router.nodes.get_mut(id).unwrap().stands(Standing::Draining, T + 0.42));
+    [A, C].iter().for_each(|id| {
+        router
+            .nodes
+            .get_mut(id)
+            .unwrap()
+            .stands(Standing::Draining, T + 0.42)
+    });
     word(&mut router, T + 0.6, B, true);
     take(&mut router, T + 0.61, 2, RECENT, 0, 0.0);
     let seen = settle(&mut router, T + 0.61);
@@ -92,20 +123,36 @@
     word(&mut router, T + 0.5, A, true);
     settle(&mut router, T + 0.5);
     let succession = router.succession.as_ref().unwrap();
-    assert_eq!((succession.phase(G), succession.term(G)), (Phase::Settling, term));
+    assert_eq!(
+        (succession.phase(G), succession.term(G)),
+        (Phase::Settling, term)
+    );
 }
 
 #[test]
 fn half_of_its_time_does_not_end_what_is_held() {
-    let mut router = refused(Settings { expected_change_ms: 1500.0, ..settings() }, WRITE);
-    assert!(settle(&mut router, T + 1.45).is_empty(), "half of two seconds is over");
+    let mut router = refused(
+        Settings {
+            expected_change_ms: 1500.0,
+            ..settings()
+        },
+        WRITE,
+    );
+    assert!(
+        settle(&mut router, T + 1.45).is_empty(),
+        "half of two seconds is over"
+    );
     word(&mut router, T + 1.5, B, true);
     assert_eq!(settle(&mut router, T + 1.5), ["execute 1 12"]);
 }
 
 #[test]
 fn who_would_wait_in_vain_is_rejected_at_once() {
-    let mut router = succeeding(Settings { expected_change_ms: 9000.0, least_chance: 0.25, ..settings() });
+    let mut router = succeeding(Settings {
+        expected_change_ms: 9000.0,
+        least_chance: 0.25,
+        ..settings()
+    });
     router.witness(T + 0.41, A, crate::succession::Evidence::Lost);
     router.arrived(T + 0.5, 2, WRITE, G, 6, 9, 0.0, T + 2.5, 0.0);
     let mut seen = Seen::default();
@@ -122,12 +169,26 @@
     router.member(T + 0.41, A, (G, 0), Standing::Draining, 0.0, true);
     router.listed(T + 0.41, false);
     take(&mut router, T + 0.42, 2, WRITE, 6, 0.0);
-    assert_eq!(settle(&mut router, T + 0.42), ["execute 2 11"], "for half of the grace");
-    ended(&mut router, T + 0.43, 0, A, Ending::Completed, Some(Role::Primary));
+    assert_eq!(
+        settle(&mut router, T + 0.42),
+        ["execute 2 11"],
+        "for half of the grace"
+    );
+    ended(
+        &mut router,
+        T + 0.43,
+        0,
+        A,
+        Ending::Completed,
+        Some(Role::Primary),
+    );
     assert!(settle(&mut router, T + 0.43).is_empty());
     take(&mut router, T + 0.67, 3, WRITE, 7, 0.0);
     assert!(settle(&mut router, T + 0.67).is_empty());
-    assert!(router.succession.as_ref().unwrap().holds(3), "its own word did not end the drain");
+    assert!(
+        router.succession.as_ref().unwrap().holds(3),
+        "its own word did not end the drain"
+    );
     word(&mut router, T + 0.7, B, true);
     assert_eq!(settle(&mut router, T + 0.7), ["execute 3 12"]);
 }
@@ -143,7 +204,13 @@
 #[test_case(WRITE, T + 1.5; "its mark is forgotten")]
 #[test_case(ONCE, T + 0.6; "it may not be repeated")]
 fn what_can_not_be_told_is_aborted(workload: usize, at: f64) {
-    let mut router = doubtful(Settings { expected_change_ms: 1400.0, ..settings() }, workload);
+    let mut router = doubtful(
+        Settings {
+            expected_change_ms: 1400.0,
+            ..settings()
+        },
+        workload,
+    );
     let mut seen = settle(&mut router, T + 0.5);
     word(&mut router, at, B, true);
     seen.extend(settle(&mut router, at));
@@ -155,10 +222,17 @@
 #[test_case(Ending::Errored, &["abort 1"]; "that can't be told")]
 #[test_case(Ending::TurnedAway, &["inquire 1 12"]; "who was asked is no primary, or full: once more")]
 fn a_later_primary_is_asked_how_it_ended(told: Ending, then: &[&str]) {
-    let outcomes = Settings { outcomes: true, expected_change_ms: 1400.0, ..settings() };
+    let outcomes = Settings {
+        outcomes: true,
+        expected_change_ms: 1400.0,
+        ..settings()
+    };
     let mut router = doubtful(outcomes, WRITE);
     router.carries(1, 100, true);
-    assert!(settle(&mut router, T + 1.4).is_empty(), "who was sent it may yet run it");
+    assert!(
+        settle(&mut router, T + 1.4).is_empty(),
+        "who was sent it may yet run it"
+    );
     word(&mut router, T + 1.5, B, true);
     assert_eq!(settle(&mut router, T + 1.5), ["inquire 1 12"]);
     ended(&mut router, T + 1.52, 1, B, told, None);
@@ -168,7 +242,10 @@
 #[test_case(true, &["abort 1"]; "it lives: who was sent it may yet run it")]
 #[test_case(false, &["inquire 1 12"]; "it is gone, and another leads")]
 fn under_a_broken_connection_the_leader_is_asked_whether_it_lives(lives: bool, then: &[&str]) {
-    let mut router = succeeding(Settings { outcomes: true, ..settings() });
+    let mut router = succeeding(Settings {
+        outcomes: true,
+        ..settings()
+    });
     take(&mut router, T + 0.4, 1, ONCE, 5, 0.0);
     router.carries(1, 100, true);
     settle(&mut router, T + 0.4);
@@ -188,15 +265,24 @@
 
 #[test]
 fn a_write_without_a_mark_is_not_asked_about() {
-    let mut router = doubtful(Settings { outcomes: true, ..settings() }, ONCE);
+    let mut router = doubtful(
+        Settings {
+            outcomes: true,
+            ..settings()
+        },
+        ONCE,
+    );
     router.carries(1, 100, false);
     assert_eq!(settle(&mut router, T + 0.5), ["abort 1"]);
 }
 
 #[test]
 fn a_read_that_owes_a_lost_commit_is_aborted_for_good() {
-    let mut router =
-        succeeding(Settings { branch_field: "x2".into(), promoted_field: "x3".into(), ..settings() });
+    let mut router = succeeding(Settings {
+        branch_field: "x2".into(),
+        promoted_field: "x3".into(),
+        ..settings()
+    });
     word(&mut router, T + 1.0, B, true);
     word(&mut router, T + 1.0, C, false);
     router.took_over(T + 1.0, B, T + 0.4, T + 0.9);
@@ -205,19 +291,30 @@
     take(&mut router, T + 1.2, 1, OWN, 5, 0.5);
     take(&mut router, T + 1.2, 2, OWN, 6, 1.2);
     let seen = settle(&mut router, T + 1.2);
-    assert!(seen.contains(&"abort 1".to_string()) && seen.contains(&"execute 2 13".to_string()), "{seen:?}");
+    assert!(
+        seen.contains(&"abort 1".to_string()) && seen.contains(&"execute 2 13".to_string()),
+        "{seen:?}"
+    );
 }
 
 #[test]
 fn who_was_deposed_no_longer_answers_for_its_writes() {
     for (field, vouched) in [("x2", false), ("", true)] {
-        let may_lose = Settings { branch_field: field.into(), promoted_field: field.into(), ..settings() };
+        let may_lose = Settings {
+            branch_field: field.into(),
+            promoted_field: field.into(),
+            ..settings()
+        };
         let mut router = succeeding(may_lose);
         take(&mut router, T + 0.4, 1, WRITE, 5, 0.0);
         settle(&mut router, T + 0.4);
         assert!(router.vouches(1, A));
         word(&mut router, T + 0.5, B, true);
-        assert_eq!(router.vouches(1, A), vouched, "a synchronous store loses nothing that was answered");
+        assert_eq!(
+            router.vouches(1, A),
+            vouched,
+            "a synchronous store loses nothing that was answered"
+        );
     }
 }
 
@@ -226,20 +323,34 @@
     let mut router = succeeding(settings());
     word(&mut router, T + 0.5, B, true);
     word(&mut router, T + 0.6, A, true);
-    assert_eq!(router.nodes[&A].lsn, f64::NEG_INFINITY, "it stands at the present of its own log");
+    assert_eq!(
+        router.nodes[&A].lsn,
+        f64::NEG_INFINITY,
+        "it stands at the present of its own log"
+    );
     word(&mut router, T + 0.7, A, false);
     assert_eq!(router.nodes[&A].lsn, T + 0.7);
 }
 
 #[test]
 fn while_nobody_leads_no_position_shows_a_sessions_write() {
-    let may_lose = Settings { branch_field: "x2".into(), promoted_field: "x3".into(), ..settings() };
+    let may_lose = Settings {
+        branch_field: "x2".into(),
+        promoted_field: "x3".into(),
+        ..settings()
+    };
     for (settings, sent) in [(may_lose, 0), (settings(), 1)] {
         let mut router = refused(settings, WRITE);
         word(&mut router, T + 0.45, C, false);
         take(&mut router, T + 0.46, 2, OWN, 8, 0.2);
         let seen = settle(&mut router, T + 0.46);
-        assert_eq!(seen.iter().filter(|line| line.starts_with("execute 2")).count(), sent, "{seen:?}");
+        assert_eq!(
+            seen.iter()
+                .filter(|line| line.starts_with("execute 2"))
+                .count(),
+            sent,
+            "{seen:?}"
+        );
     }
 }
 
--- a/crates/routing/src/tests/together.rs
+++ b/crates/routing/src/tests/together.rs
@@ -9,19 +9,33 @@
     let mut router = router(false);
     router.routers = 40.0;
     let routers = (0..40).map(|i| format!("r-{i:02}")).collect();
-    router.join(Some(Settings { routers, ..settings }), 7, "r-05");
-    [(A, "a"), (B, "b"), (C, "c")].iter().for_each(|(id, name)| router.named(*id, name));
+    router.join(
+        Some(Settings {
+            routers,
+            ..settings
+        }),
+        7,
+        "r-05",
+    );
+    [(A, "a"), (B, "b"), (C, "c")]
+        .iter()
+        .for_each(|(id, name)| router.named(*id, name));
     router
 }
 
 /// How many of so many beats do something.
 fn beats(mut each: impl FnMut(f64) -> bool) -> usize {
-    (0..400).filter(|beat| each(T + 1.0 + 0.05 * f64::from(*beat))).count()
+    (0..400)
+        .filter(|beat| each(T + 1.0 + 0.05 * f64::from(*beat)))
+        .count()
 }
 
 #[test]
 fn probes_that_nobody_waits_for_come_in_turn() {
-    let mut router = one_of_many(Settings { idle_probes_per_s: 2.0, ..Settings::default() });
+    let mut router = one_of_many(Settings {
+        idle_probes_per_s: 2.0,
+        ..Settings::default()
+    });
     let mut seen = Seen::default();
     let probes = beats(|now| {
         let asks = router.probe(B, now, &mut seen);
@@ -45,7 +59,10 @@
 
 #[test]
 fn a_suspect_is_tried_in_turn() {
-    let router = one_of_many(Settings { trials_per_s: 2.0, ..Settings::default() });
+    let router = one_of_many(Settings {
+        trials_per_s: 2.0,
+        ..Settings::default()
+    });
     assert!(
         (1..=21).contains(&beats(|now| router.may_try(B, now))),
         "one slot of half a second in each cycle"
@@ -54,10 +71,16 @@
 
 #[test]
 fn who_keeps_to_one_replica_takes_the_other_where_that_will_not_do() {
-    let mut router = one_of_many(Settings { subset: 1, ..Settings::default() });
+    let mut router = one_of_many(Settings {
+        subset: 1,
+        ..Settings::default()
+    });
     let mut seen = Seen::default();
     router.settle(T, &mut seen);
-    let kept: Vec<u32> = [B, C].into_iter().filter(|id| router.keeps(G, *id)).collect();
+    let kept: Vec<u32> = [B, C]
+        .into_iter()
+        .filter(|id| router.keeps(G, *id))
+        .collect();
     assert_eq!(kept.len(), 1);
     let chosen = |router: &mut Instance, stmt: u32, now: f64| {
         router.arrived(now, stmt, LOOSE, G, 0, usize::MAX, 0.0, now + 2.0, 0.0);
@@ -66,7 +89,11 @@
     for stmt in 1..5 {
         assert_eq!(chosen(&mut router, stmt, T), Some(kept[0]));
     }
-    router.nodes.get_mut(&kept[0]).unwrap().stands(Standing::Draining, T);
+    router
+        .nodes
+        .get_mut(&kept[0])
+        .unwrap()
+        .stands(Standing::Draining, T);
     let other = [B, C].into_iter().find(|id| *id != kept[0]);
     assert_eq!(chosen(&mut router, 9, T), other, "it widens at once");
 }
@@ -74,7 +101,10 @@
 #[test_case(0.0, false; "no share")]
 #[test_case(1.0, true; "as many as there are")]
 fn copies_are_a_share_of_first_executions(copies: f64, may: bool) {
-    let mut router = one_of_many(Settings { copies, ..Settings::default() });
+    let mut router = one_of_many(Settings {
+        copies,
+        ..Settings::default()
+    });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T, &mut Seen::default());
     assert!(router.statements[&1].live().next().is_some());
@@ -85,31 +115,50 @@
 #[test_case(Ending::Errored, false; "failed")]
 #[test_case(Ending::Missed, true; "missed")]
 fn repeats_are_a_share_too(ending: Ending, again: bool) {
-    let mut router = one_of_many(Settings { repeats: 0.0, ..Settings::default() });
+    let mut router = one_of_many(Settings {
+        repeats: 0.0,
+        ..Settings::default()
+    });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     let mut executed = Execution::new(B, T);
     executed.ended = Some(ending);
-    router.statements.get_mut(&1).unwrap().executions.push(executed);
+    router
+        .statements
+        .get_mut(&1)
+        .unwrap()
+        .executions
+        .push(executed);
     assert_eq!(router.may_repeat(1, T), again);
 }
 
 #[test]
 fn a_node_that_has_just_started_gets_its_first_sends_in_turn() {
-    let mut router = one_of_many(Settings { first_sends_per_s: 2.0, ..Settings::default() });
+    let mut router = one_of_many(Settings {
+        first_sends_per_s: 2.0,
+        ..Settings::default()
+    });
     let node = router.nodes.get_mut(&B).unwrap();
     (node.since, node.heard) = (T, crate::state::NEVER);
     // While it is cold, ten seconds: half of a cycle.
     let lets = beats(|now| now < T + 9.0 && router.let_through(B, now));
     assert!(lets <= 10, "{lets} of 160");
     router.nodes.get_mut(&B).unwrap().heard = T + 1.0;
-    assert!(router.let_through(B, T + 1.0), "once it has answered it is as any other");
+    assert!(
+        router.let_through(B, T + 1.0),
+        "once it has answered it is as any other"
+    );
     assert!(router.let_through(C, T + 1.0), "another one is none of it");
 }
 
 #[test]
 fn more_routers_than_told_make_it_careful_and_leaving_gives_back_what_was_told() {
-    let mut router = one_of_many(Settings { held_field: "held".into(), ..Settings::default() });
-    [A, B, C].iter().for_each(|id| router.holds(T, *id, 400.0, 1.0));
+    let mut router = one_of_many(Settings {
+        held_field: "held".into(),
+        ..Settings::default()
+    });
+    [A, B, C]
+        .iter()
+        .for_each(|id| router.holds(T, *id, 400.0, 1.0));
     router.settle(T, &mut Seen::default());
     assert!(router.routers > 150.0, "{}", router.routers);
     router.join(None, 7, "r-05");
@@ -120,11 +169,25 @@
 fn what_is_given_up_is_counted_with_what_stood_in_the_way() {
     let (mut router, mut seen) = (router(false), Seen::default());
     router.groups.get_mut(&G).unwrap().primary = None;
-    router.nodes.values_mut().for_each(|node| node.stands(Standing::Draining, T - 10.0));
+    router
+        .nodes
+        .values_mut()
+        .for_each(|node| node.stands(Standing::Draining, T - 10.0));
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T + 1.999, &mut seen);
-    assert!(seen.0.iter().any(|order| order == "reject 1"), "{:?}", seen.0);
+    assert!(
+        seen.0.iter().any(|order| order == "reject 1"),
+        "{:?}",
+        seen.0
+    );
     assert_eq!(router.tally.given_up.values().sum::<u64>(), 1);
     assert_eq!(router.tally.in_the_way.get("drains or is gone"), Some(&3));
-    assert!(router.tally.line().contains("in_the_way[drains_or_is_gone=3]"), "{}", router.tally.line());
+    assert!(
+        router
+            .tally
+            .line()
+            .contains("in_the_way[drains_or_is_gone=3]"),
+        "{}",
+        router.tally.line()
+    );
 }
--- a/crates/routing/src/together.rs
+++ b/crates/routing/src/together.rs
@@ -20,7 +20,9 @@
 
     /// A node's own word on how many connections it holds; this router has `own` of them.
     pub fn holds(&mut self, now: f64, id: u32, held: f64, own: f64) {
-        self.fleet.iter_mut().for_each(|fleet| fleet.reported(now, id, held, own));
+        self.fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.reported(now, id, held, own));
     }
 
     /// Counts routers and finds what to keep to, as often as routers look at what waits.
@@ -40,29 +42,42 @@
                     && self.nodes[id].suspected.is_none()
             };
             let replicas: Vec<u32> = group.members.iter().copied().filter(ready).collect();
-            fleet.grouped(*number, &replicas, group.asked_lately(now) / replicas.len().max(1) as f64);
+            fleet.grouped(
+                *number,
+                &replicas,
+                group.asked_lately(now) / replicas.len().max(1) as f64,
+            );
         }
     }
 
     /// A probe is one that a decision waits for where statements of its group wait.
     fn probes_as(&self, id: u32) -> Kind {
-        let waits = self.groups.get(&self.nodes[&id].group).is_some_and(|group| !group.waiting.is_empty());
+        let waits = self
+            .groups
+            .get(&self.nodes[&id].group)
+            .is_some_and(|group| !group.waiting.is_empty());
         if waits { Kind::Search } else { Kind::Idle }
     }
 
     pub(crate) fn turn_to_probe(&self, id: u32, now: f64) -> bool {
-        self.fleet.as_ref().is_none_or(|fleet| fleet.may(self.probes_as(id), now, id))
+        self.fleet
+            .as_ref()
+            .is_none_or(|fleet| fleet.may(self.probes_as(id), now, id))
     }
 
     pub(crate) fn probing(&mut self, id: u32, now: f64) {
         self.tally.probes += 1;
         let kind = self.probes_as(id);
-        self.fleet.iter_mut().for_each(|fleet| fleet.did(kind, now, id));
+        self.fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.did(kind, now, id));
     }
 
     /// Whether a suspect may be tried now.
     pub(crate) fn may_try(&self, id: u32, now: f64) -> bool {
-        self.fleet.as_ref().is_none_or(|fleet| fleet.may(Kind::Trial, now, id))
+        self.fleet
+            .as_ref()
+            .is_none_or(|fleet| fleet.may(Kind::Trial, now, id))
     }
 
     /// It has started, and has answered nothing here since.
@@ -73,7 +88,9 @@
 
     pub(crate) fn turn_at_new(&self, id: u32, now: f64) -> bool {
         let first = |fleet: &Fleet| fleet.may(Kind::First, now, id) && self.nodes[&id].out == 0;
-        self.fleet.as_ref().is_none_or(|fleet| !self.is_new(id, now) || first(fleet))
+        self.fleet
+            .as_ref()
+            .is_none_or(|fleet| !self.is_new(id, now) || first(fleet))
     }
 
     pub(crate) fn may_copy(&self, now: f64) -> bool {
@@ -82,25 +99,32 @@
 
     /// What was missed or never issued cost its node nothing.
     fn repeats(s: &Statement) -> bool {
-        let failed = |ending: Ending| !matches!(ending, Ending::Missed | Ending::Moot | Ending::Cut);
+        let failed =
+            |ending: Ending| !matches!(ending, Ending::Missed | Ending::Moot | Ending::Cut);
         s.executions.iter().any(|e| e.ended.is_some_and(failed))
     }
 
     pub(crate) fn may_repeat(&self, stmt: u32, now: f64) -> bool {
-        let Some(fleet) = &self.fleet else { return true };
+        let Some(fleet) = &self.fleet else {
+            return true;
+        };
         fleet.may_repeat(now) || !Self::repeats(&self.statements[&stmt])
     }
 
     /// Whether a replica is one that this router keeps to.
     pub(crate) fn keeps(&self, group: u16, id: u32) -> bool {
-        self.fleet.as_ref().is_none_or(|fleet| fleet.keeps(group, id))
+        self.fleet
+            .as_ref()
+            .is_none_or(|fleet| fleet.keeps(group, id))
     }
 
     /// A statement goes there: what let it go is used.
     pub(crate) fn sends(&mut self, stmt: u32, id: u32, now: f64) {
         self.tally.sent += 1;
         let (new, suspect) = (self.is_new(id, now), self.nodes[&id].suspected.is_some());
-        let Some((fleet, s)) = self.fleet.as_mut().zip(self.statements.get(&stmt)) else { return };
+        let Some((fleet, s)) = self.fleet.as_mut().zip(self.statements.get(&stmt)) else {
+            return;
+        };
         if s.live().next().is_some() {
             fleet.copied();
         } else if Self::repeats(s) {
@@ -109,6 +133,9 @@
             fleet.sent_first(now);
         }
         let turns = [(Kind::First, new), (Kind::Trial, suspect)];
-        turns.iter().filter(|turn| turn.1).for_each(|turn| fleet.did(turn.0, now, id));
+        turns
+            .iter()
+            .filter(|turn| turn.1)
+            .for_each(|turn| fleet.did(turn.0, now, id));
     }
 }
--- a/crates/simulation/src/days.rs
+++ b/crates/simulation/src/days.rs
@@ -73,7 +73,11 @@
 
 impl Entry {
     fn new(at: f64, kind: &'static str) -> Self {
-        Entry { at, kind, fields: Vec::new() }
+        Entry {
+            at,
+            kind,
+            fields: Vec::new(),
+        }
     }
 
     /// Strikes `count` control machines.
@@ -139,7 +143,11 @@
 
 impl fmt::Display for Closing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{{ kind = \"{}\", down_s = {:.2}", self.kind, self.down_s)?;
+        write!(
+            f,
+            "{{ kind = \"{}\", down_s = {:.2}",
+            self.kind, self.down_s
+        )?;
         if !self.how.is_empty() {
             write!(f, ", how = \"{}\"", self.how)?;
         }
@@ -161,7 +169,13 @@
     /// The day of this seed; the same seed always draws the same day.
     pub fn draw(site: Site, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let mut day = Day { site, seed, closing: closing(&mut rng), plan: Vec::new(), faults: Vec::new() };
+        let mut day = Day {
+            site,
+            seed,
+            closing: closing(&mut rng),
+            plan: Vec::new(),
+            faults: Vec::new(),
+        };
         day.draw_orders(&mut rng);
         for at in moments(&mut rng) {
             day.draw_moment(&mut rng, at);
@@ -186,16 +200,22 @@
         let gap = pick(rng, &[0.15, 0.3, 0.5, 0.5, 1.0]);
         let start = number(rng, 2.0, 6.0);
         let pairs = ((LENGTH_S - start) / gap) as u64;
-        self.plan.push(Entry::new(start, "config_race").count(pairs).number("gap_s", gap));
+        self.plan.push(
+            Entry::new(start, "config_race")
+                .count(pairs)
+                .number("gap_s", gap),
+        );
         if self.site == Site::Control && chance(rng, 0.1) {
-            self.plan.push(Entry::new(1.0, "big_config").count(rng.u64(100..=300)));
+            self.plan
+                .push(Entry::new(1.0, "big_config").count(rng.u64(100..=300)));
         }
         if chance(rng, 0.4) {
             let lost = Entry::new(start, "ack_lost").number("x", number(rng, 0.5, 0.95));
             self.faults.push(lost.lasting(LAST_START_S - start));
         }
         if chance(rng, 0.15) {
-            self.plan.push(Entry::new(number(rng, 1.0, 3.0), "seed_turnover"));
+            self.plan
+                .push(Entry::new(number(rng, 1.0, 3.0), "seed_turnover"));
         }
     }
 
@@ -226,7 +246,11 @@
 impl fmt::Display for Day {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let site = format!("{:?}", self.site).to_lowercase();
-        writeln!(f, "# Drawn with `badgersimulate day --site {site} --seed {}`.", self.seed)?;
+        writeln!(
+            f,
+            "# Drawn with `badgersimulate day --site {site} --seed {}`.",
+            self.seed
+        )?;
         writeln!(f, "name = \"drawn-{site}-{}\"", self.seed)?;
         writeln!(f, "slot = \"trouble\"")?;
         writeln!(f, "seed = {}", self.seed)?;
@@ -258,14 +282,27 @@
 }
 
 fn closing(rng: &mut Rng) -> Option<Closing> {
-    let kind =
-        pick(rng, &["power_off_all", "power_off_all", "kill_all", "wipe_after_ack", "wipe_after_ack", ""]);
+    let kind = pick(
+        rng,
+        &[
+            "power_off_all",
+            "power_off_all",
+            "kill_all",
+            "wipe_after_ack",
+            "wipe_after_ack",
+            "",
+        ],
+    );
     let how = match kind {
         "" => return None,
         "wipe_after_ack" => pick(rng, &["", "aimed", "timed", "taken", "oldest"]),
         _ => pick(rng, &["", "", "timed", "taken"]),
     };
-    Some(Closing { kind, down_s: number(rng, 0.4, 1.5), how })
+    Some(Closing {
+        kind,
+        down_s: number(rng, 0.4, 1.5),
+        how,
+    })
 }
 
 /// A number between the two, with two digits behind the point as in the text of a day.
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -43,8 +43,16 @@
 impl Disk {
     /// An empty disk of a machine that is told of these control machines.
     pub fn empty(incarnation: u64, seeds: &[Node]) -> Disk {
-        let record = Record { state: Rc::new(State::first(seeds.to_vec())), ..Record::default() };
-        Disk { incarnation, record, health: USUAL, servers: Vec::new() }
+        let record = Record {
+            state: Rc::new(State::first(seeds.to_vec())),
+            ..Record::default()
+        };
+        Disk {
+            incarnation,
+            record,
+            health: USUAL,
+            servers: Vec::new(),
+        }
     }
 
     /// What a save that begins now comes to.
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -104,7 +104,11 @@
         let mut world = World::control_only(seed, machines, budget);
         world.links.resets = if seed.is_multiple_of(3) { 2 } else { 0 };
         world.lost_replies = (seed % 4) * 60;
-        world.delay = if seed.is_multiple_of(2) { 0.0015 } else { 0.012 };
+        world.delay = if seed.is_multiple_of(2) {
+            0.0015
+        } else {
+            0.012
+        };
         for _ in 0..OPERATORS {
             world.add_operator();
         }
@@ -129,7 +133,11 @@
         let until = self.world.now + seconds;
         while self.world.now < until {
             self.undo_due();
-            let pause = if self.chance.of_thousand(300) { 0.3 } else { 3.0 };
+            let pause = if self.chance.of_thousand(300) {
+                0.3
+            } else {
+                3.0
+            };
             if self.chance.of_thousand(600) {
                 self.strike();
             }
@@ -140,7 +148,11 @@
             self.wait(0.1);
         }
         self.world.run(RECOVERY + CATCH_UP);
-        assert!(self.world.leader().is_some(), "nobody leads: {}", self.world.describe());
+        assert!(
+            self.world.leader().is_some(),
+            "nobody leads: {}",
+            self.world.describe()
+        );
     }
 
     fn wait(&mut self, seconds: f64) {
@@ -154,7 +166,9 @@
 
     fn undo_due(&mut self) {
         let now = self.world.now;
-        let (due, kept) = std::mem::take(&mut self.undo).into_iter().partition(|(at, _)| *at <= now);
+        let (due, kept) = std::mem::take(&mut self.undo)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.undo = kept;
         let due: Vec<(f64, Undo)> = due;
         for (_, undo) in due {
@@ -187,15 +201,27 @@
         if within && world.lost() >= world.budget {
             return None;
         }
-        let fit = |node: &Node| if within { !world.is_lost(*node) } else { world.is_well(*node) };
+        let fit = |node: &Node| {
+            if within {
+                !world.is_lost(*node)
+            } else {
+                world.is_well(*node)
+            }
+        };
         let there = |node: &Node| !world.controls[node].removed && fit(node);
         let fit: Vec<Node> = world.controls.keys().copied().filter(there).collect();
         let leader = self.world.leader().filter(|leader| fit.contains(leader));
-        if self.chance.of_thousand(500) { leader.or(self.chance.pick(&fit)) } else { self.chance.pick(&fit) }
+        if self.chance.of_thousand(500) {
+            leader.or(self.chance.pick(&fit))
+        } else {
+            self.chance.pick(&fit)
+        }
     }
 
     fn strike(&mut self) {
-        let Some(fault) = self.chance.pick(&FAULTS) else { return };
+        let Some(fault) = self.chance.pick(&FAULTS) else {
+            return;
+        };
         if self.world.all_decide() && self.world.lost() == 0 {
             self.disks_lost = 0;
         }
@@ -224,8 +250,13 @@
         if self.losses == Losses::WithinBudget || self.world.halves {
             return;
         }
-        let mut others: Vec<Node> =
-            self.world.controls.iter().filter(|(_, m)| !m.removed).map(|(node, _)| *node).collect();
+        let mut others: Vec<Node> = self
+            .world
+            .controls
+            .iter()
+            .filter(|(_, m)| !m.removed)
+            .map(|(node, _)| *node)
+            .collect();
         let mut half = Vec::new();
         for _ in 0..others.len() / 2 {
             half.push(others.remove(self.chance.below(others.len() as u64) as usize));
@@ -313,9 +344,18 @@
         }
         self.tell(format!("{fault:?}"));
         let there = |node: &Node| within || self.world.is_well(*node);
-        let machines = self.world.controls.iter().filter(|(_, m)| !m.removed).map(|(node, _)| *node);
+        let machines = self
+            .world
+            .controls
+            .iter()
+            .filter(|(_, m)| !m.removed)
+            .map(|(node, _)| *node);
         let nodes: Vec<Node> = machines.filter(there).collect();
-        let disks = if within { self.world.budget } else { self.world.budget - self.disks_lost };
+        let disks = if within {
+            self.world.budget
+        } else {
+            self.world.budget - self.disks_lost
+        };
         let mut wiped: Vec<Node> = nodes.clone();
         while wiped.len() > disks {
             let at = self.chance.below(wiped.len() as u64) as usize;
--- a/crates/simulation/src/links.rs
+++ b/crates/simulation/src/links.rs
@@ -89,7 +89,9 @@
 
     /// Whether this connection is the newest one.
     pub fn is_newest(&self, from: Node, to: Node, connection: u64) -> bool {
-        self.all.get(&(from, to)).is_some_and(|link| link.connection == connection)
+        self.all
+            .get(&(from, to))
+            .is_some_and(|link| link.connection == connection)
     }
 
     /// When a message that is sent now and takes so long arrives: none overtakes another.
@@ -107,14 +109,20 @@
     /// What arrives now that nothing is cut between these any more: all of it, or what was sent a moment ago and by
     /// chance some of the rest.
     pub fn release(&mut self, from: Node, to: Node, now: f64, chance: &mut Chance) -> Vec<Parcel> {
-        let Some(link) = self.all.get_mut(&(from, to)) else { return Vec::new() };
+        let Some(link) = self.all.get_mut(&(from, to)) else {
+            return Vec::new();
+        };
         let held = std::mem::take(&mut link.held);
-        let given_up = held.first().is_some_and(|oldest| now - oldest.sent > HELD_UP);
+        let given_up = held
+            .first()
+            .is_some_and(|oldest| now - oldest.sent > HELD_UP);
         if given_up {
             // The sender has opened another connection, or will.
             link.connection = 0;
         }
-        held.into_iter().filter(|_| !given_up || chance.of_thousand(ARRIVES_LATE)).collect()
+        held.into_iter()
+            .filter(|_| !given_up || chance.of_thousand(ARRIVES_LATE))
+            .collect()
     }
 
     /// Pairs between which something is held up and nothing is cut any more.
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -94,10 +94,17 @@
 
     /// Three control machines as a list that runs late has them: some may be gone by now, but not all.
     fn listed_seeds(&mut self, of: Node) -> Vec<Node> {
-        let others = self.controls.iter().filter(|(node, machine)| !machine.removed && **node != of);
+        let others = self
+            .controls
+            .iter()
+            .filter(|(node, machine)| !machine.removed && **node != of);
         let listed: Vec<Node> = others.map(|(node, _)| *node).collect();
-        let gone: Vec<Node> =
-            self.controls.iter().filter(|(_, machine)| machine.removed).map(|(node, _)| *node).collect();
+        let gone: Vec<Node> = self
+            .controls
+            .iter()
+            .filter(|(_, machine)| machine.removed)
+            .map(|(node, _)| *node)
+            .collect();
         let mut seeds: Vec<Node> = (0..2).filter_map(|_| self.chance.pick(&listed)).collect();
         seeds.extend(self.chance.pick(&gone).or(self.chance.pick(&listed)));
         seeds
@@ -125,8 +132,12 @@
         machine.saving = None;
         machine.inbox.clear();
         let clock = now + machine.offset;
-        let me = Voter { node, incarnation: machine.disk.incarnation };
-        let mut controller = Controller::new(me, machine.disk.record.clone(), clock, life, timing());
+        let me = Voter {
+            node,
+            incarnation: machine.disk.incarnation,
+        };
+        let mut controller =
+            Controller::new(me, machine.disk.record.clone(), clock, life, timing());
         controller.settings(machine.seeds.clone(), budget);
         controller.recall(clock, machine.disk.servers.clone(), 0.0);
         machine.controller = Some(controller);
@@ -151,7 +162,9 @@
         let machine = self.controls.get_mut(&node).expect("the machine exists");
         machine.controller = None;
         if let Some(saving) = machine.saving.take() {
-            machine.disk.save_unfinished(saving.record, &mut self.chance);
+            machine
+                .disk
+                .save_unfinished(saving.record, &mut self.chance);
         }
         machine.health = health;
         machine.frozen = false;
@@ -160,7 +173,13 @@
             router.forget_connection(node);
         }
         // Whoever has a connection to it opens another one.
-        for other in self.controls.keys().copied().filter(|other| *other != node).collect::<Vec<_>>() {
+        for other in self
+            .controls
+            .keys()
+            .copied()
+            .filter(|other| *other != node)
+            .collect::<Vec<_>>()
+        {
             self.links.reset(other, node);
         }
     }
@@ -179,14 +198,20 @@
     /// The machine is gone for good.
     pub fn remove(&mut self, node: Node) {
         self.power_off(node);
-        self.controls.get_mut(&node).expect("the machine exists").removed = true;
+        self.controls
+            .get_mut(&node)
+            .expect("the machine exists")
+            .removed = true;
     }
 
     /// The process stands still.
     pub fn freeze(&mut self, node: Node) {
         self.say(|| format!("control {node} frozen"));
         self.trouble(node);
-        self.controls.get_mut(&node).expect("the machine exists").frozen = true;
+        self.controls
+            .get_mut(&node)
+            .expect("the machine exists")
+            .frozen = true;
     }
 
     /// It goes on.
@@ -226,9 +251,16 @@
 
     /// The phase in which the leader sees the service.
     pub fn phase(&self) -> &'static str {
-        let controller = self.leader().and_then(|leader| self.controls[&leader].controller.as_ref());
-        let Some(controller) = controller else { return "none" };
-        controller.primaries().first().map_or("unknown", |primary| primary.1)
+        let controller = self
+            .leader()
+            .and_then(|leader| self.controls[&leader].controller.as_ref());
+        let Some(controller) = controller else {
+            return "none";
+        };
+        controller
+            .primaries()
+            .first()
+            .map_or("unknown", |primary| primary.1)
     }
 
     /// A call to this control machine; its answer is found in `replies` under this number.
@@ -239,16 +271,22 @@
     /// Lets the machine decide; nothing happens if its process doesn't run.
     pub fn with(&mut self, node: Node, act: impl FnOnce(&mut Controller, f64) -> Vec<Output>) {
         let now = self.now;
-        let Some(machine) = self.controls.get_mut(&node) else { return };
+        let Some(machine) = self.controls.get_mut(&node) else {
+            return;
+        };
         let clock = now + machine.offset;
-        let Some(controller) = &mut machine.controller else { return };
+        let Some(controller) = &mut machine.controller else {
+            return;
+        };
         let out = act(controller, clock);
         self.perform(node, out.into());
     }
 
     /// Whether this process takes in an event now; if it only stands still, the event waits.
     pub fn reaches(&mut self, node: Node, life: Option<u64>, event: &Event) -> bool {
-        let Some(machine) = self.controls.get_mut(&node) else { return false };
+        let Some(machine) = self.controls.get_mut(&node) else {
+            return false;
+        };
         if machine.controller.is_none() || life.is_some_and(|life| life != machine.life) {
             return false;
         }
@@ -276,12 +314,26 @@
                 Output::Peer(to, message) => self.send(node, to, message),
                 Output::Router(connection, message) => self.send_news(node, connection, message),
                 Output::News(connection, news) => self.send_news(node, connection, (*news).clone()),
-                Output::Ask { id, endpoint, statement, .. } => {
-                    self.ask_server(node, id, &endpoint, statement)
-                }
-                Output::Promote { id, fence, before, .. } => {
+                Output::Ask {
+                    id,
+                    endpoint,
+                    statement,
+                    ..
+                } => self.ask_server(node, id, &endpoint, statement),
+                Output::Promote {
+                    id, fence, before, ..
+                } => {
                     let way = self.way();
-                    self.put(way, Event::Post { node, life, id, fence, before });
+                    self.put(
+                        way,
+                        Event::Post {
+                            node,
+                            life,
+                            id,
+                            fence,
+                            before,
+                        },
+                    );
                 }
                 Output::Reply(call, answer) => self.reply(node, call, answer),
             }
@@ -291,7 +343,9 @@
     /// The servers that are known are on the disk from now on, if it takes them.
     pub(crate) fn keep_servers(&mut self, node: Node) -> bool {
         let now = self.now;
-        let Some(machine) = self.controls.get_mut(&node) else { return false };
+        let Some(machine) = self.controls.get_mut(&node) else {
+            return false;
+        };
         let taken = machine.disk.begin_save(now) != Save::Refused;
         if let Some(controller) = machine.controller.as_ref().filter(|_| taken) {
             machine.disk.servers = controller.members().kept();
@@ -304,11 +358,20 @@
     fn begin_save(&mut self, node: Node, rest: VecDeque<Output>) -> Option<VecDeque<Output>> {
         let now = self.now;
         let machine = self.controls.get_mut(&node).expect("the machine exists");
-        let record = machine.controller.as_ref().expect("a process saves").record().clone();
+        let record = machine
+            .controller
+            .as_ref()
+            .expect("a process saves")
+            .record()
+            .clone();
         match machine.disk.begin_save(now) {
             Save::DoneAt(at) => {
                 let life = machine.life;
-                machine.saving = Some(Saving { record, rest, done: false });
+                machine.saving = Some(Saving {
+                    record,
+                    rest,
+                    done: false,
+                });
                 self.put(at - now, Event::Saved(node, life));
                 None
             }
@@ -330,7 +393,11 @@
     /// A save is done.
     pub(crate) fn saved(&mut self, node: Node, life: u64) {
         let now = self.now;
-        let Some(machine) = self.controls.get_mut(&node).filter(|machine| machine.life == life) else {
+        let Some(machine) = self
+            .controls
+            .get_mut(&node)
+            .filter(|machine| machine.life == life)
+        else {
             return;
         };
         if machine.frozen {
@@ -339,10 +406,14 @@
             }
             return;
         }
-        let Some(saving) = machine.saving.take() else { return };
+        let Some(saving) = machine.saving.take() else {
+            return;
+        };
         machine.disk.record = saving.record;
         let clock = now + machine.offset;
-        let Some(controller) = &mut machine.controller else { return };
+        let Some(controller) = &mut machine.controller else {
+            return;
+        };
         let mut out: VecDeque<Output> = controller.saved(clock).into();
         out.extend(saving.rest);
         self.perform(node, out);
@@ -352,7 +423,11 @@
     /// A disk that failed is opened anew, if it takes bytes again.
     pub(crate) fn reopen(&mut self, node: Node, life: u64) {
         let now = self.now;
-        let Some(machine) = self.controls.get_mut(&node).filter(|machine| machine.life == life) else {
+        let Some(machine) = self
+            .controls
+            .get_mut(&node)
+            .filter(|machine| machine.life == life)
+        else {
             return;
         };
         if machine.disk.begin_save(now) == Save::Refused {
@@ -368,13 +443,23 @@
 
     fn send(&mut self, from: Node, to: Recipient, message: PeerMessage) {
         let machine = &self.controls[&from];
-        let sender = Voter { node: from, incarnation: machine.disk.incarnation };
+        let sender = Voter {
+            node: from,
+            incarnation: machine.disk.incarnation,
+        };
         let life = machine.life;
         let (connection, new) = self.links.connection(from, to.node(), life);
         if new {
             self.put(0.0, Event::Met(from, to.node(), life));
         }
-        let parcel = Parcel { from: sender, life, to, connection, sent: self.now, message };
+        let parcel = Parcel {
+            from: sender,
+            life,
+            to,
+            connection,
+            sent: self.now,
+            message,
+        };
         if self.chance.of_thousand(self.links.resets) {
             self.links.reset(from, to.node());
             return;
@@ -401,46 +486,94 @@
             self.links.hold(from.node, to, parcel);
             return;
         }
-        let Some(machine) = self.controls.get(&to) else { return };
-        let me = Voter { node: to, incarnation: machine.disk.incarnation };
+        let Some(machine) = self.controls.get(&to) else {
+            return;
+        };
+        let me = Voter {
+            node: to,
+            incarnation: machine.disk.incarnation,
+        };
         if !parcel.to.is(me) {
             // It learns all the same that a control machine has that address.
             self.with(to, |controller, _| controller.contact(from.node));
             return;
         }
-        let current =
-            self.lives_heard.get(&(to, from.node)).is_none_or(|newest| *newest <= parcel.connection);
+        let current = self
+            .lives_heard
+            .get(&(to, from.node))
+            .is_none_or(|newest| *newest <= parcel.connection);
         if !current || !self.reaches(to, None, event) {
             return;
         }
         self.lives_heard.insert((to, from.node), parcel.connection);
-        self.with(to, |controller, now| controller.peer(now, from, parcel.message));
+        self.with(to, |controller, now| {
+            controller.peer(now, from, parcel.message)
+        });
     }
 
     fn ask_server(
-        &mut self, node: Node, id: String, endpoint: &str, statement: badgerstream_control::Statement,
+        &mut self,
+        node: Node,
+        id: String,
+        endpoint: &str,
+        statement: badgerstream_control::Statement,
     ) {
         let machine = &self.controls[&node];
         let (life, asked) = (machine.life, self.now + machine.offset);
-        let server = self.servers.get(&id).filter(|server| server.endpoint == endpoint);
+        let server = self
+            .servers
+            .get(&id)
+            .filter(|server| server.endpoint == endpoint);
         let health = server.map_or(Health::Down, |server| server.health);
         let way = self.way();
         let silent = self.deaf_controls.contains(&node) || self.mute.contains(&id);
         if silent || health == Health::Dark {
-            self.put(0.6, Event::Asked { node, life, id, asked: Asked::Silent });
+            self.put(
+                0.6,
+                Event::Asked {
+                    node,
+                    life,
+                    id,
+                    asked: Asked::Silent,
+                },
+            );
         } else if health == Health::Down {
-            self.put(2.0 * way, Event::Asked { node, life, id, asked: Asked::Refused });
+            self.put(
+                2.0 * way,
+                Event::Asked {
+                    node,
+                    life,
+                    id,
+                    asked: Asked::Refused,
+                },
+            );
         } else {
-            self.put(way, Event::AskAt { node, life, id, statement, asked });
+            self.put(
+                way,
+                Event::AskAt {
+                    node,
+                    life,
+                    id,
+                    statement,
+                    asked,
+                },
+            );
         }
     }
 
     /// Any control machine that runs, as a caller would find one.
     pub(crate) fn any_control(&mut self) -> Option<Node> {
         let runs = |(node, machine): &(&Node, &Machine)| {
-            machine.controller.is_some() && !machine.stands_still() && !self.deaf_controls.contains(node)
+            machine.controller.is_some()
+                && !machine.stands_still()
+                && !self.deaf_controls.contains(node)
         };
-        let fit: Vec<Node> = self.controls.iter().filter(runs).map(|(node, _)| *node).collect();
+        let fit: Vec<Node> = self
+            .controls
+            .iter()
+            .filter(runs)
+            .map(|(node, _)| *node)
+            .collect();
         self.chance.pick(&fit)
     }
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -8,7 +8,11 @@
 
 /// Plays the control side with faults by chance and checks safety and liveness.
 #[derive(Parser)]
-#[command(name = "badgersimulate", version, args_conflicts_with_subcommands = true)]
+#[command(
+    name = "badgersimulate",
+    version,
+    args_conflicts_with_subcommands = true
+)]
 struct Arguments {
     #[command(subcommand)]
     draw: Option<Draw>,
@@ -52,7 +56,11 @@
         print!("{}", Day::draw(site, seed));
         return ExitCode::SUCCESS;
     }
-    let losses = if arguments.beyond { Losses::BeyondBudget } else { Losses::WithinBudget };
+    let losses = if arguments.beyond {
+        Losses::BeyondBudget
+    } else {
+        Losses::WithinBudget
+    };
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.runs {
         let (machines, budget) = match arguments.machines {
@@ -60,12 +68,20 @@
             None => [(3, 1), (5, 2), (6, 2), (4, 1)][(seed % 4) as usize],
         };
         let mut run = FaultRun::new(seed, machines, budget, losses);
-        let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run.play(arguments.seconds)));
+        let played =
+            std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run.play(arguments.seconds)));
         if played.is_err() {
             broken += 1;
-            println!("seed {seed} machines {machines} budget {budget}: broken; {}", run.story.join("; "));
+            println!(
+                "seed {seed} machines {machines} budget {budget}: broken; {}",
+                run.story.join("; ")
+            );
         }
     }
     println!("runs={} broken={broken}", arguments.runs);
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if broken == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -65,7 +65,13 @@
 impl World {
     /// Adds an operator, who begins at once.
     pub fn add_operator(&mut self) {
-        self.operators.push(Operator { base: 0, asks: None, call: None, must_read: true, last: None });
+        self.operators.push(Operator {
+            base: 0,
+            asks: None,
+            call: None,
+            must_read: true,
+            last: None,
+        });
         let at = self.operators.len() - 1;
         self.put(0.5 + 0.01 * at as f64, Event::Operator(at));
     }
@@ -82,17 +88,28 @@
         if self.operators[at].asks.is_none() {
             self.operators[at].asks = Some(self.next_task(at));
         }
-        let Some(node) = self.chosen_machine(self.operators[at].last) else { return };
+        let Some(node) = self.chosen_machine(self.operators[at].last) else {
+            return;
+        };
         self.operators[at].last = Some(node);
         let call = match self.operators[at].asks {
             Some(Asks::Order(order)) => {
                 let order = &self.orders[order];
-                Call::Replace { base: order.base, epoch: order.epoch, body: order.body.clone() }
+                Call::Replace {
+                    base: order.base,
+                    epoch: order.epoch,
+                    body: order.body.clone(),
+                }
             }
             _ => Call::Read,
         };
         let number = self.call_for_operator(at);
-        self.say(|| format!("operator {at} asks control {node} for {:?}", self.operators[at].asks));
+        self.say(|| {
+            format!(
+                "operator {at} asks control {node} for {:?}",
+                self.operators[at].asks
+            )
+        });
         self.operators[at].call = Some((number, self.now));
         let way = self.way();
         self.put(way, Event::Call(node, number, call));
@@ -114,25 +131,39 @@
         // Two operators may pick the same number.
         let epoch = base + 1 + self.draw(3);
         let body = text(epoch, at, self.orders.len());
-        self.orders.push(Order { base, epoch, body, outcome: Outcome::Open, confirmed: f64::INFINITY });
+        self.orders.push(Order {
+            base,
+            epoch,
+            body,
+            outcome: Outcome::Open,
+            confirmed: f64::INFINITY,
+        });
         Asks::Order(self.orders.len() - 1)
     }
 
     /// A machine of the list that operators have, any that was not removed, but for the one that was asked last.
     fn chosen_machine(&mut self, last: Option<Node>) -> Option<Node> {
-        let there = self.controls.iter().filter(|(node, machine)| !machine.removed && Some(**node) != last);
+        let there = self
+            .controls
+            .iter()
+            .filter(|(node, machine)| !machine.removed && Some(**node) != last);
         let listed: Vec<Node> = there.map(|(node, _)| *node).collect();
         self.chance.pick(&listed)
     }
 
     /// An operator has the answer to its call.
     pub(crate) fn answer_operator(&mut self, at: usize, number: u64, answer: &Answer) {
-        if self.operators[at].call.is_none_or(|(call, _)| call != number) {
+        if self.operators[at]
+            .call
+            .is_none_or(|(call, _)| call != number)
+        {
             // It has given that call up, but what was told counts all the same.
             return;
         }
         self.operators[at].call = None;
-        let Some(asks) = self.operators[at].asks else { return };
+        let Some(asks) = self.operators[at].asks else {
+            return;
+        };
         self.say(|| format!("operator {at} hears {} to {asks:?}", answer.status));
         match (asks, answer.status) {
             (Asks::Order(order), 200) => {
@@ -159,8 +190,9 @@
 
 /// A configuration as far as control looks at it: a text that begins with its epoch.
 fn text(epoch: u64, operator: usize, order: usize) -> Rc<[u8]> {
-    let routes: Vec<String> =
-        (0..ROUTES).map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}")).collect();
+    let routes: Vec<String> = (0..ROUTES)
+        .map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}"))
+        .collect();
     let text = format!(
         "{{\"epoch\":{epoch},\"operator\":{operator},\"order\":{order},\"routes\":[{}]}}",
         routes.join(",")
@@ -171,6 +203,8 @@
 /// The epoch of such a text; 0 of none.
 pub(crate) fn epoch_of(text: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(text);
-    let number = text.strip_prefix("{\"epoch\":").and_then(|rest| rest.split(',').next());
+    let number = text
+        .strip_prefix("{\"epoch\":")
+        .and_then(|rest| rest.split(',').next());
     number.and_then(|number| number.parse().ok()).unwrap_or(0)
 }
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -59,7 +59,9 @@
 
     /// Whether this machine counts as lost.
     pub fn is_lost(&self, node: Node) -> bool {
-        let Some(machine) = self.controls.get(&node) else { return false };
+        let Some(machine) = self.controls.get(&node) else {
+            return false;
+        };
         if machine.removed {
             let since = self.seen.successors.get(&node).copied().flatten();
             return since.is_none_or(|since| self.now < since + CATCH_UP);
@@ -69,8 +71,11 @@
 
     /// Whether this machine runs, hears the others and can save.
     pub fn is_well(&self, node: Node) -> bool {
-        let Some(machine) = self.controls.get(&node) else { return false };
-        let disk = matches!(machine.disk.health, DiskHealth::Takes(seconds) if seconds <= SLOW_SAVE);
+        let Some(machine) = self.controls.get(&node) else {
+            return false;
+        };
+        let disk =
+            matches!(machine.disk.health, DiskHealth::Takes(seconds) if seconds <= SLOW_SAVE);
         let cut = self.cut_off.contains(&node);
         machine.controller.is_some() && !machine.ending && !machine.frozen && disk && !cut
     }
@@ -87,23 +92,37 @@
     /// How many machines are away now, those not counted that are back and catch up.
     fn absent(&self) -> usize {
         let away = |(node, machine): &(&Node, &Machine)| {
-            if machine.removed { self.is_lost(**node) } else { !self.is_well(**node) }
+            if machine.removed {
+                self.is_lost(**node)
+            } else {
+                !self.is_well(**node)
+            }
         };
         self.controls.iter().filter(away).count()
     }
 
     /// How many machines count as lost.
     pub fn lost(&self) -> usize {
-        self.controls.keys().filter(|node| self.is_lost(**node)).count()
+        self.controls
+            .keys()
+            .filter(|node| self.is_lost(**node))
+            .count()
     }
 
     /// Whether a leader has agreed on a set of voters in which every machine is, in the life of its disk, and none that is gone.
     pub fn all_decide(&self) -> bool {
         let agreed = |machine: &Machine| machine.controller.as_ref()?.consensus().agreed().cloned();
-        let newest = self.controls.values().filter_map(agreed).max_by_key(|state| state.seq);
+        let newest = self
+            .controls
+            .values()
+            .filter_map(agreed)
+            .max_by_key(|state| state.seq);
         newest.is_some_and(|state| {
             let decides = |(node, machine): (&Node, &Machine)| {
-                let voter = Voter { node: *node, incarnation: machine.disk.incarnation };
+                let voter = Voter {
+                    node: *node,
+                    incarnation: machine.disk.incarnation,
+                };
                 state.membership.contains(voter) != machine.removed
             };
             !state.membership.is_joint() && self.controls.iter().all(decides)
@@ -116,10 +135,18 @@
         let acting: Vec<Node> = self
             .controls
             .iter()
-            .filter(|(_, m)| m.controller.as_ref().is_some_and(|c| c.acts(self.now + m.offset)))
+            .filter(|(_, m)| {
+                m.controller
+                    .as_ref()
+                    .is_some_and(|c| c.acts(self.now + m.offset))
+            })
             .map(|(node, _)| *node)
             .collect();
-        assert!(acting.len() < 2, "{}: two control machines may act at once: {acting:?}", self.now);
+        assert!(
+            acting.len() < 2,
+            "{}: two control machines may act at once: {acting:?}",
+            self.now
+        );
         self.check_agreed();
         self.note_configs();
     }
@@ -127,10 +154,20 @@
     /// Leaders go by one configuration of an epoch.
     fn note_configs(&mut self) {
         for (node, machine) in &self.controls {
-            let Some(controller) = machine.controller.as_ref().filter(|c| c.leads()) else { continue };
+            let Some(controller) = machine.controller.as_ref().filter(|c| c.leads()) else {
+                continue;
+            };
             let (epoch, text) = controller.config();
-            let known = self.seen.configs.entry(epoch).or_insert_with(|| Rc::from(text));
-            assert!(**known == *text, "{}: {node} goes by another configuration {epoch}", self.now);
+            let known = self
+                .seen
+                .configs
+                .entry(epoch)
+                .or_insert_with(|| Rc::from(text));
+            assert!(
+                **known == *text,
+                "{}: {node} goes by another configuration {epoch}",
+                self.now
+            );
         }
     }
 
@@ -138,8 +175,16 @@
     pub(crate) fn judge_in_force(&mut self, router: usize, epoch: u64, text: &[u8]) {
         self.say(|| format!("router {router} goes by {epoch}"));
         self.note_configs();
-        let agreed = self.seen.configs.get(&epoch).is_some_and(|known| **known == *text);
-        assert!(agreed, "{}: router {router} goes by {epoch}, which was not agreed on", self.now);
+        let agreed = self
+            .seen
+            .configs
+            .get(&epoch)
+            .is_some_and(|known| **known == *text);
+        assert!(
+            agreed,
+            "{}: router {router} goes by {epoch}, which was not agreed on",
+            self.now
+        );
     }
 
     fn check_primaries(&self) {
@@ -149,20 +194,33 @@
             .filter_map(|router| router.primary(self.now + router.offset))
             .map(|grant| (grant.id.as_str(), grant.term))
             .collect();
-        assert!(usable.len() < 2, "{}: two primaries may be used at once: {usable:?}", self.now);
+        assert!(
+            usable.len() < 2,
+            "{}: two primaries may be used at once: {usable:?}",
+            self.now
+        );
     }
 
     /// There is one state of each number, and epochs never go back.
     fn check_agreed(&mut self) {
         for (node, machine) in &self.controls {
-            let Some(controller) = &machine.controller else { continue };
-            let Some(state) = controller.consensus().agreed() else { continue };
+            let Some(controller) = &machine.controller else {
+                continue;
+            };
+            let Some(state) = controller.consensus().agreed() else {
+                continue;
+            };
             let ballot = controller.consensus().leads().map_or(0, |ballot| ballot.0);
             if self.seen.looked_at.insert(*node, (ballot, state.seq)) == Some((ballot, state.seq)) {
                 continue;
             }
             let (digest, epoch) = (state.digest(), state.epoch);
-            if self.seen.agreed.last_key_value().is_none_or(|(_, (_, newest))| epoch > *newest) {
+            if self
+                .seen
+                .agreed
+                .last_key_value()
+                .is_none_or(|(_, (_, newest))| epoch > *newest)
+            {
                 self.seen.changed = self.now;
             }
             let other = self.seen.agreed.insert(state.seq, (digest, epoch));
@@ -182,23 +240,36 @@
                 state.seq
             );
             let refused = self.orders.iter().find(|order| {
-                order.outcome == Outcome::Refused && order.epoch == epoch && order.body == state.config
+                order.outcome == Outcome::Refused
+                    && order.epoch == epoch
+                    && order.body == state.config
             });
-            assert!(refused.is_none(), "{}: a refused order is in force: {refused:?}", self.now);
+            assert!(
+                refused.is_none(),
+                "{}: a refused order is in force: {refused:?}",
+                self.now
+            );
         }
     }
 
     pub(crate) fn judge_confirmed(&mut self, at: usize) {
         let now = self.now;
         self.say(|| format!("order {at} is acknowledged"));
-        assert_ne!(self.orders[at].outcome, Outcome::Refused, "{now}: order {at} was refused before");
+        assert_ne!(
+            self.orders[at].outcome,
+            Outcome::Refused,
+            "{now}: order {at} was refused before"
+        );
         let order = self.orders[at].clone();
         let rival = self.orders.iter().enumerate().find(|(other, o)| {
             *other != at
                 && o.outcome == Outcome::Confirmed
                 && (o.base == order.base || o.epoch == order.epoch)
         });
-        assert!(rival.is_none(), "{now}: orders {at} {order:?} and {rival:?} were both acknowledged");
+        assert!(
+            rival.is_none(),
+            "{now}: orders {at} {order:?} and {rival:?} were both acknowledged"
+        );
         self.seen.served = now;
         let order = &mut self.orders[at];
         if order.outcome == Outcome::Open {
@@ -220,7 +291,10 @@
         order.outcome = Outcome::Refused;
         let (epoch, body) = (order.epoch, order.body.clone());
         let newest = self.newest_config();
-        assert!(newest.is_none_or(|(e, b)| e != epoch || b != body), "{now}: order {at} in force is refused");
+        assert!(
+            newest.is_none_or(|(e, b)| e != epoch || b != body),
+            "{now}: order {at} in force is refused"
+        );
     }
 
     fn newest_config(&self) -> Option<(u64, Rc<[u8]>)> {
@@ -228,7 +302,11 @@
             let state = machine.controller.as_ref()?.consensus().agreed()?;
             Some((state.seq, state.epoch, state.config.clone()))
         };
-        let newest = self.controls.values().filter_map(agreed).max_by_key(|(seq, _, _)| *seq);
+        let newest = self
+            .controls
+            .values()
+            .filter_map(agreed)
+            .max_by_key(|(seq, _, _)| *seq);
         newest.map(|(_, epoch, config)| (epoch, config))
     }
 
@@ -238,11 +316,22 @@
         let epoch = epoch_of(body);
         let before = self.orders.iter().filter(|order| order.confirmed < since);
         let newest = before.map(|order| order.epoch).max().unwrap_or(0);
-        assert!(epoch >= newest, "{}: {epoch} is read, {newest} was acknowledged before", self.now);
+        assert!(
+            epoch >= newest,
+            "{}: {epoch} is read, {newest} was acknowledged before",
+            self.now
+        );
         let known = epoch == 0 || self.orders.iter().any(|order| *order.body == *body);
         assert!(known, "{}: what is read was never sent", self.now);
-        let refused = self.orders.iter().find(|o| o.outcome == Outcome::Refused && *o.body == *body);
-        assert!(refused.is_none(), "{}: a refused order is read: {refused:?}", self.now);
+        let refused = self
+            .orders
+            .iter()
+            .find(|o| o.outcome == Outcome::Refused && *o.body == *body);
+        assert!(
+            refused.is_none(),
+            "{}: a refused order is read: {refused:?}",
+            self.now
+        );
         epoch
     }
 
@@ -250,7 +339,10 @@
     pub(crate) fn check_liveness(&mut self) {
         self.note_losses();
         // Service may rest until the end of the recovery, and is there from then on.
-        let recovered = self.seen.beyond.map_or(0.0, |until| until + RECOVERY - AGREED_WITHIN);
+        let recovered = self
+            .seen
+            .beyond
+            .map_or(0.0, |until| until + RECOVERY - AGREED_WITHIN);
         let calm_from = self.seen.event.max(recovered);
         let since = self.now - calm_from;
         if self.operators.is_empty() || self.lost() > self.budget || since < SERVED_WITHIN {
@@ -274,21 +366,33 @@
 
     /// What was acknowledged a while ago is in force on every router.
     fn check_in_force(&self) {
-        let due = self.orders.iter().filter(|order| order.confirmed < self.now - IN_FORCE_WITHIN);
+        let due = self
+            .orders
+            .iter()
+            .filter(|order| order.confirmed < self.now - IN_FORCE_WITHIN);
         let newest = due.map(|order| order.epoch).max().unwrap_or(0);
         for router in self.routers.iter().filter(|router| !router.frozen) {
             let (name, in_force) = (&router.name, router.in_force);
-            assert!(in_force >= newest, "{}: {name} goes by {in_force}, not {newest}", self.now);
+            assert!(
+                in_force >= newest,
+                "{}: {name} goes by {in_force}, not {newest}",
+                self.now
+            );
         }
     }
 
     /// Whoever is well for long enough decides, if there is a place.
     fn check_voters(&self) {
         let Some(leader) = self.leader() else { return };
-        let Some(controller) = &self.controls[&leader].controller else { return };
+        let Some(controller) = &self.controls[&leader].controller else {
+            return;
+        };
         let voters = controller.consensus().voters();
         for (node, machine) in &self.controls {
-            let voter = Voter { node: *node, incarnation: machine.disk.incarnation };
+            let voter = Voter {
+                node: *node,
+                incarnation: machine.disk.incarnation,
+            };
             let well = !machine.removed && self.is_well(*node) && !self.is_lost(*node);
             assert!(
                 !well || voters.contains(&voter),
@@ -302,12 +406,18 @@
     pub fn describe(&self) -> String {
         let one = |(node, machine): (&Node, &Machine)| {
             let lost = if self.is_lost(*node) { " lost" } else { "" };
-            let Some(controller) = &machine.controller else { return format!("{node}: down{lost}") };
+            let Some(controller) = &machine.controller else {
+                return format!("{node}: down{lost}");
+            };
             let consensus = controller.consensus();
             format!(
                 "{node}/{:x}: voters {:?} leader {:?} seq {} promised {:x} frozen {} disk {:?} failed {}{lost}",
                 machine.disk.incarnation,
-                consensus.voters().iter().map(|v| v.node).collect::<Vec<_>>(),
+                consensus
+                    .voters()
+                    .iter()
+                    .map(|v| v.node)
+                    .collect::<Vec<_>>(),
                 controller.leader(),
                 consensus.record().state.seq,
                 consensus.record().promised.0,
--- a/crates/simulation/src/platform.rs
+++ b/crates/simulation/src/platform.rs
@@ -24,7 +24,19 @@
         }
         let lost = self.draw(1000) < self.lost_posts;
         let answer = PromotionOutcome::of_status(status);
-        let (after, outcome) = if lost { (1.0, PromotionOutcome::Unknown) } else { (way, answer) };
-        self.put(after, Event::PostAnswer { node, life, id: id.to_owned(), outcome });
+        let (after, outcome) = if lost {
+            (1.0, PromotionOutcome::Unknown)
+        } else {
+            (way, answer)
+        };
+        self.put(
+            after,
+            Event::PostAnswer {
+                node,
+                life,
+                id: id.to_owned(),
+                outcome,
+            },
+        );
     }
 }
--- a/crates/simulation/src/routers.rs
+++ b/crates/simulation/src/routers.rs
@@ -54,7 +54,11 @@
     pub(crate) fn primary(&self, clock: f64) -> Option<&GrantNews> {
         match self.grants.get(SERVICE) {
             Some(grant) => (clock < self.lease_until && !grant.closing).then_some(grant),
-            None => self.fading.get(SERVICE).filter(|(_, until)| clock < *until).map(|(grant, _)| grant),
+            None => self
+                .fading
+                .get(SERVICE)
+                .filter(|(_, until)| clock < *until)
+                .map(|(grant, _)| grant),
         }
     }
 }
@@ -73,16 +77,28 @@
     pub(crate) fn send_news(&mut self, node: Node, conn: u64, message: ToRouter) {
         let way = self.way();
         let life = self.controls[&node].life;
-        let found = self
-            .routers
-            .iter()
-            .position(|r| r.conn.as_ref().is_some_and(|c| c.id == conn && c.node == node && c.life == life));
-        let Some(router) = found.filter(|router| !self.apart.contains(&(node, *router))) else { return };
+        let found = self.routers.iter().position(|r| {
+            r.conn
+                .as_ref()
+                .is_some_and(|c| c.id == conn && c.node == node && c.life == life)
+        });
+        let Some(router) = found.filter(|router| !self.apart.contains(&(node, *router))) else {
+            return;
+        };
         let now = self.now;
-        let Some(connection) = self.routers[router].conn.as_mut() else { return };
+        let Some(connection) = self.routers[router].conn.as_mut() else {
+            return;
+        };
         connection.last = (now + way).max(connection.last + 1e-5);
         let after = connection.last - now;
-        self.put(after, Event::News { router, conn, message });
+        self.put(
+            after,
+            Event::News {
+                router,
+                conn,
+                message,
+            },
+        );
     }
 
     /// Adds a router.
@@ -118,17 +134,31 @@
         }
         self.read_at_replicas(router);
         let it = &self.routers[router];
-        let Some(grant) = it.primary(self.now + it.offset) else { return };
+        let Some(grant) = it.primary(self.now + it.offset) else {
+            return;
+        };
         let server = grant.id.clone();
         let (seen, sent) = (self.acked.len(), self.now);
         let write = self.draw(3) == 0;
         let way = self.way();
-        self.put(way, Event::At { router, server, write, seen, sent });
+        self.put(
+            way,
+            Event::At {
+                router,
+                server,
+                write,
+                seen,
+                sent,
+            },
+        );
     }
 
     /// Reads at all replicas that are up, of which only counts that they are answered.
     fn read_at_replicas(&mut self, router: usize) {
-        let up = self.servers.values().filter(|server| server.health == Health::Up && !server.leader);
+        let up = self
+            .servers
+            .values()
+            .filter(|server| server.health == Health::Up && !server.leader);
         let up: Vec<String> = up.map(|server| server.id.clone()).collect();
         for server in up {
             self.put(2.0 * self.delay, Event::Answered { router, server });
@@ -138,7 +168,9 @@
     pub(crate) fn at(&mut self, router: usize, id: &str, write: bool, seen: usize, sent: f64) {
         let way = self.way();
         let commit = self.next_commit + 1;
-        let Some(server) = self.servers.get_mut(id) else { return };
+        let Some(server) = self.servers.get_mut(id) else {
+            return;
+        };
         if server.health != Health::Up {
             return;
         }
@@ -150,10 +182,23 @@
         } else {
             // What lies further back was looked for by the reads before.
             let lacks = |c: &&u64| server.log.binary_search_by_key(*c, |e| e.1).is_err();
-            let missed = self.acked[seen.saturating_sub(60)..seen].iter().filter(lacks).count();
-            assert!(missed == 0, "{}: a read of {sent} at {id} lacks {missed} commits", self.now);
+            let missed = self.acked[seen.saturating_sub(60)..seen]
+                .iter()
+                .filter(lacks)
+                .count();
+            assert!(
+                missed == 0,
+                "{}: a read of {sent} at {id} lacks {missed} commits",
+                self.now
+            );
         }
-        self.put(way, Event::Answered { router, server: id.to_owned() });
+        self.put(
+            way,
+            Event::Answered {
+                router,
+                server: id.to_owned(),
+            },
+        );
     }
 
     pub fn freeze_router(&mut self, router: usize) {
@@ -187,7 +232,12 @@
         let control = &self.controls[&node];
         if control.health == Health::Up && !self.apart.contains(&(node, router)) {
             self.connections += 1;
-            it.conn = Some(Conn { node, life: control.life, id: self.connections, last: self.now });
+            it.conn = Some(Conn {
+                node,
+                life: control.life,
+                id: self.connections,
+                last: self.now,
+            });
             it.answered = now;
             self.renew(router);
         }
@@ -214,7 +264,13 @@
         let Some(conn) = &mut it.conn else { return };
         conn.last = (self.now + way).max(conn.last + 1e-5);
         let after = conn.last - self.now;
-        let event = Event::Renew { node: conn.node, life: conn.life, conn: conn.id, router, call };
+        let event = Event::Renew {
+            node: conn.node,
+            life: conn.life,
+            conn: conn.id,
+            router,
+            call,
+        };
         self.put(after, event);
     }
 
@@ -228,13 +284,23 @@
             ToRouter::Elsewhere { leader, voters } => {
                 let node = it.conn.take().map(|c| c.node);
                 it.hint = leader.filter(|l| Some(*l) != node);
-                let told: Vec<Node> = voters.into_iter().filter(|node| !it.nodes.contains(node)).collect();
+                let told: Vec<Node> = voters
+                    .into_iter()
+                    .filter(|node| !it.nodes.contains(node))
+                    .collect();
                 it.nodes.extend(told);
                 return;
             }
-            ToRouter::News { known, sent, lease, whole, grants, config, voters, .. } => {
-                (known, sent, lease, whole, grants, config, voters)
-            }
+            ToRouter::News {
+                known,
+                sent,
+                lease,
+                whole,
+                grants,
+                config,
+                voters,
+                ..
+            } => (known, sent, lease, whole, grants, config, voters),
         };
         let mut told = None;
         if known.0 >= it.known.0 {
@@ -245,7 +311,9 @@
             if whole {
                 let until = it.lease_until;
                 let old = it.grants.drain().filter(|(_, g)| !g.closing);
-                it.fading = old.map(|(service, grant)| (service, (grant, until))).collect();
+                it.fading = old
+                    .map(|(service, grant)| (service, (grant, until)))
+                    .collect();
                 it.lease_until = f64::NEG_INFINITY;
             }
             for grant in grants {
@@ -289,7 +357,11 @@
             }
             used = Some(grant.id.clone());
         }
-        used.filter(|id| self.servers.get(id).is_some_and(|s| s.leader && s.health == Health::Up))
+        used.filter(|id| {
+            self.servers
+                .get(id)
+                .is_some_and(|s| s.leader && s.health == Health::Up)
+        })
     }
 
     /// Writes are acknowledged again: one was within the last 0.4 s.
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -14,7 +14,10 @@
 
 impl<Event> Default for Schedule<Event> {
     fn default() -> Self {
-        Schedule { events: BTreeMap::new(), count: 0 }
+        Schedule {
+            events: BTreeMap::new(),
+            count: 0,
+        }
     }
 }
 
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -52,7 +52,11 @@
 
 /// A heartbeat of a server.
 pub fn beat(endpoint: &str, seq: u64, draining: bool) -> Beat {
-    let phase = if draining { Phase::Draining } else { Phase::Ready };
+    let phase = if draining {
+        Phase::Draining
+    } else {
+        Phase::Ready
+    };
     Beat {
         service: SERVICE.to_owned(),
         endpoint: endpoint.to_owned(),
@@ -122,7 +126,12 @@
         gone.left = true;
         gone.health = Health::Down;
         let gone = gone.clone();
-        let top = self.servers.values().map(|server| server.term).max().unwrap_or(0);
+        let top = self
+            .servers
+            .values()
+            .map(|server| server.term)
+            .max()
+            .unwrap_or(0);
         self.add_server(new, &gone.endpoint, gone.leader && gone.term == top);
         let apart_until = self.now + 0.25;
         let server = self.servers.get_mut(new).expect("it was added");
@@ -164,7 +173,11 @@
         match statement {
             Statement::Status => {}
             Statement::Pause(term) => {
-                let newest = if heard { server.term.max(server.heard_of) } else { server.term };
+                let newest = if heard {
+                    server.term.max(server.heard_of)
+                } else {
+                    server.term
+                };
                 let again = server.held == Some(term) && !once;
                 if !server.leader {
                     if !(again || term > newest && server.held.is_none_or(|h| term > h)) {
@@ -182,14 +195,34 @@
                 }
             }
         }
-        let held = if heard { server.heard_of.max(server.term) } else { server.held.unwrap_or(0) };
-        Some(Row { leader: server.leader, term: server.term, received: server.position(), held })
+        let held = if heard {
+            server.heard_of.max(server.term)
+        } else {
+            server.held.unwrap_or(0)
+        };
+        Some(Row {
+            leader: server.leader,
+            term: server.term,
+            received: server.position(),
+            held,
+        })
     }
 
     /// A promotion takes effect.
     pub fn promote(&mut self, id: &str) {
-        let top = self.servers.values().map(|s| s.term.max(s.heard_of)).max().unwrap();
-        let most = self.servers.values().filter(|s| s.leader).map(|s| s.term).max().unwrap_or(0);
+        let top = self
+            .servers
+            .values()
+            .map(|s| s.term.max(s.heard_of))
+            .max()
+            .unwrap();
+        let most = self
+            .servers
+            .values()
+            .filter(|s| s.leader)
+            .map(|s| s.term)
+            .max()
+            .unwrap_or(0);
         let now = self.now;
         let server = self.servers.get_mut(id).unwrap();
         if server.health != Health::Up || server.leader && server.term >= most {
@@ -202,7 +235,10 @@
         self.say(|| format!("server {id} leads term {term}"));
         let has: HashSet<u64> = log.iter().map(|e| e.1).collect();
         let lost: Vec<&u64> = self.acked.iter().filter(|c| !has.contains(c)).collect();
-        assert!(lost.is_empty(), "{now}: {id} was promoted without acknowledged commits {lost:?}");
+        assert!(
+            lost.is_empty(),
+            "{now}: {id} was promoted without acknowledged commits {lost:?}"
+        );
         self.promoted.push((id.to_owned(), now));
         let others: Vec<String> = self.servers.keys().filter(|o| *o != id).cloned().collect();
         for other in others {
@@ -213,7 +249,12 @@
                 server.term = term;
                 server.held = None;
                 // Whoever was ahead is cut back.
-                let same = server.log.iter().zip(&log).take_while(|(a, b)| a == b).count();
+                let same = server
+                    .log
+                    .iter()
+                    .zip(&log)
+                    .take_while(|(a, b)| a == b)
+                    .count();
                 server.log.truncate(same);
             }
         }
@@ -241,7 +282,12 @@
     }
 
     pub(crate) fn acknowledge(&mut self, primary: &str, term: u64, commits: Vec<u64>) {
-        let top = self.servers.values().filter(|s| s.leader).max_by_key(|s| s.term).unwrap();
+        let top = self
+            .servers
+            .values()
+            .filter(|s| s.leader)
+            .max_by_key(|s| s.term)
+            .unwrap();
         for commit in commits {
             assert!(
                 top.log.binary_search_by_key(&commit, |e| e.1).is_ok(),
@@ -270,10 +316,15 @@
             };
             for id in ids.iter().filter(|i| **i != leader) {
                 let to = &self.servers[id];
-                if to.health == Health::Up && (to.log != log || acked < log.len() || to.term < term) {
+                if to.health == Health::Up && (to.log != log || acked < log.len() || to.term < term)
+                {
                     let way = self.way();
-                    let event =
-                        Event::Append { from: leader.clone(), to: id.clone(), term, log: log.clone() };
+                    let event = Event::Append {
+                        from: leader.clone(),
+                        to: id.clone(),
+                        term,
+                        log: log.clone(),
+                    };
                     self.put(way, event);
                 }
             }
--- a/crates/simulation/src/tests/days.rs
+++ b/crates/simulation/src/tests/days.rs
@@ -60,7 +60,10 @@
 /// has to say so.
 #[test]
 fn the_text_of_a_seed_is_known() {
-    assert_eq!(Day::draw(Site::Control, 7).to_string(), include_str!("day-control-7.toml"));
+    assert_eq!(
+        Day::draw(Site::Control, 7).to_string(),
+        include_str!("day-control-7.toml")
+    );
 }
 
 #[test]
@@ -69,8 +72,14 @@
         for day in days(*site) {
             for entry in day.plan().iter().chain(day.faults()) {
                 let kind = entry.kind();
-                assert!(KINDS.contains(&kind) || ONLY_GROWN.contains(&kind), "{kind}");
-                assert!(*site == Site::Grown || !ONLY_GROWN.contains(&kind), "{kind} on {site:?}");
+                assert!(
+                    KINDS.contains(&kind) || ONLY_GROWN.contains(&kind),
+                    "{kind}"
+                );
+                assert!(
+                    *site == Site::Grown || !ONLY_GROWN.contains(&kind),
+                    "{kind} on {site:?}"
+                );
             }
         }
     }
@@ -82,7 +91,12 @@
         for day in days(*site) {
             for entries in [day.plan(), day.faults()] {
                 assert!(entries.is_sorted_by_key(|entry| entry.at()), "{day}");
-                assert!(entries.iter().all(|e| e.at() >= 1.0 && e.at() < LENGTH_S - 3.0), "{day}");
+                assert!(
+                    entries
+                        .iter()
+                        .all(|e| e.at() >= 1.0 && e.at() < LENGTH_S - 3.0),
+                    "{day}"
+                );
             }
         }
     }
@@ -93,8 +107,14 @@
 fn troubles_meet_in_the_same_second() {
     for site in Site::value_variants() {
         for day in days(*site) {
-            assert!(day.plan().iter().any(|entry| entry.kind() == "config_race"), "{day}");
-            let neighbours = day.faults().windows(2).filter(|pair| pair[1].at() - pair[0].at() <= 1.0);
+            assert!(
+                day.plan().iter().any(|entry| entry.kind() == "config_race"),
+                "{day}"
+            );
+            let neighbours = day
+                .faults()
+                .windows(2)
+                .filter(|pair| pair[1].at() - pair[0].at() <= 1.0);
             assert!(neighbours.count() >= 1, "{day}");
         }
     }
@@ -106,12 +126,25 @@
     for site in Site::value_variants() {
         for day in days(*site) {
             let text = day.to_string();
-            for key in ["name = \"", "slot = \"trouble\"", "seed = ", "plan = [", "faults = ["] {
-                assert_eq!(text.lines().filter(|line| line.starts_with(key)).count(), 1, "{key} in {text}");
+            for key in [
+                "name = \"",
+                "slot = \"trouble\"",
+                "seed = ",
+                "plan = [",
+                "faults = [",
+            ] {
+                assert_eq!(
+                    text.lines().filter(|line| line.starts_with(key)).count(),
+                    1,
+                    "{key} in {text}"
+                );
             }
             assert_eq!(text.matches('"').count() % 2, 0, "{text}");
             for entry in text.lines().filter(|line| line.starts_with("  ")) {
-                assert!(entry.starts_with("  { at = ") && entry.ends_with(" },"), "{entry}");
+                assert!(
+                    entry.starts_with("  { at = ") && entry.ends_with(" },"),
+                    "{entry}"
+                );
                 assert_eq!(entry.matches(['{', '}']).count(), 2, "{entry}");
                 assert!(
                     !entry.contains("= ,") && !entry.contains("\"\"") && !entry.contains("  }"),
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -8,15 +8,21 @@
 use crate::schedule::{Chance, Schedule};
 use crate::servers::{Health, SERVICE, Server};
 use badgerstream_control::{
-    Answer, Asked, Call, ControlTiming, Controller, Node, PromotionOutcome, Statement, Timing, ToControl,
-    ToRouter,
+    Answer, Asked, Call, ControlTiming, Controller, Node, PromotionOutcome, Statement, Timing,
+    ToControl, ToRouter,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// As the program sets them by default, with heartbeats of 1.2 s.
 pub fn timing() -> ControlTiming {
-    let service =
-        Timing { ask: 0.2, ask_replica: 1.0, silence: 0.6, answer: 0.6, heartbeat: 1.2, drain: 7.0 };
+    let service = Timing {
+        ask: 0.2,
+        ask_replica: 1.0,
+        silence: 0.6,
+        answer: 0.6,
+        heartbeat: 1.2,
+        drain: 7.0,
+    };
     ControlTiming {
         lease: 1.0,
         suspect: 0.6,
@@ -46,22 +52,77 @@
     Operator(usize),
     Resign(Node),
     Look,
-    AskAt { node: Node, life: u64, id: String, statement: Statement, asked: f64 },
-    Asked { node: Node, life: u64, id: String, asked: Asked },
-    Renew { node: Node, life: u64, conn: u64, router: usize, call: ToControl },
-    News { router: usize, conn: u64, message: ToRouter },
+    AskAt {
+        node: Node,
+        life: u64,
+        id: String,
+        statement: Statement,
+        asked: f64,
+    },
+    Asked {
+        node: Node,
+        life: u64,
+        id: String,
+        asked: Asked,
+    },
+    Renew {
+        node: Node,
+        life: u64,
+        conn: u64,
+        router: usize,
+        call: ToControl,
+    },
+    News {
+        router: usize,
+        conn: u64,
+        message: ToRouter,
+    },
     RouterTick(usize),
     Beat(String),
     Statement(usize),
-    At { router: usize, server: String, write: bool, seen: usize, sent: f64 },
-    Answered { router: usize, server: String },
+    At {
+        router: usize,
+        server: String,
+        write: bool,
+        seen: usize,
+        sent: f64,
+    },
+    Answered {
+        router: usize,
+        server: String,
+    },
     Replicate,
-    Append { from: String, to: String, term: u64, log: Vec<(u64, u64)> },
-    Appended { primary: String, term: u64, length: usize },
-    Post { node: Node, life: u64, id: String, fence: u64, before: f64 },
-    PostAt { node: Node, life: u64, id: String, fence: u64 },
+    Append {
+        from: String,
+        to: String,
+        term: u64,
+        log: Vec<(u64, u64)>,
+    },
+    Appended {
+        primary: String,
+        term: u64,
+        length: usize,
+    },
+    Post {
+        node: Node,
+        life: u64,
+        id: String,
+        fence: u64,
+        before: f64,
+    },
+    PostAt {
+        node: Node,
+        life: u64,
+        id: String,
+        fence: u64,
+    },
     Promote(String),
-    PostAnswer { node: Node, life: u64, id: String, outcome: PromotionOutcome },
+    PostAnswer {
+        node: Node,
+        life: u64,
+        id: String,
+        outcome: PromotionOutcome,
+    },
     Depose(String, u64),
 }
 
@@ -229,9 +290,16 @@
 
     /// This machine hears no other one, or is heard by none, or both.
     pub fn cut_off(&mut self, node: Node, hears_nobody: bool, unheard: bool) {
-        self.say(|| format!("control {node} is cut off: hears nobody {hears_nobody}, unheard {unheard}"));
+        self.say(|| {
+            format!("control {node} is cut off: hears nobody {hears_nobody}, unheard {unheard}")
+        });
         self.cut_off.insert(node);
-        let others: Vec<Node> = self.controls.keys().copied().filter(|other| *other != node).collect();
+        let others: Vec<Node> = self
+            .controls
+            .keys()
+            .copied()
+            .filter(|other| *other != node)
+            .collect();
         for other in others {
             if hears_nobody {
                 self.links.cut.insert((other, node));
@@ -247,7 +315,9 @@
     pub fn heal(&mut self, node: Node) {
         self.say(|| format!("control {node} is no longer cut off"));
         self.cut_off.remove(&node);
-        self.links.cut.retain(|(from, to)| *from != node && *to != node);
+        self.links
+            .cut
+            .retain(|(from, to)| *from != node && *to != node);
         self.trouble(node);
         self.release_held();
     }
@@ -258,7 +328,9 @@
         self.halves = true;
         self.seen.event = self.now;
         for one in half {
-            other.iter().for_each(|other| self.links.cut_between(*one, *other));
+            other
+                .iter()
+                .for_each(|other| self.links.cut_between(*one, *other));
         }
     }
 
@@ -302,7 +374,11 @@
     pub fn set_disk(&mut self, node: Node, health: crate::disk::DiskHealth) {
         self.say(|| format!("disk of control {node}: {health:?}"));
         self.trouble(node);
-        self.controls.get_mut(&node).expect("the machine exists").disk.health = health;
+        self.controls
+            .get_mut(&node)
+            .expect("the machine exists")
+            .disk
+            .health = health;
     }
 
     /// This machine is asked to end.
@@ -334,7 +410,8 @@
 
     pub(crate) fn call_for_server(&mut self, id: &str) -> u64 {
         self.calls += 1;
-        self.callers.insert(self.calls, Caller::Server(id.to_owned()));
+        self.callers
+            .insert(self.calls, Caller::Server(id.to_owned()));
         self.calls
     }
 
@@ -344,7 +421,11 @@
         let answer = match clock < answer.until {
             true => answer,
             // It rested on contact that is over.
-            false => Answer { status: 503, body: std::rc::Rc::from([]), until: f64::INFINITY },
+            false => Answer {
+                status: 503,
+                body: std::rc::Rc::from([]),
+                until: f64::INFINITY,
+            },
         };
         match self.callers.remove(&call) {
             Some(Caller::Operator(_)) if self.chance.of_thousand(self.lost_replies) => {}
@@ -352,7 +433,9 @@
             Some(Caller::Server(id)) if answer.status != 200 => self.put(0.05, Event::Beat(id)),
             Some(Caller::Server(_)) => {}
             None => {
-                self.replies.entry(call).or_insert((answer.status, answer.body.to_vec()));
+                self.replies
+                    .entry(call)
+                    .or_insert((answer.status, answer.body.to_vec()));
             }
         }
     }
@@ -381,7 +464,11 @@
     pub fn run_until(&mut self, most: f64, what: &str, holds: impl Fn(&World) -> bool) -> f64 {
         let begin = self.now;
         while !holds(self) {
-            assert!(self.now - begin < most, "not within {most} s: {what} (phase {})", self.phase());
+            assert!(
+                self.now - begin < most,
+                "not within {most} s: {what} (phase {})",
+                self.phase()
+            );
             self.run(0.005);
         }
         self.now - begin
@@ -397,7 +484,10 @@
                 if self.now - self.controls[node].servers_kept >= KEEP_SERVERS {
                     self.keep_servers(*node);
                 }
-                let leads = self.controls[node].controller.as_ref().is_some_and(Controller::leads);
+                let leads = self.controls[node]
+                    .controller
+                    .as_ref()
+                    .is_some_and(Controller::leads);
                 self.put(if leads { 0.02 } else { 0.05 }, Event::Tick(*node, *life));
             }
             Event::Peer(parcel) => self.deliver(parcel.clone(), &event),
@@ -423,10 +513,20 @@
                 self.check_liveness();
                 self.put(LOOK, Event::Look);
             }
-            Event::AskAt { node, life, id, statement, asked } => {
+            Event::AskAt {
+                node,
+                life,
+                id,
+                statement,
+                asked,
+            } => {
                 if self.servers[id].health != Health::Up {
-                    let refused =
-                        Event::Asked { node: *node, life: *life, id: id.clone(), asked: Asked::Refused };
+                    let refused = Event::Asked {
+                        node: *node,
+                        life: *life,
+                        id: id.clone(),
+                        asked: Asked::Refused,
+                    };
                     self.put(0.001, refused);
                     return;
                 }
@@ -438,19 +538,49 @@
                 let way = self.way();
                 let (after, asked) = match row {
                     _ if lost => (0.6, Asked::Silent),
-                    Some(row) => (way, Asked::Row { statement: *statement, row, asked: *asked }),
+                    Some(row) => (
+                        way,
+                        Asked::Row {
+                            statement: *statement,
+                            row,
+                            asked: *asked,
+                        },
+                    ),
                     None => (way, Asked::Busy),
                 };
-                self.put(after, Event::Asked { node: *node, life: *life, id: id.clone(), asked });
+                self.put(
+                    after,
+                    Event::Asked {
+                        node: *node,
+                        life: *life,
+                        id: id.clone(),
+                        asked,
+                    },
+                );
             }
-            Event::Asked { node, life, id, asked } => {
+            Event::Asked {
+                node,
+                life,
+                id,
+                asked,
+            } => {
                 if self.reaches(*node, Some(*life), &event) {
                     let control = self.controls.get_mut(node).unwrap();
                     let now = self.now + control.offset;
-                    control.controller.as_mut().unwrap().asked(now, SERVICE, id, *asked);
+                    control
+                        .controller
+                        .as_mut()
+                        .unwrap()
+                        .asked(now, SERVICE, id, *asked);
                 }
             }
-            Event::Renew { node, life, conn, router, call } => {
+            Event::Renew {
+                node,
+                life,
+                conn,
+                router,
+                call,
+            } => {
                 if self.apart.contains(&(*node, *router)) {
                     return;
                 }
@@ -459,7 +589,11 @@
                     self.with(*node, |s, now| s.router(now, *conn, call));
                 }
             }
-            Event::News { router, conn, message } => {
+            Event::News {
+                router,
+                conn,
+                message,
+            } => {
                 if self.routers[*router].frozen {
                     self.routers[*router].inbox.push(event);
                     return;
@@ -478,7 +612,13 @@
                 let wait = 0.02 + 0.0002 * self.draw(100) as f64;
                 self.put(wait, Event::Statement(*router));
             }
-            Event::At { router, server, write, seen, sent } => self.at(*router, server, *write, *seen, *sent),
+            Event::At {
+                router,
+                server,
+                write,
+                seen,
+                sent,
+            } => self.at(*router, server, *write, *seen, *sent),
             Event::Answered { router, server } => {
                 let clock = self.now + self.routers[*router].offset;
                 self.routers[*router].evidence.insert(server.clone(), clock);
@@ -487,7 +627,12 @@
                 self.replicate();
                 self.put(0.006, Event::Replicate);
             }
-            Event::Append { from, to, term, log } => {
+            Event::Append {
+                from,
+                to,
+                term,
+                log,
+            } => {
                 let server = self.servers.get_mut(to).unwrap();
                 if server.health != Health::Up
                     || server.leader
@@ -503,9 +648,20 @@
                     server.log.clone_from(log);
                 }
                 let way = self.way();
-                self.put(way, Event::Appended { primary: from.clone(), term: *term, length: log.len() });
+                self.put(
+                    way,
+                    Event::Appended {
+                        primary: from.clone(),
+                        term: *term,
+                        length: log.len(),
+                    },
+                );
             }
-            Event::Appended { primary, term, length } => {
+            Event::Appended {
+                primary,
+                term,
+                length,
+            } => {
                 let server = self.servers.get_mut(primary).unwrap();
                 if server.health != Health::Up || !server.leader || server.term != *term {
                     return;
@@ -517,7 +673,13 @@
                     self.acknowledge(primary, *term, news);
                 }
             }
-            Event::Post { node, life, id, fence, before } => {
+            Event::Post {
+                node,
+                life,
+                id,
+                fence,
+                before,
+            } => {
                 if !self.reaches(*node, Some(*life), &event) {
                     return;
                 }
@@ -525,20 +687,47 @@
                 let promised = control.controller.as_ref().unwrap().record().promised.0;
                 if self.now + control.offset >= *before || promised != *fence {
                     let outcome = PromotionOutcome::NotSent;
-                    let answer = Event::PostAnswer { node: *node, life: *life, id: id.clone(), outcome };
+                    let answer = Event::PostAnswer {
+                        node: *node,
+                        life: *life,
+                        id: id.clone(),
+                        outcome,
+                    };
                     self.put(0.0, answer);
                     return;
                 }
                 let way = self.way();
-                self.put(way, Event::PostAt { node: *node, life: *life, id: id.clone(), fence: *fence });
+                self.put(
+                    way,
+                    Event::PostAt {
+                        node: *node,
+                        life: *life,
+                        id: id.clone(),
+                        fence: *fence,
+                    },
+                );
             }
-            Event::PostAt { node, life, id, fence } => self.post_at(*node, *life, id, *fence),
+            Event::PostAt {
+                node,
+                life,
+                id,
+                fence,
+            } => self.post_at(*node, *life, id, *fence),
             Event::Promote(id) => self.promote(id),
-            Event::PostAnswer { node, life, id, outcome } => {
+            Event::PostAnswer {
+                node,
+                life,
+                id,
+                outcome,
+            } => {
                 if self.reaches(*node, Some(*life), &event) {
                     let control = self.controls.get_mut(node).unwrap();
                     let now = self.now + control.offset;
-                    control.controller.as_mut().unwrap().promoted(now, SERVICE, id, *outcome);
+                    control
+                        .controller
+                        .as_mut()
+                        .unwrap()
+                        .promoted(now, SERVICE, id, *outcome);
                 }
             }
             Event::Depose(id, term) => {
--- a/crates/simulation/tests/calls.rs
+++ b/crates/simulation/tests/calls.rs
@@ -5,7 +5,11 @@
 use badgerstream_simulation::World;
 
 fn replace(base: u64, epoch: u64, text: &str) -> Call {
-    Call::Replace { base, epoch, body: text.as_bytes().into() }
+    Call::Replace {
+        base,
+        epoch,
+        body: text.as_bytes().into(),
+    }
 }
 
 fn led() -> World {
@@ -33,14 +37,37 @@
     for node in 1..=3 {
         let number = u64::from(node);
         let (base, epoch) = (number - 1, number);
-        assert_eq!(ask(&mut world, node, number, replace(base, epoch, "x")).unwrap().0, 200);
+        assert_eq!(
+            ask(&mut world, node, number, replace(base, epoch, "x"))
+                .unwrap()
+                .0,
+            200
+        );
         // Just the same again, at another machine.
-        assert_eq!(ask(&mut world, 1 + node % 3, 10 + number, replace(base, epoch, "x")).unwrap().0, 200);
+        assert_eq!(
+            ask(
+                &mut world,
+                1 + node % 3,
+                10 + number,
+                replace(base, epoch, "x")
+            )
+            .unwrap()
+            .0,
+            200
+        );
         // Another one on the same base.
-        assert_eq!(ask(&mut world, node, 20 + number, replace(base, epoch + 1, "y")).unwrap().0, 412);
+        assert_eq!(
+            ask(&mut world, node, 20 + number, replace(base, epoch + 1, "y"))
+                .unwrap()
+                .0,
+            412
+        );
     }
     assert_eq!(ask(&mut world, 2, 30, replace(3, 3, "z")).unwrap().0, 400);
-    assert_eq!(ask(&mut world, 2, 31, Call::Read).unwrap(), (200, b"x".to_vec()));
+    assert_eq!(
+        ask(&mut world, 2, 31, Call::Read).unwrap(),
+        (200, b"x".to_vec())
+    );
 }
 
 #[test]
@@ -74,13 +101,22 @@
             let first = world.replies.get(&at).map(|r| r.0);
             let again = ask(&mut world, 3, 10 + at, call).unwrap().0;
             assert!(again == 200 || again == 412, "step {step}: {again}");
-            assert!(first.is_none_or(|f| f == 503 || f == again), "step {step}: {first:?}, then {again}");
+            assert!(
+                first.is_none_or(|f| f == 503 || f == again),
+                "step {step}: {first:?}, then {again}"
+            );
             answers.push(again);
         }
         answers.sort_unstable();
         assert_eq!(answers, [200, 412], "step {step}");
         let read = ask(&mut world, 1, 20, Call::Read).unwrap();
-        let won = world.controls[&1].controller.as_ref().unwrap().config().1.to_vec();
+        let won = world.controls[&1]
+            .controller
+            .as_ref()
+            .unwrap()
+            .config()
+            .1
+            .to_vec();
         assert!(read == (200, b"x".to_vec()) || read == (200, b"y".to_vec()));
         assert_eq!(read.1, won);
     }
@@ -102,7 +138,11 @@
         assert_eq!(world.replies[&1].0, 200);
         world.run(0.0005 * f64::from(step / 4));
         for node in 1..=3 {
-            if node == wiped { world.wipe(node) } else { world.kill(node) }
+            if node == wiped {
+                world.wipe(node)
+            } else {
+                world.kill(node)
+            }
         }
         world.run(0.5);
         for node in 1..=3 {
@@ -163,7 +203,8 @@
             let wait: u16 = u.int_in_range(0..=1200)?;
             world.run(f64::from(wait) / 1000.0);
             for (number, base, epoch) in &sent {
-                if world.replies.get(number).is_some_and(|r| r.0 == 200) && !acked.contains(&(*base, *epoch))
+                if world.replies.get(number).is_some_and(|r| r.0 == 200)
+                    && !acked.contains(&(*base, *epoch))
                 {
                     assert!(
                         acked.iter().all(|a| a.0 != *base),
@@ -185,10 +226,17 @@
         }
         world.run(6.0);
         for node in 1..=3 {
-            let read = ask(&mut world, node, 1000 + u64::from(node), Call::Read).expect("an answer");
+            let read =
+                ask(&mut world, node, 1000 + u64::from(node), Call::Read).expect("an answer");
             assert_eq!(read.0, 200);
-            let newest: u64 = String::from_utf8_lossy(&read.1).trim_start_matches('c').parse().unwrap_or(0);
-            assert!(newest >= acked.last().map_or(0, |a| a.1), "{acked:?}, but {newest} is read");
+            let newest: u64 = String::from_utf8_lossy(&read.1)
+                .trim_start_matches('c')
+                .parse()
+                .unwrap_or(0);
+            assert!(
+                newest >= acked.last().map_or(0, |a| a.1),
+                "{acked:?}, but {newest} is read"
+            );
         }
         Ok(())
     })
@@ -209,7 +257,9 @@
         world.links.cut.insert((other, old));
     }
     world.run(0.05);
-    world.run_until(1.5, "another leader", |w| w.leader().is_some_and(|l| l != old));
+    world.run_until(1.5, "another leader", |w| {
+        w.leader().is_some_and(|l| l != old)
+    });
     world.run_until(2.0, "routers with a lease", |w| w.in_use().is_some());
     world.run(1.0);
     assert!(world.in_use().is_some());
@@ -225,19 +275,35 @@
         id: "new".to_owned(),
         beat: badgerstream_simulation::servers::beat("10.0.9.9:1", seq, false),
     };
-    let alone = *world.controls.keys().find(|n| **n != leader).expect("three control machines");
+    let alone = *world
+        .controls
+        .keys()
+        .find(|n| **n != leader)
+        .expect("three control machines");
     assert_eq!(ask(&mut world, alone, 901, beat(1)).map(|a| a.0), Some(200));
-    for other in world.controls.keys().copied().filter(|n| *n != alone).collect::<Vec<_>>() {
+    for other in world
+        .controls
+        .keys()
+        .copied()
+        .filter(|n| *n != alone)
+        .collect::<Vec<_>>()
+    {
         world.links.cut.insert((alone, other));
         world.links.cut.insert((other, alone));
     }
     world.run(2.0);
     // Only it would know of a copy that counts for what is acknowledged.
     assert_eq!(ask(&mut world, alone, 902, beat(2)).map(|a| a.0), Some(503));
-    assert_eq!(ask(&mut world, leader, 903, beat(3)).map(|a| a.0), Some(200));
+    assert_eq!(
+        ask(&mut world, leader, 903, beat(3)).map(|a| a.0),
+        Some(200)
+    );
 }
 
 /// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
 fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(1500)
+    std::env::var("ARBTEST_BUDGET_MS")
+        .ok()
+        .and_then(|ms| ms.parse().ok())
+        .unwrap_or(1500)
 }
--- a/crates/simulation/tests/catch_up.rs
+++ b/crates/simulation/tests/catch_up.rs
@@ -15,7 +15,12 @@
 }
 
 fn newest(world: &World) -> u64 {
-    world.controls.values().map(|machine| machine.disk.record.state.seq).max().unwrap_or(0)
+    world
+        .controls
+        .values()
+        .map(|machine| machine.disk.record.state.seq)
+        .max()
+        .unwrap_or(0)
 }
 
 /// A machine that was away for hundreds of changes has them all once it has had its time, over a slow disk too, and then
@@ -78,7 +83,10 @@
                 world.set_disk(node, USUAL);
                 world.run(0.6);
                 let controller = world.controls[&node].controller.as_ref().unwrap();
-                assert!(!controller.consensus().disk_failed(), "it is opened anew within half a second");
+                assert!(
+                    !controller.consensus().disk_failed(),
+                    "it is opened anew within half a second"
+                );
                 world.run(CATCH_UP + 0.5);
             }
         }
--- a/crates/simulation/tests/contact.rs
+++ b/crates/simulation/tests/contact.rs
@@ -56,9 +56,27 @@
     let body = b"{\"epoch\":999999}".as_slice();
     [
         ("read", Call::Read),
-        ("order", Call::Replace { base: 0, epoch: 999_999, body: body.into() }),
-        ("beat", Call::Beat { id: "new".to_owned(), beat: beat("10.0.9.9:1", 1, false) }),
-        ("depart", Call::Depart { id: "new".to_owned() }),
+        (
+            "order",
+            Call::Replace {
+                base: 0,
+                epoch: 999_999,
+                body: body.into(),
+            },
+        ),
+        (
+            "beat",
+            Call::Beat {
+                id: "new".to_owned(),
+                beat: beat("10.0.9.9:1", 1, false),
+            },
+        ),
+        (
+            "depart",
+            Call::Depart {
+                id: "new".to_owned(),
+            },
+        ),
     ]
 }
 
@@ -77,7 +95,11 @@
                     world.call(cut, number, call);
                     world.run(1.0);
                     let status = world.replies.get(&number).map(|reply| reply.0);
-                    assert_eq!(status, Some(503), "{what}, leader {leads}, {hears_nobody} {unheard}");
+                    assert_eq!(
+                        status,
+                        Some(503),
+                        "{what}, leader {leads}, {hears_nobody} {unheard}"
+                    );
                 }
             }
         }
@@ -99,7 +121,11 @@
         for (node, number) in [(leader, 1 + at as u64), (with_it, 100 + at as u64)] {
             world.call(node, number, call.clone());
             world.run(1.0);
-            assert_eq!(world.replies.get(&number).map(|reply| reply.0), Some(503), "{what} at {node}");
+            assert_eq!(
+                world.replies.get(&number).map(|reply| reply.0),
+                Some(503),
+                "{what} at {node}"
+            );
         }
     }
 }
@@ -112,7 +138,15 @@
     start.run(3.0);
     let leader = start.leader().unwrap();
     let first = b"{\"epoch\":3}".as_slice();
-    start.call(leader, 1, Call::Replace { base: 0, epoch: 3, body: first.into() });
+    start.call(
+        leader,
+        1,
+        Call::Replace {
+            base: 0,
+            epoch: 3,
+            body: first.into(),
+        },
+    );
     start.run(0.5);
     assert_eq!(start.replies[&1].0, 200);
     for at in 0..40 {
@@ -127,13 +161,24 @@
             let answered = world.replies.contains_key(&2);
             let next = world.leader().expect("another one leads");
             let second = b"{\"epoch\":4}".as_slice();
-            world.call(next, 3, Call::Replace { base: 3, epoch: 4, body: second.into() });
+            world.call(
+                next,
+                3,
+                Call::Replace {
+                    base: 3,
+                    epoch: 4,
+                    body: second.into(),
+                },
+            );
             world.run(0.5);
             assert_eq!(world.replies[&3].0, 200);
             world.thaw(leader);
             world.run(1.5);
             let read = world.replies.get(&2).expect("an answer");
-            assert!(answered || read.0 == 503 || read.1 == second, "{asked} at {at}: {read:?}");
+            assert!(
+                answered || read.0 == 503 || read.1 == second,
+                "{asked} at {at}: {read:?}"
+            );
         }
     }
 }
@@ -148,12 +193,22 @@
             world.run(4.0);
             let leader = world.leader().unwrap();
             let asked = 1 + leader % 5;
-            world.call(asked, 1, Call::Beat { id: "a".to_owned(), beat: beat("10.0.0.1:1", 1, false) });
+            world.call(
+                asked,
+                1,
+                Call::Beat {
+                    id: "a".to_owned(),
+                    beat: beat("10.0.0.1:1", 1, false),
+                },
+            );
             world.run(0.5);
             assert_eq!(world.replies[&1].0, 200);
             let call = match depart {
                 true => Call::Depart { id: "a".to_owned() },
-                false => Call::Beat { id: "a".to_owned(), beat: beat("10.0.0.1:1", 2, true) },
+                false => Call::Beat {
+                    id: "a".to_owned(),
+                    beat: beat("10.0.0.1:1", 2, true),
+                },
             };
             world.call(asked, 2, call);
             for _ in 0..at {
@@ -166,7 +221,10 @@
             let next = world.leader().expect("three of five lead");
             let controller = world.controls[&next].controller.as_ref().unwrap();
             // Nobody listens at its address here, so one that left without having drained is known to have ended by now.
-            let mut members = controller.members().all().filter(|m| depart || !m.news.gone);
+            let mut members = controller
+                .members()
+                .all()
+                .filter(|m| depart || !m.news.gone);
             let known = members.any(|m| m.news.id == "a" && m.news.draining);
             assert!(known || !acknowledged, "after {at} events");
         }
@@ -181,16 +239,27 @@
         let (mut world, leader) = at_work(16, 5, 2);
         let asked = 1 + leader % 5;
         let others: Vec<Node> = (1..=5).filter(|node| *node != asked).collect();
-        let only_leader: Vec<Node> = others.iter().copied().filter(|node| *node != leader).collect();
+        let only_leader: Vec<Node> = others
+            .iter()
+            .copied()
+            .filter(|node| *node != leader)
+            .collect();
         for (number, unreached) in [(1, others.clone()), (2, only_leader), (3, vec![leader])] {
             let id = format!("server-{number}");
             for node in &unreached {
                 world.links.cut.insert((asked, *node));
             }
-            let call = Call::Beat { id: id.clone(), beat: beat("10.0.0.1:1", 1, draining) };
+            let call = Call::Beat {
+                id: id.clone(),
+                beat: beat("10.0.0.1:1", 1, draining),
+            };
             world.call(asked, number, call);
             world.run(1.0);
-            assert_eq!(world.replies.get(&number).map(|reply| reply.0), Some(503), "{id}");
+            assert_eq!(
+                world.replies.get(&number).map(|reply| reply.0),
+                Some(503),
+                "{id}"
+            );
             world.heal_all();
             world.run(3.0);
         }
@@ -199,8 +268,15 @@
 
 /// A configuration of this epoch that is long enough for a change of it to be shorter.
 fn config(epoch: u64, by: &str) -> Rc<[u8]> {
-    let routes: Vec<String> = (0..40).map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}")).collect();
-    format!("{{\"epoch\":{epoch},\"by\":\"{by}\",\"routes\":[{}]}}", routes.join(",")).into_bytes().into()
+    let routes: Vec<String> = (0..40)
+        .map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}"))
+        .collect();
+    format!(
+        "{{\"epoch\":{epoch},\"by\":\"{by}\",\"routes\":[{}]}}",
+        routes.join(",")
+    )
+    .into_bytes()
+    .into()
 }
 
 /// A router that lacks a version asks while the next one is being agreed on, at every moment of that: it is told only what is
@@ -213,7 +289,11 @@
             world.add_router(0);
             world.run(3.0);
             let leader = world.leader().expect("somebody leads");
-            let replace = |base, epoch, by| Call::Replace { base, epoch, body: config(epoch, by) };
+            let replace = |base, epoch, by| Call::Replace {
+                base,
+                epoch,
+                body: config(epoch, by),
+            };
             world.call(leader, 1, replace(0, 1, "a"));
             world.run(0.5);
             assert_eq!(world.routers[0].in_force, 1);
@@ -231,7 +311,10 @@
             world.thaw_router(0);
             world.run(2.0);
             if cut {
-                let next = world.leader().filter(|next| *next != leader).expect("another one leads");
+                let next = world
+                    .leader()
+                    .filter(|next| *next != leader)
+                    .expect("another one leads");
                 world.call(next, 5, replace(3, 4, "won"));
                 world.run(1.0);
             }
--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -5,7 +5,9 @@
 
 fn steady(seed: u64) -> World {
     let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use at the start", |w| w.in_use().as_deref() == Some("a"));
+    world.run_until(6.0, "a primary in use at the start", |w| {
+        w.in_use().as_deref() == Some("a")
+    });
     world.run(4.0);
     assert!(world.writes());
     world
@@ -60,7 +62,9 @@
         world.kill(leader);
         world.run(0.05);
         world.run_until(1.2, "a new leader", |w| w.leader().is_some());
-        world.run_until(2.0, "the same primary", |w| w.in_use().as_deref() == Some("a"));
+        world.run_until(2.0, "the same primary", |w| {
+            w.in_use().as_deref() == Some("a")
+        });
         assert!(world.promoted.is_empty());
         world.start(leader);
         world.run(3.0);
@@ -80,7 +84,11 @@
         world.kill(leader);
         let took = world.run_until(1.2, "a new leader", |w| w.leader().is_some());
         world.run(0.7);
-        assert_eq!(world.in_use(), Some(primary), "seed {seed}: led after {took}");
+        assert_eq!(
+            world.in_use(),
+            Some(primary),
+            "seed {seed}: led after {took}"
+        );
     }
 }
 
@@ -146,9 +154,16 @@
 /// Runs until another primary than a is in use, and a little on: the longest time without a write that was acknowledged.
 fn gap_until_another_is_used(world: &mut World) -> f64 {
     let begin = world.now;
-    world.run_until(4.0, "another in use", |w| w.in_use().is_some_and(|p| p != "a"));
+    world.run_until(4.0, "another in use", |w| {
+        w.in_use().is_some_and(|p| p != "a")
+    });
     world.run(0.5);
-    let at: Vec<f64> = world.served.iter().copied().filter(|t| *t > begin).collect();
+    let at: Vec<f64> = world
+        .served
+        .iter()
+        .copied()
+        .filter(|t| *t > begin)
+        .collect();
     at.windows(2).map(|w| w[1] - w[0]).fold(0.0, f64::max)
 }
 
@@ -178,8 +193,14 @@
         world.run(2.0);
         assert!(world.writes() && world.promoted.len() == 1);
         let leader = world.leader().expect("somebody leads");
-        let controller = world.controls[&leader].controller.as_ref().expect("it runs");
-        assert!(controller.members().get("a").is_none(), "it has ended, and is known to have");
+        let controller = world.controls[&leader]
+            .controller
+            .as_ref()
+            .expect("it runs");
+        assert!(
+            controller.members().get("a").is_none(),
+            "it has ended, and is known to have"
+        );
     }
 }
 
@@ -201,7 +222,9 @@
                 world.kill(leader);
             }
             // Promoting c would lose commits: the simulation looks for that.
-            world.run_until(7.0, "b leads", |w| w.promoted.iter().any(|(id, _)| id == "b"));
+            world.run_until(7.0, "b leads", |w| {
+                w.promoted.iter().any(|(id, _)| id == "b")
+            });
         }
     }
 }
@@ -230,7 +253,9 @@
         let promoted = world.promoted[0].0.clone();
         world.drain(&promoted);
         world.run_until(0.8, "the first one follows", |w| !w.servers["a"].leader);
-        world.run_until(4.0, "a third one in use", |w| w.in_use().is_some_and(|p| p != "a" && p != promoted));
+        world.run_until(4.0, "a third one in use", |w| {
+            w.in_use().is_some_and(|p| p != "a" && p != promoted)
+        });
         assert!(world.now - begin < 5.0 && world.promoted.len() == 2);
     }
 }
@@ -300,7 +325,10 @@
     for seed in 0..6 {
         let mut world = steady(seed);
         world.crash("a");
-        let (endpoint, log) = (world.servers["a"].endpoint.clone(), world.servers["a"].log.clone());
+        let (endpoint, log) = (
+            world.servers["a"].endpoint.clone(),
+            world.servers["a"].log.clone(),
+        );
         world.run(0.3);
         world.servers.get_mut("a").unwrap().left = true;
         // It gets the log, and the lead, as nobody was promoted.
@@ -316,7 +344,9 @@
 /// A primary a is in use, and control has not reached the replica c for longer than after which the silent are forgotten.
 fn out_of_reach_of_control(seed: u64) -> World {
     let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use", |w| w.in_use().as_deref() == Some("a"));
+    world.run_until(6.0, "a primary in use", |w| {
+        w.in_use().as_deref() == Some("a")
+    });
     world.run(1.0);
     world.mute.insert("c".to_owned());
     world.servers.get_mut("c").expect("it is there").beats = false;
@@ -345,7 +375,9 @@
         }
         reach_again(&mut world);
         world.servers.get_mut("b").expect("it is there").deaf = false;
-        world.run_until(8.0, "another primary in use", |w| w.in_use().is_some_and(|id| id != "a"));
+        world.run_until(8.0, "another primary in use", |w| {
+            w.in_use().is_some_and(|id| id != "a")
+        });
     }
 }
 
@@ -360,7 +392,9 @@
         world.run(3.0);
         assert!(world.promoted.is_empty(), "{:?}", world.promoted);
         reach_again(&mut world);
-        world.run_until(6.0, "another primary in use", |w| w.in_use().as_deref() == Some("c"));
+        world.run_until(6.0, "another primary in use", |w| {
+            w.in_use().as_deref() == Some("c")
+        });
     }
 }
 
@@ -369,12 +403,16 @@
 fn a_crash_waits_for_no_replica_that_is_dark() {
     for seed in 0..20 {
         let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| w.in_use().as_deref() == Some("a"));
+        world.run_until(6.0, "a primary in use", |w| {
+            w.in_use().as_deref() == Some("a")
+        });
         world.run(1.0);
         world.darken("c");
         world.run(3.0);
         world.crash("a");
-        world.run_until(4.0, "another primary in use", |w| w.in_use().as_deref() == Some("b"));
+        world.run_until(4.0, "another primary in use", |w| {
+            w.in_use().as_deref() == Some("b")
+        });
     }
 }
 
@@ -407,7 +445,10 @@
                 world.kill(leader);
             }
             world.run(1.0);
-            assert!(!world.writes() && world.promoted.len() == 1, "it is waited for");
+            assert!(
+                !world.writes() && world.promoted.len() == 1,
+                "it is waited for"
+            );
             world.recover_as(&promoted, "d");
             world.servers.get_mut(behind).expect("a replica").deaf = false;
             world.run_until(if leader_lost { 5.0 } else { 2.0 }, "writes", World::writes);
@@ -423,7 +464,10 @@
         let leader = world.leader().expect("somebody leads");
         world.kill(leader);
         world.run(3.0);
-        assert!(!world.writes() && world.promoted.len() == 1, "both are waited for");
+        assert!(
+            !world.writes() && world.promoted.len() == 1,
+            "both are waited for"
+        );
         world.recover_as("a", "d");
         world.run(0.5);
         world.recover_as(&promoted, "e");
@@ -472,11 +516,16 @@
         seen.insert(world.phase());
         world.kill(leader);
         world.run(0.05);
-        world.run_until(7.0, "a new primary", |w| w.in_use().is_some_and(|p| p != "a"));
+        world.run_until(7.0, "a new primary", |w| {
+            w.in_use().is_some_and(|p| p != "a")
+        });
         world.run(1.0);
         assert!(world.writes());
     }
-    assert!(seen.contains("promoting") && seen.contains("switching"), "{seen:?}");
+    assert!(
+        seen.contains("promoting") && seen.contains("switching"),
+        "{seen:?}"
+    );
 }
 
 /// The same with a leader that is frozen and wakes later.
@@ -496,7 +545,9 @@
         world.run(0.3 + 0.05 * f64::from(step));
         world.thaw(leader);
         world.run(0.4);
-        world.run_until(9.0, "a new primary", |w| w.in_use().is_some_and(|p| p != "a"));
+        world.run_until(9.0, "a new primary", |w| {
+            w.in_use().is_some_and(|p| p != "a")
+        });
         world.run(1.0);
         assert!(world.writes());
     }
@@ -530,7 +581,10 @@
         world.recover("a");
         world.run(5.0);
         assert!(world.writes(), "step {step}: phase {}", world.phase());
-        assert!(world.servers.values().all(|s| s.held.is_none()), "step {step}: a replica is still held");
+        assert!(
+            world.servers.values().all(|s| s.held.is_none()),
+            "step {step}: a replica is still held"
+        );
     }
 }
 
@@ -547,7 +601,10 @@
         world.kill(leader);
         world.run(9.0);
         assert!(world.writes(), "step {step}: phase {}", world.phase());
-        assert!(world.servers.values().all(|s| s.held.is_none()), "step {step}: a replica is still held");
+        assert!(
+            world.servers.values().all(|s| s.held.is_none()),
+            "step {step}: a replica is still held"
+        );
     }
 }
 
@@ -595,7 +652,9 @@
     world.darken(&new);
     world.run(0.9);
     world.recover(&new);
-    world.run_until(2.0, "the new primary in use", |w| w.in_use().as_ref() == Some(&new));
+    world.run_until(2.0, "the new primary in use", |w| {
+        w.in_use().as_ref() == Some(&new)
+    });
     assert_eq!(world.promoted.len(), 1);
 }
 
@@ -611,7 +670,9 @@
         let to = world.posts[0].0.clone();
         let server = world.servers.get_mut(&to).unwrap();
         (server.leader, server.term, server.held) = (true, 2, None);
-        world.run_until(4.0, "the new primary in use", |w| w.in_use().as_ref() == Some(&to));
+        world.run_until(4.0, "the new primary in use", |w| {
+            w.in_use().as_ref() == Some(&to)
+        });
     }
 }
 
@@ -643,7 +704,9 @@
     world.run(3.0);
     assert!(world.promoted.is_empty() && world.in_use().as_deref() == Some("a"));
     world.servers.get_mut("c").unwrap().deaf = false;
-    world.run_until(3.0, "the new primary in use", |w| w.in_use().as_deref() == Some("c"));
+    world.run_until(3.0, "the new primary in use", |w| {
+        w.in_use().as_deref() == Some("c")
+    });
 }
 
 /// The old primary is back as a replica, and counts as one: with it all that was acknowledged is there.
@@ -688,7 +751,12 @@
     let mut reborn = 0;
     for _ in 0..u.int_in_range(1..=8)? {
         let node = u.int_in_range(1..=3)?;
-        let servers: Vec<String> = world.servers.values().filter(|s| !s.left).map(|s| s.id.clone()).collect();
+        let servers: Vec<String> = world
+            .servers
+            .values()
+            .filter(|s| !s.left)
+            .map(|s| s.id.clone())
+            .collect();
         let server = u.choose(&servers)?.clone();
         match u.int_in_range(0..=14)? {
             0 => world.kill(node),
@@ -772,7 +840,10 @@
 
 #[test]
 fn any_trouble() {
-    arbtest(trouble).size_min(64).size_max(400).budget_ms(budget());
+    arbtest(trouble)
+        .size_min(64)
+        .size_max(400)
+        .budget_ms(budget());
 }
 
 #[test]
@@ -786,10 +857,15 @@
     assert!(after < 7.0, "after {after}");
     // It is replaced as soon as the platform is back.
     world.statuses.clear();
-    world.run_until(5.0, "another is in use", |w| w.in_use().is_some_and(|p| p != "a"));
+    world.run_until(5.0, "another is in use", |w| {
+        w.in_use().is_some_and(|p| p != "a")
+    });
 }
 
 /// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
 fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(1500)
+    std::env::var("ARBTEST_BUDGET_MS")
+        .ok()
+        .and_then(|ms| ms.parse().ok())
+        .unwrap_or(1500)
 }
--- a/crates/simulation/tests/losses.rs
+++ b/crates/simulation/tests/losses.rs
@@ -17,19 +17,35 @@
 fn replace(world: &mut World, number: u64, base: u64, epoch: u64) {
     let leader = world.leader().expect("somebody leads");
     let body = format!("{{\"epoch\":{epoch}}}").into_bytes();
-    world.call(leader, number, Call::Replace { base, epoch, body: body.into() });
+    world.call(
+        leader,
+        number,
+        Call::Replace {
+            base,
+            epoch,
+            body: body.into(),
+        },
+    );
     for _ in 0..400 {
         if world.replies.contains_key(&number) {
             break;
         }
         world.run(0.002);
     }
-    assert_eq!(world.replies.get(&number).map(|reply| reply.0), Some(200), "{}", world.describe());
+    assert_eq!(
+        world.replies.get(&number).map(|reply| reply.0),
+        Some(200),
+        "{}",
+        world.describe()
+    );
 }
 
 /// Machines that aren't gone and run.
 fn running(world: &World) -> Vec<Node> {
-    let runs = world.controls.iter().filter(|(_, machine)| !machine.removed && machine.controller.is_some());
+    let runs = world
+        .controls
+        .iter()
+        .filter(|(_, machine)| !machine.removed && machine.controller.is_some());
     runs.map(|(node, _)| *node).collect()
 }
 
@@ -40,7 +56,12 @@
         world.call(node, call, Call::Read);
         world.run(1.0);
         let expected = (200, format!("{{\"epoch\":{epoch}}}").into_bytes());
-        assert_eq!(world.replies.get(&call), Some(&expected), "{}", world.describe());
+        assert_eq!(
+            world.replies.get(&call),
+            Some(&expected),
+            "{}",
+            world.describe()
+        );
     }
 }
 
@@ -53,7 +74,9 @@
             let mut world = settled(seed, machines, budget);
             replace(&mut world, 1, 0, 7);
             let leader = world.leader().unwrap();
-            let mut wiped: Vec<Node> = (0..machines).map(|at| 1 + (leader + at - 1) % machines).collect();
+            let mut wiped: Vec<Node> = (0..machines)
+                .map(|at| 1 + (leader + at - 1) % machines)
+                .collect();
             wiped.rotate_left(seed as usize % 2);
             wiped.truncate(budget);
             for node in &wiped {
@@ -88,7 +111,11 @@
             let mut world = settled(seed, machines, budget);
             replace(&mut world, 1, 0, 7);
             let leader = world.leader().unwrap();
-            let gone = if seed % 2 == 0 { leader } else { 1 + leader % machines };
+            let gone = if seed % 2 == 0 {
+                leader
+            } else {
+                1 + leader % machines
+            };
             world.remove(gone);
             world.run(0.5);
             if budget > 1 {
@@ -125,7 +152,10 @@
         world.heal(lags);
         world.resign(leaves);
         world.run_until(1.5, "it may end", |w| {
-            w.controls[&leaves].controller.as_ref().is_some_and(|c| c.may_end())
+            w.controls[&leaves]
+                .controller
+                .as_ref()
+                .is_some_and(|c| c.may_end())
         });
         world.remove(leaves);
         world.wipe(leader);
@@ -165,7 +195,14 @@
             world.start(leader)
         }
         world.run(CATCH_UP);
-        assert_eq!(world.controls.values().filter(|machine| !machine.removed).count(), 3);
+        assert_eq!(
+            world
+                .controls
+                .values()
+                .filter(|machine| !machine.removed)
+                .count(),
+            3
+        );
         for lost in running(&world) {
             let mut world = world.clone();
             world.kill(lost);
@@ -185,15 +222,28 @@
         for at in 0..40 {
             let mut world = start.clone();
             let body = b"{\"epoch\":7}".as_slice();
-            world.call(leader, 1, Call::Replace { base: 0, epoch: 7, body: body.into() });
+            world.call(
+                leader,
+                1,
+                Call::Replace {
+                    base: 0,
+                    epoch: 7,
+                    body: body.into(),
+                },
+            );
             for _ in 0..at {
                 world.step();
             }
             let acknowledged = world.replies.get(&1).is_some_and(|reply| reply.0 == 200);
             for node in 1..=machines {
                 // The leader's disk among them, as often as not.
-                let wiped = (0..budget as u32).any(|more| 1 + (leader + at / 2 + more) % machines == node);
-                if wiped { world.wipe(node) } else { world.power_off(node) }
+                let wiped =
+                    (0..budget as u32).any(|more| 1 + (leader + at / 2 + more) % machines == node);
+                if wiped {
+                    world.wipe(node)
+                } else {
+                    world.power_off(node)
+                }
             }
             for node in 1..=machines {
                 world.run(0.2);
--- a/crates/simulation/tests/orders.rs
+++ b/crates/simulation/tests/orders.rs
@@ -4,7 +4,11 @@
 use badgerstream_simulation::World;
 
 fn order(base: u64, epoch: u64, text: &str) -> Call {
-    Call::Replace { base, epoch, body: text.as_bytes().into() }
+    Call::Replace {
+        base,
+        epoch,
+        body: text.as_bytes().into(),
+    }
 }
 
 fn settled(seed: u64, machines: u32, budget: usize) -> World {
@@ -70,11 +74,20 @@
 #[test]
 fn two_orders_of_one_number_and_a_change_of_leader() {
     let start = settled(1, 3, 1);
-    let orders = [order(0, 5, "{\"epoch\":5,\"by\":\"a\"}"), order(0, 5, "{\"epoch\":5,\"by\":\"b\"}")];
+    let orders = [
+        order(0, 5, "{\"epoch\":5,\"by\":\"a\"}"),
+        order(0, 5, "{\"epoch\":5,\"by\":\"b\"}"),
+    ];
     let leader = start.leader().unwrap();
     let mut taken = [0; 2];
     for (first, second) in (1..=3).flat_map(|a| (1..=3).map(move |b| (a, b))) {
-        for loss in [Loss::Kill, Loss::Freeze, Loss::Cut, Loss::CutOneWay, Loss::Wipe] {
+        for loss in [
+            Loss::Kill,
+            Loss::Freeze,
+            Loss::Cut,
+            Loss::CutOneWay,
+            Loss::Wipe,
+        ] {
             for at in 0..34 {
                 let mut world = start.clone();
                 world.call(first, 1, orders[0].clone());
@@ -86,11 +99,16 @@
                 world.run(1.4);
                 // Sent again while the first copies may still be on their way.
                 let mut number = 10;
-                let during = [0, 1].map(|o| clear_answer(&mut world, leader, &mut number, &orders[o]).0);
+                let during =
+                    [0, 1].map(|o| clear_answer(&mut world, leader, &mut number, &orders[o]).0);
                 mend(&mut world, leader, loss);
                 world.run(4.5);
-                let after = [0, 1].map(|o| clear_answer(&mut world, o as Node, &mut number, &orders[o]).0);
-                assert_eq!(during, after, "{loss:?} at {at}, sent to {first} and {second}");
+                let after =
+                    [0, 1].map(|o| clear_answer(&mut world, o as Node, &mut number, &orders[o]).0);
+                assert_eq!(
+                    during, after,
+                    "{loss:?} at {at}, sent to {first} and {second}"
+                );
                 for o in [0, 1] {
                     let answer = world.replies.get(&(1 + o as u64)).map(|reply| reply.0);
                     assert!(
@@ -99,13 +117,18 @@
                         after[o]
                     );
                 }
-                let won = after.iter().position(|status| *status == 200).expect("one is taken");
+                let won = after
+                    .iter()
+                    .position(|status| *status == 200)
+                    .expect("one is taken");
                 assert_eq!(after[1 - won], 412);
                 taken[won] += 1;
                 for node in 1..=3 {
                     number += 1;
                     let read = ask(&mut world, node, number, Call::Read).expect("an answer");
-                    let Call::Replace { body, .. } = &orders[won] else { panic!("an order") };
+                    let Call::Replace { body, .. } = &orders[won] else {
+                        panic!("an order")
+                    };
                     assert_eq!(read, (200, body.to_vec()));
                 }
             }
@@ -119,14 +142,19 @@
 #[test]
 fn an_order_is_confirmed_again_after_hundreds_of_changes() {
     let mut world = settled(2, 3, 1);
-    let eight: Vec<Call> =
-        (0..8).map(|n| order(0, 5 + n / 2, &format!("{{\"epoch\":{}}}//{n}", 5 + n / 2))).collect();
+    let eight: Vec<Call> = (0..8)
+        .map(|n| order(0, 5 + n / 2, &format!("{{\"epoch\":{}}}//{n}", 5 + n / 2)))
+        .collect();
     for (at, call) in eight.iter().enumerate() {
         world.call(1 + at as Node % 3, 100 + at as u64, call.clone());
     }
     world.run(2.0);
     let statuses: Vec<u16> = (0..8).map(|at| world.replies[&(100 + at)].0).collect();
-    assert_eq!(statuses.iter().filter(|status| **status == 200).count(), 1, "{statuses:?}");
+    assert_eq!(
+        statuses.iter().filter(|status| **status == 200).count(),
+        1,
+        "{statuses:?}"
+    );
     assert!(statuses.iter().all(|status| [200, 412].contains(status)));
     let won = statuses.iter().position(|status| *status == 200).unwrap();
     let mut base = 5 + won as u64 / 2;
@@ -146,7 +174,10 @@
     }
     for node in 0..3 {
         for (at, call) in eight.iter().enumerate() {
-            assert_eq!(clear_answer(&mut world, node, &mut number, call).0, statuses[at]);
+            assert_eq!(
+                clear_answer(&mut world, node, &mut number, call).0,
+                statuses[at]
+            );
         }
     }
 }
--- a/crates/simulation/tests/promotions.rs
+++ b/crates/simulation/tests/promotions.rs
@@ -6,7 +6,9 @@
 
 fn steady(seed: u64) -> World {
     let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use at the start", |w| w.in_use().as_deref() == Some("a"));
+    world.run_until(6.0, "a primary in use at the start", |w| {
+        w.in_use().as_deref() == Some("a")
+    });
     world.run(4.0);
     assert!(world.writes());
     world
@@ -87,13 +89,17 @@
         let mut world = steady(6);
         world.statuses = vec![503, 409];
         world.drain("a");
-        world.run_until(3.0, "the refusal of the second call", |w| w.posts.len() == 2);
+        world.run_until(3.0, "the refusal of the second call", |w| {
+            w.posts.len() == 2
+        });
         let to = world.posts[0].0.clone();
         set_deaf(&mut world, &to, true);
         world.run(late);
         world.promote(&to);
         set_deaf(&mut world, &to, false);
-        world.run_until(4.0, "the new primary in use", |w| w.in_use().as_ref() == Some(&to));
+        world.run_until(4.0, "the new primary in use", |w| {
+            w.in_use().as_ref() == Some(&to)
+        });
     }
 }
 
@@ -133,7 +139,9 @@
     start.traffic = false;
     start.mute.insert("a".to_owned());
     start.freeze_router(0);
-    start.run_until(2.0, "the replicas are paused", |w| held(w, "b").is_some() && held(w, "c").is_some());
+    start.run_until(2.0, "the replicas are paused", |w| {
+        held(w, "b").is_some() && held(w, "c").is_some()
+    });
     for id in ["b", "c"] {
         set_deaf(&mut start, id, false);
     }
@@ -149,7 +157,10 @@
             set_held(&mut world, "c", Some(50));
         }
         world.run_until(5.0, "a promotion", |w| !w.promoted.is_empty());
-        assert!(world.acked.len() > before, "step {step}: the commits that waited were acknowledged");
+        assert!(
+            world.acked.len() > before,
+            "step {step}: the commits that waited were acknowledged"
+        );
     }
 }
 
@@ -162,7 +173,11 @@
         world.run(0.0005);
         assert!(world.now < 20.0);
     }
-    let paused = if held(&world, "b").is_some() { "b" } else { "c" };
+    let paused = if held(&world, "b").is_some() {
+        "b"
+    } else {
+        "c"
+    };
     let to = if paused == "b" { "c" } else { "b" };
     set_held(&mut world, paused, None);
     world.run_until(2.0, "a call", |w| !w.posts.is_empty());
@@ -180,19 +195,28 @@
     for seed in 10..14 {
         let mut world = steady(seed);
         world.darken("a");
-        world.run_until(2.0, "the replicas are paused", |w| held(w, "b").is_some() && held(w, "c").is_some());
+        world.run_until(2.0, "the replicas are paused", |w| {
+            held(w, "b").is_some() && held(w, "c").is_some()
+        });
         world.recover("a");
         world.run_until(3.0, "a primary in use", |w| w.in_use().is_some());
         world.run(1.0);
-        let replicas: Vec<String> =
-            world.servers.values().filter(|s| !s.leader).map(|s| s.id.clone()).collect();
+        let replicas: Vec<String> = world
+            .servers
+            .values()
+            .filter(|s| !s.leader)
+            .map(|s| s.id.clone())
+            .collect();
         assert_eq!(replicas.len(), 2);
         for id in &replicas {
             set_held(&mut world, id, Some(90));
         }
         world.run(1.6);
         assert!(world.writes(), "seed {seed}");
-        assert!(replicas.iter().all(|id| held(&world, id).is_none()), "seed {seed}");
+        assert!(
+            replicas.iter().all(|id| held(&world, id).is_none()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -211,12 +235,25 @@
             let top = world.servers.values().map(|s| s.term).max().unwrap_or(0);
             let late = top + u.int_in_range(0..=4)?;
             match u.int_in_range(0..=6)? {
-                0 | 1 if up && !world.servers[id].leader && late > world.servers[id].held.unwrap_or(top) => {
+                0 | 1
+                    if up
+                        && !world.servers[id].leader
+                        && late > world.servers[id].held.unwrap_or(top) =>
+                {
                     set_held(&mut world, id, Some(late));
                 }
                 // The lowest term that turned it out, which is its own and one more.
-                2 if up && world.servers[id].leader => world.servers.get_mut(id).unwrap().leader = false,
-                3 if up && world.servers.values().filter(|s| s.health == Health::Up).count() > 2 => {
+                2 if up && world.servers[id].leader => {
+                    world.servers.get_mut(id).unwrap().leader = false
+                }
+                3 if up
+                    && world
+                        .servers
+                        .values()
+                        .filter(|s| s.health == Health::Up)
+                        .count()
+                        > 2 =>
+                {
                     world.crash(id);
                 }
                 4 if !up => world.recover(id),
@@ -252,5 +289,8 @@
 
 /// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
 fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS").ok().and_then(|ms| ms.parse().ok()).unwrap_or(1500)
+    std::env::var("ARBTEST_BUDGET_MS")
+        .ok()
+        .and_then(|ms| ms.parse().ok())
+        .unwrap_or(1500)
 }
--- a/crates/simulation/tests/quorum.rs
+++ b/crates/simulation/tests/quorum.rs
@@ -14,7 +14,11 @@
 /// Cuts the links from the leader to the others, or those from the others to it.
 fn cut(world: &mut World, leader: Node, outgoing: bool) {
     for other in (1..=3).filter(|n| *n != leader) {
-        world.links.cut.insert(if outgoing { (leader, other) } else { (other, leader) });
+        world.links.cut.insert(if outgoing {
+            (leader, other)
+        } else {
+            (other, leader)
+        });
     }
 }
 
@@ -25,11 +29,17 @@
         let (mut world, old) = led(seed);
         cut(&mut world, old, false);
         world.run(0.7);
-        world.run_until(4.0, "another leader", |w| w.leader().is_some_and(|l| l != old));
+        world.run_until(4.0, "another leader", |w| {
+            w.leader().is_some_and(|l| l != old)
+        });
         world.run_until(2.0, "a primary in use", |w| w.in_use().is_some());
         for _ in 0..40 {
             world.run(0.5);
-            assert!(world.leader().is_some_and(|l| l != old), "seed {seed}, at {}", world.now);
+            assert!(
+                world.leader().is_some_and(|l| l != old),
+                "seed {seed}, at {}",
+                world.now
+            );
         }
         world.heal_all();
         world.run(2.0);
@@ -43,10 +53,16 @@
         let (mut world, old) = led(seed);
         cut(&mut world, old, true);
         world.run(0.7);
-        world.run_until(4.0, "another leader", |w| w.leader().is_some_and(|l| l != old));
+        world.run_until(4.0, "another leader", |w| {
+            w.leader().is_some_and(|l| l != old)
+        });
         for _ in 0..40 {
             world.run(0.5);
-            assert!(world.leader().is_some_and(|l| l != old), "seed {seed}, at {}", world.now);
+            assert!(
+                world.leader().is_some_and(|l| l != old),
+                "seed {seed}, at {}",
+                world.now
+            );
         }
     }
 }
--- a/crates/simulation/tests/rosters.rs
+++ b/crates/simulation/tests/rosters.rs
@@ -11,7 +11,9 @@
     let mut played = 0;
     for seed in 0..10 {
         let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| w.in_use().as_deref() == Some("a"));
+        world.run_until(6.0, "a primary in use", |w| {
+            w.in_use().as_deref() == Some("a")
+        });
         world.run(3.0);
         let leader = world.leader().unwrap();
         let others: Vec<Node> = (1..=3).filter(|node| *node != leader).collect();
@@ -22,7 +24,14 @@
         }
         world.add_server("d", "10.0.0.200:1", false);
         world.servers.get_mut("d").unwrap().beats = false;
-        world.call(knows, 9, Call::Beat { id: "d".to_owned(), beat: beat("10.0.0.200:1", 1, false) });
+        world.call(
+            knows,
+            9,
+            Call::Beat {
+                id: "d".to_owned(),
+                beat: beat("10.0.0.200:1", 1, false),
+            },
+        );
         world.run(0.1);
         assert_eq!(world.replies[&9].0, 200);
         for id in ["b", "c"] {
@@ -44,7 +53,11 @@
         played += u32::from(alone && world.leader() == Some(takes_over));
         // A promotion without the commits that only the new copy has is an error of the world.
         world.run(8.0);
-        assert!(!alone || world.promoted.iter().all(|(id, _)| id == "d"), "{:?}", world.promoted);
+        assert!(
+            !alone || world.promoted.iter().all(|(id, _)| id == "d"),
+            "{:?}",
+            world.promoted
+        );
     }
     assert!(played > 3, "{played}");
 }
@@ -68,8 +81,16 @@
 /// Whether the leader knows that this server, which serves on, drains.
 fn drains(world: &World, id: &str) -> bool {
     let leader = world.leader().expect("somebody leads");
-    let controller = world.controls[&leader].controller.as_ref().expect("it runs");
-    controller.members().get(id).expect("it serves on").news.draining
+    let controller = world.controls[&leader]
+        .controller
+        .as_ref()
+        .expect("it runs");
+    controller
+        .members()
+        .get(id)
+        .expect("it serves on")
+        .news
+        .draining
 }
 
 /// A server says that it drains; all machines lose power in the moment in which that was acknowledged, one of them its disk, and
@@ -78,16 +99,32 @@
 fn an_acknowledged_drain_outlives_a_loss_of_all() {
     for seed in 0..20 {
         let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| w.in_use().as_deref() == Some("a"));
+        world.run_until(6.0, "a primary in use", |w| {
+            w.in_use().as_deref() == Some("a")
+        });
         world.run(2.0);
         let server = world.servers.get_mut("b").expect("a replica");
         server.beats = false;
         let endpoint = server.endpoint.clone();
         let asked = 1 + (seed % 3) as Node;
-        world.call(asked, 9, Call::Beat { id: "b".to_owned(), beat: beat(&endpoint, 1000, true) });
+        world.call(
+            asked,
+            9,
+            Call::Beat {
+                id: "b".to_owned(),
+                beat: beat(&endpoint, 1000, true),
+            },
+        );
         lose_all_once_acknowledged(&mut world);
         let leader = world.leader().expect("somebody leads");
-        world.call(leader, 10, Call::Beat { id: "b".to_owned(), beat: beat(&endpoint, 999, false) });
+        world.call(
+            leader,
+            10,
+            Call::Beat {
+                id: "b".to_owned(),
+                beat: beat(&endpoint, 999, false),
+            },
+        );
         world.run(1.0);
         assert!(drains(&world, "b"), "it is taken for one that stays");
     }
@@ -99,7 +136,9 @@
 fn what_is_said_once_outlives_a_loss_of_all() {
     for seed in 0..20 {
         let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| w.in_use().as_deref() == Some("a"));
+        world.run_until(6.0, "a primary in use", |w| {
+            w.in_use().as_deref() == Some("a")
+        });
         world.run(2.0);
         world.servers.get_mut("b").expect("a replica").left = true;
         let asked = 1 + (seed % 3) as Node;
--- a/crates/standin/src/beats.rs
+++ b/crates/standin/src/beats.rs
@@ -25,15 +25,20 @@
     let mut acknowledged: Option<f64> = None;
     loop {
         let generation = stage.changed.generation();
-        let Some(beat) = stage.world.borrow_mut().beat(&id) else { return };
+        let Some(beat) = stage.world.borrow_mut().beat(&id) else {
+            return;
+        };
         let tells = stage.world.borrow().tells(&id);
         let body = beat.serialize_json();
         let path = format!("{HEARTBEAT}{id}");
-        let to = told_elsewhere.or_else(|| stage.seeds.get(turn % stage.seeds.len().max(1)).copied());
+        let to =
+            told_elsewhere.or_else(|| stage.seeds.get(turn % stage.seeds.len().max(1)).copied());
         let Some(to) = to else { return };
         let answer = call::follow(to, ACKNOWLEDGED, "POST", &path, &[], body.as_bytes()).await;
         let mut pause = stage.heartbeat;
-        let took = answer.ok().filter(|a| (200..300).contains(&a.status) && a.body.len() <= ANSWER_BYTES);
+        let took = answer
+            .ok()
+            .filter(|a| (200..300).contains(&a.status) && a.body.len() <= ANSWER_BYTES);
         let now = clock::now();
         if beat.phase == Phase::Draining {
             draining.get_or_insert(now);
@@ -41,7 +46,9 @@
         match took {
             Some(answer) => {
                 let text = String::from_utf8_lossy(&answer.body).into_owned();
-                let other = HeartbeatAnswer::deserialize_json(&text).ok().and_then(|a| a.beat_endpoint);
+                let other = HeartbeatAnswer::deserialize_json(&text)
+                    .ok()
+                    .and_then(|a| a.beat_endpoint);
                 told_elsewhere = other.and_then(|at| at.parse().ok()).or(told_elsewhere);
                 if beat.phase == Phase::Draining {
                     acknowledged.get_or_insert(now);
@@ -62,7 +69,8 @@
         let until = ends.min(now + pause);
         changed(&stage, &id, tells, generation, until).await;
         if clock::now() >= ends {
-            let _ = call::follow(to, ACKNOWLEDGED, "POST", &format!("{DEPART}{id}"), &[], b"").await;
+            let _ =
+                call::follow(to, ACKNOWLEDGED, "POST", &format!("{DEPART}{id}"), &[], b"").await;
             // What ends this task is the end of the server: nothing may follow it.
             let (stage, id) = (stage.clone(), id.clone());
             return stage.crash(&id);
--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -12,11 +12,18 @@
 
 /// A call to one address, on a connection of its own.
 pub async fn once(
-    to: SocketAddr, seconds: f64, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8],
+    to: SocketAddr,
+    seconds: f64,
+    method: &str,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
 ) -> Result<Response> {
     within(seconds, async {
         let mut stream = Async::<TcpStream>::connect(to).await?;
-        stream.write_all(&request(method, path, &to.to_string(), headers, body)).await?;
+        stream
+            .write_all(&request(method, path, &to.to_string(), headers, body))
+            .await?;
         let mut responses = Responses::new(ANSWER_BYTES);
         let mut bytes = vec![0; 4096];
         let wrong = |e| Error::new(ErrorKind::InvalidData, format!("{e}"));
@@ -25,7 +32,12 @@
                 return Ok(response);
             }
             match stream.read(&mut bytes).await? {
-                0 => return responses.finish().map_err(wrong)?.ok_or(ErrorKind::UnexpectedEof.into()),
+                0 => {
+                    return responses
+                        .finish()
+                        .map_err(wrong)?
+                        .ok_or(ErrorKind::UnexpectedEof.into());
+                }
                 count => responses.feed(&bytes[..count]),
             }
         }
@@ -35,14 +47,22 @@
 
 /// Such a call, which follows a 307 twice.
 pub async fn follow(
-    mut to: SocketAddr, seconds: f64, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8],
+    mut to: SocketAddr,
+    seconds: f64,
+    method: &str,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
 ) -> Result<Response> {
     for _ in 0..2 {
         let response = once(to, seconds, method, path, headers, body).await?;
-        let elsewhere = response.header("Location").filter(|_| response.status == 307).and_then(|location| {
-            let rest = location.strip_prefix("http://")?;
-            rest.split('/').next()?.parse().ok()
-        });
+        let elsewhere = response
+            .header("Location")
+            .filter(|_| response.status == 307)
+            .and_then(|location| {
+                let rest = location.strip_prefix("http://")?;
+                rest.split('/').next()?.parse().ok()
+            });
         match elsewhere {
             Some(next) => to = next,
             None => return Ok(response),
--- a/crates/standin/src/children.rs
+++ b/crates/standin/src/children.rs
@@ -18,7 +18,13 @@
 
 impl Children {
     /// Starts a process; what it writes goes into this file.
-    pub fn start(&mut self, name: &str, program: &Path, arguments: &[&str], log: &Path) -> Result<()> {
+    pub fn start(
+        &mut self,
+        name: &str,
+        program: &Path,
+        arguments: &[&str],
+        log: &Path,
+    ) -> Result<()> {
         let file = File::create(log)?;
         let child = Command::new(program)
             .args(arguments)
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -34,9 +34,16 @@
     /// Opens a session with this database. Nothing here takes more than `limit` seconds.
     pub async fn open(at: SocketAddr, database: &str, who: &str, limit: f64) -> Result<Self> {
         let stream = within(limit, Async::<TcpStream>::connect(at)).await?;
-        let mut client = Self { stream, lines: LineBuffer::default(), limit };
+        let mut client = Self {
+            stream,
+            lines: LineBuffer::default(),
+            limit,
+        };
         within(limit, async {
-            client.stream.write_all(format!("CONNECT {database} {who}\r\n").as_bytes()).await?;
+            client
+                .stream
+                .write_all(format!("CONNECT {database} {who}\r\n").as_bytes())
+                .await?;
             loop {
                 if let Some(line) = client.lines.next().map_err(Error::other)? {
                     return match Reply::parse(line) {
@@ -55,7 +62,9 @@
     pub async fn ask(&mut self, id: &str, text: &str) -> Result<Answered> {
         let limit = self.limit;
         within(limit, async {
-            self.stream.write_all(format!("QUERY {id} {text}\r\n").as_bytes()).await?;
+            self.stream
+                .write_all(format!("QUERY {id} {text}\r\n").as_bytes())
+                .await?;
             let mut answer = Answer::default();
             loop {
                 if let Some(outcome) = answer.take(&mut self.lines).map_err(Error::other)? {
--- a/crates/standin/src/desk.rs
+++ b/crates/standin/src/desk.rs
@@ -41,12 +41,24 @@
         }
         calls.push_back(now);
         let fence = request.header("X-Fence-Token").and_then(|f| f.parse().ok());
-        let (Some(fence), Some(_)) = (fence, request.header("X-Duty-Holder")) else { return 400 };
+        let (Some(fence), Some(_)) = (fence, request.header("X-Duty-Holder")) else {
+            return 400;
+        };
         let text = String::from_utf8_lossy(&request.body);
-        let Ok(asked) = Promotion::deserialize_json(&text) else { return 400 };
-        let status = self.stage.world.borrow_mut().promote(now, &asked.backend, &asked.id, fence);
+        let Ok(asked) = Promotion::deserialize_json(&text) else {
+            return 400;
+        };
+        let status = self
+            .stage
+            .world
+            .borrow_mut()
+            .promote(now, &asked.backend, &asked.id, fence);
         self.stage.changed.notify_waiters();
-        log::info!("event=promotion service={} id={} fence={fence} status={status}", asked.backend, asked.id);
+        log::info!(
+            "event=promotion service={} id={} fence={fence} status={status}",
+            asked.backend,
+            asked.id
+        );
         status
     }
 }
@@ -70,12 +82,20 @@
             ["servers"] => {
                 let world = self.stage.world.borrow();
                 let line = |id: &String| {
-                    let at = world.endpoint(id).map_or("down".to_owned(), |at| at.to_string());
-                    format!("id={id} at={at} status={:?}\n", world.status(id).unwrap_or_default())
+                    let at = world
+                        .endpoint(id)
+                        .map_or("down".to_owned(), |at| at.to_string());
+                    format!(
+                        "id={id} at={at} status={:?}\n",
+                        world.status(id).unwrap_or_default()
+                    )
                 };
                 (200, world.ids().iter().map(line).collect())
             }
-            ["ledger"] => (200, format!("{}\n", self.stage.world.borrow().ledger.line())),
+            ["ledger"] => (
+                200,
+                format!("{}\n", self.stage.world.borrow().ledger.line()),
+            ),
             [_, id] if !known(id) => (404, format!("{id}: no such server\n")),
             ["crash", id] => {
                 self.stage.crash(id);
@@ -97,20 +117,44 @@
 impl Handler for Desk {
     async fn answer(self: Rc<Self>, request: Request) -> Vec<u8> {
         let (status, text) = self.act(&request);
-        response(status, &[("Content-Type", "text/plain")], text.as_bytes(), request.keep_alive)
+        response(
+            status,
+            &[("Content-Type", "text/plain")],
+            text.as_bytes(),
+            request.keep_alive,
+        )
     }
 }
 
 /// Opens the platform at one address and the desk at the other.
 pub fn open(
-    tasks: &Rc<LocalExecutor<'static>>, stage: &Rc<Stage>, platform: SocketAddr, desk: SocketAddr,
+    tasks: &Rc<LocalExecutor<'static>>,
+    stage: &Rc<Stage>,
+    platform: SocketAddr,
+    desk: SocketAddr,
     per_s: usize,
 ) -> Result<(), String> {
     let bind = |at: SocketAddr| http::listen(at).map_err(|e| format!("{at}: {e}"));
-    let calls = Rc::new(Platform { stage: stage.clone(), per_s, calls: RefCell::default() });
+    let calls = Rc::new(Platform {
+        stage: stage.clone(),
+        per_s,
+        calls: RefCell::default(),
+    });
     let none = Rc::new(Cell::new(0));
-    tasks.spawn(http::serve(tasks.clone(), bind(platform)?, calls, 64 << 10, none.clone())).detach();
-    let orders = Rc::new(Desk { stage: stage.clone() });
-    tasks.spawn(http::serve(tasks.clone(), bind(desk)?, orders, 4096, none)).detach();
+    tasks
+        .spawn(http::serve(
+            tasks.clone(),
+            bind(platform)?,
+            calls,
+            64 << 10,
+            none.clone(),
+        ))
+        .detach();
+    let orders = Rc::new(Desk {
+        stage: stage.clone(),
+    });
+    tasks
+        .spawn(http::serve(tasks.clone(), bind(desk)?, orders, 4096, none))
+        .detach();
     Ok(())
 }
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -115,7 +115,10 @@
         let place_of = |version: &Version| chain.iter().position(|order| order.version == *version);
         let mut placed = Vec::new();
         for order in &self.orders {
-            let refused = order.tries.iter().any(|t| matches!(t.outcome, Outcome::Refused(_)));
+            let refused = order
+                .tries
+                .iter()
+                .any(|t| matches!(t.outcome, Outcome::Refused(_)));
             match place_of(&order.version) {
                 Some(_) if refused => return Err(Violation::RefusedAndTaken(order.version.epoch)),
                 Some(place) => placed.extend(taken(order, 2 * (place + 1))),
@@ -125,10 +128,20 @@
         for read in &self.reads {
             let place = match &read.version {
                 None => 1,
-                Some(version) => 2 * (place_of(version).ok_or(Violation::Unknown(version.epoch))? + 1) + 1,
+                Some(version) => {
+                    2 * (place_of(version).ok_or(Violation::Unknown(version.epoch))? + 1) + 1
+                }
             };
-            let name = format!("the read of {}", read.version.as_ref().map_or(0, |v| v.epoch));
-            placed.push(Placed { began: read.began, ended: read.ended, place, name });
+            let name = format!(
+                "the read of {}",
+                read.version.as_ref().map_or(0, |v| v.epoch)
+            );
+            placed.push(Placed {
+                began: read.began,
+                ended: read.ended,
+                place,
+                name,
+            });
         }
         in_order(&placed)?;
         self.refusals(&chain, placed)?;
@@ -139,7 +152,11 @@
     fn chain(&self) -> Result<Vec<&Order>, Violation> {
         let mut known: BTreeMap<&Version, &Order> = BTreeMap::new();
         for order in &self.orders {
-            if order.tries.iter().any(|t| t.outcome == Outcome::Acknowledged) {
+            if order
+                .tries
+                .iter()
+                .any(|t| t.outcome == Outcome::Acknowledged)
+            {
                 known.insert(&order.version, order);
             }
         }
@@ -148,7 +165,10 @@
             known.insert(version, sent.ok_or(Violation::Unknown(version.epoch))?);
         }
         let mut chain = Vec::new();
-        let mut next = known.values().max_by_key(|order| order.version.epoch).copied();
+        let mut next = known
+            .values()
+            .max_by_key(|order| order.version.epoch)
+            .copied();
         while let Some(order) = next {
             chain.push(order);
             next = self.base_of(order, &known);
@@ -158,15 +178,25 @@
         }
         chain.reverse();
         let newest = chain.last().map_or(0, |order| order.version.epoch);
-        match known.values().find(|order| !chain.iter().any(|c| c.version == order.version)) {
+        match known
+            .values()
+            .find(|order| !chain.iter().any(|c| c.version == order.version))
+        {
             Some(aside) => Err(Violation::Fork(aside.version.epoch, newest)),
             None => Ok(chain),
         }
     }
 
     /// The order that an order builds on: one that is known to have been taken, or else one that may have been.
-    fn base_of<'a>(&'a self, order: &Order, known: &BTreeMap<&Version, &'a Order>) -> Option<&'a Order> {
-        let taken = known.values().find(|o| o.version.epoch == order.base).copied();
+    fn base_of<'a>(
+        &'a self,
+        order: &Order,
+        known: &BTreeMap<&Version, &'a Order>,
+    ) -> Option<&'a Order> {
+        let taken = known
+            .values()
+            .find(|o| o.version.epoch == order.base)
+            .copied();
         let unclear = |o: &&Order| {
             o.version.epoch == order.base && o.tries.iter().all(|t| t.outcome == Outcome::Unclear)
         };
@@ -177,20 +207,41 @@
     fn refusals(&self, chain: &[&Order], mut placed: Vec<Placed>) -> Result<(), Violation> {
         let mut refused: Vec<(&Order, &Try)> = Vec::new();
         for order in &self.orders {
-            let tries = order.tries.iter().filter(|t| matches!(t.outcome, Outcome::Refused(_)));
+            let tries = order
+                .tries
+                .iter()
+                .filter(|t| matches!(t.outcome, Outcome::Refused(_)));
             refused.extend(tries.map(|t| (order, t)));
         }
         refused.sort_by(|a, b| a.1.ended.total_cmp(&b.1.ended));
         for (order, refusal) in refused {
-            let least = placed.iter().filter(|p| p.ended < refusal.began).map(|p| p.place).max().unwrap_or(1);
-            let most = placed.iter().filter(|p| p.began > refusal.ended).map(|p| p.place).min();
-            let in_force = |place: usize| place.checked_sub(2).map_or(0, |n| chain[n / 2].version.epoch);
+            let least = placed
+                .iter()
+                .filter(|p| p.ended < refusal.began)
+                .map(|p| p.place)
+                .max()
+                .unwrap_or(1);
+            let most = placed
+                .iter()
+                .filter(|p| p.began > refusal.ended)
+                .map(|p| p.place)
+                .min();
+            let in_force = |place: usize| {
+                place
+                    .checked_sub(2)
+                    .map_or(0, |n| chain[n / 2].version.epoch)
+            };
             let fits = |place: &usize| place % 2 == 1 && in_force(*place) != order.base;
             let last = 2 * chain.len() + 1;
             let place = (least..=most.unwrap_or(last).min(last)).find(fits);
             let place = place.ok_or(Violation::WronglyRefused(order.version.epoch))?;
             let name = format!("the refusal of {}", order.version.epoch);
-            placed.push(Placed { began: refusal.began, ended: refusal.ended, place, name });
+            placed.push(Placed {
+                began: refusal.began,
+                ended: refusal.ended,
+                place,
+                name,
+            });
         }
         Ok(())
     }
@@ -200,18 +251,31 @@
 /// clear answer may take effect at any later time, and an acknowledgement may be that of an earlier try.
 fn taken(order: &Order, place: usize) -> Option<Placed> {
     let began = order.tries.first()?.began;
-    let acknowledged = order.tries.iter().filter(|t| t.outcome == Outcome::Acknowledged).map(|t| t.ended);
+    let acknowledged = order
+        .tries
+        .iter()
+        .filter(|t| t.outcome == Outcome::Acknowledged)
+        .map(|t| t.ended);
     let ended = acknowledged.fold(f64::INFINITY, f64::min);
-    Some(Placed { began, ended, place, name: format!("version {}", order.version.epoch) })
+    Some(Placed {
+        began,
+        ended,
+        place,
+        name: format!("version {}", order.version.epoch),
+    })
 }
 
 /// Whether none stands behind one that began only after its end.
 fn in_order(placed: &[Placed]) -> Result<(), Violation> {
     for first in placed {
-        if let Some(second) =
-            placed.iter().find(|second| first.ended < second.began && first.place > second.place)
+        if let Some(second) = placed
+            .iter()
+            .find(|second| first.ended < second.began && first.place > second.place)
         {
-            return Err(Violation::OutOfOrder(first.name.clone(), second.name.clone()));
+            return Err(Violation::OutOfOrder(
+                first.name.clone(),
+                second.name.clone(),
+            ));
         }
     }
     Ok(())
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -52,7 +52,13 @@
 
     /// One line for people and scripts.
     pub fn line(&self) -> String {
-        let Self { answered, lost, twice, deposed, .. } = self;
+        let Self {
+            answered,
+            lost,
+            twice,
+            deposed,
+            ..
+        } = self;
         format!("answered={answered} lost={lost} twice={twice} deposed={deposed}")
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -70,21 +70,38 @@
 
 fn main() -> ExitCode {
     let what = Arguments::parse().what;
-    let level = if matches!(what, What::Node { .. }) { "info" } else { "warn" };
+    let level = if matches!(what, What::Node { .. }) {
+        "info"
+    } else {
+        "warn"
+    };
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level)).init();
     let ended = match what {
-        What::Up { folder, services, routers, net, program } => {
-            let program =
-                program.or_else(|| Some(std::env::current_exe().ok()?.with_file_name("badgerpool")));
-            let Some(program) = program else { return fail("tell --program") };
+        What::Up {
+            folder,
+            services,
+            routers,
+            net,
+            program,
+        } => {
+            let program = program
+                .or_else(|| Some(std::env::current_exe().ok()?.with_file_name("badgerpool")));
+            let Some(program) = program else {
+                return fail("tell --program");
+            };
             let plan = Plan::new(net, services, routers).map_err(|e| e.to_string());
             // Processes are told where their files are from wherever they run.
             let new = || std::env::temp_dir().join(format!("standin-{}", std::process::id()));
             let folder = folder.unwrap_or_else(new);
-            let folder = std::path::absolute(&folder).map_err(|e| format!("{}: {e}", folder.display()));
+            let folder =
+                std::path::absolute(&folder).map_err(|e| format!("{}: {e}", folder.display()));
             plan.and_then(|plan| up::run(&plan, &folder?, &program))
         }
-        What::Ask { address, database, statements } => future::block_on(ask(address, &database, &statements)),
+        What::Ask {
+            address,
+            database,
+            statements,
+        } => future::block_on(ask(address, &database, &statements)),
         What::Tell { address, words } => future::block_on(tell(address, &words)),
         What::Node { settings, metrics } => badgerstream_node::node::run(settings, metrics),
     };
@@ -105,13 +122,18 @@
         .await
         .map_err(|e| format!("{address} {database}: {e}"))?;
     // Ids are to be like no others: one is made of the time and this process.
-    let began = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
+    let began = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_nanos() as u64);
     let mark = began ^ (u64::from(std::process::id()) << 40);
     let mut failed = None;
     for (n, text) in statements.iter().enumerate() {
         println!("{text}");
         let id = format!("{:016x}", mark.wrapping_add(n as u64));
-        let answered = client.ask(&id, text).await.map_err(|e| format!("{text}: no answer: {e}"))?;
+        let answered = client
+            .ask(&id, text)
+            .await
+            .map_err(|e| format!("{text}: no answer: {e}"))?;
         for line in answered.text.lines() {
             println!("    {line}");
         }
@@ -124,8 +146,9 @@
 
 async fn tell(address: SocketAddr, words: &[String]) -> Result<(), String> {
     let path = format!("/{}", words.join("/"));
-    let answer =
-        call::once(address, 5.0, "POST", &path, &[], b"").await.map_err(|e| format!("{address}: {e}"))?;
+    let answer = call::once(address, 5.0, "POST", &path, &[], b"")
+        .await
+        .map_err(|e| format!("{address}: {e}"))?;
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     match answer.status {
         200 => {
--- a/crates/standin/src/operator.rs
+++ b/crates/standin/src/operator.rs
@@ -25,7 +25,11 @@
 impl Operator {
     /// Calls these control machines in turn, beginning with the one at this place.
     pub fn new(controls: &[SocketAddr], first: usize) -> Operator {
-        Operator { controls: controls.to_vec(), turn: Cell::new(first), refusal: Cell::default() }
+        Operator {
+            controls: controls.to_vec(),
+            turn: Cell::new(first),
+            refusal: Cell::default(),
+        }
     }
 
     fn next(&self) -> SocketAddr {
@@ -36,7 +40,11 @@
 
     /// Sends an order to one control machine after the other until there is a clear answer, or until that second.
     pub async fn order(&self, base: u64, version: Version, until: f64) -> Order {
-        let mut order = Order { base, version, tries: Vec::new() };
+        let mut order = Order {
+            base,
+            version,
+            tries: Vec::new(),
+        };
         let mut pause = PAUSES_S.0;
         loop {
             let one = self.try_order(self.next(), &order).await;
@@ -62,7 +70,8 @@
             Ok(answer) if answer.status == 200 => Outcome::Acknowledged,
             Ok(answer) if matches!(answer.status, 400 | 409 | 412 | 413 | 422) => {
                 let text = String::from_utf8_lossy(&answer.body).trim().to_owned();
-                self.refusal.set(format!("{to} answers {}: {text}", answer.status));
+                self.refusal
+                    .set(format!("{to} answers {}: {text}", answer.status));
                 Outcome::Refused(answer.status)
             }
             Ok(answer) => {
@@ -74,7 +83,11 @@
                 Outcome::Unclear
             }
         };
-        Try { began, ended: clock::now(), outcome }
+        Try {
+            began,
+            ended: clock::now(),
+            outcome,
+        }
     }
 
     /// Reads the newest configuration from the next control machine; none if there is no clear answer.
@@ -85,20 +98,29 @@
     /// Reads the newest configuration from this control machine.
     pub async fn read_at(&self, at: SocketAddr) -> Option<Read> {
         let began = clock::now();
-        let answer = call::follow(at, SILENCE_S, "GET", "/api/Config.Read", &[], b"").await.ok()?;
+        let answer = call::follow(at, SILENCE_S, "GET", "/api/Config.Read", &[], b"")
+            .await
+            .ok()?;
         let version = match answer.status {
             404 => None,
             200 => Some(read_version(&answer.body)?),
             _ => return None,
         };
-        Some(Read { began, ended: clock::now(), version })
+        Some(Read {
+            began,
+            ended: clock::now(),
+            version,
+        })
     }
 }
 
 /// The version that this configuration is.
 fn read_version(body: &[u8]) -> Option<Version> {
     let epoch = badgerstream_calls::config::Config::read(body).ok()?.epoch;
-    Some(Version { epoch, body: String::from_utf8(body.to_vec()).ok()? })
+    Some(Version {
+        epoch,
+        body: String::from_utf8(body.to_vec()).ok()?,
+    })
 }
 
 /// Sends this configuration, which builds on version `base`, until it is taken. An error tells why it never will. Goes on for
@@ -109,7 +131,10 @@
     }
     let operator = Operator::new(controls, 0);
     // The number of what is sent is the receiver's concern.
-    let version = Version { epoch: 0, body: body.to_owned() };
+    let version = Version {
+        epoch: 0,
+        body: body.to_owned(),
+    };
     let order = operator.order(base, version, f64::INFINITY).await;
     match order.tries.last().map(|last| last.outcome) {
         Some(Outcome::Refused(_)) => Err(operator.refusal.take()),
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -114,7 +114,9 @@
 
     /// Where routers tell whether they are ready.
     pub fn readiness(&self) -> Vec<SocketAddr> {
-        (0..self.routers).map(|n| self.at(21 + n, READINESS)).collect()
+        (0..self.routers)
+            .map(|n| self.at(21 + n, READINESS))
+            .collect()
     }
 
     /// Where the platform is called.
@@ -143,7 +145,11 @@
     }
 
     fn peer_port(&self, n: usize) -> u16 {
-        if self.peers_relayed { PEER + 1 + n as u16 } else { PEER }
+        if self.peers_relayed {
+            PEER + 1 + n as u16
+        } else {
+            PEER
+        }
     }
 
     /// Where the stand-in itself is told what to do.
@@ -198,7 +204,11 @@
             let number = name.trim_start_matches("db");
             let modes = [
                 ("fresh", "leader", String::new()),
-                ("bounded", "bounded_staleness", ",\"staleness_ms\":1500".to_owned()),
+                (
+                    "bounded",
+                    "bounded_staleness",
+                    ",\"staleness_ms\":1500".to_owned(),
+                ),
                 ("own", "in_house", ",\"staleness_ms\":2500".to_owned()),
             ];
             for (rank, (word, mode, staleness)) in modes.into_iter().enumerate() {
@@ -227,8 +237,11 @@
     pub fn write(&self, folder: &Path, first: bool) -> std::io::Result<Vec<(String, PathBuf)>> {
         let mut all = Vec::new();
         for n in 0..CONTROLS + self.routers {
-            let (name, text) =
-                if n < CONTROLS { self.control(n, folder, first) } else { self.router(n - CONTROLS, first) };
+            let (name, text) = if n < CONTROLS {
+                self.control(n, folder, first)
+            } else {
+                self.router(n - CONTROLS, first)
+            };
             let file = folder.join(format!("{name}.conf"));
             std::fs::create_dir_all(folder.join(&name))?;
             std::fs::write(&file, text)?;
@@ -253,12 +266,24 @@
         let front = self.fronts()[n];
         let mut text = self.common(&name, "edge", "edge", n, front, first);
         let _ = writeln!(text, "port_range={PEER},7455");
-        let _ = writeln!(text, "bind_addrs.front={front}\nbind_addrs.readiness={}", self.readiness()[n]);
+        let _ = writeln!(
+            text,
+            "bind_addrs.front={front}\nbind_addrs.readiness={}",
+            self.readiness()[n]
+        );
         let _ = writeln!(text, "voting=false\nlimits.storage_mb=0");
         (name, text)
     }
 
-    fn common(&self, name: &str, class: &str, serves: &str, n: usize, at: SocketAddr, first: bool) -> String {
+    fn common(
+        &self,
+        name: &str,
+        class: &str,
+        serves: &str,
+        n: usize,
+        at: SocketAddr,
+        first: bool,
+    ) -> String {
         let mut text = String::new();
         let _ = writeln!(
             text,
@@ -272,10 +297,24 @@
         let seeds: Vec<String> = self.controls().iter().map(ToString::to_string).collect();
         let _ = writeln!(text, "seeds={}\nbootstrap={first}", seeds.join(","));
         let _ = writeln!(text, "limits.mem_mb=256\nlimits.file_limit=4096");
-        let _ = writeln!(text, "heartbeat_ms={}\nfault_budget.machine_loss=1", self.heartbeat_ms);
-        let _ = writeln!(text, "bounds.grace_s=6\nbounds.drain_ms=7000\nbounds.fencing=true");
-        let platform = if self.platform_relayed { self.platform_door() } else { self.platform() };
-        let _ = writeln!(text, "provider.endpoint={platform}\nprovider.duties=failover");
+        let _ = writeln!(
+            text,
+            "heartbeat_ms={}\nfault_budget.machine_loss=1",
+            self.heartbeat_ms
+        );
+        let _ = writeln!(
+            text,
+            "bounds.grace_s=6\nbounds.drain_ms=7000\nbounds.fencing=true"
+        );
+        let platform = if self.platform_relayed {
+            self.platform_door()
+        } else {
+            self.platform()
+        };
+        let _ = writeln!(
+            text,
+            "provider.endpoint={platform}\nprovider.duties=failover"
+        );
         for line in &self.own {
             let _ = writeln!(text, "{line}");
         }
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -53,7 +53,9 @@
 impl Relay {
     /// Takes connections at one address and leads them to the other.
     pub fn start(
-        tasks: &Rc<LocalExecutor<'static>>, at: SocketAddr, to: SocketAddr,
+        tasks: &Rc<LocalExecutor<'static>>,
+        at: SocketAddr,
+        to: SocketAddr,
     ) -> std::io::Result<Rc<Relay>> {
         let listener = Async::<TcpListener>::bind(at)?;
         let relay = Rc::new(Relay {
@@ -99,7 +101,9 @@
     }
 
     async fn carry(self: Rc<Self>, near: Async<TcpStream>) {
-        let Ok(far) = Async::<TcpStream>::connect(self.to).await else { return reset(&near) };
+        let Ok(far) = Async::<TcpStream>::connect(self.to).await else {
+            return reset(&near);
+        };
         for end in [&near, &far] {
             let _ = end.get_ref().set_nodelay(true);
         }
@@ -122,12 +126,18 @@
 
     /// Carries one way until its end; false if the connection is to be reset.
     async fn pump(
-        &self, way: Way, mut from: &Async<TcpStream>, mut to: &Async<TcpStream>, lossy: &Sender<()>,
+        &self,
+        way: Way,
+        mut from: &Async<TcpStream>,
+        mut to: &Async<TcpStream>,
+        lossy: &Sender<()>,
     ) -> bool {
         let mut bytes = vec![0; CHUNK];
         let mut passed = 0;
         loop {
-            let Ok(count) = from.read(&mut bytes).await else { return self.broken(lossy) };
+            let Ok(count) = from.read(&mut bytes).await else {
+                return self.broken(lossy);
+            };
             let mut part = &bytes[..count];
             match self.faults[way as usize].get() {
                 Some(Fault::Drop) => {
@@ -138,7 +148,9 @@
                     continue;
                 }
                 Some(Fault::Delay(late)) => drop(Timer::after(late).await),
-                Some(Fault::ResetAfter(most)) => part = &part[..count.min(most.saturating_sub(passed))],
+                Some(Fault::ResetAfter(most)) => {
+                    part = &part[..count.min(most.saturating_sub(passed))]
+                }
                 None => {}
             }
             if count == 0 {
@@ -153,7 +165,8 @@
                 self.changed.notify_waiters();
             }
             passed += part.len();
-            if matches!(self.faults[way as usize].get(), Some(Fault::ResetAfter(most)) if passed >= most) {
+            if matches!(self.faults[way as usize].get(), Some(Fault::ResetAfter(most)) if passed >= most)
+            {
                 self.resets.set(self.resets.get() + 1);
                 self.changed.notify_waiters();
                 return self.broken(lossy);
--- a/crates/standin/src/replica.rs
+++ b/crates/standin/src/replica.rs
@@ -36,7 +36,11 @@
     /// An empty log, whose first commit will be number 1.
     pub fn new(term: u64) -> Self {
         let start = Position { term, number: 0 };
-        Self { received: start, applied: start, ..Self::default() }
+        Self {
+            received: start,
+            applied: start,
+            ..Self::default()
+        }
     }
 
     /// How far the log goes.
@@ -65,8 +69,12 @@
 
     /// The commit after this number; none if there is none yet, or none any more: see [`Replica::reaches`].
     pub fn after(&self, number: u64) -> Option<&Commit> {
-        let at =
-            self.commits.len() as u64 - self.received.number.checked_sub(number).filter(|n| self.kept(*n))?;
+        let at = self.commits.len() as u64
+            - self
+                .received
+                .number
+                .checked_sub(number)
+                .filter(|n| self.kept(*n))?;
         self.commits.get(at as usize)
     }
 
@@ -86,13 +94,17 @@
 
     /// Applies the next commit.
     pub fn apply(&mut self) {
-        let Some((position, puts)) = self.unapplied().map(|c| (c.position, c.puts.clone())) else { return };
+        let Some((position, puts)) = self.unapplied().map(|c| (c.position, c.puts.clone())) else {
+            return;
+        };
         self.data.extend(puts.iter().cloned());
         self.applied = position;
     }
 
     /// The commits after this number, as far as they are kept.
     pub fn beyond(&self, number: u64) -> impl Iterator<Item = &Commit> {
-        self.commits.iter().filter(move |c| c.position.number > number)
+        self.commits
+            .iter()
+            .filter(move |c| c.position.number > number)
     }
 }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -45,7 +45,11 @@
 impl Stage {
     /// Starts all servers. An error says which address can't be had.
     pub fn start(
-        tasks: &Rc<LocalExecutor<'static>>, world: World, seeds: Vec<SocketAddr>, heartbeat: f64, drain: f64,
+        tasks: &Rc<LocalExecutor<'static>>,
+        world: World,
+        seeds: Vec<SocketAddr>,
+        heartbeat: f64,
+        drain: f64,
     ) -> Result<Rc<Self>, String> {
         let ids = world.ids();
         let stage = Rc::new(Self {
@@ -89,11 +93,17 @@
     }
 
     fn listen(self: &Rc<Self>, id: &str) -> Result<(), String> {
-        let Some(at) = self.world.borrow().endpoint(id) else { return Err(format!("{id}: no such server")) };
+        let Some(at) = self.world.borrow().endpoint(id) else {
+            return Err(format!("{id}: no such server"));
+        };
         let listener = Async::<TcpListener>::bind(at).map_err(|e| format!("{at}: {e}"))?;
-        let accept = self.tasks.spawn(self.clone().accept(id.to_owned(), listener));
+        let accept = self
+            .tasks
+            .spawn(self.clone().accept(id.to_owned(), listener));
         let beat = self.tasks.spawn(beats::run(self.clone(), id.to_owned()));
-        self.servers.borrow_mut().insert(id.to_owned(), vec![accept, beat]);
+        self.servers
+            .borrow_mut()
+            .insert(id.to_owned(), vec![accept, beat]);
         Ok(())
     }
 
@@ -127,7 +137,9 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     frames::prepare(&stream, DARK);
-                    self.tasks.spawn(self.clone().connection(id.clone(), stream)).detach();
+                    self.tasks
+                        .spawn(self.clone().connection(id.clone(), stream))
+                        .detach();
                 }
                 Err(_) => {
                     Timer::after(Duration::from_millis(20)).await;
@@ -139,7 +151,9 @@
     async fn connection(self: Rc<Self>, id: String, mut stream: Async<TcpStream>) {
         let mut lines = LineBuffer::default();
         let begun = within(BEGIN, async {
-            line(&mut stream, &mut lines).await.ok_or(ErrorKind::UnexpectedEof.into())
+            line(&mut stream, &mut lines)
+                .await
+                .ok_or(ErrorKind::UnexpectedEof.into())
         });
         let Ok(first) = begun.await else { return };
         if first.starts_with(b"GET /health") {
@@ -147,7 +161,9 @@
         }
         let opened = match Request::parse(&first) {
             Ok(Request::Connect { database, who }) => {
-                self.world.borrow_mut().connect(clock::now(), &id, database, who)
+                self.world
+                    .borrow_mut()
+                    .connect(clock::now(), &id, database, who)
             }
             _ => Err("ERROR MALFORMED CONNECT comes first\r\n".to_owned()),
         };
@@ -165,11 +181,20 @@
     }
 
     async fn talk(
-        &self, conn: Conn, stream: &mut Async<TcpStream>, lines: &mut LineBuffer, answers: &Receiver<String>,
+        &self,
+        conn: Conn,
+        stream: &mut Async<TcpStream>,
+        lines: &mut LineBuffer,
+        answers: &Receiver<String>,
     ) {
         loop {
-            let Ok(answer) = answers.recv().await else { return };
-            if within(DARK, stream.write_all(answer.as_bytes())).await.is_err() {
+            let Ok(answer) = answers.recv().await else {
+                return;
+            };
+            if within(DARK, stream.write_all(answer.as_bytes()))
+                .await
+                .is_err()
+            {
                 return;
             }
             let asked = future::or(line(stream, lines), async {
@@ -185,7 +210,12 @@
 
     async fn health(&self, id: &str, stream: &mut Async<TcpStream>) {
         let (_, draining) = self.world.borrow().tells(id);
-        let answer = response(if draining { 503 } else { 200 }, &[("X-Instance-Id", id)], b"", false);
+        let answer = response(
+            if draining { 503 } else { 200 },
+            &[("X-Instance-Id", id)],
+            b"",
+            false,
+        );
         let _ = within(DARK, stream.write_all(&answer)).await;
     }
 }
--- a/crates/standin/src/tests/days.rs
+++ b/crates/standin/src/tests/days.rs
@@ -32,7 +32,11 @@
         let primary = play.world.primary("db").unwrap().to_owned();
         for id in ["a", "b", "c"] {
             for thing in ["x", "y"] {
-                assert_eq!(play.world.read(id, thing), play.world.read(&primary, thing), "{id} {thing}");
+                assert_eq!(
+                    play.world.read(id, thing),
+                    play.world.read(&primary, thing),
+                    "{id} {thing}"
+                );
             }
         }
         Ok(())
@@ -40,7 +44,9 @@
 }
 
 fn write(play: &mut Play, step: i32, u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
-    let Some(primary) = play.world.primary("db").map(str::to_owned) else { return Ok(()) };
+    let Some(primary) = play.world.primary("db").map(str::to_owned) else {
+        return Ok(());
+    };
     if let Ok(conn) = play.world.connect(play.now, &primary, "db", "w") {
         play.pass(0.02);
         let thing = *u.choose(&["x", "y"])?;
@@ -53,7 +59,11 @@
     Ok(())
 }
 
-fn administer(play: &mut Play, id: &str, u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
+fn administer(
+    play: &mut Play,
+    id: &str,
+    u: &mut arbitrary::Unstructured<'_>,
+) -> arbitrary::Result<()> {
     if let Ok(conn) = play.world.connect(play.now, id, "db", "s") {
         play.pass(0.02);
         let text = *u.choose(&["PAUSE 90", "RESUME", "STEPDOWN 90", "STATUS"])?;
@@ -74,7 +84,9 @@
     let mut best: Option<(badgerstream_wire::Position, String)> = None;
     let mut held = 0;
     for id in ids.iter().filter(|id| Some(*id) != primary.as_ref()) {
-        let Ok(conn) = play.world.connect(play.now, id, "db", "p") else { continue };
+        let Ok(conn) = play.world.connect(play.now, id, "db", "p") else {
+            continue;
+        };
         play.pass(0.1);
         let row = play.ask(conn, "PAUSE 99");
         play.world.closed(play.now, conn);
@@ -103,7 +115,10 @@
     }
     assert!(play.status("c").starts_with("follower 1 1.0 2 "));
     play.ask(c, "RESUME");
-    assert_eq!(play.ask(c, "FETCH x"), "ROW 10100|COMPLETE +|IDLE I 1.10100");
+    assert_eq!(
+        play.ask(c, "FETCH x"),
+        "ROW 10100|COMPLETE +|IDLE I 1.10100"
+    );
     assert_eq!(play.ask(a, "PUT x 0"), "COMPLETE +|IDLE I 1.10101");
     play.pass(0.1);
     assert_eq!(play.ask(c, "FETCH x"), "ROW 0|COMPLETE +|IDLE I 1.10101");
--- a/crates/standin/src/tests/mod.rs
+++ b/crates/standin/src/tests/mod.rs
@@ -31,7 +31,10 @@
 
 impl Play {
     fn new(sync_replicas: u32, fencing: bool) -> Self {
-        Self { world: World::new(vec![service(sync_replicas)], Timing::default(), fencing, 7), now: 0.0 }
+        Self {
+            world: World::new(vec![service(sync_replicas)], Timing::default(), fencing, 7),
+            now: 0.0,
+        }
     }
 
     /// Lets time pass, and gives what was said and closed.
@@ -49,7 +52,8 @@
     }
 
     fn say(&mut self, conn: Conn, id: &str, text: &str) {
-        self.world.ask(self.now, conn, format!("QUERY {id} {text}").as_bytes());
+        self.world
+            .ask(self.now, conn, format!("QUERY {id} {text}").as_bytes());
     }
 
     /// The answer within a moment, lines joined by `|`, marks of stamps left out; empty for none.
--- a/crates/standin/src/tests/plan.rs
+++ b/crates/standin/src/tests/plan.rs
@@ -12,10 +12,20 @@
 fn the_configuration_is_valid_and_names_the_services() {
     let plan = Plan::new(net(), 2, 2).unwrap();
     let config = Config::read(plan.configuration(3).as_bytes()).unwrap();
-    assert_eq!((config.epoch, config.routes.len(), config.services.len()), (3, 6, 2));
-    assert!(plan.databases().iter().all(|name| config.route(name).is_some()));
+    assert_eq!(
+        (config.epoch, config.routes.len(), config.services.len()),
+        (3, 6, 2)
+    );
+    assert!(
+        plan.databases()
+            .iter()
+            .all(|name| config.route(name).is_some())
+    );
     let own = config.route("own2").unwrap();
-    assert_eq!((own.mode, own.service.as_str(), own.staleness_ms), (Mode::InHouse, "db2", Some(2500)));
+    assert_eq!(
+        (own.mode, own.service.as_str(), own.staleness_ms),
+        (Mode::InHouse, "db2", Some(2500))
+    );
     let named: Vec<String> = plan.services().into_iter().map(|s| s.name).collect();
     assert_eq!(named, ["db1", "db2"]);
 }
@@ -26,22 +36,53 @@
     plan.own.push("badgerstream.lease_ms=500".to_owned());
     let folder = std::env::temp_dir().join(format!("standin-plan-{}", std::process::id()));
     let written = plan.write(&folder, true).unwrap();
-    let read = |at: usize| Settings::read(&std::fs::read_to_string(&written[at].1).unwrap()).unwrap();
+    let read =
+        |at: usize| Settings::read(&std::fs::read_to_string(&written[at].1).unwrap()).unwrap();
     let all: Vec<Settings> = (0..written.len()).map(read).collect();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(all.len(), 5);
-    assert!(all.iter().all(|s| s.seeds == plan.controls() && s.own.lease_ms == 500 && s.bootstrap));
-    assert!(all.iter().all(|s| s.provider.as_ref().unwrap().endpoint == plan.platform()));
-    assert_eq!(all.iter().filter_map(|s| s.control).collect::<Vec<_>>(), plan.controls());
-    assert_eq!(all.iter().filter_map(|s| s.front).collect::<Vec<_>>(), plan.fronts());
-    assert!(all.iter().all(|s| s.state_dir.is_some() == s.control.is_some()));
+    assert!(
+        all.iter()
+            .all(|s| s.seeds == plan.controls() && s.own.lease_ms == 500 && s.bootstrap)
+    );
+    assert!(
+        all.iter()
+            .all(|s| s.provider.as_ref().unwrap().endpoint == plan.platform())
+    );
+    assert_eq!(
+        all.iter().filter_map(|s| s.control).collect::<Vec<_>>(),
+        plan.controls()
+    );
+    assert_eq!(
+        all.iter().filter_map(|s| s.front).collect::<Vec<_>>(),
+        plan.fronts()
+    );
+    assert!(
+        all.iter()
+            .all(|s| s.state_dir.is_some() == s.control.is_some())
+    );
 }
 
 #[test]
 fn only_loopback_and_only_a_few() {
-    assert_eq!("10.1.0".parse::<Net>(), Err(PlanError::Net("10.1.0".to_owned())));
-    assert_eq!("127.1.x".parse::<Net>(), Err(PlanError::Net("127.1.x".to_owned())));
-    assert_eq!("127.1.0.1".parse::<Net>(), Err(PlanError::Net("127.1.0.1".to_owned())));
-    assert_eq!(Plan::new(net(), 0, 1).unwrap_err(), PlanError::Count("services", 10));
-    assert_eq!(Plan::new(net(), 1, 61).unwrap_err(), PlanError::Count("routers", 60));
+    assert_eq!(
+        "10.1.0".parse::<Net>(),
+        Err(PlanError::Net("10.1.0".to_owned()))
+    );
+    assert_eq!(
+        "127.1.x".parse::<Net>(),
+        Err(PlanError::Net("127.1.x".to_owned()))
+    );
+    assert_eq!(
+        "127.1.0.1".parse::<Net>(),
+        Err(PlanError::Net("127.1.0.1".to_owned()))
+    );
+    assert_eq!(
+        Plan::new(net(), 0, 1).unwrap_err(),
+        PlanError::Count("services", 10)
+    );
+    assert_eq!(
+        Plan::new(net(), 1, 61).unwrap_err(),
+        PlanError::Count("routers", 60)
+    );
 }
