--- a/crates/standin/src/tests/statements.rs
+++ b/crates/standin/src/tests/statements.rs
@@ -11,7 +11,10 @@
     assert_eq!(play.ask(a, "PUT x one two"), "COMPLETE +|IDLE I 1.1");
     assert_eq!(play.ask(a, "FETCH x"), "ROW one two|COMPLETE +|IDLE I 1.1");
     assert_eq!(play.ask(a, "SET tz lima"), "COMPLETE -|IDLE I 1.1");
-    assert_eq!(play.ask(a, "DROP x"), "ERROR MALFORMED unknown statement|IDLE I 1.1");
+    assert_eq!(
+        play.ask(a, "DROP x"),
+        "ERROR MALFORMED unknown statement|IDLE I 1.1"
+    );
 }
 
 #[test]
@@ -46,7 +49,10 @@
     play.ask(a, "PUT x 9");
     play.world.closed(play.now, a);
     assert_eq!(play.ask(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(b, "COMMIT"), "ERROR MALFORMED no transaction|IDLE I 1.1");
+    assert_eq!(
+        play.ask(b, "COMMIT"),
+        "ERROR MALFORMED no transaction|IDLE I 1.1"
+    );
 }
 
 #[test]
@@ -55,9 +61,18 @@
     let a = play.open("a");
     play.ask(a, "BEGIN");
     play.ask(a, "PUT x 1");
-    assert_eq!(play.ask(a, "EXECUTE none y"), "ERROR UNKNOWN none|IDLE E 1.0");
-    assert_eq!(play.ask(a, "FETCH x"), "ERROR MALFORMED the transaction has failed|IDLE E 1.0");
-    assert_eq!(play.ask(a, "COMMIT"), "ERROR ABORTED the transaction had failed|IDLE I 1.0");
+    assert_eq!(
+        play.ask(a, "EXECUTE none y"),
+        "ERROR UNKNOWN none|IDLE E 1.0"
+    );
+    assert_eq!(
+        play.ask(a, "FETCH x"),
+        "ERROR MALFORMED the transaction has failed|IDLE E 1.0"
+    );
+    assert_eq!(
+        play.ask(a, "COMMIT"),
+        "ERROR ABORTED the transaction had failed|IDLE I 1.0"
+    );
     assert_eq!(play.ask(a, "FETCH x"), "COMPLETE +|IDLE I 1.0");
 }
 
@@ -70,24 +85,48 @@
     play.ask(a, "PUT x 1");
     // Received at once, applied after 60 ms.
     assert!(play.status("b").starts_with("follower 1 1.1 0 "));
-    assert_eq!(play.ask(b, "WAITPOS 1.1 FETCH x"), "ERROR LAGGING b|IDLE I 1.0");
+    assert_eq!(
+        play.ask(b, "WAITPOS 1.1 FETCH x"),
+        "ERROR LAGGING b|IDLE I 1.0"
+    );
     assert_eq!(play.ask(b, "FETCH x"), "COMPLETE +|IDLE I 1.0");
     play.pass(0.1);
-    assert_eq!(play.ask(b, "WAITPOS 1.1 FETCH x"), "ROW 1|COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(b, "WAITPOS 1.2 BEGIN FETCH"), "ERROR LAGGING b|IDLE I 1.1");
-    assert_eq!(play.ask(b, "WAITPOS 1.1 BEGIN FETCH"), "COMPLETE -|IDLE T 1.1");
+    assert_eq!(
+        play.ask(b, "WAITPOS 1.1 FETCH x"),
+        "ROW 1|COMPLETE +|IDLE I 1.1"
+    );
+    assert_eq!(
+        play.ask(b, "WAITPOS 1.2 BEGIN FETCH"),
+        "ERROR LAGGING b|IDLE I 1.1"
+    );
+    assert_eq!(
+        play.ask(b, "WAITPOS 1.1 BEGIN FETCH"),
+        "COMPLETE -|IDLE T 1.1"
+    );
     assert_eq!(play.ask(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE T 1.1");
     assert_eq!(play.ask(b, "COMMIT"), "COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(b, "WAITPOS 1.1 COMMIT"), "ERROR MALFORMED WAITPOS goes before reads|IDLE I 1.1");
+    assert_eq!(
+        play.ask(b, "WAITPOS 1.1 COMMIT"),
+        "ERROR MALFORMED WAITPOS goes before reads|IDLE I 1.1"
+    );
 }
 
 #[test]
 fn connections_are_counted_and_meant_for_one_server() {
     let mut play = Play::new(1, false);
-    assert_eq!(play.world.connect(0.0, "a", "other", "x").unwrap_err(), "ERROR WRONGNODE a\r\n");
-    assert_eq!(play.world.connect(0.0, "a", "db", "x b").unwrap_err(), "ERROR WRONGNODE a\r\n");
+    assert_eq!(
+        play.world.connect(0.0, "a", "other", "x").unwrap_err(),
+        "ERROR WRONGNODE a\r\n"
+    );
+    assert_eq!(
+        play.world.connect(0.0, "a", "db", "x b").unwrap_err(),
+        "ERROR WRONGNODE a\r\n"
+    );
     let conns: Vec<_> = (0..4).map(|_| play.open("a")).collect();
-    assert_eq!(play.world.connect(play.now, "a", "db", "x").unwrap_err(), "ERROR CONNLIMIT a\r\n");
+    assert_eq!(
+        play.world.connect(play.now, "a", "db", "x").unwrap_err(),
+        "ERROR CONNLIMIT a\r\n"
+    );
     play.world.ask(play.now, conns[0], b"BYE");
     assert_eq!(play.pass(0.0), [Out::Close(conns[0])]);
     play.open("a");
--- a/crates/standin/src/tests/terms.rs
+++ b/crates/standin/src/tests/terms.rs
@@ -9,7 +9,10 @@
     let a = play.open("a");
     for replica in ["b", "c"] {
         let conn = play.open(replica);
-        assert!(play.ask(conn, "PAUSE 2").starts_with("ROW follower 1 1.0 2 "));
+        assert!(
+            play.ask(conn, "PAUSE 2")
+                .starts_with("ROW follower 1 1.0 2 ")
+        );
     }
     assert_eq!(play.ask(a, "PUT x 1"), "");
     assert_eq!(play.world.ledger.answered, 0);
@@ -37,7 +40,10 @@
     assert_eq!(play.ask(a, "COMMIT"), "");
     let said = play.pass(1.0);
     assert!(
-        said.contains(&Out::Say(a, "ERROR FAILED the lead was lost\r\nIDLE I 2.2\r\n".to_owned())),
+        said.contains(&Out::Say(
+            a,
+            "ERROR FAILED the lead was lost\r\nIDLE I 2.2\r\n".to_owned()
+        )),
         "{said:?}"
     );
     assert_eq!(play.ask(a, "FETCH x"), "ROW 2|COMPLETE +|IDLE I 2.2");
@@ -100,7 +106,10 @@
     play.ask(a, "PUT x 2");
     play.world.crash(play.now, "a");
     assert_eq!(play.pass(0.0), [Out::Close(a)]);
-    assert_eq!((play.world.primary("db"), play.world.endpoint("a")), (None, None));
+    assert_eq!(
+        (play.world.primary("db"), play.world.endpoint("a")),
+        (None, None)
+    );
     assert!(play.world.beat("a").is_none());
     // Nobody was promoted meanwhile: it leads as before.
     play.world.start(play.now, "a");
@@ -153,7 +162,10 @@
         play.say(a, "same", "PUT x 1");
         play.pass(0.02);
     }
-    assert_eq!((play.world.ledger.twice, play.world.ledger.broken()), (1, 1));
+    assert_eq!(
+        (play.world.ledger.twice, play.world.ledger.broken()),
+        (1, 1)
+    );
 }
 
 #[test]
--- a/crates/standin/src/up.rs
+++ b/crates/standin/src/up.rs
@@ -26,19 +26,30 @@
 }
 
 async fn start(
-    tasks: &Rc<LocalExecutor<'static>>, plan: &Plan, folder: &Path, program: &Path,
+    tasks: &Rc<LocalExecutor<'static>>,
+    plan: &Plan,
+    folder: &Path,
+    program: &Path,
 ) -> Result<(), String> {
-    let mut signals =
-        Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals can't be heard: {e}"))?;
+    let mut signals = Signals::new([Signal::Term, Signal::Int])
+        .map_err(|e| format!("signals can't be heard: {e}"))?;
     let mut children = Children::default();
     let asked = async {
         signals.next().await;
         Ok(())
     };
-    let ended = tasks.run(future::or(asked, keep(tasks, plan, folder, program, &mut children))).await;
+    let ended = tasks
+        .run(future::or(
+            asked,
+            keep(tasks, plan, folder, program, &mut children),
+        ))
+        .await;
     for (name, status) in children.end() {
         if !status.success() {
-            println!("{name} ended with {status}; its log is {}", log_file(folder, &name).display());
+            println!(
+                "{name} ended with {status}; its log is {}",
+                log_file(folder, &name).display()
+            );
         }
     }
     ended
@@ -49,17 +60,24 @@
 }
 
 async fn keep(
-    tasks: &Rc<LocalExecutor<'static>>, plan: &Plan, folder: &Path, program: &Path, children: &mut Children,
+    tasks: &Rc<LocalExecutor<'static>>,
+    plan: &Plan,
+    folder: &Path,
+    program: &Path,
+    children: &mut Children,
 ) -> Result<(), String> {
     if !program.is_file() {
         return Err(format!("{} isn't there: is it built?", program.display()));
     }
-    let stage =
-        stage(tasks, plan).map_err(|e| format!("{e} (is another one up? --net gives other addresses)"))?;
+    let stage = stage(tasks, plan)
+        .map_err(|e| format!("{e} (is another one up? --net gives other addresses)"))?;
     let wrong = |e: std::io::Error| format!("{}: {e}", folder.display());
     if folder.join("control-1").exists() {
         // The databases begin empty each time: a state from another time would know of commits that are gone.
-        return Err(format!("{} holds an earlier run: take another folder", folder.display()));
+        return Err(format!(
+            "{} holds an earlier run: take another folder",
+            folder.display()
+        ));
     }
     for (name, file) in plan.write(folder, true).map_err(wrong)? {
         let settings = file.display().to_string();
@@ -83,7 +101,10 @@
     let work = async {
         let late = async {
             Timer::after(Duration::from_secs_f64(READY)).await;
-            Err(format!("not ready within {READY} s; the logs are in {}", folder.display()))
+            Err(format!(
+                "not ready within {READY} s; the logs are in {}",
+                folder.display()
+            ))
         };
         future::or(late, ready(plan)).await?;
         greet(plan, folder);
@@ -95,9 +116,20 @@
 
 /// Starts the databases, the platform and the desk of this deployment.
 pub fn stage(tasks: &Rc<LocalExecutor<'static>>, plan: &Plan) -> Result<Rc<Stage>, String> {
-    let world = World::new(plan.services(), Timing::default(), true, u64::from(std::process::id()));
+    let world = World::new(
+        plan.services(),
+        Timing::default(),
+        true,
+        u64::from(std::process::id()),
+    );
     clock::now();
-    let stage = Stage::start(tasks, world, plan.controls(), plan.heartbeat_ms as f64 / 1000.0, 7.0)?;
+    let stage = Stage::start(
+        tasks,
+        world,
+        plan.controls(),
+        plan.heartbeat_ms as f64 / 1000.0,
+        7.0,
+    )?;
     desk::open(tasks, &stage, plan.platform(), plan.desk(), 50)?;
     Ok(stage)
 }
@@ -107,7 +139,9 @@
     operator::replace(&plan.controls(), 0, &plan.configuration(1)).await?;
     log::info!("event=configuration_taken epoch=1");
     for router in plan.readiness() {
-        while !call::once(router, 1.0, "GET", "/api/readiness", &[], b"").await.is_ok_and(|a| a.status == 200)
+        while !call::once(router, 1.0, "GET", "/api/readiness", &[], b"")
+            .await
+            .is_ok_and(|a| a.status == 200)
         {
             Timer::after(Duration::from_millis(50)).await;
         }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -42,7 +42,15 @@
 
 impl Default for Timing {
     fn default() -> Self {
-        Self { open: 0.012, work: 0.004, network: 0.0014, apply: 0.06, promote: 0.3, cut: 0.05, lead_on: 1.0 }
+        Self {
+            open: 0.012,
+            work: 0.004,
+            network: 0.0014,
+            apply: 0.06,
+            promote: 0.3,
+            cut: 0.05,
+            lead_on: 1.0,
+        }
     }
 }
 
@@ -217,7 +225,13 @@
             }
             let start = Position { term: 1, number: 0 };
             let name = service.name.clone();
-            let state = Service { spec: service, term: 1, promotions: Vec::new(), fence: 0, answered: start };
+            let state = Service {
+                spec: service,
+                term: 1,
+                promotions: Vec::new(),
+                fence: 0,
+                answered: start,
+            };
             world.services.insert(name, state);
         }
         world
@@ -230,14 +244,20 @@
 
     /// Where a server is reached, while it runs.
     pub fn endpoint(&self, id: &str) -> Option<SocketAddr> {
-        self.servers.get(id).filter(|s| s.running).map(|s| s.spec.endpoint)
+        self.servers
+            .get(id)
+            .filter(|s| s.running)
+            .map(|s| s.spec.endpoint)
     }
 
     /// Who leads a service in its newest term, if that one runs.
     pub fn primary(&self, service: &str) -> Option<&str> {
         let term = self.services.get(service)?.term;
         let leads = |s: &&Server| s.service == service && s.running && s.leads && s.term == term;
-        self.servers.values().find(leads).map(|s| s.spec.id.as_str())
+        self.servers
+            .values()
+            .find(leads)
+            .map(|s| s.spec.id.as_str())
     }
 
     /// What a server's reads see of a thing.
@@ -252,7 +272,11 @@
 
     /// The body of a server's next beat; none while it doesn't run.
     pub fn beat(&mut self, id: &str) -> Option<Heartbeat> {
-        let slots = self.services.get(&self.servers.get(id)?.service)?.spec.slots as u32;
+        let slots = self
+            .services
+            .get(&self.servers.get(id)?.service)?
+            .spec
+            .slots as u32;
         let server = self.servers.get_mut(id).filter(|s| s.running)?;
         server.call_seq += 1;
         Some(Heartbeat {
@@ -261,16 +285,26 @@
             zone: server.spec.zone.clone(),
             epoch: "v1".to_owned(),
             capacity: slots,
-            phase: if server.draining { Phase::Draining } else { Phase::Ready },
+            phase: if server.draining {
+                Phase::Draining
+            } else {
+                Phase::Ready
+            },
             cold_left_ms: 0,
-            db_role: Some(if server.leads { DbRole::Leader } else { DbRole::Follower }),
+            db_role: Some(if server.leads {
+                DbRole::Leader
+            } else {
+                DbRole::Follower
+            }),
             call_seq: server.call_seq,
         })
     }
 
     /// What a server tells at once when it changes: whether it leads, and whether it drains.
     pub fn tells(&self, id: &str) -> (bool, bool) {
-        self.servers.get(id).map_or((false, false), |s| (s.leads, s.draining))
+        self.servers
+            .get(id)
+            .map_or((false, false), |s| (s.leads, s.draining))
     }
 
     /// When [`World::step`] has something to do.
@@ -279,16 +313,32 @@
             return Some(self.now);
         }
         let mut times: Vec<f64> = Vec::new();
-        times.extend(self.services.values().flat_map(|s| s.promotions.iter().map(|p| p.0)));
+        times.extend(
+            self.services
+                .values()
+                .flat_map(|s| s.promotions.iter().map(|p| p.0)),
+        );
         for server in self.servers.values().filter(|s| s.running) {
             times.extend(server.running_jobs.iter().map(|j| j.0));
             times.extend(self.receives(server).map(|c| c.given + self.timing.network));
-            times.extend(server.copy.unapplied().map(|c| c.received + self.timing.apply));
-            if server.leads && self.primary(&server.service).is_some_and(|p| p != server.spec.id) {
+            times.extend(
+                server
+                    .copy
+                    .unapplied()
+                    .map(|c| c.received + self.timing.apply),
+            );
+            if server.leads
+                && self
+                    .primary(&server.service)
+                    .is_some_and(|p| p != server.spec.id)
+            {
                 times.extend(server.deposed.map(|at| at + self.timing.lead_on));
             }
         }
-        times.into_iter().min_by(f64::total_cmp).map(|at| at.max(self.now))
+        times
+            .into_iter()
+            .min_by(f64::total_cmp)
+            .map(|at| at.max(self.now))
     }
 
     /// Does all that is due, and gives what is to be written.
@@ -323,11 +373,12 @@
         let now = self.now;
         let names: Vec<String> = self.services.keys().cloned().collect();
         for name in &names {
-            while let Some((_, id)) = self
-                .services
-                .get_mut(name)
-                .and_then(|s| s.promotions.iter().position(|p| p.0 <= now).map(|at| s.promotions.remove(at)))
-            {
+            while let Some((_, id)) = self.services.get_mut(name).and_then(|s| {
+                s.promotions
+                    .iter()
+                    .position(|p| p.0 <= now)
+                    .map(|at| s.promotions.remove(at))
+            }) {
                 self.takes_over(name, &id);
             }
         }
@@ -337,23 +388,39 @@
             }
             let server = &self.servers[&id];
             let replaced = server.leads && self.primary(&server.service).is_some_and(|p| p != id);
-            if replaced && server.deposed.is_some_and(|at| at + self.timing.lead_on <= now) {
+            if replaced
+                && server
+                    .deposed
+                    .is_some_and(|at| at + self.timing.lead_on <= now)
+            {
                 self.step_down(&id);
             }
-            while let Some(commit) =
-                self.receives(&self.servers[&id]).filter(|c| c.given + self.timing.network <= now)
+            while let Some(commit) = self
+                .receives(&self.servers[&id])
+                .filter(|c| c.given + self.timing.network <= now)
             {
-                let commit = Commit { received: now, ..commit.clone() };
+                let commit = Commit {
+                    received: now,
+                    ..commit.clone()
+                };
                 self.server(&id).copy.receive(commit);
             }
             let apply = self.timing.apply;
             let server = self.server(&id);
-            while server.copy.unapplied().is_some_and(|c| server.leads || c.received + apply <= now) {
+            while server
+                .copy
+                .unapplied()
+                .is_some_and(|c| server.leads || c.received + apply <= now)
+            {
                 server.copy.apply();
             }
         }
         for id in self.ids() {
-            while let Some(at) = self.servers[&id].running_jobs.iter().position(|j| j.0 <= now) {
+            while let Some(at) = self.servers[&id]
+                .running_jobs
+                .iter()
+                .position(|j| j.0 <= now)
+            {
                 let (_, job) = self.server(&id).running_jobs.remove(at);
                 self.done(&id, job);
             }
--- a/crates/standin/src/world/primaries.rs
+++ b/crates/standin/src/world/primaries.rs
@@ -7,16 +7,24 @@
     pub fn promote(&mut self, now: f64, name: &str, id: &str, fence: u64) -> u16 {
         self.step_to(now);
         let present = self.primary(name) == Some(id);
-        let Some(service) = self.services.get_mut(name) else { return 404 };
+        let Some(service) = self.services.get_mut(name) else {
+            return 404;
+        };
         if fence < service.fence && self.fencing {
             return 409;
         }
         service.fence = service.fence.max(fence);
-        if self.servers.get(id).is_none_or(|s| s.service != name || !s.running) {
+        if self
+            .servers
+            .get(id)
+            .is_none_or(|s| s.service != name || !s.running)
+        {
             return 409;
         }
         if !present {
-            service.promotions.push((now + self.timing.promote, id.to_owned()));
+            service
+                .promotions
+                .push((now + self.timing.promote, id.to_owned()));
         }
         200
     }
@@ -24,7 +32,9 @@
     /// A server's process ends; all its connections break.
     pub fn crash(&mut self, now: f64, id: &str) {
         self.step_to(now);
-        let Some(server) = self.servers.get_mut(id).filter(|s| s.running) else { return };
+        let Some(server) = self.servers.get_mut(id).filter(|s| s.running) else {
+            return;
+        };
         server.running = false;
         server.conns = 0;
         server.paused = None;
@@ -45,7 +55,9 @@
     /// A server's process starts again, with the log that it had.
     pub fn start(&mut self, now: f64, id: &str) {
         self.step_to(now);
-        let Some(server) = self.servers.get_mut(id).filter(|s| !s.running) else { return };
+        let Some(server) = self.servers.get_mut(id).filter(|s| !s.running) else {
+            return;
+        };
         let term = self.services[&server.service].term;
         server.running = true;
         server.draining = false;
@@ -72,15 +84,21 @@
         }
         let now = self.now;
         let had = self.servers[id].copy.received();
-        let Some(service) = self.services.get_mut(name) else { return };
+        let Some(service) = self.services.get_mut(name) else {
+            return;
+        };
         let old = service.term;
         service.term += 1;
         let term = service.term;
         log::info!("event=promoted service={name} id={id} term={term} position={had}");
         if service.answered > had {
             if service.spec.sync_replicas > 0 {
-                self.ledger.lost += service.answered.number - had.number.min(service.answered.number);
-                log::warn!("event=commits_lost service={name} answered={} kept={had}", service.answered);
+                self.ledger.lost +=
+                    service.answered.number - had.number.min(service.answered.number);
+                log::warn!(
+                    "event=commits_lost service={name} answered={} kept={had}",
+                    service.answered
+                );
             }
             service.answered = had;
         }
@@ -89,7 +107,11 @@
             .servers
             .values()
             .filter(|s| s.service == name && s.leads && s.term == old)
-            .flat_map(|s| s.copy.beyond(had.number).flat_map(|c| c.ids.iter().cloned()))
+            .flat_map(|s| {
+                s.copy
+                    .beyond(had.number)
+                    .flat_map(|c| c.ids.iter().cloned())
+            })
             .collect();
         cut.iter().for_each(|id| self.ledger.cut(id));
         let cut_s = self.timing.cut;
@@ -134,10 +156,13 @@
     /// primary's, it takes a copy: it may have commits that are no longer there, under the same numbers.
     fn follow(&mut self, id: &str, begins: bool) {
         let server = &self.servers[id];
-        let Some(primary) = self.primary(&server.service).filter(|p| *p != id) else { return };
+        let Some(primary) = self.primary(&server.service).filter(|p| *p != id) else {
+            return;
+        };
         let primary = &self.servers[primary];
         let (term, copy) = (primary.term, &primary.copy);
-        let whole = !(begins || server.term == term) || !copy.reaches(server.copy.received().number);
+        let whole =
+            !(begins || server.term == term) || !copy.reaches(server.copy.received().number);
         let copy = whole.then(|| copy.clone());
         let server = self.server(id);
         if let Some(copy) = copy {
--- a/crates/standin/src/world/sessions.rs
+++ b/crates/standin/src/world/sessions.rs
@@ -5,7 +5,13 @@
 impl World {
     /// A caller has sent `CONNECT`, as the first line of its connection. An error is to be written, then the connection
     /// closed; otherwise the answer comes as [`Out::Say`].
-    pub fn connect(&mut self, now: f64, at: &str, service: &str, who: &str) -> Result<Conn, String> {
+    pub fn connect(
+        &mut self,
+        now: f64,
+        at: &str,
+        service: &str,
+        who: &str,
+    ) -> Result<Conn, String> {
         self.step_to(now);
         let full = |code: Code, text: &str| Err(format!("ERROR {} {text}\r\n", code.word()));
         let Some(server) = self.servers.get_mut(at).filter(|s| s.running) else {
@@ -15,7 +21,11 @@
         if server.service != service || expected.is_some_and(|id| id != at) {
             return full(Code::WrongNode, at);
         }
-        if self.services.get(service).is_some_and(|s| server.conns >= s.spec.max_conns) {
+        if self
+            .services
+            .get(service)
+            .is_some_and(|s| server.conns >= s.spec.max_conns)
+        {
             return full(Code::ConnLimit, at);
         }
         server.conns += 1;
@@ -52,21 +62,31 @@
     /// A caller has closed its connection: an open transaction is rolled back, what waits isn't run.
     pub fn closed(&mut self, now: f64, conn: Conn) {
         self.step_to(now);
-        let Some(session) = self.sessions.remove(&conn) else { return };
-        let Some(server) = self.servers.get_mut(&session.server) else { return };
+        let Some(session) = self.sessions.remove(&conn) else {
+            return;
+        };
+        let Some(server) = self.servers.get_mut(&session.server) else {
+            return;
+        };
         server.conns -= 1;
         server.waiting.retain(|job| job.conn != conn);
         server.unanswered.retain(|u| u.conn != conn);
     }
 
     pub(super) fn idle(&self, conn: Conn) -> String {
-        let Some(session) = self.sessions.get(&conn) else { return String::new() };
+        let Some(session) = self.sessions.get(&conn) else {
+            return String::new();
+        };
         let state = match &session.transaction {
             None => State::Idle,
             Some(t) if t.failed => State::Failed,
             Some(_) => State::Open,
         };
-        format!("IDLE {} {}\r\n", state.letter(), self.servers[&session.server].copy.applied())
+        format!(
+            "IDLE {} {}\r\n",
+            state.letter(),
+            self.servers[&session.server].copy.applied()
+        )
     }
 
     /// The rest of an answer, after any rows.
@@ -78,18 +98,28 @@
     }
 
     pub(super) fn fail(&mut self, conn: Conn, code: Code, text: &str) {
-        if let Some(transaction) = self.sessions.get_mut(&conn).and_then(|s| s.transaction.as_mut()) {
+        if let Some(transaction) = self
+            .sessions
+            .get_mut(&conn)
+            .and_then(|s| s.transaction.as_mut())
+        {
             transaction.failed = true;
         }
         self.end(conn, &format!("ERROR {} {text}", code.word()));
     }
 
     pub(super) fn enqueue(&mut self, conn: Conn, id: &str, work: Work) {
-        let Some(at) = self.sessions.get(&conn).map(|s| s.server.clone()) else { return };
+        let Some(at) = self.sessions.get(&conn).map(|s| s.server.clone()) else {
+            return;
+        };
         if self.servers[&at].waiting.len() >= WAITING {
             return self.fail(conn, Code::Retry, "20");
         }
-        self.server(&at).waiting.push_back(Job { conn, id: id.to_owned(), work });
+        self.server(&at).waiting.push_back(Job {
+            conn,
+            id: id.to_owned(),
+            work,
+        });
         self.fill_slots(&at);
     }
 
@@ -105,7 +135,9 @@
                 Work::Status => 0.0005,
                 _ => timing.work,
             };
-            server.running_jobs.push((now.max(server.busy_until) + span, job));
+            server
+                .running_jobs
+                .push((now.max(server.busy_until) + span, job));
         }
     }
 }
--- a/crates/standin/src/world/statements.rs
+++ b/crates/standin/src/world/statements.rs
@@ -5,20 +5,33 @@
 impl World {
     pub(super) fn row(&self, server: &Server) -> String {
         let role = if server.leads { "leader" } else { "follower" };
-        let lag = server.copy.unapplied().map_or(0.0, |c| (self.now - c.received).max(0.0) * 1000.0);
+        let lag = server
+            .copy
+            .unapplied()
+            .map_or(0.0, |c| (self.now - c.received).max(0.0) * 1000.0);
         let busy = server.running_jobs.len();
         let held = server.paused.unwrap_or(0);
-        format!("{role} {} {} {held} {lag:.0} {busy} {}", server.term, server.copy.received(), server.conns)
+        format!(
+            "{role} {} {} {held} {lag:.0} {busy} {}",
+            server.term,
+            server.copy.received(),
+            server.conns
+        )
     }
 
     fn stamp(&self, conn: Conn, server: &Server, statement: u64) -> String {
         let number = server.copy.received().number;
         let mark = mix(self.seed ^ mix(conn) ^ mix(statement.rotate_left(32) ^ number));
-        format!("{:x}.{conn:x}.{statement:x}.{number:x}.{mark:016x}", server.term)
+        format!(
+            "{:x}.{conn:x}.{statement:x}.{number:x}.{mark:016x}",
+            server.term
+        )
     }
 
     pub(super) fn query(&mut self, conn: Conn, id: &str, text: &str) {
-        let Some(session) = self.sessions.get_mut(&conn) else { return };
+        let Some(session) = self.sessions.get_mut(&conn) else {
+            return;
+        };
         session.statements += 1;
         let at = session.server.clone();
         let state = session.transaction.as_ref().map(|t| t.failed);
@@ -28,14 +41,20 @@
         let mut rest = text;
         let mut proof = None;
         if let Some(told) = text.strip_prefix("WAITPOS ") {
-            let parsed = told.split_once(' ').and_then(|(p, rest)| Some((p.parse::<Position>().ok()?, rest)));
-            let Some((position, told)) = parsed else { return self.fail(conn, Code::Malformed, "WAITPOS") };
+            let parsed = told
+                .split_once(' ')
+                .and_then(|(p, rest)| Some((p.parse::<Position>().ok()?, rest)));
+            let Some((position, told)) = parsed else {
+                return self.fail(conn, Code::Malformed, "WAITPOS");
+            };
             (proof, rest) = (Some(position), told);
         }
         let Ok(statement) = Text::parse(rest) else {
             return self.fail(conn, Code::Malformed, "unknown statement");
         };
-        let Some(session) = self.sessions.get_mut(&conn) else { return };
+        let Some(session) = self.sessions.get_mut(&conn) else {
+            return;
+        };
         if state == Some(true) {
             match statement {
                 Text::Abort => {
@@ -49,7 +68,10 @@
                 _ => return self.fail(conn, Code::Malformed, "the transaction has failed"),
             }
         }
-        let reads = matches!(statement, Text::Fetch | Text::Begin { .. } | Text::Execute { .. });
+        let reads = matches!(
+            statement,
+            Text::Fetch | Text::Begin { .. } | Text::Execute { .. }
+        );
         if let Some(proof) = proof {
             if !reads {
                 return self.fail(conn, Code::Malformed, "WAITPOS goes before reads");
@@ -64,7 +86,9 @@
                 return self.end(conn, "COMPLETE -");
             }
             Text::Prepare { name, kind, shape } => {
-                session.prepared.insert(name.to_owned(), (kind, shape.to_owned()));
+                session
+                    .prepared
+                    .insert(name.to_owned(), (kind, shape.to_owned()));
                 return self.end(conn, "COMPLETE -");
             }
             Text::Release { name } => {
@@ -99,11 +123,15 @@
                 return self.end(conn, "COMPLETE -");
             }
             Text::Commit => Work::Commit,
-            Text::Fetch => Work::Read { thing: rest[6..].to_owned() },
+            Text::Fetch => Work::Read {
+                thing: rest[6..].to_owned(),
+            },
             Text::Put => put(&rest[4..]),
             Text::Execute { name, rest } => match session.prepared.get(name) {
                 None => return self.fail(conn, Code::Unknown, name),
-                Some((Kind::Fetch, _)) => Work::Read { thing: rest.to_owned() },
+                Some((Kind::Fetch, _)) => Work::Read {
+                    thing: rest.to_owned(),
+                },
                 Some((Kind::Put, _)) => put(rest),
             },
         };
@@ -151,7 +179,9 @@
 
     /// Whether this may not run here, on a server that doesn't lead or leads no more.
     fn is_read_only(&self, conn: Conn, work: &Work) -> bool {
-        let Some(session) = self.sessions.get(&conn) else { return false };
+        let Some(session) = self.sessions.get(&conn) else {
+            return false;
+        };
         let server = &self.servers[&session.server];
         match (&session.transaction, work) {
             (_, Work::Open | Work::Status) => false,
@@ -180,7 +210,9 @@
             return self.refuse(conn, at, &work);
         }
         let server = &self.servers[at];
-        let Some(session) = self.sessions.get(&conn) else { return };
+        let Some(session) = self.sessions.get(&conn) else {
+            return;
+        };
         let stamp = self.stamp(conn, server, session.statements);
         match work {
             Work::Open => {
@@ -193,13 +225,19 @@
             }
             Work::Read { thing } => {
                 let own = session.transaction.iter().flat_map(|t| t.puts.iter().rev());
-                let own = own.into_iter().find(|(t, _)| *t == thing).map(|(_, data)| data.as_str());
-                let row =
-                    own.or(server.copy.get(&thing)).map_or(String::new(), |data| format!("ROW {data}\r\n"));
+                let own = own
+                    .into_iter()
+                    .find(|(t, _)| *t == thing)
+                    .map(|(_, data)| data.as_str());
+                let row = own
+                    .or(server.copy.get(&thing))
+                    .map_or(String::new(), |data| format!("ROW {data}\r\n"));
                 self.end(conn, &format!("{row}COMPLETE {stamp}"));
             }
             Work::Write { thing, data } => {
-                let Some(session) = self.sessions.get_mut(&conn) else { return };
+                let Some(session) = self.sessions.get_mut(&conn) else {
+                    return;
+                };
                 match &mut session.transaction {
                     Some(transaction) => {
                         transaction.ids.push(id);
@@ -210,7 +248,9 @@
                 }
             }
             Work::Commit => {
-                let Some(session) = self.sessions.get_mut(&conn) else { return };
+                let Some(session) = self.sessions.get_mut(&conn) else {
+                    return;
+                };
                 match session.transaction.take() {
                     Some(t) if !t.puts.is_empty() => self.commit(at, conn, t.ids, t.puts, stamp),
                     _ => self.end(conn, &format!("COMPLETE {stamp}")),
@@ -219,12 +259,22 @@
         }
     }
 
-    fn commit(&mut self, at: &str, conn: Conn, ids: Vec<String>, puts: Vec<(String, String)>, stamp: String) {
+    fn commit(
+        &mut self,
+        at: &str,
+        conn: Conn,
+        ids: Vec<String>,
+        puts: Vec<(String, String)>,
+        stamp: String,
+    ) {
         ids.iter().for_each(|id| self.ledger.committed(id));
         let now = self.now;
         let writes = ids.len() as u64;
         let server = self.server(at);
-        let position = Position { term: server.term, number: server.copy.received().number + 1 };
+        let position = Position {
+            term: server.term,
+            number: server.copy.received().number + 1,
+        };
         server.copy.receive(Commit {
             position,
             ids: ids.into(),
@@ -233,7 +283,12 @@
             received: now,
         });
         server.copy.apply();
-        server.unanswered.push_back(Unanswered { conn, position, stamp, writes });
+        server.unanswered.push_back(Unanswered {
+            conn,
+            position,
+            stamp,
+            writes,
+        });
     }
 
     /// Answers the commits that enough replicas have.
@@ -258,7 +313,9 @@
             if self.servers.values().filter(has).count() < needed {
                 return;
             }
-            let Some(first) = self.server(id).unanswered.pop_front() else { return };
+            let Some(first) = self.server(id).unanswered.pop_front() else {
+                return;
+            };
             self.ledger.answered += first.writes;
             if position.term < newest {
                 self.ledger.deposed += 1;
@@ -274,7 +331,10 @@
 /// Thing and data.
 fn put(rest: &str) -> Work {
     let (thing, data) = rest.split_once(' ').unwrap_or((rest, ""));
-    Work::Write { thing: thing.to_owned(), data: data.to_owned() }
+    Work::Write {
+        thing: thing.to_owned(),
+        data: data.to_owned(),
+    }
 }
 
 fn mix(x: u64) -> u64 {
--- a/crates/standin/tests/orders.rs
+++ b/crates/standin/tests/orders.rs
@@ -55,19 +55,40 @@
         let net = Net([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
         let mut plan = Plan::new(net, 1, 1).unwrap();
         plan.peers_relayed = true;
-        let folder = std::env::temp_dir().join(format!("standin-orders-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("standin-orders-{}-{number}", std::process::id()));
         let relay = |at: SocketAddr, to: SocketAddr| Relay::start(tasks, at, to).unwrap();
-        let peer =
-            |from: usize, to: usize| (from != to).then(|| relay(plan.peer_door(from, to), plan.peer(to)));
-        let peers = (0..CONTROLS).map(|from| (0..CONTROLS).map(|to| peer(from, to)).collect()).collect();
-        let doors = (0..CONTROLS).map(|n| relay(plan.operator_door(n), plan.controls()[n])).collect();
+        let peer = |from: usize, to: usize| {
+            (from != to).then(|| relay(plan.peer_door(from, to), plan.peer(to)))
+        };
+        let peers = (0..CONTROLS)
+            .map(|from| (0..CONTROLS).map(|to| peer(from, to)).collect())
+            .collect();
+        let doors = (0..CONTROLS)
+            .map(|n| relay(plan.operator_door(n), plan.controls()[n]))
+            .collect();
         let mut children = Children::default();
-        for (name, file) in plan.write(&folder, true).unwrap().into_iter().take(CONTROLS) {
+        for (name, file) in plan
+            .write(&folder, true)
+            .unwrap()
+            .into_iter()
+            .take(CONTROLS)
+        {
             start_node(&mut children, &name, &file, &folder);
         }
         let (history, texts, done) = Default::default();
         let tasks = tasks.clone();
-        Rig { tasks, plan, children: RefCell::new(children), peers, doors, folder, history, texts, done }
+        Rig {
+            tasks,
+            plan,
+            children: RefCell::new(children),
+            peers,
+            doors,
+            folder,
+            history,
+            texts,
+            done,
+        }
     }
 
     fn operator_doors(&self) -> Vec<SocketAddr> {
@@ -78,8 +99,15 @@
     /// connections of who sends them, so that a way is a link here.
     fn cut(&self, node: usize, outgoing: bool, fault: Option<Fault>) {
         for other in (0..CONTROLS).filter(|other| *other != node) {
-            let (from, to) = if outgoing { (node, other) } else { (other, node) };
-            self.peers[from][to].as_ref().unwrap().set(Way::Requests, fault);
+            let (from, to) = if outgoing {
+                (node, other)
+            } else {
+                (other, node)
+            };
+            self.peers[from][to]
+                .as_ref()
+                .unwrap()
+                .set(Way::Requests, fault);
         }
     }
 
@@ -89,7 +117,9 @@
         loop {
             for (n, at) in self.plan.controls().into_iter().enumerate() {
                 let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
-                let status = asked.ok().and_then(|answer| Status::read(&answer.body).ok());
+                let status = asked
+                    .ok()
+                    .and_then(|answer| Status::read(&answer.body).ok());
                 if status.is_some_and(|s| s.leads) {
                     return n;
                 }
@@ -103,13 +133,18 @@
     fn version(&self, epoch: u64) -> Version {
         self.texts.set(self.texts.get() + 1);
         let idle = format!("\"idle_timeout_ms\":{}", 15_000 + self.texts.get());
-        let body = self.plan.configuration(epoch).replace("\"idle_timeout_ms\":15000", &idle);
+        let body = self
+            .plan
+            .configuration(epoch)
+            .replace("\"idle_timeout_ms\":15000", &idle);
         Version { epoch, body }
     }
 
     /// Sends an order until it has a clear answer, and writes it down.
     async fn order(&self, operator: &Operator, base: u64, version: Version) -> Outcome {
-        let order = operator.order(base, version, clock::now() + PATIENCE_S).await;
+        let order = operator
+            .order(base, version, clock::now() + PATIENCE_S)
+            .await;
         let outcome = order.tries.last().map_or(Outcome::Unclear, |t| t.outcome);
         self.history.borrow_mut().orders.push(order);
         outcome
@@ -159,7 +194,9 @@
         let history = self.history.borrow();
         let tries = history.orders.iter().flat_map(|order| &order.tries);
         let within = |ended: f64| (from..to).contains(&ended);
-        tries.filter(|t| t.outcome == Outcome::Acknowledged && within(t.ended)).count()
+        tries
+            .filter(|t| t.outcome == Outcome::Acknowledged && within(t.ended))
+            .count()
     }
 
     /// All machines say the same in the end, and one order of versions explains all that was said.
@@ -171,7 +208,12 @@
         }
         let history = self.history.borrow();
         let count = |outcome: fn(&Outcome) -> bool| {
-            history.orders.iter().flat_map(|o| &o.tries).filter(|t| outcome(&t.outcome)).count()
+            history
+                .orders
+                .iter()
+                .flat_map(|o| &o.tries)
+                .filter(|t| outcome(&t.outcome))
+                .count()
         };
         println!(
             "orders={} acknowledged={} refused={} unclear={} reads={}",
@@ -182,7 +224,10 @@
             history.reads.len()
         );
         match history.judge() {
-            Ok(chain) => assert!(newest.iter().all(|n| Some(n) == chain.last()), "{newest:?} {chain:?}"),
+            Ok(chain) => assert!(
+                newest.iter().all(|n| Some(n) == chain.last()),
+                "{newest:?} {chain:?}"
+            ),
             Err(violation) => panic!("{violation}: {history:#?}"),
         }
     }
@@ -203,7 +248,9 @@
     let program = Path::new(env!("CARGO_BIN_EXE_standin"));
     let settings = file.display().to_string();
     let log = folder.join(format!("{name}.log"));
-    children.start(name, program, &["node", "--settings", &settings], &log).unwrap();
+    children
+        .start(name, program, &["node", "--settings", &settings], &log)
+        .unwrap();
 }
 
 async fn pause(seconds: f64) {
@@ -216,7 +263,10 @@
     let rig = Rig::start(&tasks, number);
     let all = async {
         let first = Operator::new(&rig.operator_doors(), 0);
-        assert_eq!(rig.order(&first, 0, rig.version(1)).await, Outcome::Acknowledged);
+        assert_eq!(
+            rig.order(&first, 0, rig.version(1)).await,
+            Outcome::Acknowledged
+        );
         test(&rig).await;
         rig.judge().await;
     };
@@ -241,7 +291,10 @@
         })
         .await;
         let orders = rig.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
-        assert!(orders >= ORDERS, "{orders} orders were acknowledged while the link was cut");
+        assert!(
+            orders >= ORDERS,
+            "{orders} orders were acknowledged while the link was cut"
+        );
     });
 }
 
@@ -261,7 +314,10 @@
         })
         .await;
         let orders = rig.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
-        assert!(orders >= ORDERS, "{orders} orders were acknowledged while the links were cut");
+        assert!(
+            orders >= ORDERS,
+            "{orders} orders were acknowledged while the links were cut"
+        );
     });
 }
 
@@ -292,7 +348,14 @@
     let base = order.base.to_string();
     let headers = [(BASE_VERSION, base.as_str())];
     let body = order.version.body.as_bytes();
-    request("POST", "/api/Config.Replace", &at.to_string(), &headers, body).len()
+    request(
+        "POST",
+        "/api/Config.Replace",
+        &at.to_string(),
+        &headers,
+        body,
+    )
+    .len()
 }
 
 #[test]
@@ -303,7 +366,11 @@
                 let at = rig.plan.operator_door(node);
                 let operator = Operator::new(&rig.operator_doors(), node + 1);
                 let base = rig.read(&operator).await;
-                let mut order = Order { base, version: rig.version(base + 2), tries: Vec::new() };
+                let mut order = Order {
+                    base,
+                    version: rig.version(base + 2),
+                    tries: Vec::new(),
+                };
                 let whole = bytes_of(at, &order);
                 let (way, passes) = match stage {
                     0 => (Way::Requests, 0),
@@ -320,7 +387,9 @@
                 assert_eq!(door.resets(), resets + 1, "stage {stage}");
                 order.tries.push(first);
                 // The same again, at the other machines: it is taken now, or was before.
-                let again = operator.order(base, order.version.clone(), clock::now() + PATIENCE_S).await;
+                let again = operator
+                    .order(base, order.version.clone(), clock::now() + PATIENCE_S)
+                    .await;
                 order.tries.extend(again.tries);
                 let ended = order.tries.last().map(|t| t.outcome);
                 rig.history.borrow_mut().orders.push(order);
@@ -340,17 +409,26 @@
         rig.under_way(async {
             pause(0.5).await;
             // An operator waits for a second.
-            rig.doors[leader].set(Way::Answers, Some(Fault::Delay(Duration::from_millis(2500))));
+            rig.doors[leader].set(
+                Way::Answers,
+                Some(Fault::Delay(Duration::from_millis(2500))),
+            );
             pause(3.0).await;
             rig.doors[leader].set(Way::Answers, None);
             let other = (leader + 1) % CONTROLS;
             for (from, to) in [(leader, other), (other, leader)] {
                 let link = rig.peers[from][to].as_ref().unwrap();
-                link.set(Way::Requests, Some(Fault::Delay(Duration::from_millis(1500))));
+                link.set(
+                    Way::Requests,
+                    Some(Fault::Delay(Duration::from_millis(1500))),
+                );
             }
             pause(4.0).await;
             for (from, to) in [(leader, other), (other, leader)] {
-                rig.peers[from][to].as_ref().unwrap().set(Way::Requests, None);
+                rig.peers[from][to]
+                    .as_ref()
+                    .unwrap()
+                    .set(Way::Requests, None);
             }
         })
         .await;
@@ -368,7 +446,11 @@
             let at = rig.plan.operator_door(leader);
             let operator = Operator::new(&rig.operator_doors(), leader + 1);
             let base = rig.read(&operator).await;
-            let mut order = Order { base, version: rig.version(base + 2), tries: Vec::new() };
+            let mut order = Order {
+                base,
+                version: rig.version(base + 2),
+                tries: Vec::new(),
+            };
             rig.cut(leader, true, Some(Fault::Drop));
             let sent = operator.try_order(at, &order);
             let stopped = async {
@@ -384,7 +466,9 @@
             rig.order(&operator, newest, rig.version(newest + 5)).await;
             rig.children.borrow().signal(&name, Signal::CONT);
             // What it read before it was stopped is answered, if at all, by what is in force now.
-            let again = operator.order(base, order.version.clone(), clock::now() + PATIENCE_S).await;
+            let again = operator
+                .order(base, order.version.clone(), clock::now() + PATIENCE_S)
+                .await;
             order.tries.extend(again.tries);
             rig.history.borrow_mut().orders.push(order);
             let direct = Operator::new(&[at], 0);
--- a/crates/standin/tests/system.rs
+++ b/crates/standin/tests/system.rs
@@ -76,18 +76,34 @@
         let mut plan = Plan::new(net, 1, 2).unwrap();
         (plan.platform_relayed, plan.databases_relayed) = (true, true);
         let platform = Relay::start(tasks, plan.platform_door(), plan.platform()).unwrap();
-        let servers = plan.services().into_iter().flat_map(|service| service.servers);
-        let database =
-            |server: ServerSpec| (server.id, Relay::start(tasks, server.told, server.endpoint).unwrap());
+        let servers = plan
+            .services()
+            .into_iter()
+            .flat_map(|service| service.servers);
+        let database = |server: ServerSpec| {
+            (
+                server.id,
+                Relay::start(tasks, server.told, server.endpoint).unwrap(),
+            )
+        };
         let databases = servers.map(database).collect();
-        let folder = std::env::temp_dir().join(format!("standin-system-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("standin-system-{}-{number}", std::process::id()));
         let stage = up::stage(tasks, &plan).unwrap();
         let mut children = Children::default();
         for (name, file) in plan.write(&folder, true).unwrap() {
             start_node(&mut children, &name, &file, &folder);
         }
         let (tasks, children) = (tasks.clone(), RefCell::new(children));
-        Self { tasks, plan, stage, platform, databases, children, folder }
+        Self {
+            tasks,
+            plan,
+            stage,
+            platform,
+            databases,
+            children,
+            folder,
+        }
     }
 
     fn client(&self, n: usize, seen: &Rc<Seen>) {
@@ -113,14 +129,23 @@
     let settings = file.display().to_string();
     let metrics = METRICS_PORT.to_string();
     let arguments = ["node", "--settings", &settings, "--metrics", &metrics];
-    children.start(name, program, &arguments, &folder.join(format!("{name}.log"))).unwrap();
+    children
+        .start(
+            name,
+            program,
+            &arguments,
+            &folder.join(format!("{name}.log")),
+        )
+        .unwrap();
 }
 
 /// Writes 1, 2, 3 and so on into its thing, each once; what was refused is written again as the next value.
 async fn write(n: usize, front: SocketAddr, seen: Rc<Seen>) {
     let mut client = None;
     while !seen.done.get() {
-        let Some(session) = session(&mut client, front, "fresh1").await else { continue };
+        let Some(session) = session(&mut client, front, "fresh1").await else {
+            continue;
+        };
         let value = seen.sent[n].get() + 1;
         seen.sent[n].set(value);
         let id = format!("w{n}-{value}");
@@ -151,14 +176,21 @@
     let mut client = None;
     let mut count = 0;
     while !seen.done.get() {
-        let Some(session) = session(&mut client, front, "fresh1").await else { continue };
+        let Some(session) = session(&mut client, front, "fresh1").await else {
+            continue;
+        };
         count += 1;
         let least = seen.acknowledged[n].get();
-        match session.ask(&format!("r{n}-{count}"), &format!("FETCH t{n}")).await {
+        match session
+            .ask(&format!("r{n}-{count}"), &format!("FETCH t{n}"))
+            .await
+        {
             Ok(answered) if answered.outcome.error.is_none() => {
                 let value: u64 = answered.row().map_or(0, |row| row.parse().unwrap());
                 if value < least || value > seen.sent[n].get() {
-                    seen.stale.borrow_mut().push(format!("t{n}={value} after {least}"));
+                    seen.stale
+                        .borrow_mut()
+                        .push(format!("t{n}={value} after {least}"));
                 }
                 seen.reads.set(seen.reads.get() + 1);
             }
@@ -174,7 +206,9 @@
 }
 
 async fn session<'a>(
-    client: &'a mut Option<Client>, at: SocketAddr, database: &str,
+    client: &'a mut Option<Client>,
+    at: SocketAddr,
+    database: &str,
 ) -> Option<&'a mut Client> {
     if client.is_none() {
         *client = Client::open(at, database, "u1", 6.0).await.ok();
@@ -222,7 +256,9 @@
         let world = rig.stage.world.borrow();
         let primary = world.primary("db1").expect("somebody leads");
         for n in 0..WRITERS {
-            let held: u64 = world.read(primary, &format!("t{n}")).map_or(0, |v| v.parse().unwrap());
+            let held: u64 = world
+                .read(primary, &format!("t{n}"))
+                .map_or(0, |v| v.parse().unwrap());
             let (acknowledged, sent) = (self.acknowledged[n].get(), self.sent[n].get());
             assert!(
                 (acknowledged..=sent).contains(&held),
@@ -260,43 +296,68 @@
 #[test]
 fn the_primary_is_killed_and_writes_go_on() {
     play(0, async |rig, seen| {
-        seen.until(10.0, "300 writes", |s| s.writes.get() >= 300).await;
+        seen.until(10.0, "300 writes", |s| s.writes.get() >= 300)
+            .await;
         let before = rig.stage.world.borrow().primary("db1").unwrap().to_owned();
         rig.stage.crash(&before);
         let count = seen.writes.get();
         // A few may have been answered just before.
         let more = count + WRITERS as u64 + 1;
-        seen.until(6.0, "a write after the kill", |s| s.writes.get() > more).await;
-        assert_ne!(rig.stage.world.borrow().primary("db1"), Some(before.as_str()));
+        seen.until(6.0, "a write after the kill", |s| s.writes.get() > more)
+            .await;
+        assert_ne!(
+            rig.stage.world.borrow().primary("db1"),
+            Some(before.as_str())
+        );
         // It comes back as a replica.
         rig.stage.revive(&before).unwrap();
         let more = seen.writes.get() + 300;
-        seen.until(10.0, "300 more writes", |s| s.writes.get() >= more).await;
-        assert!(rig.stage.world.borrow().status(&before).unwrap().starts_with("follower 2 "));
+        seen.until(10.0, "300 more writes", |s| s.writes.get() >= more)
+            .await;
+        assert!(
+            rig.stage
+                .world
+                .borrow()
+                .status(&before)
+                .unwrap()
+                .starts_with("follower 2 ")
+        );
     });
 }
 
 #[test]
 fn a_planned_change_and_the_loss_of_a_control_machine() {
     play(1, async |rig, seen| {
-        seen.until(10.0, "200 writes", |s| s.writes.get() >= 200).await;
+        seen.until(10.0, "200 writes", |s| s.writes.get() >= 200)
+            .await;
         rig.children.borrow_mut().kill("control-1");
         let more = seen.writes.get() + 200;
-        seen.until(10.0, "writes after the loss", |s| s.writes.get() >= more).await;
+        seen.until(10.0, "writes after the loss", |s| s.writes.get() >= more)
+            .await;
         let before = rig.stage.world.borrow().primary("db1").unwrap().to_owned();
         rig.stage.retire(&before);
         seen.until(8.0, "another leads", |_| {
-            rig.stage.world.borrow().primary("db1").is_some_and(|now| now != before)
+            rig.stage
+                .world
+                .borrow()
+                .primary("db1")
+                .is_some_and(|now| now != before)
         })
         .await;
         let more = seen.writes.get() + 200;
-        seen.until(6.0, "writes after the change", |s| s.writes.get() >= more).await;
+        seen.until(6.0, "writes after the change", |s| s.writes.get() >= more)
+            .await;
     });
 }
 
 impl Rig {
     fn primary(&self) -> String {
-        self.stage.world.borrow().primary("db1").expect("somebody leads").to_owned()
+        self.stage
+            .world
+            .borrow()
+            .primary("db1")
+            .expect("somebody leads")
+            .to_owned()
     }
 
     /// The relay before a database.
@@ -307,8 +368,17 @@
 
     /// The term of the primary.
     fn term(&self) -> u64 {
-        let status = self.stage.world.borrow().status(&self.primary()).expect("the primary runs");
-        status.split(' ').nth(1).and_then(|term| term.parse().ok()).expect("a term")
+        let status = self
+            .stage
+            .world
+            .borrow()
+            .status(&self.primary())
+            .expect("the primary runs");
+        status
+            .split(' ')
+            .nth(1)
+            .and_then(|term| term.parse().ok())
+            .expect("a term")
     }
 
     /// The name of the control machine that leads.
@@ -316,7 +386,11 @@
         loop {
             for (n, at) in self.plan.controls().into_iter().enumerate() {
                 let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
-                if asked.ok().and_then(|a| Status::read(&a.body).ok()).is_some_and(|s| s.leads) {
+                if asked
+                    .ok()
+                    .and_then(|a| Status::read(&a.body).ok())
+                    .is_some_and(|s| s.leads)
+                {
                     return format!("control-{}", n + 1);
                 }
             }
@@ -355,7 +429,8 @@
         ];
         for (way, fault) in stages {
             let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more).await;
+            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+                .await;
             let (before, term) = (rig.primary(), rig.term());
             let (requests, resets) = (rig.platform.requests(), rig.platform.resets());
             rig.platform.set(way, Some(fault));
@@ -369,7 +444,10 @@
             Timer::after(Duration::from_secs_f64(silence)).await;
             rig.platform.set(way, None);
             let more = seen.writes.get() + WRITERS as u64 + 1;
-            seen.until(PATIENCE, "writes at another primary", |s| s.writes.get() > more).await;
+            seen.until(PATIENCE, "writes at another primary", |s| {
+                s.writes.get() > more
+            })
+            .await;
             assert_eq!(rig.term(), term + 1, "{fault:?}");
             rig.stage.revive(&before).unwrap();
         }
@@ -382,14 +460,21 @@
     play_within(LONG_LIMIT, 3, async |rig, seen| {
         for _ in 0..2 {
             let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more).await;
-            let (before, leader, requests) = (rig.primary(), rig.leader().await, rig.platform.requests());
-            rig.stage.crash(&before);
-            rig.platform_until(PATIENCE, "a call to the platform", |platform| platform.requests() > requests)
+            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
                 .await;
+            let (before, leader, requests) =
+                (rig.primary(), rig.leader().await, rig.platform.requests());
+            rig.stage.crash(&before);
+            rig.platform_until(PATIENCE, "a call to the platform", |platform| {
+                platform.requests() > requests
+            })
+            .await;
             rig.children.borrow().signal(&leader, Signal::STOP);
             let more = seen.writes.get() + WRITERS as u64 + 1;
-            seen.until(PATIENCE, "writes at another primary", |s| s.writes.get() > more).await;
+            seen.until(PATIENCE, "writes at another primary", |s| {
+                s.writes.get() > more
+            })
+            .await;
             rig.children.borrow().signal(&leader, Signal::CONT);
             rig.stage.revive(&before).unwrap();
         }
@@ -411,16 +496,21 @@
         ];
         for (way, fault) in stages {
             let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more).await;
+            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+                .await;
             let primary = rig.primary();
             let resets = rig.relay(&primary).resets();
             rig.relay(&primary).set(way, Some(fault));
             Timer::after(Duration::from_secs_f64(0.4)).await;
             rig.relay(&primary).set(way, None);
-            assert!(fault == Fault::Drop || rig.relay(&primary).resets() > resets, "{fault:?}");
+            assert!(
+                fault == Fault::Drop || rig.relay(&primary).resets() > resets,
+                "{fault:?}"
+            );
         }
         let more = seen.writes.get() + 60;
-        seen.until(PATIENCE, "60 writes after all", |s| s.writes.get() >= more).await;
+        seen.until(PATIENCE, "60 writes after all", |s| s.writes.get() >= more)
+            .await;
     });
 }
 
@@ -434,16 +524,22 @@
             (Way::Answers, Fault::Delay(Duration::from_millis(900))),
         ] {
             let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more).await;
+            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+                .await;
             let before = rig.primary();
             let replicas = rig.databases.iter().filter(|(id, _)| *id != before);
             let replicas: Vec<&Relay> = replicas.map(|(_, relay)| &**relay).collect();
             rig.stage.crash(&before);
-            replicas.iter().for_each(|relay| relay.set(way, Some(fault)));
+            replicas
+                .iter()
+                .for_each(|relay| relay.set(way, Some(fault)));
             Timer::after(Duration::from_secs_f64(1.5)).await;
             replicas.iter().for_each(|relay| relay.set(way, None));
             let more = seen.writes.get() + WRITERS as u64 + 1;
-            seen.until(PATIENCE, "writes at another primary", |s| s.writes.get() > more).await;
+            seen.until(PATIENCE, "writes at another primary", |s| {
+                s.writes.get() > more
+            })
+            .await;
             rig.stage.revive(&before).unwrap();
         }
     });
@@ -456,12 +552,16 @@
     play_within(LONG_LIMIT, 6, async |rig, seen| {
         for (n, readiness) in rig.plan.readiness().into_iter().enumerate() {
             let more = seen.writes.get() + 100;
-            seen.until(PATIENCE, "100 writes", |s| s.writes.get() >= more).await;
+            seen.until(PATIENCE, "100 writes", |s| s.writes.get() >= more)
+                .await;
             let name = format!("router-{}", n + 1);
             rig.children.borrow().signal(&name, Signal::TERM);
             rig.stage.retire(&rig.primary());
             let ready = call::once(readiness, 0.5, "GET", "/api/readiness", &[], b"").await;
-            assert!(ready.is_ok_and(|answer| answer.status == 503), "asked to end, it is still ready");
+            assert!(
+                ready.is_ok_and(|answer| answer.status == 503),
+                "asked to end, it is still ready"
+            );
             let asked = clock::now();
             let ended = loop {
                 if let Some(ended) = rig.children.borrow_mut().ended() {
@@ -479,7 +579,10 @@
         let cut = |id: &&String| world.ledger.has_committed(id);
         let unanswered = seen.unanswered.borrow();
         let cut: Vec<&String> = unanswered.iter().filter(cut).collect();
-        assert!(cut.is_empty(), "they ran, and their clients were told nothing: {cut:?}");
+        assert!(
+            cut.is_empty(),
+            "they ran, and their clients were told nothing: {cut:?}"
+        );
     });
 }
 
@@ -487,20 +590,28 @@
 #[test]
 fn each_machine_tells_its_figures() {
     play(7, async |rig, seen| {
-        seen.until(10.0, "100 writes", |s| s.writes.get() >= 100).await;
+        seen.until(10.0, "100 writes", |s| s.writes.get() >= 100)
+            .await;
         let ask = async |at: SocketAddr, path: &str| {
             let at = SocketAddr::new(at.ip(), METRICS_PORT);
-            call::once(at, 2.0, "GET", path, &[], b"").await.expect("it answers")
+            call::once(at, 2.0, "GET", path, &[], b"")
+                .await
+                .expect("it answers")
         };
         let mut writes = 0.0;
         for front in rig.plan.fronts() {
             let answer = ask(front, "/metrics").await;
             assert!(
-                answer.header("Content-Type").is_some_and(|t| t.starts_with("application/openmetrics-text"))
+                answer
+                    .header("Content-Type")
+                    .is_some_and(|t| t.starts_with("application/openmetrics-text"))
             );
             let text = String::from_utf8(answer.body).unwrap();
             assert!(text.ends_with("# EOF\n"), "{text}");
-            writes += figure(&text, "badgerpool_router_statements_total{statement=\"PUT\",end=\"complete\"}");
+            writes += figure(
+                &text,
+                "badgerpool_router_statements_total{statement=\"PUT\",end=\"complete\"}",
+            );
             assert!(figure(&text, "badgerpool_router_lease_remaining_seconds") > 0.0);
             assert_eq!(figure(&text, "badgerpool_router_grants"), 1.0);
             assert_eq!(ask(front, "/").await.status, 404);
@@ -519,6 +630,9 @@
 
 /// The figure of this name and these labels.
 fn figure(text: &str, name: &str) -> f64 {
-    let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    line.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    line.and_then(|value| value.parse().ok())
+        .unwrap_or_else(|| panic!("no {name} in {text}"))
 }
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -52,15 +52,26 @@
     }
 
     fn names(&self) -> io::Result<Vec<OsString>> {
-        fs::read_dir(self.0)?.map(|entry| entry.map(|entry| entry.file_name())).collect()
+        fs::read_dir(self.0)?
+            .map(|entry| entry.map(|entry| entry.file_name()))
+            .collect()
     }
 
     fn create(&self, name: &str) -> io::Result<Disk> {
-        OpenOptions::new().read(true).write(true).create_new(true).open(self.path(name)).map(Disk::new)
+        OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(self.path(name))
+            .map(Disk::new)
     }
 
     fn open(&self, name: &str) -> io::Result<Disk> {
-        File::options().read(true).write(true).open(self.path(name)).map(Disk::new)
+        File::options()
+            .read(true)
+            .write(true)
+            .open(self.path(name))
+            .map(Disk::new)
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
@@ -73,7 +84,11 @@
 
     fn sync(&self) -> io::Result<()> {
         File::open(self.0)?.sync_all()?;
-        match self.0.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+        match self
+            .0
+            .parent()
+            .filter(|parent| !parent.as_os_str().is_empty())
+        {
             Some(parent) => File::open(parent)?.sync_all(),
             None => Ok(()),
         }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -10,8 +10,9 @@
 /// The bytes before the body: the version and the checksum.
 const HEADER: usize = 5;
 
-const LAYOUT: Configuration<LittleEndian, Fixint> =
-    bincode::config::standard().with_little_endian().with_fixed_int_encoding();
+const LAYOUT: Configuration<LittleEndian, Fixint> = bincode::config::standard()
+    .with_little_endian()
+    .with_fixed_int_encoding();
 
 /// The row that each ballot rewrites.
 #[derive(Encode, Decode)]
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -87,7 +87,9 @@
 
     /// As [`open`](Store::open), in this folder, which errors call `dir`.
     fn open_in<F: Folder>(
-        folder: &F, dir: &Path, identity_if_new: u64,
+        folder: &F,
+        dir: &Path,
+        identity_if_new: u64,
     ) -> Result<(Store, Record, Fresh), StoreError> {
         folder.make().map_err(io_at("make", dir))?;
         let (mut kept, mut unfinished) = (false, false);
@@ -101,7 +103,9 @@
         let (path, making) = (dir.join(FILE), dir.join(UNFINISHED));
         if unfinished {
             // Power was lost while the first open was under way: it never returned, so nobody relies on it.
-            folder.remove(UNFINISHED).map_err(io_at("remove", &making))?;
+            folder
+                .remove(UNFINISHED)
+                .map_err(io_at("remove", &making))?;
         }
         if kept {
             // The process that made it may have been killed before it had synced the folder: what is saved from here on would
@@ -114,7 +118,9 @@
         let file = folder.create(UNFINISHED).map_err(io_at("make", &making))?;
         let (store, record) = Store::make(file, path.clone(), identity_if_new)?;
         // The name comes last, so a file under it is always whole; the open file keeps its place under the new name.
-        folder.rename(UNFINISHED, FILE).map_err(io_at("name", &path))?;
+        folder
+            .rename(UNFINISHED, FILE)
+            .map_err(io_at("name", &path))?;
         folder.sync().map_err(io_at("sync", dir))?;
         Ok((store, record, Fresh::New))
     }
@@ -127,9 +133,16 @@
         if record.value.len() > MAX_VALUE {
             return Err(StoreError::TooLarge(record.value.len()));
         }
-        let ballots = format::Ballots { promised: record.promised, accepted: record.accepted };
-        let value = format::Value { identity: record.identity, value: &record.value };
-        self.write(&ballots, Some(value)).map_err(|cause| self.failed("save to", cause))
+        let ballots = format::Ballots {
+            promised: record.promised,
+            accepted: record.accepted,
+        };
+        let value = format::Value {
+            identity: record.identity,
+            value: &record.value,
+        };
+        self.write(&ballots, Some(value))
+            .map_err(|cause| self.failed("save to", cause))
     }
 
     /// Puts new ballots on the disk and leaves the value as it is: a few pages, whatever the size of the value. When this
@@ -139,25 +152,35 @@
     /// See [`Store`].
     pub fn save_ballots(&mut self, promised: u64, accepted: u64) -> Result<(), StoreError> {
         let ballots = format::Ballots { promised, accepted };
-        self.write(&ballots, None).map_err(|cause| self.failed("save to", cause))
+        self.write(&ballots, None)
+            .map_err(|cause| self.failed("save to", cause))
     }
 
     fn make(
-        backend: impl StorageBackend, path: PathBuf, identity: u64,
+        backend: impl StorageBackend,
+        path: PathBuf,
+        identity: u64,
     ) -> Result<(Store, Record), StoreError> {
         let database = match builder().create_with_backend(backend) {
             Ok(database) => database,
             Err(cause) => return Err(StoreError::Database("make", path, Box::new(cause.into()))),
         };
         let mut store = Store { database, path };
-        let record = Record { identity, ..Record::default() };
+        let record = Record {
+            identity,
+            ..Record::default()
+        };
         store.save(&record)?;
         Ok((store, record))
     }
 
     fn read(backend: impl StorageBackend, path: PathBuf) -> Result<(Store, Record), StoreError> {
         // The name is given to whole files only, and redb would take an empty one for a database to be made.
-        if backend.len().map_err(|cause| StoreError::Io("measure", path.clone(), cause))? == 0 {
+        if backend
+            .len()
+            .map_err(|cause| StoreError::Io("measure", path.clone(), cause))?
+            == 0
+        {
             return Err(StoreError::Record(path, "is empty"));
         }
         let database = match builder().create_with_backend(backend) {
@@ -188,7 +211,11 @@
         Ok((row(BALLOTS)?, row(VALUE)?))
     }
 
-    fn write(&self, ballots: &format::Ballots, value: Option<format::Value<'_>>) -> Result<(), redb::Error> {
+    fn write(
+        &self,
+        ballots: &format::Ballots,
+        value: Option<format::Value<'_>>,
+    ) -> Result<(), redb::Error> {
         let transaction = self.database.begin_write()?;
         {
             let mut table = transaction.open_table(CONTROL)?;
@@ -212,7 +239,9 @@
 fn builder() -> Builder {
     let mut builder = Builder::new();
     // The check reads the file once at the start; without it a damaged file may end the program instead of being named.
-    builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
+    builder
+        .set_cache_size(CACHE)
+        .set_check_integrity_on_open(true);
     builder
 }
 
--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -34,7 +34,10 @@
 
 impl Recorder {
     fn holding(content: Vec<u8>) -> Recorder {
-        Recorder { state: Arc::new(Mutex::new((content, Vec::new()))), ..Recorder::default() }
+        Recorder {
+            state: Arc::new(Mutex::new((content, Vec::new()))),
+            ..Recorder::default()
+        }
     }
 
     fn changes(&self) -> Vec<Change> {
@@ -127,17 +130,24 @@
     // By sectors, in any order.
     for (sector, part) in data.chunks(512).enumerate() {
         if draw(seed).is_multiple_of(2) {
-            apply(content, &Change::Write(offset + 512 * sector as u64, part.to_vec()));
+            apply(
+                content,
+                &Change::Write(offset + 512 * sector as u64, part.to_vec()),
+            );
         }
     }
 }
 
 /// The disk as a loss of power after the first `at` changes leaves it, on top of `start`.
 fn after_cut(start: &[u8], changes: &[Change], at: usize, cut: Cut) -> Vec<u8> {
-    let synced =
-        changes[..at].iter().rposition(|change| matches!(change, Change::Sync)).map_or(0, |last| last + 1);
+    let synced = changes[..at]
+        .iter()
+        .rposition(|change| matches!(change, Change::Sync))
+        .map_or(0, |last| last + 1);
     let mut content = start.to_vec();
-    changes[..synced].iter().for_each(|change| apply(&mut content, change));
+    changes[..synced]
+        .iter()
+        .for_each(|change| apply(&mut content, change));
     let mut seed = match cut {
         Cut::Lot(lot) => lot.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
         _ => 1,
@@ -163,7 +173,12 @@
 fn record(round: u64, length: usize) -> Record {
     let mut seed = round + 1;
     let value = (0..length).map(|_| draw(&mut seed) as u8).collect();
-    Record { promised: 10 * round, accepted: 10 * round - 3, value, identity: IDENTITY }
+    Record {
+        promised: 10 * round,
+        accepted: 10 * round - 3,
+        value,
+        identity: IDENTITY,
+    }
 }
 
 /// A history on a disk: after how many changes which record was safe, from which record it began.
@@ -199,17 +214,30 @@
         } else {
             Store::read(disk.clone(), path).unwrap()
         };
-        let mut safe = vec![(if start.is_empty() { disk.done() } else { 0 }, current.clone())];
+        let mut safe = vec![(
+            if start.is_empty() { disk.done() } else { 0 },
+            current.clone(),
+        )];
         for (round, length) in (from..).zip(lengths) {
             current = record(round, *length);
             store.save(&current).unwrap();
             safe.push((disk.done(), current.clone()));
             current.promised += 1;
             current.accepted += 1;
-            store.save_ballots(current.promised, current.accepted).unwrap();
+            store
+                .save_ballots(current.promised, current.accepted)
+                .unwrap();
             safe.push((disk.done(), current.clone()));
         }
-        (History { start, changes: Vec::new(), safe }, disk, store)
+        (
+            History {
+                start,
+                changes: Vec::new(),
+                safe,
+            },
+            disk,
+            store,
+        )
     }
 
     /// Cuts after each change and reads back the last safe record or the next one; gives how often it was which.
@@ -222,10 +250,17 @@
                 let safe = self.safe.iter().rposition(|(done, _)| *done <= at).unwrap();
                 if found == self.safe[safe].1 {
                     last += 1;
-                } else if self.safe.get(safe + 1).is_some_and(|(_, record)| *record == found) {
+                } else if self
+                    .safe
+                    .get(safe + 1)
+                    .is_some_and(|(_, record)| *record == found)
+                {
                     next += 1;
                 } else {
-                    panic!("cut {at} {cut:?}: promised {} accepted {}", found.promised, found.accepted);
+                    panic!(
+                        "cut {at} {cut:?}: promised {} accepted {}",
+                        found.promised, found.accepted
+                    );
                 }
             }
         }
@@ -289,8 +324,17 @@
             assert_eq!(history.safe[0].1, oldest);
             disk = after_cut(&disk, &history.changes, at, cut);
             let found = reopen(disk.clone()).unwrap();
-            let safe = history.safe.iter().rposition(|(done, _)| *done <= at).unwrap();
-            assert!(history.safe[safe..].iter().take(2).any(|(_, record)| *record == found));
+            let safe = history
+                .safe
+                .iter()
+                .rposition(|(done, _)| *done <= at)
+                .unwrap();
+            assert!(
+                history.safe[safe..]
+                    .iter()
+                    .take(2)
+                    .any(|(_, record)| *record == found)
+            );
             oldest = found;
         }
         Ok(())
@@ -305,10 +349,19 @@
     store.save(&record(1, 60_000)).unwrap();
     let cost = |from: usize| {
         let changes = disk.changes().split_off(from);
-        let syncs = changes.iter().filter(|change| matches!(change, Change::Sync)).count();
+        let syncs = changes
+            .iter()
+            .filter(|change| matches!(change, Change::Sync))
+            .count();
         let bytes: usize = changes
             .iter()
-            .map(|change| if let Change::Write(_, data) = change { data.len() } else { 0 })
+            .map(|change| {
+                if let Change::Write(_, data) = change {
+                    data.len()
+                } else {
+                    0
+                }
+            })
             .sum();
         (syncs, bytes)
     };
@@ -316,11 +369,17 @@
         let before = disk.done();
         store.save(&record(round, 60_000)).unwrap();
         let (syncs, bytes) = cost(before);
-        assert!((1..=3).contains(&syncs) && bytes < 200_000, "{syncs} syncs, {bytes} bytes");
+        assert!(
+            (1..=3).contains(&syncs) && bytes < 200_000,
+            "{syncs} syncs, {bytes} bytes"
+        );
         let before = disk.done();
         store.save_ballots(10 * round + 1, 10 * round).unwrap();
         let (syncs, bytes) = cost(before);
-        assert!((1..=2).contains(&syncs) && bytes < 40_000, "{syncs} syncs, {bytes} bytes");
+        assert!(
+            (1..=2).contains(&syncs) && bytes < 40_000,
+            "{syncs} syncs, {bytes} bytes"
+        );
     }
 }
 
@@ -356,7 +415,13 @@
     let folder = Folder::new();
     let (store, first, fresh) = folder.open().unwrap();
     assert!(fresh.is_new());
-    assert_eq!(first, Record { identity: IDENTITY, ..Record::default() });
+    assert_eq!(
+        first,
+        Record {
+            identity: IDENTITY,
+            ..Record::default()
+        }
+    );
     drop(store);
     let (_store, again, fresh) = Store::open(&folder.0, 5).unwrap();
     assert_eq!((again, fresh), (first, Fresh::Kept));
@@ -376,8 +441,10 @@
     fs::write(folder.0.join(UNFINISHED), b"half").unwrap();
     let (_store, _, fresh) = folder.open().unwrap();
     assert!(fresh.is_new());
-    let names: BTreeSet<_> =
-        fs::read_dir(&folder.0).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    let names: BTreeSet<_> = fs::read_dir(&folder.0)
+        .unwrap()
+        .map(|entry| entry.unwrap().file_name())
+        .collect();
     assert_eq!(names, BTreeSet::from([FILE.into()]));
 }
 
@@ -412,12 +479,20 @@
 fn a_damaged_file_is_named_and_never_taken_for_nothing() {
     let whole = killed(&[5_000]);
     let folder = Folder::new();
-    let damaged = [Vec::new(), vec![0; 4_096], whole[..whole.len() / 2].to_vec(), vec![7; whole.len()]];
+    let damaged = [
+        Vec::new(),
+        vec![0; 4_096],
+        whole[..whole.len() / 2].to_vec(),
+        vec![7; whole.len()],
+    ];
     for content in damaged {
         fs::write(folder.file(), &content).unwrap();
         let error = folder.open().unwrap_err();
         assert!(error.to_string().contains(FILE), "{error}");
-        assert!(matches!(error, StoreError::Database(..) | StoreError::Record(..)), "{error:?}");
+        assert!(
+            matches!(error, StoreError::Database(..) | StoreError::Record(..)),
+            "{error:?}"
+        );
     }
 }
 
@@ -438,7 +513,10 @@
             match reopen(content) {
                 Ok(found) => {
                     // The older of the two roots may be all that is whole.
-                    let first = Record { identity: IDENTITY, ..Record::default() };
+                    let first = Record {
+                        identity: IDENTITY,
+                        ..Record::default()
+                    };
                     assert!(found == saved || found == first, "byte {at}");
                 }
                 Err(_) => errors += 1,
@@ -453,14 +531,20 @@
     let folder = Folder::new();
     let (mut store, ..) = folder.open().unwrap();
     let mut longest = 0;
-    let filled = |round: u64, length| Record { value: vec![round as u8; length], ..record(round, 0) };
+    let filled = |round: u64, length| Record {
+        value: vec![round as u8; length],
+        ..record(round, 0)
+    };
     for round in 1..=300 {
         store.save(&filled(round, 256 * 1024)).unwrap();
         longest = longest.max(fs::metadata(folder.file()).unwrap().len());
     }
     assert!(longest < 8 << 20, "{longest} bytes");
     assert!(matches!(
-        store.save(&Record { value: vec![0; MAX_VALUE + 1], ..Record::default() }),
+        store.save(&Record {
+            value: vec![0; MAX_VALUE + 1],
+            ..Record::default()
+        }),
         Err(StoreError::TooLarge(_))
     ));
     store.save(&filled(301, MAX_VALUE)).unwrap();
@@ -472,11 +556,22 @@
 #[test]
 fn a_row_is_refused_when_cut_changed_or_of_another_version() {
     assert_eq!(format::checksum(b"1234", b"56789"), 0xCBF4_3926);
-    let ballots = format::Ballots { promised: 0x0102, accepted: 0x03 };
+    let ballots = format::Ballots {
+        promised: 0x0102,
+        accepted: 0x03,
+    };
     let mut row = vec![0; format::length(&ballots)];
     format::encode(&ballots, &mut row);
-    assert_eq!(row[5..], [2, 1, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0], "the page says so");
-    assert_eq!(row[1..5], 0xAD07_9812_u32.to_le_bytes(), "a CRC-32 as any other program computes it");
+    assert_eq!(
+        row[5..],
+        [2, 1, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0],
+        "the page says so"
+    );
+    assert_eq!(
+        row[1..5],
+        0xAD07_9812_u32.to_le_bytes(),
+        "a CRC-32 as any other program computes it"
+    );
     assert_eq!(row[0], format::VERSION);
     let read = format::decode::<format::Ballots>(&row).unwrap();
     assert_eq!((read.promised, read.accepted), (0x0102, 0x03));
@@ -491,7 +586,10 @@
         row[0] = other;
         let sum = format::checksum(&[other], &row[5..]);
         row[1..5].copy_from_slice(&sum.to_le_bytes());
-        assert_eq!(format::decode::<format::Ballots>(&row).err(), Some("holds a row of another version"));
+        assert_eq!(
+            format::decode::<format::Ballots>(&row).err(),
+            Some("holds a row of another version")
+        );
     }
 }
 
@@ -507,12 +605,18 @@
         let refused = store.save(&record(2, 60_000)).is_err();
         assert!(refused || refused_from > 2, "nothing was refused");
         if refused {
-            assert!(store.save(&record(3, 100)).is_err(), "a store that failed says nothing more");
+            assert!(
+                store.save(&record(3, 100)).is_err(),
+                "a store that failed says nothing more"
+            );
         }
         drop(store);
         disk.refuse_after(None);
         let (mut store, found) = Store::read(disk.clone(), PathBuf::from("f")).unwrap();
-        assert!(found == record(2, 60_000) || refused && found == record(1, 50_000), "{refused_from}");
+        assert!(
+            found == record(2, 60_000) || refused && found == record(1, 50_000),
+            "{refused_from}"
+        );
         store.save(&record(4, 70_000)).unwrap();
         drop(store);
         let (_, found) = Store::read(disk, PathBuf::from("f")).unwrap();
@@ -557,7 +661,10 @@
         let state = self.state.lock().unwrap().clone();
         let keeps = |bit: usize| lot >> bit & 1 == 1;
         let there = state.made.1 || state.made.0 && keeps(0);
-        let mut after = EntriesState { made: (there, there), ..EntriesState::default() };
+        let mut after = EntriesState {
+            made: (there, there),
+            ..EntriesState::default()
+        };
         for (bit, (name, (now, synced))) in state.names.into_iter().enumerate() {
             let kept = if keeps(bit + 1) { now } else { synced };
             if there && let Some(file) = kept {
@@ -565,7 +672,9 @@
                 after.names.insert(name, (Some(file.clone()), Some(file)));
             }
         }
-        Entries { state: Arc::new(Mutex::new(after)) }
+        Entries {
+            state: Arc::new(Mutex::new(after)),
+        }
     }
 
     fn open_store(&self) -> Result<(Store, Record, Fresh), StoreError> {
@@ -590,12 +699,18 @@
     fn create(&self, name: &str) -> io::Result<Recorder> {
         let file = Recorder::default();
         // The store syncs it before it does anything else with the folder, so that its first name lasts.
-        self.begin()?.names.insert(name.to_owned(), (Some(file.clone()), Some(file.clone())));
+        self.begin()?
+            .names
+            .insert(name.to_owned(), (Some(file.clone()), Some(file.clone())));
         Ok(file)
     }
 
     fn open(&self, name: &str) -> io::Result<Recorder> {
-        let found = self.begin()?.names.get(name).and_then(|(now, _)| now.clone());
+        let found = self
+            .begin()?
+            .names
+            .get(name)
+            .and_then(|(now, _)| now.clone());
         found.ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
@@ -616,7 +731,10 @@
     fn sync(&self) -> io::Result<()> {
         let mut state = self.begin()?;
         state.made.1 = state.made.0;
-        state.names.values_mut().for_each(|(now, synced)| synced.clone_from(now));
+        state
+            .names
+            .values_mut()
+            .for_each(|(now, synced)| synced.clone_from(now));
         Ok(())
     }
 }
@@ -634,13 +752,21 @@
             folder.killed_after(None);
         }
         let (mut store, first, _) = folder.open_store().unwrap();
-        let saved = Record { promised: 9, identity: first.identity, ..record(4, 300) };
+        let saved = Record {
+            promised: 9,
+            identity: first.identity,
+            ..record(4, 300)
+        };
         store.save(&saved).unwrap();
         std::mem::forget(store);
         for lot in 0..8 {
             let after = folder.after_cut(lot);
             let (_, read, fresh) = after.open_store().unwrap();
-            assert_eq!((&read, fresh), (&saved, Fresh::Kept), "killed at {kills}, names kept by {lot}");
+            assert_eq!(
+                (&read, fresh),
+                (&saved, Fresh::Kept),
+                "killed at {kills}, names kept by {lot}"
+            );
         }
     }
 }
@@ -655,7 +781,13 @@
         folder.killed_after(None);
         for lot in 0..8 {
             let (_, read, fresh) = folder.after_cut(lot).open_store().unwrap();
-            assert_eq!(read, Record { identity: IDENTITY, ..Record::default() });
+            assert_eq!(
+                read,
+                Record {
+                    identity: IDENTITY,
+                    ..Record::default()
+                }
+            );
             assert!(opened.is_err() || fresh == Fresh::Kept, "it had returned");
         }
     }
--- a/crates/succession/src/doubt.rs
+++ b/crates/succession/src/doubt.rs
@@ -24,7 +24,14 @@
 /// `sent` and `present` are terms of its group: of its first execution that may have run, and of the leader
 /// now. Only a later term's leader can tell that it never ran: the one it was sent to may yet run it. `marked`:
 /// it carries what its outcome can be asked by.
-pub fn next(repeat: Repeat, now: f64, outcomes: bool, marked: bool, sent: u64, present: u64) -> Next {
+pub fn next(
+    repeat: Repeat,
+    now: f64,
+    outcomes: bool,
+    marked: bool,
+    sent: u64,
+    present: u64,
+) -> Next {
     match repeat {
         Repeat::Harmless => Next::Again,
         Repeat::Dropped { until } if now < until => Next::Again,
--- a/crates/succession/src/hold.rs
+++ b/crates/succession/src/hold.rs
@@ -55,7 +55,12 @@
 }
 
 fn rank(stmt: u32, wish: &Wish) -> Rank {
-    (wish.doubtful, (wish.worth.max(0.0) * 1e6) as u64, -(wish.arrived * 1e6) as i64, stmt)
+    (
+        wish.doubtful,
+        (wish.worth.max(0.0) * 1e6) as u64,
+        -(wish.arrived * 1e6) as i64,
+        stmt,
+    )
 }
 
 /// Times after the clock's start are positive, so their bits are in their order.
@@ -79,7 +84,11 @@
 
 impl Hold {
     pub fn new(of_group: Room, of_all: Room) -> Hold {
-        Hold { of_group, of_all, ..Hold::default() }
+        Hold {
+            of_group,
+            of_all,
+            ..Hold::default()
+        }
     }
 
     /// New bounds; what is held beyond smaller ones stays until it leaves.
@@ -96,7 +105,9 @@
     }
 
     pub fn of(&self, group: u16) -> Room {
-        self.queues.get(&group).map_or(Room::default(), |queue| queue.room)
+        self.queues
+            .get(&group)
+            .map_or(Room::default(), |queue| queue.room)
     }
 
     /// Takes it in, or tells that there is no room for it. Those in `evicted` had to make room and are out.
@@ -128,7 +139,9 @@
         let lesser = |rank: &&Rank| (rank.0, rank.1) < (own.0, own.1);
         let mut candidates = own_queue.into_iter().flatten().filter(lesser);
         while !group.fits(wish.bytes, &self.of_group) {
-            let Some(next) = candidates.next() else { return false };
+            let Some(next) = candidates.next() else {
+                return false;
+            };
             let bytes = self.held[&next.3].bytes;
             group.take(bytes);
             all.take(bytes);
@@ -137,8 +150,12 @@
         if all.fits(wish.bytes, &self.of_all) {
             return true;
         }
-        let everywhere: BTreeSet<&Rank> =
-            self.queues.values().flat_map(|q| &q.ranks).filter(lesser).collect();
+        let everywhere: BTreeSet<&Rank> = self
+            .queues
+            .values()
+            .flat_map(|q| &q.ranks)
+            .filter(lesser)
+            .collect();
         for next in everywhere {
             if all.fits(wish.bytes, &self.of_all) {
                 break;
@@ -157,7 +174,11 @@
         queue.doubtful += usize::from(wish.doubtful);
         queue.ranks.insert(rank(stmt, &wish));
         if wish.session != 0 {
-            queue.sessions.entry(wish.session).or_default().insert((moment(wish.arrived), stmt));
+            queue
+                .sessions
+                .entry(wish.session)
+                .or_default()
+                .insert((moment(wish.arrived), stmt));
         }
         self.used.add(wish.bytes);
         self.peak.statements = self.peak.statements.max(self.used.statements);
@@ -166,9 +187,14 @@
     }
 
     pub fn leave(&mut self, stmt: u32) {
-        let Some(wish) = self.held.remove(&stmt) else { return };
+        let Some(wish) = self.held.remove(&stmt) else {
+            return;
+        };
         self.used.take(wish.bytes);
-        let queue = self.queues.get_mut(&wish.group).expect("a held statement's group has a queue");
+        let queue = self
+            .queues
+            .get_mut(&wish.group)
+            .expect("a held statement's group has a queue");
         queue.room.take(wish.bytes);
         queue.doubtful -= usize::from(wish.doubtful);
         queue.ranks.remove(&rank(stmt, &wish));
@@ -186,26 +212,43 @@
     /// Whether it is among the first `places` of its group: what may have run, then the worthiest, and of these
     /// who waits longest. Left out are those that `blocked` names, and who is not the first of its session.
     pub fn among_first(
-        &self, stmt: u32, group: u16, places: usize, blocked: impl Fn(u32, &Wish) -> bool,
+        &self,
+        stmt: u32,
+        group: u16,
+        places: usize,
+        blocked: impl Fn(u32, &Wish) -> bool,
     ) -> bool {
-        let Some(queue) = self.queues.get(&group).filter(|_| places > 0) else { return false };
+        let Some(queue) = self.queues.get(&group).filter(|_| places > 0) else {
+            return false;
+        };
         let goes = |stmt: &u32| {
             let wish = &self.held[stmt];
             !blocked(*stmt, wish) && (wish.doubtful || self.first_of_session(queue, *stmt, wish))
         };
-        let mut ready = queue.ranks.iter().rev().map(|rank| rank.3).filter(goes).take(places);
+        let mut ready = queue
+            .ranks
+            .iter()
+            .rev()
+            .map(|rank| rank.3)
+            .filter(goes)
+            .take(places);
         ready.any(|other| other == stmt)
     }
 
     fn first_of_session(&self, queue: &Queue, stmt: u32, wish: &Wish) -> bool {
-        let earlier = queue.sessions.get(&wish.session).and_then(|session| session.first());
+        let earlier = queue
+            .sessions
+            .get(&wish.session)
+            .and_then(|session| session.first());
         earlier.is_none_or(|first| *first >= (moment(wish.arrived), stmt))
     }
 
     /// Whether nothing that is held goes before it: what may have run, then what its session sent earlier.
     /// What may have run was out before all that waits, and its mark is forgotten soon.
     pub fn first(&self, stmt: u32, wish: &Wish) -> bool {
-        let Some(queue) = self.queues.get(&wish.group) else { return true };
+        let Some(queue) = self.queues.get(&wish.group) else {
+            return true;
+        };
         if wish.doubtful {
             return true;
         }
--- a/crates/succession/src/lib.rs
+++ b/crates/succession/src/lib.rs
@@ -135,7 +135,9 @@
     }
 
     pub fn phase(&self, group: u16) -> Phase {
-        self.groups.get(&group).map_or(Phase::Vacant, |of| of.term.phase)
+        self.groups
+            .get(&group)
+            .map_or(Phase::Vacant, |of| of.term.phase)
     }
 
     /// Somebody works as the primary and nothing waits: the ordinary case, in which nothing is asked here.
@@ -177,7 +179,9 @@
             Phase::Settling => false,
             // A drain lets the primary work on for its first part; who is lost is asked by probes alone: what is
             // sent there may not come back.
-            Phase::Doubted => of.term.leaving && !of.term.lost && wish.served && self.hold.first(stmt, wish),
+            Phase::Doubted => {
+                of.term.leaving && !of.term.lost && wish.served && self.hold.first(stmt, wish)
+            }
             Phase::Vacant | Phase::Claimed => {
                 wish.tries && self.hold.first(stmt, wish) && of.tries(now, stmt)
             }
@@ -194,7 +198,11 @@
         let of = self.groups.get_mut(&wish.group).expect("made above");
         let settling = of.term.phase == Phase::Settling;
         if settling
-            && self.hold.among_first(stmt, wish.group, of.pace.free(now), |s, wish| of.pace.blocks(s, wish))
+            && self
+                .hold
+                .among_first(stmt, wish.group, of.pace.free(now), |s, wish| {
+                    of.pace.blocks(s, wish)
+                })
         {
             of.pace.release(stmt, wish.session);
             return Verdict::Go;
@@ -216,20 +224,39 @@
         if term.phase == Phase::Settling || term.number == 0 {
             return now >= wish.due;
         }
-        let left = wish.due.min(wish.arrived + self.settings.longest_hold_ms / 1e3) - now;
+        let left = wish
+            .due
+            .min(wish.arrived + self.settings.longest_hold_ms / 1e3)
+            - now;
         left <= 0.0 || self.history.chance(now - term.began, left) < self.settings.least_chance
     }
 
     /// All would be back at once: each is told a time of its own behind the expected end.
     fn refuse(&mut self, now: f64, group: u16) -> Verdict {
         let began = self.groups[&group].term.began;
-        let left = self.history.left(if began == NEVER { 0.0 } else { now - began });
-        Verdict::Refuse { after: left * (1.0 + self.chance.f64()) }
+        let left = self
+            .history
+            .left(if began == NEVER { 0.0 } else { now - began });
+        Verdict::Refuse {
+            after: left * (1.0 + self.chance.f64()),
+        }
     }
 
     /// An execution at the group's leader ended while it was not settled.
-    pub fn executed(&mut self, now: f64, group: u16, stmt: u32, node: u32, completed: bool, failed: bool) {
-        let Some(of) = self.groups.get_mut(&group).filter(|of| of.term.phase != Phase::Settled) else {
+    pub fn executed(
+        &mut self,
+        now: f64,
+        group: u16,
+        stmt: u32,
+        node: u32,
+        completed: bool,
+        failed: bool,
+    ) {
+        let Some(of) = self
+            .groups
+            .get_mut(&group)
+            .filter(|of| of.term.phase != Phase::Settled)
+        else {
             return;
         };
         of.trial = of.trial.filter(|trial| *trial != stmt);
@@ -256,7 +283,9 @@
     /// A later term deposed it, and it has not said since that it follows: it may be cut off with a log of its
     /// own, and what it tells of its position says nothing of the group's.
     pub fn deposed(&self, group: u16, node: u32) -> bool {
-        self.groups.get(&group).is_some_and(|of| of.term.deposed.contains_key(&node))
+        self.groups
+            .get(&group)
+            .is_some_and(|of| of.term.deposed.contains_key(&node))
     }
 
     /// Whether a node's word that it completed a write holds. Of a store that can lose, one that was deposed
@@ -268,7 +297,10 @@
     /// What a node tells of the log that it leads or follows: up to where the term's primary took it over, and
     /// since when it leads.
     pub fn taken_over(&mut self, now: f64, group: u16, node: u32, branch: f64, promoted: f64) {
-        if let Some(loss) = self.losses.taken_over(group, branch, promoted, self.leader(group)) {
+        if let Some(loss) = self
+            .losses
+            .taken_over(group, branch, promoted, self.leader(group))
+        {
             let more = if loss.exact { "" } else { " or more" };
             self.lines.push(format!(
                 "{now:.3} group {group}: LOSS, by node {node} the log goes on without the commits after {:.3} up to {:.3}: {}{more} answered writes are gone",
@@ -309,7 +341,9 @@
     pub fn settle(&mut self, now: f64) -> Vec<u32> {
         let mut settled = Vec::new();
         for group in &self.unsettled {
-            let Some(of) = self.groups.get_mut(group) else { continue };
+            let Some(of) = self.groups.get_mut(group) else {
+                continue;
+            };
             let calm = self.hold.of(*group).statements == 0 && now - of.stirred >= QUIET_S;
             if of.term.phase == Phase::Settling && calm && now >= of.pace.begins() {
                 // What the quiet itself took is no part of the change.
@@ -326,7 +360,9 @@
                 ));
             }
         }
-        settled.iter().for_each(|group| _ = self.unsettled.remove(group));
+        settled
+            .iter()
+            .for_each(|group| _ = self.unsettled.remove(group));
         self.evicted.clone()
     }
 
@@ -344,7 +380,11 @@
     /// Groups that look for a leader, whose members are probed at short intervals: somebody waits, or the outcome
     /// of what a connection broke under hangs on whether the leader lives.
     pub fn searching(&self, now: f64, group: u16) -> bool {
-        let asked = if self.led(group) { self.settings.outcomes } else { self.hold.of(group).statements > 0 };
+        let asked = if self.led(group) {
+            self.settings.outcomes
+        } else {
+            self.hold.of(group).statements > 0
+        };
         asked && self.in_doubt(now, group)
     }
 }
--- a/crates/succession/src/loss.rs
+++ b/crates/succession/src/loss.rs
@@ -44,7 +44,10 @@
 impl Losses {
     /// Remembers so many answered commits a group.
     pub fn new(most: usize) -> Losses {
-        Losses { most, groups: BTreeMap::new() }
+        Losses {
+            most,
+            groups: BTreeMap::new(),
+        }
     }
 
     pub fn resize(&mut self, most: usize) {
@@ -64,31 +67,58 @@
     /// The log goes on from `branch` since its primary was promoted at `promoted`: what lies between was never
     /// its own, nor what others than the leader still answered behind it. Each is told once.
     pub fn taken_over(
-        &mut self, group: u16, branch: f64, promoted: f64, leader: Option<u32>,
+        &mut self,
+        group: u16,
+        branch: f64,
+        promoted: f64,
+        leader: Option<u32>,
     ) -> Option<Loss> {
         let of = self.groups.entry(group).or_default();
-        let known = |span: &Span| (span.after, span.promoted, span.leader) == (branch, promoted, leader);
-        if branch.is_nan() || promoted.is_nan() || branch >= promoted || of.spans.iter().any(known) {
+        let known =
+            |span: &Span| (span.after, span.promoted, span.leader) == (branch, promoted, leader);
+        if branch.is_nan() || promoted.is_nan() || branch >= promoted || of.spans.iter().any(known)
+        {
             return None;
         }
-        let lost = |at: &(f64, u32)| at.0 > branch && (at.0 <= promoted || leader.is_some_and(|l| at.1 != l));
+        let lost = |at: &(f64, u32)| {
+            at.0 > branch && (at.0 <= promoted || leader.is_some_and(|l| at.1 != l))
+        };
         // A leader of a later term is told of the spans of earlier ones, too; its own commits are behind them.
         let last = of.spans.iter().all(|span| span.promoted <= promoted);
-        let gone = of.answered.iter().filter(|at| lost(at) && (last || at.0 <= promoted));
+        let gone = of
+            .answered
+            .iter()
+            .filter(|at| lost(at) && (last || at.0 <= promoted));
         let (writes, to) = gone.fold((0, promoted), |(n, to), at| (n + 1, f64::max(to, at.0)));
-        of.answered.retain(|at| !(lost(at) && (last || at.0 <= promoted)));
+        of.answered
+            .retain(|at| !(lost(at) && (last || at.0 <= promoted)));
         if of.spans.len() == SPANS {
             of.spans.pop_front();
         }
-        let first = !of.spans.iter().any(|span| (span.after, span.promoted) == (branch, promoted));
-        of.spans.push_back(Span { after: branch, promoted, leader, to });
+        let first = !of
+            .spans
+            .iter()
+            .any(|span| (span.after, span.promoted) == (branch, promoted));
+        of.spans.push_back(Span {
+            after: branch,
+            promoted,
+            leader,
+            to,
+        });
         let exact = of.forgotten <= branch;
-        (writes > 0 || first && !exact).then_some(Loss { after: branch, to, writes, exact })
+        (writes > 0 || first && !exact).then_some(Loss {
+            after: branch,
+            to,
+            writes,
+            exact,
+        })
     }
 
     /// Whether a commit at this position is known to be lost.
     pub fn lost(&self, group: u16, commit: f64) -> bool {
         let within = |span: &Span| commit > span.after && commit <= span.to;
-        self.groups.get(&group).is_some_and(|of| of.spans.iter().any(within))
+        self.groups
+            .get(&group)
+            .is_some_and(|of| of.spans.iter().any(within))
     }
 }
--- a/crates/succession/src/pace.rs
+++ b/crates/succession/src/pace.rs
@@ -37,7 +37,11 @@
 
     /// How many more may go now.
     pub fn free(&self, now: f64) -> usize {
-        if now < self.from { 0 } else { (self.window as usize).saturating_sub(self.out.len()) }
+        if now < self.from {
+            0
+        } else {
+            (self.window as usize).saturating_sub(self.out.len())
+        }
     }
 
     /// Whether it has no need of a place, or must leave it to others: it is out, or another of its session is,
--- a/crates/succession/src/settings.rs
+++ b/crates/succession/src/settings.rs
@@ -32,8 +32,14 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            hold: Room { statements: 4096, bytes: 2 << 20 },
-            hold_group: Room { statements: 2048, bytes: 1 << 20 },
+            hold: Room {
+                statements: 4096,
+                bytes: 2 << 20,
+            },
+            hold_group: Room {
+                statements: 2048,
+                bytes: 1 << 20,
+            },
             longest_hold_ms: 30_000.0,
             expected_change_ms: 3_000.0,
             least_chance: 0.1,
@@ -54,8 +60,16 @@
     pub fn fault(&self, bytes: usize) -> Option<(&'static str, String)> {
         let time = |ms: f64| (1.0..=3_600_000.0).contains(&ms);
         let faults = [
-            ("hold.statements", self.hold.statements == 0, "holds nothing".to_string()),
-            ("hold_group.statements", self.hold_group.statements == 0, "holds nothing".to_string()),
+            (
+                "hold.statements",
+                self.hold.statements == 0,
+                "holds nothing".to_string(),
+            ),
+            (
+                "hold_group.statements",
+                self.hold_group.statements == 0,
+                "holds nothing".to_string(),
+            ),
             (
                 "hold.bytes",
                 self.hold.bytes > bytes,
@@ -66,7 +80,11 @@
                 self.hold_group.bytes > self.hold.bytes,
                 "is more than hold.bytes, which goes for all groups".to_string(),
             ),
-            ("longest_hold_ms", !time(self.longest_hold_ms), "is no time from 1 ms to an hour".to_string()),
+            (
+                "longest_hold_ms",
+                !time(self.longest_hold_ms),
+                "is no time from 1 ms to an hour".to_string(),
+            ),
             (
                 "expected_change_ms",
                 !time(self.expected_change_ms),
@@ -82,13 +100,20 @@
                 !(0.0..=60_000.0).contains(&self.release_spread_ms),
                 "is no time up to a minute".to_string(),
             ),
-            ("answered_kept", self.answered_kept > MOST_KEPT, format!("is more than {MOST_KEPT}")),
+            (
+                "answered_kept",
+                self.answered_kept > MOST_KEPT,
+                format!("is more than {MOST_KEPT}"),
+            ),
             (
                 "branch_field",
                 self.branch_field.is_empty() != self.promoted_field.is_empty(),
                 "and promoted_field are told together or not at all".to_string(),
             ),
         ];
-        faults.into_iter().find(|fault| fault.1).map(|(field, _, why)| (field, why))
+        faults
+            .into_iter()
+            .find(|fault| fault.1)
+            .map(|(field, _, why)| (field, why))
     }
 }
--- a/crates/succession/src/term.rs
+++ b/crates/succession/src/term.rs
@@ -149,7 +149,8 @@
         if self.phase == Phase::Settled {
             self.began = now;
         }
-        self.deposed.extend(self.leader.map(|leader| (leader, self.claimed)));
+        self.deposed
+            .extend(self.leader.map(|leader| (leader, self.claimed)));
         self.deposed.remove(&node);
         (self.leader, self.candidate, self.claimed) = (Some(node), None, at);
         (self.leaving, self.lost) = (false, false);
@@ -166,7 +167,11 @@
             (self.leaving, self.lost) = (false, false);
             return true;
         }
-        if self.deposed.get(&node).is_some_and(|believed| at > *believed) {
+        if self
+            .deposed
+            .get(&node)
+            .is_some_and(|believed| at > *believed)
+        {
             self.deposed.remove(&node);
         }
         let candidate = self.candidate == Some(node);
@@ -177,7 +182,10 @@
     }
 
     fn named(&mut self, now: f64, node: u32) -> bool {
-        let spoke = self.denied.get(&node).is_some_and(|at| now - at < LIST_LATE_S);
+        let spoke = self
+            .denied
+            .get(&node)
+            .is_some_and(|at| now - at < LIST_LATE_S);
         let fires = !spoke && self.candidate != Some(node);
         if fires {
             self.begin(now);
@@ -206,7 +214,11 @@
     /// All that was held is out and the leader has completed something: how long the change took.
     pub fn settle(&mut self, now: f64) -> f64 {
         self.phase = Phase::Settled;
-        let took = if self.began == NEVER { 0.0 } else { now - self.began };
+        let took = if self.began == NEVER {
+            0.0
+        } else {
+            now - self.began
+        };
         self.began = NEVER;
         took
     }
--- a/crates/succession/src/tests/mod.rs
+++ b/crates/succession/src/tests/mod.rs
@@ -16,8 +16,14 @@
 /// Room for four statements of a group, six in all; changes take two seconds.
 pub fn settings() -> Settings {
     Settings {
-        hold: Room { statements: 6, bytes: 600 },
-        hold_group: Room { statements: 4, bytes: 400 },
+        hold: Room {
+            statements: 6,
+            bytes: 600,
+        },
+        hold_group: Room {
+            statements: 4,
+            bytes: 400,
+        },
         longest_hold_ms: 20_000.0,
         expected_change_ms: 2_000.0,
         release_spread_ms: 0.0,
@@ -35,13 +41,25 @@
 }
 
 pub fn wish(session: u64, arrived: f64) -> Wish {
-    Wish { group: G, session, bytes: 100, worth: 1.0, arrived, due: arrived + 10.0, ..Wish::default() }
+    Wish {
+        group: G,
+        session,
+        bytes: 100,
+        worth: 1.0,
+        arrived,
+        due: arrived + 10.0,
+        ..Wish::default()
+    }
 }
 
 /// Asks for statements `1..=count` of sessions of their own, in this order; who may go is sent.
 pub fn ask(of: &mut Succession, now: f64, count: u32) -> Vec<Verdict> {
     let ask = |stmt: u32| {
-        let verdict = of.admit(now, stmt, &wish(u64::from(stmt), 10.0 + f64::from(stmt) / 1e3));
+        let verdict = of.admit(
+            now,
+            stmt,
+            &wish(u64::from(stmt), 10.0 + f64::from(stmt) / 1e3),
+        );
         if verdict == Verdict::Go {
             of.sent(stmt);
         }
--- a/crates/succession/src/tests/model.rs
+++ b/crates/succession/src/tests/model.rs
@@ -3,7 +3,9 @@
 //! primary, answers that get lost at any point, marks that are forgotten.
 
 use super::G;
-use crate::{Evidence, NEVER, Next, Phase, Repeat, Room, Settings, Succession, Verdict, Wish, next};
+use crate::{
+    Evidence, NEVER, Next, Phase, Repeat, Room, Settings, Succession, Verdict, Wish, next,
+};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use test_case::test_case;
@@ -136,18 +138,34 @@
     fn canon(&self) -> (Vec<usize>, Vec<u64>) {
         let group = &self.of.groups[&G];
         let term = &group.term;
-        let mut dates = vec![term.claimed, term.doubted, f64::from(self.believed) * STEP_S];
+        let mut dates = vec![
+            term.claimed,
+            term.doubted,
+            f64::from(self.believed) * STEP_S,
+        ];
         dates.extend((0..NODES as u32).map(|n| term.denied.get(&n).copied().unwrap_or(NEVER)));
-        dates.extend(self.world.network.iter().filter_map(|message| match message {
-            Message::Word { at, .. } => Some(f64::from(*at) * STEP_S),
-            _ => None,
-        }));
+        dates.extend(
+            self.world
+                .network
+                .iter()
+                .filter_map(|message| match message {
+                    Message::Word { at, .. } => Some(f64::from(*at) * STEP_S),
+                    _ => None,
+                }),
+        );
         dates.extend((0..NODES as u32).map(|n| term.deposed.get(&n).copied().unwrap_or(NEVER)));
         let mut order = dates.clone();
         order.sort_by(f64::total_cmp);
         order.dedup();
-        let ranks = dates.iter().map(|date| order.iter().position(|o| o == date).unwrap()).collect();
-        let mut rest = vec![term.number, term.phase as u64, term.leader.map_or(9, u64::from)];
+        let ranks = dates
+            .iter()
+            .map(|date| order.iter().position(|o| o == date).unwrap())
+            .collect();
+        let mut rest = vec![
+            term.number,
+            term.phase as u64,
+            term.leader.map_or(9, u64::from),
+        ];
         rest.push(term.candidate.map_or(9, u64::from));
         rest.extend([u64::from(term.leaving), u64::from(term.lost)]);
         rest.extend((0..NODES as u32).map(|n| u64::from(term.deposed.contains_key(&n))));
@@ -204,23 +222,30 @@
 
 impl World {
     fn primary(&self) -> Option<usize> {
-        self.nodes.iter().position(|n| n.leads && n.term == self.term)
+        self.nodes
+            .iter()
+            .position(|n| n.leads && n.term == self.term)
     }
 
     fn able(&self) -> Vec<usize> {
-        (0..NODES).filter(|n| self.nodes[*n].alive && !self.nodes[*n].cut).collect()
+        (0..NODES)
+            .filter(|n| self.nodes[*n].alive && !self.nodes[*n].cut)
+            .collect()
     }
 
     /// The primary can commit.
     fn works(&self) -> Option<usize> {
         let able = self.able();
-        self.primary().filter(|p| able.contains(p) && able.len() * 2 > NODES)
+        self.primary()
+            .filter(|p| able.contains(p) && able.len() * 2 > NODES)
     }
 
     /// Who is not cut off follows the primary.
     fn follow(&mut self) {
         let able = self.able();
-        let Some(primary) = self.primary().filter(|p| able.contains(p)) else { return };
+        let Some(primary) = self.primary().filter(|p| able.contains(p)) else {
+            return;
+        };
         let log = self.nodes[primary].log.clone();
         for n in able.into_iter().filter(|n| *n != primary) {
             let (term, node) = (self.term, &mut self.nodes[n]);
@@ -273,7 +298,10 @@
 
     /// What the router does with what it knows now, at this moment and a little later.
     fn drive(&self, state: &mut State) {
-        for now in [f64::from(state.step) * STEP_S, f64::from(state.step) * STEP_S + 1.0] {
+        for now in [
+            f64::from(state.step) * STEP_S,
+            f64::from(state.step) * STEP_S + 1.0,
+        ] {
             state.of.settle(now);
             for write in 0..WRITES {
                 if let Stage::Waiting { sent } = state.world.stages[write]
@@ -288,11 +316,17 @@
 
     fn ask(&self, state: &mut State, now: f64, write: usize, sent: Option<u64>) {
         let remembered = !state.world.forgotten || self.broken == Broken::Repeats;
-        let repeat = Repeat::Dropped { until: if remembered { f64::INFINITY } else { NEVER } };
+        let repeat = Repeat::Dropped {
+            until: if remembered { f64::INFINITY } else { NEVER },
+        };
         let present = state.of.term(G);
-        let told = sent.map_or(Next::Again, |sent| next(repeat, now, true, true, sent, present));
+        let told = sent.map_or(Next::Again, |sent| {
+            next(repeat, now, true, true, sent, present)
+        });
         let settling = matches!(state.of.phase(G), Phase::Settled | Phase::Settling);
-        if told == Next::Abort && settling || told == Next::Inquire && state.world.left.inquiries == 0 {
+        if told == Next::Abort && settling
+            || told == Next::Inquire && state.world.left.inquiries == 0
+        {
             state.world.done(write, Stage::Aborted);
             state.of.leave(G, write as u32);
             return;
@@ -308,7 +342,11 @@
             ..Wish::default()
         };
         let goes = state.of.admit(now, write as u32, &wish) == Verdict::Go;
-        let Some(node) = state.of.leader(G).filter(|_| goes && told != Next::Abort).map(|n| n as usize)
+        let Some(node) = state
+            .of
+            .leader(G)
+            .filter(|_| goes && told != Next::Abort)
+            .map(|n| n as usize)
         else {
             return;
         };
@@ -316,14 +354,21 @@
         let alive = state.world.nodes[node].alive;
         if told == Next::Inquire {
             state.world.left.inquiries -= 1;
-            state.world.stages[write] = Stage::Asking { node, sent: sent.unwrap_or(present) };
+            state.world.stages[write] = Stage::Asking {
+                node,
+                sent: sent.unwrap_or(present),
+            };
             state.world.send(if alive {
                 Message::Inquiry { write, node }
             } else {
                 Message::Refused { write, node }
             });
         } else {
-            state.world.stages[write] = Stage::Out { node, term: present, sent };
+            state.world.stages[write] = Stage::Out {
+                node,
+                term: present,
+                sent,
+            };
             let epoch = state.world.nodes[node].epoch;
             state.world.send(if alive {
                 Message::Request { write, node, epoch }
@@ -350,11 +395,17 @@
                 }
                 // Nobody listens any more to what was given up.
                 if matches!(world.stages[write], Stage::Out { node: to, .. } if to == node) {
-                    world.send(Message::Answer { write, node, done: !stale });
+                    world.send(Message::Answer {
+                        write,
+                        node,
+                        done: !stale,
+                    });
                 }
             }
             Message::Inquiry { write, node } => {
-                let Stage::Asking { sent, .. } = world.stages[write] else { return true };
+                let Stage::Asking { sent, .. } = world.stages[write] else {
+                    return true;
+                };
                 if world.works() != Some(node) {
                     world.stages[write] = Stage::Waiting { sent: Some(sent) };
                 } else if world.nodes[node].log.contains(&write) {
@@ -366,8 +417,14 @@
                 }
             }
             Message::Answer { write, node, done } => {
-                let Stage::Out { sent, .. } = world.stages[write] else { return true };
-                let role = if done { Evidence::Leads { at: now } } else { Evidence::Follows { at: now } };
+                let Stage::Out { sent, .. } = world.stages[write] else {
+                    return true;
+                };
+                let role = if done {
+                    Evidence::Leads { at: now }
+                } else {
+                    Evidence::Follows { at: now }
+                };
                 of.hear(now, G, node as u32, role);
                 of.executed(now, G, write as u32, node as u32, done, !done);
                 if done {
@@ -392,14 +449,24 @@
             Message::Broke { write, node } => {
                 of.executed(now, G, write as u32, node as u32, false, true);
                 world.stages[write] = match world.stages[write] {
-                    Stage::Out { sent, term, .. } => Stage::Waiting { sent: self.later(sent, term) },
+                    Stage::Out { sent, term, .. } => Stage::Waiting {
+                        sent: self.later(sent, term),
+                    },
                     Stage::Asking { sent, .. } => Stage::Waiting { sent: Some(sent) },
                     other => other,
                 };
             }
             Message::Word { node, leads, at } => {
-                let at = if self.broken == Broken::Believes { now } else { f64::from(at) * STEP_S };
-                let told = if leads { Evidence::Leads { at } } else { Evidence::Follows { at } };
+                let at = if self.broken == Broken::Believes {
+                    now
+                } else {
+                    f64::from(at) * STEP_S
+                };
+                let told = if leads {
+                    Evidence::Leads { at }
+                } else {
+                    Evidence::Follows { at }
+                };
                 let before = of.leader(G);
                 of.hear(now, G, node as u32, told);
                 if let (true, Message::Word { at, .. }) =
@@ -410,7 +477,11 @@
                 }
             }
         }
-        let place = world.network.iter().position(|m| *m == message).expect("it is under way");
+        let place = world
+            .network
+            .iter()
+            .position(|m| *m == message)
+            .expect("it is under way");
         world.network.remove(place);
         true
     }
@@ -422,8 +493,14 @@
 
     fn init_states(&self) -> Vec<State> {
         let settings = Settings {
-            hold: Room { statements: 9, bytes: 9 },
-            hold_group: Room { statements: 9, bytes: 9 },
+            hold: Room {
+                statements: 9,
+                bytes: 9,
+            },
+            hold_group: Room {
+                statements: 9,
+                bytes: 9,
+            },
             longest_hold_ms: 3_600_000.0,
             least_chance: 0.0,
             release_spread_ms: 0.0,
@@ -433,7 +510,12 @@
         let mut of = Succession::new(settings, 1, 1.0);
         of.hear(0.0, G, 0, Evidence::Leads { at: 0.0 });
         of.settle(STEP_S);
-        let node = |n| Node { alive: true, leads: n == 0, term: 1, ..Node::default() };
+        let node = |n| Node {
+            alive: true,
+            leads: n == 0,
+            term: 1,
+            ..Node::default()
+        };
         let world = World {
             nodes: (0..NODES).map(node).collect(),
             term: 1,
@@ -445,7 +527,12 @@
             told: false,
             regressed: false,
         };
-        vec![State { world, of, step: 1, believed: 0 }]
+        vec![State {
+            world,
+            of,
+            step: 1,
+            believed: 0,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -478,14 +565,25 @@
             if node.cut {
                 actions.push(Action::Join(n));
             }
-            let speaks = world.network.iter().any(|m| matches!(m, Message::Word { node, .. } if *node == n));
+            let speaks = world
+                .network
+                .iter()
+                .any(|m| matches!(m, Message::Word { node, .. } if *node == n));
             if node.alive && !speaks && left.words > 0 {
                 actions.push(Action::Speak(n));
             }
             let able = world.able();
-            let most = able.iter().map(|n| world.nodes[*n].log.len()).max().unwrap_or(0);
+            let most = able
+                .iter()
+                .map(|n| world.nodes[*n].log.len())
+                .max()
+                .unwrap_or(0);
             let fits = able.contains(&n) && able.len() * 2 > NODES && node.log.len() == most;
-            if fits && left.promotions > 0 && !leads && !world.primary().is_some_and(|p| able.contains(&p)) {
+            if fits
+                && left.promotions > 0
+                && !leads
+                && !world.primary().is_some_and(|p| able.contains(&p))
+            {
                 actions.push(Action::Promote(n));
             }
             if left.lists > 0 && n == 0 {
@@ -516,9 +614,18 @@
             Action::Arrive(write) => world.stages[write] = Stage::Waiting { sent: None },
             Action::Leave(write) => {
                 world.left.leaves -= 1;
-                let Stage::Waiting { sent } = world.stages[write] else { return None };
+                let Stage::Waiting { sent } = world.stages[write] else {
+                    return None;
+                };
                 let unrun = sent.is_none() || self.broken == Broken::Rejects;
-                world.done(write, if unrun { Stage::Rejected } else { Stage::Aborted });
+                world.done(
+                    write,
+                    if unrun {
+                        Stage::Rejected
+                    } else {
+                        Stage::Aborted
+                    },
+                );
                 state.of.leave(G, write as u32);
             }
             Action::Deliver(message) => {
@@ -560,14 +667,20 @@
             }
             Action::Timeout(write) => {
                 world.left.timeouts -= 1;
-                let Stage::Out { node, term, sent } = world.stages[write] else { return None };
+                let Stage::Out { node, term, sent } = world.stages[write] else {
+                    return None;
+                };
                 // The connection is closed: an answer that is under way goes nowhere, the request may yet run.
                 world.network.retain(|m| {
                     !matches!(m, Message::Answer { write: w, node: n, .. } | Message::Broke { write: w, node: n }
                         | Message::Refused { write: w, node: n } if (*w, *n) == (write, node))
                 });
-                world.stages[write] = Stage::Waiting { sent: self.later(sent, term) };
-                state.of.executed(now, G, write as u32, node as u32, false, true);
+                world.stages[write] = Stage::Waiting {
+                    sent: self.later(sent, term),
+                };
+                state
+                    .of
+                    .executed(now, G, write as u32, node as u32, false, true);
             }
             Action::List(n) => {
                 world.left.lists -= 1;
@@ -585,15 +698,20 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("at most one effect a mark", |_, s: &State| {
-                let once =
-                    |log: &Vec<usize>| (0..WRITES).all(|w| log.iter().filter(|e| **e == w).count() <= 1);
+                let once = |log: &Vec<usize>| {
+                    (0..WRITES).all(|w| log.iter().filter(|e| **e == w).count() <= 1)
+                };
                 s.world.nodes.iter().all(|n| once(&n.log))
             }),
             Property::always("one answer a statement", |_, s: &State| {
                 s.world.answers.iter().all(|n| *n <= 1)
             }),
             Property::always("no answered write is lost", |_, s: &State| {
-                let kept = |w: usize| s.world.primary().is_none_or(|p| s.world.nodes[p].log.contains(&w));
+                let kept = |w: usize| {
+                    s.world
+                        .primary()
+                        .is_none_or(|p| s.world.nodes[p].log.contains(&w))
+                };
                 (0..WRITES).all(|w| s.world.stages[w] != Stage::Completed || kept(w))
             }),
             Property::always("no rejected write is applied", |_, s: &State| {
@@ -601,15 +719,27 @@
                 !(0..WRITES).any(|w| s.world.stages[w] == Stage::Rejected && applied(&w))
             }),
             Property::always("nobody waits behind a leader that works", |_, s: &State| {
-                let led = s.of.leader(G).map(|n| n as usize).filter(|_| !s.of.log_in_doubt(G));
+                let led =
+                    s.of.leader(G)
+                        .map(|n| n as usize)
+                        .filter(|_| !s.of.log_in_doubt(G));
                 let open = matches!(s.of.phase(G), Phase::Settled | Phase::Settling);
-                let calm = s.world.network.iter().all(|m| matches!(m, Message::Word { .. }));
+                let calm = s
+                    .world
+                    .network
+                    .iter()
+                    .all(|m| matches!(m, Message::Word { .. }));
                 let working = open && calm && led.is_some() && led == s.world.works();
-                !working || s.world.stages.iter().all(|stage| !matches!(stage, Stage::Waiting { .. }))
-            }),
-            Property::always("what is believed is never undone by an older word", |_, s: &State| {
-                !s.world.regressed
+                !working
+                    || s.world
+                        .stages
+                        .iter()
+                        .all(|stage| !matches!(stage, Stage::Waiting { .. }))
             }),
+            Property::always(
+                "what is believed is never undone by an older word",
+                |_, s: &State| !s.world.regressed,
+            ),
             Property::sometimes("all complete over two changes", |_, s: &State| {
                 s.world.term >= 3 && s.world.stages[0] == Stage::Completed
             }),
@@ -637,7 +767,11 @@
 const TOLD: &str = "an inquiry finds that it ran";
 
 fn check(broken: Broken, budgets: Budgets) -> impl Checker<Change> {
-    Change { broken, budgets }.checker().threads(4).spawn_bfs().join()
+    Change { broken, budgets }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join()
 }
 
 #[test_case(Budgets { kills: 1, promotions: 1, words: 2, leaves: 1, ..NONE }, &[]; "a primary dies, clients leave")]
@@ -649,11 +783,20 @@
 fn what_holds_in_every_order_of_events(budgets: Budgets, sometimes: &[&'static str]) {
     let checked = check(Broken::Nothing, budgets);
     for (name, path) in checked.discoveries() {
-        assert!([ALL_COMPLETE, TOLD].contains(&name), "{name} does not hold:\n{path:?}");
+        assert!(
+            [ALL_COMPLETE, TOLD].contains(&name),
+            "{name} does not hold:\n{path:?}"
+        );
     }
-    sometimes.iter().for_each(|name| _ = checked.assert_any_discovery(name));
-
-    assert!(checked.unique_state_count() > 500, "only {} states", checked.unique_state_count());
+    sometimes
+        .iter()
+        .for_each(|name| _ = checked.assert_any_discovery(name));
+
+    assert!(
+        checked.unique_state_count() > 500,
+        "only {} states",
+        checked.unique_state_count()
+    );
 }
 
 #[test_case(Broken::Repeats, Budgets { kills: 1, promotions: 1, words: 1, forgets: 1, ..NONE }, "at most one effect a mark")]
--- a/crates/succession/src/tests/sequences.rs
+++ b/crates/succession/src/tests/sequences.rs
@@ -16,7 +16,9 @@
 }
 
 fn sequence(length: usize) -> impl Strategy<Value = Vec<(u32, Evidence)>> {
-    (0..length).map(|i| (0..4u32, evidence(100.0 + i as f64))).collect::<Vec<_>>()
+    (0..length)
+        .map(|i| (0..4u32, evidence(100.0 + i as f64)))
+        .collect::<Vec<_>>()
 }
 
 proptest! {
--- a/crates/succession/src/tests/terms.rs
+++ b/crates/succession/src/tests/terms.rs
@@ -50,21 +50,36 @@
 #[test_case(&[(C, Evidence::Lost), (C, Evidence::Leaving)], Some(A), Phase::Settled, 1; "what happens to a replica is none of it")]
 fn who_leads(sequence: &[(u32, Evidence)], leader: Option<u32>, phase: Phase, number: u64) {
     let term = told(sequence);
-    assert_eq!((term.leader, term.phase, term.number), (leader, phase, number));
+    assert_eq!(
+        (term.leader, term.phase, term.number),
+        (leader, phase, number)
+    );
 }
 
 #[test]
 fn both_halves_of_a_cut_make_one_change() {
-    let halves =
-        (0..50).flat_map(|i| [(B, leads(10.0 + f64::from(i) / 5.0)), (A, leads(10.1 + f64::from(i) / 5.0))]);
+    let halves = (0..50).flat_map(|i| {
+        [
+            (B, leads(10.0 + f64::from(i) / 5.0)),
+            (A, leads(10.1 + f64::from(i) / 5.0)),
+        ]
+    });
     let term = told(&halves.collect::<Vec<_>>());
     assert_eq!((term.leader, term.number), (Some(B), 2));
 }
 
 #[test]
 fn a_change_is_as_long_as_all_of_its_parts() {
-    let mut term = told(&[(A, Evidence::Lost), (B, leads(10.1)), (B, Evidence::Lost), (C, leads(10.3))]);
-    assert!((term.settle(13.0) - 3.0).abs() < 1e-9, "since the first doubt");
+    let mut term = told(&[
+        (A, Evidence::Lost),
+        (B, leads(10.1)),
+        (B, Evidence::Lost),
+        (C, leads(10.3)),
+    ]);
+    assert!(
+        (term.settle(13.0) - 3.0).abs() < 1e-9,
+        "since the first doubt"
+    );
     term.forget(C);
     assert_eq!(term.leader, Some(C), "who leads is only let go by evidence");
 }
--- a/crates/wire/src/position.rs
+++ b/crates/wire/src/position.rs
@@ -24,7 +24,13 @@
 
     fn from_str(s: &str) -> Result<Self, ()> {
         let digits = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit());
-        let (term, number) = s.split_once('.').filter(|(t, n)| digits(t) && digits(n)).ok_or(())?;
-        Ok(Self { term: term.parse().map_err(drop)?, number: number.parse().map_err(drop)? })
+        let (term, number) = s
+            .split_once('.')
+            .filter(|(t, n)| digits(t) && digits(n))
+            .ok_or(())?;
+        Ok(Self {
+            term: term.parse().map_err(drop)?,
+            number: number.parse().map_err(drop)?,
+        })
     }
 }
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -139,7 +139,10 @@
             "COMPLETE" if !rest.is_empty() => Some(Self::Complete(rest)),
             "ERROR" if !rest.is_empty() => {
                 let (code, text) = rest.split_once(' ').unwrap_or((rest, ""));
-                Some(Self::Error { code: Code::parse(code), text })
+                Some(Self::Error {
+                    code: Code::parse(code),
+                    text,
+                })
             }
             "IDLE" => {
                 let (state, position) = rest.split_once(' ')?;
@@ -149,7 +152,11 @@
                     "E" => State::Failed,
                     _ => return None,
                 };
-                let position = if position == "-" { None } else { Some(position.parse().ok()?) };
+                let position = if position == "-" {
+                    None
+                } else {
+                    Some(position.parse().ok()?)
+                };
                 Some(Self::Idle { state, position })
             }
             _ => None,
@@ -209,9 +216,12 @@
                     self.ended = Some((Some(code), false));
                     None
                 }
-                (Reply::Idle { state, position }, Some((error, stamped))) => {
-                    Some(Outcome { error, stamped, state, position })
-                }
+                (Reply::Idle { state, position }, Some((error, stamped))) => Some(Outcome {
+                    error,
+                    stamped,
+                    state,
+                    position,
+                }),
                 _ => return Err(AnswerError::Form),
             };
             self.raw.extend_from_slice(line);
--- a/crates/wire/src/request.rs
+++ b/crates/wire/src/request.rs
@@ -57,7 +57,9 @@
                 }
             }
             "QUERY" => match rest.split_once(' ') {
-                Some((id, text)) if !id.is_empty() && !text.is_empty() => Ok(Self::Query { id, text }),
+                Some((id, text)) if !id.is_empty() && !text.is_empty() => {
+                    Ok(Self::Query { id, text })
+                }
                 _ => Err(RequestError::Form),
             },
             "BYE" if rest.is_empty() => Ok(Self::Bye),
--- a/crates/wire/src/tests/answers.rs
+++ b/crates/wire/src/tests/answers.rs
@@ -6,14 +6,33 @@
 
 #[test]
 fn answers_cut_anywhere_are_the_same_and_untouched() {
-    let at = Some(Position { term: 3, number: 1209 });
+    let at = Some(Position {
+        term: 3,
+        number: 1209,
+    });
     let expected = [
-        Outcome { error: None, stamped: true, state: State::Idle, position: at },
-        Outcome { error: Some(Code::ReadOnly), stamped: false, state: State::Failed, position: at },
-        Outcome { error: None, stamped: false, state: State::Open, position: None },
+        Outcome {
+            error: None,
+            stamped: true,
+            state: State::Idle,
+            position: at,
+        },
+        Outcome {
+            error: Some(Code::ReadOnly),
+            stamped: false,
+            state: State::Failed,
+            position: at,
+        },
+        Outcome {
+            error: None,
+            stamped: false,
+            state: State::Open,
+            position: None,
+        },
     ];
     arbtest(|u| {
-        let (mut lines, mut answer, mut got) = (LineBuffer::default(), Answer::default(), Vec::new());
+        let (mut lines, mut answer, mut got) =
+            (LineBuffer::default(), Answer::default(), Vec::new());
         let mut rest = WHOLE;
         while !rest.is_empty() {
             let (now, later) = rest.split_at(u.int_in_range(1..=rest.len())?);
@@ -42,13 +61,24 @@
     ] {
         let mut lines = LineBuffer::default();
         lines.feed(damaged);
-        assert_eq!(Answer::default().take(&mut lines), Err(AnswerError::Form), "{damaged:?}");
+        assert_eq!(
+            Answer::default().take(&mut lines),
+            Err(AnswerError::Form),
+            "{damaged:?}"
+        );
     }
 }
 
 #[test]
 fn only_proofs_say_that_nothing_ran() {
-    for word in ["RETRY", "UNKNOWN", "LAGGING", "READONLY", "WRONGNODE", "CONNLIMIT"] {
+    for word in [
+        "RETRY",
+        "UNKNOWN",
+        "LAGGING",
+        "READONLY",
+        "WRONGNODE",
+        "CONNLIMIT",
+    ] {
         assert_eq!(Code::parse(word).verdict(), Verdict::NotRun);
         assert_eq!(Code::parse(word).word(), word);
     }
--- a/crates/wire/src/tests/lines.rs
+++ b/crates/wire/src/tests/lines.rs
@@ -19,7 +19,10 @@
                 lines.push(line);
             }
         }
-        let stream: Vec<u8> = lines.iter().flat_map(|l| [l.as_slice(), b"\r\n"].concat()).collect();
+        let stream: Vec<u8> = lines
+            .iter()
+            .flat_map(|l| [l.as_slice(), b"\r\n"].concat())
+            .collect();
         let mut buffer = LineBuffer::default();
         let mut got = Vec::new();
         let mut rest = stream.as_slice();
--- a/crates/wire/src/text.rs
+++ b/crates/wire/src/text.rs
@@ -86,8 +86,11 @@
     /// Reads the text of a `QUERY` as a client may send it; `WAITPOS` and the words of administration are none.
     pub fn parse(text: &'a str) -> Result<Self, TextError> {
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
-        let two =
-            || rest.split_once(' ').filter(|(a, b)| !a.is_empty() && !b.is_empty()).ok_or(TextError::Fields);
+        let two = || {
+            rest.split_once(' ')
+                .filter(|(a, b)| !a.is_empty() && !b.is_empty())
+                .ok_or(TextError::Fields)
+        };
         match word {
             "BEGIN" => match rest {
                 "" => Ok(Self::Begin { fetch: false }),
@@ -115,9 +118,15 @@
             }
             "EXECUTE" => {
                 let (name, rest) = rest.split_once(' ').unwrap_or((rest, ""));
-                if name.is_empty() { Err(TextError::Fields) } else { Ok(Self::Execute { name, rest }) }
+                if name.is_empty() {
+                    Err(TextError::Fields)
+                } else {
+                    Ok(Self::Execute { name, rest })
+                }
+            }
+            "RELEASE" if !rest.is_empty() && !rest.contains(' ') => {
+                Ok(Self::Release { name: rest })
             }
-            "RELEASE" if !rest.is_empty() && !rest.contains(' ') => Ok(Self::Release { name: rest }),
             "COMMIT" | "ABORT" | "FETCH" | "PUT" | "RELEASE" => Err(TextError::Fields),
             _ => Err(TextError::Word),
         }
--- a/examples/toystore/src/main.rs
+++ b/examples/toystore/src/main.rs
@@ -47,23 +47,37 @@
             other => return Err(other.unexpected()),
         }
     }
-    let replication = Replication { synchronous: false, lag_ms, mark_memory_ms: 60_000 };
-    let shape = Shape { replication, loud: true, ports: (port, discovery), ..Shape::default() };
+    let replication = Replication {
+        synchronous: false,
+        lag_ms,
+        mark_memory_ms: 60_000,
+    };
+    let shape = Shape {
+        replication,
+        loud: true,
+        ports: (port, discovery),
+        ..Shape::default()
+    };
     Ok(Some(Asked { shape, every }))
 }
 
 fn store(asked: Asked) -> Result<(), String> {
-    let emulator = Emulator::start(asked.shape, &["s-one", "s-two", "s-three"]).map_err(|e| e.to_string())?;
+    let emulator =
+        Emulator::start(asked.shape, &["s-one", "s-two", "s-three"]).map_err(|e| e.to_string())?;
     let (first, discovery) = (emulator.nodes[0].dial, emulator.discovery.address);
     println!("the store is up: nodes from {first} on, discovery at {discovery}");
     loop {
         std::thread::sleep(Duration::from_secs(asked.every.unwrap_or(3600)));
-        let Some(primary) = emulator.primary(0).filter(|_| asked.every.is_some()) else { continue };
+        let Some(primary) = emulator.primary(0).filter(|_| asked.every.is_some()) else {
+            continue;
+        };
         emulator.drain(0, primary, true);
         std::thread::sleep(Duration::from_millis(600));
         emulator.promote(0, None);
         emulator.drain(0, primary, false);
-        let leads = emulator.primary(0).map(|leads| emulator.nodes[leads].name.clone());
+        let leads = emulator
+            .primary(0)
+            .map(|leads| emulator.nodes[leads].name.clone());
         println!("the primary is {} now", leads.unwrap_or_default());
     }
 }
