--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -180,7 +180,7 @@
     current: Rc<State>,
     lead: Option<Lead>,
     /// Calls passed on to the leader: by the number they carry there.
-    passed: HashMap<u64, Passed>,
+    passed: BTreeMap<u64, Passed>,
     passing: u64,
     /// Calls that wait for somebody to lead.
     held: VecDeque<(u64, Call, f64)>,
@@ -224,7 +224,7 @@
             consensus: Consensus::new(me, record, now, life, of_consensus),
             members: Members::default(),
             lead: None,
-            passed: HashMap::new(),
+            passed: BTreeMap::new(),
             passing: 0,
             held: VecDeque::new(),
             rounds: Rounds::default(),
--- a/crates/control/src/digest.rs
+++ b/crates/control/src/digest.rs
@@ -15,6 +15,11 @@
         digest.copy_from_slice(&whole[..16]);
         Digest(digest)
     }
+
+    /// Its bytes.
+    pub fn bytes(&self) -> &[u8; 16] {
+        &self.0
+    }
 }
 
 impl std::fmt::Debug for Digest {
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -5,7 +5,7 @@
 //! prolonged meanwhile, as it is waited for; one that has run out may have been relied on, and is given again only to a router
 //! that knows all grants as they are.
 
-use std::collections::HashMap;
+use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
 struct Session {
@@ -20,7 +20,7 @@
 /// Leases by the routers' names.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
-    all: HashMap<String, Session>,
+    all: BTreeMap<String, Session>,
     /// Leases that leaders before us gave may run until then.
     before_us: f64,
     /// The number of the newest change of a grant.
@@ -31,7 +31,7 @@
     /// A machine begins to lead: leases of those before it may run until `before_us`.
     pub fn begin(before_us: f64) -> Leases {
         Leases {
-            all: HashMap::new(),
+            all: BTreeMap::new(),
             before_us,
             changed: 0,
         }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,6 +5,7 @@
 //! more machines are lost than the fault budget allows ([`oracle`]). Days for the users' bench are drawn here, too ([`days`]).
 
 pub mod days;
+pub mod digest;
 pub mod disk;
 pub mod faults;
 pub mod links;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -34,6 +34,9 @@
     /// Any number of machines may be lost at once, and be cut into halves; only disks are kept to the budget.
     #[arg(long)]
     beyond: bool,
+    /// Prints what each run was and its digest, in one line: of the same run always the same, also with other names in the code.
+    #[arg(long)]
+    digest: bool,
 }
 
 #[derive(Subcommand)]
@@ -76,6 +79,13 @@
                 "seed {seed} machines {machines} budget {budget}: broken; {}",
                 run.story.join("; ")
             );
+        } else if arguments.digest {
+            let losses = if arguments.beyond { "beyond" } else { "within" };
+            println!(
+                "seed={seed} machines={machines} budget={budget} losses={losses} seconds={} digest={}",
+                arguments.seconds,
+                run.world.digest()
+            );
         }
     }
     println!("runs={} broken={broken}", arguments.runs);
--- a/crates/simulation/src/oracle.rs
+++ b/crates/simulation/src/oracle.rs
@@ -1,6 +1,7 @@
 //! What must hold. Safety at every event: one machine acts, one history of states, one outcome for an order, no read that
 //! is older than what was acknowledged. Liveness whenever no more machines are lost than the budget allows.
 
+use crate::digest::note;
 use crate::disk::DiskHealth;
 use crate::machine::Machine;
 use crate::operators::{Outcome, epoch_of};
@@ -149,6 +150,7 @@
         );
         self.check_agreed();
         self.note_configs();
+        self.note_changes();
     }
 
     /// Leaders go by one configuration of an epoch.
@@ -174,6 +176,8 @@
     /// A router goes by a configuration from now on.
     pub(crate) fn judge_in_force(&mut self, router: usize, epoch: u64, text: &[u8]) {
         self.say(|| format!("router {router} goes by {epoch}"));
+        self.note(note::CONFIG_IN_FORCE, &[router as u64, epoch]);
+        self.run_digest.bytes(text);
         self.note_configs();
         let agreed = self
             .seen
@@ -223,6 +227,12 @@
             {
                 self.seen.changed = self.now;
             }
+            self.run_digest.number(note::AGREED);
+            self.run_digest.time(self.now);
+            for number in [u64::from(*node), ballot, state.seq, epoch] {
+                self.run_digest.number(number);
+            }
+            self.run_digest.bytes(digest.bytes());
             let other = self.seen.agreed.insert(state.seq, (digest, epoch));
             assert!(
                 other.is_none_or(|(other, _)| other == digest),
@@ -255,6 +265,10 @@
     pub(crate) fn judge_confirmed(&mut self, at: usize) {
         let now = self.now;
         self.say(|| format!("order {at} is acknowledged"));
+        self.note(
+            note::ORDER_ACKNOWLEDGED,
+            &[at as u64, self.orders[at].epoch],
+        );
         assert_ne!(
             self.orders[at].outcome,
             Outcome::Refused,
@@ -282,6 +296,8 @@
     pub(crate) fn judge_refused(&mut self, at: usize, status: u16) {
         let now = self.now;
         self.say(|| format!("order {at} is refused with {status}"));
+        let epoch = self.orders[at].epoch;
+        self.note(note::ORDER_REFUSED, &[at as u64, epoch, u64::from(status)]);
         let order = &mut self.orders[at];
         assert_ne!(
             order.outcome,
@@ -314,6 +330,7 @@
     pub(crate) fn judge_read(&mut self, since: f64, body: &[u8]) -> u64 {
         self.seen.served = self.now;
         let epoch = epoch_of(body);
+        self.note(note::CONFIG_READ, &[epoch]);
         let before = self.orders.iter().filter(|order| order.confirmed < since);
         let newest = before.map(|order| order.epoch).max().unwrap_or(0);
         assert!(
--- a/crates/simulation/src/platform.rs
+++ b/crates/simulation/src/platform.rs
@@ -1,5 +1,6 @@
 //! The platform that promotes.
 
+use crate::digest::note;
 use crate::servers::Health;
 use crate::world::{Event, World};
 use badgerstream_control::{Node, PromotionOutcome};
@@ -9,6 +10,8 @@
         let way = self.way();
         self.say(|| format!("platform: control {node} promotes {id} under {fence}"));
         self.posts.push((id.to_owned(), fence));
+        self.note(note::PROMOTION_ASKED, &[u64::from(node), fence]);
+        self.run_digest.bytes(id.as_bytes());
         let told = (!self.statuses.is_empty()).then(|| self.statuses.remove(0));
         let runs = self.servers.get(id).is_some_and(|s| s.health == Health::Up);
         let status = match told {
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -1,6 +1,7 @@
 //! The database servers of one service, and what they replicate. Logs hold commits, so that what was acknowledged can be
 //! looked for.
 
+use crate::digest::note;
 use crate::world::{Event, World};
 use badgerstream_control::{Beat, Call, Phase, Row, Statement};
 use std::collections::HashSet;
@@ -240,6 +241,8 @@
             "{now}: {id} was promoted without acknowledged commits {lost:?}"
         );
         self.promoted.push((id.to_owned(), now));
+        self.note(note::PROMOTED, &[term]);
+        self.run_digest.bytes(id.as_bytes());
         let others: Vec<String> = self.servers.keys().filter(|o| *o != id).cloned().collect();
         for other in others {
             let server = self.servers.get_mut(&other).unwrap();
@@ -288,6 +291,7 @@
             .filter(|s| s.leader)
             .max_by_key(|s| s.term)
             .unwrap();
+        let before = self.acked.len();
         for commit in commits {
             assert!(
                 top.log.binary_search_by_key(&commit, |e| e.1).is_ok(),
@@ -299,6 +303,12 @@
             self.acked.push(commit);
             self.served.push(self.now);
         }
+        for commit in &self.acked[before..] {
+            self.run_digest.number(note::COMMIT_ACKNOWLEDGED);
+            self.run_digest.time(self.now);
+            self.run_digest.number(term);
+            self.run_digest.number(*commit);
+        }
     }
 
     pub(crate) fn replicate(&mut self) {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,5 +1,6 @@
 //! One clock, all events, and what happens at each.
 
+use crate::digest::{LastNoted, RunDigest};
 use crate::links::{Links, Parcel};
 use crate::machine::{KEEP_SERVERS, Machine};
 use crate::operators::{Operator, Order};
@@ -195,6 +196,8 @@
     pub replies: BTreeMap<u64, (u16, Vec<u8>)>,
     loud: bool,
     pub served: Vec<f64>,
+    pub(crate) run_digest: RunDigest,
+    pub(crate) last_noted: LastNoted,
 }
 
 impl World {
@@ -253,6 +256,8 @@
             replies: BTreeMap::new(),
             loud: std::env::var("LOUD").is_ok(),
             served: Vec::new(),
+            run_digest: RunDigest::default(),
+            last_noted: LastNoted::default(),
         };
         let seeds = world.seeds.clone();
         for node in 1..=machines {
--- /dev/null
+++ b/crates/simulation/tests/digest.rs
@@ -0,0 +1,111 @@
+//! What some dozens of runs decide, and when, stays the same to the last bit: their digests are held in a fixture.
+//!
+//! A change of the decisions or of the simulation changes digests, and says so in its commit; a change of names doesn't. The
+//! lines of runs with faults by chance are those that `badgersimulate --digest` prints.
+
+use badgerstream_simulation::World;
+use badgerstream_simulation::faults::{FaultRun, Losses};
+use std::collections::HashMap;
+
+const FIXTURE: &str = include_str!("fixtures/digests.txt");
+
+/// What a line of the fixture says, by its keys.
+fn fields(line: &str) -> HashMap<&str, &str> {
+    line.split(' ')
+        .map(|pair| pair.split_once('=').expect(line))
+        .collect()
+}
+
+/// Plays the run that a line of the fixture names, and gives its digest.
+fn play(line: &str) -> String {
+    let fields = fields(line);
+    let number = |key: &str| fields[key].parse::<u64>().expect(line);
+    let seed = number("seed");
+    if let Some(scenario) = fields.get("scenario") {
+        return play_failover(scenario, seed).digest().to_string();
+    }
+    let losses = match fields["losses"] {
+        "within" => Losses::WithinBudget,
+        "beyond" => Losses::BeyondBudget,
+        other => panic!("losses {other}"),
+    };
+    let (machines, budget) = (number("machines") as u32, number("budget") as usize);
+    let mut run = FaultRun::new(seed, machines, budget, losses);
+    run.play(number("seconds") as f64);
+    run.world.digest().to_string()
+}
+
+/// A world with routers, servers and statements, in which the primary is lost or leaves.
+fn play_failover(scenario: &str, seed: u64) -> World {
+    let mut world = World::new(seed);
+    for _ in 0..2 {
+        world.add_operator();
+    }
+    if scenario == "lost-answers" {
+        (world.lost_answers, world.lost_posts) = (150, 300);
+    }
+    world.run(6.0);
+    match scenario {
+        "crash" | "lost-answers" => world.crash("a"),
+        "dark" => world.darken("a"),
+        "drain" => world.drain("a"),
+        "both" => {
+            let leader = world.leader().expect("somebody leads");
+            world.kill(leader);
+            world.crash("a");
+        }
+        other => panic!("scenario {other}"),
+    }
+    world.run(6.0);
+    if scenario == "drain" {
+        world.depart("a");
+    } else {
+        world.recover("a");
+    }
+    world.run(3.0);
+    assert!(!world.promoted.is_empty(), "{scenario} {seed}");
+    world
+}
+
+fn check(kind: fn(&&str) -> bool) {
+    let lines: Vec<&str> = FIXTURE.lines().filter(kind).collect();
+    assert!(lines.len() >= 10);
+    let changed: Vec<String> = std::thread::scope(|scope| {
+        let runs: Vec<_> = lines
+            .chunks(lines.len().div_ceil(4))
+            .map(|some| scope.spawn(|| some.iter().filter_map(|line| changed(line)).collect()))
+            .collect();
+        let joined = runs.into_iter().map(|run| run.join().expect("a run broke"));
+        joined.flat_map(|some: Vec<String>| some).collect()
+    });
+    assert!(
+        changed.is_empty(),
+        "{} of {} runs went another way:\n{}",
+        changed.len(),
+        lines.len(),
+        changed.join("\n")
+    );
+}
+
+/// What is to be told of a line whose run has another digest.
+fn changed(line: &str) -> Option<String> {
+    let found = play(line);
+    (fields(line)["digest"] != found).then(|| format!("{line}, now {found}"))
+}
+
+#[test]
+fn runs_with_faults_by_chance_keep_their_digests() {
+    check(|line| !line.starts_with("scenario="));
+}
+
+#[test]
+fn failovers_keep_their_digests() {
+    check(|line| line.starts_with("scenario="));
+}
+
+#[test]
+fn another_seed_has_another_digest() {
+    let digests: std::collections::HashSet<&str> =
+        FIXTURE.lines().map(|line| fields(line)["digest"]).collect();
+    assert_eq!(digests.len(), FIXTURE.lines().count());
+}
