--- a/crates/calls/src/tests.rs
+++ b/crates/calls/src/tests.rs
@@ -3,3 +3,4 @@
 mod http;
 mod json;
 mod settings;
+mod texts;
--- /dev/null
+++ b/crates/calls/src/tests/texts.rs
@@ -0,0 +1,218 @@
+//! What callers, operators and the platform read or write, to the byte: it stays as it is, whatever the code calls it.
+
+use crate::call::{Answer, Done, Reply, Stored, dispatch, reply};
+use crate::config::{Config, Mode, without_effect};
+use crate::http::{Requests, request};
+use crate::members::{DbRole, Heartbeat, HeartbeatAnswer, Phase};
+use crate::promotion::promotion;
+use crate::settings::Settings;
+use crate::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
+use nanoserde::SerJson;
+
+fn text(bytes: Vec<u8>) -> String {
+    String::from_utf8(bytes).expect("text")
+}
+
+/// The settings that are read, each with a value that isn't its default.
+const SETTINGS: &str = include_str!("fixtures/settings.txt");
+
+const LEAST: &str = "node_name=n\nrole=r\nip=10.1.0.8\nzone=z\nprovider.endpoint=10.0.0.1:1\n";
+
+/// Each key of the fixture changes what is read, under this very name.
+#[test]
+fn every_setting_is_read_under_its_key() {
+    let least = Settings::read(LEAST).expect("the least is valid");
+    for line in SETTINGS.lines() {
+        let (key, _) = line.split_once('=').expect(line);
+        let told = Settings::read(&format!("{LEAST}{line}\n")).expect(line);
+        assert_ne!(told, least, "{key} has no effect");
+        let other = Settings::read(&format!("{LEAST}x{line}\n")).expect(line);
+        assert_eq!(other, least, "x{key} has an effect");
+    }
+}
+
+/// All fields of a configuration, each with a value that isn't its default.
+const CONFIG: &str = r#"{"epoch":7,"routes":[{"name":"r","authority":"a","path_prefix":"/p","mode":"in_house","deadline_ms":1000,"target_ms":500,"rank":2,"backend":"b","tries":3,"staleness_ms":1500}],"backends":[{"name":"b","probe":"/up","max_conns":80,"protocol":"h1","tls":true,"sync_replicas":1}],"limits":{"header_bytes":1,"body_bytes":2,"header_timeout_ms":3,"idle_timeout_ms":4,"txn_idle_ms":5}}"#;
+
+/// Under another name a field has no effect, is told as such, and the configuration is refused or another one.
+#[test]
+fn every_field_of_a_configuration_is_read_under_its_name() {
+    let whole = Config::read(CONFIG.as_bytes()).expect("valid");
+    assert_eq!(without_effect(CONFIG.as_bytes()), Ok(Vec::new()));
+    let ends: Vec<usize> = CONFIG.match_indices("\":").map(|(at, _)| at).collect();
+    assert_eq!(ends.len(), 25);
+    for end in ends {
+        let renamed = format!("{}_x{}", &CONFIG[..end], &CONFIG[end..]);
+        assert_ne!(
+            Config::read(renamed.as_bytes()).ok().as_ref(),
+            Some(&whole),
+            "{renamed}"
+        );
+        let unknown = without_effect(renamed.as_bytes()).expect("JSON");
+        assert!(
+            unknown.len() == 1 && unknown[0].ends_with("_x"),
+            "{unknown:?}"
+        );
+    }
+    let modes = [Mode::Leader, Mode::BoundedStaleness, Mode::InHouse].map(Mode::word);
+    assert_eq!(modes, ["leader", "bounded_staleness", "in_house"]);
+}
+
+/// The calls of database servers, operators and the platform, as they come.
+#[test]
+fn calls_are_these_bytes() {
+    let beat = r#"{"backend":"b","endpoint":"10.0.0.9:1","zone":"z","epoch":"v1","capacity":7,"phase":"ready","cold_left_ms":0,"db_role":"leader","call_seq":4}"#;
+    for (method, path, headers, body, operation) in [
+        (
+            "POST",
+            "/api/Members.Heartbeat/i-1",
+            vec![],
+            beat,
+            Some("i-1"),
+        ),
+        ("POST", "/api/Members.Depart/i-1", vec![], "", Some("i-1")),
+        (
+            "POST",
+            "/api/Config.Replace",
+            vec![("X-Base-Version", "5")],
+            "{}",
+            Some("5"),
+        ),
+        ("GET", "/api/Config.Read", vec![], "", Some("")),
+        ("GET", "/api/readiness", vec![], "", Some("")),
+        ("GET", "/api/System.Status", vec![], "", None),
+    ] {
+        let mut expected = format!("{method} {path} HTTP/1.1\r\nHost: h:1\r\n");
+        for (name, value) in &headers {
+            expected += &format!("{name}: {value}\r\n");
+        }
+        if !body.is_empty() {
+            expected += "Content-Type: application/json\r\n";
+        }
+        if method == "POST" {
+            expected += &format!("Content-Length: {}\r\n", body.len());
+        }
+        expected += &format!("\r\n{body}");
+        let bytes = request(method, path, "h:1", &headers, body.as_bytes());
+        assert_eq!(text(bytes.clone()), expected);
+        let mut machine = Requests::new(1000);
+        machine.feed(&bytes);
+        let read = machine.next().unwrap().unwrap();
+        let found = dispatch(&read).expect(path);
+        let is_other = found == crate::call::Operation::Other;
+        assert_eq!(is_other, operation.is_none(), "{path}");
+        assert!(format!("{found:?}").contains(operation.unwrap_or_default()));
+        assert_eq!(ReadStatus::asked(&read), operation.is_none(), "{path}");
+    }
+    let words = |phase: Phase, role: DbRole| (phase.serialize_json(), role.serialize_json());
+    assert_eq!(
+        words(Phase::Ready, DbRole::Leader),
+        ("\"ready\"".to_owned(), "\"leader\"".to_owned())
+    );
+    assert_eq!(
+        words(Phase::Draining, DbRole::Follower),
+        ("\"draining\"".to_owned(), "\"follower\"".to_owned())
+    );
+    assert_eq!(
+        Heartbeat::read(beat.as_bytes()).unwrap().serialize_json(),
+        beat
+    );
+    assert_eq!(
+        text(promotion("b", "i-1", "core-1", 12, "10.0.0.1:1")),
+        "POST /promotions HTTP/1.1\r\nHost: 10.0.0.1:1\r\nX-Duty-Holder: core-1\r\nX-Fence-Token: 12\r\n\
+         Content-Type: application/json\r\nContent-Length: 26\r\n\r\n{\"backend\":\"b\",\"id\":\"i-1\"}"
+    );
+}
+
+fn answer<A: Answer>(given: Reply<A>) -> String {
+    text(reply(&given, "/api/Config.Replace", true))
+}
+
+#[test]
+fn answers_are_these_bytes() {
+    let json = |status: &str, body: &str| {
+        let length = body.len();
+        format!(
+            "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}"
+        )
+    };
+    let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+    let next = HeartbeatAnswer {
+        beat_endpoint: Some("10.0.0.4:1".to_owned()),
+    };
+    assert_eq!(answer(Reply::Done(Done)), empty("200 OK"));
+    assert_eq!(
+        answer(Reply::Done(HeartbeatAnswer::default())),
+        json("200 OK", "{}")
+    );
+    assert_eq!(
+        answer(Reply::Done(next)),
+        json("200 OK", r#"{"beat_endpoint":"10.0.0.4:1"}"#)
+    );
+    assert_eq!(
+        answer(Reply::Done(Stored(b"{ }".to_vec()))),
+        json("200 OK", "{ }")
+    );
+    assert_eq!(
+        answer(Reply::<Done>::Elsewhere("10.0.0.4:1".parse().unwrap())),
+        "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://10.0.0.4:1/api/Config.Replace\r\nContent-Length: 0\r\n\r\n"
+    );
+    assert_eq!(
+        answer(Reply::<Done>::Invalid("a \"b\"".to_owned())),
+        json("400 Bad Request", r#"{"error":"a \"b\""}"#)
+    );
+    assert_eq!(answer(Reply::<Done>::Unknown), empty("404 Not Found"));
+    assert_eq!(
+        answer(Reply::<Done>::OtherBase(5)),
+        json(
+            "412 Precondition Failed",
+            r#"{"error":"version 5 is in place"}"#
+        )
+    );
+    assert_eq!(
+        answer(Reply::<Done>::Unsettled("no majority".to_owned())),
+        json("503 Service Unavailable", r#"{"error":"no majority"}"#)
+    );
+    assert_eq!(
+        text(reply(&Reply::Done(Done), "/", false)),
+        "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+    );
+}
+
+#[test]
+fn the_status_is_this_json() {
+    let status = Status {
+        node: "core-1".to_owned(),
+        leads: true,
+        out_of_contact_s: 1.5,
+        leader: Some("10.0.0.1".to_owned()),
+        voters: vec!["10.0.0.1".to_owned()],
+        epoch: 7,
+        routers: 9,
+        lease_s: 1.25,
+        primaries: vec![PrimaryStatus {
+            service: "b".to_owned(),
+            phase: "steady".to_owned(),
+            id: "i-1".to_owned(),
+            term: 3,
+            in_use: true,
+        }],
+        members: vec![MemberStatus {
+            id: "i-1".to_owned(),
+            service: "b".to_owned(),
+            endpoint: "10.0.0.9:1".to_owned(),
+            zone: "z".to_owned(),
+            slots: 4,
+            draining: false,
+        }],
+        ..Status::default()
+    };
+    assert_eq!(
+        text(status.body()),
+        include_str!("fixtures/status.json").trim_end()
+    );
+    assert_eq!(
+        text(Status::default().body()),
+        include_str!("fixtures/status_default.json").trim_end()
+    );
+}
--- a/crates/node/src/tests/cli.rs
+++ b/crates/node/src/tests/cli.rs
@@ -264,6 +264,20 @@
     );
 }
 
+/// Scripts read this JSON: it stays as it is, to the byte.
+#[test]
+fn the_json_of_the_commands_keeps_its_bytes() {
+    let asked = |word: &str| {
+        let machine = Machine::new(vec![ok(&status().serialize_json())]);
+        let (out, error) = run(&[word, "--json", "--at", &machine.at.to_string()]);
+        assert_eq!(error, None);
+        out
+    };
+    assert_eq!(asked("status"), include_str!("fixtures/status.json"));
+    assert_eq!(asked("members"), include_str!("fixtures/members.json"));
+    assert_eq!(asked("primaries"), include_str!("fixtures/primaries.json"));
+}
+
 /// A machine that is cut off, can't save or doesn't decide says so, and for how long.
 #[test]
 fn what_a_machine_cannot_do_is_told() {
--- a/crates/node/src/tests/edge.rs
+++ b/crates/node/src/tests/edge.rs
@@ -1178,3 +1178,21 @@
         assert_eq!(a.answer().await, "COMPLETE s.a1|IDLE I 3.1");
     });
 }
+
+/// Monitoring systems know the metrics by name: a router that has served a statement prints all of its own.
+#[test]
+fn a_router_keeps_the_names_of_its_metrics() {
+    play(async |rig| {
+        let mut client = Client::open(rig.front, "lead").await;
+        assert_eq!(
+            client.ask("a1", "PUT thing").await,
+            "COMPLETE s.a1|IDLE I 3.1"
+        );
+        let metrics = crate::metrics::Metrics {
+            router: Some((rig.edge.clone(), rig.shared.clone())),
+            control: None,
+        };
+        let outline = crate::tests::metric_names::outline(&metrics.text());
+        assert_eq!(outline, include_str!("fixtures/metrics_router.txt"));
+    });
+}
--- /dev/null
+++ b/crates/node/src/tests/metric_names.rs
@@ -0,0 +1,93 @@
+//! The metrics that monitoring systems know by name: their names, types and labels stay as they are.
+
+use crate::clock;
+use crate::control::Control;
+use crate::metrics::Metrics;
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use badgerstream_calls::http::request;
+use badgerstream_calls::settings::Settings;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::collections::BTreeSet;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// One line for each metric: its name, its type, and the names of its labels.
+pub(crate) fn outline(text: &str) -> String {
+    let mut outline = String::new();
+    for metric in text.lines().filter_map(|line| line.strip_prefix("# TYPE ")) {
+        let name = metric.split(' ').next().unwrap_or_default();
+        let samples = text.lines().filter_map(|line| line.strip_prefix(name));
+        let labels: BTreeSet<&str> = samples
+            .filter_map(|rest| rest.split_once('{'))
+            .filter(|(suffix, _)| ["", "_total", "_bucket"].contains(suffix))
+            .flat_map(|(_, labels)| labels.split('"').step_by(2))
+            .filter_map(|part| part.trim_start_matches(',').strip_suffix('='))
+            .collect();
+        outline += metric;
+        for label in labels {
+            outline += &format!(" {label}");
+        }
+        outline.push('\n');
+    }
+    outline
+}
+
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("its address")
+}
+
+/// A control machine alone, which leads and knows a server and so a service.
+#[test]
+fn a_control_machine_keeps_the_names_of_its_metrics() {
+    let folder = std::env::temp_dir().join(format!("badgerpool-metrics-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let (peers, calls) = (free_address(), free_address());
+    let settings = format!(
+        "node_name=n\nrole=r\nip=127.0.0.1\nzone=z\nbootstrap=true\nstate_dir={}\n\
+         port_range={},65535\nbind_addrs.control={calls}\nseeds={calls}\n",
+        folder.display(),
+        peers.port(),
+    );
+    let settings = Settings::read(&settings).expect("valid settings");
+    let tasks = Rc::new(LocalExecutor::new());
+    let control = Control::start(&tasks, &settings, 7).expect("it starts");
+    let beat = r#"{"backend":"db","endpoint":"127.0.0.1:1","phase":"ready","call_seq":1}"#;
+    let text = async_io::block_on(tasks.run(async {
+        let wait = async |what: &str, holds: &dyn Fn() -> bool| {
+            let begin = clock::now();
+            while !holds() {
+                assert!(clock::now() - begin < 10.0, "not within 10 s: {what}");
+                Timer::after(Duration::from_millis(5)).await;
+            }
+        };
+        wait("it leads", &|| control.figures(clock::now()).leads).await;
+        let mut stream = Async::<TcpStream>::connect(calls)
+            .await
+            .expect("it listens");
+        let headers = [("Connection", "close")];
+        let call = request(
+            "POST",
+            "/api/Members.Heartbeat/i-1",
+            "h",
+            &headers,
+            beat.as_bytes(),
+        );
+        stream.write_all(&call).await.expect("the call is sent");
+        let mut answer = Vec::new();
+        stream.read_to_end(&mut answer).await.expect("an answer");
+        wait("a service", &|| {
+            !control.figures(clock::now()).primaries.is_empty()
+        })
+        .await;
+        let metrics = Metrics {
+            router: None,
+            control: Some(control.clone()),
+        };
+        metrics.text()
+    }));
+    std::fs::remove_dir_all(&folder).expect("the folder goes");
+    assert_eq!(outline(&text), include_str!("fixtures/metrics_control.txt"));
+}
