--- a/crates/node/src/control/disk.rs
+++ b/crates/node/src/control/disk.rs
@@ -156,3 +156,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/disk.rs"]
+mod tests;
--- /dev/null
+++ b/crates/node/src/tests/disk.rs
@@ -0,0 +1,107 @@
+//! The record of a control machine on its disk, held by a fixture: the folder of `crates/store/tests/fixtures`, which an
+//! earlier release wrote, and the encoding of the state in it.
+
+use super::{Disk, FOLDER};
+use crate::tests::hex::hex;
+use badgerstream_control::{Ballot, Digest, Membership, Order, Primary, Record, State, Voter};
+use badgerstream_store::{FILE, Fresh, Store};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// The database file, compressed with DEFLATE.
+const PACKED: &[u8] = include_bytes!("../../../store/tests/fixtures/control.redb.deflate");
+
+/// The encoded state in it, in hexadecimal.
+const VALUE: &str = include_str!("../../../store/tests/fixtures/value.txt");
+
+/// The identity in it.
+const IDENTITY: u64 = 0x3132_3334_3536_3738;
+
+/// The state in it: a joint set, a configuration, an order and a primary.
+fn state() -> State {
+    let founders = Membership::founding([0x0A01_0204, 0x0A01_0205, 7]);
+    let joining = Voter {
+        node: 0x0A01_0203,
+        incarnation: 0xFEDC_BA98_7654_3210,
+    };
+    let leaving = Voter {
+        node: 7,
+        incarnation: 0,
+    };
+    let voters = founders.with(Some(joining), Some(leaving));
+    let config: Rc<[u8]> = Rc::from(&b"{\"a\":1}"[..]);
+    let order = Order {
+        epoch: 252,
+        digest: Digest::of(&config),
+    };
+    let primary = Primary {
+        id: "i-0a".to_owned(),
+        above: 70_000,
+    };
+    State {
+        seq: 65_536,
+        membership: founders.changed_to(voters).expect("a change of the voters"),
+        epoch: 252,
+        config,
+        orders: vec![order],
+        primaries: BTreeMap::from([("catalog".to_owned(), primary)]),
+    }
+}
+
+/// The record in it.
+fn record() -> Record {
+    Record {
+        promised: Ballot(0x1112_1314_1516_1718),
+        accepted: Ballot(0x0102_0304_0506_0708),
+        state: Rc::new(state()),
+    }
+}
+
+/// A folder that is removed when the test ends.
+struct Folder(PathBuf);
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The fixture unpacked to where a control machine expects it.
+fn unpacked() -> Folder {
+    let name = format!("badgerpool-disk-{}", std::process::id());
+    let folder = Folder(std::env::temp_dir().join(name));
+    let store = folder.0.join(FOLDER);
+    std::fs::create_dir_all(&store).unwrap();
+    let file = miniz_oxide::inflate::decompress_to_vec(PACKED).expect("a whole file");
+    std::fs::write(store.join(FILE), file).unwrap();
+    folder
+}
+
+#[test]
+fn the_record_of_an_earlier_release_is_read_and_saved_in_the_same_encoding() {
+    let folder = unpacked();
+    let mut disk = Disk::open(&folder.0, 5, &[1, 2, 3]).unwrap();
+    assert_eq!((disk.identity(), disk.kept()), (IDENTITY, &record()));
+    assert_eq!(hex(&state().bytes()), VALUE.trim());
+
+    // Another state, and then the one of the fixture again.
+    let other = Record {
+        state: Rc::new(State::default()),
+        ..record()
+    };
+    for saved in [&other, &record()] {
+        disk.save(saved).unwrap();
+    }
+    drop(disk);
+    let (store, found, fresh) = Store::open(&folder.0.join(FOLDER), 5).unwrap();
+    drop(store);
+    assert_eq!(fresh, Fresh::Kept);
+    assert_eq!(
+        (found.promised, found.accepted, found.identity),
+        (0x1112_1314_1516_1718, 0x0102_0304_0506_0708, IDENTITY)
+    );
+    assert_eq!(hex(&found.value), VALUE.trim());
+    let disk = Disk::open(&folder.0, 5, &[1, 2, 3]).unwrap();
+    assert_eq!(disk.kept(), &record());
+}
--- /dev/null
+++ b/crates/node/src/tests/frame_bytes.rs
@@ -0,0 +1,116 @@
+//! The bytes of frames on a connection, held by fixtures: processes of different releases read each other's frames.
+//!
+//! Each line of `fixtures/frames.txt` is a name and the whole frame, length prefix included, in hexadecimal.
+
+use super::hex::{hex, unhex};
+use crate::frames::{self, Frame};
+use badgerstream_control::{
+    Ballot, Evidence, GrantNews, PeerMessage, Recipient, ToControl, ToRouter, Voter,
+};
+use futures_lite::{future, io::Cursor};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+const FIXTURES: &str = include_str!("fixtures/frames.txt");
+
+/// The sample whose frame is compressed.
+const COMPRESSED: &str = "News.compressed";
+
+fn voter() -> Voter {
+    Voter {
+        node: 0x0A01_0203,
+        incarnation: 0xFEDC_BA98_7654_3210,
+    }
+}
+
+fn peer(to: Recipient) -> Frame {
+    let message = PeerMessage::RosterWanted {
+        ballot: Ballot(0x0102_0304_0506_0708),
+    };
+    Frame::Peer { to, message }
+}
+
+fn renewal() -> Frame {
+    let evidence = Evidence {
+        service: "billing".to_owned(),
+        id: "i-0f".to_owned(),
+        answered: 0.75,
+    };
+    Frame::Renew(ToControl {
+        router: "router-1".to_owned(),
+        life: 0x5152_5354_5556_5758,
+        sent: 3.125,
+        known: (Ballot(0x1112_1314_1516_1718), 800),
+        epoch: 70_002,
+        evidence: vec![evidence],
+    })
+}
+
+/// News with so many grants.
+fn news(grants: u64) -> Frame {
+    let grant = |number| GrantNews {
+        service: format!("catalog-{number}"),
+        id: format!("i-{:08x}", number * 2_654_435),
+        term: 240 + number,
+        closing: number % 3 == 0,
+    };
+    Frame::News(Rc::new(ToRouter::News {
+        known: (Ballot(0x2122_2324_2526_2728), 900),
+        sent: Some(4.5),
+        lease: 1.75,
+        whole: true,
+        grants: (1..=grants).map(grant).collect(),
+        members: Vec::new(),
+        config: None,
+        voters: vec![0x0A01_0208, 6],
+        routers: 1000,
+        evidence_wanted: vec!["catalog-1".to_owned()],
+    }))
+}
+
+/// One sample at least for every variant.
+fn samples() -> BTreeMap<&'static str, Frame> {
+    let hello = Frame::Hello {
+        from: voter(),
+        life: 0x3132_3334_3536_3738,
+    };
+    BTreeMap::from([
+        ("Hello", hello),
+        ("Peer.voter", peer(Recipient::Voter(voter()))),
+        ("Peer.node", peer(Recipient::Node(0x0A01_0206))),
+        ("Renew", renewal()),
+        ("News", news(1)),
+        (COMPRESSED, news(60)),
+    ])
+}
+
+#[test]
+fn every_frame_has_the_bytes_of_its_fixture() {
+    let lines: Vec<(&str, Vec<u8>)> = FIXTURES
+        .lines()
+        .map(|line| line.split_once(' ').expect("a name and its bytes"))
+        .map(|(name, bytes)| (name, unhex(bytes)))
+        .collect();
+    let samples = samples();
+    let names: Vec<&str> = samples.keys().copied().collect();
+    let pinned: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
+    assert_eq!(
+        names, pinned,
+        "samples and lines do not match, or the order"
+    );
+    for (name, bytes) in lines {
+        let read = |bytes: &[u8]| future::block_on(frames::read(&mut Cursor::new(bytes))).unwrap();
+        let frame = read(&bytes);
+        assert_eq!(frame, samples[name], "{name}");
+        let compressed = bytes[0] & 0x80 != 0;
+        assert_eq!(compressed, name == COMPRESSED, "{name}");
+        let written = frames::bytes(&frame);
+        if compressed {
+            // Another release of the compressor may choose other bytes for the same body.
+            assert_eq!(written[0] & 0x80, 0x80, "{name} is compressed");
+            assert_eq!(read(&written), frame, "{name}");
+        } else {
+            assert_eq!(hex(&written), hex(&bytes), "{name}");
+        }
+    }
+}
--- a/crates/node/src/tests/servers.rs
+++ b/crates/node/src/tests/servers.rs
@@ -1,6 +1,7 @@
 //! The file of the servers that a control machine knows: torn ones and those of other forms are passed over.
 
 use super::{Servers, pack, unpack};
+use crate::tests::hex::{hex, unhex};
 use badgerstream_control::{
     ControlTiming, Controller, FOUNDING, MemberNews, Record, Timing, Voter,
 };
@@ -101,3 +102,48 @@
             .is_empty()
     );
 }
+
+/// The servers in the file of `fixtures/servers.txt`: one that drains, whose call number is kept, and one in service.
+fn pinned_servers(call_seq_in_service: u64) -> Vec<MemberNews> {
+    let draining = MemberNews {
+        id: "i-0a".to_owned(),
+        service: "catalog".to_owned(),
+        endpoint: "10.0.0.1:5432".to_owned(),
+        zone: "lima-a".to_owned(),
+        slots: 500,
+        draining: true,
+        gone: false,
+        call_seq: 0x4142_4344,
+    };
+    let in_service = MemberNews {
+        id: "i-0b".to_owned(),
+        service: "billing".to_owned(),
+        endpoint: "10.0.0.2:5433".to_owned(),
+        zone: "lima-b".to_owned(),
+        slots: 8,
+        draining: false,
+        gone: false,
+        call_seq: call_seq_in_service,
+    };
+    vec![draining, in_service]
+}
+
+/// A file that an earlier release wrote is read, and the same servers give the same bytes.
+#[test]
+fn the_file_has_the_bytes_of_its_fixture() {
+    let pinned = unhex(include_str!("fixtures/servers.txt").trim());
+    let name = format!("badgerpool-servers-pinned-{}", std::process::id());
+    let folder = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("servers");
+    std::fs::write(&path, &pinned).unwrap();
+    let read = Servers::new(path.clone()).read();
+    std::fs::remove_file(&path).unwrap();
+    let mut controller = controller(&[]);
+    controller.recall(0.0, pinned_servers(9), 0.0);
+    assert!(Servers::new(path.clone()).keep_now(1.0, &controller));
+    let written = std::fs::read(&path).unwrap();
+    std::fs::remove_dir_all(&folder).unwrap();
+    assert_eq!(read, pinned_servers(0), "only a drain's number is kept");
+    assert_eq!(hex(&written), hex(&pinned));
+}
