--- a/crates/node/src/tests/mod.rs
+++ b/crates/node/src/tests/mod.rs
@@ -1,7 +1,7 @@
 mod cli;
 mod frame_bytes;
 mod frames;
-pub(crate) mod metric_names;
 pub(crate) mod hex;
+pub(crate) mod metric_names;
 mod server_queries;
 mod session;
