--- a/crates/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -1,7 +1,7 @@
 //! The call that makes another server the primary: what its end proves, and for how long a copy of it may still take
 //! effect.
 
-use badgerstream_wire::Verdict;
+use badgerstream_line_protocol::Verdict;
 use std::collections::BTreeMap;
 
 /// A call without a clear answer may take effect for so long after it was given up, in seconds. Its connection is reset
--- a/crates/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -4,7 +4,7 @@
 use crate::failover::{Act, Around, Candidate, Failover};
 use crate::promotion::{PendingPromotion, PromotionOutcome};
 use crate::{Asked, Row, Statement, Timing};
-use badgerstream_wire::Verdict;
+use badgerstream_line_protocol::Verdict;
 
 const TIMING: Timing = Timing {
     ask: 0.2,
--- a/crates/pooling/src/choice.rs
+++ b/crates/core/pooling/src/choice.rs
@@ -2,7 +2,7 @@
 
 use crate::freshness::History;
 use crate::session::Session;
-use badgerstream_wire::Position;
+use badgerstream_line_protocol::Position;
 
 /// The consistency that a route asks of its reads.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/pooling/src/freshness.rs
+++ b/crates/core/pooling/src/freshness.rs
@@ -1,6 +1,6 @@
 //! Proofs that a replica is fresh enough, from what the primary's answers told.
 
-use badgerstream_wire::Position;
+use badgerstream_line_protocol::Position;
 use std::collections::VecDeque;
 
 /// Samples are at least this far apart, in seconds.
--- a/crates/pooling/src/health.rs
+++ b/crates/core/pooling/src/health.rs
@@ -1,6 +1,6 @@
 //! A server's health, from its answers: whether it is worth asking.
 
-use badgerstream_wire::Position;
+use badgerstream_line_protocol::Position;
 
 /// The first pause after a failure, in seconds; it doubles up to `MAX_BACKOFF_S`.
 pub const MIN_BACKOFF_S: f64 = 0.05;
--- a/crates/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -1,7 +1,7 @@
 //! What a client's session holds: values, prepared names, its transaction, its last write and its mark.
 
+use badgerstream_line_protocol::{Kind, Position, State};
 use badgerstream_routing::Mark;
-use badgerstream_wire::{Kind, Position, State};
 use quick_error::quick_error;
 
 /// The most names of one sort that a session may hold.
--- a/crates/pooling/src/tests/choices.rs
+++ b/crates/core/pooling/src/tests/choices.rs
@@ -2,9 +2,9 @@
 use crate::freshness::History;
 use crate::health::{Health, LAG_BACKOFF_S, MIN_BACKOFF_S};
 use crate::session::Session;
+use badgerstream_line_protocol::Position;
 use badgerstream_routing::MARK_S;
 use badgerstream_routing::Rotation;
-use badgerstream_wire::Position;
 
 fn at(number: u64) -> Position {
     Position { term: 3, number }
--- a/crates/pooling/src/tests/conns.rs
+++ b/crates/core/pooling/src/tests/conns.rs
@@ -3,7 +3,7 @@
 use crate::connection::{ConnectionState, Distance, StateChange};
 use crate::session::{MAX_NAMES, Session, SessionError};
 use arbtest::arbtest;
-use badgerstream_wire::{Kind, Text};
+use badgerstream_line_protocol::{Kind, Text};
 use std::collections::BTreeMap;
 
 /// What the server's end of a connection really holds, by the texts that it got.
--- a/crates/pooling/src/tests/freshness.rs
+++ b/crates/core/pooling/src/tests/freshness.rs
@@ -1,6 +1,6 @@
 use crate::freshness::{History, MAX_SAMPLES};
 use arbtest::arbtest;
-use badgerstream_wire::Position;
+use badgerstream_line_protocol::Position;
 
 fn at(number: u64) -> Position {
     Position { term: 3, number }
--- a/crates/recovery/src/lib.rs
+++ b/crates/core/restart-pacing/src/lib.rs
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use badgerstream_fleet::place;
+pub use badgerstream_fleet_sharing::place;
 pub use phase::{Phase, Sign};
 pub use settings::Settings;
 pub use turns::WINDOW_S;
--- a/crates/routing/src/recover.rs
+++ b/crates/core/routing/src/recover.rs
@@ -1,4 +1,4 @@
-//! Between the records of an instance and the decisions of `badgerstream-recovery`: what was told becomes its
+//! Between the records of an instance and the decisions of `badgerstream-restart-pacing`: what was told becomes its
 //! inputs, and its verdicts bind sends and probes. It decides nothing; without settings nothing of it acts.
 
 use crate::recovery::{Phase, Recovery, Settings};
--- a/crates/routing/src/succeed.rs
+++ b/crates/core/routing/src/succeed.rs
@@ -1,10 +1,12 @@
-//! Between the records of an instance and the decisions of `badgerstream-succession`: what was told becomes
+//! Between the records of an instance and the decisions of `badgerstream-primary-change`: what was told becomes
 //! evidence, a statement a wish, a verdict a mark on the statement. It decides nothing; without settings
 //! nothing of it acts.
 
 use crate::state::{NEVER, ROUNDING_S, Statement};
 use crate::{Allowance, Currency, Ending, Instance, Repeat, Role, Standing};
-use badgerstream_succession::{Evidence, Next, Phase, Settings, Succession, Verdict, Wish, next};
+use badgerstream_primary_change::{
+    Evidence, Next, Phase, Settings, Succession, Verdict, Wish, next,
+};
 
 /// How often the outcome of one statement is asked for.
 const INQUIRIES: usize = 2;
@@ -255,13 +257,13 @@
             return Next::Again;
         };
         let repeat = match s.kind.repeat {
-            Repeat::Idempotent => badgerstream_succession::Repeat::Harmless,
+            Repeat::Idempotent => badgerstream_primary_change::Repeat::Harmless,
             Repeat::Deduplicated { .. } if self.repeatable(s, None, now) => {
-                badgerstream_succession::Repeat::Dropped {
+                badgerstream_primary_change::Repeat::Dropped {
                     until: f64::INFINITY,
                 }
             }
-            _ => badgerstream_succession::Repeat::Harmful,
+            _ => badgerstream_primary_change::Repeat::Harmful,
         };
         let sent = s.may_have_run().map(|e| e.term).max().unwrap_or(first.term);
         let outcomes = succession.settings().outcomes;
--- a/crates/routing/src/together.rs
+++ b/crates/core/routing/src/together.rs
@@ -1,4 +1,4 @@
-//! Between the records of an instance and the decisions of `badgerstream-fleet`: what was told becomes its inputs,
+//! Between the records of an instance and the decisions of `badgerstream-fleet-sharing`: what was told becomes its inputs,
 //! and its verdicts bind probes, trials, first sends, copies and repeats. It decides nothing; without settings
 //! nothing of it acts.
 
--- a/crates/calls/src/call.rs
+++ b/crates/protocol/control-api/src/call.rs
@@ -3,9 +3,9 @@
 //! A [`Call`] says at which method and path it comes, how it is read, and which type answers it.
 //! [`dispatch`] reads a request into the one it is; [`reply`] makes the bytes of the answer.
 
-use crate::config::ConfigError;
-use crate::http::{Request, response};
 use crate::members::{self, DEPART, HEARTBEAT, Heartbeat, HeartbeatAnswer};
+use badgerstream_http_codec::{Request, response};
+use badgerstream_pooler_config::config::ConfigError;
 use quick_error::quick_error;
 use std::net::SocketAddr;
 
--- a/crates/calls/src/members.rs
+++ b/crates/protocol/control-api/src/members.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::question_mark, reason = "code that nanoserde derives")]
 
-use crate::json::{self, JsonError};
+use badgerstream_pooler_config::json::{self, JsonError};
 use nanoserde::{DeJson, DeJsonErr, DeJsonState, SerJson, SerJsonState};
 use std::net::SocketAddr;
 use std::str::Chars;
--- a/crates/calls/src/promotion.rs
+++ b/crates/protocol/control-api/src/promotion.rs
@@ -1,7 +1,6 @@
 //! The call to the platform that makes another server the primary. What its end proves is the decision of the control
 //! crate, as `PromotionOutcome`.
 
-use crate::http;
 use nanoserde::SerJson;
 
 /// The path at the platform.
@@ -18,5 +17,5 @@
     );
     let fence = fence.to_string();
     let headers = [("X-Duty-Holder", holder), ("X-Fence-Token", fence.as_str())];
-    http::request("POST", PROMOTIONS, host, &headers, body.as_bytes())
+    badgerstream_http_codec::request("POST", PROMOTIONS, host, &headers, body.as_bytes())
 }
--- a/crates/calls/src/status.rs
+++ b/crates/protocol/control-api/src/status.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::question_mark, reason = "code that nanoserde derives")]
 
 use crate::call::{Answer, Call, CallError, Operation};
-use crate::http::Request;
-use crate::json::{self, JsonError};
+use badgerstream_http_codec::Request;
+use badgerstream_pooler_config::json::{self, JsonError};
 use nanoserde::{DeJson, SerJson};
 
 /// The operator asks how a control machine sees the system; any of them answers for itself.
--- a/crates/calls/src/tests/call.rs
+++ b/crates/protocol/control-api/src/tests/call.rs
@@ -1,7 +1,7 @@
 use crate::call::{Done, Operation, Reply, Stored, dispatch, reply};
-use crate::http::{Request, Requests, Response, Responses, request};
 use crate::members::{DbRole, Heartbeat, HeartbeatAnswer, Phase};
 use crate::promotion::promotion;
+use badgerstream_http_codec::{Request, Requests, Response, Responses, request};
 use nanoserde::SerJson;
 
 /// The beat on the users' page.
--- /dev/null
+++ b/crates/protocol/control-api/src/tests/mod.rs
@@ -0,0 +1,2 @@
+mod call;
+mod texts;
--- a/crates/calls/src/tests/texts.rs
+++ b/crates/protocol/control-api/src/tests/texts.rs
@@ -1,12 +1,12 @@
 //! What callers, operators and the platform read or write, to the byte: it stays as it is, whatever the code calls it.
 
 use crate::call::{Answer, Done, Reply, Stored, dispatch, reply};
-use crate::config::{Config, Mode, without_effect};
-use crate::http::{Requests, request};
 use crate::members::{DbRole, Heartbeat, HeartbeatAnswer, Phase};
 use crate::promotion::promotion;
-use crate::settings::Settings;
 use crate::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
+use badgerstream_http_codec::{Requests, request};
+use badgerstream_pooler_config::config::{Config, Mode, without_effect};
+use badgerstream_pooler_config::settings::Settings;
 use nanoserde::SerJson;
 
 fn text(bytes: Vec<u8>) -> String {
--- a/crates/store/tests/kept_folder.rs
+++ b/crates/protocol/control-store/tests/kept_folder.rs
@@ -3,7 +3,7 @@
 //! `fixtures/control.redb.deflate` is the database file, compressed with DEFLATE; `fixtures/value.txt` the value in it, in
 //! hexadecimal: an encoded state of `badgerstream-control`, which means nothing here.
 
-use badgerstream_store::{FILE, Fresh, Record, Store};
+use badgerstream_control_store::{FILE, Fresh, Record, Store};
 use std::fs;
 use std::path::PathBuf;
 
--- a/crates/calls/src/http.rs
+++ b/crates/protocol/http-codec/src/lib.rs
@@ -663,3 +663,6 @@
         _ => "Status",
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/calls/src/tests/http.rs
+++ b/crates/protocol/http-codec/src/tests/http.rs
@@ -1,6 +1,4 @@
-use crate::http::{
-    HEAD_BYTES, HttpError, Request, Requests, Response, Responses, request, response,
-};
+use crate::{HEAD_BYTES, HttpError, Request, Requests, Response, Responses, request, response};
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use arbtest::arbtest;
 
--- /dev/null
+++ b/crates/protocol/http-codec/src/tests/mod.rs
@@ -0,0 +1,1 @@
+mod http;
--- a/crates/calls/src/tests.rs
+++ b/crates/protocol/pooler-config/src/tests/mod.rs
@@ -1,6 +1,3 @@
-mod call;
 mod config;
-mod http;
 mod json;
 mod settings;
-mod texts;
--- a/crates/provision/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -109,7 +109,7 @@
 
 #[test]
 fn the_file_with_every_setting_says_what_goes_without_saying() {
-    let told = Own::read(include_str!("../../../deploy/settings.json5"), 16 << 20).unwrap();
+    let told = Own::read(include_str!("../../../../deploy/settings.json5"), 16 << 20).unwrap();
     assert_eq!(
         told,
         Own::read("{succession: {}, recovery: {}, fleet: {}}", 16 << 20).unwrap()
--- a/crates/node/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -1,10 +1,10 @@
 //! Calls to control machines, one connection a call, each address within a time limit.
 
 use super::{CliError, text};
-use badgerstream_calls::call::{BASE_VERSION, Call, Read, Replace};
-use badgerstream_calls::config::Config;
-use badgerstream_calls::http::{Response, Responses, request};
-use badgerstream_calls::status::{ReadStatus, Status};
+use badgerstream_control_api::call::{BASE_VERSION, Call, Read, Replace};
+use badgerstream_control_api::status::{ReadStatus, Status};
+use badgerstream_http_codec::{Response, Responses, request};
+use badgerstream_pooler_config::config::Config;
 use nanoserde::DeJson;
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -249,7 +249,7 @@
     let mut headers = headers.to_vec();
     headers.push(("Connection", "close"));
     let mut rest = &request(method, path, &at.to_string(), &headers, body)[..];
-    let invalid = |e: badgerstream_calls::http::HttpError| {
+    let invalid = |e: badgerstream_http_codec::HttpError| {
         std::io::Error::new(ErrorKind::InvalidData, e.to_string())
     };
     let mut answered = Responses::new(MAX_ANSWER_BYTES);
--- a/crates/node/src/cli/config.rs
+++ b/crates/runtime/pooler/src/cli/config.rs
@@ -3,8 +3,8 @@
 use super::files::{name, read};
 use super::output::{print, show};
 use super::{Asking, CliError, Client, text};
-use badgerstream_calls::JsonError;
-use badgerstream_calls::config::{self, Config, ConfigError};
+use badgerstream_pooler_config::JsonError;
+use badgerstream_pooler_config::config::{self, Config, ConfigError};
 use nanoserde::SerJson;
 use std::io::Write;
 use std::path::Path;
--- a/crates/node/src/cli/settings.rs
+++ b/crates/runtime/pooler/src/cli/settings.rs
@@ -3,7 +3,7 @@
 use super::CliError;
 use super::files::{name, read};
 use super::output::print;
-use badgerstream_calls::settings::{Settings, SettingsError};
+use badgerstream_pooler_config::settings::{Settings, SettingsError};
 use nanoserde::SerJson;
 use std::io::Write;
 use std::path::Path;
--- a/crates/node/src/cli/status.rs
+++ b/crates/runtime/pooler/src/cli/status.rs
@@ -1,7 +1,7 @@
 //! `status`, `members` and `primaries`: the state of the system as tables.
 
 use super::text::{self, Table};
-use badgerstream_calls::status::{MemberStatus, PrimaryStatus, Status};
+use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
 use std::fmt::Write as _;
 
 /// A change's phase in plain words.
--- a/crates/node/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -16,17 +16,17 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_calls::call::{self, Operation, Reply};
-use badgerstream_calls::config::Config;
-use badgerstream_calls::http::{Request, Responses, response};
-use badgerstream_calls::members as beats;
-use badgerstream_calls::promotion;
-use badgerstream_calls::settings::Settings;
-use badgerstream_calls::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
 use badgerstream_control::{
     Answer, Beat, Call, ControlTiming, Controller, FOUNDING, GrantNews, MemberNews, Node, Output,
     Phase, Recipient, Timing, ToRouter, Voter,
 };
+use badgerstream_control_api::call::{self, Operation, Reply};
+use badgerstream_control_api::members as beats;
+use badgerstream_control_api::promotion;
+use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
+use badgerstream_http_codec::{Request, Responses, response};
+use badgerstream_pooler_config::config::Config;
+use badgerstream_pooler_config::settings::Settings;
 use disk::Disk;
 use futures_lite::{AsyncReadExt, future, io};
 use sessions::Sessions;
--- a/crates/node/src/control/disk.rs
+++ b/crates/runtime/pooler/src/control/disk.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use async_io::Timer;
 use badgerstream_control::{Ballot, Node, Record, State};
-use badgerstream_store::{Fresh, Store, StoreError};
+use badgerstream_control_store::{Fresh, Store, StoreError};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
         };
         if saved.value.is_empty() {
             // What this machine starts from is on its disk before anybody hears of it.
-            let first = badgerstream_store::Record {
+            let first = badgerstream_control_store::Record {
                 value: state.bytes(),
                 ..saved.clone()
             };
@@ -84,7 +84,7 @@
             } else {
                 let value = record.state.bytes();
                 let identity = self.identity;
-                store.save(&badgerstream_store::Record {
+                store.save(&badgerstream_control_store::Record {
                     promised,
                     accepted,
                     value,
--- a/crates/node/src/control/duties.rs
+++ b/crates/runtime/pooler/src/control/duties.rs
@@ -4,7 +4,7 @@
 use crate::exchange::{self, DutyLost, ExchangeError};
 use crate::server_queries::{self, Query, Target, Waits};
 use badgerstream_control::{Asked, PromotionOutcome};
-use badgerstream_wire::Verdict;
+use badgerstream_line_protocol::Verdict;
 
 /// A call to the platform is given up after so many seconds.
 const PLATFORM_S: f64 = 1.0;
--- a/crates/node/src/edge/client/commit.rs
+++ b/crates/runtime/pooler/src/edge/client/commit.rs
@@ -4,8 +4,8 @@
 use super::{ClientSession, HOLD_FRACTION};
 use crate::clock;
 use crate::edge::pool::{Checkout, ExchangeError};
+use badgerstream_line_protocol::{Answer, Code, Outcome, State};
 use badgerstream_pooling::session::Transaction;
-use badgerstream_wire::{Answer, Code, Outcome, State};
 
 fn aborted(why: &str) -> Response {
     error(Code::Aborted, why, State::Idle)
--- a/crates/node/src/edge/client/connection.rs
+++ b/crates/runtime/pooler/src/edge/client/connection.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::edge::{Edge, net};
 use async_io::Async;
-use badgerstream_wire::LineBuffer;
+use badgerstream_line_protocol::LineBuffer;
 use std::cell::RefCell;
 use std::future::pending;
 use std::net::TcpStream;
--- a/crates/node/src/edge/client/dispatch.rs
+++ b/crates/runtime/pooler/src/edge/client/dispatch.rs
@@ -5,8 +5,8 @@
 use super::statement::Statement;
 use crate::edge::SessionEnd;
 use crate::edge::place::RETRY_AFTER_S;
+use badgerstream_line_protocol::{Code, Kind, State, Text};
 use badgerstream_pooling::session::{SessionError, Transaction};
-use badgerstream_wire::{Code, Kind, State, Text};
 
 /// Why what arrives too late isn't run.
 const ENDING: &str = "the router ends";
--- a/crates/node/src/edge/client/handshake.rs
+++ b/crates/runtime/pooler/src/edge/client/handshake.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::edge::place::RETRY_AFTER_S;
 use crate::edge::{Edge, net};
-use badgerstream_wire::Request;
+use badgerstream_line_protocol::Request;
 use std::rc::Rc;
 
 /// A client may take so long to say whom it wants, in seconds.
--- a/crates/node/src/edge/client/response.rs
+++ b/crates/runtime/pooler/src/edge/client/response.rs
@@ -1,8 +1,8 @@
 //! The answer that a client gets to its statement.
 
 use crate::metrics::End;
+use badgerstream_line_protocol::{Code, State};
 use badgerstream_pooling::latency::MIN_RETRY_AFTER_S;
-use badgerstream_wire::{Code, State};
 
 /// No client is told to come back later than this, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 2.0;
--- a/crates/node/src/edge/client/statement.rs
+++ b/crates/runtime/pooler/src/edge/client/statement.rs
@@ -1,8 +1,8 @@
 //! A statement that runs at a server, and its line there.
 
 use crate::edge::pool::Checkout;
+use badgerstream_line_protocol::Kind;
 use badgerstream_pooling::session::Shape;
-use badgerstream_wire::Kind;
 
 /// A statement that runs at a server.
 #[derive(Clone, Copy)]
--- a/crates/node/src/edge/client/transaction.rs
+++ b/crates/runtime/pooler/src/edge/client/transaction.rs
@@ -7,9 +7,9 @@
 use crate::clock;
 use crate::edge::place::{Placement, PlacementRequest, RETRY_AFTER_S, RouteTerms};
 use crate::edge::pool::{Checkout, ExchangeError};
+use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State};
 use badgerstream_pooling::choice::Access;
 use badgerstream_pooling::session::{Shape, Transaction};
-use badgerstream_wire::{Answer, Code, Kind, Outcome, State};
 
 /// Beginning a transaction may take so long at one server, in seconds.
 const BEGIN_TIMEOUT_S: f64 = 0.5;
--- a/crates/node/src/edge/link.rs
+++ b/crates/runtime/pooler/src/edge/link.rs
@@ -3,8 +3,8 @@
 use super::net::{self, NotSent, Scratch};
 use crate::clock;
 use async_io::Async;
+use badgerstream_line_protocol::{Answer, Code, LineBuffer, Outcome, Position, Reply, State};
 use badgerstream_pooling::connection::ConnectionState;
-use badgerstream_wire::{Answer, Code, LineBuffer, Outcome, Position, Reply, State};
 use std::net::{SocketAddr, TcpStream};
 
 /// How long a connection may take to open, in seconds.
--- a/crates/node/src/edge/net.rs
+++ b/crates/runtime/pooler/src/edge/net.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use async_io::{Async, Timer};
-use badgerstream_wire::LineBuffer;
+use badgerstream_line_protocol::LineBuffer;
 use pin_project_lite::pin_project;
 use std::cell::RefCell;
 use std::future::Future;
--- a/crates/node/src/edge/place.rs
+++ b/crates/runtime/pooler/src/edge/place.rs
@@ -4,10 +4,10 @@
 use super::net;
 use super::pool::{Admission, Checkout, CheckoutError, Pool};
 use crate::clock;
-use badgerstream_calls::config::{Mode, Route};
+use badgerstream_line_protocol::Position;
+use badgerstream_pooler_config::config::{Mode, Route};
 use badgerstream_pooling::choice::{Access, Choice, ChoiceInput, Consistency, choose};
 use badgerstream_pooling::session::{Session, Shape};
-use badgerstream_wire::Position;
 use futures_lite::future::or;
 use std::rc::Rc;
 
--- a/crates/node/src/edge/pool/checkout.rs
+++ b/crates/runtime/pooler/src/edge/pool/checkout.rs
@@ -7,8 +7,8 @@
 use crate::edge::gate::Permit;
 use crate::edge::link::Link;
 use crate::edge::net;
+use badgerstream_line_protocol::Answer;
 use badgerstream_pooling::session::{Shape, Values};
-use badgerstream_wire::Answer;
 use std::rc::Rc;
 
 /// How long the statements of the router itself may take, in seconds.
--- a/crates/node/src/edge/pool/drain.rs
+++ b/crates/runtime/pooler/src/edge/pool/drain.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::edge::link::Link;
 use crate::edge::net::{self, Scratch};
-use badgerstream_wire::{Answer, Outcome, State};
+use badgerstream_line_protocol::{Answer, Outcome, State};
 
 /// An answer that nobody waits for any more is awaited for so long, in seconds.
 const DRAIN_S: f64 = 3.0;
--- a/crates/node/src/edge/pool/exchange.rs
+++ b/crates/runtime/pooler/src/edge/pool/exchange.rs
@@ -5,7 +5,7 @@
 use super::health::Unanswered;
 use crate::clock;
 use crate::edge::net;
-use badgerstream_wire::{Answer, Code, Outcome, State, Verdict};
+use badgerstream_line_protocol::{Answer, Code, Outcome, State, Verdict};
 
 /// Between two looks at an answer that is late, in seconds.
 const LOOK_S: f64 = 0.05;
--- a/crates/node/src/edge/pool/health.rs
+++ b/crates/runtime/pooler/src/edge/pool/health.rs
@@ -2,9 +2,9 @@
 
 use super::Pool;
 use crate::clock;
+use badgerstream_line_protocol::Position;
 use badgerstream_pooling::health::Health;
 use badgerstream_pooling::latency::Latency;
-use badgerstream_wire::Position;
 use std::rc::Rc;
 
 /// A statement unanswered for so long counts as a sign that the server is gone, in seconds.
--- a/crates/node/src/edge/pool/prepare.rs
+++ b/crates/runtime/pooler/src/edge/pool/prepare.rs
@@ -5,9 +5,9 @@
 use crate::clock;
 use crate::edge::link::Link;
 use crate::edge::net::{self, Scratch, sleep_until};
+use badgerstream_line_protocol::{Answer, State};
 use badgerstream_pooling::connection::StateChange;
 use badgerstream_pooling::session::{Shape, Values};
-use badgerstream_wire::{Answer, State};
 use futures_lite::future::or;
 
 impl Checkout {
--- a/crates/node/src/exchange.rs
+++ b/crates/runtime/pooler/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::edge::net;
 use crate::frames;
 use async_io::Async;
-use badgerstream_wire::Verdict;
+use badgerstream_line_protocol::Verdict;
 use quick_error::quick_error;
 use std::cell::Cell;
 use std::io::{Error, ErrorKind, Result};
--- a/crates/node/src/http.rs
+++ b/crates/runtime/pooler/src/http.rs
@@ -3,7 +3,7 @@
 use crate::frames;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_calls::http::{Request, Requests, response};
+use badgerstream_http_codec::{Request, Requests, response};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/node/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -1,13 +1,13 @@
-//! `badgerpool`: the program of every machine of the system, and its operators' commands.
+//! `badgerstream-pooler`: the program of every machine of the system, and its operators' commands.
 
-use badgerstream_node::{cli, node};
+use badgerstream_pooler::{cli, node};
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// A database pooler with failover.
 #[derive(Parser)]
-#[command(name = "badgerpool", version, about)]
+#[command(name = "badgerstream-pooler", version, about)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -16,7 +16,7 @@
 #[derive(Subcommand)]
 enum Command {
     /// Runs this machine's part of the system, until SIGTERM.
-    Node {
+    Serve {
         /// The settings file; the variable BADGERSTREAM_BOOT names it otherwise.
         #[arg(long, env = "BADGERSTREAM_BOOT")]
         settings: PathBuf,
@@ -30,7 +30,7 @@
 
 fn main() -> ExitCode {
     let ended = match Arguments::parse().command {
-        Command::Node { settings, metrics } => {
+        Command::Serve { settings, metrics } => {
             env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
                 .init();
             node::run(settings, metrics).inspect_err(|e| log::error!("event=failed error={e:?}"))
@@ -42,7 +42,7 @@
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("badgerpool: {e}");
+            eprintln!("badgerstream-pooler: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/node/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -12,7 +12,7 @@
 use crate::http::{self, Handler};
 use crate::view::Shared;
 use async_executor::LocalExecutor;
-use badgerstream_calls::http::{Request, response};
+use badgerstream_http_codec::{Request, response};
 pub use counters::{CallCounts, End, StatementCounts};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -28,7 +28,7 @@
 /// Where the figures are asked for.
 pub const PATH: &str = "/metrics";
 /// What all names begin with.
-const PREFIX: &str = "badgerpool";
+const PREFIX: &str = "badgerstream";
 /// The type of the answer.
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// The most bytes that the body of a request may have.
--- a/crates/node/src/metrics/counters.rs
+++ b/crates/runtime/pooler/src/metrics/counters.rs
@@ -1,6 +1,6 @@
 //! What is counted all the time.
 
-use badgerstream_wire::Code;
+use badgerstream_line_protocol::Code;
 use prometheus_client::metrics::histogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/node/src/server_queries.rs
+++ b/crates/runtime/pooler/src/server_queries.rs
@@ -9,7 +9,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use badgerstream_control::{Asked, Row, Statement};
-use badgerstream_wire::{LineBuffer, Position, Reply};
+use badgerstream_line_protocol::{LineBuffer, Position, Reply};
 use futures_lite::future;
 use std::cell::RefCell;
 use std::io::{Error, ErrorKind, Result};
--- a/crates/node/src/session.rs
+++ b/crates/runtime/pooler/src/session.rs
@@ -5,10 +5,10 @@
 use crate::view::{Grant, Server, Shared};
 use crate::{clock, frames::within};
 use async_io::{Async, Timer};
-use badgerstream_calls::config::Config;
 use badgerstream_control::{
     Ballot, ConfigNews, Evidence, GrantNews, MemberNews, Node, ToControl, ToRouter,
 };
+use badgerstream_pooler_config::config::Config;
 use futures_lite::{AsyncRead, future, io};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/node/src/tests/cli.rs
+++ b/crates/runtime/pooler/src/tests/cli.rs
@@ -1,9 +1,9 @@
 //! The operators' commands against scripted control machines: threads that listen on loopback.
 
 use crate::cli::{self, CliError, Client, Command};
-use badgerstream_calls::call;
-use badgerstream_calls::http::{Request, Requests, response};
-use badgerstream_calls::status::{MemberStatus, PrimaryStatus, Status};
+use badgerstream_control_api::call;
+use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
+use badgerstream_http_codec::{Request, Requests, response};
 use clap::Parser;
 use nanoserde::{DeJson, SerJson};
 use std::io::{Read, Write};
@@ -69,8 +69,10 @@
 
 impl File {
     fn new(name: &str, text: &str) -> File {
-        let path =
-            std::env::temp_dir().join(format!("badgerpool-cli-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "badgerstream-pooler-cli-{}-{name}",
+            std::process::id()
+        ));
         std::fs::write(&path, text).unwrap();
         File(path)
     }
@@ -93,7 +95,7 @@
 }
 
 fn parse(words: &[&str]) -> Result<Command, clap::Error> {
-    Line::try_parse_from([&["badgerpool"], words].concat()).map(|line| line.command)
+    Line::try_parse_from([&["badgerstream-pooler"], words].concat()).map(|line| line.command)
 }
 
 /// What a command prints, and its error's line.
@@ -191,7 +193,10 @@
     assert!(out.ends_with(told), "{out}");
     assert!(error.unwrap().ends_with("field state_dir: missing"));
 
-    let file = File::new("valid", &format!("{right}state_dir=/var/lib/badgerpool\n"));
+    let file = File::new(
+        "valid",
+        &format!("{right}state_dir=/var/lib/badgerstream-pooler\n"),
+    );
     let (out, error) = run(&["check", file.name()]);
     assert_eq!(
         (out, error),
--- a/crates/node/src/tests/disk.rs
+++ b/crates/runtime/pooler/src/tests/disk.rs
@@ -1,19 +1,20 @@
-//! The record of a control machine on its disk, held by a fixture: the folder of `crates/store/tests/fixtures`, which an
+//! The record of a control machine on its disk, held by a fixture: the folder of `crates/protocol/control-store/tests/fixtures`, which an
 //! earlier release wrote, and the encoding of the state in it.
 
 use super::{Disk, FOLDER};
 use crate::tests::hex::hex;
 use badgerstream_control::{Ballot, Digest, Membership, Order, Primary, Record, State, Voter};
-use badgerstream_store::{FILE, Fresh, Store};
+use badgerstream_control_store::{FILE, Fresh, Store};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::rc::Rc;
 
 /// The database file, compressed with DEFLATE.
-const PACKED: &[u8] = include_bytes!("../../../store/tests/fixtures/control.redb.deflate");
+const PACKED: &[u8] =
+    include_bytes!("../../../../protocol/control-store/tests/fixtures/control.redb.deflate");
 
 /// The encoded state in it, in hexadecimal.
-const VALUE: &str = include_str!("../../../store/tests/fixtures/value.txt");
+const VALUE: &str = include_str!("../../../../protocol/control-store/tests/fixtures/value.txt");
 
 /// The identity in it.
 const IDENTITY: u64 = 0x3132_3334_3536_3738;
@@ -69,7 +70,7 @@
 
 /// The fixture unpacked to where a control machine expects it.
 fn unpacked() -> Folder {
-    let name = format!("badgerpool-disk-{}", std::process::id());
+    let name = format!("badgerstream-pooler-disk-{}", std::process::id());
     let folder = Folder(std::env::temp_dir().join(name));
     let store = folder.0.join(FOLDER);
     std::fs::create_dir_all(&store).unwrap();
--- a/crates/node/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -5,8 +5,8 @@
 use crate::metrics::Metrics;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_calls::http::request;
-use badgerstream_calls::settings::Settings;
+use badgerstream_http_codec::request;
+use badgerstream_pooler_config::settings::Settings;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -42,7 +42,10 @@
 /// A control machine alone, which leads and knows a server and so a service.
 #[test]
 fn a_control_machine_keeps_the_names_of_its_metrics() {
-    let folder = std::env::temp_dir().join(format!("badgerpool-metrics-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "badgerstream-pooler-metrics-{}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (peers, calls) = (free_address(), free_address());
     let settings = format!(
--- a/crates/node/src/tests/metrics.rs
+++ b/crates/runtime/pooler/src/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::counters::{CallCounts, End, StatementCounts};
 use super::{Labels, Snapshot};
-use badgerstream_wire::Code;
+use badgerstream_line_protocol::Code;
 
 fn lines(text: &str) -> Vec<&str> {
     text.lines().collect()
@@ -21,15 +21,15 @@
     snapshot.gauges("router_waiting", "Waiting", [(labels, 1.5)]);
     let text = snapshot.text();
     let expected = [
-        "# HELP badgerpool_router_clients Clients.",
-        "# TYPE badgerpool_router_clients gauge",
-        "badgerpool_router_clients 3.0",
-        "# HELP badgerpool_control_calls Calls.",
-        "# TYPE badgerpool_control_calls counter",
-        "badgerpool_control_calls_total{call=\"read\"} 2",
-        "# HELP badgerpool_router_waiting Waiting.",
-        "# TYPE badgerpool_router_waiting gauge",
-        "badgerpool_router_waiting{service=\"a\\\"b\\\\c\\n\"} 1.5",
+        "# HELP badgerstream_router_clients Clients.",
+        "# TYPE badgerstream_router_clients gauge",
+        "badgerstream_router_clients 3.0",
+        "# HELP badgerstream_control_calls Calls.",
+        "# TYPE badgerstream_control_calls counter",
+        "badgerstream_control_calls_total{call=\"read\"} 2",
+        "# HELP badgerstream_router_waiting Waiting.",
+        "# TYPE badgerstream_router_waiting gauge",
+        "badgerstream_router_waiting{service=\"a\\\"b\\\\c\\n\"} 1.5",
         "# EOF",
     ];
     assert_eq!(lines(&text), expected);
@@ -72,10 +72,10 @@
     snapshot.histogram("wait_seconds", "Waits", &counts.wait);
     let text = snapshot.text();
     for line in [
-        "badgerpool_wait_seconds_bucket{le=\"0.001\"} 1",
-        "badgerpool_wait_seconds_bucket{le=\"0.005\"} 2",
-        "badgerpool_wait_seconds_bucket{le=\"+Inf\"} 3",
-        "badgerpool_wait_seconds_count 3",
+        "badgerstream_wait_seconds_bucket{le=\"0.001\"} 1",
+        "badgerstream_wait_seconds_bucket{le=\"0.005\"} 2",
+        "badgerstream_wait_seconds_bucket{le=\"+Inf\"} 3",
+        "badgerstream_wait_seconds_count 3",
     ] {
         assert!(lines(&text).contains(&line), "{line} in {text}");
     }
--- a/crates/node/src/tests/server_queries.rs
+++ b/crates/runtime/pooler/src/tests/server_queries.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use badgerstream_control::{Asked, Statement};
-use badgerstream_wire::LineBuffer;
+use badgerstream_line_protocol::LineBuffer;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/node/src/tests/servers.rs
+++ b/crates/runtime/pooler/src/tests/servers.rs
@@ -82,7 +82,10 @@
 /// What is kept is there whole, in place of what was kept before; what was left of a write that was cut short is no matter.
 #[test]
 fn what_is_kept_is_read_in_the_next_life() {
-    let folder = std::env::temp_dir().join(format!("badgerpool-servers-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "badgerstream-pooler-servers-{}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).unwrap();
     let servers = Servers::new(folder.join("servers"));
     for known in [&["a"][..], &["a", "b"]] {
@@ -132,7 +135,7 @@
 #[test]
 fn the_file_has_the_bytes_of_its_fixture() {
     let pinned = unhex(include_str!("fixtures/servers.txt").trim());
-    let name = format!("badgerpool-servers-pinned-{}", std::process::id());
+    let name = format!("badgerstream-pooler-servers-pinned-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("servers");
--- a/crates/node/src/view.rs
+++ b/crates/runtime/pooler/src/view.rs
@@ -1,7 +1,7 @@
 //! What the data plane goes by: the configuration in force, the servers that are known, and which primary may be
 //! used until when. Written by the session with control, read by the data plane; both on the one thread.
 
-use badgerstream_calls::config::Config;
+use badgerstream_pooler_config::config::Config;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/router/src/ending.rs
+++ b/crates/runtime/router/src/ending.rs
@@ -1,7 +1,7 @@
 //! What the end of an execution means to the decisions: the one place where the ways in which a connection
 //! can end, and the codes of errors, become an [`Ending`].
 
-use badgerstream_protocol::Close;
+use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::Ending;
 
 /// The connection ended under an execution. Unless its last byte was `written`, the node never began.
--- a/crates/router/src/execute.rs
+++ b/crates/runtime/router/src/execute.rs
@@ -6,9 +6,9 @@
 use crate::watch::Roster;
 use crate::wire;
 use async_channel::Receiver;
-use badgerstream_protocol::Close;
-use badgerstream_protocol::comment::Statement;
-use badgerstream_protocol::node::{Answer, vital};
+use badgerstream_postgres_protocol::Close;
+use badgerstream_postgres_protocol::comment::Statement;
+use badgerstream_postgres_protocol::node::{Answer, vital};
 use badgerstream_routing::{Ending, Role};
 use futures_lite::future;
 use std::cell::Cell;
@@ -119,8 +119,8 @@
 
 /// Role, position and log that a load report tells; `own` is how many connections this router has there.
 pub fn report(vitals: &str, fields: &Fields, own: usize) -> Report {
-    let primary = vital(vitals, badgerstream_provision::ROLE).map(|told| told >= 0.5);
-    let lsn = vital(vitals, badgerstream_provision::POSITION)
+    let primary = vital(vitals, badgerstream_router_config::ROLE).map(|told| told >= 0.5);
+    let lsn = vital(vitals, badgerstream_router_config::POSITION)
         .map_or(f64::NEG_INFINITY, |at| at - ROUNDING_S);
     let both = |f: &Rc<(String, String)>| vital(vitals, &f.0).zip(vital(vitals, &f.1));
     let (took_over, connections) = (
--- a/crates/router/src/lib.rs
+++ b/crates/runtime/router/src/lib.rs
@@ -22,8 +22,8 @@
 mod wire;
 
 use async_io::Async;
-use badgerstream_protocol::{Close, Memory};
-use badgerstream_provision::{Own, Pairs, Provision};
+use badgerstream_postgres_protocol::{Close, Memory};
+use badgerstream_router_config::{Own, Pairs, Provision};
 use futures_lite::future;
 use lexopt::prelude::*;
 use std::net::{SocketAddr, TcpListener};
@@ -205,7 +205,7 @@
 
 fn router(provision: &Provision, own: Own) -> Result<Ready, String> {
     let pairs = &provision.pairs;
-    let (mut instance, reading) = badgerstream_provision::instance(provision.seed, pairs)?;
+    let (mut instance, reading) = badgerstream_router_config::instance(provision.seed, pairs)?;
     instance.succeed(own.succession, provision.seed);
     let clock = decide::Clock::new();
     instance.recover(clock.now(), own.recovery, provision.seed, &provision.name);
--- a/crates/router/src/listen.rs
+++ b/crates/runtime/router/src/listen.rs
@@ -6,7 +6,7 @@
 use crate::spawn::Tasks;
 use crate::wire::Seldom;
 use async_io::{Async, Timer};
-use badgerstream_protocol::Memory;
+use badgerstream_postgres_protocol::Memory;
 use futures_lite::future;
 use std::net::TcpListener;
 use std::rc::Rc;
--- a/crates/router/src/probe.rs
+++ b/crates/runtime/router/src/probe.rs
@@ -4,7 +4,7 @@
 use crate::pool::Pool;
 use crate::watch::Roster;
 use crate::wire;
-use badgerstream_protocol::Close;
+use badgerstream_postgres_protocol::Close;
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/crates/router/src/reload.rs
+++ b/crates/runtime/router/src/reload.rs
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 use async_executor::Task;
 use async_signal::{Signal, Signals};
-use badgerstream_provision::{Own, Provision};
+use badgerstream_router_config::{Own, Provision};
 use futures_lite::StreamExt;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/router/src/tests/clients.rs
+++ b/crates/runtime/router/src/tests/clients.rs
@@ -8,7 +8,7 @@
 use crate::listen::listen;
 use crate::spawn::Tasks;
 use async_io::Async;
-use badgerstream_protocol::Memory;
+use badgerstream_postgres_protocol::Memory;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -76,7 +76,7 @@
             self.0.read_exact(&mut body).await.unwrap();
             told.push(head[0] as char);
             if head[0] == b'E' {
-                let code = badgerstream_protocol::message::error_code(&body).unwrap();
+                let code = badgerstream_postgres_protocol::message::error_code(&body).unwrap();
                 told += std::str::from_utf8(&code).unwrap();
             }
             if head[0] == b'Z' {
--- a/crates/router/src/tests/parts.rs
+++ b/crates/runtime/router/src/tests/parts.rs
@@ -5,7 +5,7 @@
 use crate::ending;
 use crate::spawn::Tasks;
 use crate::watch::Roster;
-use badgerstream_protocol::Close;
+use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::{Ending, Standing};
 use futures_lite::{FutureExt, future};
 use serde_json::json;
--- a/crates/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -9,7 +9,7 @@
 use crate::spawn::Tasks;
 use crate::watch::Roster;
 use async_io::Timer;
-use badgerstream_protocol::Close;
+use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::Ending;
 use badgerstream_routing::recovery::{Phase, Settings};
 use futures_lite::future;
--- a/crates/router/src/watch.rs
+++ b/crates/runtime/router/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::execute::Router;
 use crate::wire;
 use async_io::{Async, Timer};
-use badgerstream_protocol::{Close, Ring, discovery};
+use badgerstream_postgres_protocol::{Close, Ring, discovery};
 use badgerstream_routing::Instance;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
--- a/crates/router/src/wire.rs
+++ b/crates/runtime/router/src/wire.rs
@@ -1,7 +1,7 @@
 //! Reading and writing between a socket and its rings.
 
 use async_io::{Async, Timer};
-use badgerstream_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::{Close, Ring};
 use futures_lite::future;
 use std::cell::Cell;
 use std::future::Future;
--- a/crates/router/tests/command.rs
+++ b/crates/runtime/router/tests/command.rs
@@ -23,7 +23,7 @@
 
 /// A whole file to start from, with one piece changed, in a place of its own.
 fn file(name: &str, from: &str, to: &str) -> String {
-    let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/router.json");
+    let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../../examples/router.json");
     let text = std::fs::read_to_string(example).unwrap();
     assert!(text.contains(from));
     let place = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
--- a/crates/benchlink/src/link.rs
+++ b/crates/testing/bench-adapter/src/link.rs
@@ -1,7 +1,7 @@
 //! Hosting of the instances: each decoded field goes straight into a call of the instance it is for.
 
 use crate::codec::{Batch, ENTRY_BYTES, Fields, Reply};
-use badgerstream_provision::{Pairs, Reading};
+use badgerstream_router_config::{Pairs, Reading};
 use badgerstream_routing::{Ending, Instance, Outbox, Role, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -160,7 +160,7 @@
             let text = std::str::from_utf8(batch.tail(span, 1)?)
                 .map_err(|e| format!("the settings: {e}"))?;
             let (instance, reading) =
-                badgerstream_provision::instance(seed, &Pairs::from_lines(text))?;
+                badgerstream_router_config::instance(seed, &Pairs::from_lines(text))?;
             if reading.subscribes {
                 subscribe(id, reply);
             }
--- a/crates/lab/src/client.rs
+++ b/crates/testing/experiments/src/client.rs
@@ -1,8 +1,8 @@
 //! A client of the protocol: one connection, one statement at a time, each with one outcome.
 
-use badgerstream_protocol::message::{self, put};
-use badgerstream_protocol::node::Node;
-use badgerstream_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::message::{self, put};
+use badgerstream_postgres_protocol::node::Node;
+use badgerstream_postgres_protocol::{Close, Ring};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/lab/src/cluster_fleet.rs
+++ b/crates/testing/experiments/src/cluster_fleet.rs
@@ -3,8 +3,8 @@
 
 use crate::router::Fault;
 use crate::runs::{Runs, plot, print_rules, rules};
-use badgerstream_cluster::judge::Verdict;
-use badgerstream_cluster::script::Script;
+use badgerstream_process_harness::judge::Verdict;
+use badgerstream_process_harness::script::Script;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::path::PathBuf;
--- a/crates/lab/src/comeback.rs
+++ b/crates/testing/experiments/src/comeback.rs
@@ -1,10 +1,10 @@
 //! `comeback`: most routers are restarted at once, or break otherwise, while the load goes on. Real routers,
-//! store and clients as processes, every link through a relay; judged by `badgerstream-cluster`.
+//! store and clients as processes, every link through a relay; judged by `badgerstream-process-harness`.
 
 use crate::router::Fault;
 use crate::runs::{Runs, plot, print_rules, rules};
-use badgerstream_cluster::judge::Verdict;
-use badgerstream_cluster::script::Script;
+use badgerstream_process_harness::judge::Verdict;
+use badgerstream_process_harness::script::Script;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::path::PathBuf;
--- a/crates/lab/src/crowd.rs
+++ b/crates/testing/experiments/src/crowd.rs
@@ -3,8 +3,8 @@
 //! bound on connections, and are cold behind a start; lists run late; links can be cut. What it leaves out stands
 //! in docs/design/choices-that-add-up.md. Equal seeds give equal runs.
 
-use badgerstream_cluster::router::{Told, WORKLOADS};
-use badgerstream_provision::{Own, Provision};
+use badgerstream_process_harness::router::{Told, WORKLOADS};
+use badgerstream_router_config::{Own, Provision};
 use badgerstream_routing::{Ending, Instance, Outbox, Role, Standing};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -338,7 +338,8 @@
             fall: ((s.window_s * 1e3) as u64, s.factor),
         };
         let provision = Provision::read(&told.config().to_string())?;
-        let (mut instance, _) = badgerstream_provision::instance(provision.seed, &provision.pairs)?;
+        let (mut instance, _) =
+            badgerstream_router_config::instance(provision.seed, &provision.pairs)?;
         instance.join(self.own.fleet.clone(), provision.seed, &name);
         Ok(instance)
     }
--- a/crates/lab/src/fleet.rs
+++ b/crates/testing/experiments/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::crowd::{Do, Of, Ran, Second, Shape, play};
 use crate::router::Fault;
-use badgerstream_provision::Own;
+use badgerstream_router_config::Own;
 use plotters::prelude::*;
 use serde::Serialize;
 use serde_json::json;
--- a/crates/lab/src/honest_load.rs
+++ b/crates/testing/experiments/src/honest_load.rs
@@ -1,15 +1,15 @@
-//! Whether badgerload tells the truth, and how much it can send: a stall as an open and a closed loop see it, what
+//! Whether badgerstream-load tells the truth, and how much it can send: a stall as an open and a closed loop see it, what
 //! one core of the generator sends on time, its memory, what keeping every statement costs, and last the router's
 //! own highest rate. The servers are a process of their own, so that processor time and memory are the generator's.
 
 use crate::router::{self, Fault, Router, Setup, Signal};
-use badgerstream_emulator::group::Replication;
-use badgerstream_emulator::scripted::{Scripted, Turn};
-use badgerstream_emulator::{Emulator, Shape};
-use badgerstream_load::run::{Played, Setup as Play, play};
-use badgerstream_load::scenario::Scenario;
-use badgerstream_load::search::{Bounds, Found, Search, Step, Verdict};
-use badgerstream_load::series::each;
+use badgerstream_load_generator::run::{Played, Setup as Play, play};
+use badgerstream_load_generator::scenario::Scenario;
+use badgerstream_load_generator::search::{Bounds, Found, Search, Step, Verdict};
+use badgerstream_load_generator::series::each;
+use badgerstream_store_emulator::group::Replication;
+use badgerstream_store_emulator::scripted::{Scripted, Turn};
+use badgerstream_store_emulator::{Emulator, Shape};
 use clap::{Args, ValueEnum};
 use serde::Serialize;
 use std::io::{BufRead, BufReader, Read};
@@ -125,7 +125,7 @@
 }
 
 pub fn run(options: &Options) -> Result<Report, Fault> {
-    badgerstream_load::run::descriptors();
+    badgerstream_load_generator::run::descriptors();
     let wanted = |part| options.only.is_empty() || options.only.contains(&part);
     let mut report = Report::default();
     if wanted(Part::Stall) {
--- a/crates/lab/src/lib.rs
+++ b/crates/testing/experiments/src/lib.rs
@@ -1,7 +1,7 @@
-//! Experiments on real routers against the emulator, for `badgerlab` and for tests. All figures come from
+//! Experiments on real routers against the emulator, for `badgerstream-experiments` and for tests. All figures come from
 //! simulated servers on loopback.
 
-pub use badgerstream_cluster::router;
+pub use badgerstream_process_harness::router;
 
 pub mod client;
 pub mod cluster_fleet;
--- a/crates/lab/src/main.rs
+++ b/crates/testing/experiments/src/main.rs
@@ -1,17 +1,17 @@
-//! badgerlab: experiments on real routers against the emulator, one sub-command each. Exit code 1 where a
+//! badgerstream-experiments: experiments on real routers against the emulator, one sub-command each. Exit code 1 where a
 //! stated bound does not hold, 2 where the experiment itself can't be made.
 
-use badgerstream_cluster::{clients, play, store};
-use badgerstream_lab::router::Fault;
-use badgerstream_lab::{
+use badgerstream_experiments::router::Fault;
+use badgerstream_experiments::{
     cluster_fleet, comeback, fleet, honest_load, primary_changes, succession_cost, tally,
 };
+use badgerstream_process_harness::{clients, play, store};
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
 #[derive(Parser)]
 #[command(
-    name = "badgerlab",
+    name = "badgerstream-experiments",
     version,
     about = "Experiments on badgerstream, against simulated servers on loopback"
 )]
@@ -26,7 +26,7 @@
     PrimaryChanges(primary_changes::Options),
     /// What a hold costs while nothing changes: the same router with it and without, turn by turn
     SuccessionCost(succession_cost::Options),
-    /// Whether badgerload tells a stall as it was, and how much it can send
+    /// Whether badgerstream-load tells a stall as it was, and how much it can send
     HonestLoad(honest_load::Options),
     /// Most routers are restarted at once, or break otherwise, under load: many processes, faults between them
     Comeback(comeback::Options),
@@ -154,7 +154,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("badgerlab: the {name} of a rig: {e}");
+            eprintln!("badgerstream-experiments: the {name} of a rig: {e}");
             ExitCode::from(2)
         }
     }
@@ -175,7 +175,7 @@
             ExitCode::from(u8::from(broken))
         }
         Err(fault) => {
-            eprintln!("badgerlab: {fault}");
+            eprintln!("badgerstream-experiments: {fault}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/primary_changes.rs
+++ b/crates/testing/experiments/src/primary_changes.rs
@@ -2,9 +2,9 @@
 
 use crate::client::{Client, Outcome};
 use crate::router::{self, Fault, Router, Setup};
-use badgerstream_emulator::group::{Ledger, Replication};
-use badgerstream_emulator::script::{self, Plan};
-use badgerstream_emulator::{Emulator, Shape, now};
+use badgerstream_store_emulator::group::{Ledger, Replication};
+use badgerstream_store_emulator::script::{self, Plan};
+use badgerstream_store_emulator::{Emulator, Shape, now};
 use clap::Args;
 use hdrhistogram::Histogram;
 use serde::Serialize;
--- a/crates/lab/src/runs.rs
+++ b/crates/testing/experiments/src/runs.rs
@@ -1,9 +1,9 @@
 //! One script on the rig, with our settings, without them, or both: for every experiment with real processes.
 
 use crate::router::{Fault, Program, folder, program};
-use badgerstream_cluster::judge::{self, Figures, Verdict};
-use badgerstream_cluster::play::{Setup, play};
-use badgerstream_cluster::script::Script;
+use badgerstream_process_harness::judge::{self, Figures, Verdict};
+use badgerstream_process_harness::play::{Setup, play};
+use badgerstream_process_harness::script::Script;
 use std::path::Path;
 
 pub struct Runs<'a> {
--- a/crates/lab/src/succession_cost.rs
+++ b/crates/testing/experiments/src/succession_cost.rs
@@ -3,8 +3,8 @@
 
 use crate::client::{Client, Outcome};
 use crate::router::{self, Fault, Router, Setup};
-use badgerstream_emulator::group::Replication;
-use badgerstream_emulator::{Emulator, Shape};
+use badgerstream_store_emulator::group::Replication;
+use badgerstream_store_emulator::{Emulator, Shape};
 use clap::Args;
 use hdrhistogram::Histogram;
 use serde::Serialize;
--- a/crates/lab/tests/adding_up.rs
+++ b/crates/testing/experiments/tests/adding_up.rs
@@ -4,9 +4,9 @@
 
 mod rigged;
 
-use badgerstream_cluster::play::What;
-use badgerstream_cluster::script::Script;
-use badgerstream_cluster::store::{Arrived, Kind};
+use badgerstream_process_harness::play::What;
+use badgerstream_process_harness::script::Script;
+use badgerstream_process_harness::store::{Arrived, Kind};
 use rigged::{Played, SEED, played, played_with, script, script_of};
 use std::collections::BTreeSet;
 use std::thread;
--- a/crates/lab/tests/coming_back.rs
+++ b/crates/testing/experiments/tests/coming_back.rs
@@ -4,8 +4,8 @@
 
 mod rigged;
 
-use badgerstream_cluster::play::What;
-use badgerstream_cluster::store::{Arrived, Kind};
+use badgerstream_process_harness::play::What;
+use badgerstream_process_harness::store::{Arrived, Kind};
 use rigged::{Played, played, script};
 use test_case::test_case;
 
@@ -277,7 +277,7 @@
 fn survivors_give_up_what_they_took_on() {
     let full = script(HERD, "").store;
     let mut tight = script(HERD, "");
-    tight.store = badgerstream_cluster::script::Store {
+    tight.store = badgerstream_process_harness::script::Store {
         connections: 12,
         ..full
     };
--- a/crates/lab/tests/primary_changes.rs
+++ b/crates/testing/experiments/tests/primary_changes.rs
@@ -1,11 +1,11 @@
 //! Hard cases of a change of primaries: a real router, as a process, against the emulator. Verdicts go by the
 //! store's ledger and by order, never by how long something took.
 
-use badgerstream_emulator::node::Point;
-use badgerstream_emulator::script::{Plan, Step};
-use badgerstream_emulator::{Emulator, Shape};
-use badgerstream_lab::client::{Client, Outcome};
-use badgerstream_lab::router::{Router, Setup, Signal};
+use badgerstream_experiments::client::{Client, Outcome};
+use badgerstream_experiments::router::{Router, Setup, Signal};
+use badgerstream_store_emulator::node::Point;
+use badgerstream_store_emulator::script::{Plan, Step};
+use badgerstream_store_emulator::{Emulator, Shape};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -19,7 +19,7 @@
 const OWN: &str = "{succession: {expected_change_ms: 500, outcomes: true}}";
 
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_badgerlab"))
+    Path::new(env!("CARGO_BIN_EXE_badgerstream-experiments"))
 }
 
 fn lab(arguments: &[&str]) -> Value {
--- a/crates/lab/tests/rigged/mod.rs
+++ b/crates/testing/experiments/tests/rigged/mod.rs
@@ -2,12 +2,12 @@
 
 mod places;
 
-use badgerstream_cluster::judge::{self, Verdict};
-use badgerstream_cluster::play::{Deed, Evidence, Setup, What, play};
-use badgerstream_cluster::relay::Route;
-use badgerstream_cluster::router::Program;
-use badgerstream_cluster::script::Script;
-use badgerstream_cluster::store::{Arrived, Kind};
+use badgerstream_process_harness::judge::{self, Verdict};
+use badgerstream_process_harness::play::{Deed, Evidence, Setup, What, play};
+use badgerstream_process_harness::relay::Route;
+use badgerstream_process_harness::router::Program;
+use badgerstream_process_harness::script::Script;
+use badgerstream_process_harness::store::{Arrived, Kind};
 use std::path::{Path, PathBuf};
 
 /// A connection that lasts so long is used: each front has thirty statements a second.
@@ -20,7 +20,7 @@
 }
 
 fn helper() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_badgerlab"))
+    Path::new(env!("CARGO_BIN_EXE_badgerstream-experiments"))
 }
 
 /// Eight routers and six nodes of a hard store; `steps` and what else a case needs come as JSON5.
--- a/crates/load/src/connection.rs
+++ b/crates/testing/load-generator/src/connection.rs
@@ -1,9 +1,9 @@
 //! One connection to a server of the protocol, one statement at a time: a machine over a socket that never
 //! waits. Whoever owns it tells it when there is something to read or room to write.
 
-use badgerstream_protocol::message::{self, put};
-use badgerstream_protocol::node::Node;
-use badgerstream_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::message::{self, put};
+use badgerstream_postgres_protocol::node::Node;
+use badgerstream_postgres_protocol::{Close, Ring};
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, socket_with, sockopt};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/load/src/engine.rs
+++ b/crates/testing/load-generator/src/engine.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{Holding, Retries};
 use crate::slab::{Slab, Ticket};
 use crate::work::{Asked, Moment, Work, Wrote, written_by};
-use badgerstream_protocol::Close;
+use badgerstream_postgres_protocol::Close;
 use rustix::event::{Timespec, epoll};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
--- a/crates/load/src/main.rs
+++ b/crates/testing/load-generator/src/main.rs
@@ -1,14 +1,14 @@
-//! badgerload: the command line.
+//! badgerstream-load: the command line.
 
-use badgerstream_load::arrivals::{Arrivals, pieces};
-use badgerstream_load::compare::{self, Comparison};
-use badgerstream_load::count::Summary;
-use badgerstream_load::run::{self, Played, Setup};
-use badgerstream_load::scenario::Scenario;
-use badgerstream_load::search::{Bounds, Found, Search, Step, Verdict};
-use badgerstream_load::series::Series;
-use badgerstream_load::trace::{Change, Survey};
-use badgerstream_load::{keep, plot, record};
+use badgerstream_load_generator::arrivals::{Arrivals, pieces};
+use badgerstream_load_generator::compare::{self, Comparison};
+use badgerstream_load_generator::count::Summary;
+use badgerstream_load_generator::run::{self, Played, Setup};
+use badgerstream_load_generator::scenario::Scenario;
+use badgerstream_load_generator::search::{Bounds, Found, Search, Step, Verdict};
+use badgerstream_load_generator::series::Series;
+use badgerstream_load_generator::trace::{Change, Survey};
+use badgerstream_load_generator::{keep, plot, record};
 use clap::{Args, Parser, Subcommand};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "badgerload",
+    name = "badgerstream-load",
     version,
     about = "Open-loop load, counted without coordinated omission",
     after_help = "Exit codes: 0 done; 1 compare found a difference beyond noise (with --exit-code); 2 wrong input; \
@@ -196,7 +196,7 @@
         }),
     };
     done.unwrap_or_else(|problem| {
-        eprintln!("badgerload: {problem}");
+        eprintln!("badgerstream-load: {problem}");
         ExitCode::from(WRONG)
     })
 }
@@ -341,15 +341,15 @@
 
 fn warn(summary: &Summary) {
     for why in &summary.why {
-        eprintln!("badgerload: THE GENERATOR WAS THE BOTTLENECK: {why}");
+        eprintln!("badgerstream-load: THE GENERATOR WAS THE BOTTLENECK: {why}");
     }
     if summary.loop_kind == "closed" {
         eprintln!(
-            "badgerload: a closed loop waits with its server and hides stalls: for comparison only"
+            "badgerstream-load: a closed loop waits with its server and hides stalls: for comparison only"
         );
     }
     if summary.interrupted {
-        eprintln!("badgerload: interrupted: this is what was measured until then");
+        eprintln!("badgerstream-load: interrupted: this is what was measured until then");
     }
 }
 
@@ -406,7 +406,9 @@
         let played = run::play(&faster, &setup, None).map_err(words)?;
         let summary = &played.summary;
         if summary.interrupted {
-            eprintln!("badgerload: interrupted while it searched; the rates so far stand above");
+            eprintln!(
+                "badgerstream-load: interrupted while it searched; the rates so far stand above"
+            );
             return Ok(ExitCode::from(INTERRUPTED));
         }
         let share = summary.outcomes().completed as f64 / (summary.statements as f64).max(1.0);
@@ -465,7 +467,10 @@
     let (played, survey) =
         run::replay(&trace, change, options.skip_broken, &scenario, &setup, out).map_err(words)?;
     if survey.broken > 0 {
-        eprintln!("badgerload: {} broken rows were left out:", survey.broken);
+        eprintln!(
+            "badgerstream-load: {} broken rows were left out:",
+            survey.broken
+        );
         survey
             .first_broken
             .iter()
@@ -473,7 +478,9 @@
     }
     if survey.retries > 0 && !options.with_retries {
         let retries = survey.retries;
-        eprintln!("badgerload: {retries} rows are clients' own further attempts and were left out");
+        eprintln!(
+            "badgerstream-load: {retries} rows are clients' own further attempts and were left out"
+        );
     }
     finish(&played)
 }
@@ -481,7 +488,9 @@
 fn recording(listen: SocketAddr, to: SocketAddr, out: &Path) -> Done {
     let listener = TcpListener::bind(listen).map_err(|e| format!("listening on {listen}: {e}"))?;
     let stop = stop()?;
-    eprintln!("badgerload: recording what comes to {listen} and goes to {to}; SIGINT ends it");
+    eprintln!(
+        "badgerstream-load: recording what comes to {listen} and goes to {to}; SIGINT ends it"
+    );
     let recorded = record::record(&listener, to, out, &stop).map_err(words)?;
     println!(
         "{}",
--- a/crates/load/src/record.rs
+++ b/crates/testing/load-generator/src/record.rs
@@ -3,9 +3,9 @@
 //! same, and counts.
 
 use crate::trace::{Fault, Row, Writer};
-use badgerstream_protocol::Ring;
-use badgerstream_protocol::comment::Statement;
-use badgerstream_protocol::message;
+use badgerstream_postgres_protocol::Ring;
+use badgerstream_postgres_protocol::comment::Statement;
+use badgerstream_postgres_protocol::message;
 use std::collections::{HashSet, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/load/src/scenario.rs
+++ b/crates/testing/load-generator/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario file: JSON5, checked before anything is sent.
 
-use badgerstream_provision::{Fault, json5_file};
+use badgerstream_router_config::{Fault, json5_file};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/load/src/tests/lines.rs
+++ b/crates/testing/load-generator/src/tests/lines.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{Follows, Hot, Scenario, Size};
 use crate::traffic::Plan;
 use crate::work::{Asked, Work, Wrote, written_by};
-use badgerstream_protocol::comment::Statement;
+use badgerstream_postgres_protocol::comment::Statement;
 use test_case::test_case;
 
 const FIRST: Asked = Asked {
--- a/crates/load/src/tests/mod.rs
+++ b/crates/testing/load-generator/src/tests/mod.rs
@@ -13,7 +13,7 @@
 use crate::attempts::Outcome;
 use crate::run::{Played, Setup, play};
 use crate::scenario::Scenario;
-use badgerstream_emulator::scripted::{Scripted, Turn};
+use badgerstream_store_emulator::scripted::{Scripted, Turn};
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -58,7 +58,8 @@
 pub fn place(name: &str) -> PathBuf {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let folder = std::env::temp_dir().join(format!("badgerload-{}-{number}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("badgerstream-load-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder.join(name)
 }
--- a/crates/load/src/tests/record.rs
+++ b/crates/testing/load-generator/src/tests/record.rs
@@ -5,8 +5,8 @@
 use crate::run::{Setup, play, replay};
 use crate::scenario::Retries;
 use crate::trace::{Change, Row, open};
-use badgerstream_emulator::scripted::{Scripted, Turn};
-use badgerstream_protocol::comment::Statement;
+use badgerstream_postgres_protocol::comment::Statement;
+use badgerstream_store_emulator::scripted::{Scripted, Turn};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicU8, Ordering};
 
--- a/crates/load/src/tests/replay.rs
+++ b/crates/testing/load-generator/src/tests/replay.rs
@@ -3,8 +3,8 @@
 use super::{place, scenario};
 use crate::run::{self, Fault, Setup, bare, play, replay};
 use crate::trace::{Change, Row, Writer, open};
-use badgerstream_emulator::scripted::{Scripted, Turn};
-use badgerstream_protocol::comment::Statement;
+use badgerstream_postgres_protocol::comment::Statement;
+use badgerstream_store_emulator::scripted::{Scripted, Turn};
 
 /// What two runs must have in common, in the order in which it was due.
 fn sent(file: &std::path::Path) -> Vec<(u64, String, u16, String, bool, u32, bool)> {
--- a/crates/cluster/src/clients.rs
+++ b/crates/testing/process-harness/src/clients.rs
@@ -1,12 +1,12 @@
-//! The clients of a run, as a process of their own: `badgerload`'s engine, one a front, open loop. What became
+//! The clients of a run, as a process of their own: `badgerstream-load`'s engine, one a front, open loop. What became
 //! of each statement goes to a file.
 
 use crate::router::WORKLOADS;
 use crate::script::Load;
-pub use badgerstream_load::attempts::Outcome;
-use badgerstream_load::engine::{Engine, Record, Shared};
-use badgerstream_load::scenario::{Holding, Retries, Scenario};
-use badgerstream_load::traffic::Plan;
+pub use badgerstream_load_generator::attempts::Outcome;
+use badgerstream_load_generator::engine::{Engine, Record, Shared};
+use badgerstream_load_generator::scenario::{Holding, Retries, Scenario};
+use badgerstream_load_generator::traffic::Plan;
 use serde::{Deserialize, Serialize};
 use std::io::BufWriter;
 use std::net::SocketAddr;
@@ -160,7 +160,7 @@
 /// A file that can't be read or written, or no descriptors.
 pub fn send(file: &Path) -> std::io::Result<()> {
     let sending: Sending = serde_json::from_str(&std::fs::read_to_string(file)?)?;
-    badgerstream_load::run::descriptors();
+    badgerstream_load_generator::run::descriptors();
     let (start, start_us) = (
         Instant::now() + BEFORE,
         crate::now_us() + BEFORE.as_micros() as u64,
--- a/crates/cluster/src/play.rs
+++ b/crates/testing/process-harness/src/play.rs
@@ -226,7 +226,7 @@
 
 impl<'a> Rig<'a> {
     fn build(script: &'a Script, setup: &'a Setup) -> Result<Rig<'a>, Fault> {
-        badgerstream_load::run::descriptors();
+        badgerstream_load_generator::run::descriptors();
         let ground = Ground::new();
         let mut store = Store::start(setup.helper)?;
         let Reply::Nodes(nodes) = store.ask(&Order::Begin(script.store, ground.nodes()))? else {
--- a/crates/cluster/src/router.rs
+++ b/crates/testing/process-harness/src/router.rs
@@ -1,7 +1,7 @@
 //! Real routers as processes of their own: a built `badgerstream`, or a binary of ours that starts itself as one.
 
 use crate::Ground;
-use badgerstream_emulator::Emulator;
+use badgerstream_store_emulator::Emulator;
 use rustix::process::Pid;
 pub use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -61,9 +61,9 @@
 /// A folder of its own for a run's files.
 pub fn folder(keep: Option<&Path>) -> Result<PathBuf, Fault> {
     let name = format!(
-        "badgerlab-{}-{}",
+        "badgerstream-experiments-{}-{}",
         std::process::id(),
-        badgerstream_emulator::now()
+        badgerstream_store_emulator::now()
     );
     let folder = keep.map_or_else(|| std::env::temp_dir().join(name), Path::to_path_buf);
     std::fs::create_dir_all(&folder).map_err(|e| Fault::File(folder.clone(), e))?;
@@ -73,7 +73,7 @@
 /// What differs from one run to the next.
 pub struct Setup<'a> {
     pub folder: &'a Path,
-    /// The `badgerlab` that is started as a router.
+    /// The `badgerstream-experiments` that is started as a router.
     pub program: &'a Path,
     pub emulator: &'a Emulator,
     pub routers: usize,
--- a/crates/cluster/src/script.rs
+++ b/crates/testing/process-harness/src/script.rs
@@ -1,9 +1,9 @@
 //! What goes wrong between processes, and when: a script in JSON5, checked before anything starts, and the plan
 //! that is drawn from it and a seed. The same script and seed give the same plan.
 
-use badgerstream_emulator::Shape;
-use badgerstream_emulator::group::Replication;
-use badgerstream_provision::{Fault as Wrong, json5_file};
+use badgerstream_router_config::{Fault as Wrong, json5_file};
+use badgerstream_store_emulator::Shape;
+use badgerstream_store_emulator::group::Replication;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/cluster/src/store.rs
+++ b/crates/testing/process-harness/src/store.rs
@@ -2,10 +2,10 @@
 //! router's relays. It takes orders as lines of JSON, answers each with one, and keeps what arrived.
 
 use crate::script::{Store, Trouble};
-use badgerstream_emulator::discovery::{Call, Discovery};
-use badgerstream_emulator::node::{Arrival, What};
-use badgerstream_emulator::script::Step;
-use badgerstream_emulator::{Emulator, Shape, node::locked};
+use badgerstream_store_emulator::discovery::{Call, Discovery};
+use badgerstream_store_emulator::node::{Arrival, What};
+use badgerstream_store_emulator::script::Step;
+use badgerstream_store_emulator::{Emulator, Shape, node::locked};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::io::{BufRead, Write};
--- a/crates/simulation/src/days.rs
+++ b/crates/testing/simulation/src/days.rs
@@ -248,7 +248,7 @@
         let site = format!("{:?}", self.site).to_lowercase();
         writeln!(
             f,
-            "# Drawn with `badgersimulate day --site {site} --seed {}`.",
+            "# Drawn with `badgerstream-simulate day --site {site} --seed {}`.",
             self.seed
         )?;
         writeln!(f, "name = \"drawn-{site}-{}\"", self.seed)?;
--- a/crates/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `badgersimulate`: the control side under faults by chance, for as many seeds as wanted; and days for the users' bench, drawn
+//! `badgerstream-simulate`: the control side under faults by chance, for as many seeds as wanted; and days for the users' bench, drawn
 //! from seeds.
 
 use badgerstream_simulation::days::{Day, Site};
@@ -9,7 +9,7 @@
 /// Plays the control side with faults by chance and checks safety and liveness.
 #[derive(Parser)]
 #[command(
-    name = "badgersimulate",
+    name = "badgerstream-simulate",
     version,
     args_conflicts_with_subcommands = true
 )]
--- a/crates/simulation/tests/digest.rs
+++ b/crates/testing/simulation/tests/digest.rs
@@ -1,7 +1,7 @@
 //! What some dozens of runs decide, and when, stays the same to the last bit: their digests are held in a fixture.
 //!
 //! A change of the decisions or of the simulation changes digests, and says so in its commit; a change of names doesn't. The
-//! lines of runs with faults by chance are those that `badgersimulate --digest` prints.
+//! lines of runs with faults by chance are those that `badgerstream-simulate --digest` prints.
 
 use badgerstream_simulation::World;
 use badgerstream_simulation::faults::{FaultRun, Losses};
--- a/crates/simulation/tests/random.rs
+++ b/crates/testing/simulation/tests/random.rs
@@ -1,4 +1,4 @@
-//! Faults by chance on fixed seeds; many more are played with `badgersimulate`.
+//! Faults by chance on fixed seeds; many more are played with `badgerstream-simulate`.
 
 use badgerstream_simulation::faults::{FaultRun, Losses};
 
--- a/crates/emulator/src/node.rs
+++ b/crates/testing/store-emulator/src/node.rs
@@ -2,9 +2,9 @@
 
 use crate::group::{Entry, Group, Outcome, Written};
 use crate::{Shape, now};
-use badgerstream_protocol::comment::{Statement, inquired};
-use badgerstream_protocol::message::{self, put, put_error, put_status};
-use badgerstream_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::comment::{Statement, inquired};
+use badgerstream_postgres_protocol::message::{self, put, put_error, put_status};
+use badgerstream_postgres_protocol::{Close, Ring};
 use std::collections::{HashMap, VecDeque};
 use std::io::{Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
--- a/crates/emulator/src/scripted.rs
+++ b/crates/testing/store-emulator/src/scripted.rs
@@ -2,8 +2,8 @@
 //! it answers, rejects, drips, breaks off, falls silent or speaks out of turn, and can stand still as a whole.
 
 use crate::node::{self, greet, locked, send};
-use badgerstream_protocol::message::{self, put, put_error, put_status};
-use badgerstream_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::message::{self, put, put_error, put_status};
+use badgerstream_postgres_protocol::{Close, Ring};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/standin/src/beats.rs
+++ b/crates/testing/testbed/src/beats.rs
@@ -3,8 +3,8 @@
 use crate::call;
 use crate::serve::Stage;
 use async_io::Timer;
-use badgerstream_calls::members::{ANSWER_BYTES, DEPART, HEARTBEAT, HeartbeatAnswer, Phase};
-use badgerstream_node::clock;
+use badgerstream_control_api::members::{ANSWER_BYTES, DEPART, HEARTBEAT, HeartbeatAnswer, Phase};
+use badgerstream_pooler::clock;
 use futures_lite::future;
 use nanoserde::{DeJson, SerJson};
 use std::net::SocketAddr;
--- a/crates/standin/src/call.rs
+++ b/crates/testing/testbed/src/call.rs
@@ -1,8 +1,8 @@
 //! One HTTP call at a time, as the databases and the operator make them.
 
 use async_io::Async;
-use badgerstream_calls::http::{Response, Responses, request};
-use badgerstream_node::frames::within;
+use badgerstream_http_codec::{Response, Responses, request};
+use badgerstream_pooler::frames::within;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/standin/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -1,8 +1,8 @@
 //! A small client of the wire.
 
 use async_io::Async;
-use badgerstream_node::frames::within;
-use badgerstream_wire::{Answer, LineBuffer, Outcome, Reply};
+use badgerstream_line_protocol::{Answer, LineBuffer, Outcome, Reply};
+use badgerstream_pooler::frames::within;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/standin/src/desk.rs
+++ b/crates/testing/testbed/src/desk.rs
@@ -2,10 +2,10 @@
 
 use crate::serve::Stage;
 use async_executor::LocalExecutor;
-use badgerstream_calls::http::{Request, response};
-use badgerstream_calls::promotion::PROMOTIONS;
-use badgerstream_node::clock;
-use badgerstream_node::http::{self, Handler};
+use badgerstream_control_api::promotion::PROMOTIONS;
+use badgerstream_http_codec::{Request, response};
+use badgerstream_pooler::clock;
+use badgerstream_pooler::http::{self, Handler};
 use nanoserde::DeJson;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/standin/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -1,8 +1,8 @@
-//! `standin`: the outside world on loopback, for the quick start and for trials.
+//! `badgerstream-testbed`: the outside world on loopback, for the quick start and for trials.
 
-use badgerstream_standin::client::Client;
-use badgerstream_standin::plan::{Net, Plan};
-use badgerstream_standin::{call, up};
+use badgerstream_testbed::client::Client;
+use badgerstream_testbed::plan::{Net, Plan};
+use badgerstream_testbed::{call, up};
 use clap::{Parser, Subcommand};
 use futures_lite::future;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 /// Databases, platform, operator and clients on loopback, with the system between them.
 #[derive(Parser)]
-#[command(name = "standin", version, about)]
+#[command(name = "badgerstream-testbed", version, about)]
 struct Arguments {
     #[command(subcommand)]
     what: What,
@@ -34,7 +34,7 @@
         /// The first three parts of all addresses.
         #[arg(long, default_value = "127.1.0")]
         net: Net,
-        /// The system's program; by default `badgerpool` beside this one.
+        /// The system's program; by default `badgerstream-pooler` beside this one.
         #[arg(long)]
         program: Option<PathBuf>,
     },
@@ -84,14 +84,21 @@
             net,
             program,
         } => {
-            let program = program
-                .or_else(|| Some(std::env::current_exe().ok()?.with_file_name("badgerpool")));
+            let program = program.or_else(|| {
+                Some(
+                    std::env::current_exe()
+                        .ok()?
+                        .with_file_name("badgerstream-pooler"),
+                )
+            });
             let Some(program) = program else {
                 return fail("tell --program");
             };
             let plan = Plan::new(net, services, routers).map_err(|e| e.to_string());
             // Processes are told where their files are from wherever they run.
-            let new = || std::env::temp_dir().join(format!("standin-{}", std::process::id()));
+            let new = || {
+                std::env::temp_dir().join(format!("badgerstream-testbed-{}", std::process::id()))
+            };
             let folder = folder.unwrap_or_else(new);
             let folder =
                 std::path::absolute(&folder).map_err(|e| format!("{}: {e}", folder.display()));
@@ -103,7 +110,7 @@
             statements,
         } => future::block_on(ask(address, &database, &statements)),
         What::Tell { address, words } => future::block_on(tell(address, &words)),
-        What::Node { settings, metrics } => badgerstream_node::node::run(settings, metrics),
+        What::Node { settings, metrics } => badgerstream_pooler::node::run(settings, metrics),
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
@@ -112,12 +119,12 @@
 }
 
 fn fail(why: &str) -> ExitCode {
-    eprintln!("standin: {why}");
+    eprintln!("badgerstream-testbed: {why}");
     ExitCode::FAILURE
 }
 
 async fn ask(address: SocketAddr, database: &str, statements: &[String]) -> Result<(), String> {
-    let who = format!("standin-{}", std::process::id());
+    let who = format!("badgerstream-testbed-{}", std::process::id());
     let mut client = Client::open(address, database, &who, 10.0)
         .await
         .map_err(|e| format!("{address} {database}: {e}"))?;
--- a/crates/standin/src/operator.rs
+++ b/crates/testing/testbed/src/operator.rs
@@ -3,8 +3,8 @@
 use crate::call;
 use crate::history::{Order, Outcome, Read, Try, Version};
 use async_io::Timer;
-use badgerstream_calls::call::BASE_VERSION;
-use badgerstream_node::clock;
+use badgerstream_control_api::call::BASE_VERSION;
+use badgerstream_pooler::clock;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -116,7 +116,9 @@
 
 /// The version that this configuration is.
 fn read_version(body: &[u8]) -> Option<Version> {
-    let epoch = badgerstream_calls::config::Config::read(body).ok()?.epoch;
+    let epoch = badgerstream_pooler_config::config::Config::read(body)
+        .ok()?
+        .epoch;
     Some(Version {
         epoch,
         body: String::from_utf8(body.to_vec()).ok()?,
--- a/crates/standin/src/relay.rs
+++ b/crates/testing/testbed/src/relay.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_node::notify::Notify;
+use badgerstream_pooler::notify::Notify;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::cell::{Cell, RefCell};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -183,5 +183,5 @@
 
 /// Makes the end of a connection a reset.
 fn reset(stream: &Async<TcpStream>) {
-    badgerstream_node::frames::reset_on_close(stream, true);
+    badgerstream_pooler::frames::reset_on_close(stream, true);
 }
--- a/crates/standin/src/replica.rs
+++ b/crates/testing/testbed/src/replica.rs
@@ -1,6 +1,6 @@
 //! What one server holds of its service's log: what it received, and what of that it has applied.
 
-use badgerstream_wire::Position;
+use badgerstream_line_protocol::Position;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
--- a/crates/standin/src/tests/days.rs
+++ b/crates/testing/testbed/src/tests/days.rs
@@ -81,7 +81,7 @@
 fn promote(play: &mut Play) {
     let ids: Vec<String> = play.world.ids();
     let primary = play.world.primary("db").map(str::to_owned);
-    let mut best: Option<(badgerstream_wire::Position, String)> = None;
+    let mut best: Option<(badgerstream_line_protocol::Position, String)> = None;
     let mut held = 0;
     for id in ids.iter().filter(|id| Some(*id) != primary.as_ref()) {
         let Ok(conn) = play.world.connect(play.now, id, "db", "p") else {
--- a/crates/standin/src/tests/plan.rs
+++ b/crates/testing/testbed/src/tests/plan.rs
@@ -1,8 +1,8 @@
 //! What the stand-in hands to the system can be read by it.
 
 use crate::plan::{Net, Plan, PlanError};
-use badgerstream_calls::config::{Config, Mode};
-use badgerstream_calls::settings::Settings;
+use badgerstream_pooler_config::config::{Config, Mode};
+use badgerstream_pooler_config::settings::Settings;
 
 fn net() -> Net {
     "127.9.8".parse().unwrap()
@@ -34,7 +34,8 @@
 fn the_settings_can_be_read_and_agree() {
     let mut plan = Plan::new(net(), 1, 2).unwrap();
     plan.own.push("badgerstream.lease_ms=500".to_owned());
-    let folder = std::env::temp_dir().join(format!("standin-plan-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("badgerstream-testbed-plan-{}", std::process::id()));
     let written = plan.write(&folder, true).unwrap();
     let read =
         |at: usize| Settings::read(&std::fs::read_to_string(&written[at].1).unwrap()).unwrap();
--- a/crates/standin/src/up.rs
+++ b/crates/testing/testbed/src/up.rs
@@ -8,7 +8,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
-use badgerstream_node::clock;
+use badgerstream_pooler::clock;
 use futures_lite::{StreamExt, future};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -82,7 +82,7 @@
     for (name, file) in plan.write(folder, true).map_err(wrong)? {
         let settings = file.display().to_string();
         let metrics = METRICS_PORT.to_string();
-        let arguments = ["node", "--settings", &settings, "--metrics", &metrics];
+        let arguments = ["serve", "--settings", &settings, "--metrics", &metrics];
         children
             .start(&name, program, &arguments, &log_file(folder, &name))
             .map_err(|e| format!("{}: {e}", program.display()))?;
@@ -154,9 +154,12 @@
     let fronts: Vec<String> = plan.fronts().iter().map(ToString::to_string).collect();
     println!("ready: {}", plan.databases().join(" "));
     println!("clients connect to {}", fronts.join(" or "));
-    println!("    standin ask {} fresh1 'PUT a 1' 'FETCH a'", fronts[0]);
     println!(
-        "the databases:   standin tell {} servers    (also ledger, crash ID, start ID, drain ID)",
+        "    badgerstream-testbed ask {} fresh1 'PUT a 1' 'FETCH a'",
+        fronts[0]
+    );
+    println!(
+        "the databases:   badgerstream-testbed tell {} servers    (also ledger, crash ID, start ID, drain ID)",
         plan.desk()
     );
     let asked = SocketAddr::new(plan.fronts()[0].ip(), METRICS_PORT);
--- a/crates/standin/src/world.rs
+++ b/crates/testing/testbed/src/world.rs
@@ -6,8 +6,8 @@
 
 use crate::ledger::Ledger;
 use crate::replica::{Commit, Replica};
-use badgerstream_calls::members::{DbRole, Heartbeat, Phase};
-use badgerstream_wire::{Code, Kind, Position, Request, State, Text};
+use badgerstream_control_api::members::{DbRole, Heartbeat, Phase};
+use badgerstream_line_protocol::{Code, Kind, Position, Request, State, Text};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/standin/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -3,16 +3,16 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use badgerstream_calls::call::BASE_VERSION;
-use badgerstream_calls::http::request;
-use badgerstream_calls::status::Status;
-use badgerstream_node::clock;
-use badgerstream_standin::call;
-use badgerstream_standin::children::Children;
-use badgerstream_standin::history::{History, Order, Outcome, Version};
-use badgerstream_standin::operator::Operator;
-use badgerstream_standin::plan::{CONTROLS, Net, Plan};
-use badgerstream_standin::relay::{Fault, Relay, Way};
+use badgerstream_control_api::call::BASE_VERSION;
+use badgerstream_control_api::status::Status;
+use badgerstream_http_codec::request;
+use badgerstream_pooler::clock;
+use badgerstream_testbed::call;
+use badgerstream_testbed::children::Children;
+use badgerstream_testbed::history::{History, Order, Outcome, Version};
+use badgerstream_testbed::operator::Operator;
+use badgerstream_testbed::plan::{CONTROLS, Net, Plan};
+use badgerstream_testbed::relay::{Fault, Relay, Way};
 use futures_lite::future;
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
@@ -55,8 +55,10 @@
         let net = Net([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
         let mut plan = Plan::new(net, 1, 1).unwrap();
         plan.peers_relayed = true;
-        let folder =
-            std::env::temp_dir().join(format!("standin-orders-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "badgerstream-testbed-orders-{}-{number}",
+            std::process::id()
+        ));
         let relay = |at: SocketAddr, to: SocketAddr| Relay::start(tasks, at, to).unwrap();
         let peer = |from: usize, to: usize| {
             (from != to).then(|| relay(plan.peer_door(from, to), plan.peer(to)))
@@ -245,11 +247,11 @@
 }
 
 fn start_node(children: &mut Children, name: &str, file: &Path, folder: &Path) {
-    let program = Path::new(env!("CARGO_BIN_EXE_standin"));
+    let program = Path::new(env!("CARGO_BIN_EXE_badgerstream-testbed"));
     let settings = file.display().to_string();
     let log = folder.join(format!("{name}.log"));
     children
-        .start(name, program, &["node", "--settings", &settings], &log)
+        .start(name, program, &["serve", "--settings", &settings], &log)
         .unwrap();
 }
 
--- a/crates/standin/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -3,17 +3,17 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use badgerstream_calls::status::Status;
-use badgerstream_node::clock;
-use badgerstream_node::notify::Notify;
-use badgerstream_standin::children::Children;
-use badgerstream_standin::client::Client;
-use badgerstream_standin::plan::{METRICS_PORT, Net, Plan};
-use badgerstream_standin::relay::{Fault, Relay, Way};
-use badgerstream_standin::serve::Stage;
-use badgerstream_standin::world::ServerSpec;
-use badgerstream_standin::{call, up};
-use badgerstream_wire::{Code, Verdict};
+use badgerstream_control_api::status::Status;
+use badgerstream_line_protocol::{Code, Verdict};
+use badgerstream_pooler::clock;
+use badgerstream_pooler::notify::Notify;
+use badgerstream_testbed::children::Children;
+use badgerstream_testbed::client::Client;
+use badgerstream_testbed::plan::{METRICS_PORT, Net, Plan};
+use badgerstream_testbed::relay::{Fault, Relay, Way};
+use badgerstream_testbed::serve::Stage;
+use badgerstream_testbed::world::ServerSpec;
+use badgerstream_testbed::{call, up};
 use futures_lite::future;
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
@@ -87,8 +87,10 @@
             )
         };
         let databases = servers.map(database).collect();
-        let folder =
-            std::env::temp_dir().join(format!("standin-system-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "badgerstream-testbed-system-{}-{number}",
+            std::process::id()
+        ));
         let stage = up::stage(tasks, &plan).unwrap();
         let mut children = Children::default();
         for (name, file) in plan.write(&folder, true).unwrap() {
@@ -125,10 +127,10 @@
 }
 
 fn start_node(children: &mut Children, name: &str, file: &Path, folder: &Path) {
-    let program = Path::new(env!("CARGO_BIN_EXE_standin"));
+    let program = Path::new(env!("CARGO_BIN_EXE_badgerstream-testbed"));
     let settings = file.display().to_string();
     let metrics = METRICS_PORT.to_string();
-    let arguments = ["node", "--settings", &settings, "--metrics", &metrics];
+    let arguments = ["serve", "--settings", &settings, "--metrics", &metrics];
     children
         .start(
             name,
@@ -610,19 +612,19 @@
             assert!(text.ends_with("# EOF\n"), "{text}");
             writes += figure(
                 &text,
-                "badgerpool_router_statements_total{statement=\"PUT\",end=\"complete\"}",
+                "badgerstream_router_statements_total{statement=\"PUT\",end=\"complete\"}",
             );
-            assert!(figure(&text, "badgerpool_router_lease_remaining_seconds") > 0.0);
-            assert_eq!(figure(&text, "badgerpool_router_grants"), 1.0);
+            assert!(figure(&text, "badgerstream_router_lease_remaining_seconds") > 0.0);
+            assert_eq!(figure(&text, "badgerstream_router_grants"), 1.0);
             assert_eq!(ask(front, "/").await.status, 404);
         }
         assert!(writes >= 100.0, "{writes}");
         let mut leaders = 0.0;
         for control in rig.plan.controls() {
             let text = String::from_utf8(ask(control, "/metrics").await.body).unwrap();
-            leaders += figure(&text, "badgerpool_control_leads");
-            assert_eq!(figure(&text, "badgerpool_control_voters"), 3.0);
-            assert!(figure(&text, "badgerpool_control_save_seconds_count") > 0.0);
+            leaders += figure(&text, "badgerstream_control_leads");
+            assert_eq!(figure(&text, "badgerstream_control_voters"), 3.0);
+            assert!(figure(&text, "badgerstream_control_save_seconds_count") > 0.0);
         }
         assert_eq!(leaders, 1.0);
     });
--- a/days/hunt.sh
+++ b/days/hunt.sh
@@ -10,7 +10,7 @@
 #   COUNT     how many seeds
 #   -j, -o, -c  as in days/play.sh
 #
-# `badgersimulate` is taken from target/release, or from the variable BADGERSIMULATE. The drawn days stand in FOLDER/days, the broken
+# `badgerstream-simulate` is taken from target/release, or from the variable BADGERSTREAM_SIMULATE. The drawn days stand in FOLDER/days, the broken
 # ones in FOLDER/broken too.
 set -eu
 
@@ -32,13 +32,13 @@
 shift $((OPTIND - 1))
 [ $# -eq 5 ] || usage
 bench=$1 kind=$2 sites=$3 first=$4 count=$5
-badgersimulate=${BADGERSIMULATE:-$here/../target/release/badgersimulate}
+badgerstream-simulate=${BADGERSTREAM_SIMULATE:-$here/../target/release/badgerstream-simulate}
 [ -n "$folder" ] || folder=$(mktemp -d)
 mkdir -p "$folder/days" "$folder/broken"
 
 seed=$first
 while [ "$seed" -lt $((first + count)) ]; do
-    "$badgersimulate" day --site "$kind" --seed "$seed" >"$folder/days/drawn-$kind-$seed.toml"
+    "$badgerstream-simulate" day --site "$kind" --seed "$seed" >"$folder/days/drawn-$kind-$seed.toml"
     set -- "$@" "$folder/days/drawn-$kind-$seed.toml"
     seed=$((seed + 1))
 done
--- a/examples/toystore/src/main.rs
+++ b/examples/emulated-store/src/main.rs
@@ -1,16 +1,16 @@
 //! A toy store of one group, a primary and two replicas, with discovery beside it: enough to see badgerstream
 //! route. It is the emulator with nothing going wrong, unless it is asked to change its primary.
 
-use badgerstream_emulator::group::Replication;
-use badgerstream_emulator::{Emulator, Shape};
+use badgerstream_store_emulator::group::Replication;
+use badgerstream_store_emulator::{Emulator, Shape};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 use std::time::Duration;
 
 const USAGE: &str = "\
-toystore is a primary, two replicas and their discovery, on 127.0.0.1
+emulated-store is a primary, two replicas and their discovery, on 127.0.0.1
 
-usage: toystore [--port FIRST] [--discovery PORT] [--lag MS] [--change-every SECONDS]
+usage: emulated-store [--port FIRST] [--discovery PORT] [--lag MS] [--change-every SECONDS]
 
 The nodes listen on FIRST and the next two ports (7001), discovery on 8500; replicas are 20 ms behind.
 With --change-every the primary drains, and another takes over, again and again.";
@@ -25,7 +25,7 @@
     match done.and_then(|asked| asked.map_or(Ok(()), store)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("toystore: {problem}");
+            eprintln!("emulated-store: {problem}");
             ExitCode::from(2)
         }
     }
