--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -58,7 +58,7 @@
     },
     /// Runs one machine's part of the system: for tests, which know of no other program.
     #[command(hide = true)]
-    Node {
+    Serve {
         /// The settings file.
         #[arg(long)]
         settings: PathBuf,
@@ -70,7 +70,7 @@
 
 fn main() -> ExitCode {
     let what = Arguments::parse().what;
-    let level = if matches!(what, What::Node { .. }) {
+    let level = if matches!(what, What::Serve { .. }) {
         "info"
     } else {
         "warn"
@@ -110,7 +110,7 @@
             statements,
         } => future::block_on(ask(address, &database, &statements)),
         What::Tell { address, words } => future::block_on(tell(address, &words)),
-        What::Node { settings, metrics } => badgerstream_pooler::node::run(settings, metrics),
+        What::Serve { settings, metrics } => badgerstream_pooler::node::run(settings, metrics),
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
