--- a/crates/core/control/src/history.rs
+++ b/crates/core/control/src/change_history.rs
@@ -1,8 +1,8 @@
 //! The newest changes of the agreed state, so that whoever holds a state of a moment ago is sent only what changed since.
 
-use crate::difference::Difference;
 use crate::digest::Digest;
-use crate::state::{Change, State, Text};
+use crate::state::{ConfigPayload, State, StateChange};
+use crate::text_delta::TextDelta;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -16,24 +16,24 @@
     /// The state to which the change was made.
     before: Digest,
     epoch_before: u64,
-    change: Rc<Change>,
+    change: Rc<StateChange>,
     bytes: usize,
 }
 
 /// Changes that follow each other, up to the state that is held now. In memory only: a machine that restarts begins anew.
 #[derive(Clone, Debug, Default)]
-pub struct History {
+pub struct ChangeHistory {
     entries: VecDeque<Entry>,
     bytes: usize,
 }
 
-impl History {
+impl ChangeHistory {
     /// The state `before` was changed to the one that is held now.
-    pub fn push(&mut self, before: &State, before_digest: Digest, change: Rc<Change>) {
+    pub fn push(&mut self, before: &State, before_digest: Digest, change: Rc<StateChange>) {
         let bytes = size(&change);
         self.entries.push_back(Entry {
             before: before_digest,
-            epoch_before: before.epoch,
+            epoch_before: before.config_epoch,
             change,
             bytes,
         });
@@ -53,7 +53,7 @@
     }
 
     /// The changes since the state of this digest; none if it isn't one of those kept.
-    pub fn since(&self, state: Digest) -> Option<Vec<Rc<Change>>> {
+    pub fn since(&self, state: Digest) -> Option<Vec<Rc<StateChange>>> {
         let at = self
             .entries
             .iter()
@@ -68,45 +68,50 @@
 
     /// The changes from the configuration of one epoch to that of another; none if they are not all known as differences.
     /// What is held now may be ahead of what is agreed on, so where the changes end has to be said.
-    pub fn configs_between(&self, from: u64, to: u64) -> Option<Vec<Rc<Difference>>> {
+    pub fn config_deltas(&self, from: u64, to: u64) -> Option<Vec<Rc<TextDelta>>> {
         let of = |entry: &Entry| match &*entry.change {
-            Change::Config { epoch, text } => Some((entry.epoch_before, *epoch, text.clone())),
+            StateChange::Config {
+                epoch,
+                config: text,
+            } => Some((entry.epoch_before, *epoch, text.clone())),
             _ => None,
         };
         let configs = self.entries.iter().filter_map(of);
         let since = configs.skip_while(|(before, _, _)| *before != from);
-        let between: Vec<(u64, Text)> = since
+        let between: Vec<(u64, ConfigPayload)> = since
             .map(|(_, epoch, text)| (epoch, text))
             .take_while(|(epoch, _)| *epoch <= to)
             .collect();
         if between.last().is_none_or(|(epoch, _)| *epoch != to) {
             return None;
         }
-        let difference = |(_, text): (u64, Text)| match text {
-            Text::Difference(difference) => Some(difference),
-            Text::Whole(_) => None,
+        let difference = |(_, text): (u64, ConfigPayload)| match text {
+            ConfigPayload::Delta(difference) => Some(difference),
+            ConfigPayload::Full(_) => None,
         };
         between.into_iter().map(difference).collect()
     }
 
     /// About how many bytes these changes take.
-    pub fn size_of(changes: &[Rc<Change>]) -> usize {
+    pub fn size_of(changes: &[Rc<StateChange>]) -> usize {
         changes.iter().map(|change| size(change)).sum()
     }
 }
 
-fn size(change: &Change) -> usize {
+fn size(change: &StateChange) -> usize {
     const FIELDS: usize = 64;
     match change {
-        Change::Config {
-            text: Text::Whole(text),
+        StateChange::Config {
+            config: ConfigPayload::Full(text),
             ..
         } => FIELDS + text.len(),
-        Change::Config {
-            text: Text::Difference(difference),
+        StateChange::Config {
+            config: ConfigPayload::Delta(difference),
             ..
         } => FIELDS + difference.size(),
-        Change::Primary { service, primary } => FIELDS + service.len() + primary.id.len(),
-        Change::Membership(_) => 4 * FIELDS,
+        StateChange::Primary { service, primary } => {
+            FIELDS + service.len() + primary.server_id.len()
+        }
+        StateChange::Voters(_) => 4 * FIELDS,
     }
 }
--- a/crates/core/control/src/consensus/message.rs
+++ b/crates/core/control/src/consensus/message.rs
@@ -1,41 +1,41 @@
 //! What the control machines say to each other to agree.
 
-use crate::ballot::Ballot;
 use crate::digest::Digest;
-use crate::membership::Voter;
-use crate::state::{Change, State};
+use crate::state::{State, StateChange};
+use crate::term::Term;
+use crate::voter_set::Voter;
 use bincode::{Decode, Encode};
 use std::rc::Rc;
 
 /// What a machine has on its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Holds {
+pub struct StateId {
     /// The ballot under which the state was accepted.
-    pub accepted: Ballot,
+    pub accepted_term: Term,
     /// The number of the state.
-    pub seq: u64,
+    pub version: u64,
     /// The digest of the state.
     pub digest: Digest,
 }
 
-impl Holds {
+impl StateId {
     /// Orders what was accepted: of two states a candidate goes on from the one that is higher.
-    pub fn rank(&self) -> (Ballot, u64) {
-        (self.accepted, self.seq)
+    pub fn rank(&self) -> (Term, u64) {
+        (self.accepted_term, self.version)
     }
 }
 
 /// A state, for whoever has another one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Content {
+pub enum StatePayload {
     /// All of it.
-    Whole(Rc<State>),
+    Snapshot(Rc<State>),
     /// What has changed.
-    Changes {
+    Delta {
         /// The state on which the changes build.
         base: Digest,
         /// The changes, in order; none if only the ballot is another one.
-        changes: Vec<Rc<Change>>,
+        steps: Vec<Rc<StateChange>>,
         /// The state to which they lead.
         result: Digest,
     },
@@ -45,103 +45,103 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConsensusMessage {
     /// Would this ballot be promised? Asked before anything is promised, so that whoever is cut off raises no ballots.
-    Canvass {
+    PreVoteRequest {
         /// The ballot.
-        ballot: Ballot,
+        term: Term,
         /// What the machine that asks has.
-        holds: Holds,
+        last_state: StateId,
     },
     /// The answer.
-    Canvassed {
+    PreVoteResponse {
         /// The ballot that was asked for.
-        ballot: Ballot,
+        term: Term,
         /// Whether it would be promised.
         granted: bool,
         /// The highest ballot that was promised.
-        promised: Ballot,
+        voted_term: Term,
     },
     /// Asks for the promise to take part in nothing below this ballot.
-    Prepare {
+    VoteRequest {
         /// The ballot.
-        ballot: Ballot,
+        term: Term,
         /// What the candidate has itself.
-        holds: Holds,
+        last_state: StateId,
     },
     /// The promise.
-    Promise {
+    VoteResponse {
         /// The ballot.
-        ballot: Ballot,
+        term: Term,
         /// What this machine has.
-        holds: Holds,
+        last_state: StateId,
         /// Its state, if it is newer than what the candidate has.
-        newer: Option<Rc<State>>,
+        newer_state: Option<Rc<State>>,
     },
     /// No: a higher ballot was promised, or another machine leads.
-    Refuse {
+    TermRejected {
         /// The ballot that is refused.
-        ballot: Ballot,
+        term: Term,
         /// The highest that was promised.
-        promised: Ballot,
+        voted_term: Term,
     },
     /// Asks to accept a state.
-    Accept {
+    AppendRequest {
         /// The leader's ballot.
-        ballot: Ballot,
+        term: Term,
         /// The state.
-        content: Content,
+        payload: StatePayload,
     },
     /// It is accepted and on disk.
-    Accepted {
+    AppendResponse {
         /// The leader's ballot.
-        ballot: Ballot,
+        term: Term,
         /// What is on disk.
-        holds: Holds,
+        last_state: StateId,
     },
     /// The changes build on another state than the one that this machine has.
-    Mismatch {
+    AppendMismatch {
         /// The leader's ballot.
-        ballot: Ballot,
+        term: Term,
         /// What this machine has.
-        holds: Holds,
+        last_state: StateId,
     },
     /// The leader is there.
     Heartbeat {
         /// Its ballot.
-        ballot: Ballot,
+        term: Term,
         /// When this was sent, in seconds of the leader's clock.
-        sent: f64,
+        sent_at: f64,
         /// When the newest answer that the leader has of this machine was sent, in seconds of this machine's clock; none
         /// if the leader isn't in contact with a majority.
-        confirms: Option<f64>,
+        confirmed_answer_at: Option<f64>,
     },
     /// It was heard.
-    HeartbeatAck {
+    HeartbeatResponse {
         /// The leader's ballot.
-        ballot: Ballot,
+        term: Term,
         /// As in the heartbeat.
-        sent: f64,
+        heartbeat_sent_at: f64,
         /// When this was sent, in seconds of this machine's clock.
-        at: f64,
+        answered_at: f64,
         /// What is on disk.
-        holds: Holds,
+        last_state: StateId,
     },
     /// The leader under this ballot ends, and acts no longer.
     Resign {
         /// Its ballot.
-        ballot: Ballot,
+        term: Term,
     },
     /// Asks to be a voter.
-    Join {
+    JoinRequest {
         /// What this machine has.
-        holds: Holds,
+        last_state: StateId,
     },
     /// Whom to ask instead.
-    Contacts {
+    KnownVoters {
         /// Voters as far as they are known.
         voters: Vec<Voter>,
     },
     /// This machine is about to end: asks to be a voter no longer.
-    Leave,
+    LeaveRequest,
     /// It is none.
-    Left,
+    LeaveResponse,
 }
--- a/crates/core/control/src/consensus/mod.rs
+++ b/crates/core/control/src/consensus/mod.rs
@@ -5,34 +5,34 @@
 //! majority answered its heartbeats a moment ago it knows that nobody else has won. There is no log: a machine that was
 //! away gets the state, or the changes since the one that it has.
 //!
-//! Nothing counts before it is saved. Whatever relies on a save is held back until [`Consensus::saved`]; after
-//! [`Consensus::save_failed`] the machine goes on from what is on its disk and takes no part until
-//! [`Consensus::reopened`]. Who decides is part of the state ([`crate::membership`]).
+//! Nothing counts before it is saved. Whatever relies on a save is held back until [`Consensus::persisted`]; after
+//! [`Consensus::persist_failed`] the machine goes on from what is on its disk and takes no part until
+//! [`Consensus::disk_reopened`]. Who decides is part of the state ([`crate::voter_set`]).
 
 mod election;
 mod message;
 mod replication;
 mod voters;
 
-pub use message::{ConsensusMessage, Content, Holds};
+pub use message::{ConsensusMessage, StateId, StatePayload};
 
-use crate::ballot::Ballot;
+use crate::change_history::ChangeHistory;
 use crate::digest::Digest;
-use crate::history::History;
-use crate::membership::{Node, Voter};
 use crate::state::State;
+use crate::term::Term;
+use crate::voter_set::{NodeId, Voter};
 use bincode::{Decode, Encode};
-use replication::Leading;
+use replication::LeaderState;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// What a machine keeps on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Record {
+pub struct HardState {
     /// Nothing below is taken part in.
-    pub promised: Ballot,
+    pub voted_term: Term,
     /// Under which the state was accepted.
-    pub accepted: Ballot,
+    pub accepted_term: Term,
     /// The state.
     pub state: Rc<State>,
 }
@@ -40,16 +40,16 @@
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsensusOutput {
-    /// The record is to be saved, and [`Consensus::saved`] or [`Consensus::save_failed`] called before anything else.
-    Save,
+    /// The record is to be saved, and [`Consensus::persisted`] or [`Consensus::persist_failed`] called before anything else.
+    Persist,
     /// To another machine.
     Send(Recipient, ConsensusMessage),
     /// This machine leads from now on, with the state as it is.
-    Won,
+    BecameLeader,
     /// It does no longer.
-    Lost,
+    SteppedDown,
     /// What was proposed holds.
-    Agreed,
+    Committed,
 }
 
 /// To whom a message goes.
@@ -58,12 +58,12 @@
     /// To this voter; whoever has its address in another incarnation must not take it.
     Voter(Voter),
     /// To whoever has this address.
-    Node(Node),
+    Node(NodeId),
 }
 
 impl Recipient {
     /// The address.
-    pub fn node(self) -> Node {
+    pub fn node(self) -> NodeId {
         match self {
             Recipient::Voter(voter) => voter.node,
             Recipient::Node(node) => node,
@@ -81,35 +81,35 @@
 
 /// Spans and sizes.
 #[derive(Clone, Copy, Debug)]
-pub struct ConsensusTiming {
+pub struct ConsensusConfig {
     /// A leader is missed after so many seconds. One that heard of a majority acts for as long, from when its heartbeat
     /// went out.
-    pub suspect: f64,
+    pub election_timeout: f64,
     /// A follower is in contact for so many seconds after it sent an answer that the leader, in contact itself, confirmed.
-    pub contact: f64,
+    pub contact_timeout: f64,
 }
 
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
     /// Asks whether a candidacy would be of use.
-    Canvassing(election::Canvass),
-    Candidate(election::Candidacy),
-    Leader(Leading),
+    PreCandidate(election::PreCandidateState),
+    Candidate(election::CandidateState),
+    Leader(LeaderState),
 }
 
 /// One machine's part in it.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     me: Voter,
-    timing: ConsensusTiming,
+    timing: ConsensusConfig,
     /// What is to be on disk; ahead of `durable` only while a save is under way.
-    record: Record,
-    durable: Record,
+    record: HardState,
+    durable: HardState,
     /// The digests of the states in `record` and in `durable`.
     digest: Digest,
     durable_digest: Digest,
-    history: History,
+    history: ChangeHistory,
     /// A save is under way; nothing else is taken in.
     saving: bool,
     /// What may be done once it has succeeded.
@@ -125,7 +125,7 @@
     /// Until when this machine knows that its leader was in contact with a majority.
     contact_until: f64,
     /// The highest ballot that was met.
-    highest: Ballot,
+    highest: Term,
     /// This machine is none of those who decide by a newer state than its own.
     removed: bool,
     /// How much longer than others this machine waits before it stands, in seconds.
@@ -138,10 +138,10 @@
     /// A machine that starts with what its disk holds.
     pub fn new(
         me: Voter,
-        record: Record,
+        record: HardState,
         now: f64,
         seed: u64,
-        timing: ConsensusTiming,
+        timing: ConsensusConfig,
     ) -> Consensus {
         let digest = record.state.digest();
         let mut consensus = Consensus {
@@ -150,25 +150,25 @@
             durable: record.clone(),
             digest,
             durable_digest: digest,
-            history: History::default(),
+            history: ChangeHistory::default(),
             saving: false,
             after_save: Vec::new(),
             disk_failed: false,
             role: Role::Follower,
             leader: None,
             // At the first start nobody leads: the first in order need not wait for a silence to pass.
-            heard: now - timing.suspect + 0.05,
+            heard: now - timing.election_timeout + 0.05,
             led_at: f64::NEG_INFINITY,
             contact_until: f64::NEG_INFINITY,
-            highest: record.promised,
+            highest: record.voted_term,
             removed: false,
             pause: 0.0,
             random: seed | 1,
             membership: voters::Candidates::new(now),
             record,
         };
-        let promised = consensus.record.promised;
-        if promised != Ballot::default() && promised.node() != me.node {
+        let promised = consensus.record.voted_term;
+        if promised != Term::default() && promised.leader() != me.node {
             // What this machine answered in its last life another one may act on.
             consensus.heard = now;
             consensus.led_at = now;
@@ -184,17 +184,17 @@
 
     /// The voters, as far as they are known here.
     pub fn voters(&self) -> &[Voter] {
-        self.record.state.membership.voters()
+        self.record.state.voters.voters()
     }
 
     /// What is to be on disk.
-    pub fn record(&self) -> &Record {
+    pub fn hard_state(&self) -> &HardState {
         &self.record
     }
 
     /// Whether this machine's word counts: its disk is in order, and it is one of the voters.
-    pub fn votes(&self) -> bool {
-        !self.disk_failed && self.record.state.membership.contains(self.me)
+    pub fn is_voter(&self) -> bool {
+        !self.disk_failed && self.record.state.voters.contains(self.me)
     }
 
     /// Whether the last save failed, and the disk wasn't opened anew yet.
@@ -210,7 +210,7 @@
     /// Whether this machine was in contact with a majority a moment ago, itself or through its leader.
     pub fn in_contact(&self, now: f64) -> bool {
         match self.role {
-            Role::Leader(_) => now < self.authority(),
+            Role::Leader(_) => now < self.authority_until(),
             _ => self.leader.is_some() && now < self.contact_until,
         }
     }
@@ -218,18 +218,18 @@
     /// Since when this machine knows nothing of a majority, in seconds of its clock; the past if it never did.
     pub fn contact_until(&self) -> f64 {
         match self.role {
-            Role::Leader(_) => self.authority(),
+            Role::Leader(_) => self.authority_until(),
             _ => self.contact_until,
         }
     }
 
     /// The changes that are known of, for whoever holds an earlier state.
-    pub fn history(&self) -> &History {
+    pub fn history(&self) -> &ChangeHistory {
         &self.history
     }
 
     /// A save of the record has succeeded.
-    pub fn saved(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+    pub fn persisted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         self.saving = false;
         self.durable = self.record.clone();
         self.durable_digest = self.digest;
@@ -237,13 +237,13 @@
         match self.role {
             Role::Candidate(_) => self.count_own_promise(now, out),
             Role::Leader(_) => self.count_own_save(out),
-            Role::Follower | Role::Canvassing(_) => {}
+            Role::Follower | Role::PreCandidate(_) => {}
         }
     }
 
     /// A save of the record has failed: whatever relied on it hasn't happened, and until the disk is opened anew this
     /// machine takes no part. Whether the old or the new record is on the disk isn't known.
-    pub fn save_failed(&mut self, out: &mut Vec<ConsensusOutput>) {
+    pub fn persist_failed(&mut self, out: &mut Vec<ConsensusOutput>) {
         self.saving = false;
         self.after_save.clear();
         self.follow(out);
@@ -254,17 +254,17 @@
     }
 
     /// The disk is opened anew and holds this.
-    pub fn reopened(&mut self, now: f64, record: Record) {
+    pub fn disk_reopened(&mut self, now: f64, record: HardState) {
         self.restore(record);
         self.durable = self.record.clone();
         self.durable_digest = self.digest;
-        self.highest = self.highest.max(self.record.promised);
+        self.highest = self.highest.max(self.record.voted_term);
         self.disk_failed = false;
         self.heard = now;
         self.pause = self.stagger();
     }
 
-    fn restore(&mut self, record: Record) {
+    fn restore(&mut self, record: HardState) {
         let digest = record.state.digest();
         if digest != self.digest {
             self.history.clear();
@@ -279,15 +279,15 @@
         self.after_save.extend(then);
         if !self.saving {
             self.saving = true;
-            out.push(ConsensusOutput::Save);
+            out.push(ConsensusOutput::Persist);
         }
     }
 
     /// What is on the disk of this machine.
-    fn holds(&self) -> Holds {
-        Holds {
-            accepted: self.durable.accepted,
-            seq: self.durable.state.seq,
+    fn last_state(&self) -> StateId {
+        StateId {
+            accepted_term: self.durable.accepted_term,
+            version: self.durable.state.version,
             digest: self.durable_digest,
         }
     }
@@ -299,17 +299,17 @@
         }
         self.ask_to_join(now, out);
         self.ask_to_leave(now, out);
-        self.change_membership(now, out);
+        self.advance_voter_change(now, out);
         match self.role {
             Role::Leader(_) => self.send_heartbeats(now, out),
             Role::Candidate(_) => self.tick_candidate(now, out),
-            Role::Canvassing(_) => self.tick_canvass(now, out),
+            Role::PreCandidate(_) => self.tick_canvass(now, out),
             Role::Follower => self.tick_follower(now, out),
         }
     }
 
     /// A message of another machine.
-    pub fn message(
+    pub fn step(
         &mut self,
         now: f64,
         from: Voter,
@@ -321,58 +321,62 @@
         }
         self.membership.met(from.node);
         match message {
-            ConsensusMessage::Canvass { ballot, holds } => {
-                self.on_canvass(now, from, ballot, holds, out)
+            ConsensusMessage::PreVoteRequest { term, last_state } => {
+                self.on_canvass(now, from, term, last_state, out)
             }
-            ConsensusMessage::Canvassed {
-                ballot,
+            ConsensusMessage::PreVoteResponse {
+                term,
                 granted,
-                promised,
+                voted_term: promised,
             } => {
-                self.on_canvassed(now, from, ballot, granted, promised, out);
+                self.on_canvassed(now, from, term, granted, promised, out);
             }
-            ConsensusMessage::Prepare { ballot, holds } => {
-                self.on_prepare(now, from, ballot, holds, out)
+            ConsensusMessage::VoteRequest { term, last_state } => {
+                self.on_prepare(now, from, term, last_state, out)
             }
-            ConsensusMessage::Promise {
-                ballot,
-                holds,
-                newer,
+            ConsensusMessage::VoteResponse {
+                term,
+                last_state,
+                newer_state: newer,
             } => {
-                self.on_promise(now, from, ballot, holds, newer, out);
+                self.on_promise(now, from, term, last_state, newer, out);
             }
-            ConsensusMessage::Refuse { ballot, promised } => {
-                self.on_refuse(now, ballot, promised, out)
+            ConsensusMessage::TermRejected {
+                term,
+                voted_term: promised,
+            } => self.on_refuse(now, term, promised, out),
+            ConsensusMessage::AppendRequest {
+                term,
+                payload: content,
+            } => self.on_accept(now, from, term, content, out),
+            ConsensusMessage::AppendResponse { term, last_state } => {
+                self.on_accepted(from, term, last_state, out)
             }
-            ConsensusMessage::Accept { ballot, content } => {
-                self.on_accept(now, from, ballot, content, out)
-            }
-            ConsensusMessage::Accepted { ballot, holds } => {
-                self.on_accepted(from, ballot, holds, out)
-            }
-            ConsensusMessage::Mismatch { ballot, holds } => {
-                self.on_mismatch(now, from, ballot, holds, out)
+            ConsensusMessage::AppendMismatch { term, last_state } => {
+                self.on_mismatch(now, from, term, last_state, out)
             }
             ConsensusMessage::Heartbeat {
-                ballot,
-                sent,
-                confirms,
+                term,
+                sent_at: sent,
+                confirmed_answer_at: confirms,
             } => {
-                self.on_heartbeat(now, from, ballot, (sent, confirms), out);
+                self.on_heartbeat(now, from, term, (sent, confirms), out);
             }
-            ConsensusMessage::HeartbeatAck {
-                ballot,
-                sent,
-                at,
-                holds,
+            ConsensusMessage::HeartbeatResponse {
+                term,
+                heartbeat_sent_at: sent,
+                answered_at: at,
+                last_state,
             } => {
-                self.on_heartbeat_ack(now, from, ballot, (sent, at), holds, out);
+                self.on_heartbeat_ack(now, from, term, (sent, at), last_state, out);
+            }
+            ConsensusMessage::Resign { term } => self.on_resign(now, from, term),
+            ConsensusMessage::JoinRequest { last_state } => {
+                self.on_join(now, from, last_state, out)
             }
-            ConsensusMessage::Resign { ballot } => self.on_resign(now, from, ballot),
-            ConsensusMessage::Join { holds } => self.on_join(now, from, holds, out),
-            ConsensusMessage::Contacts { voters } => self.membership.learn(voters),
-            ConsensusMessage::Leave => self.on_leave(now, from, out),
-            ConsensusMessage::Left => self.membership.left(),
+            ConsensusMessage::KnownVoters { voters } => self.membership.learn(voters),
+            ConsensusMessage::LeaveRequest => self.on_leave(now, from, out),
+            ConsensusMessage::LeaveResponse => self.membership.left(),
         }
     }
 
@@ -395,7 +399,7 @@
     fn follow(&mut self, out: &mut Vec<ConsensusOutput>) {
         if let Role::Leader(leading) = &self.role {
             if leading.agreed.is_some() {
-                out.push(ConsensusOutput::Lost);
+                out.push(ConsensusOutput::SteppedDown);
             }
             self.leader = None;
         }
--- a/crates/core/control/src/consensus/replication.rs
+++ b/crates/core/control/src/consensus/replication.rs
@@ -1,13 +1,14 @@
 //! What a leader does: heartbeats, and the state to everybody who decides; and what its followers answer.
 
 use super::{
-    ByVoter, Consensus, ConsensusMessage, ConsensusOutput, Content, Holds, Record, Role, send,
+    ByVoter, Consensus, ConsensusMessage, ConsensusOutput, HardState, Role, StateId, StatePayload,
+    send,
 };
-use crate::ballot::Ballot;
+use crate::change_history::ChangeHistory;
 use crate::digest::Digest;
-use crate::history::History;
-use crate::membership::Voter;
-use crate::state::{Change, State};
+use crate::state::{State, StateChange};
+use crate::term::Term;
+use crate::voter_set::Voter;
 use std::rc::Rc;
 
 /// Between two heartbeats of the leader, in seconds.
@@ -45,8 +46,8 @@
 
 /// What a machine keeps while it leads.
 #[derive(Clone, Debug)]
-pub(super) struct Leading {
-    pub(super) ballot: Ballot,
+pub(super) struct LeaderState {
+    pub(super) term: Term,
     pub(super) since: f64,
     /// The number of the newest state that is agreed on; none before the first under this ballot.
     pub(super) agreed: Option<u64>,
@@ -54,23 +55,23 @@
     heartbeat: f64,
 }
 
-impl Leading {
+impl LeaderState {
     pub(super) fn new(
-        ballot: Ballot,
+        term: Term,
         now: f64,
-        promised: impl Iterator<Item = (Voter, Holds)>,
-    ) -> Leading {
-        let known = move |(voter, holds): (Voter, Holds)| {
+        promised: impl Iterator<Item = (Voter, StateId)>,
+    ) -> LeaderState {
+        let known = move |(voter, last_state): (Voter, StateId)| {
             (
                 voter,
                 Progress {
-                    expected: Some(holds.digest),
+                    expected: Some(last_state.digest),
                     ..Progress::unknown(now)
                 },
             )
         };
-        Leading {
-            ballot,
+        LeaderState {
+            term,
             since: now,
             agreed: None,
             progress: promised.map(known).collect(),
@@ -102,12 +103,12 @@
 struct Step {
     before: Rc<State>,
     digest: Digest,
-    change: Rc<Change>,
+    change: Rc<StateChange>,
 }
 
 impl Arrived {
-    fn apply(&mut self, change: Rc<Change>) -> Option<()> {
-        let next = Rc::new(self.state.after(&change)?);
+    fn apply(&mut self, change: Rc<StateChange>) -> Option<()> {
+        let next = Rc::new(self.state.apply(&change)?);
         let digest = next.digest();
         let before = std::mem::replace(&mut self.state, next);
         self.steps.push(Step {
@@ -121,15 +122,15 @@
 
 impl Consensus {
     /// The ballot under which this machine leads and has agreed on what it found.
-    pub fn leads(&self) -> Option<Ballot> {
+    pub fn leader_term(&self) -> Option<Term> {
         match &self.role {
-            Role::Leader(leading) if leading.agreed.is_some() => Some(leading.ballot),
+            Role::Leader(leading) if leading.agreed.is_some() => Some(leading.term),
             _ => None,
         }
     }
 
     /// Until when this machine may act as leader: nobody else had won before.
-    pub fn authority(&self) -> f64 {
+    pub fn authority_until(&self) -> f64 {
         let Role::Leader(leading) = &self.role else {
             return f64::NEG_INFINITY;
         };
@@ -141,35 +142,35 @@
             Some(progress) => progress.answered,
             None => f64::NEG_INFINITY,
         };
-        self.record.state.membership.quorum_heard(answered) + self.timing.suspect
+        self.record.state.voters.quorum_time(answered) + self.timing.election_timeout
     }
 
     /// The state, if this machine leads and all before is agreed.
-    pub fn agreed(&self) -> Option<&Rc<State>> {
+    pub fn committed_state(&self) -> Option<&Rc<State>> {
         let Role::Leader(leading) = &self.role else {
             return None;
         };
-        (leading.agreed == Some(self.record.state.seq)).then_some(&self.record.state)
+        (leading.agreed == Some(self.record.state.version)).then_some(&self.record.state)
     }
 
     /// Proposes a change. None while another one is under way, another machine leads, or it doesn't fit the state.
     pub fn propose(
         &mut self,
         now: f64,
-        change: Change,
+        change: StateChange,
         out: &mut Vec<ConsensusOutput>,
     ) -> Option<u64> {
         if self.saving {
             return None;
         }
-        let before = self.agreed()?.clone();
-        let next = before.after(&change)?;
-        let seq = next.seq;
+        let before = self.committed_state()?.clone();
+        let next = before.apply(&change)?;
+        let version = next.version;
         self.history.push(&before, self.digest, Rc::new(change));
         self.digest = next.digest();
         self.record.state = Rc::new(next);
         self.replicate(now, out);
-        Some(seq)
+        Some(version)
     }
 
     /// Sends the state to everybody of whom it is known what they have, and saves it here.
@@ -177,7 +178,7 @@
         let Role::Leader(leading) = &self.role else {
             return;
         };
-        self.record.accepted = leading.ballot;
+        self.record.accepted_term = leading.term;
         for voter in self.replicas() {
             let expected = match &self.role {
                 Role::Leader(leading) => leading.progress.get(&voter).and_then(|p| p.expected),
@@ -192,7 +193,7 @@
 
     /// Everybody who decides or asks to, but this machine.
     fn replicas(&self) -> Vec<Voter> {
-        let membership = &self.record.state.membership;
+        let membership = &self.record.state.voters;
         let joining = self
             .membership
             .joining()
@@ -209,13 +210,13 @@
         &mut self,
         now: f64,
         to: Voter,
-        holds: Holds,
+        last_state: StateId,
         out: &mut Vec<ConsensusOutput>,
     ) {
         if let Role::Leader(leading) = &mut self.role {
             leading.begin_anew(to, now);
         }
-        self.send_state(now, to, holds.digest, out);
+        self.send_state(now, to, last_state.digest, out);
     }
 
     fn send_state(&mut self, now: f64, to: Voter, theirs: Digest, out: &mut Vec<ConsensusOutput>) {
@@ -227,13 +228,19 @@
         let progress = leading.of(to);
         progress.expected = Some(digest);
         progress.sent = now;
-        let ballot = leading.ballot;
-        out.push(send(to, ConsensusMessage::Accept { ballot, content }));
+        let term = leading.term;
+        out.push(send(
+            to,
+            ConsensusMessage::AppendRequest {
+                term,
+                payload: content,
+            },
+        ));
     }
 
     /// The state, as cheap as may be for whoever has that one.
-    fn content_for(&self, theirs: Digest) -> Content {
-        let whole = || Content::Whole(self.record.state.clone());
+    fn content_for(&self, theirs: Digest) -> StatePayload {
+        let whole = || StatePayload::Snapshot(self.record.state.clone());
         let changes = if theirs == self.digest {
             Some(Vec::new())
         } else {
@@ -242,28 +249,28 @@
         let Some(changes) = changes else {
             return whole();
         };
-        if History::size_of(&changes) > self.record.state.config.len() + 1024 {
+        if ChangeHistory::size_of(&changes) > self.record.state.config.len() + 1024 {
             return whole();
         }
-        Content::Changes {
+        StatePayload::Delta {
             base: theirs,
-            changes,
+            steps: changes,
             result: self.digest,
         }
     }
 
     /// What this machine saved counts, too.
     pub(super) fn count_own_save(&mut self, out: &mut Vec<ConsensusOutput>) {
-        let seq = self.record.state.seq;
+        let version = self.record.state.version;
         let me = self.me;
         if let Role::Leader(leading) = &mut self.role {
-            leading.of(me).accepted = Some(seq);
+            leading.of(me).accepted = Some(version);
         }
         self.count(out);
     }
 
     fn count(&mut self, out: &mut Vec<ConsensusOutput>) {
-        let seq = self.record.state.seq;
+        let version = self.record.state.version;
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
@@ -271,16 +278,16 @@
             leading
                 .progress
                 .get(&voter)
-                .is_some_and(|p| p.accepted == Some(seq))
+                .is_some_and(|p| p.accepted == Some(version))
         };
-        if leading.agreed == Some(seq) || !self.record.state.membership.is_quorum(accepted) {
+        if leading.agreed == Some(version) || !self.record.state.voters.is_quorum(accepted) {
             return;
         }
-        let first = leading.agreed.replace(seq).is_none();
+        let first = leading.agreed.replace(version).is_none();
         out.push(if first {
-            ConsensusOutput::Won
+            ConsensusOutput::BecameLeader
         } else {
-            ConsensusOutput::Agreed
+            ConsensusOutput::Committed
         });
     }
 
@@ -289,8 +296,10 @@
         let Role::Leader(leading) = &self.role else {
             return false;
         };
-        let authority = self.authority().max(leading.since + self.timing.suspect);
-        now > authority + self.timing.suspect
+        let authority = self
+            .authority_until()
+            .max(leading.since + self.timing.election_timeout);
+        now > authority + self.timing.election_timeout
     }
 
     pub(super) fn send_heartbeats(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
@@ -301,7 +310,7 @@
             self.heard = now;
             return;
         }
-        let in_contact = self.authority() > now;
+        let in_contact = self.authority_until() > now;
         let replicas = self.replicas();
         let Role::Leader(leading) = &mut self.role else {
             return;
@@ -310,15 +319,15 @@
             return;
         }
         leading.heartbeat = now;
-        let ballot = leading.ballot;
+        let term = leading.term;
         for voter in replicas {
             let confirms = leading.of(voter).at.filter(|_| in_contact);
             out.push(send(
                 voter,
                 ConsensusMessage::Heartbeat {
-                    ballot,
-                    sent: now,
-                    confirms,
+                    term,
+                    sent_at: now,
+                    confirmed_answer_at: confirms,
                 },
             ));
         }
@@ -328,32 +337,45 @@
         &mut self,
         now: f64,
         from: Voter,
-        ballot: Ballot,
-        content: Content,
+        term: Term,
+        content: StatePayload,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        self.highest = self.highest.max(ballot);
-        if ballot < self.record.promised {
-            let promised = self.record.promised;
-            out.push(send(from, ConsensusMessage::Refuse { ballot, promised }));
+        self.highest = self.highest.max(term);
+        if term < self.record.voted_term {
+            let promised = self.record.voted_term;
+            out.push(send(
+                from,
+                ConsensusMessage::TermRejected {
+                    term,
+                    voted_term: promised,
+                },
+            ));
             return;
         }
-        self.follow_leader(now, from, ballot, out);
+        self.follow_leader(now, from, term, out);
         let Some(Arrived {
             state,
             digest,
             steps,
         }) = self.read_content(content)
         else {
-            let holds = self.holds();
-            out.push(send(from, ConsensusMessage::Mismatch { ballot, holds }));
+            let last_state = self.last_state();
+            out.push(send(
+                from,
+                ConsensusMessage::AppendMismatch { term, last_state },
+            ));
             return;
         };
         // What was overtaken on its way takes nothing back.
-        let overtaken = self.record.accepted == ballot && state.seq <= self.record.state.seq;
+        let overtaken =
+            self.record.accepted_term == term && state.version <= self.record.state.version;
         if overtaken {
-            let holds = self.holds();
-            out.push(send(from, ConsensusMessage::Accepted { ballot, holds }));
+            let last_state = self.last_state();
+            out.push(send(
+                from,
+                ConsensusMessage::AppendResponse { term, last_state },
+            ));
             return;
         }
         if steps.is_empty() && digest != self.digest {
@@ -362,28 +384,31 @@
         for step in steps {
             self.history.push(&step.before, step.digest, step.change);
         }
-        self.record = Record {
-            promised: ballot,
-            accepted: ballot,
+        self.record = HardState {
+            voted_term: term,
+            accepted_term: term,
             state,
         };
         self.digest = digest;
         self.removed = false;
-        let holds = Holds {
-            accepted: ballot,
-            seq: self.record.state.seq,
+        let last_state = StateId {
+            accepted_term: term,
+            version: self.record.state.version,
             digest,
         };
         self.persist(
-            Some(send(from, ConsensusMessage::Accepted { ballot, holds })),
+            Some(send(
+                from,
+                ConsensusMessage::AppendResponse { term, last_state },
+            )),
             out,
         );
     }
 
     /// The state that was sent; none if it builds on another state than this machine has.
-    fn read_content(&self, content: Content) -> Option<Arrived> {
+    fn read_content(&self, content: StatePayload) -> Option<Arrived> {
         match content {
-            Content::Whole(state) => {
+            StatePayload::Snapshot(state) => {
                 let digest = state.digest();
                 Some(Arrived {
                     state,
@@ -391,9 +416,11 @@
                     steps: Vec::new(),
                 })
             }
-            Content::Changes { base, .. } if base != self.digest => None,
-            Content::Changes {
-                changes, result, ..
+            StatePayload::Delta { base, .. } if base != self.digest => None,
+            StatePayload::Delta {
+                steps: changes,
+                result,
+                ..
             } => {
                 let mut arrived = Arrived {
                     state: self.record.state.clone(),
@@ -411,21 +438,21 @@
     pub(super) fn on_accepted(
         &mut self,
         from: Voter,
-        ballot: Ballot,
-        holds: Holds,
+        term: Term,
+        last_state: StateId,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        self.note_holds(from, ballot, holds);
+        self.note_holds(from, term, last_state);
         self.count(out);
     }
 
-    fn note_holds(&mut self, from: Voter, ballot: Ballot, holds: Holds) {
+    fn note_holds(&mut self, from: Voter, term: Term, last_state: StateId) {
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
-        if leading.ballot == ballot && holds.accepted == ballot {
+        if leading.term == term && last_state.accepted_term == term {
             let accepted = &mut leading.of(from).accepted;
-            *accepted = (*accepted).max(Some(holds.seq));
+            *accepted = (*accepted).max(Some(last_state.version));
         }
     }
 
@@ -433,12 +460,12 @@
         &mut self,
         now: f64,
         from: Voter,
-        ballot: Ballot,
-        holds: Holds,
+        term: Term,
+        last_state: StateId,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        if matches!(&self.role, Role::Leader(leading) if leading.ballot == ballot) {
-            self.send_state(now, from, holds.digest, out);
+        if matches!(&self.role, Role::Leader(leading) if leading.term == term) {
+            self.send_state(now, from, last_state.digest, out);
         }
     }
 
@@ -446,29 +473,35 @@
         &mut self,
         now: f64,
         from: Voter,
-        ballot: Ballot,
+        term: Term,
         (sent, confirms): (f64, Option<f64>),
         out: &mut Vec<ConsensusOutput>,
     ) {
-        self.highest = self.highest.max(ballot);
-        if ballot < self.record.promised {
-            let promised = self.record.promised;
-            out.push(send(from, ConsensusMessage::Refuse { ballot, promised }));
+        self.highest = self.highest.max(term);
+        if term < self.record.voted_term {
+            let promised = self.record.voted_term;
+            out.push(send(
+                from,
+                ConsensusMessage::TermRejected {
+                    term,
+                    voted_term: promised,
+                },
+            ));
             return;
         }
-        self.follow_leader(now, from, ballot, out);
+        self.follow_leader(now, from, term, out);
         if let Some(at) = confirms {
-            self.contact_until = self.contact_until.max(at + self.timing.contact);
+            self.contact_until = self.contact_until.max(at + self.timing.contact_timeout);
         }
-        let ack = ConsensusMessage::HeartbeatAck {
-            ballot,
-            sent,
-            at: now,
-            holds: self.holds(),
+        let ack = ConsensusMessage::HeartbeatResponse {
+            term,
+            heartbeat_sent_at: sent,
+            answered_at: now,
+            last_state: self.last_state(),
         };
         // A promise that was lost on the way is as good as kept: nothing below it is taken any more.
-        if ballot > self.record.promised {
-            self.record.promised = ballot;
+        if term > self.record.voted_term {
+            self.record.voted_term = term;
             self.persist(Some(send(from, ack)), out);
         } else {
             out.push(send(from, ack));
@@ -479,41 +512,36 @@
         &mut self,
         now: f64,
         from: Voter,
-        ballot: Ballot,
+        term: Term,
         (sent, at): (f64, f64),
-        holds: Holds,
+        last_state: StateId,
         out: &mut Vec<ConsensusOutput>,
     ) {
         let digest = self.digest;
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
-        if leading.ballot != ballot {
+        if leading.term != term {
             return;
         }
         let progress = leading.of(from);
         progress.answered = progress.answered.max(sent);
         progress.at = Some(progress.at.map_or(at, |known| known.max(at)));
         // Heartbeats and states keep their order on a connection: what was sent before this one and isn't there is lost.
-        let lacks = (holds.digest != digest || holds.accepted != ballot) && progress.sent < sent;
-        self.note_holds(from, ballot, holds);
+        let lacks = (last_state.digest != digest || last_state.accepted_term != term)
+            && progress.sent < sent;
+        self.note_holds(from, term, last_state);
         if lacks {
-            self.send_state(now, from, holds.digest, out);
+            self.send_state(now, from, last_state.digest, out);
         }
         self.count(out);
     }
 
     /// Somebody leads under a ballot that this machine takes part in.
-    fn follow_leader(
-        &mut self,
-        now: f64,
-        from: Voter,
-        ballot: Ballot,
-        out: &mut Vec<ConsensusOutput>,
-    ) {
+    fn follow_leader(&mut self, now: f64, from: Voter, term: Term, out: &mut Vec<ConsensusOutput>) {
         let lower = match &self.role {
-            Role::Leader(leading) => leading.ballot < ballot,
-            Role::Candidate(_) | Role::Canvassing(_) => true,
+            Role::Leader(leading) => leading.term < term,
+            Role::Candidate(_) | Role::PreCandidate(_) => true,
             Role::Follower => false,
         };
         if lower {
--- a/crates/core/control/src/consensus/voters.rs
+++ b/crates/core/control/src/consensus/voters.rs
@@ -1,8 +1,8 @@
 //! Changes of who decides: machines that ask to join or to leave, and voters that are gone.
 
-use super::{Consensus, ConsensusMessage, ConsensusOutput, Holds, Recipient, Role, send};
-use crate::membership::{Node, Voter};
-use crate::state::Change;
+use super::{Consensus, ConsensusMessage, ConsensusOutput, Recipient, Role, StateId, send};
+use crate::state::StateChange;
+use crate::voter_set::{NodeId, Voter};
 use std::collections::BTreeMap;
 
 /// A machine that is no voter, or hears no leader, asks to join this often, in seconds.
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Candidates {
     /// Addresses that the settings name.
-    seeds: Vec<Node>,
+    seeds: Vec<NodeId>,
     /// Addresses of control machines that were met or told of.
-    contacts: Vec<Node>,
+    contacts: Vec<NodeId>,
     /// Who asked to join, and when.
     joining: BTreeMap<Voter, f64>,
     /// Voters that asked to leave.
@@ -76,7 +76,7 @@
     }
 
     /// A control machine has this address.
-    pub(super) fn met(&mut self, node: Node) {
+    pub(super) fn met(&mut self, node: NodeId) {
         if !self.contacts.contains(&node) && !self.seeds.contains(&node) {
             if self.contacts.len() >= MAX_CONTACTS {
                 self.contacts.remove(0);
@@ -95,17 +95,17 @@
 
 impl Consensus {
     /// So many machines may be lost at once: no fewer than twice that and one decide.
-    pub fn outlives(&mut self, losses: usize) {
+    pub fn set_fault_budget(&mut self, losses: usize) {
         self.membership.least = (2 * losses + 1).max(3);
     }
 
     /// Machines that may be asked besides the voters: as the settings name them.
-    pub fn seeds(&mut self, seeds: Vec<Node>) {
+    pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.membership.seeds = seeds;
     }
 
     /// A control machine has this address.
-    pub fn contact(&mut self, node: Node) {
+    pub fn peer_discovered(&mut self, node: NodeId) {
         self.membership.met(node);
     }
 
@@ -118,15 +118,15 @@
     /// Leads no longer and tells the others, so that they need not miss it first.
     pub(super) fn give_up_the_lead(&mut self, out: &mut Vec<ConsensusOutput>) {
         if let Role::Leader(leading) = &self.role {
-            let ballot = leading.ballot;
+            let term = leading.term;
             let others = self
                 .record
                 .state
-                .membership
+                .voters
                 .all()
                 .filter(|voter| *voter != self.me);
             let told: Vec<_> = others
-                .map(|voter| send(voter, ConsensusMessage::Resign { ballot }))
+                .map(|voter| send(voter, ConsensusMessage::Resign { term }))
                 .collect();
             self.follow(out);
             out.extend(told);
@@ -134,8 +134,8 @@
     }
 
     /// Whether this machine, which is about to end, need not wait to be left out.
-    pub fn may_end(&self) -> bool {
-        let membership = &self.record.state.membership;
+    pub fn may_shut_down(&self) -> bool {
+        let membership = &self.record.state.voters;
         let stays = !membership.is_joint() && !self.can_be_spared();
         self.membership.left || !membership.contains(self.me) || stays
     }
@@ -146,7 +146,7 @@
 
     /// Whoever is no voter, or hears nobody lead, asks to join; who is asked need not answer.
     pub(super) fn ask_to_join(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let membership = &self.record.state.membership;
+        let membership = &self.record.state.voters;
         let voter = membership.voters().contains(&self.me);
         let led = self.leader.is_some() && now - self.led_at.max(self.heard) < 2.0 * ASK_TO_JOIN;
         let settled = voter && (led || matches!(self.role, Role::Leader(_)));
@@ -161,20 +161,26 @@
             .iter()
             .chain(&self.membership.contacts)
             .copied();
-        let mut nodes: Vec<Node> = known
+        let mut nodes: Vec<NodeId> = known
             .chain(others)
             .filter(|node| *node != self.me.node)
             .collect();
         nodes.sort_unstable();
         nodes.dedup();
-        let holds = self.holds();
-        let ask =
-            |node| ConsensusOutput::Send(Recipient::Node(node), ConsensusMessage::Join { holds });
+        let last_state = self.last_state();
+        let ask = |node| {
+            ConsensusOutput::Send(
+                Recipient::Node(node),
+                ConsensusMessage::JoinRequest { last_state },
+            )
+        };
         out.extend(nodes.into_iter().map(ask));
     }
 
     pub(super) fn ask_to_leave(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        if !self.membership.leaving || self.may_end() || now - self.membership.asked < ASK_TO_LEAVE
+        if !self.membership.leaving
+            || self.may_shut_down()
+            || now - self.membership.asked < ASK_TO_LEAVE
         {
             return;
         }
@@ -182,22 +188,22 @@
         let others = self
             .record
             .state
-            .membership
+            .voters
             .all()
             .filter(|voter| *voter != self.me);
-        out.extend(others.map(|voter| send(voter, ConsensusMessage::Leave)));
+        out.extend(others.map(|voter| send(voter, ConsensusMessage::LeaveRequest)));
     }
 
     pub(super) fn on_join(
         &mut self,
         now: f64,
         from: Voter,
-        holds: Holds,
+        last_state: StateId,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        if self.leads().is_none() {
+        if self.leader_term().is_none() {
             let voters = self.voters().to_vec();
-            out.push(send(from, ConsensusMessage::Contacts { voters }));
+            out.push(send(from, ConsensusMessage::KnownVoters { voters }));
             return;
         }
         // Whoever asks has started anew since it asked to leave.
@@ -211,18 +217,18 @@
         }
         let first = self.membership.joining.insert(from, now).is_none();
         if first {
-            self.send_state_to_joiner(now, from, holds, out);
+            self.send_state_to_joiner(now, from, last_state, out);
         }
     }
 
     pub(super) fn on_leave(&mut self, now: f64, from: Voter, out: &mut Vec<ConsensusOutput>) {
-        if self.leads().is_none() || self.authority() < now {
+        if self.leader_term().is_none() || self.authority_until() < now {
             return;
         }
         self.membership.joining.remove(&from);
-        let membership = &self.record.state.membership;
-        if !membership.contains(from) && self.agreed().is_some() {
-            out.push(send(from, ConsensusMessage::Left));
+        let membership = &self.record.state.voters;
+        if !membership.contains(from) && self.committed_state().is_some() {
+            out.push(send(from, ConsensusMessage::LeaveResponse));
         } else if !self.membership.leavers.contains(&from) {
             self.membership.leavers.push(from);
         }
@@ -231,33 +237,33 @@
     /// The leader changes who decides, one machine at a time: a change under way is completed; who asks to join takes the
     /// place of its own former incarnation, of a voter that is gone, or one of its own; who ends or is gone is left out
     /// where enough are left.
-    pub fn change_membership(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Some(state) = self.agreed().cloned() else {
+    pub fn advance_voter_change(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let Some(state) = self.committed_state().cloned() else {
             return;
         };
-        if self.authority() < now {
+        if self.authority_until() < now {
             return;
         }
-        if !state.membership.contains(self.me) {
+        if !state.voters.contains(self.me) {
             // A former leader had begun to leave this machine out, and this one has completed that.
             self.give_up_the_lead(out);
             self.heard = now;
             return;
         }
-        let voters = state.membership.voters();
+        let voters = state.voters.voters();
         let waits =
             |voter: &Voter, asked: f64| now - asked < STILL_WANTS && !voters.contains(voter);
         self.membership
             .joining
             .retain(|voter, asked| waits(voter, *asked));
-        let next = if state.membership.is_joint() {
+        let next = if state.voters.is_joint() {
             self.membership.changed = now;
-            Some(state.membership.completed())
+            Some(state.voters.finalized())
         } else if now - self.membership.changed < BETWEEN_CHANGES {
             None
         } else {
             let voters = self.replacement(now).or_else(|| self.removal(now));
-            voters.and_then(|voters| state.membership.changed_to(voters))
+            voters.and_then(|voters| state.voters.joint_with(voters))
         };
         if let Some(next) = next {
             log::info!(
@@ -265,7 +271,7 @@
                 list(next.voters()),
                 next.is_joint()
             );
-            self.propose(now, Change::Membership(next), out);
+            self.propose(now, StateChange::Voters(next), out);
         }
     }
 
@@ -292,11 +298,11 @@
             Some(removed) => Some(
                 self.record
                     .state
-                    .membership
-                    .with(Some(joining), Some(removed)),
+                    .voters
+                    .replacing(Some(joining), Some(removed)),
             ),
             None if all_there && voters.len() < MAX_VOTERS => {
-                Some(self.record.state.membership.with(Some(joining), None))
+                Some(self.record.state.voters.replacing(Some(joining), None))
             }
             None => None,
         }
@@ -318,7 +324,7 @@
                 .into_iter()
                 .find(|voter| self.silence(now, *voter) > ABSENT)
         })?;
-        Some(self.record.state.membership.with(None, Some(removed)))
+        Some(self.record.state.voters.replacing(None, Some(removed)))
     }
 
     /// For how many seconds a voter has answered no heartbeat of this leader.
--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -1,19 +1,19 @@
 //! One control machine: agreement, members, sessions and the primaries of all services put together.
 
-use crate::consensus::{Consensus, ConsensusOutput, ConsensusTiming, Recipient, Record};
-use crate::failover::{Failover, Statement, Timing};
+use crate::consensus::{Consensus, ConsensusConfig, ConsensusOutput, HardState, Recipient};
+use crate::failover::{Failover, FailoverConfig, ServerCommand};
 use crate::leases::Leases;
-use crate::members::{Beat, Members};
-use crate::membership::{Node, Voter};
-use crate::message::{GrantNews, MemberNews, PeerMessage, ToRouter};
+use crate::members::{Heartbeat, MemberRegistry};
+use crate::message::{MemberInfo, PeerMessage, PrimaryGrant, RouterMessage};
 use crate::state::State;
-use beats::Refreshed;
-use members_news::{Rosters, Rounds};
+use crate::voter_set::{NodeId, Voter};
+use beats::HeartbeatBatch;
+use members_news::{PendingUpdates, SnapshotCollection};
 #[cfg(test)]
 pub(crate) use news::SESSIONS_A_TICK;
-use news::{Session, Telling};
-use orders::{Origin, Passed, Waiting, Wanted, reply};
-use services::Turns;
+use news::{Session, UpdateDistributor};
+use orders::{ForwardedRequest, PendingProposal, ProposedChange, Requester, reply};
+use services::ServiceScheduler;
 #[cfg(test)]
 pub(crate) use services::{EVIDENCE_WANTED, QUESTIONS_A_TICK, SERVICES_A_TICK};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -27,74 +27,77 @@
 
 /// Spans, in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct ControlTiming {
+pub struct ControlConfig {
     /// A router's lease.
-    pub lease: f64,
+    pub lease_duration: f64,
     /// A leader is missed after so long.
-    pub suspect: f64,
+    pub election_timeout: f64,
     /// A follower answers for the whole for so long after its last contact with a majority.
-    pub contact: f64,
+    pub contact_timeout: f64,
     /// What a call to the platform may take, at most.
-    pub platform: f64,
+    pub platform_call_timeout: f64,
     /// Holders of the duty at the platform don't take turns within so long; 0 where nothing is asked.
-    pub turn: f64,
+    pub duty_handover_delay: f64,
     /// What a call of an operator may take before it is told to come again.
-    pub call: f64,
+    pub request_timeout: f64,
     /// A server that sends no beats for so long is forgotten.
-    pub forget: f64,
+    pub member_timeout: f64,
     /// Those of each service.
-    pub service: Timing,
+    pub failover: FailoverConfig,
 }
 
 /// A call from outside.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum ControlRequest {
     /// A heartbeat.
-    Beat { id: String, beat: Beat },
+    Heartbeat {
+        server_id: String,
+        heartbeat: Heartbeat,
+    },
     /// A server has left.
-    Depart { id: String },
+    Depart { server_id: String },
     /// A valid configuration of this epoch, building on that version.
-    Replace {
-        base: u64,
+    ReplaceConfig {
+        base_epoch: u64,
         epoch: u64,
         body: Rc<[u8]>,
     },
     /// The newest configuration.
-    Read,
+    ReadConfig,
 }
 
 /// The answer to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct ControlResponse {
     /// As in HTTP.
     pub status: u16,
     /// The body; for an error one line of text.
     pub body: Rc<[u8]>,
     /// It rests on contact with a majority, and holds only if it leaves before this second.
-    pub until: f64,
+    pub valid_until: f64,
 }
 
-impl Answer {
+impl ControlResponse {
     /// One that holds whenever it leaves.
-    fn lasting(status: u16, body: Rc<[u8]>) -> Answer {
-        Answer {
+    fn lasting(status: u16, body: Rc<[u8]>) -> ControlResponse {
+        ControlResponse {
             status,
             body,
-            until: f64::INFINITY,
+            valid_until: f64::INFINITY,
         }
     }
 
     /// An error, with its reason in one line.
-    pub fn error(status: u16, reason: &str) -> Answer {
-        Answer::lasting(status, format!("{reason}\n").into_bytes().into())
+    pub fn error(status: u16, reason: &str) -> ControlResponse {
+        ControlResponse::lasting(status, format!("{reason}\n").into_bytes().into())
     }
 
     /// One that holds if it leaves before this second.
-    fn until(until: f64, status: u16, body: Rc<[u8]>) -> Answer {
-        Answer {
+    fn until(until: f64, status: u16, body: Rc<[u8]>) -> ControlResponse {
+        ControlResponse {
             status,
             body,
-            until,
+            valid_until: until,
         }
     }
 }
@@ -102,39 +105,39 @@
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// The record is to be saved, and [`Controller::saved`] or [`Controller::save_failed`] called before anything else.
-    Save,
-    /// The servers that are known ([`Members::kept`]) are to be on the disk, and only then is this to be done; if they can't be
+    /// The record is to be saved, and [`Controller::persisted`] or [`Controller::persist_failed`] called before anything else.
+    Persist,
+    /// The servers that are known ([`MemberRegistry::to_persist`]) are to be on the disk, and only then is this to be done; if they can't be
     /// saved it isn't.
-    KeepServers(Vec<Output>),
+    PersistMembers(Vec<Output>),
     /// To another control machine.
-    Peer(Recipient, PeerMessage),
+    SendToPeer(Recipient, PeerMessage),
     /// To the router on this session: an answer, or where else to ask.
-    Router(u64, ToRouter),
+    SendToRouter(u64, RouterMessage),
     /// News to the router on this session, behind all that went there before. Sessions that lack the same share it.
-    News(u64, Rc<ToRouter>),
-    /// To a database server. What changes it must be sent only while this machine may act under the ballot `fence`.
-    Ask {
-        id: String,
+    SendUpdate(u64, Rc<RouterMessage>),
+    /// To a database server. What changes it must be sent only while this machine may act under the ballot `fencing_token`.
+    SendCommand {
+        server_id: String,
         endpoint: String,
         service: String,
-        statement: Statement,
-        fence: u64,
+        command: ServerCommand,
+        fencing_token: u64,
     },
-    /// To the platform, if it can be sent before this second; `fence` rises with every holder of the duty.
+    /// To the platform, if it can be sent before this second; `fencing_token` rises with every holder of the duty.
     Promote {
         service: String,
-        id: String,
-        fence: u64,
-        before: f64,
+        server_id: String,
+        fencing_token: u64,
+        deadline: f64,
     },
     /// To whoever made the call of this number.
-    Reply(u64, Answer),
+    Respond(u64, ControlResponse),
 }
 
 #[derive(Clone, Debug)]
 struct Grant {
-    news: GrantNews,
+    news: PrimaryGrant,
     stamp: u64,
 }
 
@@ -146,9 +149,9 @@
 
 /// Everything that exists only while this machine leads.
 #[derive(Clone, Debug)]
-struct Lead {
+struct Leadership {
     since: f64,
-    fence: u64,
+    fencing_token: u64,
     /// The number of the newest news.
     number: u64,
     leases: Leases,
@@ -157,39 +160,39 @@
     /// Since when each service whose grant was taken back has had no primary in use.
     withdrawn: BTreeMap<String, f64>,
     sessions: BTreeMap<u64, Session>,
-    telling: Telling,
-    turns: Turns,
+    telling: UpdateDistributor,
+    turns: ServiceScheduler,
     /// Under way: what is being agreed on.
-    proposed: Option<(u64, Waiting)>,
-    queue: VecDeque<Waiting>,
+    proposed: Option<(u64, PendingProposal)>,
+    queue: VecDeque<PendingProposal>,
     sync: HashMap<String, u32>,
     /// What the others have told of servers.
-    rosters: Rosters,
+    rosters: SnapshotCollection,
 }
 
 /// One control machine.
 #[derive(Clone, Debug)]
 pub struct Controller {
-    me: Node,
+    me: NodeId,
     /// Drawn at the start of the process.
-    life: u64,
-    timing: ControlTiming,
+    process_incarnation: u64,
+    timing: ControlConfig,
     consensus: Consensus,
-    members: Members,
+    members: MemberRegistry,
     /// The newest state that was agreed on, as far as it is known here.
     current: Rc<State>,
-    lead: Option<Lead>,
+    lead: Option<Leadership>,
     /// Calls passed on to the leader: by the number they carry there.
-    passed: BTreeMap<u64, Passed>,
+    passed: BTreeMap<u64, ForwardedRequest>,
     passing: u64,
     /// Calls that wait for somebody to lead.
-    held: VecDeque<(u64, Call, f64)>,
+    held: VecDeque<(u64, ControlRequest, f64)>,
     /// What servers said and the others don't know yet.
-    rounds: Rounds,
+    rounds: PendingUpdates,
     /// Bodies of members that changed while leading, told under the next number.
     news_due: bool,
     /// Beats that told nothing new, for the other control machines.
-    refreshed: Refreshed,
+    refreshed: HeartbeatBatch,
     /// For how long services had no primary in use, at the changes of late, in seconds.
     primary_changes: Vec<f64>,
     /// When it was last looked for members that are silent.
@@ -207,29 +210,29 @@
     /// A machine that starts with this on its disk, in a life that was drawn for it. See [`Consensus::new`].
     pub fn new(
         me: Voter,
-        record: Record,
+        record: HardState,
         now: f64,
-        life: u64,
-        timing: ControlTiming,
+        process_incarnation: u64,
+        timing: ControlConfig,
     ) -> Controller {
-        let of_consensus = ConsensusTiming {
-            suspect: timing.suspect,
-            contact: timing.contact,
+        let of_consensus = ConsensusConfig {
+            election_timeout: timing.election_timeout,
+            contact_timeout: timing.contact_timeout,
         };
         Controller {
             me: me.node,
-            life,
+            process_incarnation,
             timing,
             current: record.state.clone(),
-            consensus: Consensus::new(me, record, now, life, of_consensus),
-            members: Members::default(),
+            consensus: Consensus::new(me, record, now, process_incarnation, of_consensus),
+            members: MemberRegistry::default(),
             lead: None,
             passed: BTreeMap::new(),
             passing: 0,
             held: VecDeque::new(),
-            rounds: Rounds::default(),
+            rounds: PendingUpdates::default(),
             news_due: false,
-            refreshed: Refreshed::default(),
+            refreshed: HeartbeatBatch::default(),
             primary_changes: Vec::new(),
             swept: f64::NEG_INFINITY,
             started: now,
@@ -237,12 +240,12 @@
     }
 
     /// What is to be on disk.
-    pub fn record(&self) -> &Record {
-        self.consensus.record()
+    pub fn hard_state(&self) -> &HardState {
+        self.consensus.hard_state()
     }
 
     /// The addresses of the machines that decide, as far as they are known here.
-    pub fn voters(&self) -> Vec<Node> {
+    pub fn voters(&self) -> Vec<NodeId> {
         self.consensus
             .voters()
             .iter()
@@ -251,7 +254,7 @@
     }
 
     /// Who leads, as far as is known here.
-    pub fn leader(&self) -> Option<Node> {
+    pub fn leader(&self) -> Option<NodeId> {
         self.consensus.leader().map(|leader| leader.node)
     }
 
@@ -261,39 +264,39 @@
     }
 
     /// A save of the record has succeeded.
-    pub fn saved(&mut self, now: f64) -> Vec<Output> {
+    pub fn persisted(&mut self, now: f64) -> Vec<Output> {
         let (mut out, mut outs) = (Vec::new(), Vec::new());
-        self.consensus.saved(now, &mut outs);
+        self.consensus.persisted(now, &mut outs);
         self.settle(now, outs, &mut out);
         out
     }
 
     /// A save of the record has failed: until the disk is opened anew this machine takes no part.
-    pub fn save_failed(&mut self, now: f64) -> Vec<Output> {
+    pub fn persist_failed(&mut self, now: f64) -> Vec<Output> {
         let (mut out, mut outs) = (Vec::new(), Vec::new());
-        self.consensus.save_failed(&mut outs);
+        self.consensus.persist_failed(&mut outs);
         self.settle(now, outs, &mut out);
         out
     }
 
     /// The disk is opened anew and holds this.
-    pub fn reopened(&mut self, now: f64, record: Record) {
-        self.consensus.reopened(now, record);
+    pub fn disk_reopened(&mut self, now: f64, record: HardState) {
+        self.consensus.disk_reopened(now, record);
     }
 
     /// A control machine has this address: it may be asked to let this one join.
-    pub fn contact(&mut self, node: Node) -> Vec<Output> {
-        self.consensus.contact(node);
+    pub fn peer_discovered(&mut self, node: NodeId) -> Vec<Output> {
+        self.consensus.peer_discovered(node);
         Vec::new()
     }
 
     /// Whether this machine, which is about to end, need not wait to be left out of the voters.
-    pub fn may_end(&self) -> bool {
-        self.consensus.may_end()
+    pub fn may_shut_down(&self) -> bool {
+        self.consensus.may_shut_down()
     }
 
     /// Whether this machine leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.lead.is_some()
     }
 
@@ -306,37 +309,37 @@
     }
 
     /// What the settings say of other control machines, and how many may be lost at once.
-    pub fn settings(&mut self, seeds: Vec<Node>, losses: usize) {
-        self.consensus.seeds(seeds);
-        self.consensus.outlives(losses);
+    pub fn set_seeds_and_budget(&mut self, seeds: Vec<NodeId>, losses: usize) {
+        self.consensus.set_seeds(seeds);
+        self.consensus.set_fault_budget(losses);
     }
 
     /// Whether this machine's word counts.
-    pub fn votes(&self) -> bool {
-        self.consensus.votes()
+    pub fn is_voter(&self) -> bool {
+        self.consensus.is_voter()
     }
 
     /// Whether this machine leads and knows that nobody else does.
-    pub fn acts(&self, now: f64) -> bool {
-        self.lead.is_some() && now < self.consensus.authority()
+    pub fn may_act(&self, now: f64) -> bool {
+        self.lead.is_some() && now < self.consensus.authority_until()
     }
 
     /// What is known of the servers.
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &MemberRegistry {
         &self.members
     }
 
     /// For logs and operators: service, phase, primary and its term.
-    pub fn primaries(&self) -> Vec<(String, &'static str, GrantNews)> {
+    pub fn primaries(&self) -> Vec<(String, &'static str, PrimaryGrant)> {
         let Some(lead) = &self.lead else {
             return Vec::new();
         };
         let of = |(service, f): (&String, &Failover)| {
-            let empty = GrantNews {
+            let empty = PrimaryGrant {
                 service: service.clone(),
-                id: String::new(),
-                term: 0,
-                closing: true,
+                server_id: String::new(),
+                primary_term: 0,
+                revoking: true,
             };
             let news = lead.grants.get(service).map_or(empty, |g| g.news.clone());
             (service.clone(), f.phase(), news)
@@ -351,8 +354,8 @@
     }
 
     /// The routers that hold a lease.
-    pub fn routers(&self, now: f64) -> usize {
-        self.lead.as_ref().map_or(0, |l| l.leases.held(now))
+    pub fn leased_routers(&self, now: f64) -> usize {
+        self.lead.as_ref().map_or(0, |l| l.leases.active(now))
     }
 
     /// The configuration's epoch and text as agreed, as far as is known here.
@@ -360,51 +363,54 @@
         let state = if self.lead.is_some() {
             &self.current
         } else {
-            &self.consensus.record().state
+            &self.consensus.hard_state().state
         };
-        (state.epoch, &state.config)
+        (state.config_epoch, &state.config)
     }
 
     fn settle(&mut self, now: f64, outs: Vec<ConsensusOutput>, out: &mut Vec<Output>) {
         for one in outs {
             match one {
-                ConsensusOutput::Save => out.push(Output::Save),
+                ConsensusOutput::Persist => out.push(Output::Persist),
                 ConsensusOutput::Send(to, message) => {
-                    out.push(Output::Peer(to, PeerMessage::Consensus(message)));
+                    out.push(Output::SendToPeer(to, PeerMessage::Consensus(message)));
                 }
-                ConsensusOutput::Won => self.won(now, out),
-                ConsensusOutput::Lost => self.lost(out),
-                ConsensusOutput::Agreed => self.agreed(now, out),
+                ConsensusOutput::BecameLeader => self.won(now, out),
+                ConsensusOutput::SteppedDown => self.lost(out),
+                ConsensusOutput::Committed => self.agreed(now, out),
             }
         }
     }
 
     fn won(&mut self, now: f64, out: &mut Vec<Output>) {
-        let fence = self.consensus.leads().map_or(0, |b| b.0);
-        self.current = self.consensus.record().state.clone();
-        log::info!("event=leads fence={fence} epoch={}", self.current.epoch);
+        let fencing_token = self.consensus.leader_term().map_or(0, |b| b.0);
+        self.current = self.consensus.hard_state().state.clone();
+        log::info!(
+            "event=leads fence={fencing_token} epoch={}",
+            self.current.config_epoch
+        );
         // Leases that another leader gave may run for their length from when it last could act, which was before this.
-        let before_us = now + self.timing.lease + 0.05;
-        self.lead = Some(Lead {
+        let before_us = now + self.timing.lease_duration + 0.05;
+        self.lead = Some(Leadership {
             since: now,
-            fence,
+            fencing_token,
             number: 1,
-            leases: Leases::begin(before_us),
+            leases: Leases::new(before_us),
             services: BTreeMap::new(),
             grants: BTreeMap::new(),
             withdrawn: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            telling: Telling::default(),
-            turns: Turns::default(),
+            telling: UpdateDistributor::default(),
+            turns: ServiceScheduler::default(),
             proposed: None,
             queue: VecDeque::new(),
             sync: HashMap::new(),
-            rosters: Rosters::default(),
+            rosters: SnapshotCollection::default(),
         });
         for member in self
             .members
             .all()
-            .map(|m| m.news.id.clone())
+            .map(|m| m.info.id.clone())
             .collect::<Vec<_>>()
         {
             self.members.restamp(&member, 1);
@@ -417,29 +423,33 @@
         log::info!("event=leads_no_longer");
         let Some(lead) = self.lead.take() else { return };
         for (session, _) in lead.sessions {
-            out.push(Output::Router(session, self.elsewhere()));
+            out.push(Output::SendToRouter(session, self.elsewhere()));
         }
         let waiting = lead.proposed.map(|(_, w)| w).into_iter().chain(lead.queue);
         for one in waiting {
             // It may hold or not: whoever asked must ask again.
             reply(
                 &one.origin,
-                Answer::error(503, "another machine leads now"),
+                ControlResponse::error(503, "another machine leads now"),
                 out,
             );
         }
     }
 
     fn agreed(&mut self, now: f64, out: &mut Vec<Output>) {
-        self.current = self.consensus.record().state.clone();
+        self.current = self.consensus.hard_state().state.clone();
         let Some(lead) = &mut self.lead else { return };
         if let Some((_, one)) = lead.proposed.take() {
             match one.wanted {
-                Wanted::Config { epoch, .. } => {
+                ProposedChange::Config { epoch, .. } => {
                     log::info!("event=config epoch={epoch}");
-                    reply(&one.origin, Answer::lasting(200, Rc::from([])), out);
+                    reply(
+                        &one.origin,
+                        ControlResponse::lasting(200, Rc::from([])),
+                        out,
+                    );
                 }
-                Wanted::Primary {
+                ProposedChange::Primary {
                     service, settled, ..
                 } => {
                     if !settled && let Some(failover) = lead.services.get_mut(&service) {
@@ -447,13 +457,13 @@
                         self.act(now, &service, act.into_iter().collect(), out);
                     }
                 }
-                Wanted::Read => {}
+                ProposedChange::Read => {}
             }
         }
         self.know_services();
         // A change of the voters goes before what waits: it may wait for nothing but a moment without another change.
         let mut outs = Vec::new();
-        self.consensus.change_membership(now, &mut outs);
+        self.consensus.advance_voter_change(now, &mut outs);
         self.settle(now, outs, out);
         self.next(now, out);
         self.tell_all(now, out);
@@ -470,20 +480,20 @@
         let number = self.lead.as_ref().map_or(0, |l| l.number + 1);
         if now - self.swept >= SWEEP {
             self.swept = now;
-            self.news_due |= self.members.sweep(now, self.timing.forget, number);
+            self.news_due |= self.members.expire(now, self.timing.member_timeout, number);
         }
         self.sweep_passed(now, &mut out);
         self.sweep_rounds(now, &mut out);
         self.retry_held(now, &mut out);
         if let Some(lead) = &mut self.lead {
             lead.turns.begin_tick(now);
-            if now < self.consensus.authority() {
+            if now < self.consensus.authority_until() {
                 self.step(now, &mut out);
             }
             self.next(now, &mut out);
             self.tell_all(now, &mut out);
             if let Some(lead) = &mut self.lead {
-                lead.leases.sweep(now);
+                lead.leases.expire(now);
             }
             self.sweep_orders(now, &mut out);
             self.ask_for_rosters(now, &mut out);
@@ -492,58 +502,77 @@
     }
 
     /// A message of another control machine.
-    pub fn peer(&mut self, now: f64, from: Voter, message: PeerMessage) -> Vec<Output> {
+    pub fn handle_peer_message(
+        &mut self,
+        now: f64,
+        from: Voter,
+        message: PeerMessage,
+    ) -> Vec<Output> {
         let mut out = Vec::new();
         match message {
             PeerMessage::Consensus(message) => {
                 let mut outs = Vec::new();
-                self.consensus.message(now, from, message, &mut outs);
+                self.consensus.step(now, from, message, &mut outs);
                 self.settle(now, outs, &mut out);
             }
-            PeerMessage::Members { round, news } => {
-                self.on_members(now, from, round, news, &mut out)
+            PeerMessage::MembersUpdate {
+                update_id: round,
+                members: news,
+            } => self.on_members(now, from, round, news, &mut out),
+            PeerMessage::MembersUpdateAck { update_id: round } => {
+                self.on_members_kept(from, round, &mut out)
+            }
+            PeerMessage::MembersSnapshotRequest { term } => {
+                self.on_roster_wanted(from, term, &mut out)
             }
-            PeerMessage::MembersKept { round } => self.on_members_kept(from, round, &mut out),
-            PeerMessage::RosterWanted { ballot } => self.on_roster_wanted(from, ballot, &mut out),
-            PeerMessage::Roster { ballot, news } => {
-                self.on_roster(now, from, ballot, news, &mut out)
+            PeerMessage::MembersSnapshot {
+                term,
+                members: news,
+            } => self.on_roster(now, from, term, news, &mut out),
+            PeerMessage::ForwardedRequest { id, request: call } => {
+                self.on_call(now, from, id, call, &mut out)
             }
-            PeerMessage::Call { id, call } => self.on_call(now, from, id, call, &mut out),
-            PeerMessage::SendWhole { id } => self.on_send_whole(from, id, &mut out),
-            PeerMessage::Answer { id, status, body } => {
+            PeerMessage::FullConfigRequest { id } => self.on_send_whole(from, id, &mut out),
+            PeerMessage::ForwardedResponse { id, status, body } => {
                 self.on_answer(from, id, status, body, &mut out)
             }
         }
         out
     }
 
-    /// A call from outside; its answer comes as [`Output::Reply`] under this number.
-    pub fn call(&mut self, now: f64, number: u64, call: Call) -> Vec<Output> {
+    /// A call from outside; its answer comes as [`Output::Respond`] under this number.
+    pub fn handle_request(&mut self, now: f64, number: u64, call: ControlRequest) -> Vec<Output> {
         let mut out = Vec::new();
         let stamp = self.lead.as_ref().map_or(0, |lead| lead.number + 1);
         match call {
-            Call::Beat { id, beat } => {
-                let news = self.members.beat(now, &id, &beat, stamp);
+            ControlRequest::Heartbeat {
+                server_id: id,
+                heartbeat: beat,
+            } => {
+                let news = self.members.heartbeat(now, &id, &beat, stamp);
                 self.news_due |= news.is_some() && stamp > 0 && self.members.is_stamped(&id, stamp);
                 self.take_beat(now, number, &id, news, &mut out);
             }
             // Its server may be known to the others, and this machine would acknowledge what nobody learns.
-            Call::Depart { id } if !self.members.knows(&id) && !self.has_listened(now) => {
-                out.push(Output::Reply(
+            ControlRequest::Depart { server_id: id }
+                if !self.members.knows(&id) && !self.has_listened(now) =>
+            {
+                out.push(Output::Respond(
                     number,
-                    Answer::error(503, "this server isn't known here yet"),
+                    ControlResponse::error(503, "this server isn't known here yet"),
                 ));
             }
-            Call::Depart { id } => {
+            ControlRequest::Depart { server_id: id } => {
                 let news = self.members.depart(now, &id, stamp);
-                if news.as_ref().is_some_and(|news| !news.gone) {
+                if news.as_ref().is_some_and(|news| !news.departed) {
                     log::info!("event=departs_undrained id={id}");
                 }
                 self.news_due |= news.is_some() && stamp > 0;
                 self.take_beat(now, number, &id, news, &mut out);
             }
             call => {
-                self.held.push_back((number, call, now + self.timing.call));
+                self.held
+                    .push_back((number, call, now + self.timing.request_timeout));
                 self.retry_held(now, &mut out);
             }
         }
@@ -552,7 +581,7 @@
 
     /// Whether this machine has run for so long that it knows all servers that are there.
     fn has_listened(&self, now: f64) -> bool {
-        now - self.started > HEARTBEATS_LISTENED * self.timing.service.heartbeat
+        now - self.started > HEARTBEATS_LISTENED * self.timing.failover.heartbeat_interval
     }
 
     /// A machine that is out of contact keeps what it heard, but sends its caller on: a server that only it knows of may
@@ -562,14 +591,14 @@
         now: f64,
         call: u64,
         id: &str,
-        news: Option<MemberNews>,
+        news: Option<MemberInfo>,
         out: &mut Vec<Output>,
     ) {
         self.know_services();
         if !self.consensus.in_contact(now) {
-            out.push(Output::Reply(
+            out.push(Output::Respond(
                 call,
-                Answer::error(503, "no contact with a majority of the control machines"),
+                ControlResponse::error(503, "no contact with a majority of the control machines"),
             ));
             return;
         }
--- a/crates/core/control/src/controller/beats.rs
+++ b/crates/core/control/src/controller/beats.rs
@@ -3,21 +3,21 @@
 
 use super::{Controller, Output};
 use crate::consensus::Recipient;
-use crate::message::{MemberNews, PeerMessage};
+use crate::message::{MemberInfo, PeerMessage};
 
 /// Beats are gathered for so many seconds: far less than the silence after which a server is forgotten.
 const GATHERED: f64 = 0.25;
 
 /// Beats since the last were passed on.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Refreshed {
-    news: Vec<MemberNews>,
+pub(super) struct HeartbeatBatch {
+    news: Vec<MemberInfo>,
     passed_on: f64,
 }
 
-impl Refreshed {
+impl HeartbeatBatch {
     /// A server was heard again.
-    pub(super) fn add(&mut self, news: MemberNews) {
+    pub(super) fn add(&mut self, news: MemberInfo) {
         self.news.push(news);
     }
 }
@@ -31,11 +31,11 @@
         self.refreshed.passed_on = now;
         let news = std::mem::take(&mut self.refreshed.news);
         for voter in self.other_voters() {
-            let message = PeerMessage::Members {
-                round: None,
-                news: news.clone(),
+            let message = PeerMessage::MembersUpdate {
+                update_id: None,
+                members: news.clone(),
             };
-            out.push(Output::Peer(Recipient::Voter(voter), message));
+            out.push(Output::SendToPeer(Recipient::Voter(voter), message));
         }
     }
 }
--- a/crates/core/control/src/controller/members_news.rs
+++ b/crates/core/control/src/controller/members_news.rs
@@ -5,12 +5,12 @@
 //! and a majority know it; and a new leader asks a majority for all that it knows before it replaces any primary. That a server
 //! leaves is on the disks of that majority, too, before it is acknowledged.
 
-use super::{Answer, Controller, Output};
-use crate::ballot::Ballot;
+use super::{ControlResponse, Controller, Output};
 use crate::consensus::Recipient;
 use crate::members::outlives_power_loss;
-use crate::membership::{Node, Voter};
-use crate::message::{MemberNews, PeerMessage};
+use crate::message::{MemberInfo, PeerMessage};
+use crate::term::Term;
+use crate::voter_set::{NodeId, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A caller waits so long for the others to know what it said, in seconds; it goes to another machine after a second.
@@ -20,25 +20,25 @@
 
 /// What has been told to the others, until a majority has said that it knows.
 #[derive(Clone, Debug)]
-struct Round {
+struct PendingUpdate {
     calls: Vec<u64>,
-    news: Vec<MemberNews>,
+    news: Vec<MemberInfo>,
     kept: BTreeSet<Voter>,
     until: f64,
 }
 
 /// Rounds under way.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rounds {
-    all: BTreeMap<u64, Round>,
+pub(super) struct PendingUpdates {
+    all: BTreeMap<u64, PendingUpdate>,
     newest: u64,
     /// What goes with the next tick: many servers are new at once when a machine starts.
-    next: Vec<(MemberNews, u64)>,
+    next: Vec<(MemberInfo, u64)>,
 }
 
 /// What a new leader has been told of servers by the others.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rosters {
+pub(super) struct SnapshotCollection {
     told: BTreeSet<Voter>,
     asked: f64,
 }
@@ -46,26 +46,29 @@
 impl Controller {
     /// Servers as they were known in a life before this one: who is gone by now will be missed as all others are. Those that
     /// drain have done so for so many seconds, as far as is known.
-    pub fn recall(&mut self, now: f64, kept: Vec<MemberNews>, drained: f64) {
-        self.members.recall(now, kept, drained);
+    pub fn restore_members(&mut self, now: f64, kept: Vec<MemberInfo>, drained: f64) {
+        self.members.restore(now, kept, drained);
     }
 
     /// A control machine has a connection again: it is told all that is known, as it may have missed it.
-    pub fn met(&mut self, node: Node) -> Vec<Output> {
+    pub fn peer_connected(&mut self, node: NodeId) -> Vec<Output> {
         let news = self.all_news();
         if news.is_empty() {
             return Vec::new();
         }
-        vec![Output::Peer(
+        vec![Output::SendToPeer(
             Recipient::Node(node),
-            PeerMessage::Members { round: None, news },
+            PeerMessage::MembersUpdate {
+                update_id: None,
+                members: news,
+            },
         )]
     }
 
-    fn all_news(&self) -> Vec<MemberNews> {
+    fn all_news(&self) -> Vec<MemberInfo> {
         self.members
             .all()
-            .map(|member| member.news.clone())
+            .map(|member| member.info.clone())
             .collect()
     }
 
@@ -75,7 +78,7 @@
         now: f64,
         from: Voter,
         round: Option<u64>,
-        news: Vec<MemberNews>,
+        news: Vec<MemberInfo>,
         out: &mut Vec<Output>,
     ) {
         let number = self.lead.as_ref().map_or(0, |lead| lead.number + 1);
@@ -87,9 +90,12 @@
         }
         self.know_services();
         if let Some(round) = round {
-            let kept = Output::Peer(Recipient::Voter(from), PeerMessage::MembersKept { round });
+            let kept = Output::SendToPeer(
+                Recipient::Voter(from),
+                PeerMessage::MembersUpdateAck { update_id: round },
+            );
             out.push(if to_disk {
-                Output::KeepServers(vec![kept])
+                Output::PersistMembers(vec![kept])
             } else {
                 kept
             });
@@ -101,16 +107,16 @@
     pub(super) fn tell_voters(
         &mut self,
         now: f64,
-        news: MemberNews,
+        news: MemberInfo,
         call: u64,
         out: &mut Vec<Output>,
     ) {
-        if self.members.is_confirmed(&news.id) {
+        if self.members.majority_knows(&news.id) {
             self.refreshed.add(news);
-            out.push(Output::Reply(call, accepted()));
+            out.push(Output::Respond(call, accepted()));
             return;
         }
-        if news.draining || news.gone {
+        if news.draining || news.departed {
             self.begin_round(now, vec![(news, call)], out);
         } else {
             self.rounds.next.push((news, call));
@@ -125,23 +131,23 @@
         }
     }
 
-    fn begin_round(&mut self, now: f64, told: Vec<(MemberNews, u64)>, out: &mut Vec<Output>) {
-        let (news, calls): (Vec<MemberNews>, Vec<u64>) = told.into_iter().unzip();
+    fn begin_round(&mut self, now: f64, told: Vec<(MemberInfo, u64)>, out: &mut Vec<Output>) {
+        let (news, calls): (Vec<MemberInfo>, Vec<u64>) = told.into_iter().unzip();
         self.rounds.newest += 1;
         let round = self.rounds.newest;
         let mut told = Vec::new();
         for voter in self.other_voters() {
-            let message = PeerMessage::Members {
-                round: Some(round),
-                news: news.clone(),
+            let message = PeerMessage::MembersUpdate {
+                update_id: Some(round),
+                members: news.clone(),
             };
-            told.push(Output::Peer(Recipient::Voter(voter), message));
+            told.push(Output::SendToPeer(Recipient::Voter(voter), message));
         }
         let kept = BTreeSet::from([self.consensus.me()]);
         let to_disk = news.iter().any(outlives_power_loss);
         self.rounds.all.insert(
             round,
-            Round {
+            PendingUpdate {
                 calls,
                 news,
                 kept,
@@ -151,15 +157,15 @@
         self.finish_round(round, &mut told);
         match to_disk {
             // After a loss of all processes nobody may say it again in time.
-            true => out.push(Output::KeepServers(told)),
+            true => out.push(Output::PersistMembers(told)),
             false => out.append(&mut told),
         }
     }
 
     /// A call that says nothing new is answered at once, or with the round in which that is told.
     pub(super) fn already_told(&mut self, id: &str, call: u64, out: &mut Vec<Output>) {
-        if self.members.is_confirmed(id) {
-            out.push(Output::Reply(call, accepted()));
+        if self.members.majority_knows(id) {
+            out.push(Output::Respond(call, accepted()));
             return;
         }
         if let Some(news) = self
@@ -172,10 +178,10 @@
             self.rounds.next.push((news, call));
             return;
         }
-        let tells = |round: &&mut Round| round.news.iter().any(|news| news.id == id);
+        let tells = |round: &&mut PendingUpdate| round.news.iter().any(|news| news.id == id);
         match self.rounds.all.values_mut().rev().find(tells) {
             Some(round) => round.calls.push(call),
-            None => out.push(Output::Reply(call, accepted())),
+            None => out.push(Output::Respond(call, accepted())),
         }
     }
 
@@ -191,7 +197,7 @@
             return;
         };
         let leader = self.consensus.leader();
-        let membership = &self.consensus.record().state.membership;
+        let membership = &self.consensus.hard_state().state.voters;
         let kept = |voter| under_way.kept.contains(&voter);
         if !leader.is_some_and(kept) || !membership.is_quorum(kept) {
             return;
@@ -200,26 +206,26 @@
             under_way
                 .news
                 .iter()
-                .for_each(|news| self.members.confirm(news));
+                .for_each(|news| self.members.mark_majority_knows(news));
             out.extend(
                 under_way
                     .calls
                     .into_iter()
-                    .map(|call| Output::Reply(call, accepted())),
+                    .map(|call| Output::Respond(call, accepted())),
             );
         }
     }
 
     /// Gives up rounds that take too long: the caller goes to another machine.
     pub(super) fn sweep_rounds(&mut self, now: f64, out: &mut Vec<Output>) {
-        let late = |round: &Round| now > round.until;
+        let late = |round: &PendingUpdate| now > round.until;
         for round in self.rounds.all.values().filter(|round| late(round)) {
-            let answer = || Answer::error(503, "the other control machines don't answer");
+            let answer = || ControlResponse::error(503, "the other control machines don't answer");
             out.extend(
                 round
                     .calls
                     .iter()
-                    .map(|call| Output::Reply(*call, answer())),
+                    .map(|call| Output::Respond(*call, answer())),
             );
         }
         self.rounds.all.retain(|_, round| !late(round));
@@ -234,14 +240,14 @@
             return;
         }
         lead.rosters.asked = now;
-        let ballot = Ballot(lead.fence);
+        let term = Term(lead.fencing_token);
         for voter in others
             .into_iter()
             .filter(|voter| !lead.rosters.told.contains(voter))
         {
-            out.push(Output::Peer(
+            out.push(Output::SendToPeer(
                 Recipient::Voter(voter),
-                PeerMessage::RosterWanted { ballot },
+                PeerMessage::MembersSnapshotRequest { term },
             ));
         }
     }
@@ -250,17 +256,20 @@
     /// acknowledged to a server before is known here.
     pub(super) fn informed(&self) -> bool {
         let Some(lead) = &self.lead else { return false };
-        let membership = &self.consensus.record().state.membership;
+        let membership = &self.consensus.hard_state().state.voters;
         membership
             .is_quorum(|voter| voter == self.consensus.me() || lead.rosters.told.contains(&voter))
     }
 
-    pub(super) fn on_roster_wanted(&mut self, from: Voter, ballot: Ballot, out: &mut Vec<Output>) {
+    pub(super) fn on_roster_wanted(&mut self, from: Voter, term: Term, out: &mut Vec<Output>) {
         if self.consensus.leader() == Some(from) {
             let news = self.all_news();
-            out.push(Output::Peer(
+            out.push(Output::SendToPeer(
                 Recipient::Voter(from),
-                PeerMessage::Roster { ballot, news },
+                PeerMessage::MembersSnapshot {
+                    term,
+                    members: news,
+                },
             ));
         }
     }
@@ -269,20 +278,20 @@
         &mut self,
         now: f64,
         from: Voter,
-        ballot: Ballot,
-        news: Vec<MemberNews>,
+        term: Term,
+        news: Vec<MemberInfo>,
         out: &mut Vec<Output>,
     ) {
         self.on_members(now, from, None, news, out);
         if let Some(lead) = &mut self.lead
-            && Ballot(lead.fence) == ballot
+            && Term(lead.fencing_token) == term
         {
             lead.rosters.told.insert(from);
         }
     }
 
     pub(super) fn other_voters(&self) -> Vec<Voter> {
-        let membership = &self.consensus.record().state.membership;
+        let membership = &self.consensus.hard_state().state.voters;
         membership
             .all()
             .filter(|voter| *voter != self.consensus.me())
@@ -290,6 +299,6 @@
     }
 }
 
-fn accepted() -> Answer {
-    Answer::lasting(200, b"{}".as_slice().into())
+fn accepted() -> ControlResponse {
+    ControlResponse::lasting(200, b"{}".as_slice().into())
 }
--- a/crates/core/control/src/controller/news.rs
+++ b/crates/core/control/src/controller/news.rs
@@ -4,10 +4,10 @@
 //! sessions a tick, each of which has one news under way at most: what changes meanwhile is told with the next one, once the
 //! router has said that it knows the last. Nothing queues up for a router that is slow, and none is told twice what it took.
 
-use super::{Controller, Lead, Output, SETTLED};
-use crate::ballot::Ballot;
-use crate::difference::Difference;
-use crate::message::{ConfigNews, ToControl, ToRouter};
+use super::{Controller, Leadership, Output, SETTLED};
+use crate::message::{ConfigUpdate, LeaseRequest, RouterMessage};
+use crate::term::Term;
+use crate::text_delta::TextDelta;
 use std::rc::Rc;
 
 /// To so many sessions news goes in one tick, at most.
@@ -83,12 +83,12 @@
 
 /// What a leader keeps to tell its sessions.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Telling {
+pub(super) struct UpdateDistributor {
     /// The session that was told last: the next turn begins behind it.
     last: u64,
     /// The configuration's epoch that the newest number covers.
     epoch: u64,
-    shared: Vec<Shared>,
+    shared: Vec<CachedUpdate>,
     /// How many routers there are; 0 while that isn't known.
     routers: u32,
     /// Services of whose primary routers are to tell what they saw.
@@ -97,7 +97,7 @@
     wants: u64,
 }
 
-impl Telling {
+impl UpdateDistributor {
     /// Routers are to tell what they saw of the primaries of these services.
     pub(super) fn want_evidence(&mut self, services: Vec<String>) {
         let added = services
@@ -110,7 +110,7 @@
 
 /// News for all sessions that lack the same.
 #[derive(Clone, Debug)]
-struct Shared {
+struct CachedUpdate {
     /// The number after which it tells what changed; 0 for all there is.
     after: u64,
     /// The configuration of those that lack the newest one, which is with it then.
@@ -119,15 +119,15 @@
     number: u64,
     epoch: u64,
     made: f64,
-    news: Rc<ToRouter>,
+    news: Rc<RouterMessage>,
 }
 
 impl Controller {
-    pub(super) fn elsewhere(&self) -> ToRouter {
+    pub(super) fn elsewhere(&self) -> RouterMessage {
         let leader = self
             .leader()
             .filter(|l| *l != self.me || self.lead.is_some());
-        ToRouter::Elsewhere {
+        RouterMessage::NotLeader {
             leader,
             voters: self.voters(),
         }
@@ -135,20 +135,20 @@
 
     /// Tells routers what they don't know yet, as many as have their turn. To be called at each tick.
     pub(super) fn tell_all(&mut self, now: f64, out: &mut Vec<Output>) {
-        if now >= self.consensus.authority() {
+        if now >= self.consensus.authority_until() {
             return;
         }
         let Some(mut lead) = self.lead.take() else {
             return;
         };
         // What came in one step is told under one number: changes come in crowds.
-        if std::mem::take(&mut self.news_due) || lead.telling.epoch < self.current.epoch {
+        if std::mem::take(&mut self.news_due) || lead.telling.epoch < self.current.config_epoch {
             lead.number += 1;
-            lead.telling.epoch = self.current.epoch;
+            lead.telling.epoch = self.current.config_epoch;
         }
         let settled = now - lead.since >= SETTLED;
         lead.telling.routers = if settled {
-            lead.leases.present(now, self.timing.lease) as u32
+            lead.leases.recently_seen(now, self.timing.lease_duration) as u32
         } else {
             0
         };
@@ -156,49 +156,49 @@
         lead.telling
             .shared
             .retain(|s| s.number == number || now - s.made < WHOLE_KEPT);
-        for id in next_turns(&lead, self.current.epoch) {
+        for id in next_turns(&lead, self.current.config_epoch) {
             let news = self.tell(now, &mut lead, id);
-            out.extend(news.map(|news| Output::News(id, news)));
+            out.extend(news.map(|news| Output::SendUpdate(id, news)));
         }
         self.ask_for_evidence(now, &mut lead, out);
         self.lead = Some(lead);
     }
 
     /// Whoever wasn't told yet of which primaries evidence is wanted is asked at once: its next renewal may come too late.
-    fn ask_for_evidence(&self, now: f64, lead: &mut Lead, out: &mut Vec<Output>) {
+    fn ask_for_evidence(&self, now: f64, lead: &mut Leadership, out: &mut Vec<Output>) {
         let (most, wants) = (lead.turns.share(SESSIONS_A_TICK), lead.telling.wants);
         let due = |s: &Session| s.wants_told < wants && now - s.asked_at > EVIDENCE_AGAIN;
         if lead.telling.evidence_wanted.is_empty() || !lead.sessions.values().any(due) {
             return;
         }
-        let ballot = Ballot(lead.fence);
+        let term = Term(lead.fencing_token);
         let due = lead
             .sessions
             .iter_mut()
             .filter(|(_, s)| due(s) && !s.is_under_way());
         for (id, session) in due.take(most) {
             (session.wants_told, session.asked_at) = (wants, now);
-            let question = ToRouter::News {
-                known: (ballot, session.confirmed),
-                sent: None,
-                lease: 0.0,
-                whole: false,
+            let question = RouterMessage::Update {
+                update_watermark: (term, session.confirmed),
+                request_sent_at: None,
+                lease_duration: 0.0,
+                is_snapshot: false,
                 grants: Vec::new(),
                 members: Vec::new(),
                 config: None,
                 voters: Vec::new(),
-                routers: 0,
-                evidence_wanted: lead.telling.evidence_wanted.clone(),
+                router_count: 0,
+                health_reports_wanted: lead.telling.evidence_wanted.clone(),
             };
-            out.push(Output::Router(*id, question));
+            out.push(Output::SendToRouter(*id, question));
         }
     }
 
     /// What this session lacks, which counts as told from now on.
-    fn tell(&self, now: f64, lead: &mut Lead, id: u64) -> Option<Rc<ToRouter>> {
+    fn tell(&self, now: f64, lead: &mut Leadership, id: u64) -> Option<Rc<RouterMessage>> {
         let session = lead.sessions.get(&id)?;
         let (after, floor) = (session.told, session.floor);
-        let lacks = session.epoch < self.current.epoch;
+        let lacks = session.epoch < self.current.config_epoch;
         let shared = self.shared(now, lead, (after, floor), lacks.then_some(session.epoch));
         let session = lead.sessions.get_mut(&id)?;
         session.told = shared.number;
@@ -212,12 +212,12 @@
     fn shared(
         &self,
         now: f64,
-        lead: &mut Lead,
+        lead: &mut Leadership,
         (after, floor): (u64, u64),
         config_since: Option<u64>,
-    ) -> Shared {
-        let fits = |s: &&Shared| {
-            let newest = s.number == lead.number && s.epoch == self.current.epoch;
+    ) -> CachedUpdate {
+        let fits = |s: &&CachedUpdate| {
+            let newest = s.number == lead.number && s.epoch == self.current.config_epoch;
             let enough = newest || after == 0 && s.number >= floor;
             s.after == after && s.config_since == config_since && enough
         };
@@ -226,11 +226,11 @@
         }
         let news = Rc::new(self.news(lead, after, config_since));
         let epoch = if config_since.is_some() {
-            self.current.epoch
+            self.current.config_epoch
         } else {
             0
         };
-        let made = Shared {
+        let made = CachedUpdate {
             after,
             config_since,
             number: lead.number,
@@ -246,106 +246,119 @@
     }
 
     /// All that changed after this number.
-    fn news(&self, lead: &Lead, after: u64, config_since: Option<u64>) -> ToRouter {
+    fn news(&self, lead: &Leadership, after: u64, config_since: Option<u64>) -> RouterMessage {
         let whole = after == 0;
         let members = self
             .members
             .all()
-            .filter(|m| m.stamp > after && !(whole && m.news.gone));
-        ToRouter::News {
-            known: (Ballot(lead.fence), lead.number),
-            sent: None,
-            lease: 0.0,
-            whole,
+            .filter(|m| m.changed_in_update > after && !(whole && m.info.departed));
+        RouterMessage::Update {
+            update_watermark: (Term(lead.fencing_token), lead.number),
+            request_sent_at: None,
+            lease_duration: 0.0,
+            is_snapshot: whole,
             grants: lead
                 .grants
                 .values()
                 .filter(|g| g.stamp > after)
                 .map(|g| g.news.clone())
                 .collect(),
-            members: members.map(|m| m.news.clone()).collect(),
+            members: members.map(|m| m.info.clone()).collect(),
             config: config_since.map(|epoch| self.config_news(epoch)),
             voters: self.voters(),
-            routers: lead.telling.routers,
-            evidence_wanted: lead.telling.evidence_wanted.clone(),
+            router_count: lead.telling.routers,
+            health_reports_wanted: lead.telling.evidence_wanted.clone(),
         }
     }
 
     /// The configuration, for routers that go by the one of this epoch: the changes, where they are known and shorter.
-    fn config_news(&self, epoch: u64) -> ConfigNews {
-        let whole = || ConfigNews::Whole(self.current.config.clone());
+    fn config_news(&self, epoch: u64) -> ConfigUpdate {
+        let whole = || ConfigUpdate::Full(self.current.config.clone());
         let changes = self
             .consensus
             .history()
-            .configs_between(epoch, self.current.epoch);
+            .config_deltas(epoch, self.current.config_epoch);
         let size =
-            |changes: &[Rc<Difference>]| changes.iter().map(|change| change.size()).sum::<usize>();
+            |changes: &[Rc<TextDelta>]| changes.iter().map(|change| change.size()).sum::<usize>();
         let shorter = changes.filter(|changes| size(changes) < self.current.config.len());
-        shorter.map_or_else(whole, ConfigNews::Changes)
+        shorter.map_or_else(whole, ConfigUpdate::Deltas)
     }
 
     /// A router asks for its lease on this session.
-    pub fn router(&mut self, now: f64, session: u64, call: ToControl) -> Vec<Output> {
-        let authority = self.consensus.authority();
-        if self.lead.is_some() && now >= authority + 0.5 * self.timing.suspect {
+    pub fn handle_lease_request(
+        &mut self,
+        now: f64,
+        session: u64,
+        call: LeaseRequest,
+    ) -> Vec<Output> {
+        let authority = self.consensus.authority_until();
+        if self.lead.is_some() && now >= authority + 0.5 * self.timing.election_timeout {
             // Cut off from the others: somebody else may lead by now.
-            let elsewhere = ToRouter::Elsewhere {
+            let elsewhere = RouterMessage::NotLeader {
                 leader: None,
                 voters: self.voters(),
             };
-            return vec![Output::Router(session, elsewhere)];
+            return vec![Output::SendToRouter(session, elsewhere)];
         }
         let (elsewhere, voters) = (self.elsewhere(), self.voters());
         let Some(lead) = &mut self.lead else {
-            return vec![Output::Router(session, elsewhere)];
+            return vec![Output::SendToRouter(session, elsewhere)];
         };
-        for seen in &call.evidence {
-            let answered = now - seen.answered;
+        for seen in &call.health_reports {
+            let answered = now - seen.answered_seconds_ago;
             if let Some(failover) = lead.services.get_mut(&seen.service) {
-                failover.evidence(&seen.id, answered);
+                failover.evidence(&seen.server_id, answered);
             }
             // Whoever answers a router is there, though control doesn't reach it.
-            self.members.answered(answered, &seen.id);
+            self.members.seen_alive(answered, &seen.server_id);
         }
-        let ballot = Ballot(lead.fence);
-        let known = if call.known.0 == ballot {
-            call.known.1
+        let term = Term(lead.fencing_token);
+        let known = if call.update_watermark.0 == term {
+            call.update_watermark.1
         } else {
             0
         };
-        let floor = lead.leases.known(&call.router, call.life);
+        let floor = lead
+            .leases
+            .acknowledged(&call.router, call.process_incarnation);
         let of = lead
             .sessions
             .entry(session)
-            .or_insert_with(|| Session::new(call.router.clone(), known, floor, call.epoch));
-        of.confirm(now, known, call.epoch);
+            .or_insert_with(|| Session::new(call.router.clone(), known, floor, call.config_epoch));
+        of.confirm(now, known, call.config_epoch);
         of.wants_told = lead.telling.wants;
         // Whoever was told nothing by this leader has no grants that a lease could cover.
-        let may_hold =
-            of.confirmed > 0 && lead.leases.may_hold(now, &call.router, call.life, known);
+        let may_hold = of.confirmed > 0
+            && lead
+                .leases
+                .may_renew(now, &call.router, call.process_incarnation, known);
         let leased = now < authority && may_hold;
-        let lease = if leased { self.timing.lease } else { 0.0 };
+        let lease = if leased {
+            self.timing.lease_duration
+        } else {
+            0.0
+        };
         if now < authority {
             lead.leases
-                .renew(now, &call.router, call.life, known, lease);
+                .renew(now, &call.router, call.process_incarnation, known, lease);
         }
-        let answer = ToRouter::News {
-            known: (ballot, of.confirmed),
-            sent: Some(call.sent),
-            lease,
-            whole: false,
+        let answer = RouterMessage::Update {
+            update_watermark: (term, of.confirmed),
+            request_sent_at: Some(call.sent_at),
+            lease_duration: lease,
+            is_snapshot: false,
             grants: Vec::new(),
             members: Vec::new(),
             config: None,
             voters,
-            routers: lead.telling.routers,
-            evidence_wanted: lead.telling.evidence_wanted.clone(),
+            router_count: lead.telling.routers,
+            health_reports_wanted: lead.telling.evidence_wanted.clone(),
         };
-        vec![Output::Router(session, answer)]
+        vec![Output::SendToRouter(session, answer)]
     }
 
     /// A session's connection has ended. The lease that its router holds goes on.
-    pub fn gone(&mut self, session: u64) {
+    pub fn session_closed(&mut self, session: u64) {
         if let Some(lead) = &mut self.lead
             && let Some(session) = lead.sessions.remove(&session)
         {
@@ -355,7 +368,7 @@
 }
 
 /// The sessions that are told something in this tick: those that lack something and have nothing under way, in turn.
-fn next_turns(lead: &Lead, epoch: u64) -> Vec<u64> {
+fn next_turns(lead: &Leadership, epoch: u64) -> Vec<u64> {
     let last = lead.telling.last;
     let behind = lead
         .sessions
--- a/crates/core/control/src/controller/orders.rs
+++ b/crates/core/control/src/controller/orders.rs
@@ -1,35 +1,35 @@
 //! Calls that only the leader can settle, and the changes that it proposes one at a time.
 
-use super::{Answer, Call, Controller, Output};
+use super::{ControlRequest, ControlResponse, Controller, Output};
 use crate::consensus::Recipient;
-use crate::membership::Voter;
-use crate::message::{CallId, LeaderCall, PeerMessage};
-use crate::state::{Change, Primary, Text, Verdict};
+use crate::message::{LeaderRequest, PeerMessage, RequestId};
+use crate::state::{ConfigPayload, PrimaryRecord, ReplaceVerdict, StateChange};
+use crate::voter_set::Voter;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 /// Who waits for an answer.
 #[derive(Clone, Debug)]
-pub(super) enum Origin {
+pub(super) enum Requester {
     /// Nobody: a step of a service proposed it.
     Nobody,
     /// Whoever made the call of this number here.
     Here(u64),
     /// Another control machine, which passed the call on.
-    There(Voter, CallId),
+    There(Voter, RequestId),
 }
 
 /// What waits until it can be settled.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
-    pub(super) origin: Origin,
+pub(super) struct PendingProposal {
+    pub(super) origin: Requester,
     pub(super) until: f64,
-    pub(super) wanted: Wanted,
+    pub(super) wanted: ProposedChange,
 }
 
 /// What is asked for.
 #[derive(Clone, Debug)]
-pub(super) enum Wanted {
+pub(super) enum ProposedChange {
     /// This configuration.
     Config {
         base: u64,
@@ -49,44 +49,47 @@
 
 /// A call that was passed on to the leader.
 #[derive(Clone, Debug)]
-pub(super) struct Passed {
+pub(super) struct ForwardedRequest {
     /// The number of the call here.
     call: u64,
     /// Whom it was passed on to: nobody else's answer is taken.
     to: Voter,
     until: f64,
     /// The call, in case its text has to be sent whole.
-    what: Call,
+    what: ControlRequest,
 }
 
 impl Controller {
     /// Proposes the next of what waits.
     pub(super) fn next(&mut self, now: f64, out: &mut Vec<Output>) {
         loop {
-            let authority = self.consensus.authority();
+            let authority = self.consensus.authority_until();
             let Some(lead) = &mut self.lead else { return };
-            if lead.proposed.is_some() || now >= authority || self.consensus.agreed().is_none() {
+            if lead.proposed.is_some()
+                || now >= authority
+                || self.consensus.committed_state().is_none()
+            {
                 return;
             }
             let Some(one) = lead.queue.pop_front() else {
                 return;
             };
             let change = match &one.wanted {
-                Wanted::Read => {
+                ProposedChange::Read => {
                     reply(
                         &one.origin,
-                        Answer::until(authority, 200, self.current.config.clone()),
+                        ControlResponse::until(authority, 200, self.current.config.clone()),
                         out,
                     );
                     continue;
                 }
-                Wanted::Config { base, epoch, body } => {
-                    match self.current.judge(*base, *epoch, body) {
-                        Verdict::Next => self.current.change_config(*epoch, body),
+                ProposedChange::Config { base, epoch, body } => {
+                    match self.current.check_replace(*base, *epoch, body) {
+                        ReplaceVerdict::Apply => self.current.config_change(*epoch, body),
                         verdict => {
                             reply(
                                 &one.origin,
-                                refusal(verdict, self.current.epoch, authority),
+                                refusal(verdict, self.current.config_epoch, authority),
                                 out,
                             );
                             continue;
@@ -94,7 +97,7 @@
                     }
                 }
                 // By now another change may have begun.
-                Wanted::Primary {
+                ProposedChange::Primary {
                     service,
                     to,
                     above,
@@ -106,23 +109,23 @@
                 {
                     continue;
                 }
-                Wanted::Primary {
+                ProposedChange::Primary {
                     service, to, above, ..
                 } => {
-                    let primary = Primary {
-                        id: to.clone(),
-                        above: *above,
+                    let primary = PrimaryRecord {
+                        server_id: to.clone(),
+                        min_term: *above,
                     };
-                    Change::Primary {
+                    StateChange::Primary {
                         service: service.clone(),
                         primary,
                     }
                 }
             };
             let mut outs = Vec::new();
-            let seq = self.consensus.propose(now, change, &mut outs);
-            if let (Some(seq), Some(lead)) = (seq, &mut self.lead) {
-                lead.proposed = Some((seq, one));
+            let version = self.consensus.propose(now, change, &mut outs);
+            if let (Some(version), Some(lead)) = (version, &mut self.lead) {
+                lead.proposed = Some((version, one));
             }
             self.settle(now, outs, out);
         }
@@ -133,23 +136,27 @@
     pub(super) fn sweep_orders(&mut self, now: f64, out: &mut Vec<Output>) {
         let Some(lead) = &mut self.lead else { return };
         let queue = std::mem::take(&mut lead.queue);
-        let (late, kept): (VecDeque<Waiting>, _) =
+        let (late, kept): (VecDeque<PendingProposal>, _) =
             queue.into_iter().partition(|one| now > one.until);
         lead.queue = kept;
         if let Some((_, one)) = lead.proposed.as_mut().filter(|(_, one)| now > one.until) {
-            let origin = std::mem::replace(&mut one.origin, Origin::Nobody);
+            let origin = std::mem::replace(&mut one.origin, Requester::Nobody);
             one.until = f64::INFINITY;
-            reply(&origin, Answer::error(503, "not agreed on yet"), out);
+            reply(
+                &origin,
+                ControlResponse::error(503, "not agreed on yet"),
+                out,
+            );
         }
         for one in late {
             self.give_up(now, one, out);
         }
     }
 
-    fn give_up(&mut self, now: f64, one: Waiting, out: &mut Vec<Output>) {
+    fn give_up(&mut self, now: f64, one: PendingProposal, out: &mut Vec<Output>) {
         match one.wanted {
-            Wanted::Primary { settled: true, .. } => {}
-            Wanted::Primary { service, .. } => {
+            ProposedChange::Primary { settled: true, .. } => {}
+            ProposedChange::Primary { service, .. } => {
                 if let Some(failover) = self
                     .lead
                     .as_mut()
@@ -160,7 +167,7 @@
             }
             _ => reply(
                 &one.origin,
-                Answer::error(503, "nothing could be agreed on in time"),
+                ControlResponse::error(503, "nothing could be agreed on in time"),
                 out,
             ),
         }
@@ -177,14 +184,14 @@
                 .leader()
                 .filter(|leader| *leader != self.consensus.me());
             if now > until {
-                out.push(Output::Reply(
+                out.push(Output::Respond(
                     number,
-                    Answer::error(503, "no machine leads"),
+                    ControlResponse::error(503, "no machine leads"),
                 ));
             } else if let Some(lead) = &mut self.lead {
                 let wanted = wanted(call);
-                lead.queue.push_back(Waiting {
-                    origin: Origin::Here(number),
+                lead.queue.push_back(PendingProposal {
+                    origin: Requester::Here(number),
                     until,
                     wanted,
                 });
@@ -201,38 +208,46 @@
         &mut self,
         number: u64,
         leader: Voter,
-        call: Call,
+        call: ControlRequest,
         until: f64,
         out: &mut Vec<Output>,
     ) {
         self.passing += 1;
-        let id = CallId {
-            life: self.life,
-            number: self.passing,
+        let id = RequestId {
+            process_incarnation: self.process_incarnation,
+            sequence: self.passing,
         };
         let message = match &call {
-            Call::Replace { base, epoch, body } => {
-                let text = Text::from_to(&self.consensus.record().state.config, body);
-                LeaderCall::Replace {
-                    base: *base,
+            ControlRequest::ReplaceConfig {
+                base_epoch: base,
+                epoch,
+                body,
+            } => {
+                let text =
+                    ConfigPayload::relative_to(&self.consensus.hard_state().state.config, body);
+                LeaderRequest::ReplaceConfig {
+                    base_epoch: *base,
                     epoch: *epoch,
-                    text,
+                    config: text,
                 }
             }
-            _ => LeaderCall::Read,
+            _ => LeaderRequest::ReadConfig,
         };
         self.passed.insert(
             self.passing,
-            Passed {
+            ForwardedRequest {
                 call: number,
                 to: leader,
                 until,
                 what: call,
             },
         );
-        out.push(Output::Peer(
+        out.push(Output::SendToPeer(
             Recipient::Voter(leader),
-            PeerMessage::Call { id, call: message },
+            PeerMessage::ForwardedRequest {
+                id,
+                request: message,
+            },
         ));
     }
 
@@ -241,30 +256,34 @@
         &mut self,
         now: f64,
         from: Voter,
-        id: CallId,
-        call: LeaderCall,
+        id: RequestId,
+        call: LeaderRequest,
         out: &mut Vec<Output>,
     ) {
-        let origin = Origin::There(from, id);
+        let origin = Requester::There(from, id);
         let current = &self.current.config;
         let wanted = match call {
-            LeaderCall::Read => Some(Wanted::Read),
-            LeaderCall::Replace { base, epoch, text } => text
+            LeaderRequest::ReadConfig => Some(ProposedChange::Read),
+            LeaderRequest::ReplaceConfig {
+                base_epoch: base,
+                epoch,
+                config: text,
+            } => text
                 .resolve(current)
-                .map(|body| Wanted::Config { base, epoch, body }),
+                .map(|body| ProposedChange::Config { base, epoch, body }),
         };
-        let until = now + self.timing.call;
+        let until = now + self.timing.request_timeout;
         match (&mut self.lead, wanted) {
             (None, _) => reply(
                 &origin,
-                Answer::error(503, "this machine doesn't lead"),
+                ControlResponse::error(503, "this machine doesn't lead"),
                 out,
             ),
-            (Some(_), None) => out.push(Output::Peer(
+            (Some(_), None) => out.push(Output::SendToPeer(
                 Recipient::Voter(from),
-                PeerMessage::SendWhole { id },
+                PeerMessage::FullConfigRequest { id },
             )),
-            (Some(lead), Some(wanted)) => lead.queue.push_back(Waiting {
+            (Some(lead), Some(wanted)) => lead.queue.push_back(PendingProposal {
                 origin,
                 until,
                 wanted,
@@ -274,26 +293,30 @@
     }
 
     /// The leader has not the configuration against which the text of a call was written.
-    pub(super) fn on_send_whole(&mut self, from: Voter, id: CallId, out: &mut Vec<Output>) {
-        let passed = self
-            .passed
-            .get(&id.number)
-            .filter(|passed| passed.to == from && id.life == self.life);
-        let Some(Passed {
-            what: Call::Replace { base, epoch, body },
+    pub(super) fn on_send_whole(&mut self, from: Voter, id: RequestId, out: &mut Vec<Output>) {
+        let passed = self.passed.get(&id.sequence).filter(|passed| {
+            passed.to == from && id.process_incarnation == self.process_incarnation
+        });
+        let Some(ForwardedRequest {
+            what:
+                ControlRequest::ReplaceConfig {
+                    base_epoch: base,
+                    epoch,
+                    body,
+                },
             ..
         }) = passed
         else {
             return;
         };
-        let call = LeaderCall::Replace {
-            base: *base,
+        let call = LeaderRequest::ReplaceConfig {
+            base_epoch: *base,
             epoch: *epoch,
-            text: Text::Whole(body.clone()),
+            config: ConfigPayload::Full(body.clone()),
         };
-        out.push(Output::Peer(
+        out.push(Output::SendToPeer(
             Recipient::Voter(from),
-            PeerMessage::Call { id, call },
+            PeerMessage::ForwardedRequest { id, request: call },
         ));
     }
 
@@ -301,22 +324,22 @@
     pub(super) fn on_answer(
         &mut self,
         from: Voter,
-        id: CallId,
+        id: RequestId,
         status: u16,
         body: Rc<[u8]>,
         out: &mut Vec<Output>,
     ) {
         let asked = self
             .passed
-            .get(&id.number)
+            .get(&id.sequence)
             .is_some_and(|passed| passed.to == from);
         if asked
-            && id.life == self.life
-            && let Some(passed) = self.passed.remove(&id.number)
+            && id.process_incarnation == self.process_incarnation
+            && let Some(passed) = self.passed.remove(&id.sequence)
         {
-            out.push(Output::Reply(
+            out.push(Output::Respond(
                 passed.call,
-                Answer::until(passed.until, status, body),
+                ControlResponse::until(passed.until, status, body),
             ));
         }
     }
@@ -324,35 +347,39 @@
     /// Calls that were passed on and have no answer in time.
     pub(super) fn sweep_passed(&mut self, now: f64, out: &mut Vec<Output>) {
         for passed in self.passed.values().filter(|passed| now > passed.until) {
-            let answer = Answer::error(503, "no answer from the machine that leads");
-            out.push(Output::Reply(passed.call, answer));
+            let answer = ControlResponse::error(503, "no answer from the machine that leads");
+            out.push(Output::Respond(passed.call, answer));
         }
         self.passed.retain(|_, passed| now <= passed.until);
     }
 }
 
-fn wanted(call: Call) -> Wanted {
+fn wanted(call: ControlRequest) -> ProposedChange {
     match call {
-        Call::Replace { base, epoch, body } => Wanted::Config { base, epoch, body },
-        _ => Wanted::Read,
+        ControlRequest::ReplaceConfig {
+            base_epoch: base,
+            epoch,
+            body,
+        } => ProposedChange::Config { base, epoch, body },
+        _ => ProposedChange::Read,
     }
 }
 
-fn refusal(verdict: Verdict, epoch: u64, authority: f64) -> Answer {
+fn refusal(verdict: ReplaceVerdict, epoch: u64, authority: f64) -> ControlResponse {
     let text = |text: String| Rc::from(text.into_bytes());
     match verdict {
-        Verdict::AlreadyTaken => Answer::lasting(200, Rc::from([])),
-        Verdict::Conflict => Answer::until(
+        ReplaceVerdict::AlreadyApplied => ControlResponse::lasting(200, Rc::from([])),
+        ReplaceVerdict::Conflict => ControlResponse::until(
             authority,
             412,
             text(format!("version {epoch} is in place\n")),
         ),
         // Whether it was taken long ago isn't known any more: neither yes nor no.
-        Verdict::Forgotten => Answer::error(
+        ReplaceVerdict::Unknown => ControlResponse::error(
             503,
             "too old to tell whether it was taken; read the configuration",
         ),
-        Verdict::Stale | Verdict::Next => Answer::until(
+        ReplaceVerdict::Stale | ReplaceVerdict::Apply => ControlResponse::until(
             authority,
             400,
             text(format!("epoch is not above {epoch}\n")),
@@ -361,17 +388,17 @@
 }
 
 /// Answers whoever waits.
-pub(super) fn reply(origin: &Origin, answer: Answer, out: &mut Vec<Output>) {
+pub(super) fn reply(origin: &Requester, answer: ControlResponse, out: &mut Vec<Output>) {
     match origin {
-        Origin::Nobody => {}
-        Origin::Here(call) => out.push(Output::Reply(*call, answer)),
-        Origin::There(voter, id) => {
-            let message = PeerMessage::Answer {
+        Requester::Nobody => {}
+        Requester::Here(call) => out.push(Output::Respond(*call, answer)),
+        Requester::There(voter, id) => {
+            let message = PeerMessage::ForwardedResponse {
                 id: *id,
                 status: answer.status,
                 body: answer.body,
             };
-            out.push(Output::Peer(Recipient::Voter(*voter), message));
+            out.push(Output::SendToPeer(Recipient::Voter(*voter), message));
         }
     }
 }
--- a/crates/core/control/src/controller/services.rs
+++ b/crates/core/control/src/controller/services.rs
@@ -1,9 +1,15 @@
 //! The leader's duty for each service: a step of its failover, and what that asks for.
 
-use super::{Controller, Grant, Lead, Origin, Output, PRIMARY_CHANGES_KEPT, Waiting, Wanted};
-use crate::failover::{Act, Around, Asked, Candidate, Failover, Timing, Unheard};
+use super::{
+    Controller, Grant, Leadership, Output, PRIMARY_CHANGES_KEPT, PendingProposal, ProposedChange,
+    Requester,
+};
+use crate::failover::{
+    CommandOutcome, Failover, FailoverAction, FailoverConfig, FailoverContext, ServerCandidate,
+    Unheard,
+};
 use crate::members::Member;
-use crate::message::GrantNews;
+use crate::message::PrimaryGrant;
 use crate::promotion::PromotionOutcome;
 use std::collections::{BTreeSet, HashMap};
 
@@ -27,7 +33,7 @@
 const PUNCTUAL: f64 = 0.1;
 /// Which services are stepped next.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Turns {
+pub(super) struct ServiceScheduler {
     /// The service that was stepped last in its turn: the next turn begins behind it.
     last: String,
     /// Services whose primary isn't settled and that had an answer since their last step: these don't wait for their turn.
@@ -39,7 +45,7 @@
     pause: f64,
 }
 
-impl Turns {
+impl ServiceScheduler {
     pub(super) fn begin_tick(&mut self, now: f64) {
         self.pause = now - self.ticked;
         self.ticked = now;
@@ -54,25 +60,25 @@
 }
 
 /// The spans that go with so many services: with many, servers are asked less often, and a silence is longer.
-fn paced(timing: Timing, services: usize) -> Timing {
+fn paced(timing: FailoverConfig, services: usize) -> FailoverConfig {
     let services = services as f64;
-    let slower = (services / PRIMARIES_A_SECOND / timing.ask).max(1.0);
+    let slower = (services / PRIMARIES_A_SECOND / timing.primary_poll_interval).max(1.0);
     let replicas = REPLICAS * services;
     let closed = if replicas > REPLICAS_KEPT {
         IDLE * replicas / REPLICAS_KEPT
     } else {
         0.0
     };
-    Timing {
-        ask: timing.ask * slower,
-        ask_replica: (timing.ask_replica * slower).max(closed),
-        silence: timing.silence * slower,
+    FailoverConfig {
+        primary_poll_interval: timing.primary_poll_interval * slower,
+        replica_poll_interval: (timing.replica_poll_interval * slower).max(closed),
+        primary_timeout: timing.primary_timeout * slower,
         ..timing
     }
 }
 
 /// The services that are stepped in this tick.
-fn next_turns(lead: &Lead) -> Vec<String> {
+fn next_turns(lead: &Leadership) -> Vec<String> {
     let from = (
         std::ops::Bound::Excluded(lead.turns.last.clone()),
         std::ops::Bound::Unbounded,
@@ -94,7 +100,7 @@
 
 /// The services that routers are to tell evidence of: those whose primary nobody heard for the longest, then those with a replica
 /// that is silent.
-fn evidence_wanted(now: f64, lead: &Lead) -> Vec<String> {
+fn evidence_wanted(now: f64, lead: &Leadership) -> Vec<String> {
     let silent = |(service, failover): (_, &Failover)| Some((failover.unheard(now)?, service));
     let mut wanted: Vec<((Unheard, f64), &String)> =
         lead.services.iter().filter_map(silent).collect();
@@ -108,13 +114,13 @@
 
 fn questions(out: &[Output]) -> usize {
     out.iter()
-        .filter(|o| matches!(o, Output::Ask { .. }))
+        .filter(|o| matches!(o, Output::SendCommand { .. }))
         .count()
 }
 
 impl Controller {
     /// How many replicas each service waits for: the driver tells it with each configuration that it has read.
-    pub fn replicas_waited_for(&mut self, sync: HashMap<String, u32>) {
+    pub fn set_sync_replicas(&mut self, sync: HashMap<String, u32>) {
         if let Some(lead) = &mut self.lead {
             lead.sync = sync;
         }
@@ -122,12 +128,12 @@
 
     /// Services of which a server was heard for the first time get their failover.
     pub(super) fn know_services(&mut self) {
-        let timing = self.timing.service;
+        let timing = self.timing.failover;
         let Some(lead) = &mut self.lead else { return };
-        if lead.turns.members_seen == Some(self.members.changes()) {
+        if lead.turns.members_seen == Some(self.members.change_count()) {
             return;
         }
-        lead.turns.members_seen = Some(self.members.changes());
+        lead.turns.members_seen = Some(self.members.change_count());
         for service in self.members.services() {
             lead.services
                 .entry(service)
@@ -138,7 +144,7 @@
     /// One step of the services that have their turn: those whose primary isn't settled go first.
     pub(super) fn step(&mut self, now: f64, out: &mut Vec<Output>) {
         let Some(lead) = &mut self.lead else { return };
-        let timing = paced(self.timing.service, lead.services.len());
+        let timing = paced(self.timing.failover, lead.services.len());
         let answered: Vec<String> = std::mem::take(&mut lead.turns.answered)
             .into_iter()
             .collect();
@@ -163,30 +169,34 @@
         }
     }
 
-    fn step_of(&mut self, now: f64, service: &str, timing: Timing, out: &mut Vec<Output>) {
-        let members: Vec<Candidate> = self.members.of(service).map(candidate).collect();
+    fn step_of(&mut self, now: f64, service: &str, timing: FailoverConfig, out: &mut Vec<Output>) {
+        let members: Vec<ServerCandidate> =
+            self.members.of_service(service).map(candidate).collect();
         let informed = self.informed();
         let Some(lead) = &mut self.lead else { return };
         let Some(failover) = lead.services.get_mut(service) else {
             return;
         };
         failover.pace(now, timing);
-        let lost = self.members.lost(service, self.timing.service.heartbeat);
+        let lost = self
+            .members
+            .departed_of(service, self.timing.failover.heartbeat_interval);
         let record = self.current.primaries.get(service);
         let leases = &lead.leases;
-        let all_know = |number: u64| leases.all_know(now, number);
+        let all_know = |number: u64| leases.all_acknowledged(now, number);
         let succeeds = |old: &str, new: &str| self.members.succeeds(old, new);
         let same_address = |one: &str, other: &str| self.members.share_an_address(one, other);
         // What another leader granted or asked for may hold until then, and what it knew must be known here.
         let not_before = match informed {
-            true => (leases.before_us() + self.timing.platform).max(lead.since + self.timing.turn),
+            true => (leases.former_leases_until() + self.timing.platform_call_timeout)
+                .max(lead.since + self.timing.duty_handover_delay),
             false => f64::INFINITY,
         };
-        let acts = failover.tick(&Around {
+        let acts = failover.tick(&FailoverContext {
             now,
             members: &members,
             lost: &lost,
-            record: record.map(|p| (p.id.as_str(), p.above)),
+            record: record.map(|p| (p.server_id.as_str(), p.min_term)),
             succeeds: &succeeds,
             same_address: &same_address,
             all_know: &all_know,
@@ -197,26 +207,35 @@
         self.act(now, service, acts, out);
     }
 
-    pub(super) fn act(&mut self, now: f64, service: &str, acts: Vec<Act>, out: &mut Vec<Output>) {
+    pub(super) fn act(
+        &mut self,
+        now: f64,
+        service: &str,
+        acts: Vec<FailoverAction>,
+        out: &mut Vec<Output>,
+    ) {
         for act in acts {
             match act {
-                Act::Ask(id, statement) => {
+                FailoverAction::Query(id, statement) => {
                     let Some(member) = self.members.get(&id) else {
-                        self.asked(now, service, &id, Asked::Silent);
+                        self.command_completed(now, service, &id, CommandOutcome::TimedOut);
                         continue;
                     };
-                    let endpoint = member.news.endpoint.clone();
-                    let fence = self.lead.as_ref().map_or(0, |l| l.fence);
-                    out.push(Output::Ask {
-                        id,
+                    let endpoint = member.info.endpoint.clone();
+                    let fencing_token = self.lead.as_ref().map_or(0, |l| l.fencing_token);
+                    out.push(Output::SendCommand {
+                        server_id: id,
                         endpoint,
                         service: service.to_owned(),
-                        statement,
-                        fence,
+                        command: statement,
+                        fencing_token,
                     });
                 }
-                Act::Agree { to, above } => {
-                    let wanted = Wanted::Primary {
+                FailoverAction::ProposePrimary {
+                    server_id: to,
+                    after_term: above,
+                } => {
+                    let wanted = ProposedChange::Primary {
                         service: service.to_owned(),
                         to,
                         above,
@@ -224,44 +243,51 @@
                     };
                     let until = now + 2.0;
                     if let Some(lead) = &mut self.lead {
-                        lead.queue.push_front(Waiting {
-                            origin: Origin::Nobody,
+                        lead.queue.push_front(PendingProposal {
+                            origin: Requester::Nobody,
                             until,
                             wanted,
                         });
                     }
                     self.next(now, out);
                 }
-                Act::Settle { id, term } => {
-                    let wanted = Wanted::Primary {
+                FailoverAction::RecordComplete {
+                    server_id: id,
+                    primary_term,
+                } => {
+                    let wanted = ProposedChange::Primary {
                         service: service.to_owned(),
                         to: id,
-                        above: term,
+                        above: primary_term,
                         settled: true,
                     };
                     if let Some(lead) = &mut self.lead {
-                        lead.queue.push_back(Waiting {
-                            origin: Origin::Nobody,
+                        lead.queue.push_back(PendingProposal {
+                            origin: Requester::Nobody,
                             until: now + 2.0,
                             wanted,
                         });
                     }
                     self.next(now, out);
                 }
-                Act::Promote { to } => {
-                    let fence = self.lead.as_ref().map_or(0, |l| l.fence);
-                    let before = self.consensus.authority();
+                FailoverAction::Promote { server_id: to } => {
+                    let fencing_token = self.lead.as_ref().map_or(0, |l| l.fencing_token);
+                    let before = self.consensus.authority_until();
                     out.push(Output::Promote {
                         service: service.to_owned(),
-                        id: to,
-                        fence,
-                        before,
+                        server_id: to,
+                        fencing_token,
+                        deadline: before,
                     });
                 }
-                Act::Grant { id, term, closing } => {
+                FailoverAction::Grant {
+                    server_id: id,
+                    primary_term,
+                    revoking: closing,
+                } => {
                     let Some(lead) = &mut self.lead else { return };
                     log::info!(
-                        "event=grant service={service} id={id} term={term} closing={closing}"
+                        "event=grant service={service} id={id} term={primary_term} closing={closing}"
                     );
                     if closing {
                         lead.withdrawn.entry(service.to_owned()).or_insert(now);
@@ -272,11 +298,11 @@
                     }
                     lead.number += 1;
                     lead.leases.grant_changed(lead.number);
-                    let news = GrantNews {
+                    let news = PrimaryGrant {
                         service: service.to_owned(),
-                        id,
-                        term,
-                        closing,
+                        server_id: id,
+                        primary_term,
+                        revoking: closing,
                     };
                     lead.grants.insert(
                         service.to_owned(),
@@ -296,22 +322,24 @@
     }
 
     /// Whether this machine leads under this ballot: nothing that was asked under another one counts any more.
-    pub fn leads_under(&self, fence: u64) -> bool {
-        self.lead.as_ref().is_some_and(|l| l.fence == fence)
+    pub fn leads_with(&self, fencing_token: u64) -> bool {
+        self.lead
+            .as_ref()
+            .is_some_and(|l| l.fencing_token == fencing_token)
     }
 
     /// Whether this machine leads under this ballot and knows that nobody else does: to be looked at just before a call
     /// leaves that a former leader must not make.
-    pub fn may_act_under(&self, now: f64, fence: u64) -> bool {
-        self.leads_under(fence) && self.acts(now)
+    pub fn may_act_with(&self, now: f64, fencing_token: u64) -> bool {
+        self.leads_with(fencing_token) && self.may_act(now)
     }
 
     /// What a question to a server came to.
-    pub fn asked(&mut self, now: f64, service: &str, id: &str, asked: Asked) {
-        if matches!(asked, Asked::Row { .. } | Asked::Busy) {
-            self.members.answered(now, id);
+    pub fn command_completed(&mut self, now: f64, service: &str, id: &str, asked: CommandOutcome) {
+        if matches!(asked, CommandOutcome::Status { .. } | CommandOutcome::Busy) {
+            self.members.seen_alive(now, id);
         }
-        if asked == Asked::Refused {
+        if asked == CommandOutcome::Refused {
             let stamp = self.lead.as_ref().map_or(0, |lead| lead.number + 1);
             if let Some(news) = self.members.refused(now, id, stamp) {
                 self.news_due |= stamp > 0;
@@ -329,17 +357,23 @@
     }
 
     /// How a call to the platform that names this server has ended.
-    pub fn promoted(&mut self, now: f64, service: &str, id: &str, outcome: PromotionOutcome) {
+    pub fn promotion_completed(
+        &mut self,
+        now: f64,
+        service: &str,
+        id: &str,
+        outcome: PromotionOutcome,
+    ) {
         if let Some(failover) = self.lead.as_mut().and_then(|l| l.services.get_mut(service)) {
             failover.promoted(now, id, outcome);
         }
     }
 }
 
-fn candidate(member: &Member) -> Candidate {
-    Candidate {
-        id: member.news.id.clone(),
+fn candidate(member: &Member) -> ServerCandidate {
+    ServerCandidate {
+        id: member.info.id.clone(),
         draining_since: member.draining_since,
-        heard: member.heard,
+        heard: member.last_seen,
     }
 }
--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -23,19 +23,19 @@
 pub(crate) use load::Unheard;
 use observation::Observation;
 use std::collections::BTreeMap;
-pub(crate) use types::{Act, Around, Candidate};
-pub use types::{Asked, Position, Row, Statement, Timing};
+pub use types::{CommandOutcome, FailoverConfig, Position, ServerCommand, ServerStatus};
+pub(crate) use types::{FailoverAction, FailoverContext, ServerCandidate};
 
 /// A server that leads a term.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Primary {
     id: String,
-    term: u64,
+    primary_term: u64,
 }
 
 /// The server that is to be the next primary.
 #[derive(Clone, Debug, PartialEq)]
-struct Choice {
+struct PromotionTarget {
     to: String,
     /// It must lead a term above this one.
     above: u64,
@@ -45,8 +45,8 @@
 
 /// A call to the platform that promotes a server.
 #[derive(Clone, Debug, PartialEq)]
-struct Promotion {
-    choice: Choice,
+struct PromotionAttempt {
+    choice: PromotionTarget,
     /// When the platform was asked last; a second later it is asked again.
     posted: f64,
     /// When it was asked first.
@@ -55,35 +55,35 @@
 
 /// A primary that is being replaced while it serves.
 #[derive(Clone, Debug, PartialEq)]
-struct HandingOver {
+struct Handover {
     to: String,
     /// The term at which the other copies are paused.
-    term: u64,
+    primary_term: u64,
     since: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
     /// Who leads isn't known.
-    Finding,
+    Discovering,
     /// A primary is in use.
     Steady,
     /// The primary is given up: routers let go, and the others are paused at this term.
-    Closing { term: u64 },
+    Revoking { primary_term: u64 },
     /// The primary leaves: all but the coming one are paused.
-    HandingOver(HandingOver),
+    Handover(Handover),
     /// What is to be promoted is being agreed on.
-    Agreeing(Choice),
+    Proposing(PromotionTarget),
     /// The platform is asked.
-    Promoting(Promotion),
+    Promoting(PromotionAttempt),
     /// The new one leads; routers let go of the old one.
-    Switching(Primary),
+    Completing(Primary),
 }
 
 /// The failover of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Failover {
-    timing: Timing,
+    timing: FailoverConfig,
     phase: Phase,
     seen: BTreeMap<String, Observation>,
     /// The primary in use or last in use.
@@ -107,10 +107,10 @@
 
 impl Failover {
     /// A service of which nothing is known yet.
-    pub fn new(timing: Timing) -> Failover {
+    pub fn new(timing: FailoverConfig) -> Failover {
         Failover {
             timing,
-            phase: Phase::Finding,
+            phase: Phase::Discovering,
             seen: BTreeMap::new(),
             primary: None,
             revocation: Revocation::None,
@@ -127,40 +127,40 @@
     /// The name of the phase, for logs and operators.
     pub fn phase(&self) -> &'static str {
         match self.phase {
-            Phase::Finding => "finding",
+            Phase::Discovering => "finding",
             Phase::Steady => "steady",
-            Phase::Closing { .. } => "closing",
-            Phase::HandingOver(_) => "handing",
-            Phase::Agreeing(_) => "agreeing",
+            Phase::Revoking { .. } => "closing",
+            Phase::Handover(_) => "handing",
+            Phase::Proposing(_) => "agreeing",
             Phase::Promoting(_) => "promoting",
-            Phase::Switching(_) => "switching",
+            Phase::Completing(_) => "switching",
         }
     }
 
     /// Whether just this primary is in use, in steady order.
-    pub fn is_steady(&self, id: &str, term: u64) -> bool {
+    pub fn is_steady(&self, id: &str, primary_term: u64) -> bool {
         self.phase == Phase::Steady
             && self
                 .primary
                 .as_ref()
-                .is_some_and(|p| p.id == id && p.term == term)
+                .is_some_and(|p| p.id == id && p.primary_term == primary_term)
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, around: &Around<'_>) -> Vec<Act> {
-        let mut acts = Vec::new();
+    pub fn tick(&mut self, context: &FailoverContext<'_>) -> Vec<FailoverAction> {
+        let mut actions = Vec::new();
         let primary = &self.primary;
         self.seen
-            .retain(|id, _| around.is_member(id) || primary.as_ref().is_some_and(|p| p.id == *id));
+            .retain(|id, _| context.is_member(id) || primary.as_ref().is_some_and(|p| p.id == *id));
         match self.phase.clone() {
-            Phase::Finding => self.find(around, &mut acts),
-            Phase::Steady => self.watch(around, &mut acts),
-            Phase::Closing { term } => self.close(around, term, &mut acts),
-            Phase::HandingOver(handing) => self.hand_over(around, &handing, &mut acts),
-            Phase::Agreeing(_) => {}
-            Phase::Promoting(promotion) => self.promote(around, promotion, &mut acts),
-            Phase::Switching(to) => self.switch(around, to, &mut acts),
+            Phase::Discovering => self.find(context, &mut actions),
+            Phase::Steady => self.watch(context, &mut actions),
+            Phase::Revoking { primary_term } => self.close(context, primary_term, &mut actions),
+            Phase::Handover(handing) => self.hand_over(context, &handing, &mut actions),
+            Phase::Proposing(_) => {}
+            Phase::Promoting(promotion) => self.promote(context, promotion, &mut actions),
+            Phase::Completing(to) => self.switch(context, to, &mut actions),
         }
-        acts
+        actions
     }
 }
--- a/crates/core/control/src/failover/choosing.rs
+++ b/crates/core/control/src/failover/choosing.rs
@@ -11,20 +11,20 @@
     /// Who is furthest of those that could lead.
     pub(super) fn best<'a>(
         &self,
-        around: &'a Around<'_>,
-        fit: impl Fn(&Candidate) -> bool,
+        context: &'a FailoverContext<'_>,
+        fit: impl Fn(&ServerCandidate) -> bool,
     ) -> Option<(&'a str, Position)> {
-        let fit = around.members.iter().filter(|m| fit(m));
+        let fit = context.members.iter().filter(|m| fit(m));
         let with = fit.filter_map(|m| {
             let seen = self.seen.get(&m.id)?;
             let row = seen.row.filter(|_| seen.failing.is_none())?;
             Some((m, seen.paused.map_or(row.received, |p| p.1)))
         });
         // A leader before may have asked the platform for the one of record: a second call for the same does no harm.
-        let rank = |m: &Candidate| {
-            let of_record = around.record.is_some_and(|r| r.0 == m.id);
+        let rank = |m: &ServerCandidate| {
+            let of_record = context.record.is_some_and(|r| r.0 == m.id);
             (
-                !self.pending.is_refused(around.now, &m.id),
+                !self.pending.is_refused(context.now, &m.id),
                 of_record,
                 m.draining_since.is_none(),
             )
@@ -36,45 +36,48 @@
     /// Chooses among the paused copies, if one of them is known to have all commits.
     pub(super) fn choose(
         &mut self,
-        around: &Around<'_>,
+        context: &FailoverContext<'_>,
         old: Option<&str>,
-        term: u64,
-        acts: &mut Vec<Act>,
+        primary_term: u64,
+        actions: &mut Vec<FailoverAction>,
     ) {
-        let best = self.best(around, |m| {
+        let best = self.best(context, |m| {
             Some(m.id.as_str()) != old && self.observed(&m.id).paused.is_some()
         });
         let Some((to, at)) = best else { return };
-        if around.sync > 0 && self.spare_copies(around, old, at) < 0 {
+        if context.sync > 0 && self.spare_copies(context, old, at) < 0 {
             return;
         }
-        if !self.pending.permits(around.now, to) {
+        if !self.pending.permits(context.now, to) {
             return;
         }
         let (to, above) = (
             to.to_owned(),
-            self.highest_led().min(term.saturating_sub(1)),
+            self.highest_led().min(primary_term.saturating_sub(1)),
         );
         log::info!(
             "event=primary_chosen to={to} position={}.{} above={above}",
             at.0,
             at.1
         );
-        self.phase = Phase::Agreeing(Choice {
+        self.phase = Phase::Proposing(PromotionTarget {
             to: to.clone(),
             above,
             planned: false,
         });
-        acts.push(Act::Agree { to, above });
+        actions.push(FailoverAction::ProposePrimary {
+            server_id: to,
+            after_term: above,
+        });
     }
 
     /// Whether another server at the address of this one is paused: whoever answers there has the log, whichever of them was
     /// heard of last.
-    pub(super) fn is_represented(&self, around: &Around<'_>, id: &str) -> bool {
-        let there = around
+    pub(super) fn is_represented(&self, context: &FailoverContext<'_>, id: &str) -> bool {
+        let there = context
             .members
             .iter()
-            .filter(|member| (around.same_address)(id, &member.id));
+            .filter(|member| (context.same_address)(id, &member.id));
         there
             .into_iter()
             .any(|member| self.observed(&member.id).paused.is_some())
@@ -87,21 +90,25 @@
     /// asked, whoever else is furthest has all. Of the others it must be known that they had nothing that this one
     /// lacks, as the primary had no more when they were gone already, or once nothing was acknowledged any more. Whoever answers
     /// routers isn't gone, though it doesn't answer here.
-    fn spare_copies(&self, around: &Around<'_>, old: Option<&str>, at: Position) -> i64 {
-        let mut spare = i64::from(around.sync) - i64::from(old.is_some());
-        for member in around.members.iter().filter(|m| Some(m.id.as_str()) != old) {
+    fn spare_copies(&self, context: &FailoverContext<'_>, old: Option<&str>, at: Position) -> i64 {
+        let mut spare = i64::from(context.sync) - i64::from(old.is_some());
+        for member in context
+            .members
+            .iter()
+            .filter(|m| Some(m.id.as_str()) != old)
+        {
             let seen = self.observed(&member.id);
-            if seen.paused.is_none() && !self.is_represented(around, &member.id) {
-                let gone = seen.failing.unwrap_or(around.now).max(seen.served) + FAILING_GRACE_S;
+            if seen.paused.is_none() && !self.is_represented(context, &member.id) {
+                let gone = seen.failing.unwrap_or(context.now).max(seen.served) + FAILING_GRACE_S;
                 spare -= i64::from(!self.covered(self.settled_by(gone), at));
             }
         }
-        for (_, since) in around
+        for (_, since) in context
             .lost
             .iter()
             .filter(|(id, _)| Some(id.as_str()) != old)
         {
-            let long_gone = self.trail.is_empty() && *since < around.since - LONG_GONE_S;
+            let long_gone = self.trail.is_empty() && *since < context.since - LONG_GONE_S;
             spare -= i64::from(!self.covered(self.settled_by(*since), at) && !long_gone);
         }
         spare
--- a/crates/core/control/src/failover/closing.rs
+++ b/crates/core/control/src/failover/closing.rs
@@ -26,126 +26,155 @@
 }
 
 impl Failover {
-    pub(super) fn close(&mut self, around: &Around<'_>, term: u64, acts: &mut Vec<Act>) {
-        if self.take_back(around, acts) {
+    pub(super) fn close(
+        &mut self,
+        context: &FailoverContext<'_>,
+        primary_term: u64,
+        actions: &mut Vec<FailoverAction>,
+    ) {
+        if self.take_back(context, actions) {
             return;
         }
         let primary = self.primary.as_ref().map(|p| p.id.clone());
         // Once it has given up the lead it is a copy like the others, and so is whoever has its log now.
         let copy = |id: &String| {
-            self.is_replica(id, around.now)
-                || around.successor(id).is_some()
-                || self.is_to_follow(around, id)
+            self.is_replica(id, context.now)
+                || context.successor(id).is_some()
+                || self.is_to_follow(context, id)
         };
         let old = primary.filter(|id| !copy(id));
         // Whoever was promoted before may lead by now.
         let found = self
-            .found(around)
+            .found(context)
             .filter(|found| Some(&found.id) != old.as_ref());
-        let given_back = self.given_back(around);
+        let given_back = self.given_back(context);
         if let Some(found) = found
             && given_back
         {
-            log::info!("event=primary_found id={} term={}", found.id, found.term);
-            self.use_primary(around.now, found, acts);
+            log::info!(
+                "event=primary_found id={} term={}",
+                found.id,
+                found.primary_term
+            );
+            self.use_primary(context.now, found, actions);
             return;
         }
         self.given_since = if given_back {
-            self.given_since.or(Some(around.now))
+            self.given_since.or(Some(context.now))
         } else {
             None
         };
-        let pausing = self.pause_copies(around, old.as_deref(), term, given_back, acts);
+        let pausing = self.pause_copies(context, old.as_deref(), primary_term, given_back, actions);
         if pausing.outrun {
-            self.phase = Phase::Closing {
-                term: self.highest_term() + 1,
+            self.phase = Phase::Revoking {
+                primary_term: self.highest_term() + 1,
             };
         } else if pausing.complete && given_back {
-            self.choose(around, old.as_deref(), term, acts);
+            self.choose(context, old.as_deref(), primary_term, actions);
         }
     }
 
     /// The primary may be back with all that it had: it is used again then.
-    fn take_back(&mut self, around: &Around<'_>, acts: &mut Vec<Act>) -> bool {
-        let now = around.now;
+    fn take_back(
+        &mut self,
+        context: &FailoverContext<'_>,
+        actions: &mut Vec<FailoverAction>,
+    ) -> bool {
+        let now = context.now;
         let Some(primary) = self.primary.clone() else {
             return false;
         };
-        if around.is_member(&primary.id) {
-            self.ask(now, &primary.id, ASK_PRIMARY_S, Statement::Status, acts);
+        if context.is_member(&primary.id) {
+            self.ask(
+                now,
+                &primary.id,
+                ASK_PRIMARY_S,
+                ServerCommand::Status,
+                actions,
+            );
         }
         let seen = self.observed(&primary.id);
         let answers = seen.failing.is_none() && now - seen.answered < BACK_ANSWERED_S;
         let back = answers && seen.row_asked > now - BACK_ASKED_S;
-        let leads = seen.row.is_some_and(|r| r.leader && r.term == primary.term);
-        let of_record = around
+        let leads = seen
+            .row
+            .is_some_and(|r| r.is_primary && r.primary_term == primary.primary_term);
+        let of_record = context
             .record
-            .is_none_or(|(id, above)| id == primary.id && primary.term >= above);
-        let draining = around.draining_since(&primary.id).is_some();
-        if !back || !leads || !of_record || draining || self.highest_led() > primary.term {
+            .is_none_or(|(id, above)| id == primary.id && primary.primary_term >= above);
+        let draining = context.draining_since(&primary.id).is_some();
+        if !back || !leads || !of_record || draining || self.highest_led() > primary.primary_term {
             return false;
         }
         log::info!("event=primary_back id={}", primary.id);
-        self.use_primary(now, primary, acts);
+        self.use_primary(now, primary, actions);
         true
     }
 
     /// The primary is back, but another one was agreed on meanwhile, and may have been promoted: it is told to follow, and is a
     /// copy with all that it acknowledged.
-    fn is_to_follow(&self, around: &Around<'_>, id: &str) -> bool {
+    fn is_to_follow(&self, context: &FailoverContext<'_>, id: &str) -> bool {
         let seen = self.observed(id);
-        let back = seen.leads() && seen.row_asked > around.now - FRESH_ROW_S;
-        let agreed_on_another = around.record.is_some_and(|(of_record, _)| of_record != id);
-        back && agreed_on_another && around.is_member(id) && around.draining_since(id).is_none()
+        let back = seen.leads() && seen.row_asked > context.now - FRESH_ROW_S;
+        let agreed_on_another = context.record.is_some_and(|(of_record, _)| of_record != id);
+        back && agreed_on_another && context.is_member(id) && context.draining_since(id).is_none()
     }
 
     fn is_replica(&self, id: &str, now: f64) -> bool {
         let seen = self.observed(id);
         seen.failing.is_none()
             && seen.row_asked > now - FRESH_ROW_S
-            && seen.row.is_some_and(|r| !r.leader)
+            && seen.row.is_some_and(|r| !r.is_primary)
     }
 
     /// Pauses all copies but the old primary.
     fn pause_copies(
         &mut self,
-        around: &Around<'_>,
+        context: &FailoverContext<'_>,
         old: Option<&str>,
-        term: u64,
+        primary_term: u64,
         given_back: bool,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<FailoverAction>,
     ) -> Pausing {
-        let now = around.now;
+        let now = context.now;
         let mut pausing = Pausing {
             complete: true,
             outrun: false,
         };
-        for member in around.members.iter().filter(|m| Some(m.id.as_str()) != old) {
+        for member in context
+            .members
+            .iter()
+            .filter(|m| Some(m.id.as_str()) != old)
+        {
             let seen = self.observed(&member.id);
-            if seen.paused.is_some_and(|(at, _)| at >= term) {
+            if seen.paused.is_some_and(|(at, _)| at >= primary_term) {
                 // What the old primary acknowledged to any router before it let go must be at those who are asked.
                 let confirmed = given_back && seen.pause_confirmed > self.given_since;
                 pausing.complete &= confirmed;
                 let every = if given_back && !confirmed {
                     CONFIRM_AGAIN_S
                 } else {
-                    self.timing.ask
+                    self.timing.primary_poll_interval
                 };
-                self.ask(now, &member.id, every, Statement::Status, acts);
+                self.ask(now, &member.id, every, ServerCommand::Status, actions);
                 continue;
             }
-            let excused = is_excused(around, member, &seen) || self.is_final(&seen);
-            pausing.complete &= excused || self.is_represented(around, &member.id);
-            pausing.outrun |=
-                seen.failing.is_none() && seen.row.is_some_and(|r| r.term.max(r.held) >= term);
+            let excused = is_excused(context, member, &seen) || self.is_final(&seen);
+            pausing.complete &= excused || self.is_represented(context, &member.id);
+            pausing.outrun |= seen.failing.is_none()
+                && seen
+                    .row
+                    .is_some_and(|r| r.primary_term.max(r.highest_term) >= primary_term);
             let statement = match seen.leads() {
                 // A primary can't be paused: once nobody uses it, it becomes a replica.
-                true if given_back => Statement::StepDown(seen.row.map_or(term, |r| r.term + 1)),
-                true => Statement::Status,
-                false if seen.busy => Statement::Status,
-                false => Statement::Pause(term),
+                true if given_back => {
+                    ServerCommand::StepDown(seen.row.map_or(primary_term, |r| r.primary_term + 1))
+                }
+                true => ServerCommand::Status,
+                false if seen.busy => ServerCommand::Status,
+                false => ServerCommand::Pause(primary_term),
             };
-            self.ask(now, &member.id, PAUSE_AGAIN_S, statement, acts);
+            self.ask(now, &member.id, PAUSE_AGAIN_S, statement, actions);
         }
         pausing
     }
@@ -161,9 +190,9 @@
 }
 
 /// A replica that can't be asked may be left out once it has been gone for a while and the primary went on without it.
-fn is_excused(around: &Around<'_>, member: &Candidate, seen: &Observation) -> bool {
+fn is_excused(context: &FailoverContext<'_>, member: &ServerCandidate, seen: &Observation) -> bool {
     let Some(since) = seen.failing else {
         return false;
     };
-    member.heard < since + EXCUSED_S && around.now - since > EXCUSED_S
+    member.heard < since + EXCUSED_S && context.now - since > EXCUSED_S
 }
--- a/crates/core/control/src/failover/finding.rs
+++ b/crates/core/control/src/failover/finding.rs
@@ -10,79 +10,99 @@
 const UNKNOWN_S: f64 = 1.0;
 
 impl Failover {
-    pub(super) fn find(&mut self, around: &Around<'_>, acts: &mut Vec<Act>) {
-        let now = around.now;
-        for member in around.members {
-            self.ask(now, &member.id, self.timing.ask, Statement::Status, acts);
+    pub(super) fn find(
+        &mut self,
+        context: &FailoverContext<'_>,
+        actions: &mut Vec<FailoverAction>,
+    ) {
+        let now = context.now;
+        for member in context.members {
+            self.ask(
+                now,
+                &member.id,
+                self.timing.primary_poll_interval,
+                ServerCommand::Status,
+                actions,
+            );
         }
-        if around.members.is_empty() {
+        if context.members.is_empty() {
             return;
         }
-        if let Some(found) = self.found(around) {
-            self.use_found(around, found, acts);
+        if let Some(found) = self.found(context) {
+            self.use_found(context, found, actions);
             return;
         }
         // Nobody leads whom we may use: after a while somebody is to be promoted. Beats of all must have had their time.
-        let patience = self.timing.silence.max(HEARTBEATS * self.timing.heartbeat);
-        let waited = now - self.asked_since(around) > patience;
-        if waited && now > around.not_before && now > self.retry {
+        let patience = self
+            .timing
+            .primary_timeout
+            .max(HEARTBEATS * self.timing.heartbeat_interval);
+        let waited = now - self.asked_since(context) > patience;
+        if waited && now > context.not_before && now > self.retry {
             if self.primary.is_none() && self.revocation == Revocation::None {
                 // Nothing is granted by us, and the grants of those before us have ended.
                 self.revocation = Revocation::Announced(0);
             }
             log::info!("event=primary_missing top={}", self.highest_led());
-            self.give_up(acts);
+            self.give_up(actions);
         }
     }
 
     /// Uses the primary that was found, once routers use no other.
-    fn use_found(&mut self, around: &Around<'_>, found: Primary, acts: &mut Vec<Act>) {
+    fn use_found(
+        &mut self,
+        context: &FailoverContext<'_>,
+        found: Primary,
+        actions: &mut Vec<FailoverAction>,
+    ) {
         match (&self.primary, self.revocation) {
             (Some(old), Revocation::None) if *old != found => {
                 // Routers may still use the one before.
-                self.revoke(acts);
+                self.revoke(actions);
                 return;
             }
             // Under the leader before us routers may have used another until a moment ago.
             (None, Revocation::None)
-                if around
+                if context
                     .record
-                    .is_some_and(|record| record != (found.id.as_str(), found.term))
-                    && !(around.all_know)(0) =>
+                    .is_some_and(|record| record != (found.id.as_str(), found.primary_term))
+                    && !(context.all_know)(0) =>
             {
                 return;
             }
-            (_, Revocation::Unannounced | Revocation::Announced(_)) if !self.given_back(around) => {
+            (_, Revocation::Unannounced | Revocation::Announced(_))
+                if !self.given_back(context) =>
+            {
                 return;
             }
             _ => {}
         }
-        self.use_primary(around.now, found, acts);
+        self.use_primary(context.now, found, actions);
     }
 
     /// The server that leads and may be used.
-    pub(super) fn found(&self, around: &Around<'_>) -> Option<Primary> {
+    pub(super) fn found(&self, context: &FailoverContext<'_>) -> Option<Primary> {
         let top = self.highest_led();
-        let found = around.members.iter().find_map(|m| {
+        let found = context.members.iter().find_map(|m| {
             let seen = self.observed(&m.id);
-            let fresh = around.now - seen.answered < FRESH_S;
+            let fresh = context.now - seen.answered < FRESH_S;
             let row = seen
                 .row
-                .filter(|r| seen.leads() && fresh && r.term >= top)?;
+                .filter(|r| seen.leads() && fresh && r.primary_term >= top)?;
             Some(Primary {
                 id: m.id.clone(),
-                term: row.term,
+                primary_term: row.primary_term,
             })
         })?;
-        let of_record = match around.record {
-            Some(_) => around.is_of_record(&found.id, found.term),
+        let of_record = match context.record {
+            Some(_) => context.is_of_record(&found.id, found.primary_term),
             // Nobody was promoted by us: whoever leads is the primary, once all that are known were asked.
             None => {
-                let known = around
+                let known = context
                     .members
                     .iter()
                     .all(|m| self.observed(&m.id).row.is_some());
-                known || around.now - self.asked_since(around) > UNKNOWN_S
+                known || context.now - self.asked_since(context) > UNKNOWN_S
             }
         };
         of_record.then_some(found)
--- a/crates/core/control/src/failover/grant.rs
+++ b/crates/core/control/src/failover/grant.rs
@@ -22,7 +22,12 @@
     }
 
     /// Grants this primary to the routers.
-    pub(super) fn use_primary(&mut self, now: f64, primary: Primary, acts: &mut Vec<Act>) {
+    pub(super) fn use_primary(
+        &mut self,
+        now: f64,
+        primary: Primary,
+        actions: &mut Vec<FailoverAction>,
+    ) {
         if self.primary.as_ref() != Some(&primary) {
             self.trail.clear();
         }
@@ -32,10 +37,10 @@
         if let Some(seen) = self.seen.get_mut(&primary.id) {
             seen.pausing = None;
         }
-        acts.push(Act::Grant {
-            id: primary.id.clone(),
-            term: primary.term,
-            closing: false,
+        actions.push(FailoverAction::Grant {
+            server_id: primary.id.clone(),
+            primary_term: primary.primary_term,
+            revoking: false,
         });
         self.primary = Some(primary);
         self.revocation = Revocation::None;
@@ -44,34 +49,34 @@
     }
 
     /// Takes the grant back, unless that was done.
-    pub(super) fn revoke(&mut self, acts: &mut Vec<Act>) {
+    pub(super) fn revoke(&mut self, actions: &mut Vec<FailoverAction>) {
         if self.revocation != Revocation::None {
             return;
         }
         self.revocation = Revocation::Unannounced;
-        let Primary { id, term } = self.primary.clone().unwrap_or_default();
-        acts.push(Act::Grant {
-            id,
-            term,
-            closing: true,
+        let Primary { id, primary_term } = self.primary.clone().unwrap_or_default();
+        actions.push(FailoverAction::Grant {
+            server_id: id,
+            primary_term,
+            revoking: true,
         });
     }
 
     /// Gives the primary up: another is to be promoted.
-    pub(super) fn give_up(&mut self, acts: &mut Vec<Act>) {
-        let term = self.highest_term() + 1;
-        self.revoke(acts);
+    pub(super) fn give_up(&mut self, actions: &mut Vec<FailoverAction>) {
+        let primary_term = self.highest_term() + 1;
+        self.revoke(actions);
         self.given_since = None;
-        self.phase = Phase::Closing { term };
+        self.phase = Phase::Revoking { primary_term };
     }
 
     /// Whether the grant, if there was one, is given back by all.
-    pub(super) fn given_back(&self, around: &Around<'_>) -> bool {
+    pub(super) fn given_back(&self, context: &FailoverContext<'_>) -> bool {
         let known = match self.revocation {
             Revocation::None => self.primary.is_none(),
             Revocation::Unannounced => false,
-            Revocation::Announced(number) => (around.all_know)(number),
+            Revocation::Announced(number) => (context.all_know)(number),
         };
-        known && around.now >= around.not_before
+        known && context.now >= context.not_before
     }
 }
--- a/crates/core/control/src/failover/load.rs
+++ b/crates/core/control/src/failover/load.rs
@@ -47,15 +47,15 @@
 
 impl Failover {
     /// Since when this machine leads and this service has been stepped: its servers were asked from then on.
-    pub(super) fn asked_since(&self, around: &Around<'_>) -> f64 {
-        around.since.max(self.pace.began)
+    pub(super) fn asked_since(&self, context: &FailoverContext<'_>) -> f64 {
+        context.since.max(self.pace.began)
     }
 
     /// The next step goes by these spans. What wasn't heard while steps came late is nobody's silence.
-    pub fn pace(&mut self, now: f64, timing: Timing) {
+    pub fn pace(&mut self, now: f64, timing: FailoverConfig) {
         let late = self.pace.step(now);
-        self.timing = Timing {
-            silence: timing.silence + late,
+        self.timing = FailoverConfig {
+            primary_timeout: timing.primary_timeout + late,
             ..timing
         };
     }
@@ -88,7 +88,7 @@
 
     /// If this machine had no answer of the primary in use for so long that it matters: for how long nobody had one.
     fn unheard_primary(&self, now: f64) -> Option<f64> {
-        if !matches!(self.phase, Phase::Steady | Phase::HandingOver(_)) {
+        if !matches!(self.phase, Phase::Steady | Phase::Handover(_)) {
             return None;
         }
         let primary = self.primary.as_ref()?;
@@ -97,6 +97,6 @@
             .get(&primary.id)
             .map_or(f64::NEG_INFINITY, |s| s.answered);
         let unheard = now - answered.max(self.evidence);
-        (now - answered > 0.5 * self.timing.silence).then_some(unheard)
+        (now - answered > 0.5 * self.timing.primary_timeout).then_some(unheard)
     }
 }
--- a/crates/core/control/src/failover/observation.rs
+++ b/crates/core/control/src/failover/observation.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Observation {
     /// The last status that it answered.
-    pub(super) row: Option<Row>,
+    pub(super) row: Option<ServerStatus>,
     /// When the question to that row was sent.
     pub(super) row_asked: f64,
     /// When it last answered anything.
@@ -41,47 +41,49 @@
 impl Observation {
     /// It answers, and sees itself as the primary.
     pub(super) fn leads(&self) -> bool {
-        self.failing.is_none() && self.row.is_some_and(|r| r.leader)
+        self.failing.is_none() && self.row.is_some_and(|r| r.is_primary)
     }
 
     /// It answered a question that was sent at that second with a status.
-    fn record_row(&mut self, now: f64, statement: Statement, row: Row, asked: f64) {
+    fn record_row(&mut self, now: f64, statement: ServerCommand, row: ServerStatus, asked: f64) {
         self.record_answer(now);
         self.row = Some(row);
         self.row_asked = asked;
         self.busy = false;
         match statement {
             // A primary can't be paused, and says that it leads.
-            Statement::Pause(_) if row.leader => (self.paused, self.pausing) = (None, None),
-            Statement::Pause(term) => {
-                self.paused = Some((term, row.received));
+            ServerCommand::Pause(_) if row.is_primary => (self.paused, self.pausing) = (None, None),
+            ServerCommand::Pause(primary_term) => {
+                self.paused = Some((primary_term, row.received));
                 self.pause_confirmed = None;
-                self.shows = row.held >= term;
+                self.shows = row.highest_term >= primary_term;
             }
-            Statement::Resume => {
+            ServerCommand::Resume => {
                 (self.paused, self.pausing) = (None, None);
-                self.resumed = Some(row.held);
+                self.resumed = Some(row.highest_term);
             }
-            Statement::Status | Statement::StepDown(_) => self.record_status(row, asked),
+            ServerCommand::Status | ServerCommand::StepDown(_) => self.record_status(row, asked),
         }
     }
 
     /// Whether it is paused, by a status that says the term it holds.
-    fn record_status(&mut self, row: Row, asked: f64) {
+    fn record_status(&mut self, row: ServerStatus, asked: f64) {
         match (self.pausing, self.paused) {
             // The answer to the pause was lost, or it came from another try.
-            (Some(term), None) if !row.leader && row.held >= term => {
-                self.paused = Some((term, row.received));
+            (Some(primary_term), None) if !row.is_primary && row.highest_term >= primary_term => {
+                self.paused = Some((primary_term, row.received));
                 self.pause_confirmed = None;
             }
             // It restarted, or was resumed by somebody else.
-            (_, Some((term, _))) if self.shows && row.held < term => {
+            (_, Some((primary_term, _))) if self.shows && row.highest_term < primary_term => {
                 (self.paused, self.pausing) = (None, None);
             }
-            (Some(term), None) if self.shows && row.held < term => self.pausing = None,
+            (Some(primary_term), None) if self.shows && row.highest_term < primary_term => {
+                self.pausing = None
+            }
             // Where its log stands now is what counts: a late `RESUME` may have let it go on for a moment.
-            (_, Some((term, _))) if !row.leader => {
-                self.paused = Some((term, row.received));
+            (_, Some((primary_term, _))) if !row.is_primary => {
+                self.paused = Some((primary_term, row.received));
                 self.pause_confirmed = Some(asked);
             }
             _ => {}
@@ -118,35 +120,35 @@
     }
 
     /// What a question came to.
-    pub fn asked(&mut self, now: f64, id: &str, asked: Asked) {
+    pub fn asked(&mut self, now: f64, id: &str, asked: CommandOutcome) {
         let seen = self.seen.entry(id.to_owned()).or_default();
         seen.waiting = false;
         match asked {
-            Asked::Row {
-                statement,
-                row,
-                asked,
+            CommandOutcome::Status {
+                command: statement,
+                status: row,
+                sent_at: asked,
             } => {
                 seen.record_row(now, statement, row, asked);
                 self.record_position(id, row, asked);
             }
-            Asked::Busy => {
+            CommandOutcome::Busy => {
                 seen.record_answer(now);
                 seen.busy = true;
             }
-            Asked::Silent => seen.record_failure(now, false),
-            Asked::Refused => seen.record_failure(now, true),
-            Asked::NotSent => {}
+            CommandOutcome::TimedOut => seen.record_failure(now, false),
+            CommandOutcome::Refused => seen.record_failure(now, true),
+            CommandOutcome::NotSent => {}
         }
     }
 
     /// Keeps the position of the primary, if the row is its.
-    fn record_position(&mut self, id: &str, row: Row, asked: f64) {
-        if !row.leader
+    fn record_position(&mut self, id: &str, row: ServerStatus, asked: f64) {
+        if !row.is_primary
             || self
                 .primary
                 .as_ref()
-                .is_none_or(|p| p.id != id || p.term != row.term)
+                .is_none_or(|p| p.id != id || p.primary_term != row.primary_term)
         {
             return;
         }
@@ -162,8 +164,8 @@
         now: f64,
         id: &str,
         every: f64,
-        statement: Statement,
-        acts: &mut Vec<Act>,
+        statement: ServerCommand,
+        actions: &mut Vec<FailoverAction>,
     ) {
         let seen = self.seen.entry(id.to_owned()).or_default();
         if seen.waiting || now - seen.asked < every {
@@ -171,11 +173,11 @@
         }
         seen.waiting = true;
         seen.asked = now;
-        if let Statement::Pause(term) = statement {
-            seen.pausing = Some(term);
+        if let ServerCommand::Pause(primary_term) = statement {
+            seen.pausing = Some(primary_term);
             seen.resumed = None;
         }
-        acts.push(Act::Ask(id.to_owned(), statement));
+        actions.push(FailoverAction::Query(id.to_owned(), statement));
     }
 
     /// What was observed of this server.
@@ -186,16 +188,23 @@
     /// The highest term that anybody holds.
     pub(super) fn highest_term(&self) -> u64 {
         let rows = self.seen.values().filter_map(|s| s.row);
-        let held = rows.map(|r| r.term.max(r.held)).max().unwrap_or(0);
-        held.max(self.primary.as_ref().map_or(0, |p| p.term))
+        let held = rows
+            .map(|r| r.primary_term.max(r.highest_term))
+            .max()
+            .unwrap_or(0);
+        held.max(self.primary.as_ref().map_or(0, |p| p.primary_term))
     }
 
     /// The highest term that anybody led. Pauses raise the term that a server holds, not the one of its log.
     pub(super) fn highest_led(&self) -> u64 {
-        let rows = self.seen.values().filter_map(|s| s.row).map(|r| r.term);
+        let rows = self
+            .seen
+            .values()
+            .filter_map(|s| s.row)
+            .map(|r| r.primary_term);
         rows.max()
             .unwrap_or(0)
-            .max(self.primary.as_ref().map_or(0, |p| p.term))
+            .max(self.primary.as_ref().map_or(0, |p| p.primary_term))
     }
 
     /// Whether the primary is known to have had no more than this when it was asked after that second: whoever was gone
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -18,25 +18,25 @@
 
 impl Failover {
     /// What was to be agreed on holds, or doesn't.
-    pub fn agreed(&mut self, now: f64, holds: bool) -> Option<Act> {
-        let Phase::Agreeing(choice) = &self.phase else {
+    pub fn agreed(&mut self, now: f64, holds: bool) -> Option<FailoverAction> {
+        let Phase::Proposing(choice) = &self.phase else {
             return None;
         };
         if !holds {
-            self.phase = Phase::Finding;
+            self.phase = Phase::Discovering;
             return None;
         }
         let choice = choice.clone();
-        let act = Act::Promote {
-            to: choice.to.clone(),
+        let action = FailoverAction::Promote {
+            server_id: choice.to.clone(),
         };
         self.pending.sent(now, &choice.to);
-        self.phase = Phase::Promoting(Promotion {
+        self.phase = Phase::Promoting(PromotionAttempt {
             choice,
             posted: now,
             since: now,
         });
-        Some(act)
+        Some(action)
     }
 
     /// How a call to promote this server has ended.
@@ -44,7 +44,7 @@
         if !self.pending.ended(now, id, outcome) {
             return;
         }
-        let Phase::Promoting(Promotion { choice, posted, .. }) = &mut self.phase else {
+        let Phase::Promoting(PromotionAttempt { choice, posted, .. }) = &mut self.phase else {
             return;
         };
         match outcome {
@@ -52,16 +52,18 @@
                 // It is not running, says the platform: choose again.
                 self.retry = now + RETRY_S;
                 self.phase = match choice.planned {
-                    true => Phase::Finding,
-                    false => Phase::Closing {
-                        term: choice.above + 1,
+                    true => Phase::Discovering,
+                    false => Phase::Revoking {
+                        primary_term: choice.above + 1,
                     },
                 };
             }
             PromotionOutcome::Accepted => *posted = now + ACCEPTED_DELAY_S,
             PromotionOutcome::Rejected => *posted = now,
             // Too many calls, or the platform is in trouble: again soon.
-            PromotionOutcome::Busy | PromotionOutcome::NotSent | PromotionOutcome::Unknown => {
+            PromotionOutcome::RateLimited
+            | PromotionOutcome::NotSent
+            | PromotionOutcome::Unknown => {
                 *posted = now - FAILED_ADVANCE_S;
             }
         }
@@ -69,36 +71,41 @@
 
     pub(super) fn promote(
         &mut self,
-        around: &Around<'_>,
-        promotion: Promotion,
-        acts: &mut Vec<Act>,
+        context: &FailoverContext<'_>,
+        promotion: PromotionAttempt,
+        actions: &mut Vec<FailoverAction>,
     ) {
-        let now = around.now;
+        let now = context.now;
         let choice = &promotion.choice;
         let to = &choice.to;
-        self.ask(now, to, ASK_PROMOTED_S, Statement::Status, acts);
+        self.ask(now, to, ASK_PROMOTED_S, ServerCommand::Status, actions);
         let seen = self.observed(to);
-        if let Some(row) = seen.row.filter(|r| seen.leads() && r.term > choice.above) {
+        if let Some(row) = seen
+            .row
+            .filter(|r| seen.leads() && r.primary_term > choice.above)
+        {
             log::info!(
                 "event=promoted id={to} term={} after_s={:.3}",
-                row.term,
+                row.primary_term,
                 now - promotion.since
             );
-            self.conclude_promotion(around, choice, row.term, acts);
+            self.conclude_promotion(context, choice, row.primary_term, actions);
             return;
         }
         if choice.planned {
-            self.revoke_at_drain_end(around, acts);
+            self.revoke_at_drain_end(context, actions);
         }
-        self.hold_others(around, choice, acts);
-        let silent = seen.failing.is_some() && now - seen.answered > self.timing.silence;
-        if silent || !around.is_member(to) {
+        self.hold_others(context, choice, actions);
+        let silent = seen.failing.is_some() && now - seen.answered > self.timing.primary_timeout;
+        if silent || !context.is_member(to) {
             log::info!("event=promoted_is_silent id={to}");
-            self.give_up(acts);
+            self.give_up(actions);
         } else if now - promotion.posted > POST_AGAIN_S {
             self.pending.sent(now, to);
-            acts.push(Act::Promote { to: to.clone() });
-            self.phase = Phase::Promoting(Promotion {
+            actions.push(FailoverAction::Promote {
+                server_id: to.clone(),
+            });
+            self.phase = Phase::Promoting(PromotionAttempt {
                 posted: now,
                 ..promotion
             });
@@ -108,62 +115,77 @@
     /// The choice leads this term.
     fn conclude_promotion(
         &mut self,
-        around: &Around<'_>,
-        choice: &Choice,
-        term: u64,
-        acts: &mut Vec<Act>,
+        context: &FailoverContext<'_>,
+        choice: &PromotionTarget,
+        primary_term: u64,
+        actions: &mut Vec<FailoverAction>,
     ) {
         let promoted = Primary {
             id: choice.to.clone(),
-            term,
+            primary_term,
         };
         if choice.planned {
-            self.revoke(acts);
+            self.revoke(actions);
             let old = self.primary.clone().unwrap_or_default();
-            self.ask(around.now, &old.id, 0.0, Statement::StepDown(term), acts);
-            self.phase = Phase::Switching(promoted);
-        } else if self.given_back(around) {
-            self.use_primary(around.now, promoted, acts);
+            self.ask(
+                context.now,
+                &old.id,
+                0.0,
+                ServerCommand::StepDown(primary_term),
+                actions,
+            );
+            self.phase = Phase::Completing(promoted);
+        } else if self.given_back(context) {
+            self.use_primary(context.now, promoted, actions);
         }
     }
 
     /// If the platform has not done it by the end of the drain, nothing new may reach the old primary any more.
-    fn revoke_at_drain_end(&mut self, around: &Around<'_>, acts: &mut Vec<Act>) {
+    fn revoke_at_drain_end(
+        &mut self,
+        context: &FailoverContext<'_>,
+        actions: &mut Vec<FailoverAction>,
+    ) {
         if self.revocation != Revocation::None {
             return;
         }
         let Some(Primary { id, .. }) = self.primary.clone() else {
             return;
         };
-        let limit = self.timing.drain - DRAIN_MARGIN_S;
-        if around
+        let limit = self.timing.drain_timeout - DRAIN_MARGIN_S;
+        if context
             .draining_since(&id)
-            .is_some_and(|since| around.now - since > limit)
+            .is_some_and(|since| context.now - since > limit)
         {
             log::info!("event=primary_leaves_unreplaced id={id}");
-            self.revoke(acts);
+            self.revoke(actions);
         }
     }
 
     /// Nobody else may acknowledge anything now that the new one would lack: not the old primary if it is back, nor those
     /// that come back or are new.
-    fn hold_others(&mut self, around: &Around<'_>, choice: &Choice, acts: &mut Vec<Act>) {
+    fn hold_others(
+        &mut self,
+        context: &FailoverContext<'_>,
+        choice: &PromotionTarget,
+        actions: &mut Vec<FailoverAction>,
+    ) {
         let old = self.primary.clone().map(|p| p.id);
-        let term = self.highest_term();
-        for member in around.members.iter().filter(|m| m.id != choice.to) {
+        let primary_term = self.highest_term();
+        for member in context.members.iter().filter(|m| m.id != choice.to) {
             let seen = self.observed(&member.id);
             let statement = if Some(&member.id) == old.as_ref() {
-                let term = seen.row.map_or(choice.above, |r| r.term) + 1;
+                let primary_term = seen.row.map_or(choice.above, |r| r.primary_term) + 1;
                 match seen.leads() && !choice.planned {
-                    true => Statement::StepDown(term),
-                    false => Statement::Status,
+                    true => ServerCommand::StepDown(primary_term),
+                    false => ServerCommand::Status,
                 }
             } else if seen.paused.is_none() && !seen.leads() && !seen.busy {
-                Statement::Pause(term + 1)
+                ServerCommand::Pause(primary_term + 1)
             } else {
-                Statement::Status
+                ServerCommand::Status
             };
-            self.ask(around.now, &member.id, ASK_OTHERS_S, statement, acts);
+            self.ask(context.now, &member.id, ASK_OTHERS_S, statement, actions);
         }
     }
 }
--- a/crates/core/control/src/failover/switching.rs
+++ b/crates/core/control/src/failover/switching.rs
@@ -3,10 +3,21 @@
 use super::*;
 
 impl Failover {
-    pub(super) fn switch(&mut self, around: &Around<'_>, to: Primary, acts: &mut Vec<Act>) {
-        self.ask(around.now, &to.id, self.timing.ask, Statement::Status, acts);
-        if self.given_back(around) {
-            self.use_primary(around.now, to, acts);
+    pub(super) fn switch(
+        &mut self,
+        context: &FailoverContext<'_>,
+        to: Primary,
+        actions: &mut Vec<FailoverAction>,
+    ) {
+        self.ask(
+            context.now,
+            &to.id,
+            self.timing.primary_poll_interval,
+            ServerCommand::Status,
+            actions,
+        );
+        if self.given_back(context) {
+            self.use_primary(context.now, to, actions);
         }
     }
 }
