--- a/crates/core/control/src/failover/types.rs
+++ b/crates/core/control/src/failover/types.rs
@@ -5,20 +5,20 @@
 
 /// What a server tells of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct ServerStatus {
     /// It sees itself as the primary.
-    pub leader: bool,
+    pub is_primary: bool,
     /// The term of its log.
-    pub term: u64,
+    pub primary_term: u64,
     /// How far its log goes.
     pub received: Position,
     /// The highest term that it has heard of.
-    pub held: u64,
+    pub highest_term: u64,
 }
 
 /// What a server is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Statement {
+pub enum ServerCommand {
     /// How it stands.
     Status,
     /// To receive nothing until a promote.
@@ -31,17 +31,17 @@
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Asked {
+pub enum CommandOutcome {
     /// The answer, to what was asked at that second.
-    Row {
-        statement: Statement,
-        row: Row,
-        asked: f64,
+    Status {
+        command: ServerCommand,
+        status: ServerStatus,
+        sent_at: f64,
     },
     /// It answered, but not with a row.
     Busy,
     /// No answer in time, or the connection broke.
-    Silent,
+    TimedOut,
     /// Nobody listens at its address, or somebody else does.
     Refused,
     /// It was not sent: this machine may no longer act.
@@ -50,34 +50,34 @@
 
 /// Spans, in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Timing {
+pub struct FailoverConfig {
     /// Between two questions to a primary.
-    pub ask: f64,
+    pub primary_poll_interval: f64,
     /// Between two questions to a replica.
-    pub ask_replica: f64,
+    pub replica_poll_interval: f64,
     /// A primary of which nobody had an answer for so long counts as dead.
-    pub silence: f64,
+    pub primary_timeout: f64,
     /// What a server is given for its answer.
-    pub answer: f64,
+    pub query_timeout: f64,
     /// Heartbeats come this often.
-    pub heartbeat: f64,
+    pub heartbeat_interval: f64,
     /// A draining server is used for no longer than this from when it said so.
-    pub drain: f64,
+    pub drain_timeout: f64,
 }
 
 /// What a server looks like from outside.
 #[derive(Clone, Debug)]
-pub(crate) struct Candidate {
+pub(crate) struct ServerCandidate {
     pub id: String,
     pub draining_since: Option<f64>,
     pub heard: f64,
 }
 
 /// What a step goes by.
-pub(crate) struct Around<'a> {
+pub(crate) struct FailoverContext<'a> {
     pub now: f64,
     /// The members of the service.
-    pub members: &'a [Candidate],
+    pub members: &'a [ServerCandidate],
     /// Those that left or fell silent a while ago, and from when on they took part in nothing.
     pub lost: &'a [(String, f64)],
     /// The primary that was agreed on last: it leads this term or a later one. Just this one, once no router can use
@@ -97,23 +97,23 @@
     pub sync: u32,
 }
 
-impl Around<'_> {
+impl FailoverContext<'_> {
     /// Whether this server is a member of the service.
     pub(super) fn is_member(&self, id: &str) -> bool {
         self.members.iter().any(|m| m.id == id)
     }
 
     /// The member that has taken the place of this server, with its log.
-    pub(super) fn successor(&self, id: &str) -> Option<&Candidate> {
+    pub(super) fn successor(&self, id: &str) -> Option<&ServerCandidate> {
         self.members
             .iter()
             .find(|member| (self.succeeds)(id, &member.id))
     }
 
     /// Whether this server, which leads that term, is the primary that was agreed on last, under whatever id.
-    pub(super) fn is_of_record(&self, id: &str, term: u64) -> bool {
+    pub(super) fn is_of_record(&self, id: &str, primary_term: u64) -> bool {
         self.record.is_some_and(|(of_record, above)| {
-            term >= above && (of_record == id || (self.succeeds)(of_record, id))
+            primary_term >= above && (of_record == id || (self.succeeds)(of_record, id))
         })
     }
 
@@ -128,24 +128,24 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Act {
-    Ask(String, Statement),
-    Agree {
-        to: String,
-        above: u64,
+pub(crate) enum FailoverAction {
+    Query(String, ServerCommand),
+    ProposePrimary {
+        server_id: String,
+        after_term: u64,
     },
     /// The change to this primary is complete.
-    Settle {
-        id: String,
-        term: u64,
+    RecordComplete {
+        server_id: String,
+        primary_term: u64,
     },
     Promote {
-        to: String,
+        server_id: String,
     },
     /// The grant of this service is now this.
     Grant {
-        id: String,
-        term: u64,
-        closing: bool,
+        server_id: String,
+        primary_term: u64,
+        revoking: bool,
     },
 }
--- a/crates/core/control/src/leases.rs
+++ b/crates/core/control/src/leases.rs
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug)]
 struct Session {
-    life: u64,
+    process_incarnation: u64,
     known: u64,
     /// Its lease has ended for certain at this second of our clock.
     until: f64,
@@ -29,7 +29,7 @@
 
 impl Leases {
     /// A machine begins to lead: leases of those before it may run until `before_us`.
-    pub fn begin(before_us: f64) -> Leases {
+    pub fn new(before_us: f64) -> Leases {
         Leases {
             all: BTreeMap::new(),
             before_us,
@@ -38,9 +38,16 @@
     }
 
     /// A router asks and is given the lease for so many seconds, 0 for none; it knows all news up to `known`.
-    pub fn renew(&mut self, now: f64, router: &str, life: u64, known: u64, lease: f64) {
+    pub fn renew(
+        &mut self,
+        now: f64,
+        router: &str,
+        process_incarnation: u64,
+        known: u64,
+        lease: f64,
+    ) {
         let renewed = Session {
-            life,
+            process_incarnation,
             known,
             until: now + lease,
             asked: now,
@@ -49,7 +56,7 @@
             self.all.insert(router.to_owned(), renewed);
             return;
         };
-        if session.life == life {
+        if session.process_incarnation == process_incarnation {
             // A call that was overtaken takes nothing back of what is known.
             session.known = session.known.max(known);
             session.until = session.until.max(renewed.until);
@@ -65,22 +72,25 @@
     }
 
     /// Whether this router, in this life, may be given a lease: the one that it has runs, or it knows all grants as they are.
-    pub fn may_hold(&self, now: f64, router: &str, life: u64, known: u64) -> bool {
-        let session = self.all.get(router).filter(|session| session.life == life);
+    pub fn may_renew(&self, now: f64, router: &str, process_incarnation: u64, known: u64) -> bool {
+        let session = self
+            .all
+            .get(router)
+            .filter(|session| session.process_incarnation == process_incarnation);
         let runs = session.is_some_and(|session| now < session.until);
-        runs || known.max(self.known(router, life)) >= self.changed
+        runs || known.max(self.acknowledged(router, process_incarnation)) >= self.changed
     }
 
     /// Up to which number this router has said, in this life, that it knows the news.
-    pub fn known(&self, router: &str, life: u64) -> u64 {
+    pub fn acknowledged(&self, router: &str, process_incarnation: u64) -> u64 {
         self.all
             .get(router)
-            .filter(|session| session.life == life)
+            .filter(|session| session.process_incarnation == process_incarnation)
             .map_or(0, |session| session.known)
     }
 
     /// Whether no router can act on anything older than this number.
-    pub fn all_know(&self, now: f64, number: u64) -> bool {
+    pub fn all_acknowledged(&self, now: f64, number: u64) -> bool {
         now >= self.before_us
             && self
                 .all
@@ -89,12 +99,12 @@
     }
 
     /// How many routers hold a lease.
-    pub fn held(&self, now: f64) -> usize {
+    pub fn active(&self, now: f64) -> usize {
         self.all.values().filter(|s| now < s.until).count()
     }
 
     /// How many routers hold a lease or asked for one within so many seconds.
-    pub fn present(&self, now: f64, within: f64) -> usize {
+    pub fn recently_seen(&self, now: f64, within: f64) -> usize {
         self.all
             .values()
             .filter(|s| now < s.until || now - s.asked < within)
@@ -102,12 +112,12 @@
     }
 
     /// When leases from before this machine led have ended.
-    pub fn before_us(&self) -> f64 {
+    pub fn former_leases_until(&self) -> f64 {
         self.before_us
     }
 
     /// Forgets whose lease ended long ago.
-    pub fn sweep(&mut self, now: f64) {
+    pub fn expire(&mut self, now: f64) {
         self.all.retain(|_, s| now - s.until < 60.0);
     }
 }
--- a/crates/core/control/src/lib.rs
+++ b/crates/core/control/src/lib.rs
@@ -3,39 +3,44 @@
 //! Seconds are handed in, of the steady clock of the machine on which this runs. What is to be done comes out as a list
 //! of [`Output`] in the order in which it must happen: whatever is to be on disk stands before what relies on it.
 
-mod ballot;
+mod change_history;
 mod consensus;
 mod controller;
-mod difference;
 mod digest;
 mod failover;
-mod history;
 mod leases;
 mod members;
-mod membership;
 mod message;
 mod promotion;
 mod state;
+mod term;
+mod text_delta;
+mod voter_set;
 
-pub use ballot::Ballot;
+pub use change_history::ChangeHistory;
 pub use consensus::{
-    Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Content, Holds, Recipient,
-    Record,
+    Consensus, ConsensusConfig, ConsensusMessage, ConsensusOutput, HardState, Recipient, StateId,
+    StatePayload,
+};
+pub use controller::{
+    ControlConfig, ControlRequest, ControlResponse, Controller, Output, PRIMARY_CHANGES_KEPT,
 };
-pub use controller::{Answer, Call, ControlTiming, Controller, Output, PRIMARY_CHANGES_KEPT};
-pub use difference::Difference;
 pub use digest::Digest;
-pub use failover::{Asked, Row, Statement, Timing};
-pub use history::History;
+pub use failover::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
 pub use leases::Leases;
-pub use members::{Beat, Member, Members, Phase};
-pub use membership::{FOUNDING, Membership, Node, Voter};
+pub use members::{Heartbeat, Member, MemberPhase, MemberRegistry};
 pub use message::{
-    CallId, ConfigNews, Evidence, GrantNews, LeaderCall, MemberNews, PeerMessage, ToControl,
-    ToRouter,
+    ConfigUpdate, HealthReport, LeaderRequest, LeaseRequest, MemberInfo, PeerMessage, PrimaryGrant,
+    RequestId, RouterMessage,
 };
 pub use promotion::PromotionOutcome;
-pub use state::{Change, Order, Primary, REMEMBERED_ORDERS, State, Text, Verdict};
+pub use state::{
+    APPLIED_CONFIGS_KEPT, AppliedConfig, ConfigPayload, PrimaryRecord, ReplaceVerdict, State,
+    StateChange,
+};
+pub use term::Term;
+pub use text_delta::TextDelta;
+pub use voter_set::{FOUNDING_INCARNATION, NodeId, Voter, VoterSet};
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/control/src/members.rs
+++ b/crates/core/control/src/members.rs
@@ -1,11 +1,11 @@
 //! The database servers, as their heartbeats tell them.
 
-use crate::message::MemberNews;
+use crate::message::MemberInfo;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where a server stands in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum MemberPhase {
     /// In service.
     Ready,
     /// It leaves.
@@ -14,7 +14,7 @@
 
 /// One heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The service that it belongs to.
     pub service: String,
     /// Address and port.
@@ -24,7 +24,7 @@
     /// How much it works on at once.
     pub slots: u32,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: MemberPhase,
     /// Rises with every call of this server.
     pub call_seq: u64,
 }
@@ -33,39 +33,39 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// As told to others.
-    pub news: MemberNews,
+    pub info: MemberInfo,
     /// When it was last heard of, in seconds.
-    pub heard: f64,
+    pub last_seen: f64,
     /// When it first said that it leaves, in seconds.
     pub draining_since: Option<f64>,
     /// The number of the change that made it so.
-    pub stamp: u64,
+    pub changed_in_update: u64,
     /// A majority of the control machines has said that it knows this, too.
-    pub confirmed: bool,
+    pub majority_knows: bool,
 }
 
 /// Whether this must be on disks before it is acknowledged: nothing new goes to a server that leaves, though all control machines
 /// lose power and its beats stay away. That a server departs undrained is told by no beat again anyway.
-pub(crate) fn outlives_power_loss(news: &MemberNews) -> bool {
-    news.draining && !news.gone
+pub(crate) fn outlives_power_loss(news: &MemberInfo) -> bool {
+    news.draining && !news.departed
 }
 
 impl Member {
     /// Whether that one was heard at its address since it was heard itself.
     fn is_succeeded_by(&self, other: &Member) -> bool {
-        self.shares_address_with(other) && other.heard > self.heard
+        self.shares_address_with(other) && other.last_seen > self.last_seen
     }
 
     /// Whether that is another server of its service at its address.
     fn shares_address_with(&self, other: &Member) -> bool {
-        let (this, other) = (&self.news, &other.news);
+        let (this, other) = (&self.info, &other.info);
         this.id != other.id && this.service == other.service && this.endpoint == other.endpoint
     }
 }
 
 /// All servers by id.
 #[derive(Clone, Debug, Default)]
-pub struct Members {
+pub struct MemberRegistry {
     all: BTreeMap<String, Member>,
     /// Ids by service, also of those that have left: a step of a service looks at its own only.
     services: BTreeMap<String, BTreeSet<String>>,
@@ -86,17 +86,23 @@
 /// Whoever left is remembered for so many seconds, so that a beat that comes late doesn't bring it back.
 const REMEMBERED: f64 = 60.0;
 
-impl Members {
-    /// Takes a heartbeat; true if it tells something new. `silent_s` is not needed here: silence is judged by [`Members::sweep`].
-    pub fn beat(&mut self, now: f64, id: &str, beat: &Beat, stamp: u64) -> Option<MemberNews> {
-        let news = MemberNews {
+impl MemberRegistry {
+    /// Takes a heartbeat; true if it tells something new. `silent_s` is not needed here: silence is judged by [`MemberRegistry::expire`].
+    pub fn heartbeat(
+        &mut self,
+        now: f64,
+        id: &str,
+        beat: &Heartbeat,
+        stamp: u64,
+    ) -> Option<MemberInfo> {
+        let news = MemberInfo {
             id: id.to_owned(),
             service: beat.service.clone(),
             endpoint: beat.endpoint.clone(),
             zone: beat.zone.clone(),
             slots: beat.slots,
-            draining: beat.phase == Phase::Draining,
-            gone: false,
+            draining: beat.phase == MemberPhase::Draining,
+            departed: false,
             call_seq: beat.call_seq,
         };
         self.merge(now, news.clone(), stamp).then_some(news)
@@ -104,35 +110,35 @@
 
     /// A server says that it leaves. One that has drained ends now; any other serves on for as long as one that drains, and
     /// counts for its primary meanwhile.
-    pub fn depart(&mut self, now: f64, id: &str, stamp: u64) -> Option<MemberNews> {
+    pub fn depart(&mut self, now: f64, id: &str, stamp: u64) -> Option<MemberInfo> {
         let member = self.all.get(id)?;
-        let news = match (member.news.call_seq, member.news.draining) {
+        let news = match (member.info.call_seq, member.info.draining) {
             // The same call once more.
             (LEAVING, _) => return None,
-            (_, true) => MemberNews {
-                gone: true,
+            (_, true) => MemberInfo {
+                departed: true,
                 call_seq: ENDED,
-                ..member.news.clone()
+                ..member.info.clone()
             },
-            (_, false) => MemberNews {
+            (_, false) => MemberInfo {
                 draining: true,
                 call_seq: LEAVING,
-                ..member.news.clone()
+                ..member.info.clone()
             },
         };
         self.merge(now, news.clone(), stamp).then_some(news)
     }
 
     /// Nobody listens at the address of this server any more: one that was leaving has ended. What is new by that.
-    pub(crate) fn refused(&mut self, now: f64, id: &str, stamp: u64) -> Option<MemberNews> {
+    pub(crate) fn refused(&mut self, now: f64, id: &str, stamp: u64) -> Option<MemberInfo> {
         let member = self
             .all
             .get(id)
-            .filter(|member| member.news.call_seq == LEAVING && !member.news.gone)?;
-        let news = MemberNews {
-            gone: true,
+            .filter(|member| member.info.call_seq == LEAVING && !member.info.departed)?;
+        let news = MemberInfo {
+            departed: true,
             call_seq: ENDED,
-            ..member.news.clone()
+            ..member.info.clone()
         };
         self.merge(now, news.clone(), stamp).then_some(news)
     }
@@ -143,7 +149,7 @@
     }
 
     /// Takes what a beat or another machine tells; true if it is newer than what was known.
-    pub fn merge(&mut self, now: f64, news: MemberNews, stamp: u64) -> bool {
+    pub fn merge(&mut self, now: f64, news: MemberInfo, stamp: u64) -> bool {
         let Some(member) = self.all.get_mut(&news.id) else {
             let draining_since = news.draining.then_some(now);
             self.services
@@ -153,88 +159,92 @@
             self.all.insert(
                 news.id.clone(),
                 Member {
-                    news,
-                    heard: now,
+                    info: news,
+                    last_seen: now,
                     draining_since,
-                    stamp,
-                    confirmed: false,
+                    changed_in_update: stamp,
+                    majority_knows: false,
                 },
             );
             self.changes += 1;
             return true;
         };
         // Calls may arrive late or twice; only what is newer counts, also of one who seemed to have left by silence.
-        if news.call_seq <= member.news.call_seq {
+        if news.call_seq <= member.info.call_seq {
             return false;
         }
-        let same = MemberNews {
+        let same = MemberInfo {
             call_seq: news.call_seq,
-            ..member.news.clone()
+            ..member.info.clone()
         } == news;
         if news.draining && member.draining_since.is_none() {
             member.draining_since = Some(now);
         }
-        member.heard = now;
-        if member.news.service != news.service {
+        member.last_seen = now;
+        if member.info.service != news.service {
             self.services
                 .entry(news.service.clone())
                 .or_default()
                 .insert(news.id.clone());
         }
-        member.news = news;
+        member.info = news;
         if !same {
-            member.stamp = stamp;
-            member.confirmed = false;
+            member.changed_in_update = stamp;
+            member.majority_knows = false;
             self.changes += 1;
         }
         true
     }
 
     /// Whether a majority of the control machines knows what is known here of this one; also of one that is unknown.
-    pub(crate) fn is_confirmed(&self, id: &str) -> bool {
-        self.all.get(id).is_none_or(|m| m.confirmed)
+    pub(crate) fn majority_knows(&self, id: &str) -> bool {
+        self.all.get(id).is_none_or(|m| m.majority_knows)
     }
 
     /// A majority of the control machines knows this, if nothing has changed since.
-    pub(crate) fn confirm(&mut self, news: &MemberNews) {
+    pub(crate) fn mark_majority_knows(&mut self, news: &MemberInfo) {
         if let Some(member) = self.all.get_mut(&news.id) {
-            let same = MemberNews {
+            let same = MemberInfo {
                 call_seq: news.call_seq,
-                ..member.news.clone()
+                ..member.info.clone()
             } == *news;
-            member.confirmed |= same;
+            member.majority_knows |= same;
         }
     }
 
     /// It answered a question of ours, or a router's, at that second: it is there, whoever takes its beats.
-    pub fn answered(&mut self, at: f64, id: &str) {
-        if let Some(member) = self.all.get_mut(id).filter(|m| !m.news.gone) {
-            member.heard = member.heard.max(at);
+    pub fn seen_alive(&mut self, at: f64, id: &str) {
+        if let Some(member) = self.all.get_mut(id).filter(|m| !m.info.departed) {
+            member.last_seen = member.last_seen.max(at);
         }
     }
 
     /// Forgets who has not been heard of for so many seconds. True if somebody was.
-    pub fn sweep(&mut self, now: f64, silent_s: f64, stamp: u64) -> bool {
+    pub fn expire(&mut self, now: f64, silent_s: f64, stamp: u64) -> bool {
         let mut swept = false;
         let silent = |m: &Member| {
-            let leaving = m.news.call_seq == LEAVING;
-            now - m.heard
+            let leaving = m.info.call_seq == LEAVING;
+            now - m.last_seen
                 > if leaving {
                     LEAVING_SILENCES * silent_s
                 } else {
                     silent_s
                 }
         };
-        for member in self.all.values_mut().filter(|m| !m.news.gone && silent(m)) {
-            member.news.gone = true;
-            member.confirmed = false;
-            member.stamp = stamp;
+        for member in self
+            .all
+            .values_mut()
+            .filter(|m| !m.info.departed && silent(m))
+        {
+            member.info.departed = true;
+            member.majority_knows = false;
+            member.changed_in_update = stamp;
             swept = true;
             self.changes += 1;
         }
         let (all, services) = (&mut self.all, &mut self.services);
         all.retain(|id, m| {
-            let kept = !m.news.gone || now - m.heard < REMEMBERED;
+            let kept = !m.info.departed || now - m.last_seen < REMEMBERED;
             if !kept {
                 services.values_mut().for_each(|ids| {
                     ids.remove(id);
@@ -247,31 +257,31 @@
     }
 
     /// Counts what changed but for being heard of again.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
     /// Those that have not left, as they are kept for a life after this one: any beat is newer, but for that of a server that
     /// leaves, which an older one doesn't bring back.
-    pub fn kept(&self) -> Vec<MemberNews> {
-        let all = self.all.values().filter(|m| !m.news.gone);
+    pub fn to_persist(&self) -> Vec<MemberInfo> {
+        let all = self.all.values().filter(|m| !m.info.departed);
         let call_seq = |m: &Member| {
-            if outlives_power_loss(&m.news) {
-                m.news.call_seq
+            if outlives_power_loss(&m.info) {
+                m.info.call_seq
             } else {
                 0
             }
         };
-        all.map(|m| MemberNews {
+        all.map(|m| MemberInfo {
             call_seq: call_seq(m),
-            ..m.news.clone()
+            ..m.info.clone()
         })
         .collect()
     }
 
     /// Takes what was kept in a life before this one. For how long a server had been draining isn't known: it counts as so many
     /// seconds.
-    pub fn recall(&mut self, now: f64, kept: Vec<MemberNews>, drained: f64) {
+    pub fn restore(&mut self, now: f64, kept: Vec<MemberInfo>, drained: f64) {
         for news in kept {
             let (id, draining) = (news.id.clone(), news.draining);
             self.merge(now, news, 0);
@@ -286,44 +296,46 @@
     /// What is known of this one counts as changed under that number: a new leader tells all of it.
     pub(crate) fn restamp(&mut self, id: &str, stamp: u64) {
         if let Some(member) = self.all.get_mut(id) {
-            member.stamp = stamp;
+            member.changed_in_update = stamp;
         }
     }
 
     /// The one with this id, unless it has left.
     pub fn get(&self, id: &str) -> Option<&Member> {
-        self.all.get(id).filter(|m| !m.news.gone)
+        self.all.get(id).filter(|m| !m.info.departed)
     }
 
     /// Those of a service that have not left.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
-        self.named(service).filter(|m| !m.news.gone)
+    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
+        self.named(service).filter(|m| !m.info.departed)
     }
 
     fn named<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
         let ids = self.services.get(service).into_iter().flatten();
         ids.filter_map(|id| self.all.get(id))
-            .filter(move |m| m.news.service == service)
+            .filter(move |m| m.info.service == service)
     }
 
     /// Whether the last change of this one was told under this number.
     pub(crate) fn is_stamped(&self, id: &str, stamp: u64) -> bool {
-        self.all.get(id).is_some_and(|m| m.stamp == stamp)
+        self.all
+            .get(id)
+            .is_some_and(|m| m.changed_in_update == stamp)
     }
 
     /// Those of a service that left or fell silent, as far as they are remembered, and from when on they took part in
     /// nothing: whoever lives sends beats.
-    pub(crate) fn lost(&self, service: &str, heartbeat: f64) -> Vec<(String, f64)> {
+    pub(crate) fn departed_of(&self, service: &str, heartbeat: f64) -> Vec<(String, f64)> {
         let gone = self
             .named(service)
-            .filter(|m| m.news.gone && !self.is_succeeded(m));
-        let goes_on = |m: &Member| match m.news.call_seq {
+            .filter(|m| m.info.departed && !self.is_succeeded(m));
+        let goes_on = |m: &Member| match m.info.call_seq {
             ENDED => ENDS_WITHIN,
             LEAVING => LEAVING_SILENCES * HEARTBEATS * heartbeat,
             _ => HEARTBEATS * heartbeat,
         };
-        let since = |m: &Member| m.heard + goes_on(m);
-        gone.map(|m| (m.news.id.clone(), since(m))).collect()
+        let since = |m: &Member| m.last_seen + goes_on(m);
+        gone.map(|m| (m.info.id.clone(), since(m))).collect()
     }
 
     /// Whether the second server has taken the place of the first one: whoever is new at the address of a server of its
@@ -345,7 +357,7 @@
 
     /// Whether another server was heard at the address of this one since.
     fn is_succeeded(&self, member: &Member) -> bool {
-        self.named(&member.news.service)
+        self.named(&member.info.service)
             .any(|other| member.is_succeeded_by(other))
     }
 
@@ -358,7 +370,7 @@
     pub fn services(&self) -> Vec<String> {
         self.services
             .keys()
-            .filter(|s| self.of(s).next().is_some())
+            .filter(|s| self.of_service(s).next().is_some())
             .cloned()
             .collect()
     }
--- a/crates/core/control/src/message.rs
+++ b/crates/core/control/src/message.rs
@@ -1,36 +1,36 @@
 //! What the system's processes tell each other.
 
-use crate::ballot::Ballot;
 use crate::consensus::ConsensusMessage;
-use crate::difference::Difference;
-use crate::membership::Node;
-use crate::state::Text;
+use crate::state::ConfigPayload;
+use crate::term::Term;
+use crate::text_delta::TextDelta;
+use crate::voter_set::NodeId;
 use bincode::{Decode, Encode};
 use std::rc::Rc;
 
 /// Names a call that one control machine passes on to another: no two lives of a process make the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct CallId {
+pub struct RequestId {
     /// The life of the process that passes it on.
-    pub life: u64,
+    pub process_incarnation: u64,
     /// Counts its calls.
-    pub number: u64,
+    pub sequence: u64,
 }
 
 /// A call that only the leader can settle.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum LeaderCall {
+pub enum LeaderRequest {
     /// A configuration of this epoch, building on that version.
-    Replace {
+    ReplaceConfig {
         /// The version on which it builds.
-        base: u64,
+        base_epoch: u64,
         /// Its epoch.
         epoch: u64,
         /// Its text, against the configuration that the sender holds.
-        text: Text,
+        config: ConfigPayload,
     },
     /// The newest configuration.
-    Read,
+    ReadConfig,
 }
 
 /// Between control machines.
@@ -39,45 +39,45 @@
     /// To agree.
     Consensus(ConsensusMessage),
     /// What is known of database servers; the sender may wait to hear that it is kept.
-    Members {
-        /// To be answered with [`PeerMessage::MembersKept`]; none if nobody waits.
-        round: Option<u64>,
+    MembersUpdate {
+        /// To be answered with [`PeerMessage::MembersUpdateAck`]; none if nobody waits.
+        update_id: Option<u64>,
         /// The servers.
-        news: Vec<MemberNews>,
+        members: Vec<MemberInfo>,
     },
     /// The servers of that round are known here now.
-    MembersKept {
+    MembersUpdateAck {
         /// The round.
-        round: u64,
+        update_id: u64,
     },
     /// A new leader asks for all that is known of database servers.
-    RosterWanted {
+    MembersSnapshotRequest {
         /// Its ballot.
-        ballot: Ballot,
+        term: Term,
     },
     /// All that is known here.
-    Roster {
+    MembersSnapshot {
         /// The ballot of the leader that asked.
-        ballot: Ballot,
+        term: Term,
         /// The servers.
-        news: Vec<MemberNews>,
+        members: Vec<MemberInfo>,
     },
     /// A call that this machine can't settle.
-    Call {
+    ForwardedRequest {
         /// Its number.
-        id: CallId,
+        id: RequestId,
         /// The call.
-        call: LeaderCall,
+        request: LeaderRequest,
     },
     /// The text of a call can't be read here: it is to be sent whole.
-    SendWhole {
+    FullConfigRequest {
         /// The number of the call.
-        id: CallId,
+        id: RequestId,
     },
     /// The answer to a call.
-    Answer {
+    ForwardedResponse {
         /// The number of the call.
-        id: CallId,
+        id: RequestId,
         /// As in HTTP.
         status: u16,
         /// The body.
@@ -87,7 +87,7 @@
 
 /// A database server as the control machines tell it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct MemberNews {
+pub struct MemberInfo {
     /// Its id, unique for good.
     pub id: String,
     /// The service that it belongs to.
@@ -101,67 +101,67 @@
     /// It leaves.
     pub draining: bool,
     /// It has left, or fell silent.
-    pub gone: bool,
+    pub departed: bool,
     /// The number of the call that told it: higher ones are newer.
     pub call_seq: u64,
 }
 
 /// Which server may be used as primary.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct GrantNews {
+pub struct PrimaryGrant {
     /// The service.
     pub service: String,
     /// The server's id; empty while none is known.
-    pub id: String,
+    pub server_id: String,
     /// The term that it leads.
-    pub term: u64,
+    pub primary_term: u64,
     /// Not to be used: a change is under way.
-    pub closing: bool,
+    pub revoking: bool,
 }
 
 /// What a router saw of a primary.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Evidence {
+pub struct HealthReport {
     /// The service.
     pub service: String,
     /// The server's id.
-    pub id: String,
+    pub server_id: String,
     /// Seconds since its last answer.
-    pub answered: f64,
+    pub answered_seconds_ago: f64,
 }
 
 /// From a router to control: asks for the lease again, and tells up to where it knows the news.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToControl {
+pub struct LeaseRequest {
     /// The router's name.
     pub router: String,
     /// Drawn at its start: a new one means that all the old one held is gone.
-    pub life: u64,
+    pub process_incarnation: u64,
     /// When this was sent, in seconds of the router's clock.
-    pub sent: f64,
+    pub sent_at: f64,
     /// The leader whose news it knows, and up to which number.
-    pub known: (Ballot, u64),
+    pub update_watermark: (Term, u64),
     /// The configuration it goes by.
-    pub epoch: u64,
+    pub config_epoch: u64,
     /// What it saw of the servers of services that control asked about.
-    pub evidence: Vec<Evidence>,
+    pub health_reports: Vec<HealthReport>,
 }
 
 /// A newer configuration, for a router.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum ConfigNews {
+pub enum ConfigUpdate {
     /// All of it.
-    Whole(Rc<[u8]>),
+    Full(Rc<[u8]>),
     /// What has changed since the one that the router goes by, one change after the other.
-    Changes(Vec<Rc<Difference>>),
+    Deltas(Vec<Rc<TextDelta>>),
 }
 
-impl ConfigNews {
+impl ConfigUpdate {
     /// The text, for a router that goes by `held`; none if the changes were not made for that.
     pub fn resolve(&self, held: &[u8]) -> Option<Rc<[u8]>> {
         match self {
-            ConfigNews::Whole(text) => Some(text.clone()),
-            ConfigNews::Changes(changes) => {
+            ConfigUpdate::Full(text) => Some(text.clone()),
+            ConfigUpdate::Deltas(changes) => {
                 let mut text = held.to_vec();
                 for change in changes {
                     text = change.apply(&text)?;
@@ -174,34 +174,34 @@
 
 /// From control to a router.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum ToRouter {
+pub enum RouterMessage {
     /// Another machine leads.
-    Elsewhere {
-        leader: Option<Node>,
-        voters: Vec<Node>,
+    NotLeader {
+        leader: Option<NodeId>,
+        voters: Vec<NodeId>,
     },
     /// News, or the answer to a renewal: an answer carries the lease and no news.
-    News {
+    Update {
         /// Who tells it, and up to which number the router knows the news once it has taken this; it may know more already.
-        known: (Ballot, u64),
+        update_watermark: (Term, u64),
         /// The call that this answers, as it was sent; none for news.
-        sent: Option<f64>,
+        request_sent_at: Option<f64>,
         /// The lease on all grants that the router was told of runs for so many seconds from when the call was sent; 0 for
         /// none.
-        lease: f64,
+        lease_duration: f64,
         /// All before is to be forgotten: these are all there are.
-        whole: bool,
+        is_snapshot: bool,
         /// Grants that changed.
-        grants: Vec<GrantNews>,
+        grants: Vec<PrimaryGrant>,
         /// Servers that changed.
-        members: Vec<MemberNews>,
+        members: Vec<MemberInfo>,
         /// A newer configuration.
-        config: Option<ConfigNews>,
+        config: Option<ConfigUpdate>,
         /// The machines that decide.
-        voters: Vec<Node>,
+        voters: Vec<NodeId>,
         /// How many routers share the servers; 0 while the leader doesn't know yet.
-        routers: u32,
+        router_count: u32,
         /// Services of whose primary the leader had no answer for a while: the router tells what it saw of these.
-        evidence_wanted: Vec<String>,
+        health_reports_wanted: Vec<String>,
     },
 }
--- a/crates/core/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -20,7 +20,7 @@
     /// 409: nothing was changed, since a newer holder has called or the named server isn't running.
     Refused,
     /// 429: nothing was changed, too many calls; later.
-    Busy,
+    RateLimited,
     /// Another 4xx: nothing was changed, and the same call will fare no better.
     Rejected,
     /// No byte of it was sent: the platform can't be reached, or this machine may no longer call it.
@@ -35,7 +35,7 @@
         match status {
             200..300 => PromotionOutcome::Accepted,
             409 => PromotionOutcome::Refused,
-            429 => PromotionOutcome::Busy,
+            429 => PromotionOutcome::RateLimited,
             // A 408 comes of waiting, which proves nothing.
             408 => PromotionOutcome::Unknown,
             400..500 => PromotionOutcome::Rejected,
@@ -48,7 +48,7 @@
         match self {
             PromotionOutcome::Accepted => Verdict::Ran,
             PromotionOutcome::Refused
-            | PromotionOutcome::Busy
+            | PromotionOutcome::RateLimited
             | PromotionOutcome::Rejected
             | PromotionOutcome::NotSent => Verdict::NotRun,
             PromotionOutcome::Unknown => Verdict::MayHaveRun,
--- a/crates/core/control/src/tests/agreement.rs
+++ b/crates/core/control/src/tests/agreement.rs
@@ -1,9 +1,9 @@
 //! Agreement: every order of a few messages, and longer random ones; what was acknowledged is never lost or forked.
 
 use super::net::{CONTACT, Net, SUSPECT};
-use crate::consensus::{Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Record};
-use crate::membership::{FOUNDING, Node, Voter};
-use crate::state::{REMEMBERED_ORDERS, State, Verdict};
+use crate::consensus::{Consensus, ConsensusConfig, ConsensusMessage, ConsensusOutput, HardState};
+use crate::state::{APPLIED_CONFIGS_KEPT, ReplaceVerdict, State};
+use crate::voter_set::{FOUNDING_INCARNATION, NodeId, Voter};
 use arbtest::arbtest;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -22,7 +22,11 @@
         assert!(net.leader().is_some_and(|l| l != leader), "{}", net.tale());
         net.restart(leader, false);
         net.calm(1.0);
-        let same: HashSet<u64> = net.machines.values().map(|m| m.saved.state.epoch).collect();
+        let same: HashSet<u64> = net
+            .machines
+            .values()
+            .map(|m| m.saved.state.config_epoch)
+            .collect();
         assert_eq!(same.len(), 1);
     }
 }
@@ -73,14 +77,14 @@
         let asked = |net: &Net| {
             net.bag.iter().position(|letter| {
                 letter.from.node == node
-                    && matches!(letter.message, ConsensusMessage::Canvass { .. })
+                    && matches!(letter.message, ConsensusMessage::PreVoteRequest { .. })
             })
         };
         let at = asked(&net).expect("it asks");
         net.deliver(at, false);
     }
     net.bag
-        .retain(|letter| !matches!(letter.message, ConsensusMessage::Canvass { .. }));
+        .retain(|letter| !matches!(letter.message, ConsensusMessage::PreVoteRequest { .. }));
     net.be_silent();
     let mut count = 0;
     explore(&net, 6, 1, &mut count);
@@ -106,7 +110,7 @@
         let mut net = Net::new(3);
         net.calm(0.8);
         let leader = net.leader().unwrap();
-        let others: Vec<Node> = (1..=3).filter(|n| *n != leader).collect();
+        let others: Vec<NodeId> = (1..=3).filter(|n| *n != leader).collect();
         // One of the others does not hear the leader for long; the other's last answer is on its way when all is cut.
         let until = net.now + 3.0;
         let deaf_from = net.now;
@@ -134,7 +138,7 @@
     let mut net = Net::new(4);
     net.calm(1.0);
     let leader = net.leader().unwrap();
-    let others: Vec<Node> = (1..=3).filter(|n| *n != leader).collect();
+    let others: Vec<NodeId> = (1..=3).filter(|n| *n != leader).collect();
     for (stands, restarts) in [(others[0], others[1]), (others[1], others[0])] {
         let mut net = net.clone();
         // The one that stands has not heard the leader for long.
@@ -185,7 +189,7 @@
     net.bag.splice(0..0, waiting);
     net.calm(0.5);
     assert_eq!(net.leader(), Some(new));
-    assert!(net.machines[&leader].consensus.leads().is_none());
+    assert!(net.machines[&leader].consensus.leader_term().is_none());
 }
 
 /// A machine that hears nobody and is heard raises no ballots: when it is back, nobody has to stand again.
@@ -230,7 +234,7 @@
     net.join(4);
     net.join(5);
     for node in 1..=5 {
-        net.at(node).consensus.outlives(2);
+        net.at(node).consensus.set_fault_budget(2);
     }
     net.calm(3.0);
     let leader = net.leader().expect("somebody leads");
@@ -277,38 +281,38 @@
 fn one_alone_agrees_on_what_is_saved() {
     let me = Voter {
         node: 1,
-        incarnation: FOUNDING,
+        incarnation: FOUNDING_INCARNATION,
     };
-    let record = Record {
-        state: Rc::new(State::first(vec![1])),
-        ..Record::default()
+    let record = HardState {
+        state: Rc::new(State::founding(vec![1])),
+        ..HardState::default()
     };
-    let timing = ConsensusTiming {
-        suspect: SUSPECT,
-        contact: CONTACT,
+    let timing = ConsensusConfig {
+        election_timeout: SUSPECT,
+        contact_timeout: CONTACT,
     };
     let mut consensus = Consensus::new(me, record, 0.0, 7, timing);
     let mut now = 0.0;
-    while consensus.leads().is_none() {
+    while consensus.leader_term().is_none() {
         now += 0.02;
         let mut outs = Vec::new();
         consensus.tick(now, &mut outs);
-        while outs.contains(&ConsensusOutput::Save) {
+        while outs.contains(&ConsensusOutput::Persist) {
             outs.clear();
-            consensus.saved(now, &mut outs);
+            consensus.persisted(now, &mut outs);
         }
         assert!(now < 5.0);
     }
     let mut outs = Vec::new();
     let change = consensus
-        .agreed()
+        .committed_state()
         .unwrap()
-        .change_config(3, &Rc::from(*b"x"));
+        .config_change(3, &Rc::from(*b"x"));
     assert!(consensus.propose(now, change, &mut outs).is_some());
-    assert_eq!(outs, [ConsensusOutput::Save]);
+    assert_eq!(outs, [ConsensusOutput::Persist]);
     let mut then = Vec::new();
-    consensus.saved(now, &mut then);
-    assert_eq!(then, [ConsensusOutput::Agreed]);
+    consensus.persisted(now, &mut then);
+    assert_eq!(then, [ConsensusOutput::Committed]);
 }
 
 /// An empty disk is another voter: it takes part in nothing before those who are left have taken it in.
@@ -327,13 +331,13 @@
         let down = if wiped == 1 { 2 } else { 1 };
         net.at(down).up = false;
         net.calm(4.0);
-        assert!(net.leader().is_none() && !net.machines[&wiped].consensus.votes());
+        assert!(net.leader().is_none() && !net.machines[&wiped].consensus.is_voter());
         net.restart(down, false);
         net.calm(3.0);
         let leader = net.leader().expect("a leader");
         assert!(net.propose(leader));
         net.calm(0.3);
-        assert!(net.machines[&wiped].consensus.votes());
+        assert!(net.machines[&wiped].consensus.is_voter());
         assert!(net.all_decide());
     }
 }
@@ -347,7 +351,7 @@
         net.restart(wiped, true);
         net.calm(4.0);
         assert!(
-            net.machines.values().all(|m| m.consensus.votes()),
+            net.machines.values().all(|m| m.consensus.is_voter()),
             "{}",
             net.tale()
         );
@@ -374,14 +378,14 @@
         let accept = |net: &Net| {
             net.bag
                 .iter()
-                .position(|letter| matches!(letter.message, ConsensusMessage::Accept { .. }))
+                .position(|letter| matches!(letter.message, ConsensusMessage::AppendRequest { .. }))
         };
         let at = accept(&net).unwrap();
         net.deliver(at, false);
         let accepted = |net: &Net| {
-            net.bag
-                .iter()
-                .position(|letter| matches!(letter.message, ConsensusMessage::Accepted { .. }))
+            net.bag.iter().position(|letter| {
+                matches!(letter.message, ConsensusMessage::AppendResponse { .. })
+            })
         };
         let at = accepted(&net).unwrap();
         net.deliver(at, false);
@@ -394,7 +398,11 @@
             }
             net.calm(5.0);
             assert!(net.leader().is_some());
-            let epochs: HashSet<u64> = net.machines.values().map(|m| m.saved.state.epoch).collect();
+            let epochs: HashSet<u64> = net
+                .machines
+                .values()
+                .map(|m| m.saved.state.config_epoch)
+                .collect();
             assert_eq!(epochs, HashSet::from([epoch]));
         }
     }
@@ -463,7 +471,7 @@
         assert!(leader.is_some(), "nobody leads\n{}", net.tale());
         let newest = net.agreed.keys().max().copied().unwrap_or(0);
         for machine in net.machines.values() {
-            assert!(machine.saved.state.seq >= newest, "{}", net.tale());
+            assert!(machine.saved.state.version >= newest, "{}", net.tale());
         }
         assert!(
             net.all_decide(),
@@ -481,40 +489,46 @@
 fn configurations_are_judged() {
     let take = |state: &State, epoch, body: &[u8]| {
         state
-            .after(&state.change_config(epoch, &body.into()))
+            .apply(&state.config_change(epoch, &body.into()))
             .expect("the change was made for it")
     };
-    let first = State::first(vec![3, 1, 2, 1]);
-    let nodes: Vec<Node> = first.membership.voters().iter().map(|v| v.node).collect();
+    let first = State::founding(vec![3, 1, 2, 1]);
+    let nodes: Vec<NodeId> = first.voters.voters().iter().map(|v| v.node).collect();
     assert_eq!(nodes, [1, 2, 3]);
-    assert_eq!(first.judge(0, 5, b"x"), Verdict::Next);
+    assert_eq!(first.check_replace(0, 5, b"x"), ReplaceVerdict::Apply);
     let second = take(&first, 5, b"x");
-    assert_eq!(second.judge(0, 5, b"x"), Verdict::AlreadyTaken);
-    assert_eq!(second.judge(0, 5, b"y"), Verdict::Conflict);
-    assert_eq!(second.judge(5, 5, b"y"), Verdict::Stale);
-    assert_eq!(second.judge(5, 4, b"y"), Verdict::Stale);
-    assert_eq!(second.judge(5, 6, b"y"), Verdict::Next);
+    assert_eq!(
+        second.check_replace(0, 5, b"x"),
+        ReplaceVerdict::AlreadyApplied
+    );
+    assert_eq!(second.check_replace(0, 5, b"y"), ReplaceVerdict::Conflict);
+    assert_eq!(second.check_replace(5, 5, b"y"), ReplaceVerdict::Stale);
+    assert_eq!(second.check_replace(5, 4, b"y"), ReplaceVerdict::Stale);
+    assert_eq!(second.check_replace(5, 6, b"y"), ReplaceVerdict::Apply);
     let third = take(&second, 9, b"z");
     assert_eq!(
-        third.judge(0, 5, b"x"),
-        Verdict::AlreadyTaken,
+        third.check_replace(0, 5, b"x"),
+        ReplaceVerdict::AlreadyApplied,
         "it was taken, though it is not the newest any more"
     );
-    assert_eq!(State::read(&third.bytes()), Some(third.clone()));
-    assert_eq!(State::read(&third.bytes()[1..]), None);
+    assert_eq!(State::decode(&third.encode()), Some(third.clone()));
+    assert_eq!(State::decode(&third.encode()[1..]), None);
     // An order is remembered through a thousand others; of one that is forgotten neither yes nor no is said.
     let mut many = third;
-    for epoch in 10..9 + REMEMBERED_ORDERS as u64 {
+    for epoch in 10..9 + APPLIED_CONFIGS_KEPT as u64 {
         many = take(&many, epoch, b"m");
     }
-    assert_eq!(many.orders.len(), REMEMBERED_ORDERS);
-    assert_eq!(many.judge(5, 9, b"z"), Verdict::AlreadyTaken);
-    assert_eq!(many.judge(0, 5, b"x"), Verdict::Forgotten);
+    assert_eq!(many.applied_configs.len(), APPLIED_CONFIGS_KEPT);
+    assert_eq!(
+        many.check_replace(5, 9, b"z"),
+        ReplaceVerdict::AlreadyApplied
+    );
+    assert_eq!(many.check_replace(0, 5, b"x"), ReplaceVerdict::Unknown);
     assert_eq!(
-        many.judge(many.epoch - 1, many.epoch, b"n"),
-        Verdict::Conflict
+        many.check_replace(many.config_epoch - 1, many.config_epoch, b"n"),
+        ReplaceVerdict::Conflict
     );
-    let more = take(&many, many.epoch + 1, b"m");
-    assert_eq!(more.orders.len(), REMEMBERED_ORDERS);
-    assert_eq!(more.judge(5, 9, b"z"), Verdict::Forgotten);
+    let more = take(&many, many.config_epoch + 1, b"m");
+    assert_eq!(more.applied_configs.len(), APPLIED_CONFIGS_KEPT);
+    assert_eq!(more.check_replace(5, 9, b"z"), ReplaceVerdict::Unknown);
 }
--- a/crates/core/control/src/tests/answers.rs
+++ b/crates/core/control/src/tests/answers.rs
@@ -1,18 +1,18 @@
 //! One caller for an answer: calls that a control machine passes on to the leader.
 
 use super::fleet::timing;
-use crate::consensus::{ConsensusMessage, Record};
-use crate::controller::{Call, Controller, Output};
-use crate::membership::{FOUNDING, Voter};
-use crate::message::{CallId, LeaderCall, PeerMessage};
-use crate::state::{State, Text};
-use crate::{Ballot, Recipient};
+use crate::consensus::{ConsensusMessage, HardState};
+use crate::controller::{ControlRequest, Controller, Output};
+use crate::message::{LeaderRequest, PeerMessage, RequestId};
+use crate::state::{ConfigPayload, State};
+use crate::voter_set::{FOUNDING_INCARNATION, Voter};
+use crate::{Recipient, Term};
 use std::rc::Rc;
 
 fn voter(node: u32) -> Voter {
     Voter {
         node,
-        incarnation: FOUNDING,
+        incarnation: FOUNDING_INCARNATION,
     }
 }
 
@@ -20,33 +20,34 @@
 
 /// Machine 2, which follows machine 1.
 fn follower() -> Controller {
-    let record = Record {
-        state: Rc::new(State::first(vec![1, 2, 3])),
-        ..Record::default()
+    let record = HardState {
+        state: Rc::new(State::founding(vec![1, 2, 3])),
+        ..HardState::default()
     };
     let mut controller = Controller::new(voter(2), record, 0.0, LIFE, timing());
     let heartbeat = ConsensusMessage::Heartbeat {
-        ballot: Ballot(1 << 32 | 1),
-        sent: 0.0,
-        confirms: None,
+        term: Term(1 << 32 | 1),
+        sent_at: 0.0,
+        confirmed_answer_at: None,
     };
-    controller.peer(0.1, voter(1), PeerMessage::Consensus(heartbeat));
-    controller.saved(0.1);
+    controller.handle_peer_message(0.1, voter(1), PeerMessage::Consensus(heartbeat));
+    controller.persisted(0.1);
     controller
 }
 
-fn passed_on(out: &[Output]) -> (CallId, LeaderCall) {
+fn passed_on(out: &[Output]) -> (RequestId, LeaderRequest) {
     let call = out.iter().find_map(|one| match one {
-        Output::Peer(Recipient::Voter(to), PeerMessage::Call { id, call }) if *to == voter(1) => {
-            Some((*id, call.clone()))
-        }
+        Output::SendToPeer(
+            Recipient::Voter(to),
+            PeerMessage::ForwardedRequest { id, request: call },
+        ) if *to == voter(1) => Some((*id, call.clone())),
         _ => None,
     });
     call.expect("it is passed on to the leader")
 }
 
-fn answer(id: CallId, status: u16) -> PeerMessage {
-    PeerMessage::Answer {
+fn answer(id: RequestId, status: u16) -> PeerMessage {
+    PeerMessage::ForwardedResponse {
         id,
         status,
         body: Rc::from(*b"x"),
@@ -55,7 +56,7 @@
 
 fn replies(out: &[Output]) -> Vec<(u64, u16)> {
     let reply = |one: &Output| match one {
-        Output::Reply(call, answer) => Some((*call, answer.status)),
+        Output::Respond(call, answer) => Some((*call, answer.status)),
         _ => None,
     };
     out.iter().filter_map(reply).collect()
@@ -64,11 +65,11 @@
 #[test]
 fn an_answer_is_taken_from_whom_was_asked_in_that_life_for_that_call() {
     let mut controller = follower();
-    let (first, _) = passed_on(&controller.call(0.2, 501, Call::Read));
-    let (second, _) = passed_on(&controller.call(0.2, 502, Call::Read));
+    let (first, _) = passed_on(&controller.handle_request(0.2, 501, ControlRequest::ReadConfig));
+    let (second, _) = passed_on(&controller.handle_request(0.2, 502, ControlRequest::ReadConfig));
     assert_ne!(first, second);
-    let other_life = CallId {
-        life: LIFE + 1,
+    let other_life = RequestId {
+        process_incarnation: LIFE + 1,
         ..first
     };
     let wiped = Voter {
@@ -76,31 +77,31 @@
         incarnation: 9,
     };
     assert_eq!(
-        replies(&controller.peer(0.3, voter(3), answer(first, 200))),
+        replies(&controller.handle_peer_message(0.3, voter(3), answer(first, 200))),
         [],
         "from another machine"
     );
     assert_eq!(
-        replies(&controller.peer(0.3, wiped, answer(first, 200))),
+        replies(&controller.handle_peer_message(0.3, wiped, answer(first, 200))),
         [],
         "from another incarnation"
     );
     assert_eq!(
-        replies(&controller.peer(0.3, voter(1), answer(other_life, 200))),
+        replies(&controller.handle_peer_message(0.3, voter(1), answer(other_life, 200))),
         [],
         "of a life before"
     );
     assert_eq!(
-        replies(&controller.peer(0.3, voter(1), answer(second, 412))),
+        replies(&controller.handle_peer_message(0.3, voter(1), answer(second, 412))),
         [(502, 412)]
     );
     assert_eq!(
-        replies(&controller.peer(0.3, voter(1), answer(second, 200))),
+        replies(&controller.handle_peer_message(0.3, voter(1), answer(second, 200))),
         [],
         "once only"
     );
     assert_eq!(
-        replies(&controller.peer(0.3, voter(1), answer(first, 200))),
+        replies(&controller.handle_peer_message(0.3, voter(1), answer(first, 200))),
         [(501, 200)]
     );
 }
@@ -108,11 +109,11 @@
 #[test]
 fn a_call_without_an_answer_is_told_so_within_the_second() {
     let mut controller = follower();
-    let (id, _) = passed_on(&controller.call(0.2, 501, Call::Read));
+    let (id, _) = passed_on(&controller.handle_request(0.2, 501, ControlRequest::ReadConfig));
     let late = controller.tick(1.15);
     assert_eq!(replies(&late), [(501, 503)]);
     assert_eq!(
-        replies(&controller.peer(1.2, voter(1), answer(id, 200))),
+        replies(&controller.handle_peer_message(1.2, voter(1), answer(id, 200))),
         [],
         "it was answered already"
     );
@@ -123,29 +124,33 @@
 fn an_order_is_sent_whole_on_request() {
     let mut controller = follower();
     let body: Rc<[u8]> = Rc::from(*b"{\"epoch\":5}");
-    let (id, _) = passed_on(&controller.call(
+    let (id, _) = passed_on(&controller.handle_request(
         0.2,
         501,
-        Call::Replace {
-            base: 0,
+        ControlRequest::ReplaceConfig {
+            base_epoch: 0,
             epoch: 5,
             body: body.clone(),
         },
     ));
     assert!(
         controller
-            .peer(0.3, voter(3), PeerMessage::SendWhole { id })
+            .handle_peer_message(0.3, voter(3), PeerMessage::FullConfigRequest { id })
             .is_empty()
     );
-    let (again, call) = passed_on(&controller.peer(0.3, voter(1), PeerMessage::SendWhole { id }));
+    let (again, call) = passed_on(&controller.handle_peer_message(
+        0.3,
+        voter(1),
+        PeerMessage::FullConfigRequest { id },
+    ));
     assert_eq!(
         (again, call),
         (
             id,
-            LeaderCall::Replace {
-                base: 0,
+            LeaderRequest::ReplaceConfig {
+                base_epoch: 0,
                 epoch: 5,
-                text: Text::Whole(body)
+                config: ConfigPayload::Full(body)
             }
         )
     );
--- a/crates/core/control/src/tests/authority.rs
+++ b/crates/core/control/src/tests/authority.rs
@@ -2,20 +2,21 @@
 //! once it knows enough.
 
 use super::fleet::timing;
-use crate::controller::{Answer, Call, ControlTiming, Controller, Output};
+use crate::controller::{ControlConfig, ControlRequest, ControlResponse, Controller, Output};
 use crate::{
-    Asked, Ballot, Beat, ConsensusMessage, FOUNDING, Holds, MemberNews, Node, PeerMessage, Phase,
-    Recipient, Record, Row, State, Statement, ToControl, ToRouter, Voter,
+    CommandOutcome, ConsensusMessage, FOUNDING_INCARNATION, HardState, Heartbeat, LeaseRequest,
+    MemberInfo, MemberPhase, NodeId, PeerMessage, Recipient, RouterMessage, ServerCommand,
+    ServerStatus, State, StateId, Term, Voter,
 };
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
 const TICK: f64 = 0.02;
 
-fn voter(node: Node) -> Voter {
+fn voter(node: NodeId) -> Voter {
     Voter {
         node,
-        incarnation: FOUNDING,
+        incarnation: FOUNDING_INCARNATION,
     }
 }
 
@@ -33,8 +34,8 @@
     refuses_from: f64,
     promotions: usize,
     news: usize,
-    replies: Vec<(u64, Answer)>,
-    told: Vec<ToRouter>,
+    replies: Vec<(u64, ControlResponse)>,
+    told: Vec<RouterMessage>,
 }
 
 impl Led {
@@ -44,11 +45,11 @@
     }
 
     /// The same with these spans.
-    fn with(timing: ControlTiming) -> Led {
-        let first = State::first(vec![1, 2, 3]);
-        let record = Record {
+    fn with(timing: ControlConfig) -> Led {
+        let first = State::founding(vec![1, 2, 3]);
+        let record = HardState {
             state: Rc::new(first),
-            ..Record::default()
+            ..HardState::default()
         };
         let mut led = Led {
             controller: Controller::new(voter(1), record, 0.0, 7, timing),
@@ -63,7 +64,7 @@
             told: Vec::new(),
         };
         led.run(1.0);
-        assert!(led.controller.leads());
+        assert!(led.controller.is_leader());
         led
     }
 
@@ -74,9 +75,11 @@
             let out = self.controller.tick(self.now);
             self.perform(out);
             for answer in std::mem::take(&mut self.answers) {
-                let out = self
-                    .controller
-                    .peer(self.now, voter(2), PeerMessage::Consensus(answer));
+                let out = self.controller.handle_peer_message(
+                    self.now,
+                    voter(2),
+                    PeerMessage::Consensus(answer),
+                );
                 self.perform(out);
             }
         }
@@ -86,27 +89,27 @@
         let mut waiting = VecDeque::from(out);
         while let Some(one) = waiting.pop_front() {
             match one {
-                Output::Save => {
-                    let then = self.controller.saved(self.now);
+                Output::Persist => {
+                    let then = self.controller.persisted(self.now);
                     then.into_iter()
                         .rev()
                         .for_each(|next| waiting.push_front(next));
                 }
-                Output::KeepServers(then) => waiting.extend(then),
-                Output::Peer(to, PeerMessage::Consensus(message)) if self.follows => {
+                Output::PersistMembers(then) => waiting.extend(then),
+                Output::SendToPeer(to, PeerMessage::Consensus(message)) if self.follows => {
                     self.answers.extend(self.answer(to, message));
                 }
-                Output::Peer(..) => {}
-                Output::Ask {
-                    id,
+                Output::SendToPeer(..) => {}
+                Output::SendCommand {
+                    server_id: id,
                     service,
-                    statement,
+                    command: statement,
                     ..
                 } => self.ask(&service, &id, statement),
                 Output::Promote { .. } => self.promotions += 1,
-                Output::News(..) => self.news += 1,
-                Output::Reply(call, answer) => self.replies.push((call, answer)),
-                Output::Router(_, message) => self.told.push(message),
+                Output::SendUpdate(..) => self.news += 1,
+                Output::Respond(call, answer) => self.replies.push((call, answer)),
+                Output::SendToRouter(_, message) => self.told.push(message),
             }
         }
     }
@@ -116,96 +119,111 @@
         if to.node() != 2 {
             return None;
         }
-        let state = self.controller.record().state.clone();
-        let holds = |accepted| Holds {
-            accepted,
-            seq: state.seq,
+        let state = self.controller.hard_state().state.clone();
+        let holds = |accepted| StateId {
+            accepted_term: accepted,
+            version: state.version,
             digest: state.digest(),
         };
         Some(match message {
-            ConsensusMessage::Canvass { ballot, .. } => ConsensusMessage::Canvassed {
-                ballot,
+            ConsensusMessage::PreVoteRequest { term, .. } => ConsensusMessage::PreVoteResponse {
+                term,
                 granted: true,
-                promised: Ballot::default(),
+                voted_term: Term::default(),
             },
-            ConsensusMessage::Prepare { ballot, holds } => ConsensusMessage::Promise {
-                ballot,
-                holds,
-                newer: None,
+            ConsensusMessage::VoteRequest {
+                term,
+                last_state: holds,
+            } => ConsensusMessage::VoteResponse {
+                term,
+                last_state: holds,
+                newer_state: None,
             },
-            ConsensusMessage::Accept { ballot, .. } => ConsensusMessage::Accepted {
-                ballot,
-                holds: holds(ballot),
+            ConsensusMessage::AppendRequest { term, .. } => ConsensusMessage::AppendResponse {
+                term,
+                last_state: holds(term),
             },
-            ConsensusMessage::Heartbeat { ballot, sent, .. } => ConsensusMessage::HeartbeatAck {
-                ballot,
-                sent,
-                at: self.now,
-                holds: holds(ballot),
+            ConsensusMessage::Heartbeat {
+                term,
+                sent_at: sent,
+                ..
+            } => ConsensusMessage::HeartbeatResponse {
+                term,
+                heartbeat_sent_at: sent,
+                answered_at: self.now,
+                last_state: holds(term),
             },
             _ => return None,
         })
     }
 
-    fn ask(&mut self, service: &str, id: &str, statement: Statement) {
+    fn ask(&mut self, service: &str, id: &str, statement: ServerCommand) {
         let leader = id == "a";
         match statement {
-            Statement::Pause(term) if !leader => self.held.insert(id.to_owned(), term),
-            Statement::Resume => self.held.remove(id),
+            ServerCommand::Pause(primary_term) if !leader => {
+                self.held.insert(id.to_owned(), primary_term)
+            }
+            ServerCommand::Resume => self.held.remove(id),
             _ => None,
         };
         let held = self.held.get(id).copied().unwrap_or(0);
-        let row = Row {
-            leader,
-            term: 1,
+        let row = ServerStatus {
+            is_primary: leader,
+            primary_term: 1,
             received: (1, 5),
-            held,
+            highest_term: held,
         };
         let asked = match leader && self.now >= self.refuses_from {
-            true => Asked::Refused,
-            false => Asked::Row {
-                statement,
-                row,
-                asked: self.now,
+            true => CommandOutcome::Refused,
+            false => CommandOutcome::Status {
+                command: statement,
+                status: row,
+                sent_at: self.now,
             },
         };
-        self.controller.asked(self.now, service, id, asked);
+        self.controller
+            .command_completed(self.now, service, id, asked);
     }
 
-    fn beat(&mut self, id: &str, seq: u64) {
+    fn beat(&mut self, id: &str, version: u64) {
         let text = |text: &str| text.to_owned();
         let (service, zone) = (text("s"), text("z"));
         let endpoint = format!("10.0.0.{}:1", id.as_bytes()[0]);
-        let beat = Beat {
+        let beat = Heartbeat {
             service,
             endpoint,
             zone,
             slots: 4,
-            phase: Phase::Ready,
-            call_seq: seq,
+            phase: MemberPhase::Ready,
+            call_seq: version,
         };
-        let out = self
-            .controller
-            .call(self.now, 1000 + seq, Call::Beat { id: text(id), beat });
+        let out = self.controller.handle_request(
+            self.now,
+            1000 + version,
+            ControlRequest::Heartbeat {
+                server_id: text(id),
+                heartbeat: beat,
+            },
+        );
         self.perform(out);
     }
 
-    fn renew(&mut self, known: (Ballot, u64)) {
-        let call = ToControl {
+    fn renew(&mut self, known: (Term, u64)) {
+        let call = LeaseRequest {
             router: "r".to_owned(),
-            life: 1,
-            sent: self.now,
-            known,
-            epoch: 0,
-            evidence: Vec::new(),
+            process_incarnation: 1,
+            sent_at: self.now,
+            update_watermark: known,
+            config_epoch: 0,
+            health_reports: Vec::new(),
         };
-        let out = self.controller.router(self.now, 1, call);
+        let out = self.controller.handle_lease_request(self.now, 1, call);
         self.perform(out);
     }
 
     /// The answer to a call that is made now, within two ticks.
-    fn call(&mut self, number: u64, call: Call) -> Option<Answer> {
-        let out = self.controller.call(self.now, number, call);
+    fn call(&mut self, number: u64, call: ControlRequest) -> Option<ControlResponse> {
+        let out = self.controller.handle_request(self.now, number, call);
         self.perform(out);
         self.run(2.0 * TICK);
         self.replies
@@ -215,9 +233,9 @@
     }
 }
 
-fn replace(base: u64, epoch: u64) -> Call {
-    Call::Replace {
-        base,
+fn replace(base: u64, epoch: u64) -> ControlRequest {
+    ControlRequest::ReplaceConfig {
+        base_epoch: base,
         epoch,
         body: Rc::from(*b"a configuration"),
     }
@@ -229,21 +247,21 @@
     let mut led = Led::new();
     let taken = led.call(1, replace(0, 5)).expect("an answer");
     assert_eq!(
-        (taken.status, taken.until),
+        (taken.status, taken.valid_until),
         (200, f64::INFINITY),
         "what is agreed on holds for good"
     );
     for (number, call, status) in [
-        (2, Call::Read, 200),
+        (2, ControlRequest::ReadConfig, 200),
         (3, replace(0, 7), 412),
         (4, replace(5, 4), 400),
     ] {
         let answer = led.call(number, call).expect("an answer");
         assert_eq!(answer.status, status);
         assert!(
-            answer.until <= led.now + timing().suspect,
+            answer.valid_until <= led.now + timing().election_timeout,
             "{status} holds until {}",
-            answer.until
+            answer.valid_until
         );
     }
 }
@@ -253,31 +271,39 @@
 #[test]
 fn nothing_leaves_behind_the_authority() {
     let mut led = Led::new();
-    let fence = led.controller.consensus().leads().expect("it leads").0;
-    led.renew((Ballot(fence), 0));
+    let fencing_token = led
+        .controller
+        .consensus()
+        .leader_term()
+        .expect("it leads")
+        .0;
+    led.renew((Term(fencing_token), 0));
     led.run(0.1);
     assert!(led.news > 0, "the router is told");
-    led.renew((Ballot(fence), 1));
+    led.renew((Term(fencing_token), 1));
     led.beat("a", 1);
     led.run(0.1);
     // It knows whatever it was told: what is new by then goes out at once, were it not for the authority.
-    led.renew((Ballot(fence), 50));
-    let lease = |told: &[ToRouter]| match told.last() {
-        Some(ToRouter::News { lease, .. }) => *lease,
+    led.renew((Term(fencing_token), 50));
+    let lease = |told: &[RouterMessage]| match told.last() {
+        Some(RouterMessage::Update {
+            lease_duration: lease,
+            ..
+        }) => *lease,
         other => panic!("{other:?}"),
     };
     assert!(lease(&led.told) > 0.0);
-    assert!(led.controller.may_act_under(led.now, fence));
+    assert!(led.controller.may_act_with(led.now, fencing_token));
     assert!(
-        !led.controller.may_act_under(led.now, fence - 1)
-            && !led.controller.may_act_under(led.now, fence + 1)
+        !led.controller.may_act_with(led.now, fencing_token - 1)
+            && !led.controller.may_act_with(led.now, fencing_token + 1)
     );
     led.follows = false;
-    led.run(timing().suspect + 0.1);
-    assert!(led.controller.leads(), "it doesn't know yet");
-    led.renew((Ballot(fence), 50));
+    led.run(timing().election_timeout + 0.1);
+    assert!(led.controller.is_leader(), "it doesn't know yet");
+    led.renew((Term(fencing_token), 50));
     assert_eq!(lease(&led.told), 0.0);
-    assert!(!led.controller.may_act_under(led.now, fence));
+    assert!(!led.controller.may_act_with(led.now, fencing_token));
     let news = led.news;
     led.beat("b", 2);
     led.run(0.1);
@@ -289,13 +315,13 @@
 fn whoever_waits_is_told_when_the_lead_is_lost() {
     let mut led = Led::new();
     led.follows = false;
-    led.run(timing().suspect + 0.3);
+    led.run(timing().election_timeout + 0.3);
     assert!(
-        led.controller.leads() && led.call(1, replace(0, 5)).is_none(),
+        led.controller.is_leader() && led.call(1, replace(0, 5)).is_none(),
         "nobody can agree"
     );
     led.run(0.6);
-    assert!(!led.controller.leads());
+    assert!(!led.controller.is_leader());
     let answer = led
         .replies
         .iter()
@@ -308,23 +334,25 @@
 #[test]
 fn nobody_is_promoted_before_a_majority_told_what_it_knows() {
     let mut led = Led::new();
-    for (seq, id) in (1..).zip(["a", "b", "c"]) {
-        led.beat(id, seq);
+    for (version, id) in (1..).zip(["a", "b", "c"]) {
+        led.beat(id, version);
     }
     led.run(1.0);
     led.refuses_from = led.now;
-    for seq in 10..18 {
+    for version in 10..18 {
         led.run(1.0);
-        led.beat("b", seq);
-        led.beat("c", seq);
+        led.beat("b", version);
+        led.beat("c", version);
     }
     assert_eq!(led.promotions, 0);
-    let fence = led.controller.consensus().leads().expect("it leads");
-    let roster = PeerMessage::Roster {
-        ballot: fence,
-        news: Vec::<MemberNews>::new(),
+    let fencing_token = led.controller.consensus().leader_term().expect("it leads");
+    let roster = PeerMessage::MembersSnapshot {
+        term: fencing_token,
+        members: Vec::<MemberInfo>::new(),
     };
-    let out = led.controller.peer(led.now, voter(2), roster);
+    let out = led
+        .controller
+        .handle_peer_message(led.now, voter(2), roster);
     led.perform(out);
     led.run(2.0);
     assert!(led.promotions > 0, "{:?}", led.controller.primaries());
@@ -334,23 +362,28 @@
 #[test]
 fn the_duty_changes_hands_no_sooner_than_the_settings_say() {
     for (turn, later) in [(0.0, false), (9.0, true)] {
-        let mut led = Led::with(ControlTiming { turn, ..timing() });
-        for (seq, id) in (1..).zip(["a", "b", "c"]) {
-            led.beat(id, seq);
+        let mut led = Led::with(ControlConfig {
+            duty_handover_delay: turn,
+            ..timing()
+        });
+        for (version, id) in (1..).zip(["a", "b", "c"]) {
+            led.beat(id, version);
         }
-        let fence = led.controller.consensus().leads().expect("it leads");
-        let roster = PeerMessage::Roster {
-            ballot: fence,
-            news: Vec::<MemberNews>::new(),
+        let fencing_token = led.controller.consensus().leader_term().expect("it leads");
+        let roster = PeerMessage::MembersSnapshot {
+            term: fencing_token,
+            members: Vec::<MemberInfo>::new(),
         };
-        let out = led.controller.peer(led.now, voter(2), roster);
+        let out = led
+            .controller
+            .handle_peer_message(led.now, voter(2), roster);
         led.perform(out);
         led.run(1.0);
         led.refuses_from = led.now;
-        for seq in 10..16 {
+        for version in 10..16 {
             led.run(1.0);
-            led.beat("b", seq);
-            led.beat("c", seq);
+            led.beat("b", version);
+            led.beat("c", version);
         }
         assert_eq!(led.promotions == 0, later, "{turn}");
         led.run(4.0);
--- a/crates/core/control/src/tests/differences.rs
+++ b/crates/core/control/src/tests/differences.rs
@@ -1,10 +1,10 @@
 //! Differences between texts, and the changes that a machine remembers.
 
-use crate::difference::Difference;
+use crate::change_history::ChangeHistory;
 use crate::digest::Digest;
-use crate::history::History;
-use crate::message::ConfigNews;
-use crate::state::{Change, Primary, State, Text};
+use crate::message::ConfigUpdate;
+use crate::state::{ConfigPayload, PrimaryRecord, State, StateChange};
+use crate::text_delta::TextDelta;
 use arbtest::arbtest;
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 #[test]
 fn a_small_change_of_a_large_configuration_is_small() {
     let (old, new) = (config(7, 300, 5), config(8, 300, 211));
-    let difference = Difference::between(&old, &new).expect("it pays");
+    let difference = TextDelta::between(&old, &new).expect("it pays");
     assert!(
         difference.size() < 300,
         "{} of {} bytes",
@@ -33,12 +33,12 @@
     );
     assert_eq!(difference.apply(&old).as_deref(), Some(&*new));
     assert_eq!(difference.apply(&new), None, "it leads from the other one");
-    let Text::Difference(_) = Text::from_to(&old, &new) else {
+    let ConfigPayload::Delta(_) = ConfigPayload::relative_to(&old, &new) else {
         panic!("sent whole")
     };
     assert_eq!(
-        Text::from_to(b"", &new),
-        Text::Whole(new.clone()),
+        ConfigPayload::relative_to(b"", &new),
+        ConfigPayload::Full(new.clone()),
         "nothing is held"
     );
 }
@@ -46,13 +46,13 @@
 #[test]
 fn a_difference_that_was_tampered_with_makes_nothing() {
     let (old, new) = (config(7, 20, 5), config(8, 20, 6));
-    let difference = Difference::between(&old, &new).expect("it pays");
+    let difference = TextDelta::between(&old, &new).expect("it pays");
     let bytes = bincode::encode_to_vec(&difference, bincode::config::standard()).unwrap();
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
         let read =
-            bincode::decode_from_slice::<Difference, _>(&changed, bincode::config::standard());
+            bincode::decode_from_slice::<TextDelta, _>(&changed, bincode::config::standard());
         let made = read.ok().and_then(|(difference, _)| difference.apply(&old));
         assert!(made.is_none_or(|made| made == *new), "byte {at}");
     }
@@ -62,7 +62,7 @@
 fn any_text_comes_from_any_other() {
     arbtest(|u| {
         let (old, new): (Vec<u8>, Vec<u8>) = (u.arbitrary()?, u.arbitrary()?);
-        let text = Text::from_to(&old, &new.clone().into());
+        let text = ConfigPayload::relative_to(&old, &new.clone().into());
         assert_eq!(text.resolve(&old).as_deref(), Some(&*new));
         Ok(())
     })
@@ -72,24 +72,24 @@
 /// Changes that are known lead from any state in between to the newest one.
 #[test]
 fn a_history_leads_from_where_one_was() {
-    let mut history = History::default();
-    let mut states = vec![State::first(vec![1, 2, 3])];
+    let mut history = ChangeHistory::default();
+    let mut states = vec![State::founding(vec![1, 2, 3])];
     for epoch in 1..40 {
         let before = states.last().unwrap().clone();
         let change = match epoch % 5 {
             0 => {
-                let primary = Primary {
-                    id: "a".to_owned(),
-                    above: epoch,
+                let primary = PrimaryRecord {
+                    server_id: "a".to_owned(),
+                    min_term: epoch,
                 };
-                Change::Primary {
+                StateChange::Primary {
                     service: "s".to_owned(),
                     primary,
                 }
             }
-            _ => before.change_config(epoch, &config(epoch, 50, epoch as usize)),
+            _ => before.config_change(epoch, &config(epoch, 50, epoch as usize)),
         };
-        states.push(before.after(&change).expect("it fits"));
+        states.push(before.apply(&change).expect("it fits"));
         history.push(&before, before.digest(), Rc::new(change));
     }
     let newest = states.last().unwrap().clone();
@@ -97,29 +97,32 @@
         let changes = history.since(state.digest()).expect("all are known");
         let made = changes
             .iter()
-            .try_fold(state.clone(), |state, change| state.after(change));
+            .try_fold(state.clone(), |state, change| state.apply(change));
         assert_eq!(made.as_ref(), Some(&newest));
     }
     assert_eq!(history.since(Digest::of(b"another")), None);
-    let changes = |from: u64, to: u64| history.configs_between(from, to).map(ConfigNews::Changes);
-    let all = changes(states[3].epoch, newest.epoch).expect("all are known");
+    let changes = |from: u64, to: u64| history.config_deltas(from, to).map(ConfigUpdate::Deltas);
+    let all = changes(states[3].config_epoch, newest.config_epoch).expect("all are known");
     assert_eq!(
         all.resolve(&states[3].config).as_ref(),
         Some(&newest.config)
     );
     assert_eq!(all.resolve(&states[4].config), None, "made for another one");
     // Up to an earlier one: what came behind it isn't told.
-    let some = changes(states[3].epoch, states[7].epoch).expect("all are known");
+    let some = changes(states[3].config_epoch, states[7].config_epoch).expect("all are known");
     assert_eq!(
         some.resolve(&states[3].config).as_ref(),
         Some(&states[7].config)
     );
-    assert_eq!(changes(999, newest.epoch), None);
-    assert_eq!(changes(states[3].epoch, 999), None);
-    assert_eq!(changes(states[7].epoch, states[3].epoch), None);
+    assert_eq!(changes(999, newest.config_epoch), None);
+    assert_eq!(changes(states[3].config_epoch, 999), None);
+    assert_eq!(
+        changes(states[7].config_epoch, states[3].config_epoch),
+        None
+    );
     // Another state's changes lead nowhere from this one.
     let other = State {
-        epoch: 5,
+        config_epoch: 5,
         config: config(5, 50, 1),
         ..State::default()
     };
@@ -127,7 +130,7 @@
     assert!(
         changes
             .iter()
-            .try_fold(other, |state, change| state.after(change))
+            .try_fold(other, |state, change| state.apply(change))
             .is_none()
     );
 }
@@ -135,16 +138,16 @@
 /// However many changes there are, what is remembered of them is bounded.
 #[test]
 fn a_history_is_bounded() {
-    let mut history = History::default();
-    let mut state = State::first(vec![1, 2, 3]);
+    let mut history = ChangeHistory::default();
+    let mut state = State::founding(vec![1, 2, 3]);
     let first = state.digest();
     for epoch in 1..3000 {
         let body: Rc<[u8]> = format!("{epoch}{}", "x".repeat(500)).into_bytes().into();
-        let change = Change::Config {
+        let change = StateChange::Config {
             epoch,
-            text: Text::Whole(body),
+            config: ConfigPayload::Full(body),
         };
-        let next = state.after(&change).unwrap();
+        let next = state.apply(&change).unwrap();
         history.push(&state, state.digest(), Rc::new(change));
         state = next;
     }
--- a/crates/core/control/src/tests/fleet.rs
+++ b/crates/core/control/src/tests/fleet.rs
@@ -1,11 +1,12 @@
 //! One leading control machine beside many routers and many services, in a time that the test moves: what it says to whom is
 //! counted, and any of it can be held up.
 
-use crate::controller::ControlTiming;
-use crate::controller::{Call, Controller, Output};
+use crate::controller::ControlConfig;
+use crate::controller::{ControlRequest, Controller, Output};
 use crate::{
-    Asked, Ballot, Beat, Evidence, FOUNDING, GrantNews, Phase, Record, Row, State, Statement,
-    Timing, ToControl, ToRouter, Voter,
+    CommandOutcome, FOUNDING_INCARNATION, FailoverConfig, HardState, HealthReport, Heartbeat,
+    LeaseRequest, MemberPhase, PrimaryGrant, RouterMessage, ServerCommand, ServerStatus, State,
+    Term, Voter,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -16,55 +17,55 @@
 const HEARTBEAT: f64 = 1.2;
 
 /// As the program sets them by default, with heartbeats of 1.2 s.
-pub fn timing() -> ControlTiming {
-    let service = Timing {
-        ask: 0.2,
-        ask_replica: 1.0,
-        silence: 0.6,
-        answer: 0.6,
-        heartbeat: HEARTBEAT,
-        drain: 7.0,
+pub fn timing() -> ControlConfig {
+    let service = FailoverConfig {
+        primary_poll_interval: 0.2,
+        replica_poll_interval: 1.0,
+        primary_timeout: 0.6,
+        query_timeout: 0.6,
+        heartbeat_interval: HEARTBEAT,
+        drain_timeout: 7.0,
     };
-    ControlTiming {
-        lease: 1.0,
-        suspect: 0.6,
-        contact: 1.0,
-        platform: 1.0,
-        turn: 0.0,
-        call: 0.9,
-        forget: 4.8,
-        service,
+    ControlConfig {
+        lease_duration: 1.0,
+        election_timeout: 0.6,
+        contact_timeout: 1.0,
+        platform_call_timeout: 1.0,
+        duty_handover_delay: 0.0,
+        request_timeout: 0.9,
+        member_timeout: 4.8,
+        failover: service,
     }
 }
 
 /// A router as far as its session goes.
 #[derive(Default)]
 pub struct Router {
-    pub known: (Ballot, u64),
+    pub known: (Term, u64),
     pub epoch: u64,
     config_text: Vec<u8>,
     pub lease_until: f64,
-    pub grants: HashMap<String, GrantNews>,
+    pub grants: HashMap<String, PrimaryGrant>,
     pub members: BTreeSet<String>,
     /// It takes news from then on: its link is slow.
     pub reads_from: f64,
     /// It neither takes news nor renews.
     pub silent: bool,
     /// News that it hasn't taken yet.
-    pub unread: Vec<Rc<ToRouter>>,
+    pub unread: Vec<Rc<RouterMessage>>,
     renewed: f64,
     /// Answers of control, newest last.
-    pub answers: Vec<ToRouter>,
+    pub answers: Vec<RouterMessage>,
     /// What it could tell of primaries; it tells what is wanted.
-    pub evidence: Vec<Evidence>,
+    pub evidence: Vec<HealthReport>,
     pub evidence_wanted: Vec<String>,
 }
 
 /// All that a tick and the renewals behind it led to.
 #[derive(Default)]
 pub struct Said {
-    pub news: Vec<(usize, Rc<ToRouter>)>,
-    pub questions: Vec<(String, Statement)>,
+    pub news: Vec<(usize, Rc<RouterMessage>)>,
+    pub questions: Vec<(String, ServerCommand)>,
     pub promotions: usize,
 }
 
@@ -86,9 +87,9 @@
 impl Fleet {
     /// It leads, and all servers have sent a beat.
     pub fn new(routers: usize, services: usize) -> Fleet {
-        let record = Record {
-            state: Rc::new(State::first(vec![1])),
-            ..Record::default()
+        let record = HardState {
+            state: Rc::new(State::founding(vec![1])),
+            ..HardState::default()
         };
         let server = |n: usize| (format!("server-{n}"), format!("service-{:04}", n / 3));
         let mut fleet = Fleet {
@@ -96,7 +97,7 @@
             controller: Controller::new(
                 Voter {
                     node: 1,
-                    incarnation: FOUNDING,
+                    incarnation: FOUNDING_INCARNATION,
                 },
                 record,
                 0.0,
@@ -110,7 +111,7 @@
             calls: 0,
             beaten: f64::NEG_INFINITY,
         };
-        while !fleet.controller.leads() {
+        while !fleet.controller.is_leader() {
             fleet.now += TICK;
             let out = fleet.controller.tick(fleet.now);
             fleet.perform(out);
@@ -122,14 +123,14 @@
     fn beat_all(&mut self) {
         self.beaten = self.now;
         for id in self.servers.keys().cloned().collect::<Vec<_>>() {
-            self.beat(&id, Phase::Ready);
+            self.beat(&id, MemberPhase::Ready);
         }
     }
 
     /// A server says how it is; what control does with that.
-    pub fn beat(&mut self, id: &str, phase: Phase) -> Vec<Output> {
+    pub fn beat(&mut self, id: &str, phase: MemberPhase) -> Vec<Output> {
         self.calls += 1;
-        let beat = Beat {
+        let beat = Heartbeat {
             service: self.servers[id].clone(),
             endpoint: "10.0.0.9:5432".to_owned(),
             zone: "a".to_owned(),
@@ -137,12 +138,12 @@
             phase,
             call_seq: self.calls,
         };
-        self.controller.call(
+        self.controller.handle_request(
             self.now,
             self.calls,
-            Call::Beat {
-                id: id.to_owned(),
-                beat,
+            ControlRequest::Heartbeat {
+                server_id: id.to_owned(),
+                heartbeat: beat,
             },
         )
     }
@@ -150,12 +151,12 @@
     /// A configuration is sent; one machine alone agrees on it at once.
     pub fn configure(&mut self, epoch: u64, body: &[u8]) -> Said {
         self.calls += 1;
-        let call = Call::Replace {
-            base: self.controller.config().0,
+        let call = ControlRequest::ReplaceConfig {
+            base_epoch: self.controller.config().0,
             epoch,
             body: body.into(),
         };
-        let out = self.controller.call(self.now, self.calls, call);
+        let out = self.controller.handle_request(self.now, self.calls, call);
         self.perform(out)
     }
 
@@ -170,20 +171,26 @@
         let mut waiting = VecDeque::from(out);
         while let Some(one) = waiting.pop_front() {
             match one {
-                Output::Save => waiting.extend(self.controller.saved(self.now)),
-                Output::News(session, news) => {
+                Output::Persist => waiting.extend(self.controller.persisted(self.now)),
+                Output::SendUpdate(session, news) => {
                     let router = session as usize - 1;
                     self.routers[router].unread.push(news.clone());
                     said.news.push((router, news));
                 }
-                Output::Router(session, answer) => self.routers[session as usize - 1].take(&answer),
-                Output::Ask { id, statement, .. } => said.questions.push((id, statement)),
+                Output::SendToRouter(session, answer) => {
+                    self.routers[session as usize - 1].take(&answer)
+                }
+                Output::SendCommand {
+                    server_id: id,
+                    command: statement,
+                    ..
+                } => said.questions.push((id, statement)),
                 Output::Promote { .. } => {
                     said.promotions += 1;
                     self.promoted += 1;
                 }
-                Output::KeepServers(then) => waiting.extend(then),
-                Output::Peer(..) | Output::Reply(..) => {}
+                Output::PersistMembers(then) => waiting.extend(then),
+                Output::SendToPeer(..) | Output::Respond(..) => {}
             }
         }
         said
@@ -199,21 +206,22 @@
         let said = self.perform(out);
         for (id, statement) in &said.questions {
             let (service, leader) = (self.servers[id].clone(), Self::leads(id));
-            let row = Row {
-                leader,
-                term: 1,
+            let row = ServerStatus {
+                is_primary: leader,
+                primary_term: 1,
                 received: (1, 5),
-                held: 1,
+                highest_term: 1,
             };
             let answer = match self.dark.contains(id) {
-                true => Asked::Silent,
-                false => Asked::Row {
-                    statement: *statement,
-                    row,
-                    asked: self.now,
+                true => CommandOutcome::TimedOut,
+                false => CommandOutcome::Status {
+                    command: *statement,
+                    status: row,
+                    sent_at: self.now,
                 },
             };
-            self.controller.asked(self.now, &service, id, answer);
+            self.controller
+                .command_completed(self.now, &service, id, answer);
         }
         for router in 0..self.routers.len() {
             self.read(router);
@@ -251,15 +259,17 @@
             .evidence
             .iter()
             .filter(|seen| it.evidence_wanted.contains(&seen.service));
-        let call = ToControl {
+        let call = LeaseRequest {
             router: format!("router-{router}"),
-            life: 1,
-            sent: self.now,
-            known: it.known,
-            epoch: it.epoch,
-            evidence: evidence.cloned().collect(),
+            process_incarnation: 1,
+            sent_at: self.now,
+            update_watermark: it.known,
+            config_epoch: it.epoch,
+            health_reports: evidence.cloned().collect(),
         };
-        let out = self.controller.router(self.now, router as u64 + 1, call);
+        let out = self
+            .controller
+            .handle_lease_request(self.now, router as u64 + 1, call);
         let said = self.perform(out);
         assert!(said.news.is_empty(), "an answer brings no news with it");
     }
@@ -281,7 +291,8 @@
     /// Routers that hold a lease and know of so many primaries.
     pub fn served(&self, services: usize) -> usize {
         let serves = |r: &&Router| {
-            self.now < r.lease_until && r.grants.values().filter(|g| !g.closing).count() == services
+            self.now < r.lease_until
+                && r.grants.values().filter(|g| !g.revoking).count() == services
         };
         self.routers.iter().filter(serves).count()
     }
@@ -293,16 +304,16 @@
         (self.epoch, self.config_text) = (0, Vec::new());
     }
 
-    pub fn take(&mut self, news: &ToRouter) {
-        let ToRouter::News {
-            known,
-            sent,
-            lease,
-            whole,
+    pub fn take(&mut self, news: &RouterMessage) {
+        let RouterMessage::Update {
+            update_watermark: known,
+            request_sent_at: sent,
+            lease_duration: lease,
+            is_snapshot: whole,
             grants,
             members,
             config,
-            evidence_wanted,
+            health_reports_wanted: evidence_wanted,
             ..
         } = news
         else {
--- a/crates/core/control/src/tests/guards.rs
+++ b/crates/core/control/src/tests/guards.rs
@@ -1,47 +1,47 @@
 //! What one machine answers to one message, where a run of several machines would need a rare order of messages to show it.
 
 use super::net::Net;
-use crate::ballot::Ballot;
 use crate::consensus::{
-    Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Content, Holds, Recipient,
-    Record,
+    Consensus, ConsensusConfig, ConsensusMessage, ConsensusOutput, HardState, Recipient, StateId,
+    StatePayload,
 };
-use crate::membership::{FOUNDING, Node, Voter};
 use crate::state::State;
+use crate::term::Term;
+use crate::voter_set::{FOUNDING_INCARNATION, NodeId, Voter};
 use std::rc::Rc;
 
-const TIMING: ConsensusTiming = ConsensusTiming {
-    suspect: 0.6,
-    contact: 1.0,
+const TIMING: ConsensusConfig = ConsensusConfig {
+    election_timeout: 0.6,
+    contact_timeout: 1.0,
 };
 
-fn founder(node: Node) -> Voter {
+fn founder(node: NodeId) -> Voter {
     Voter {
         node,
-        incarnation: FOUNDING,
+        incarnation: FOUNDING_INCARNATION,
     }
 }
 
-fn ballot(round: u64, node: Node) -> Ballot {
-    (0..round).fold(Ballot::default(), |ballot, _| ballot.above(node))
+fn term(round: u64, node: NodeId) -> Term {
+    (0..round).fold(Term::default(), |term, _| term.next_for(node))
 }
 
-fn holds_of(record: &Record) -> Holds {
-    Holds {
-        accepted: record.accepted,
-        seq: record.state.seq,
+fn holds_of(record: &HardState) -> StateId {
+    StateId {
+        accepted_term: record.accepted_term,
+        version: record.state.version,
         digest: record.state.digest(),
     }
 }
 
 /// Machine 2 of these voters, a follower that has heard nobody yet.
-fn follower(nodes: &[Node]) -> Consensus {
-    let state = Rc::new(State::first(nodes.to_vec()));
+fn follower(nodes: &[NodeId]) -> Consensus {
+    let state = Rc::new(State::founding(nodes.to_vec()));
     Consensus::new(
         founder(2),
-        Record {
+        HardState {
             state,
-            ..Record::default()
+            ..HardState::default()
         },
         0.0,
         7,
@@ -52,26 +52,26 @@
 fn hear(
     consensus: &mut Consensus,
     now: f64,
-    from: Node,
+    from: NodeId,
     message: ConsensusMessage,
 ) -> Vec<ConsensusOutput> {
     let mut outs = Vec::new();
-    consensus.message(now, founder(from), message, &mut outs);
+    consensus.step(now, founder(from), message, &mut outs);
     outs
 }
 
 /// All that is sent once the save under way has succeeded.
 fn saved(consensus: &mut Consensus, now: f64) -> Vec<ConsensusOutput> {
     let mut outs = Vec::new();
-    consensus.saved(now, &mut outs);
+    consensus.persisted(now, &mut outs);
     outs
 }
 
-fn heartbeat(ballot: Ballot, sent: f64) -> ConsensusMessage {
+fn heartbeat(term: Term, sent: f64) -> ConsensusMessage {
     ConsensusMessage::Heartbeat {
-        ballot,
-        sent,
-        confirms: None,
+        term,
+        sent_at: sent,
+        confirmed_answer_at: None,
     }
 }
 
@@ -81,15 +81,15 @@
 }
 
 fn is_promise(message: &ConsensusMessage) -> bool {
-    matches!(message, ConsensusMessage::Promise { .. })
+    matches!(message, ConsensusMessage::VoteResponse { .. })
 }
 
 fn is_refusal(message: &ConsensusMessage) -> bool {
-    matches!(message, ConsensusMessage::Refuse { .. })
+    matches!(message, ConsensusMessage::TermRejected { .. })
 }
 
 fn is_ack(message: &ConsensusMessage) -> bool {
-    matches!(message, ConsensusMessage::HeartbeatAck { .. })
+    matches!(message, ConsensusMessage::HeartbeatResponse { .. })
 }
 
 /// A canvass that was granted before another machine won may be followed by a candidacy after it: while the winner may act on an
@@ -97,21 +97,21 @@
 #[test]
 fn no_promise_while_a_leader_may_act() {
     let mut machine = follower(&[1, 2, 3]);
-    hear(&mut machine, 9.0, 3, heartbeat(ballot(2, 3), 1.0));
+    hear(&mut machine, 9.0, 3, heartbeat(term(2, 3), 1.0));
     saved(&mut machine, 9.0);
-    hear(&mut machine, 10.0, 3, heartbeat(ballot(2, 3), 2.0));
-    let holds = holds_of(machine.record());
-    let prepare = ConsensusMessage::Prepare {
-        ballot: ballot(5, 1),
-        holds,
+    hear(&mut machine, 10.0, 3, heartbeat(term(2, 3), 2.0));
+    let holds = holds_of(machine.hard_state());
+    let prepare = ConsensusMessage::VoteRequest {
+        term: term(5, 1),
+        last_state: holds,
     };
     let early = hear(&mut machine, 10.5, 1, prepare.clone());
     assert!(
-        sends(&early, is_refusal) && !early.contains(&ConsensusOutput::Save),
+        sends(&early, is_refusal) && !early.contains(&ConsensusOutput::Persist),
         "{early:?}"
     );
     let late = hear(&mut machine, 10.61, 1, prepare);
-    assert!(late.contains(&ConsensusOutput::Save), "{late:?}");
+    assert!(late.contains(&ConsensusOutput::Persist), "{late:?}");
     assert!(sends(&saved(&mut machine, 10.61), is_promise));
 }
 
@@ -119,19 +119,19 @@
 #[test]
 fn no_promise_before_its_save() {
     let mut machine = follower(&[1, 2, 3]);
-    let prepare = ConsensusMessage::Prepare {
-        ballot: ballot(5, 1),
-        holds: holds_of(machine.record()),
+    let prepare = ConsensusMessage::VoteRequest {
+        term: term(5, 1),
+        last_state: holds_of(machine.hard_state()),
     };
     let outs = hear(&mut machine, 5.0, 1, prepare.clone());
-    assert_eq!(outs, [ConsensusOutput::Save]);
+    assert_eq!(outs, [ConsensusOutput::Persist]);
     assert!(sends(&saved(&mut machine, 5.0), is_promise));
     let mut full = follower(&[1, 2, 3]);
     hear(&mut full, 5.0, 1, prepare);
     let mut outs = Vec::new();
-    full.save_failed(&mut outs);
+    full.persist_failed(&mut outs);
     assert!(
-        outs.is_empty() && full.record().promised == Ballot::default(),
+        outs.is_empty() && full.hard_state().voted_term == Term::default(),
         "{outs:?}"
     );
 }
@@ -140,12 +140,12 @@
 #[test]
 fn no_answer_under_a_ballot_that_is_not_saved() {
     let mut machine = follower(&[1, 2, 3]);
-    let outs = hear(&mut machine, 5.0, 3, heartbeat(ballot(4, 3), 1.0));
-    assert_eq!(outs, [ConsensusOutput::Save]);
+    let outs = hear(&mut machine, 5.0, 3, heartbeat(term(4, 3), 1.0));
+    assert_eq!(outs, [ConsensusOutput::Persist]);
     assert!(sends(&saved(&mut machine, 5.0), is_ack));
     assert!(
         sends(
-            &hear(&mut machine, 5.1, 3, heartbeat(ballot(4, 3), 1.1)),
+            &hear(&mut machine, 5.1, 3, heartbeat(term(4, 3), 1.1)),
             is_ack
         ),
         "known by now"
@@ -159,17 +159,17 @@
     net.calm(1.0);
     let leader = net.leader().expect("somebody leads");
     let other = 1 + leader % 3;
-    let higher = net.highest().above(other);
+    let higher = net.highest().next_for(other);
     let now = net.now;
     let machine = net.at(leader);
-    let holds = holds_of(machine.consensus.record());
-    let prepare = ConsensusMessage::Prepare {
-        ballot: higher,
-        holds,
+    let holds = holds_of(machine.consensus.hard_state());
+    let prepare = ConsensusMessage::VoteRequest {
+        term: higher,
+        last_state: holds,
     };
     let outs = hear(&mut machine.consensus, now, other, prepare);
     assert!(
-        sends(&outs, is_refusal) && machine.consensus.leads().is_some(),
+        sends(&outs, is_refusal) && machine.consensus.leader_term().is_some(),
         "{outs:?}"
     );
 }
@@ -179,19 +179,17 @@
 #[test]
 fn a_late_resignation_ends_nothing() {
     let mut machine = follower(&[1, 2, 3]);
-    hear(&mut machine, 9.0, 3, heartbeat(ballot(4, 3), 1.0));
+    hear(&mut machine, 9.0, 3, heartbeat(term(4, 3), 1.0));
     saved(&mut machine, 9.0);
     hear(
         &mut machine,
         9.1,
         3,
-        ConsensusMessage::Resign {
-            ballot: ballot(2, 3),
-        },
+        ConsensusMessage::Resign { term: term(2, 3) },
     );
-    let prepare = ConsensusMessage::Prepare {
-        ballot: ballot(5, 1),
-        holds: holds_of(machine.record()),
+    let prepare = ConsensusMessage::VoteRequest {
+        term: term(5, 1),
+        last_state: holds_of(machine.hard_state()),
     };
     assert!(sends(
         &hear(&mut machine, 9.2, 1, prepare.clone()),
@@ -202,39 +200,40 @@
         &mut machine,
         9.3,
         3,
-        ConsensusMessage::Resign {
-            ballot: ballot(4, 3),
-        },
+        ConsensusMessage::Resign { term: term(4, 3) },
     );
-    assert!(hear(&mut machine, 9.3, 1, prepare).contains(&ConsensusOutput::Save));
+    assert!(hear(&mut machine, 9.3, 1, prepare).contains(&ConsensusOutput::Persist));
 }
 
 /// Who was left out meanwhile, as its older state shows, is granted no canvass; who decides is.
 #[test]
 fn who_was_left_out_is_granted_no_canvass() {
     let state = Rc::new(State {
-        seq: 5,
-        ..State::first(vec![2, 3, 4])
+        version: 5,
+        ..State::founding(vec![2, 3, 4])
     });
-    let record = Record {
-        promised: ballot(2, 3),
-        accepted: ballot(2, 3),
+    let record = HardState {
+        voted_term: term(2, 3),
+        accepted_term: term(2, 3),
         state,
     };
-    let older = Holds {
-        accepted: ballot(1, 3),
-        seq: 3,
-        ..Holds::default()
+    let older = StateId {
+        accepted_term: term(1, 3),
+        version: 3,
+        ..StateId::default()
     };
     for (from, expected) in [(1, false), (4, true)] {
         let mut machine = Consensus::new(founder(2), record.clone(), 0.0, 7, TIMING);
-        let canvass = ConsensusMessage::Canvass {
-            ballot: ballot(5, from),
-            holds: older,
+        let canvass = ConsensusMessage::PreVoteRequest {
+            term: term(5, from),
+            last_state: older,
         };
         let outs = hear(&mut machine, 9.0, from, canvass);
         let granted = |message: &ConsensusMessage| {
-            matches!(message, ConsensusMessage::Canvassed { granted: true, .. })
+            matches!(
+                message,
+                ConsensusMessage::PreVoteResponse { granted: true, .. }
+            )
         };
         assert_eq!(sends(&outs, granted), expected, "{outs:?}");
     }
@@ -244,129 +243,135 @@
 #[test]
 fn what_was_overtaken_takes_nothing_back() {
     let mut machine = follower(&[1, 2, 3]);
-    let state = |seq| {
+    let state = |version| {
         Rc::new(State {
-            seq,
-            ..State::first(vec![1, 2, 3])
+            version,
+            ..State::founding(vec![1, 2, 3])
         })
     };
-    let accept = |seq| ConsensusMessage::Accept {
-        ballot: ballot(4, 3),
-        content: Content::Whole(state(seq)),
+    let accept = |version| ConsensusMessage::AppendRequest {
+        term: term(4, 3),
+        payload: StatePayload::Snapshot(state(version)),
     };
-    assert!(hear(&mut machine, 5.0, 3, accept(8)).contains(&ConsensusOutput::Save));
+    assert!(hear(&mut machine, 5.0, 3, accept(8)).contains(&ConsensusOutput::Persist));
     saved(&mut machine, 5.0);
     let outs = hear(&mut machine, 5.1, 3, accept(7));
-    assert!(!outs.contains(&ConsensusOutput::Save), "{outs:?}");
+    assert!(!outs.contains(&ConsensusOutput::Persist), "{outs:?}");
     // It says what it has, which is more.
-    let has_later = |message: &ConsensusMessage| matches!(message, ConsensusMessage::Accepted { holds, .. } if holds.seq == 8);
+    let has_later = |message: &ConsensusMessage| matches!(message, ConsensusMessage::AppendResponse { last_state: holds, .. } if holds.version == 8);
     assert!(
-        sends(&outs, has_later) && machine.record().state.seq == 8,
+        sends(&outs, has_later) && machine.hard_state().state.version == 8,
         "{outs:?}"
     );
 }
 
 /// Machine 2 after it has won: two promises, its own among them, elect it.
-fn winner() -> (Consensus, Ballot) {
+fn winner() -> (Consensus, Term) {
     let mut machine = follower(&[1, 2, 3]);
     let mut outs = Vec::new();
     machine.tick(5.0, &mut outs);
     let asked = outs.iter().find_map(|out| match out {
-        ConsensusOutput::Send(_, ConsensusMessage::Canvass { ballot, .. }) => Some(*ballot),
+        ConsensusOutput::Send(_, ConsensusMessage::PreVoteRequest { term, .. }) => Some(*term),
         _ => None,
     });
-    let ballot = asked.expect("it asks whether to stand");
-    let granted = ConsensusMessage::Canvassed {
-        ballot,
+    let term = asked.expect("it asks whether to stand");
+    let granted = ConsensusMessage::PreVoteResponse {
+        term,
         granted: true,
-        promised: Ballot::default(),
+        voted_term: Term::default(),
     };
     hear(&mut machine, 5.0, 1, granted);
     saved(&mut machine, 5.0);
-    let holds = holds_of(machine.record());
+    let holds = holds_of(machine.hard_state());
     hear(
         &mut machine,
         5.0,
         1,
-        ConsensusMessage::Promise {
-            ballot,
-            holds,
-            newer: None,
+        ConsensusMessage::VoteResponse {
+            term,
+            last_state: holds,
+            newer_state: None,
         },
     );
     saved(&mut machine, 5.0);
-    (machine, ballot)
+    (machine, term)
 }
 
 /// Whoever has won acts once what it found is agreed on under its ballot, not when it is merely heard.
 #[test]
 fn no_authority_before_what_was_found_is_agreed_on() {
-    let (mut machine, ballot) = winner();
-    let before = Holds::default();
-    let ack = |holds| ConsensusMessage::HeartbeatAck {
-        ballot,
-        sent: 5.0,
-        at: 1.0,
-        holds,
+    let (mut machine, term) = winner();
+    let before = StateId::default();
+    let ack = |holds| ConsensusMessage::HeartbeatResponse {
+        term,
+        heartbeat_sent_at: 5.0,
+        answered_at: 1.0,
+        last_state: holds,
     };
     hear(&mut machine, 5.1, 1, ack(before));
     assert_eq!(
-        (machine.authority(), machine.leads()),
+        (machine.authority_until(), machine.leader_term()),
         (f64::NEG_INFINITY, None)
     );
-    let holds = holds_of(machine.record());
+    let holds = holds_of(machine.hard_state());
     hear(
         &mut machine,
         5.2,
         1,
-        ConsensusMessage::Accepted { ballot, holds },
+        ConsensusMessage::AppendResponse {
+            term,
+            last_state: holds,
+        },
     );
     assert_eq!(
-        (machine.authority(), machine.leads()),
-        (5.0 + TIMING.suspect, Some(ballot))
+        (machine.authority_until(), machine.leader_term()),
+        (5.0 + TIMING.election_timeout, Some(term))
     );
 }
 
 /// An answer to a heartbeat of an earlier ballot prolongs nothing: whoever gave it may have promised another one since.
 #[test]
 fn an_answer_counts_under_its_ballot() {
-    let (mut machine, ballot) = winner();
-    let holds = holds_of(machine.record());
+    let (mut machine, term) = winner();
+    let holds = holds_of(machine.hard_state());
     hear(
         &mut machine,
         5.1,
         1,
-        ConsensusMessage::Accepted { ballot, holds },
+        ConsensusMessage::AppendResponse {
+            term,
+            last_state: holds,
+        },
     );
-    let ack = |ballot, sent| ConsensusMessage::HeartbeatAck {
-        ballot,
-        sent,
-        at: 1.0,
-        holds,
+    let ack = |term, sent| ConsensusMessage::HeartbeatResponse {
+        term,
+        heartbeat_sent_at: sent,
+        answered_at: 1.0,
+        last_state: holds,
     };
-    hear(&mut machine, 5.2, 1, ack(ballot, 5.0));
-    hear(&mut machine, 5.4, 1, ack(Ballot(ballot.0 - 1), 5.3));
-    assert_eq!(machine.authority(), 5.0 + TIMING.suspect);
-    hear(&mut machine, 5.4, 1, ack(ballot, 5.3));
-    assert_eq!(machine.authority(), 5.3 + TIMING.suspect);
+    hear(&mut machine, 5.2, 1, ack(term, 5.0));
+    hear(&mut machine, 5.4, 1, ack(Term(term.0 - 1), 5.3));
+    assert_eq!(machine.authority_until(), 5.0 + TIMING.election_timeout);
+    hear(&mut machine, 5.4, 1, ack(term, 5.3));
+    assert_eq!(machine.authority_until(), 5.3 + TIMING.election_timeout);
 }
 
 /// What a leader confirmed is no contact under the next one, before that one confirms something.
 #[test]
 fn contact_ends_with_the_leader_that_confirmed_it() {
     let mut machine = follower(&[1, 2, 3]);
-    let confirming = |ballot, at| ConsensusMessage::Heartbeat {
-        ballot,
-        sent: 1.0,
-        confirms: Some(at),
+    let confirming = |term, at| ConsensusMessage::Heartbeat {
+        term,
+        sent_at: 1.0,
+        confirmed_answer_at: Some(at),
     };
-    hear(&mut machine, 9.0, 3, confirming(ballot(2, 3), 8.9));
+    hear(&mut machine, 9.0, 3, confirming(term(2, 3), 8.9));
     saved(&mut machine, 9.0);
     assert!(machine.in_contact(9.1));
-    hear(&mut machine, 9.2, 1, heartbeat(ballot(3, 1), 4.0));
+    hear(&mut machine, 9.2, 1, heartbeat(term(3, 1), 4.0));
     saved(&mut machine, 9.2);
     assert!(!machine.in_contact(9.3));
-    hear(&mut machine, 9.4, 1, confirming(ballot(3, 1), 9.3));
+    hear(&mut machine, 9.4, 1, confirming(term(3, 1), 9.3));
     assert!(machine.in_contact(9.5));
 }
 
@@ -374,17 +379,17 @@
 /// is answered without it.
 #[test]
 fn one_transfer_is_under_way_at_a_time() {
-    let (mut machine, ballot) = winner();
-    let lacks = Holds::default();
-    let ack = |sent| ConsensusMessage::HeartbeatAck {
-        ballot,
-        sent,
-        at: 1.0,
-        holds: lacks,
+    let (mut machine, term) = winner();
+    let lacks = StateId::default();
+    let ack = |sent| ConsensusMessage::HeartbeatResponse {
+        term,
+        heartbeat_sent_at: sent,
+        answered_at: 1.0,
+        last_state: lacks,
     };
     let transfers = |outs: &[ConsensusOutput]| {
         sends(outs, |message| {
-            matches!(message, ConsensusMessage::Accept { .. })
+            matches!(message, ConsensusMessage::AppendRequest { .. })
         })
     };
     // It was sent with the victory.
@@ -402,18 +407,18 @@
 #[test]
 fn nothing_is_taken_in_while_a_save_is_under_way() {
     let mut machine = follower(&[1, 2, 3]);
-    let prepare = ConsensusMessage::Prepare {
-        ballot: ballot(5, 1),
-        holds: holds_of(machine.record()),
+    let prepare = ConsensusMessage::VoteRequest {
+        term: term(5, 1),
+        last_state: holds_of(machine.hard_state()),
     };
     hear(&mut machine, 5.0, 1, prepare);
-    let before = machine.record().clone();
-    assert!(hear(&mut machine, 5.0, 3, heartbeat(ballot(7, 3), 1.0)).is_empty());
-    assert_eq!(machine.record(), &before);
+    let before = machine.hard_state().clone();
+    assert!(hear(&mut machine, 5.0, 3, heartbeat(term(7, 3), 1.0)).is_empty());
+    assert_eq!(machine.hard_state(), &before);
     saved(&mut machine, 5.1);
     assert_eq!(
-        hear(&mut machine, 5.1, 3, heartbeat(ballot(7, 3), 1.1)),
-        [ConsensusOutput::Save]
+        hear(&mut machine, 5.1, 3, heartbeat(term(7, 3), 1.1)),
+        [ConsensusOutput::Persist]
     );
 }
 
@@ -421,24 +426,24 @@
 #[test]
 fn nothing_is_accepted_below_the_promise() {
     let mut machine = follower(&[1, 2, 3]);
-    hear(&mut machine, 9.0, 3, heartbeat(ballot(4, 3), 1.0));
+    hear(&mut machine, 9.0, 3, heartbeat(term(4, 3), 1.0));
     saved(&mut machine, 9.0);
     let state = Rc::new(State {
-        seq: 8,
-        ..State::first(vec![1, 2, 3])
+        version: 8,
+        ..State::founding(vec![1, 2, 3])
     });
-    let accept = ConsensusMessage::Accept {
-        ballot: ballot(3, 1),
-        content: Content::Whole(state),
+    let accept = ConsensusMessage::AppendRequest {
+        term: term(3, 1),
+        payload: StatePayload::Snapshot(state),
     };
-    for late in [accept, heartbeat(ballot(3, 1), 5.0)] {
+    for late in [accept, heartbeat(term(3, 1), 5.0)] {
         let outs = hear(&mut machine, 9.1, 1, late);
         assert!(
-            sends(&outs, is_refusal) && !outs.contains(&ConsensusOutput::Save),
+            sends(&outs, is_refusal) && !outs.contains(&ConsensusOutput::Persist),
             "{outs:?}"
         );
         assert_eq!(
-            (machine.leader(), machine.record().state.seq),
+            (machine.leader(), machine.hard_state().state.version),
             (Some(founder(3)), 0)
         );
     }
@@ -447,23 +452,26 @@
 /// A leader that meets a promise above its ballot leads no longer; a refusal of a ballot that is over ends nothing.
 #[test]
 fn a_higher_promise_ends_a_leader() {
-    let (mut machine, ballot) = winner();
-    let holds = holds_of(machine.record());
+    let (mut machine, term) = winner();
+    let holds = holds_of(machine.hard_state());
     hear(
         &mut machine,
         5.1,
         1,
-        ConsensusMessage::Accepted { ballot, holds },
+        ConsensusMessage::AppendResponse {
+            term,
+            last_state: holds,
+        },
     );
-    let refuse = |ballot| ConsensusMessage::Refuse {
-        ballot,
-        promised: Ballot(ballot.0 + 7),
+    let refuse = |term| ConsensusMessage::TermRejected {
+        term,
+        voted_term: Term(term.0 + 7),
     };
-    hear(&mut machine, 5.2, 3, refuse(Ballot(ballot.0 - 1)));
-    assert!(machine.leads().is_some());
-    hear(&mut machine, 5.3, 3, refuse(ballot));
+    hear(&mut machine, 5.2, 3, refuse(Term(term.0 - 1)));
+    assert!(machine.leader_term().is_some());
+    hear(&mut machine, 5.3, 3, refuse(term));
     assert_eq!(
-        (machine.leads(), machine.authority()),
+        (machine.leader_term(), machine.authority_until()),
         (None, f64::NEG_INFINITY)
     );
 }
--- a/crates/core/control/src/tests/net.rs
+++ b/crates/core/control/src/tests/net.rs
@@ -1,21 +1,21 @@
 //! Machines that agree, and the messages under way between them. Time passes by hand, messages arrive as a test wants, and
 //! what must hold is checked at every step.
 
-use crate::ballot::Ballot;
 use crate::consensus::{
-    Consensus, ConsensusMessage, ConsensusOutput, ConsensusTiming, Recipient, Record,
+    Consensus, ConsensusConfig, ConsensusMessage, ConsensusOutput, HardState, Recipient,
 };
 use crate::digest::Digest;
-use crate::membership::{FOUNDING, Node, Voter};
 use crate::state::State;
+use crate::term::Term;
+use crate::voter_set::{FOUNDING_INCARNATION, NodeId, Voter};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 pub const SUSPECT: f64 = 0.6;
 pub const CONTACT: f64 = 1.0;
-const TIMING: ConsensusTiming = ConsensusTiming {
-    suspect: SUSPECT,
-    contact: CONTACT,
+const TIMING: ConsensusConfig = ConsensusConfig {
+    election_timeout: SUSPECT,
+    contact_timeout: CONTACT,
 };
 
 /// A control machine.
@@ -23,7 +23,7 @@
 pub struct Machine {
     pub consensus: Consensus,
     /// What is on the disk.
-    pub saved: Record,
+    pub saved: HardState,
     pub incarnation: u64,
     pub up: bool,
     /// Its disk takes nothing.
@@ -49,12 +49,12 @@
 /// All of them.
 #[derive(Clone)]
 pub struct Net {
-    pub machines: BTreeMap<Node, Machine>,
+    pub machines: BTreeMap<NodeId, Machine>,
     pub bag: Vec<Letter>,
     pub now: f64,
     /// States that were agreed on, by number: digest and epoch.
     pub agreed: BTreeMap<u64, (Digest, u64)>,
-    pub wins: Vec<(f64, Node)>,
+    pub wins: Vec<(f64, NodeId)>,
     pub proposals: u64,
     /// What happened, unless so much is tried that it would take too long to write down.
     story: Vec<String>,
@@ -79,19 +79,19 @@
             seed,
         };
         for node in 1..=3 {
-            net.add(node, FOUNDING);
+            net.add(node, FOUNDING_INCARNATION);
         }
         net
     }
 
-    fn first() -> Record {
-        Record {
-            state: Rc::new(State::first(vec![1, 2, 3])),
-            ..Record::default()
+    fn first() -> HardState {
+        HardState {
+            state: Rc::new(State::founding(vec![1, 2, 3])),
+            ..HardState::default()
         }
     }
 
-    fn add(&mut self, node: Node, incarnation: u64) {
+    fn add(&mut self, node: NodeId, incarnation: u64) {
         let saved = Net::first();
         let consensus = self.consensus(Voter { node, incarnation }, &saved, self.now);
         let machine = Machine {
@@ -105,7 +105,7 @@
         self.machines.insert(node, machine);
     }
 
-    fn consensus(&self, me: Voter, saved: &Record, clock: f64) -> Consensus {
+    fn consensus(&self, me: Voter, saved: &HardState, clock: f64) -> Consensus {
         let mut consensus = Consensus::new(
             me,
             saved.clone(),
@@ -113,22 +113,22 @@
             self.seed + u64::from(me.node),
             TIMING,
         );
-        consensus.seeds(vec![1, 2, 3]);
+        consensus.set_seeds(vec![1, 2, 3]);
         consensus
     }
 
     /// An empty machine at an address of its own.
-    pub fn join(&mut self, node: Node) {
+    pub fn join(&mut self, node: NodeId) {
         self.incarnations += 1;
         self.add(node, self.incarnations);
     }
 
-    pub fn at(&mut self, node: Node) -> &mut Machine {
+    pub fn at(&mut self, node: NodeId) -> &mut Machine {
         self.machines.get_mut(&node).expect("the machine exists")
     }
 
     /// Its process ends and starts with its disk as it was saved last, or with an empty one.
-    pub fn restart(&mut self, node: Node, empty: bool) {
+    pub fn restart(&mut self, node: NodeId, empty: bool) {
         let now = self.now;
         self.tell(|| format!("{now:.3} {node} restarts, empty={empty}"));
         // Its connections break: what is under way to it or from it is lost.
@@ -151,20 +151,20 @@
         machine.up = true;
     }
 
-    pub fn take(&mut self, node: Node, outs: Vec<ConsensusOutput>) {
+    pub fn take(&mut self, node: NodeId, outs: Vec<ConsensusOutput>) {
         let mut waiting = VecDeque::from(outs);
         while let Some(out) = waiting.pop_front() {
             let now = self.now;
             let machine = self.at(node);
             match out {
-                ConsensusOutput::Save => {
+                ConsensusOutput::Persist => {
                     let mut then = Vec::new();
                     if machine.full {
-                        machine.consensus.save_failed(&mut then);
+                        machine.consensus.persist_failed(&mut then);
                     } else {
-                        machine.saved = machine.consensus.record().clone();
+                        machine.saved = machine.consensus.hard_state().clone();
                         let clock = now + machine.offset;
-                        machine.consensus.saved(clock, &mut then);
+                        machine.consensus.persisted(clock, &mut then);
                     }
                     then.into_iter()
                         .rev()
@@ -174,61 +174,66 @@
                     let from = machine.voter();
                     self.bag.push(Letter { from, to, message });
                 }
-                ConsensusOutput::Won => {
+                ConsensusOutput::BecameLeader => {
                     self.tell(|| format!("{node} won"));
                     self.wins.push((self.now, node));
                     self.won(node);
                 }
-                ConsensusOutput::Agreed => self.note_agreed(node),
-                ConsensusOutput::Lost => {}
+                ConsensusOutput::Committed => self.note_agreed(node),
+                ConsensusOutput::SteppedDown => {}
             }
         }
         self.one_acts();
     }
 
-    fn note_agreed(&mut self, node: Node) {
-        let state = self.at(node).consensus.record().state.clone();
-        self.tell(|| format!("{node} agreed on {} with epoch {}", state.seq, state.epoch));
-        let one = (state.digest(), state.epoch);
-        let other = self.agreed.insert(state.seq, one);
+    fn note_agreed(&mut self, node: NodeId) {
+        let state = self.at(node).consensus.hard_state().state.clone();
+        self.tell(|| {
+            format!(
+                "{node} agreed on {} with epoch {}",
+                state.version, state.config_epoch
+            )
+        });
+        let one = (state.digest(), state.config_epoch);
+        let other = self.agreed.insert(state.version, one);
         assert!(
             other.is_none_or(|o| o == one),
             "forked at {}: {other:?}\n{}",
-            state.seq,
+            state.version,
             self.tale()
         );
     }
 
     /// Whoever wins has all that was agreed on, and nobody else may act any more.
-    fn won(&mut self, node: Node) {
-        let state = self.at(node).consensus.record().state.clone();
+    fn won(&mut self, node: NodeId) {
+        let state = self.at(node).consensus.hard_state().state.clone();
         let newest = self.agreed.keys().max().copied().unwrap_or(0);
         assert!(
-            state.seq >= newest,
+            state.version >= newest,
             "{node} won with {} after {newest}\n{}",
-            state.seq,
+            state.version,
             self.tale()
         );
         // What a leader finds and has agreed on is as good as proposed by it; the state of the first start isn't counted.
-        let one = (state.digest(), state.epoch);
-        let other = if state.seq > 0 {
-            self.agreed.insert(state.seq, one)
+        let one = (state.digest(), state.config_epoch);
+        let other = if state.version > 0 {
+            self.agreed.insert(state.version, one)
         } else {
             None
         };
         assert!(
             other.is_none_or(|(digest, _)| digest == state.digest()),
             "{node} won with another {}\n{}",
-            state.seq,
+            state.version,
             self.tale()
         );
     }
 
     pub fn one_acts(&self) {
-        let acting: Vec<Node> = self
+        let acting: Vec<NodeId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.up && m.consensus.authority() > self.now + m.offset)
+            .filter(|(_, m)| m.up && m.consensus.authority_until() > self.now + m.offset)
             .map(|(node, _)| *node)
             .collect();
         assert!(
@@ -256,16 +261,16 @@
     }
 
     /// The store of a machine whose disk takes bytes is opened anew, if a save had failed.
-    pub fn reopen(&mut self, node: Node) {
+    pub fn reopen(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.at(node);
         if machine.consensus.disk_failed() && !machine.full {
             let (clock, saved) = (now + machine.offset, machine.saved.clone());
-            machine.consensus.reopened(clock, saved);
+            machine.consensus.disk_reopened(clock, saved);
         }
     }
 
-    pub fn tick(&mut self, node: Node) {
+    pub fn tick(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.at(node);
         if machine.up {
@@ -303,26 +308,26 @@
             let (mut outs, clock) = (Vec::new(), now + machine.offset);
             machine
                 .consensus
-                .message(clock, letter.from, letter.message, &mut outs);
+                .step(clock, letter.from, letter.message, &mut outs);
             self.take(to, outs);
         }
     }
 
     /// A leader proposes a configuration of an epoch that nobody else uses.
-    pub fn propose(&mut self, node: Node) -> bool {
+    pub fn propose(&mut self, node: NodeId) -> bool {
         let now = self.now;
         self.proposals += 1;
         let epoch = self.proposals * 10 + u64::from(node);
         let machine = self.at(node);
         let clock = now + machine.offset;
-        if !machine.up || machine.consensus.authority() <= clock {
+        if !machine.up || machine.consensus.authority_until() <= clock {
             return false;
         }
-        let Some(state) = machine.consensus.agreed().cloned() else {
+        let Some(state) = machine.consensus.committed_state().cloned() else {
             return false;
         };
         let mut outs = Vec::new();
-        let change = state.change_config(epoch, &epoch.to_string().into_bytes().into());
+        let change = state.config_change(epoch, &epoch.to_string().into_bytes().into());
         machine.consensus.propose(clock, change, &mut outs);
         self.tell(|| format!("{now:.3} {node} proposes {epoch}"));
         self.take(node, outs);
@@ -350,8 +355,8 @@
         }
     }
 
-    pub fn leader(&self) -> Option<Node> {
-        let acts = |m: &Machine| m.up && m.consensus.authority() > self.now + m.offset;
+    pub fn leader(&self) -> Option<NodeId> {
+        let acts = |m: &Machine| m.up && m.consensus.authority_until() > self.now + m.offset;
         self.machines
             .iter()
             .find(|(_, m)| acts(m))
@@ -359,7 +364,7 @@
     }
 
     /// Addresses of the voters as the leader has them.
-    pub fn voters(&self) -> Vec<Node> {
+    pub fn voters(&self) -> Vec<NodeId> {
         let leader = self.leader().and_then(|leader| self.machines.get(&leader));
         leader
             .map(|m| m.consensus.voters().iter().map(|v| v.node).collect())
@@ -381,14 +386,14 @@
     /// Whether a change of the voters is under way at the leader.
     pub fn is_joint(&self) -> bool {
         let leader = self.leader().and_then(|leader| self.machines.get(&leader));
-        leader.is_some_and(|m| m.consensus.record().state.membership.is_joint())
+        leader.is_some_and(|m| m.consensus.hard_state().state.voters.is_joint())
     }
 
     /// The highest ballot that was promised anywhere.
-    pub fn highest(&self) -> Ballot {
+    pub fn highest(&self) -> Term {
         self.machines
             .values()
-            .map(|m| m.saved.promised)
+            .map(|m| m.saved.voted_term)
             .max()
             .unwrap_or_default()
     }
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -1,18 +1,18 @@
 //! Calls that change servers, and what becomes of them when they come late: `POST /promotions`, `PAUSE`, `RESUME` and
 //! `STEPDOWN`. The table that these tests hold to is in `docs/design/calls.md`.
 
-use crate::failover::{Act, Around, Candidate, Failover};
+use crate::failover::{Failover, FailoverAction, FailoverContext, ServerCandidate};
 use crate::promotion::{PendingPromotion, PromotionOutcome};
-use crate::{Asked, Row, Statement, Timing};
+use crate::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
 use badgerstream_line_protocol::Verdict;
 
-const TIMING: Timing = Timing {
-    ask: 0.2,
-    ask_replica: 1.0,
-    silence: 0.6,
-    answer: 0.6,
-    heartbeat: 1.2,
-    drain: 7.0,
+const TIMING: FailoverConfig = FailoverConfig {
+    primary_poll_interval: 0.2,
+    replica_poll_interval: 1.0,
+    primary_timeout: 0.6,
+    query_timeout: 0.6,
+    heartbeat_interval: 1.2,
+    drain_timeout: 7.0,
 };
 
 // ---- what the end of a call to the platform proves
@@ -23,7 +23,7 @@
     for (status, outcome, verdict) in [
         (200, Accepted, Verdict::Ran),
         (409, Refused, Verdict::NotRun),
-        (429, Busy, Verdict::NotRun),
+        (429, RateLimited, Verdict::NotRun),
         (400, Rejected, Verdict::NotRun),
         (408, Unknown, Verdict::MayHaveRun),
         (500, Unknown, Verdict::MayHaveRun),
@@ -55,7 +55,7 @@
 fn a_call_that_has_not_run_is_waited_for_by_nobody() {
     for outcome in [
         PromotionOutcome::Refused,
-        PromotionOutcome::Busy,
+        PromotionOutcome::RateLimited,
         PromotionOutcome::Rejected,
         PromotionOutcome::NotSent,
     ] {
@@ -83,13 +83,13 @@
 
 struct Alone {
     failover: Failover,
-    members: Vec<Candidate>,
+    members: Vec<ServerCandidate>,
     now: f64,
 }
 
 impl Alone {
     fn new() -> Alone {
-        let candidate = |id: &str| Candidate {
+        let candidate = |id: &str| ServerCandidate {
             id: id.to_owned(),
             draining_since: None,
             heard: 0.0,
@@ -106,10 +106,10 @@
     fn step(
         &mut self,
         record: (&str, u64),
-        row: impl Fn(&str, Statement) -> Option<Row>,
-    ) -> Vec<Act> {
+        row: impl Fn(&str, ServerCommand) -> Option<ServerStatus>,
+    ) -> Vec<FailoverAction> {
         self.now += 0.1;
-        let acts = self.failover.tick(&Around {
+        let acts = self.failover.tick(&FailoverContext {
             now: self.now,
             members: &self.members,
             lost: &[],
@@ -123,16 +123,16 @@
         });
         self.failover.told(1);
         for act in &acts {
-            let Act::Ask(id, statement) = act else {
+            let FailoverAction::Query(id, statement) = act else {
                 continue;
             };
             let asked = match row(id, *statement) {
-                Some(row) => Asked::Row {
-                    statement: *statement,
-                    row,
-                    asked: self.now,
+                Some(row) => CommandOutcome::Status {
+                    command: *statement,
+                    status: row,
+                    sent_at: self.now,
                 },
-                None => Asked::Refused,
+                None => CommandOutcome::Refused,
             };
             self.failover.asked(self.now, id, asked);
         }
@@ -140,12 +140,12 @@
     }
 }
 
-fn row(leader: bool, term: u64, held: u64) -> Row {
-    Row {
-        leader,
-        term,
-        received: (term, 0),
-        held,
+fn row(leader: bool, primary_term: u64, held: u64) -> ServerStatus {
+    ServerStatus {
+        is_primary: leader,
+        primary_term,
+        received: (primary_term, 0),
+        highest_term: held,
     }
 }
 
@@ -162,13 +162,13 @@
             _ => Some(row(false, 2, 7)),
         });
         terms.extend(acts.iter().filter_map(|act| match act {
-            Act::Ask(_, Statement::StepDown(term)) => Some(*term),
+            FailoverAction::Query(_, ServerCommand::StepDown(primary_term)) => Some(*primary_term),
             _ => None,
         }));
     }
     // Under the primary of term 2 it is its term that counts, and without one the lowest that does.
     assert!(
-        terms.len() > 2 && terms.iter().all(|term| *term == 2),
+        terms.len() > 2 && terms.iter().all(|primary_term| *primary_term == 2),
         "{terms:?}"
     );
 }
@@ -178,9 +178,9 @@
 fn an_answer_about_another_server_changes_nothing() {
     let mut alone = Alone::new();
     let servers = |alone_gone: bool| {
-        move |id: &str, statement: Statement| match (id, statement) {
+        move |id: &str, statement: ServerCommand| match (id, statement) {
             ("a", _) => (!alone_gone).then(|| row(true, 1, 0)),
-            (_, Statement::Pause(term)) => Some(row(false, 1, term)),
+            (_, ServerCommand::Pause(primary_term)) => Some(row(false, 1, primary_term)),
             _ => Some(row(false, 1, if alone_gone { 2 } else { 0 })),
         }
     };
@@ -193,7 +193,7 @@
         assert!(alone.now < 5.0);
         let acts = alone.step(("a", 0), servers(true));
         agreed = acts.into_iter().find_map(|act| match act {
-            Act::Agree { to, .. } => Some(to),
+            FailoverAction::ProposePrimary { server_id: to, .. } => Some(to),
             _ => None,
         });
     }
@@ -229,18 +229,21 @@
         if alone.failover.phase() == "handing" {
             told.extend(
                 acts.into_iter()
-                    .filter(|act| matches!(act, Act::Ask(id, _) if id == "b")),
+                    .filter(|act| matches!(act, FailoverAction::Query(id, _) if id == "b")),
             );
         }
     }
     assert!(
-        told.contains(&Act::Ask("b".to_owned(), Statement::StepDown(2))),
+        told.contains(&FailoverAction::Query(
+            "b".to_owned(),
+            ServerCommand::StepDown(2)
+        )),
         "{told:?}"
     );
     assert!(
         !told
             .iter()
-            .any(|act| matches!(act, Act::Ask(_, Statement::Pause(_)))),
+            .any(|act| matches!(act, FailoverAction::Query(_, ServerCommand::Pause(_)))),
         "{told:?}"
     );
 }
--- a/crates/core/control/src/tests/storm.rs
+++ b/crates/core/control/src/tests/storm.rs
@@ -6,14 +6,14 @@
     EVIDENCE_WANTED, Output, QUESTIONS_A_TICK, SERVICES_A_TICK, SESSIONS_A_TICK,
 };
 use crate::{
-    Ballot, ConfigNews, ConsensusMessage, Controller, Evidence, FOUNDING, PeerMessage, Phase,
-    Recipient, Record, State, ToRouter, Voter,
+    ConfigUpdate, ConsensusMessage, Controller, FOUNDING_INCARNATION, HardState, HealthReport,
+    MemberPhase, PeerMessage, Recipient, RouterMessage, State, Term, Voter,
 };
 use std::collections::HashSet;
 use std::rc::Rc;
 
-fn is_lease(answer: &ToRouter) -> bool {
-    matches!(answer, ToRouter::News { sent: Some(_), lease, .. } if *lease > 0.0)
+fn is_lease(answer: &RouterMessage) -> bool {
+    matches!(answer, RouterMessage::Update { request_sent_at: Some(_), lease_duration: lease, .. } if *lease > 0.0)
 }
 
 /// An answer is as small for a router that lacks everything as for one that lacks nothing.
@@ -28,11 +28,11 @@
     let it = &fleet.routers[0];
     assert!(it.answers.len() > 2 && it.answers.iter().any(is_lease));
     for answer in &it.answers {
-        let ToRouter::News {
+        let RouterMessage::Update {
             grants,
             members,
             config,
-            whole,
+            is_snapshot: whole,
             ..
         } = answer
         else {
@@ -66,7 +66,7 @@
     });
     // All connections break: every router is a new one.
     for router in 0..530 {
-        fleet.controller.gone(router as u64 + 1);
+        fleet.controller.session_closed(router as u64 + 1);
         fleet.routers[router] = Default::default();
         fleet.renew(router);
     }
@@ -97,9 +97,9 @@
     let mut told = [0, 0];
     for change in 0..150 {
         let phase = if change % 2 == 0 {
-            Phase::Draining
+            MemberPhase::Draining
         } else {
-            Phase::Ready
+            MemberPhase::Ready
         };
         fleet.beat("server-1", phase);
         for (router, _) in fleet.tick().news {
@@ -146,9 +146,9 @@
 #[test]
 fn a_changed_configuration_goes_as_its_change() {
     let mut fleet = Fleet::new(30, 2);
-    let configs = |said: &[(usize, Rc<ToRouter>)]| {
-        let of = |(router, news): &(usize, Rc<ToRouter>)| match &**news {
-            ToRouter::News {
+    let configs = |said: &[(usize, Rc<RouterMessage>)]| {
+        let of = |(router, news): &(usize, Rc<RouterMessage>)| match &**news {
+            RouterMessage::Update {
                 config: Some(config),
                 ..
             } => Some((*router, config.clone())),
@@ -156,7 +156,7 @@
         };
         said.iter()
             .filter_map(of)
-            .collect::<Vec<(usize, ConfigNews)>>()
+            .collect::<Vec<(usize, ConfigUpdate)>>()
     };
     fleet.configure(5000, &text(5000));
     let first = configs(
@@ -170,7 +170,7 @@
         first.len() == 30
             && first
                 .iter()
-                .all(|(_, config)| matches!(config, ConfigNews::Whole(_)))
+                .all(|(_, config)| matches!(config, ConfigUpdate::Full(_)))
     );
     // One has lost what it had.
     fleet.routers[7].forget_config();
@@ -189,7 +189,7 @@
         assert_eq!(told.len(), 30, "each is told once");
         assert!(
             told.iter()
-                .all(|(_, config)| matches!(config, ConfigNews::Changes(_)))
+                .all(|(_, config)| matches!(config, ConfigUpdate::Deltas(_)))
         );
         bytes += said
             .iter()
@@ -200,7 +200,7 @@
     assert!(bytes < 3 * 400, "{bytes} bytes for three changes of 5000");
 }
 
-fn bincode_length(news: &ToRouter) -> usize {
+fn bincode_length(news: &RouterMessage) -> usize {
     bincode::encode_to_vec(news, bincode::config::standard()).map_or(0, |bytes| bytes.len())
 }
 
@@ -228,7 +228,7 @@
     fleet.until(2.0, "primaries", |f| f.served(1) == 2);
     // One router says nothing and takes nothing for a while; it is told of a member before the grant is taken back.
     fleet.routers[0].silent = true;
-    fleet.beat("server-1", Phase::Draining);
+    fleet.beat("server-1", MemberPhase::Draining);
     for _ in 0..20 {
         fleet.tick();
     }
@@ -242,7 +242,7 @@
     fleet.renew(0);
     let it = &fleet.routers[0];
     assert!(
-        !it.grants["service-0000"].closing,
+        !it.grants["service-0000"].revoking,
         "it knows the grant as it was"
     );
     assert!(
@@ -251,7 +251,7 @@
     // Told the rest, it gets one.
     fleet.routers[0].unread = later;
     fleet.until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
-    assert!(fleet.routers[0].grants["service-0000"].closing);
+    assert!(fleet.routers[0].grants["service-0000"].revoking);
 }
 
 /// Four hundred services under a leader that has just begun: their servers are asked in bounded numbers, also where each tick
@@ -350,10 +350,10 @@
 fn evidence_is_asked_for_where_it_is_wanted() {
     let mut fleet = Fleet::new(1, 3);
     fleet.until(2.0, "primaries", |f| f.served(3) == 1);
-    let seen = |n: usize| Evidence {
+    let seen = |n: usize| HealthReport {
         service: format!("service-000{n}"),
-        id: format!("server-{}", 3 * n),
-        answered: 0.01,
+        server_id: format!("server-{}", 3 * n),
+        answered_seconds_ago: 0.01,
     };
     fleet.routers[0].evidence = vec![seen(0), seen(1), seen(2)];
     for _ in 0..50 {
@@ -392,61 +392,63 @@
 fn beats_are_gathered() {
     let voter = |node| Voter {
         node,
-        incarnation: FOUNDING,
+        incarnation: FOUNDING_INCARNATION,
     };
-    let record = Record {
-        state: Rc::new(State::first(vec![1, 2, 3])),
-        ..Record::default()
+    let record = HardState {
+        state: Rc::new(State::founding(vec![1, 2, 3])),
+        ..HardState::default()
     };
     let mut controller = Controller::new(voter(1), record, 0.0, 7, timing());
     let members = |out: &[Output]| {
         let to = out.iter().filter_map(|o| match o {
-            Output::Peer(Recipient::Voter(to), PeerMessage::Members { round, news })
-                if to.node == 2 =>
-            {
-                Some((*round, news.len()))
-            }
+            Output::SendToPeer(
+                Recipient::Voter(to),
+                PeerMessage::MembersUpdate {
+                    update_id: round,
+                    members: news,
+                },
+            ) if to.node == 2 => Some((*round, news.len())),
             _ => None,
         });
         to.collect::<Vec<(Option<u64>, usize)>>()
     };
     let replies = |out: &[Output]| {
         out.iter()
-            .filter(|o| matches!(o, Output::Reply(_, a) if a.status == 200))
+            .filter(|o| matches!(o, Output::Respond(_, a) if a.status == 200))
             .count()
     };
     let heard = |controller: &mut Controller, now: f64| {
         let heartbeat = ConsensusMessage::Heartbeat {
-            ballot: Ballot(1 << 32 | 2),
-            sent: now,
-            confirms: Some(now),
+            term: Term(1 << 32 | 2),
+            sent_at: now,
+            confirmed_answer_at: Some(now),
         };
-        controller.peer(now, voter(2), PeerMessage::Consensus(heartbeat));
-        controller.saved(now);
+        controller.handle_peer_message(now, voter(2), PeerMessage::Consensus(heartbeat));
+        controller.persisted(now);
     };
-    let mut seq = 0;
-    let mut beat = |controller: &mut Controller, now: f64, id: usize, phase: Phase| {
-        seq += 1;
-        let beat = crate::Beat {
+    let mut version = 0;
+    let mut beat = |controller: &mut Controller, now: f64, id: usize, phase: MemberPhase| {
+        version += 1;
+        let beat = crate::Heartbeat {
             service: "s".to_owned(),
             endpoint: "10.0.0.9:5432".to_owned(),
             zone: "a".to_owned(),
             slots: 4,
             phase,
-            call_seq: seq,
+            call_seq: version,
         };
-        controller.call(
+        controller.handle_request(
             now,
-            seq,
-            crate::controller::Call::Beat {
-                id: format!("server-{id}"),
-                beat,
+            version,
+            crate::controller::ControlRequest::Heartbeat {
+                server_id: format!("server-{id}"),
+                heartbeat: beat,
             },
         )
     };
     heard(&mut controller, 0.0);
     for id in 0..10 {
-        let out = beat(&mut controller, 0.0, id, Phase::Ready);
+        let out = beat(&mut controller, 0.0, id, MemberPhase::Ready);
         assert!(
             members(&out).is_empty() && replies(&out) == 0,
             "it goes with the others"
@@ -457,12 +459,20 @@
         panic!("{told:?}")
     };
     assert_eq!(
-        replies(&controller.peer(0.0, voter(3), PeerMessage::MembersKept { round })),
+        replies(&controller.handle_peer_message(
+            0.0,
+            voter(3),
+            PeerMessage::MembersUpdateAck { update_id: round }
+        )),
         0,
         "the leader isn't told"
     );
     assert_eq!(
-        replies(&controller.peer(0.0, voter(2), PeerMessage::MembersKept { round })),
+        replies(&controller.handle_peer_message(
+            0.0,
+            voter(2),
+            PeerMessage::MembersUpdateAck { update_id: round }
+        )),
         10
     );
     let (mut frames, mut told) = (0, 0);
@@ -470,7 +480,7 @@
         let now = f64::from(tick) * TICK;
         heard(&mut controller, now);
         for id in 0..10 {
-            let out = beat(&mut controller, now, id, Phase::Ready);
+            let out = beat(&mut controller, now, id, MemberPhase::Ready);
             assert!(
                 members(&out).is_empty() && replies(&out) == 1,
                 "nothing new"
@@ -484,8 +494,8 @@
         (7..=9).contains(&frames) && told > 800,
         "{frames} frames with {told}"
     );
-    let out = beat(&mut controller, 2.0, 4, Phase::Draining);
-    let [Output::KeepServers(kept)] = &out[..] else {
+    let out = beat(&mut controller, 2.0, 4, MemberPhase::Draining);
+    let [Output::PersistMembers(kept)] = &out[..] else {
         panic!("nothing leaves before it is on the disk: {out:?}")
     };
     assert!(matches!(members(kept)[..], [(Some(_), 1)]) && replies(kept) == 0);
--- a/crates/core/control/src/tests/voters.rs
+++ b/crates/core/control/src/tests/voters.rs
@@ -2,8 +2,8 @@
 //! within the budget somebody leads.
 
 use super::net::Net;
-use crate::consensus::{ConsensusMessage, Holds};
-use crate::membership::{Membership, Node, Voter};
+use crate::consensus::{ConsensusMessage, StateId};
+use crate::voter_set::{NodeId, Voter, VoterSet};
 use arbtest::arbtest;
 
 #[test]
@@ -20,7 +20,7 @@
         "it decides within a second of its start: {:?}",
         net.voters()
     );
-    assert!(net.machines[&4].consensus.votes());
+    assert!(net.machines[&4].consensus.is_voter());
     assert_eq!(
         net.voters().len(),
         3,
@@ -133,10 +133,10 @@
         let mut outs = Vec::new();
         net.at(ends).consensus.resign(&mut outs);
         net.take(ends, outs);
-        assert!(!net.machines[&ends].consensus.may_end());
+        assert!(!net.machines[&ends].consensus.may_shut_down());
         net.calm(1.0);
         assert!(
-            net.machines[&ends].consensus.may_end(),
+            net.machines[&ends].consensus.may_shut_down(),
             "it has been left out"
         );
         assert_eq!(net.voters().len(), 3, "{:?}", net.voters());
@@ -150,7 +150,7 @@
         let mut outs = Vec::new();
         net.at(next).consensus.resign(&mut outs);
         net.take(next, outs);
-        assert!(net.machines[&next].consensus.may_end());
+        assert!(net.machines[&next].consensus.may_shut_down());
     }
 }
 
@@ -166,7 +166,7 @@
                 && of(&letter.message)
         })
     };
-    for step in ["Canvass", "Canvassed", "Prepare"] {
+    for step in ["PreVoteRequest", "PreVoteResponse", "VoteRequest"] {
         let at = between(&net, &|message| {
             format!("{message:?}").starts_with(&format!("{step} "))
         });
@@ -179,7 +179,7 @@
     while let Some(at) = between(&net, &|_| true) {
         net.deliver(at, false);
     }
-    assert!(net.machines[&1].consensus.leads().is_some());
+    assert!(net.machines[&1].consensus.leader_term().is_some());
 }
 
 /// Two of five lose their disks in one moment: both decide again soon, and one more may be lost.
@@ -188,7 +188,7 @@
     let mut net = Net::new(3);
     five(&mut net);
     let leader = net.leader().expect("somebody leads");
-    let wiped: Vec<Node> = (1..=5).filter(|node| *node != leader).take(2).collect();
+    let wiped: Vec<NodeId> = (1..=5).filter(|node| *node != leader).take(2).collect();
     for node in &wiped {
         net.restart(*node, true);
     }
@@ -210,7 +210,7 @@
     let mut net = Net::new(4);
     five(&mut net);
     let leader = net.leader().expect("somebody leads");
-    let others: Vec<Node> = (1..=5).filter(|node| *node != leader).collect();
+    let others: Vec<NodeId> = (1..=5).filter(|node| *node != leader).collect();
     net.machines.remove(&others[0]);
     net.restart(others[1], true);
     net.calm(2.0);
@@ -224,7 +224,7 @@
     net.join(4);
     net.join(5);
     for node in 1..=5 {
-        net.at(node).consensus.outlives(2);
+        net.at(node).consensus.set_fault_budget(2);
     }
     net.calm(3.0);
     assert_eq!(net.voters().len(), 5);
@@ -292,7 +292,7 @@
     let mut net = Net::new(6);
     net.calm(1.0);
     let leader = net.leader().expect("somebody leads");
-    let others: Vec<Node> = (1..=3).filter(|node| *node != leader).collect();
+    let others: Vec<NodeId> = (1..=3).filter(|node| *node != leader).collect();
     net.at(others[0]).up = false;
     net.calm(1.3);
     net.join(4);
@@ -300,9 +300,9 @@
     for _ in 0..4000 {
         if net.machines[&leader]
             .consensus
-            .record()
+            .hard_state()
             .state
-            .membership
+            .voters
             .is_joint()
         {
             net.bag
@@ -310,7 +310,7 @@
         }
         deliver(&mut net, 1);
     }
-    let joint = &net.machines[&leader].saved.state.membership;
+    let joint = &net.machines[&leader].saved.state.voters;
     assert!(joint.is_joint(), "{joint:?}");
     assert_eq!(net.leader(), None, "two of four, of whom one is new");
     // The old ones go on without them.
@@ -386,7 +386,7 @@
             late.extend(
                 net.bag
                     .iter()
-                    .filter(|l| matches!(l.message, ConsensusMessage::Leave))
+                    .filter(|l| matches!(l.message, ConsensusMessage::LeaveRequest))
                     .cloned(),
             );
             while !net.bag.is_empty() {
@@ -444,11 +444,11 @@
         .find(|node| *node != leader && *node != full)
         .expect("a third one");
     net.at(other).up = false;
-    let seq = net.machines[&full].saved.state.seq;
+    let version = net.machines[&full].saved.state.version;
     net.calm(2.0);
-    assert_eq!(net.machines[&full].saved.state.seq, seq);
+    assert_eq!(net.machines[&full].saved.state.version, version);
     assert!(
-        net.agreed.keys().all(|agreed| *agreed <= seq),
+        net.agreed.keys().all(|agreed| *agreed <= version),
         "it was agreed on by one disk"
     );
     assert!(net.machines[&full].consensus.disk_failed());
@@ -456,10 +456,10 @@
     net.at(full).full = false;
     net.reopen(full);
     net.calm(3.0);
-    assert!(net.agreed.keys().any(|agreed| *agreed > seq));
+    assert!(net.agreed.keys().any(|agreed| *agreed > version));
     assert_eq!(
-        net.machines[&full].saved.state.seq,
-        net.machines[&leader].saved.state.seq
+        net.machines[&full].saved.state.version,
+        net.machines[&leader].saved.state.version
     );
 }
 
@@ -474,7 +474,7 @@
     net.propose(leader);
     assert_eq!(net.leader(), None, "it resigns");
     assert_eq!(
-        net.machines[&leader].consensus.record(),
+        net.machines[&leader].consensus.hard_state(),
         &saved,
         "it goes on from what is on its disk"
     );
@@ -516,17 +516,22 @@
         let mut net = Net::new(3);
         five(&mut net);
         for node in 1..=5 {
-            net.at(node).consensus.outlives(1);
+            net.at(node).consensus.set_fault_budget(1);
         }
         let leader = net.leader().expect("somebody leads");
         let one = net.machines[&(1 + leader % 5)].voter();
-        let holds = Holds::default();
+        let holds = StateId::default();
         let clock = net.now;
         let consensus = &mut net.at(leader).consensus;
         let mut outs = Vec::new();
-        consensus.message(clock, one, ConsensusMessage::Leave, &mut outs);
+        consensus.step(clock, one, ConsensusMessage::LeaveRequest, &mut outs);
         if joins {
-            consensus.message(clock, one, ConsensusMessage::Join { holds }, &mut outs);
+            consensus.step(
+                clock,
+                one,
+                ConsensusMessage::JoinRequest { last_state: holds },
+                &mut outs,
+            );
         }
         net.take(leader, outs);
         let mut left_out = false;
@@ -558,14 +563,14 @@
             net.now += 0.02;
             net.tick_all();
             while let Some(letter) = net.bag.first() {
-                let is_state = matches!(letter.message, ConsensusMessage::Accept { .. });
+                let is_state = matches!(letter.message, ConsensusMessage::AppendRequest { .. });
                 if is_state && letter.to.node() == joins {
                     net.bag.remove(0);
                 } else {
                     net.deliver(0, false);
                 }
             }
-            let membership = &net.machines[&leader].consensus.record().state.membership;
+            let membership = &net.machines[&leader].consensus.hard_state().state.voters;
             assert!(!membership.contains(voter), "{membership:?}");
         }
         net.calm(3.0);
@@ -579,10 +584,10 @@
         node,
         incarnation: 0,
     };
-    let set = Membership::founding([3, 1, 2]);
+    let set = VoterSet::founding([3, 1, 2]);
     assert!(set.is_quorum(|v| v.node != 1) && !set.is_quorum(|v| v.node == 1));
     let joint = set
-        .changed_to(vec![voter(1), voter(2), voter(4)])
+        .joint_with(vec![voter(1), voter(2), voter(4)])
         .expect("another set");
     assert!(joint.is_joint() && joint.all().count() == 4);
     assert!(
@@ -595,16 +600,16 @@
     );
     assert!(joint.is_quorum(|v| [1, 2].contains(&v.node)));
     assert_eq!(
-        joint.changed_to(vec![voter(1)]),
+        joint.joint_with(vec![voter(1)]),
         None,
         "one change at a time"
     );
-    assert_eq!(joint.completed().voters(), [voter(1), voter(2), voter(4)]);
-    assert_eq!(set.changed_to(set.voters().to_vec()), None, "no change");
+    assert_eq!(joint.finalized().voters(), [voter(1), voter(2), voter(4)]);
+    assert_eq!(set.joint_with(set.voters().to_vec()), None, "no change");
     let heard = |v: Voter| f64::from(v.node);
-    assert_eq!(set.quorum_heard(heard), 2.0);
-    assert_eq!(joint.quorum_heard(heard), 2.0);
-    assert_eq!(Membership::default().quorum_heard(heard), f64::NEG_INFINITY);
+    assert_eq!(set.quorum_time(heard), 2.0);
+    assert_eq!(joint.quorum_time(heard), 2.0);
+    assert_eq!(VoterSet::default().quorum_time(heard), f64::NEG_INFINITY);
 }
 
 #[test]
@@ -613,7 +618,7 @@
         let mut net = Net::new(7);
         let mut next = 4;
         for _ in 0..u.int_in_range(20..=160)? {
-            let nodes: Vec<Node> = net.machines.keys().copied().collect();
+            let nodes: Vec<NodeId> = net.machines.keys().copied().collect();
             match u.int_in_range(0..=20)? {
                 0..=7 if !net.bag.is_empty() => {
                     let at = u.choose_index(net.bag.len())?;
--- a/crates/core/control/src/difference.rs
+++ b/crates/core/control/src/text_delta.rs
@@ -15,7 +15,7 @@
 
 /// The way from one text to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Difference {
+pub struct TextDelta {
     old: Digest,
     new: Digest,
     pieces: Vec<Piece>,
@@ -27,9 +27,9 @@
 /// No text is longer, in bytes: what a difference claims to make is bounded before it is made.
 const MAX_TEXT: usize = 8 << 20;
 
-impl Difference {
+impl TextDelta {
     /// The way from `old` to `new`; none where sending `new` whole is no dearer.
-    pub fn between(old: &[u8], new: &[u8]) -> Option<Difference> {
+    pub fn between(old: &[u8], new: &[u8]) -> Option<TextDelta> {
         let (old_tokens, new_tokens) = (tokens(old), tokens(new));
         if old_tokens.len() + new_tokens.len() > MAX_TOKENS {
             return None;
@@ -52,7 +52,7 @@
                 }
             }
         }
-        let difference = Difference {
+        let difference = TextDelta {
             old: Digest::of(old),
             new: Digest::of(new),
             pieces: pieces.0,
@@ -79,12 +79,12 @@
     }
 
     /// The digest of the text from which this leads.
-    pub fn old(&self) -> Digest {
+    pub fn base_digest(&self) -> Digest {
         self.old
     }
 
     /// The digest of the text to which this leads.
-    pub fn new_digest(&self) -> Digest {
+    pub fn result_digest(&self) -> Digest {
         self.new
     }
 
--- a/crates/core/control/src/membership.rs
+++ b/crates/core/control/src/voter_set.rs
@@ -6,20 +6,20 @@
 use bincode::{Decode, Encode};
 
 /// A control machine: its IPv4 address.
-pub type Node = u32;
+pub type NodeId = u32;
 
 /// A machine together with one life of its disk. A machine that lost its disk comes back as another voter: it knows
 /// nothing of what it promised before, and isn't asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Voter {
     /// The machine's address.
-    pub node: Node,
-    /// Drawn when its disk was first used; [`FOUNDING`] on disks that were empty when the whole system first started.
+    pub node: NodeId,
+    /// Drawn when its disk was first used; [`FOUNDING_INCARNATION`] on disks that were empty when the whole system first started.
     pub incarnation: u64,
 }
 
 /// The incarnation of the disks with which the system started: the founders can name each other without having met.
-pub const FOUNDING: u64 = 0;
+pub const FOUNDING_INCARNATION: u64 = 0;
 
 impl std::fmt::Display for Voter {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -34,20 +34,20 @@
 
 /// The voters, and while a change is under way those before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Membership {
+pub struct VoterSet {
     voters: Vec<Voter>,
     /// The voters before the change that is under way; empty if there is none.
     outgoing: Vec<Voter>,
 }
 
-impl Membership {
+impl VoterSet {
     /// Those who decide when the system starts for the first time.
-    pub fn founding(nodes: impl IntoIterator<Item = Node>) -> Membership {
+    pub fn founding(nodes: impl IntoIterator<Item = NodeId>) -> VoterSet {
         let founder = |node| Voter {
             node,
-            incarnation: FOUNDING,
+            incarnation: FOUNDING_INCARNATION,
         };
-        Membership {
+        VoterSet {
             voters: sorted(nodes.into_iter().map(founder).collect()),
             outgoing: Vec::new(),
         }
@@ -87,7 +87,7 @@
     }
 
     /// The latest second up to which a quorum was heard, given when each was last heard.
-    pub fn quorum_heard(&self, heard: impl Fn(Voter) -> f64) -> f64 {
+    pub fn quorum_time(&self, heard: impl Fn(Voter) -> f64) -> f64 {
         let of = |set: &[Voter]| {
             let mut times: Vec<f64> = set.iter().map(|voter| heard(*voter)).collect();
             times.sort_by(|a, b| b.total_cmp(a));
@@ -98,24 +98,24 @@
     }
 
     /// The joint set on the way to these voters; none while another change is under way.
-    pub fn changed_to(&self, voters: Vec<Voter>) -> Option<Membership> {
+    pub fn joint_with(&self, voters: Vec<Voter>) -> Option<VoterSet> {
         let voters = sorted(voters);
-        (!self.is_joint() && !voters.is_empty() && voters != self.voters).then(|| Membership {
+        (!self.is_joint() && !voters.is_empty() && voters != self.voters).then(|| VoterSet {
             voters,
             outgoing: self.voters.clone(),
         })
     }
 
     /// The set once the change under way is complete.
-    pub fn completed(&self) -> Membership {
-        Membership {
+    pub fn finalized(&self) -> VoterSet {
+        VoterSet {
             voters: self.voters.clone(),
             outgoing: Vec::new(),
         }
     }
 
     /// The voters with `added` in, in place of `removed`.
-    pub fn with(&self, added: Option<Voter>, removed: Option<Voter>) -> Vec<Voter> {
+    pub fn replacing(&self, added: Option<Voter>, removed: Option<Voter>) -> Vec<Voter> {
         let kept = self
             .voters
             .iter()
--- a/crates/core/control/tests/encoding.rs
+++ b/crates/core/control/tests/encoding.rs
@@ -5,9 +5,10 @@
 //! name. An intended change of the encoding needs a new line under a new name, written by hand.
 
 use badgerstream_control::{
-    Ballot, CallId, Change, ConfigNews, ConsensusMessage, Content, Difference, Digest, Evidence,
-    GrantNews, Holds, LeaderCall, MemberNews, Membership, Order, PeerMessage, Primary, Recipient,
-    State, Text, ToControl, ToRouter, Voter,
+    AppliedConfig, ConfigPayload, ConfigUpdate, ConsensusMessage, Digest, HealthReport,
+    LeaderRequest, LeaseRequest, MemberInfo, PeerMessage, PrimaryGrant, PrimaryRecord, Recipient,
+    RequestId, RouterMessage, State, StateChange, StateId, StatePayload, Term, TextDelta, Voter,
+    VoterSet,
 };
 use bincode::config::standard;
 use bincode::{Decode, Encode};
@@ -61,13 +62,13 @@
 }
 
 /// A ballot whose varint takes nine bytes.
-fn ballot() -> Ballot {
-    Ballot(0x0102_0304_0506_0708)
+fn term() -> Term {
+    Term(0x0102_0304_0506_0708)
 }
 
-/// A higher ballot than [`ballot`], for fields that stand beside it.
-fn higher_ballot() -> Ballot {
-    Ballot(0x1112_1314_1516_1718)
+/// A higher ballot than [`term`], for fields that stand beside it.
+fn higher_ballot() -> Term {
+    Term(0x1112_1314_1516_1718)
 }
 
 /// A voter whose address takes five bytes and whose incarnation takes nine.
@@ -87,35 +88,35 @@
 }
 
 /// What a machine reports of the state that it accepted; its sequence number takes three bytes.
-fn holds() -> Holds {
-    Holds {
-        accepted: Ballot(0x2122_2324_2526_2728),
-        seq: 300,
+fn holds() -> StateId {
+    StateId {
+        accepted_term: Term(0x2122_2324_2526_2728),
+        version: 300,
         digest: Digest::of(b"held"),
     }
 }
 
 /// Three founders, no change under way.
-fn single_set() -> Membership {
-    Membership::founding([0x0A01_0204, 0x0A01_0205, 7])
+fn single_set() -> VoterSet {
+    VoterSet::founding([0x0A01_0204, 0x0A01_0205, 7])
 }
 
 /// The change that replaces a founder by another voter, both sets counted for the quorum.
-fn joint_set() -> Membership {
+fn joint_set() -> VoterSet {
     let founders = single_set();
-    let next = founders.with(Some(voter()), Some(founder()));
-    founders.changed_to(next).expect("a change of the voters")
+    let next = founders.replacing(Some(voter()), Some(founder()));
+    founders.joint_with(next).expect("a change of the voters")
 }
 
-fn primary() -> Primary {
-    Primary {
-        id: "i-0a".to_owned(),
-        above: 70_000,
+fn primary() -> PrimaryRecord {
+    PrimaryRecord {
+        server_id: "i-0a".to_owned(),
+        min_term: 70_000,
     }
 }
 
-fn order() -> Order {
-    Order {
+fn order() -> AppliedConfig {
+    AppliedConfig {
         epoch: 251,
         digest: Digest::of(b"order"),
     }
@@ -123,20 +124,20 @@
 
 /// A state with every collection filled.
 fn state() -> State {
-    let other = Primary {
-        id: "i-0b".to_owned(),
-        above: 3,
+    let other = PrimaryRecord {
+        server_id: "i-0b".to_owned(),
+        min_term: 3,
     };
-    let older = Order {
+    let older = AppliedConfig {
         epoch: 250,
         digest: Digest::of(b"older"),
     };
     State {
-        seq: 65_536,
-        membership: joint_set(),
-        epoch: 252,
+        version: 65_536,
+        voters: joint_set(),
+        config_epoch: 252,
         config: config(),
-        orders: vec![older, order()],
+        applied_configs: vec![older, order()],
         primaries: BTreeMap::from([
             ("catalog".to_owned(), primary()),
             ("billing".to_owned(), other),
@@ -150,69 +151,69 @@
 }
 
 /// A difference with a copied and an inserted piece; the length of the copied one takes three bytes.
-fn difference() -> Rc<Difference> {
+fn difference() -> Rc<TextDelta> {
     let old = "\"field\":\"value\",".repeat(40);
     let new = format!("{old}\"added\":\"text\",");
-    let difference = Difference::between(old.as_bytes(), new.as_bytes());
+    let difference = TextDelta::between(old.as_bytes(), new.as_bytes());
     Rc::new(difference.expect("a difference shorter than the text"))
 }
 
-fn call_id() -> CallId {
-    CallId {
-        life: 0x3132_3334_3536_3738,
-        number: 400,
+fn call_id() -> RequestId {
+    RequestId {
+        process_incarnation: 0x3132_3334_3536_3738,
+        sequence: 400,
     }
 }
 
 /// A server that drains.
-fn draining_server() -> MemberNews {
-    MemberNews {
+fn draining_server() -> MemberInfo {
+    MemberInfo {
         id: "i-0c".to_owned(),
         service: "catalog".to_owned(),
         endpoint: "10.0.0.1:5432".to_owned(),
         zone: "lima-a".to_owned(),
         slots: 500,
         draining: true,
-        gone: false,
+        departed: false,
         call_seq: 0x4142_4344,
     }
 }
 
 /// A server that has left.
-fn gone_server() -> MemberNews {
-    MemberNews {
+fn gone_server() -> MemberInfo {
+    MemberInfo {
         id: "i-0d".to_owned(),
         service: "billing".to_owned(),
         endpoint: "10.0.0.2:5433".to_owned(),
         zone: "lima-b".to_owned(),
         slots: 8,
         draining: false,
-        gone: true,
+        departed: true,
         call_seq: 9,
     }
 }
 
-fn grant() -> GrantNews {
-    GrantNews {
+fn grant() -> PrimaryGrant {
+    PrimaryGrant {
         service: "catalog".to_owned(),
-        id: "i-0e".to_owned(),
-        term: 600,
-        closing: true,
+        server_id: "i-0e".to_owned(),
+        primary_term: 600,
+        revoking: true,
     }
 }
 
-fn evidence() -> Evidence {
-    Evidence {
+fn evidence() -> HealthReport {
+    HealthReport {
         service: "billing".to_owned(),
-        id: "i-0f".to_owned(),
-        answered: 0.75,
+        server_id: "i-0f".to_owned(),
+        answered_seconds_ago: 0.75,
     }
 }
 
 /// The types that stand inside messages.
 fn parts() -> Vec<Sample> {
     vec![
-        sample("Ballot", ballot()),
+        sample("Ballot", term()),
         sample("Digest", Digest::of(b"digest")),
         sample("Voter", voter()),
         sample("Membership.single", single_set()),
@@ -225,132 +226,165 @@
         sample("State.empty", State::default()),
         sample("State", state()),
         sample("Difference", (*difference()).clone()),
-        sample("Text.Whole", Text::Whole(config())),
-        sample("Text.Difference", Text::Difference(difference())),
+        sample("Text.Whole", ConfigPayload::Full(config())),
+        sample("Text.Difference", ConfigPayload::Delta(difference())),
         sample("Change.Config", change_of_config()),
         sample("Change.Primary", change_of_primary()),
-        sample("Change.Membership", Change::Membership(joint_set())),
-        sample("Content.Whole", Content::Whole(Rc::new(state()))),
+        sample("Change.Membership", StateChange::Voters(joint_set())),
+        sample("Content.Whole", StatePayload::Snapshot(Rc::new(state()))),
         sample("Content.Changes", content_changes()),
         sample("CallId", call_id()),
         sample("LeaderCall.Replace", replace()),
-        sample("LeaderCall.Read", LeaderCall::Read),
+        sample("LeaderCall.Read", LeaderRequest::ReadConfig),
         sample("MemberNews.draining", draining_server()),
         sample("MemberNews.gone", gone_server()),
         sample("GrantNews", grant()),
         sample("Evidence", evidence()),
-        sample("ConfigNews.Whole", ConfigNews::Whole(config())),
+        sample("ConfigNews.Whole", ConfigUpdate::Full(config())),
         sample(
             "ConfigNews.Changes",
-            ConfigNews::Changes(vec![difference()]),
+            ConfigUpdate::Deltas(vec![difference()]),
         ),
     ]
 }
 
-fn change_of_config() -> Change {
-    Change::Config {
+fn change_of_config() -> StateChange {
+    StateChange::Config {
         epoch: 253,
-        text: Text::Whole(config()),
+        config: ConfigPayload::Full(config()),
     }
 }
 
-fn change_of_primary() -> Change {
-    Change::Primary {
+fn change_of_primary() -> StateChange {
+    StateChange::Primary {
         service: "billing".to_owned(),
         primary: primary(),
     }
 }
 
-fn content_changes() -> Content {
-    Content::Changes {
+fn content_changes() -> StatePayload {
+    StatePayload::Delta {
         base: Digest::of(b"base"),
-        changes: vec![Rc::new(change_of_config()), Rc::new(change_of_primary())],
+        steps: vec![Rc::new(change_of_config()), Rc::new(change_of_primary())],
         result: Digest::of(b"result"),
     }
 }
 
-fn replace() -> LeaderCall {
-    LeaderCall::Replace {
-        base: 254,
+fn replace() -> LeaderRequest {
+    LeaderRequest::ReplaceConfig {
+        base_epoch: 254,
         epoch: 70_001,
-        text: Text::Whole(config()),
+        config: ConfigPayload::Full(config()),
     }
 }
 
 /// Every message of the consensus.
 fn consensus_messages() -> Vec<Sample> {
     use ConsensusMessage::*;
-    let (ballot, holds) = (ballot(), holds());
+    let (term, holds) = (term(), holds());
     let promised = higher_ballot();
     let (sent, at) = (1.5, -2.25);
     let contacts = vec![voter(), founder()];
     vec![
-        sample("ConsensusMessage.Canvass", Canvass { ballot, holds }),
+        sample(
+            "ConsensusMessage.Canvass",
+            PreVoteRequest {
+                term,
+                last_state: holds,
+            },
+        ),
         sample(
             "ConsensusMessage.Canvassed",
-            Canvassed {
-                ballot,
+            PreVoteResponse {
+                term,
                 granted: true,
-                promised,
+                voted_term: promised,
+            },
+        ),
+        sample(
+            "ConsensusMessage.Prepare",
+            VoteRequest {
+                term,
+                last_state: holds,
             },
         ),
-        sample("ConsensusMessage.Prepare", Prepare { ballot, holds }),
         sample(
             "ConsensusMessage.Promise.none",
-            Promise {
-                ballot,
-                holds,
-                newer: None,
+            VoteResponse {
+                term,
+                last_state: holds,
+                newer_state: None,
             },
         ),
         sample(
             "ConsensusMessage.Promise.newer",
-            Promise {
-                ballot,
-                holds,
-                newer: Some(Rc::new(state())),
+            VoteResponse {
+                term,
+                last_state: holds,
+                newer_state: Some(Rc::new(state())),
+            },
+        ),
+        sample(
+            "ConsensusMessage.Refuse",
+            TermRejected {
+                term,
+                voted_term: promised,
             },
         ),
-        sample("ConsensusMessage.Refuse", Refuse { ballot, promised }),
         sample(
             "ConsensusMessage.Accept",
-            Accept {
-                ballot,
-                content: content_changes(),
+            AppendRequest {
+                term,
+                payload: content_changes(),
+            },
+        ),
+        sample(
+            "ConsensusMessage.Accepted",
+            AppendResponse {
+                term,
+                last_state: holds,
+            },
+        ),
+        sample(
+            "ConsensusMessage.Mismatch",
+            AppendMismatch {
+                term,
+                last_state: holds,
             },
         ),
-        sample("ConsensusMessage.Accepted", Accepted { ballot, holds }),
-        sample("ConsensusMessage.Mismatch", Mismatch { ballot, holds }),
         sample(
             "ConsensusMessage.Heartbeat.none",
             Heartbeat {
-                ballot,
-                sent,
-                confirms: None,
+                term,
+                sent_at: sent,
+                confirmed_answer_at: None,
             },
         ),
         sample(
             "ConsensusMessage.Heartbeat.confirms",
             Heartbeat {
-                ballot,
-                sent,
-                confirms: Some(at),
+                term,
+                sent_at: sent,
+                confirmed_answer_at: Some(at),
             },
         ),
         sample(
             "ConsensusMessage.HeartbeatAck",
-            HeartbeatAck {
-                ballot,
-                sent,
-                at,
-                holds,
+            HeartbeatResponse {
+                term,
+                heartbeat_sent_at: sent,
+                answered_at: at,
+                last_state: holds,
             },
         ),
-        sample("ConsensusMessage.Resign", Resign { ballot }),
-        sample("ConsensusMessage.Join", Join { holds }),
-        sample("ConsensusMessage.Contacts", Contacts { voters: contacts }),
-        sample("ConsensusMessage.Leave", Leave),
-        sample("ConsensusMessage.Left", Left),
+        sample("ConsensusMessage.Resign", Resign { term }),
+        sample("ConsensusMessage.Join", JoinRequest { last_state: holds }),
+        sample(
+            "ConsensusMessage.Contacts",
+            KnownVoters { voters: contacts },
+        ),
+        sample("ConsensusMessage.Leave", LeaveRequest),
+        sample("ConsensusMessage.Left", LeaveResponse),
     ]
 }
 
@@ -358,44 +392,47 @@
 fn peer_messages() -> Vec<Sample> {
     use PeerMessage::*;
     let news = || vec![draining_server(), gone_server()];
-    let (ballot, id) = (ballot(), call_id());
-    let resign = ConsensusMessage::Resign { ballot };
+    let (term, id) = (term(), call_id());
+    let resign = ConsensusMessage::Resign { term };
     vec![
         sample("PeerMessage.Consensus", Consensus(resign)),
         sample(
             "PeerMessage.Members.none",
-            Members {
-                round: None,
-                news: news(),
+            MembersUpdate {
+                update_id: None,
+                members: news(),
             },
         ),
         sample(
             "PeerMessage.Members.round",
-            Members {
-                round: Some(700),
-                news: news(),
+            MembersUpdate {
+                update_id: Some(700),
+                members: news(),
             },
         ),
-        sample("PeerMessage.MembersKept", MembersKept { round: 701 }),
-        sample("PeerMessage.RosterWanted", RosterWanted { ballot }),
+        sample(
+            "PeerMessage.MembersKept",
+            MembersUpdateAck { update_id: 701 },
+        ),
+        sample("PeerMessage.RosterWanted", MembersSnapshotRequest { term }),
         sample(
             "PeerMessage.Roster",
-            Roster {
-                ballot,
-                news: news(),
+            MembersSnapshot {
+                term,
+                members: news(),
             },
         ),
         sample(
             "PeerMessage.Call",
-            Call {
+            ForwardedRequest {
                 id,
-                call: replace(),
+                request: replace(),
             },
         ),
-        sample("PeerMessage.SendWhole", SendWhole { id }),
+        sample("PeerMessage.SendWhole", FullConfigRequest { id }),
         sample(
             "PeerMessage.Answer",
-            Answer {
+            ForwardedResponse {
                 id,
                 status: 409,
                 body: Rc::from(&b"no"[..]),
@@ -406,41 +443,41 @@
 
 /// Every message between control machines and routers.
 fn router_messages() -> Vec<Sample> {
-    let renewal = ToControl {
+    let renewal = LeaseRequest {
         router: "router-1".to_owned(),
-        life: 0x5152_5354_5556_5758,
-        sent: 3.125,
-        known: (ballot(), 800),
-        epoch: 70_002,
-        evidence: vec![evidence()],
+        process_incarnation: 0x5152_5354_5556_5758,
+        sent_at: 3.125,
+        update_watermark: (term(), 800),
+        config_epoch: 70_002,
+        health_reports: vec![evidence()],
     };
-    let elsewhere = |leader| ToRouter::Elsewhere {
+    let elsewhere = |leader| RouterMessage::NotLeader {
         leader,
         voters: vec![0x0A01_0207, 5],
     };
-    let news = ToRouter::News {
-        known: (higher_ballot(), 900),
-        sent: None,
-        lease: 0.0,
-        whole: true,
+    let news = RouterMessage::Update {
+        update_watermark: (higher_ballot(), 900),
+        request_sent_at: None,
+        lease_duration: 0.0,
+        is_snapshot: true,
         grants: vec![grant()],
         members: vec![draining_server(), gone_server()],
-        config: Some(ConfigNews::Whole(config())),
+        config: Some(ConfigUpdate::Full(config())),
         voters: vec![0x0A01_0208, 6],
-        routers: 1000,
-        evidence_wanted: vec!["catalog".to_owned(), "billing".to_owned()],
+        router_count: 1000,
+        health_reports_wanted: vec!["catalog".to_owned(), "billing".to_owned()],
     };
-    let answer = ToRouter::News {
-        known: (ballot(), 901),
-        sent: Some(4.5),
-        lease: 1.75,
-        whole: false,
+    let answer = RouterMessage::Update {
+        update_watermark: (term(), 901),
+        request_sent_at: Some(4.5),
+        lease_duration: 1.75,
+        is_snapshot: false,
         grants: Vec::new(),
         members: Vec::new(),
         config: None,
         voters: vec![6],
-        routers: 2,
-        evidence_wanted: Vec::new(),
+        router_count: 2,
+        health_reports_wanted: Vec::new(),
     };
     vec![
         sample("ToControl", renewal),
@@ -487,7 +524,7 @@
 #[test]
 fn the_pinned_difference_still_applies() {
     let bytes = &fixtures()["Difference"];
-    let (difference, _): (Difference, usize) =
+    let (difference, _): (TextDelta, usize) =
         bincode::decode_from_slice(bytes, standard()).unwrap();
     let old = "\"field\":\"value\",".repeat(40);
     let new = difference.apply(old.as_bytes()).expect("the old text");
--- a/crates/protocol/control-api/src/call.rs
+++ b/crates/protocol/control-api/src/call.rs
@@ -62,7 +62,7 @@
 
 /// A database server says that it is there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
+pub struct HeartbeatCall {
     /// The server's id.
     pub id: String,
     /// What it tells; its endpoint is an address.
@@ -119,12 +119,12 @@
     }
 }
 
-impl<'a> Call<'a> for Beat {
+impl<'a> Call<'a> for HeartbeatCall {
     const METHOD: &'static str = "POST";
     const PATH: &'static str = HEARTBEAT;
     type Answer = HeartbeatAnswer;
 
-    fn read(request: &'a Request) -> Result<Beat, CallError> {
+    fn read(request: &'a Request) -> Result<HeartbeatCall, CallError> {
         let id = members::heartbeat_id(&request.path)
             .ok_or_else(|| CallError::Id(request.path.clone()))?;
         let beat =
@@ -135,14 +135,14 @@
                 beat.endpoint
             )));
         }
-        Ok(Beat {
+        Ok(HeartbeatCall {
             id: id.to_owned(),
             beat,
         })
     }
 
     fn operation(self) -> Operation<'a> {
-        Operation::Beat {
+        Operation::Heartbeat {
             id: self.id,
             beat: self.beat,
         }
@@ -224,8 +224,8 @@
 /// What a request asks of the program. See the calls of the same names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation<'a> {
-    /// See [`Beat`].
-    Beat {
+    /// See [`HeartbeatCall`].
+    Heartbeat {
         /// The server's id.
         id: String,
         /// What it tells; its endpoint is an address.
@@ -253,7 +253,7 @@
 
 /// Says what a request asks; an error is the caller's fault.
 pub fn dispatch(request: &Request) -> Result<Operation<'_>, CallError> {
-    let found = attempt::<Beat>(request)
+    let found = attempt::<HeartbeatCall>(request)
         .or_else(|| attempt::<Readiness>(request))
         .or_else(|| attempt::<Depart>(request))
         .or_else(|| attempt::<Replace<'_>>(request))
@@ -305,7 +305,7 @@
     }
 }
 
-/// The bytes that answer a call: to `Beat` a `Reply<HeartbeatAnswer>`, say. `path` is the request's, for a
+/// The bytes that answer a call: to `HeartbeatCall` a `Reply<HeartbeatAnswer>`, say. `path` is the request's, for a
 /// caller that is sent elsewhere.
 pub fn reply<A: Answer>(reply: &Reply<A>, path: &str, keep_alive: bool) -> Vec<u8> {
     let reason = |why: &str| {
--- a/crates/protocol/control-api/src/tests/call.rs
+++ b/crates/protocol/control-api/src/tests/call.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_beat_is_read() {
     let request = call("POST", "/api/Members.Heartbeat/i-7f3a91c2", &[], BEAT);
-    let Ok(Operation::Beat { id, beat }) = dispatch(&request) else {
+    let Ok(Operation::Heartbeat { id, beat }) = dispatch(&request) else {
         panic!("no beat")
     };
     assert_eq!(id, "i-7f3a91c2");
--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -17,8 +17,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use badgerstream_control::{
-    Answer, Beat, Call, ControlTiming, Controller, FOUNDING, GrantNews, MemberNews, Node, Output,
-    Phase, Recipient, Timing, ToRouter, Voter,
+    ControlConfig, ControlRequest, ControlResponse, Controller, FOUNDING_INCARNATION,
+    FailoverConfig, Heartbeat, MemberInfo, MemberPhase, NodeId, Output, PrimaryGrant, Recipient,
+    RouterMessage, Voter,
 };
 use badgerstream_control_api::call::{self, Operation, Reply};
 use badgerstream_control_api::members as beats;
@@ -53,14 +54,14 @@
     disk: RefCell<Disk>,
     /// The servers that are known, for the next life.
     servers: Servers,
-    links: RefCell<HashMap<Node, Sender<Frame>>>,
+    links: RefCell<HashMap<NodeId, Sender<Frame>>>,
     /// The newest connection that each other control machine has opened to here.
-    connections: RefCell<HashMap<Node, u64>>,
-    heard: RefCell<HashMap<Node, Rc<Notify>>>,
+    connections: RefCell<HashMap<NodeId, u64>>,
+    heard: RefCell<HashMap<NodeId, Rc<Notify>>>,
     sessions: Sessions,
     /// What waits for the connection to each server.
     queries: RefCell<HashMap<String, Sender<Query>>>,
-    calls: RefCell<HashMap<u64, Sender<Answer>>>,
+    calls: RefCell<HashMap<u64, Sender<ControlResponse>>>,
     next: Cell<u64>,
     /// The configuration whose services were last told to the controller, and whether it led then.
     read: Cell<(u64, bool)>,
@@ -73,32 +74,32 @@
 }
 
 /// The spans that this deployment's settings give.
-fn timing(settings: &Settings) -> ControlTiming {
+fn timing(settings: &Settings) -> ControlConfig {
     let suspect = settings.own.suspect_ms as f64 / 1000.0;
     let heartbeat = settings.heartbeat_ms as f64 / 1000.0;
-    let service = Timing {
-        ask: 0.2,
-        ask_replica: 1.0,
-        silence: suspect,
-        answer: suspect,
-        heartbeat,
-        drain: settings.bounds.drain_ms / 1000.0,
+    let service = FailoverConfig {
+        primary_poll_interval: 0.2,
+        replica_poll_interval: 1.0,
+        primary_timeout: suspect,
+        query_timeout: suspect,
+        heartbeat_interval: heartbeat,
+        drain_timeout: settings.bounds.drain_ms / 1000.0,
     };
     let lease = settings.own.lease_ms as f64 / 1000.0;
-    ControlTiming {
-        lease,
-        suspect,
-        contact: suspect + 0.4,
-        platform: 1.0,
-        turn: settings.bounds.lease_ms / 1000.0,
-        call: 0.9,
-        forget: 4.0 * heartbeat,
-        service,
+    ControlConfig {
+        lease_duration: lease,
+        election_timeout: suspect,
+        contact_timeout: suspect + 0.4,
+        platform_call_timeout: 1.0,
+        duty_handover_delay: settings.bounds.lease_ms / 1000.0,
+        request_timeout: 0.9,
+        member_timeout: 4.0 * heartbeat,
+        failover: service,
     }
 }
 
 /// The control machines that the settings name.
-fn known_nodes(settings: &Settings) -> Vec<Node> {
+fn known_nodes(settings: &Settings) -> Vec<NodeId> {
     settings
         .seeds
         .iter()
@@ -120,16 +121,16 @@
 }
 
 /// The name of a call, for its count.
-fn name_of(call: &Call) -> &'static str {
+fn name_of(call: &ControlRequest) -> &'static str {
     match call {
-        Call::Beat { .. } => "heartbeat",
-        Call::Depart { .. } => "depart",
-        Call::Replace { .. } => "replace",
-        Call::Read => "read",
+        ControlRequest::Heartbeat { .. } => "heartbeat",
+        ControlRequest::Depart { .. } => "depart",
+        ControlRequest::ReplaceConfig { .. } => "replace",
+        ControlRequest::ReadConfig => "read",
     }
 }
 
-fn node_of(address: IpAddr) -> Option<Node> {
+fn node_of(address: IpAddr) -> Option<NodeId> {
     match address {
         IpAddr::V4(ip) => Some(u32::from(ip)),
         IpAddr::V6(_) => None,
@@ -149,9 +150,9 @@
             .ok_or("state_dir is missing: control keeps its state there")?;
         let control = settings.control.ok_or("bind_addrs.control is missing")?;
         let identity = if settings.bootstrap {
-            FOUNDING
+            FOUNDING_INCARNATION
         } else {
-            seed.max(FOUNDING + 1)
+            seed.max(FOUNDING_INCARNATION + 1)
         };
         let disk = Disk::open(folder, identity, &known_nodes(settings))?;
         let me = Voter {
@@ -162,17 +163,17 @@
         log::info!(
             "event=control_starts node={} voter={me} epoch={} promised={}",
             settings.node_name,
-            record.state.epoch,
-            record.promised.0
+            record.state.config_epoch,
+            record.voted_term.0
         );
         let now = clock::now();
         let timing = timing(settings);
         let mut controller = Controller::new(me, record, now, seed, timing);
-        controller.settings(known_nodes(settings), losses(settings));
+        controller.set_seeds_and_budget(known_nodes(settings), losses(settings));
         let servers = Servers::new(folder.join("servers"));
         let known = servers.read();
         log::info!("event=servers_recalled count={}", known.len());
-        controller.recall(now, known, drained_before(settings));
+        controller.restore_members(now, known, drained_before(settings));
         let this = Rc::new(Control {
             tasks: tasks.clone(),
             me,
@@ -193,7 +194,7 @@
             read: Cell::new((0, false)),
             open: Rc::default(),
             ending: Cell::new(false),
-            lease: timing.lease,
+            lease: timing.lease_duration,
             counts: CallCounts::default(),
         });
         let bind = |at: SocketAddr| http::listen(at).map_err(|e| format!("{at}: {e}"));
@@ -222,14 +223,14 @@
 
     /// Whether this machine, which is about to end, need not wait to be left out of the voters.
     pub fn may_end(&self) -> bool {
-        self.controller.borrow().may_end()
+        self.controller.borrow().may_shut_down()
     }
 
     /// The settings have changed: other control machines may be named.
     pub fn changed(&self, settings: &Settings) {
         self.controller
             .borrow_mut()
-            .settings(known_nodes(settings), losses(settings));
+            .set_seeds_and_budget(known_nodes(settings), losses(settings));
     }
 
     async fn run(self: Rc<Self>) {
@@ -241,7 +242,7 @@
                 .into_iter()
                 .for_each(|seconds| self.counts.primary_changed(seconds));
             self.servers.keep(clock::now(), &self.controller.borrow());
-            let pause = if self.controller.borrow().leads() {
+            let pause = if self.controller.borrow().is_leader() {
                 20
             } else {
                 50
@@ -255,13 +256,13 @@
         let mut waiting = VecDeque::from(out);
         while let Some(one) = waiting.pop_front() {
             match one {
-                Output::Save => {
+                Output::Persist => {
                     // What relies on the save goes before the rest, which doesn't.
                     let mut then = VecDeque::from(self.save());
                     then.append(&mut waiting);
                     waiting = then;
                 }
-                Output::KeepServers(then) => {
+                Output::PersistMembers(then) => {
                     if self
                         .servers
                         .keep_now(clock::now(), &self.controller.borrow())
@@ -271,18 +272,18 @@
                             .for_each(|next| waiting.push_front(next));
                     }
                 }
-                Output::Peer(to, message) => self.link(to, message),
-                Output::Router(session, message) => self.sessions.answer(session, message),
-                Output::News(session, news) => {
+                Output::SendToPeer(to, message) => self.link(to, message),
+                Output::SendToRouter(session, message) => self.sessions.answer(session, message),
+                Output::SendUpdate(session, news) => {
                     self.counts.told();
                     self.sessions.tell(session, news);
                 }
-                Output::Ask {
-                    id,
+                Output::SendCommand {
+                    server_id: id,
                     endpoint,
                     service,
-                    statement,
-                    fence,
+                    command: statement,
+                    fencing_token: fence,
                 } => {
                     if let Ok(endpoint) = endpoint.parse() {
                         self.ask(
@@ -297,9 +298,9 @@
                 }
                 Output::Promote {
                     service,
-                    id,
-                    fence,
-                    before,
+                    server_id: id,
+                    fencing_token: fence,
+                    deadline: before,
                 } => {
                     self.promote(duties::Promotion {
                         service,
@@ -308,7 +309,7 @@
                         before,
                     });
                 }
-                Output::Reply(call, answer) => {
+                Output::Respond(call, answer) => {
                     if let Some(waits) = self.calls.borrow_mut().remove(&call) {
                         let _ = waits.try_send(answer);
                     }
@@ -321,7 +322,7 @@
     /// The controller learns from each configuration how many replicas a commit waits for.
     fn tell_services(&self) {
         let mut controller = self.controller.borrow_mut();
-        let now = (controller.config().0, controller.leads());
+        let now = (controller.config().0, controller.is_leader());
         if self.read.replace(now) != now
             && let Ok(config) = Config::read(controller.config().1)
         {
@@ -330,19 +331,22 @@
                 .iter()
                 .map(|s| (s.name.clone(), s.sync_replicas))
                 .collect();
-            controller.replicas_waited_for(sync);
+            controller.set_sync_replicas(sync);
         }
     }
 
-    async fn settle(self: &Rc<Self>, call: Call) -> Answer {
+    async fn settle(self: &Rc<Self>, call: ControlRequest) -> ControlResponse {
         let name = name_of(&call);
         let id = self.next.get() + 1;
         self.next.set(id);
         let (sender, receiver) = async_channel::bounded(1);
         self.calls.borrow_mut().insert(id, sender);
-        let out = self.controller.borrow_mut().call(clock::now(), id, call);
+        let out = self
+            .controller
+            .borrow_mut()
+            .handle_request(clock::now(), id, call);
         self.perform(out);
-        let none = Answer::error(503, "no answer");
+        let none = ControlResponse::error(503, "no answer");
         let answer = receiver.recv().await.unwrap_or(none);
         self.counts.answered(name, answer.status);
         answer
--- a/crates/runtime/pooler/src/control/calls.rs
+++ b/crates/runtime/pooler/src/control/calls.rs
@@ -10,14 +10,14 @@
             Err(e) => return response(400, &[], format!("{e}\n").as_bytes(), keep),
         };
         let call = match operation {
-            Operation::Beat { id, beat } => Call::Beat {
-                id,
-                beat: read_beat(beat),
+            Operation::Heartbeat { id, beat } => ControlRequest::Heartbeat {
+                server_id: id,
+                heartbeat: read_beat(beat),
             },
-            Operation::Depart { id } => Call::Depart { id },
+            Operation::Depart { id } => ControlRequest::Depart { server_id: id },
             Operation::Replace { base, body } => match Config::read(body) {
-                Ok(config) => Call::Replace {
-                    base: base.unwrap_or(0),
+                Ok(config) => ControlRequest::ReplaceConfig {
+                    base_epoch: base.unwrap_or(0),
                     epoch: config.epoch,
                     body: body.into(),
                 },
@@ -27,16 +27,16 @@
                     return response(400, &[], format!("{e}\n").as_bytes(), keep);
                 }
             },
-            Operation::Read => Call::Read,
+            Operation::Read => ControlRequest::ReadConfig,
             Operation::Readiness => return response(200, &[], b"", keep),
             Operation::Other if ReadStatus::asked(&request) => {
                 return call::reply(&Reply::Done(self.status()), &request.path, keep);
             }
             Operation::Other => return response(404, &[], b"there is no such call\n", keep),
         };
-        let is_read = matches!(call, Call::Read);
+        let is_read = matches!(call, ControlRequest::ReadConfig);
         let answer = self.settle(call).await;
-        if clock::now() >= answer.until {
+        if clock::now() >= answer.valid_until {
             // It rested on contact with a majority, which may be over: a process may have stood still since.
             return response(
                 503,
@@ -52,12 +52,12 @@
     }
 }
 
-fn read_beat(beat: beats::Heartbeat) -> Beat {
+fn read_beat(beat: beats::Heartbeat) -> Heartbeat {
     let phase = match beat.phase {
-        beats::Phase::Ready => Phase::Ready,
-        beats::Phase::Draining => Phase::Draining,
+        beats::Phase::Ready => MemberPhase::Ready,
+        beats::Phase::Draining => MemberPhase::Draining,
     };
-    Beat {
+    Heartbeat {
         service: beat.backend,
         endpoint: beat.endpoint,
         zone: beat.zone,
--- a/crates/runtime/pooler/src/control/disk.rs
+++ b/crates/runtime/pooler/src/control/disk.rs
@@ -3,7 +3,7 @@
 use super::Control;
 use crate::clock;
 use async_io::Timer;
-use badgerstream_control::{Ballot, Node, Record, State};
+use badgerstream_control::{HardState, NodeId, State, Term};
 use badgerstream_control_store::{Fresh, Store, StoreError};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -21,37 +21,37 @@
     /// None after a save has failed, until it is opened anew.
     store: Option<Store>,
     identity: u64,
-    kept: Record,
+    kept: HardState,
 }
 
 impl Disk {
     /// Opens the store below this folder. An empty one belongs to a machine that is told of these control machines, in the
     /// incarnation `identity`.
-    pub(super) fn open(folder: &Path, identity: u64, nodes: &[Node]) -> Result<Disk, String> {
+    pub(super) fn open(folder: &Path, identity: u64, nodes: &[NodeId]) -> Result<Disk, String> {
         let folder = folder.join(FOLDER);
         let (mut store, saved, fresh) =
             Store::open(&folder, identity).map_err(|e| format!("{}: {e}", folder.display()))?;
         let identity = saved.identity;
         let state = match fresh {
-            Fresh::New => State::first(nodes.to_vec()),
+            Fresh::New => State::founding(nodes.to_vec()),
             Fresh::Kept => match saved.value.is_empty() {
-                true => State::first(nodes.to_vec()),
-                false => State::read(&saved.value).ok_or("the state on disk can't be read")?,
+                true => State::founding(nodes.to_vec()),
+                false => State::decode(&saved.value).ok_or("the state on disk can't be read")?,
             },
         };
         if saved.value.is_empty() {
             // What this machine starts from is on its disk before anybody hears of it.
             let first = badgerstream_control_store::Record {
-                value: state.bytes(),
+                value: state.encode(),
                 ..saved.clone()
             };
             store
                 .save(&first)
                 .map_err(|e| format!("{}: {e}", folder.display()))?;
         }
-        let kept = Record {
-            promised: Ballot(saved.promised),
-            accepted: Ballot(saved.accepted),
+        let kept = HardState {
+            voted_term: Term(saved.promised),
+            accepted_term: Term(saved.accepted),
             state: Rc::new(state),
         };
         Ok(Disk {
@@ -68,21 +68,21 @@
     }
 
     /// What is on it.
-    pub(super) fn kept(&self) -> &Record {
+    pub(super) fn kept(&self) -> &HardState {
         &self.kept
     }
 
     /// Puts this record on the disk. After an error nothing is saved before the store is opened anew.
-    pub(super) fn save(&mut self, record: &Record) -> Result<(), StoreError> {
+    pub(super) fn save(&mut self, record: &HardState) -> Result<(), StoreError> {
         let Some(store) = &mut self.store else {
             return Err(StoreError::Closed(self.folder.clone()));
         };
-        let (promised, accepted) = (record.promised.0, record.accepted.0);
+        let (promised, accepted) = (record.voted_term.0, record.accepted_term.0);
         let saved =
             if Rc::ptr_eq(&record.state, &self.kept.state) || record.state == self.kept.state {
                 store.save_ballots(promised, accepted)
             } else {
-                let value = record.state.bytes();
+                let value = record.state.encode();
                 let identity = self.identity;
                 store.save(&badgerstream_control_store::Record {
                     promised,
@@ -106,15 +106,15 @@
             return Err("the disk was emptied while this process ran".to_owned());
         }
         store.save(&saved).map_err(text)?;
-        let state = State::read(&saved.value).ok_or("the state on disk can't be read")?;
+        let state = State::decode(&saved.value).ok_or("the state on disk can't be read")?;
         let state = if state == *self.kept.state {
             self.kept.state.clone()
         } else {
             Rc::new(state)
         };
-        self.kept = Record {
-            promised: Ballot(saved.promised),
-            accepted: Ballot(saved.accepted),
+        self.kept = HardState {
+            voted_term: Term(saved.promised),
+            accepted_term: Term(saved.accepted),
             state,
         };
         self.store = Some(store);
@@ -125,16 +125,16 @@
 impl Control {
     /// Puts the record on the disk, and lets the decisions go on from there; gives what is to be done then.
     pub(super) fn save(self: &Rc<Self>) -> Vec<badgerstream_control::Output> {
-        let record = self.controller.borrow().record().clone();
+        let record = self.controller.borrow().hard_state().clone();
         let began = clock::now();
         let saved = self.disk.borrow_mut().save(&record);
         self.counts.saved(clock::now() - began, saved.is_ok());
         match saved {
-            Ok(()) => self.controller.borrow_mut().saved(clock::now()),
+            Ok(()) => self.controller.borrow_mut().persisted(clock::now()),
             Err(e) => {
                 log::error!("event=disk_failed error={e}");
                 self.tasks.spawn(self.clone().reopen()).detach();
-                self.controller.borrow_mut().save_failed(clock::now())
+                self.controller.borrow_mut().persist_failed(clock::now())
             }
         }
     }
@@ -148,7 +148,9 @@
                 Ok(()) => {
                     log::info!("event=disk_reopened");
                     let record = self.disk.borrow().kept().clone();
-                    self.controller.borrow_mut().reopened(clock::now(), record);
+                    self.controller
+                        .borrow_mut()
+                        .disk_reopened(clock::now(), record);
                     return;
                 }
                 Err(e) => log::warn!("event=disk_still_fails error={e:?}"),
--- a/crates/runtime/pooler/src/control/duties.rs
+++ b/crates/runtime/pooler/src/control/duties.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::exchange::{self, DutyLost, ExchangeError};
 use crate::server_queries::{self, Query, Target, Waits};
-use badgerstream_control::{Asked, PromotionOutcome};
+use badgerstream_control::{CommandOutcome, PromotionOutcome};
 use badgerstream_line_protocol::Verdict;
 
 /// A call to the platform is given up after so many seconds.
@@ -32,7 +32,9 @@
         match queries.get(&key).map(|to_server| to_server.try_send(query)) {
             Some(Ok(())) => return,
             // A second connection beside this one could overtake what waits for it.
-            Some(Err(e)) if e.is_full() => return self.answered(&target, query, Asked::NotSent),
+            Some(Err(e)) if e.is_full() => {
+                return self.answered(&target, query, CommandOutcome::NotSent);
+            }
             _ => {}
         }
         let kept = (KEPT_SHARE * self.settings.limits.file_limit as f64) as usize;
@@ -45,7 +47,7 @@
         let _ = to_server.try_send(query);
         queries.insert(key.clone(), to_server);
         let waits = Waits {
-            answer_s: timing(&self.settings).service.answer,
+            answer_s: timing(&self.settings).failover.query_timeout,
             idle_s,
         };
         let this = self.clone();
@@ -53,7 +55,7 @@
             let may_act = |query: Query| {
                 this.controller
                     .borrow()
-                    .may_act_under(clock::now(), query.fence)
+                    .may_act_with(clock::now(), query.fence)
             };
             let tell = |query: Query, asked| this.answered(&target, query, asked);
             server_queries::run(target.clone(), receiver, waits, may_act, tell).await;
@@ -66,10 +68,10 @@
     }
 
     /// What a query came to. What was asked under another ballot, in an earlier lead of this machine, counts no more.
-    fn answered(&self, target: &Target, query: Query, asked: Asked) {
+    fn answered(&self, target: &Target, query: Query, asked: CommandOutcome) {
         let mut controller = self.controller.borrow_mut();
-        if controller.leads_under(query.fence) {
-            controller.asked(clock::now(), &target.service, &target.id, asked);
+        if controller.leads_with(query.fence) {
+            controller.command_completed(clock::now(), &target.service, &target.id, asked);
         }
     }
 
@@ -101,8 +103,8 @@
                 }
             }
             let mut controller = this.controller.borrow_mut();
-            if controller.leads_under(*fence) {
-                controller.promoted(clock::now(), service, id, outcome);
+            if controller.leads_with(*fence) {
+                controller.promotion_completed(clock::now(), service, id, outcome);
             }
         };
         self.tasks.spawn(task).detach();
@@ -129,7 +131,7 @@
                 promotion::promotion(service, id, &self.name, *fence, &provider.to_string());
             // Whoever was frozen since this was decided must not call: another one may hold the duty.
             let now = clock::now();
-            if now >= *before || !self.controller.borrow().may_act_under(now, *fence) {
+            if now >= *before || !self.controller.borrow().may_act_with(now, *fence) {
                 return Err(io::Error::other(DutyLost::NoAuthority));
             }
             progress.send(&stream, &request).await?;
