--- a/crates/runtime/pooler/src/control/links.rs
+++ b/crates/runtime/pooler/src/control/links.rs
@@ -7,12 +7,12 @@
 
 impl Control {
     /// Rung whenever this control machine has opened a connection to here.
-    pub(super) fn heard_of(&self, node: Node) -> Rc<Notify> {
+    pub(super) fn heard_of(&self, node: NodeId) -> Rc<Notify> {
         self.heard.borrow_mut().entry(node).or_default().clone()
     }
 
     /// Numbers a connection of that machine; those before are not listened to any more.
-    fn newest_connection(&self, node: Node) -> u64 {
+    fn newest_connection(&self, node: NodeId) -> u64 {
         let connection = self.next.get() + 1;
         self.next.set(connection);
         self.connections.borrow_mut().insert(node, connection);
@@ -33,7 +33,7 @@
     }
 
     /// Passes messages on to another control machine, for as long as this process runs.
-    pub(super) async fn speak(self: Rc<Self>, node: Node, messages: Receiver<Frame>) {
+    pub(super) async fn speak(self: Rc<Self>, node: NodeId, messages: Receiver<Frame>) {
         let to = SocketAddr::from((Ipv4Addr::from(node), self.port));
         loop {
             let Ok(first) = messages.recv().await else {
@@ -71,7 +71,7 @@
             } else {
                 hello
             };
-            let met = self.controller.borrow_mut().met(node);
+            let met = self.controller.borrow_mut().peer_connected(node);
             self.perform(met);
             while told.is_ok() {
                 let next = async {
@@ -125,7 +125,7 @@
                 Frame::Hello { from, life } => {
                     log::debug!("event=peer_connected from={from} life={life:x}");
                     peer = Some((from, self.newest_connection(from.node)));
-                    self.controller.borrow_mut().contact(from.node);
+                    self.controller.borrow_mut().peer_discovered(from.node);
                     self.heard_of(from.node).notify_waiters();
                 }
                 Frame::Peer { to, message } => {
@@ -137,13 +137,19 @@
                         break;
                     }
                     if to.is(self.me) {
-                        let out = self.controller.borrow_mut().peer(now, from, message);
+                        let out = self
+                            .controller
+                            .borrow_mut()
+                            .handle_peer_message(now, from, message);
                         self.perform(out);
                     }
                 }
                 Frame::Renew(call) => {
                     let session = session.get_or_insert_with(|| self.open_session(&stream));
-                    let out = self.controller.borrow_mut().router(now, session.id, call);
+                    let out = self
+                        .controller
+                        .borrow_mut()
+                        .handle_lease_request(now, session.id, call);
                     self.perform(out);
                 }
                 Frame::News(_) => break,
--- a/crates/runtime/pooler/src/control/sessions.rs
+++ b/crates/runtime/pooler/src/control/sessions.rs
@@ -17,7 +17,7 @@
 
 /// News, and the bytes of its frame.
 struct Encoded {
-    news: Rc<ToRouter>,
+    news: Rc<RouterMessage>,
     bytes: Rc<[u8]>,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Default)]
 struct Outbox {
     /// Only the newest counts: it answers a later call.
-    answer: RefCell<Option<ToRouter>>,
+    answer: RefCell<Option<RouterMessage>>,
     news: RefCell<Option<Rc<[u8]>>>,
     filled: Notify,
 }
@@ -39,7 +39,7 @@
 
 impl Sessions {
     /// An answer to this router, in place of one that still waits; a question that answers nothing takes no lease's place.
-    pub(super) fn answer(&self, session: u64, answer: ToRouter) {
+    pub(super) fn answer(&self, session: u64, answer: RouterMessage) {
         let Some(outbox) = self.all.borrow().get(&session).cloned() else {
             return;
         };
@@ -49,7 +49,7 @@
     }
 
     /// News to this router. While the last is still being written it is left out: the controller tells it again.
-    pub(super) fn tell(&self, session: u64, news: Rc<ToRouter>) {
+    pub(super) fn tell(&self, session: u64, news: Rc<RouterMessage>) {
         let outbox = self.all.borrow().get(&session).cloned();
         let Some(outbox) = outbox.filter(|o| o.news.borrow().is_none()) else {
             return;
@@ -58,7 +58,7 @@
         outbox.filled.notify_waiters();
     }
 
-    fn encode(&self, news: Rc<ToRouter>) -> Rc<[u8]> {
+    fn encode(&self, news: Rc<RouterMessage>) -> Rc<[u8]> {
         let mut encoded = self.encoded.borrow_mut();
         if let Some(known) = encoded.iter().find(|known| Rc::ptr_eq(&known.news, &news)) {
             return known.bytes.clone();
@@ -93,26 +93,26 @@
 impl Drop for OpenSession {
     fn drop(&mut self) {
         self.control.sessions.all.borrow_mut().remove(&self.id);
-        self.control.controller.borrow_mut().gone(self.id);
+        self.control.controller.borrow_mut().session_closed(self.id);
     }
 }
 
 /// What goes to a router for which an answer waits when another is to be sent.
-fn merged(waiting: Option<ToRouter>, answer: ToRouter) -> ToRouter {
+fn merged(waiting: Option<RouterMessage>, answer: RouterMessage) -> RouterMessage {
     let (
         Some(mut waiting),
-        ToRouter::News {
-            sent: None,
-            evidence_wanted: wanted,
+        RouterMessage::Update {
+            request_sent_at: None,
+            health_reports_wanted: wanted,
             ..
         },
     ) = (waiting, &answer)
     else {
         return answer;
     };
-    if let ToRouter::News {
-        sent: Some(_),
-        evidence_wanted,
+    if let RouterMessage::Update {
+        request_sent_at: Some(_),
+        health_reports_wanted: evidence_wanted,
         ..
     } = &mut waiting
     {
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -39,7 +39,7 @@
     pub fn figures(&self, now: f64) -> ControlFigures {
         let controller = self.controller.borrow();
         let consensus = controller.consensus();
-        let record = consensus.record();
+        let record = consensus.hard_state();
         let mut primaries = BTreeMap::new();
         for (_, phase, _) in controller.primaries() {
             *primaries.entry(phase).or_default() += 1;
@@ -48,10 +48,10 @@
         for member in controller
             .members()
             .all()
-            .filter(|member| !member.news.gone)
+            .filter(|member| !member.info.departed)
         {
             *servers
-                .entry(if member.news.draining {
+                .entry(if member.info.draining {
                     "draining"
                 } else {
                     "ready"
@@ -59,15 +59,15 @@
                 .or_default() += 1;
         }
         ControlFigures {
-            leads: controller.leads(),
+            leads: controller.is_leader(),
             in_contact: consensus.in_contact(now),
-            ballot: record.promised.0,
-            sequence: record.state.seq,
+            ballot: record.voted_term.0,
+            sequence: record.state.version,
             epoch: controller.config().0,
             voters: consensus.voters().len(),
             votes: consensus.voters().contains(&consensus.me()),
             disk_failed: consensus.disk_failed(),
-            routers: controller.routers(now),
+            routers: controller.leased_routers(now),
             primaries,
             servers,
         }
@@ -76,15 +76,15 @@
     /// How this machine sees the system, for operators.
     pub(super) fn status(&self) -> Status {
         let controller = self.controller.borrow();
-        let node = |n: &Node| Ipv4Addr::from(*n).to_string();
-        let primary = |(service, phase, grant): (String, &str, GrantNews)| PrimaryStatus {
+        let node = |n: &NodeId| Ipv4Addr::from(*n).to_string();
+        let primary = |(service, phase, grant): (String, &str, PrimaryGrant)| PrimaryStatus {
             service,
             phase: phase.to_owned(),
-            id: grant.id,
-            term: grant.term,
-            in_use: !grant.closing,
+            id: grant.server_id,
+            term: grant.primary_term,
+            in_use: !grant.revoking,
         };
-        let member = |news: &MemberNews| MemberStatus {
+        let member = |news: &MemberInfo| MemberStatus {
             id: news.id.clone(),
             service: news.service.clone(),
             endpoint: news.endpoint.clone(),
@@ -106,18 +106,18 @@
             disk_failed: consensus.disk_failed(),
             no_voter: !consensus.voters().contains(&consensus.me()),
             node: self.name.clone(),
-            leads: controller.leads(),
+            leads: controller.is_leader(),
             leader: controller.leader().as_ref().map(node),
             voters: controller.voters().iter().map(node).collect(),
             epoch: controller.config().0,
-            routers: controller.routers(now) as u64,
+            routers: controller.leased_routers(now) as u64,
             lease_s: self.lease,
             primaries: controller.primaries().into_iter().map(primary).collect(),
             members: controller
                 .members()
                 .all()
-                .map(|m| &m.news)
-                .filter(|n| !n.gone)
+                .map(|m| &m.info)
+                .filter(|n| !n.departed)
                 .map(member)
                 .collect(),
         }
--- a/crates/runtime/pooler/src/frames.rs
+++ b/crates/runtime/pooler/src/frames.rs
@@ -2,7 +2,7 @@
 //! long.
 
 use async_io::{Async, Timer};
-use badgerstream_control::{PeerMessage, Recipient, ToControl, ToRouter, Voter};
+use badgerstream_control::{LeaseRequest, PeerMessage, Recipient, RouterMessage, Voter};
 use bincode::{Decode, Encode};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::io::{Error, ErrorKind, Result};
@@ -45,9 +45,9 @@
         message: PeerMessage,
     },
     /// A router asks.
-    Renew(ToControl),
+    Renew(LeaseRequest),
     /// A router is told.
-    News(Rc<ToRouter>),
+    News(Rc<RouterMessage>),
 }
 
 /// The frame's bytes, with its length before them.
--- a/crates/runtime/pooler/src/node.rs
+++ b/crates/runtime/pooler/src/node.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
-use badgerstream_control::Evidence;
+use badgerstream_control::HealthReport;
 use badgerstream_http_codec::{Request, response};
 use badgerstream_pooler_config::settings::Settings;
 use futures_lite::{StreamExt, future};
@@ -192,16 +192,16 @@
 }
 
 /// The evidence of the data plane as control is told.
-fn to_control(evidence: crate::edge::Evidence, now: f64) -> Evidence {
+fn to_control(evidence: crate::edge::Evidence, now: f64) -> HealthReport {
     let answered = if evidence.last_answer > 0.0 {
         now - evidence.last_answer
     } else {
         NEVER_ANSWERED_S
     };
-    Evidence {
+    HealthReport {
         service: evidence.service,
-        id: evidence.id,
-        answered,
+        server_id: evidence.id,
+        answered_seconds_ago: answered,
     }
 }
 
--- a/crates/runtime/pooler/src/server_queries.rs
+++ b/crates/runtime/pooler/src/server_queries.rs
@@ -8,7 +8,7 @@
 use crate::{clock, frames};
 use async_channel::Receiver;
 use async_io::{Async, Timer};
-use badgerstream_control::{Asked, Row, Statement};
+use badgerstream_control::{CommandOutcome, ServerCommand, ServerStatus};
 use badgerstream_line_protocol::{LineBuffer, Position, Reply};
 use futures_lite::future;
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Query {
     /// The statement.
-    pub statement: Statement,
+    pub statement: ServerCommand,
     /// The ballot of the leader that asks.
     pub fence: u64,
 }
@@ -45,15 +45,15 @@
     /// Whether it may run at any time and any number of times. All but `STATUS` change the server: a copy that comes late
     /// may undo what was decided since.
     pub fn is_idempotent(self) -> bool {
-        self.statement == Statement::Status
+        self.statement == ServerCommand::Status
     }
 
     fn line(self) -> String {
         match self.statement {
-            Statement::Status => "QUERY - STATUS\r\n".to_owned(),
-            Statement::Pause(term) => format!("QUERY - PAUSE {term}\r\n"),
-            Statement::Resume => "QUERY - RESUME\r\n".to_owned(),
-            Statement::StepDown(term) => format!("QUERY - STEPDOWN {term}\r\n"),
+            ServerCommand::Status => "QUERY - STATUS\r\n".to_owned(),
+            ServerCommand::Pause(term) => format!("QUERY - PAUSE {term}\r\n"),
+            ServerCommand::Resume => "QUERY - RESUME\r\n".to_owned(),
+            ServerCommand::StepDown(term) => format!("QUERY - STEPDOWN {term}\r\n"),
         }
     }
 }
@@ -74,7 +74,7 @@
     queries: Receiver<Query>,
     waits: Waits,
     may_act: impl Fn(Query) -> bool,
-    tell: impl Fn(Query, Asked),
+    tell: impl Fn(Query, CommandOutcome),
 ) {
     let mut session = Session {
         target,
@@ -84,12 +84,12 @@
     while let Some(query) = next(&queries, waits.idle_s).await {
         let asked_at = clock::now();
         let asked = match session.ask(query, &may_act).await {
-            Ok(Some(row)) => Asked::Row {
-                statement: query.statement,
-                row,
-                asked: asked_at,
+            Ok(Some(row)) => CommandOutcome::Status {
+                command: query.statement,
+                status: row,
+                sent_at: asked_at,
             },
-            Ok(None) => Asked::Busy,
+            Ok(None) => CommandOutcome::Busy,
             Err(failed) => {
                 log::debug!(
                     "event=query_failed id={} statement={:?} verdict={:?} error={}",
@@ -99,9 +99,9 @@
                     failed.error
                 );
                 match failed.error.kind() {
-                    _ if failed.is_duty_lost() => Asked::NotSent,
-                    ErrorKind::ConnectionRefused | ErrorKind::NotFound => Asked::Refused,
-                    _ => Asked::Silent,
+                    _ if failed.is_duty_lost() => CommandOutcome::NotSent,
+                    ErrorKind::ConnectionRefused | ErrorKind::NotFound => CommandOutcome::Refused,
+                    _ => CommandOutcome::TimedOut,
                 }
             }
         };
@@ -135,7 +135,7 @@
         &mut self,
         query: Query,
         may_act: &impl Fn(Query) -> bool,
-    ) -> std::result::Result<Option<Row>, ExchangeError> {
+    ) -> std::result::Result<Option<ServerStatus>, ExchangeError> {
         if self
             .connection
             .as_mut()
@@ -158,7 +158,7 @@
         &mut self,
         query: Query,
         may_act: &impl Fn(Query) -> bool,
-    ) -> std::result::Result<Option<Row>, ExchangeError> {
+    ) -> std::result::Result<Option<ServerStatus>, ExchangeError> {
         let connection = self.connection.take();
         let (target, answer_s) = (&self.target, self.answer_s);
         let exchanged = exchange::run(answer_s, async |progress| {
@@ -232,7 +232,7 @@
         progress: &Progress,
         query: Query,
         id: &str,
-    ) -> Result<Option<Row>> {
+    ) -> Result<Option<ServerStatus>> {
         progress.send(&self.stream, query.line().as_bytes()).await?;
         let mut row = None;
         loop {
@@ -266,17 +266,17 @@
 }
 
 /// The row of STATUS: role, term, position received, term held, lag in ms, busy, connections.
-pub fn read_row(text: &[u8]) -> Option<Row> {
+pub fn read_row(text: &[u8]) -> Option<ServerStatus> {
     let text = std::str::from_utf8(text).ok()?;
     let mut words = text.split_ascii_whitespace();
     let leader = words.next()? == "leader";
     let term = words.next()?.parse().ok()?;
     let received: Position = words.next()?.parse().ok()?;
     let held = words.next()?.parse().ok()?;
-    Some(Row {
-        leader,
-        term,
+    Some(ServerStatus {
+        is_primary: leader,
+        primary_term: term,
         received: (received.term, received.number),
-        held,
+        highest_term: held,
     })
 }
--- a/crates/runtime/pooler/src/servers.rs
+++ b/crates/runtime/pooler/src/servers.rs
@@ -3,7 +3,7 @@
 //! A file that can't be read whole is passed over, and whoever is named there but gone is missed as any other. What a server
 //! says only once is in it before that is acknowledged.
 
-use badgerstream_control::{Controller, MemberNews};
+use badgerstream_control::{Controller, MemberInfo};
 use std::cell::Cell;
 use std::fs::File;
 use std::io::{Read, Write};
@@ -30,7 +30,7 @@
     }
 
     /// What was kept; nothing if it can't be read whole.
-    pub fn read(&self) -> Vec<MemberNews> {
+    pub fn read(&self) -> Vec<MemberInfo> {
         let mut bytes = Vec::new();
         let read =
             File::open(&self.path).and_then(|file| file.take(MAX_BYTES).read_to_end(&mut bytes));
@@ -50,7 +50,7 @@
     /// Keeps what is known if it has changed. A disk in trouble is no reason to stop: the next life waits for beats then.
     pub fn keep(&self, now: f64, controller: &Controller) {
         let (at, changes) = self.written.get();
-        let known = controller.members().changes();
+        let known = controller.members().change_count();
         if known == changes || now - at < WRITE_INTERVAL_S {
             return;
         }
@@ -59,8 +59,8 @@
 
     /// Keeps what is known; whether that is on the disk.
     pub fn keep_now(&self, now: f64, controller: &Controller) -> bool {
-        self.written.set((now, controller.members().changes()));
-        let written = self.write(&controller.members().kept());
+        self.written.set((now, controller.members().change_count()));
+        let written = self.write(&controller.members().to_persist());
         if let Err(e) = &written {
             log::warn!("event=servers_not_kept error={e}");
         }
@@ -68,7 +68,7 @@
     }
 
     /// Puts a new file in the place of the one before, which is there whole until then.
-    fn write(&self, kept: &[MemberNews]) -> std::io::Result<()> {
+    fn write(&self, kept: &[MemberInfo]) -> std::io::Result<()> {
         let body = bincode::encode_to_vec(kept, bincode::config::standard())
             .map_err(std::io::Error::other)?;
         let next = self.path.with_extension("next");
--- a/crates/runtime/pooler/src/session.rs
+++ b/crates/runtime/pooler/src/session.rs
@@ -6,7 +6,7 @@
 use crate::{clock, frames::within};
 use async_io::{Async, Timer};
 use badgerstream_control::{
-    Ballot, ConfigNews, Evidence, GrantNews, MemberNews, Node, ToControl, ToRouter,
+    ConfigUpdate, HealthReport, LeaseRequest, MemberInfo, NodeId, PrimaryGrant, RouterMessage, Term,
 };
 use badgerstream_pooler_config::config::Config;
 use futures_lite::{AsyncRead, future, io};
@@ -45,7 +45,7 @@
 }
 
 /// Tells what the data plane saw of the servers of these services, at that second of the steady clock.
-type TellEvidence = dyn Fn(&[String], f64) -> Vec<Evidence>;
+type TellEvidence = dyn Fn(&[String], f64) -> Vec<HealthReport>;
 
 /// The session of one router.
 pub struct Session {
@@ -54,11 +54,11 @@
     port: u16,
     spans: Spans,
     shared: Shared,
-    known: Cell<(Ballot, u64)>,
+    known: Cell<(Term, u64)>,
     /// Who decides, as the last leader told it; empty before that.
-    voters: RefCell<Vec<Node>>,
+    voters: RefCell<Vec<NodeId>>,
     /// Other control machines that may be there, those heard of last at the end.
-    others: RefCell<Vec<Node>>,
+    others: RefCell<Vec<NodeId>>,
     /// Servers that the newest leader has not told of, and since when.
     untold: RefCell<HashMap<String, f64>>,
     evidence: Box<TellEvidence>,
@@ -76,7 +76,7 @@
         port: u16,
         spans: Spans,
         shared: Shared,
-        evidence: impl Fn(&[String], f64) -> Vec<Evidence> + 'static,
+        evidence: impl Fn(&[String], f64) -> Vec<HealthReport> + 'static,
     ) -> Rc<Session> {
         Rc::new(Session {
             router,
@@ -100,13 +100,13 @@
             IpAddr::V4(ip) => Some(u32::from(ip)),
             IpAddr::V6(_) => None,
         };
-        let seeds: Vec<Node> = seeds.iter().filter_map(address).collect();
+        let seeds: Vec<NodeId> = seeds.iter().filter_map(address).collect();
         self.may_ask(&seeds);
     }
 
     /// These control machines may be asked where those who decide don't answer: the settings name them, or somebody who doesn't
     /// lead has told of them, who may go by machines that are gone.
-    fn may_ask(&self, told: &[Node]) {
+    fn may_ask(&self, told: &[NodeId]) {
         let mut others = self.others.borrow_mut();
         others.retain(|node| !told.contains(node));
         others.extend(told);
@@ -115,13 +115,13 @@
     }
 
     /// Whom to ask after so many tries in vain: those who decide in turn, and then all.
-    fn next_node(&self, turn: usize, tries: usize) -> Option<Node> {
+    fn next_node(&self, turn: usize, tries: usize) -> Option<NodeId> {
         let voters = self.voters.borrow();
         let others = self.others.borrow();
         let others = others
             .iter()
             .filter(|node| tries >= voters.len() && !voters.contains(node));
-        let all: Vec<Node> = voters.iter().chain(others).copied().collect();
+        let all: Vec<NodeId> = voters.iter().chain(others).copied().collect();
         all.get(turn % all.len().max(1)).copied()
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// One connection, until it breaks or another machine leads.
-    async fn with(&self, node: Node) -> io::Result<Option<Node>> {
+    async fn with(&self, node: NodeId) -> io::Result<Option<NodeId>> {
         let to = SocketAddr::from((Ipv4Addr::from(node), self.port));
         let stream = frames::connect(to, frames::CONNECT, self.spans.suspect * 2.0).await?;
         let (news, told) = async_channel::bounded(64);
@@ -203,9 +203,9 @@
     async fn talk(
         &self,
         stream: &Async<TcpStream>,
-        told: &async_channel::Receiver<ToRouter>,
+        told: &async_channel::Receiver<RouterMessage>,
         heard: &Cell<f64>,
-    ) -> io::Result<Option<Node>> {
+    ) -> io::Result<Option<NodeId>> {
         self.renew(stream).await?;
         let mut renewed = clock::now();
         // The oldest call that has no answer yet.
@@ -223,7 +223,7 @@
                 None
             });
             match one.await {
-                Some(ToRouter::Elsewhere { leader, voters }) => {
+                Some(RouterMessage::NotLeader { leader, voters }) => {
                     self.may_ask(&voters);
                     return Ok(leader);
                 }
@@ -262,13 +262,13 @@
         } else {
             known
         };
-        let call = ToControl {
+        let call = LeaseRequest {
             router: self.router.clone(),
-            life: self.life,
-            sent: now,
-            known: self.known.get(),
-            epoch,
-            evidence: self.wanted_evidence(now),
+            process_incarnation: self.life,
+            sent_at: now,
+            update_watermark: self.known.get(),
+            config_epoch: epoch,
+            health_reports: self.wanted_evidence(now),
         };
         let mut writer = stream;
         within(
@@ -279,7 +279,7 @@
     }
 
     /// The configuration that control tells, against the text that is held. What can't be read is asked for whole.
-    fn read_config(&self, news: &ConfigNews) -> Option<Config> {
+    fn read_config(&self, news: &ConfigUpdate) -> Option<Config> {
         let text = news.resolve(&self.config_text.borrow());
         let config = text.as_ref().and_then(|text| Config::read(text).ok());
         if config.is_none() {
@@ -292,7 +292,7 @@
     }
 
     /// What is known of the servers that control asked about.
-    fn wanted_evidence(&self, now: f64) -> Vec<Evidence> {
+    fn wanted_evidence(&self, now: f64) -> Vec<HealthReport> {
         let wanted = self.evidence_wanted.borrow();
         if wanted.is_empty() {
             return Vec::new();
@@ -301,18 +301,18 @@
     }
 
     /// Takes news into the view; true if it answers a call of ours.
-    fn take(&self, news: ToRouter) -> bool {
-        let ToRouter::News {
-            known,
-            sent,
-            lease,
-            whole,
+    fn take(&self, news: RouterMessage) -> bool {
+        let RouterMessage::Update {
+            update_watermark: known,
+            request_sent_at: sent,
+            lease_duration: lease,
+            is_snapshot: whole,
             grants,
             members,
             config,
             voters,
-            routers,
-            evidence_wanted,
+            router_count: routers,
+            health_reports_wanted: evidence_wanted,
         } = news
         else {
             return false;
@@ -340,11 +340,11 @@
             *self.untold.borrow_mut() = view.servers.keys().map(|id| (id.clone(), now)).collect();
             changed = true;
         }
-        for GrantNews {
+        for PrimaryGrant {
             service,
-            id,
-            term,
-            closing,
+            server_id: id,
+            primary_term: term,
+            revoking: closing,
         } in grants
         {
             // Under the old lease the same primary may be used until the new one is there.
@@ -359,7 +359,7 @@
         }
         for member in members {
             self.untold.borrow_mut().remove(&member.id);
-            if member.gone {
+            if member.departed {
                 view.servers.remove(&member.id);
             } else if let Some(server) = read_member(member) {
                 view.servers.insert(server.id.clone(), server);
@@ -425,9 +425,9 @@
     }
 }
 
-fn read_member(member: MemberNews) -> Option<Server> {
+fn read_member(member: MemberInfo) -> Option<Server> {
     let endpoint = member.endpoint.parse().ok()?;
-    let MemberNews {
+    let MemberInfo {
         id,
         service,
         zone,
--- a/crates/runtime/pooler/src/tests/disk.rs
+++ b/crates/runtime/pooler/src/tests/disk.rs
@@ -3,7 +3,9 @@
 
 use super::{Disk, FOLDER};
 use crate::tests::hex::hex;
-use badgerstream_control::{Ballot, Digest, Membership, Order, Primary, Record, State, Voter};
+use badgerstream_control::{
+    AppliedConfig, Digest, HardState, PrimaryRecord, State, Term, Voter, VoterSet,
+};
 use badgerstream_control_store::{FILE, Fresh, Store};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -21,7 +23,7 @@
 
 /// The state in it: a joint set, a configuration, an order and a primary.
 fn state() -> State {
-    let founders = Membership::founding([0x0A01_0204, 0x0A01_0205, 7]);
+    let founders = VoterSet::founding([0x0A01_0204, 0x0A01_0205, 7]);
     let joining = Voter {
         node: 0x0A01_0203,
         incarnation: 0xFEDC_BA98_7654_3210,
@@ -30,31 +32,31 @@
         node: 7,
         incarnation: 0,
     };
-    let voters = founders.with(Some(joining), Some(leaving));
+    let voters = founders.replacing(Some(joining), Some(leaving));
     let config: Rc<[u8]> = Rc::from(&b"{\"a\":1}"[..]);
-    let order = Order {
+    let order = AppliedConfig {
         epoch: 252,
         digest: Digest::of(&config),
     };
-    let primary = Primary {
-        id: "i-0a".to_owned(),
-        above: 70_000,
+    let primary = PrimaryRecord {
+        server_id: "i-0a".to_owned(),
+        min_term: 70_000,
     };
     State {
-        seq: 65_536,
-        membership: founders.changed_to(voters).expect("a change of the voters"),
-        epoch: 252,
+        version: 65_536,
+        voters: founders.joint_with(voters).expect("a change of the voters"),
+        config_epoch: 252,
         config,
-        orders: vec![order],
+        applied_configs: vec![order],
         primaries: BTreeMap::from([("catalog".to_owned(), primary)]),
     }
 }
 
 /// The record in it.
-fn record() -> Record {
-    Record {
-        promised: Ballot(0x1112_1314_1516_1718),
-        accepted: Ballot(0x0102_0304_0506_0708),
+fn record() -> HardState {
+    HardState {
+        voted_term: Term(0x1112_1314_1516_1718),
+        accepted_term: Term(0x0102_0304_0506_0708),
         state: Rc::new(state()),
     }
 }
@@ -84,10 +86,10 @@
     let folder = unpacked();
     let mut disk = Disk::open(&folder.0, 5, &[1, 2, 3]).unwrap();
     assert_eq!((disk.identity(), disk.kept()), (IDENTITY, &record()));
-    assert_eq!(hex(&state().bytes()), VALUE.trim());
+    assert_eq!(hex(&state().encode()), VALUE.trim());
 
     // Another state, and then the one of the fixture again.
-    let other = Record {
+    let other = HardState {
         state: Rc::new(State::default()),
         ..record()
     };
--- a/crates/runtime/pooler/src/tests/frame_bytes.rs
+++ b/crates/runtime/pooler/src/tests/frame_bytes.rs
@@ -5,7 +5,7 @@
 use super::hex::{hex, unhex};
 use crate::frames::{self, Frame};
 use badgerstream_control::{
-    Ballot, Evidence, GrantNews, PeerMessage, Recipient, ToControl, ToRouter, Voter,
+    HealthReport, LeaseRequest, PeerMessage, PrimaryGrant, Recipient, RouterMessage, Term, Voter,
 };
 use futures_lite::{future, io::Cursor};
 use std::collections::BTreeMap;
@@ -24,47 +24,47 @@
 }
 
 fn peer(to: Recipient) -> Frame {
-    let message = PeerMessage::RosterWanted {
-        ballot: Ballot(0x0102_0304_0506_0708),
+    let message = PeerMessage::MembersSnapshotRequest {
+        term: Term(0x0102_0304_0506_0708),
     };
     Frame::Peer { to, message }
 }
 
 fn renewal() -> Frame {
-    let evidence = Evidence {
+    let evidence = HealthReport {
         service: "billing".to_owned(),
-        id: "i-0f".to_owned(),
-        answered: 0.75,
+        server_id: "i-0f".to_owned(),
+        answered_seconds_ago: 0.75,
     };
-    Frame::Renew(ToControl {
+    Frame::Renew(LeaseRequest {
         router: "router-1".to_owned(),
-        life: 0x5152_5354_5556_5758,
-        sent: 3.125,
-        known: (Ballot(0x1112_1314_1516_1718), 800),
-        epoch: 70_002,
-        evidence: vec![evidence],
+        process_incarnation: 0x5152_5354_5556_5758,
+        sent_at: 3.125,
+        update_watermark: (Term(0x1112_1314_1516_1718), 800),
+        config_epoch: 70_002,
+        health_reports: vec![evidence],
     })
 }
 
 /// News with so many grants.
 fn news(grants: u64) -> Frame {
-    let grant = |number| GrantNews {
+    let grant = |number| PrimaryGrant {
         service: format!("catalog-{number}"),
-        id: format!("i-{:08x}", number * 2_654_435),
-        term: 240 + number,
-        closing: number % 3 == 0,
+        server_id: format!("i-{:08x}", number * 2_654_435),
+        primary_term: 240 + number,
+        revoking: number % 3 == 0,
     };
-    Frame::News(Rc::new(ToRouter::News {
-        known: (Ballot(0x2122_2324_2526_2728), 900),
-        sent: Some(4.5),
-        lease: 1.75,
-        whole: true,
+    Frame::News(Rc::new(RouterMessage::Update {
+        update_watermark: (Term(0x2122_2324_2526_2728), 900),
+        request_sent_at: Some(4.5),
+        lease_duration: 1.75,
+        is_snapshot: true,
         grants: (1..=grants).map(grant).collect(),
         members: Vec::new(),
         config: None,
         voters: vec![0x0A01_0208, 6],
-        routers: 1000,
-        evidence_wanted: vec!["catalog-1".to_owned()],
+        router_count: 1000,
+        health_reports_wanted: vec!["catalog-1".to_owned()],
     }))
 }
 
--- a/crates/runtime/pooler/src/tests/frames.rs
+++ b/crates/runtime/pooler/src/tests/frames.rs
@@ -2,27 +2,27 @@
 
 use crate::frames::{self, Frame, MOST};
 use async_io::{Async, Timer};
-use badgerstream_control::{Ballot, MemberNews, PeerMessage, Recipient, Voter};
+use badgerstream_control::{MemberInfo, PeerMessage, Recipient, Term, Voter};
 use futures_lite::{AsyncReadExt, future, io::Cursor};
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::Duration;
 
 fn members(count: usize) -> Frame {
-    let member = |n: usize| MemberNews {
+    let member = |n: usize| MemberInfo {
         id: format!("i-{:010x}", n * 2_654_435),
         service: format!("catalog-{}", n / 3),
         endpoint: format!("10.0.{}.{}:5432", n / 200, n % 200),
         zone: "lima-a".to_owned(),
         slots: 4,
         draining: false,
-        gone: false,
+        departed: false,
         call_seq: n as u64,
     };
     Frame::Peer {
         to: Recipient::Node(7),
-        message: PeerMessage::Members {
-            round: None,
-            news: (0..count).map(member).collect(),
+        message: PeerMessage::MembersUpdate {
+            update_id: None,
+            members: (0..count).map(member).collect(),
         },
     }
 }
@@ -56,7 +56,7 @@
     assert!(length < 25_000, "{length} bytes");
     let short = Frame::Peer {
         to: Recipient::Node(7),
-        message: PeerMessage::RosterWanted { ballot: Ballot(1) },
+        message: PeerMessage::MembersSnapshotRequest { term: Term(1) },
     };
     assert!(frames::bytes(&short).len() < 32);
 }
--- a/crates/runtime/pooler/src/tests/server_queries.rs
+++ b/crates/runtime/pooler/src/tests/server_queries.rs
@@ -3,7 +3,7 @@
 use crate::server_queries::{IDLE_S, Query, Target, Waits, run};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_control::{Asked, Statement};
+use badgerstream_control::{CommandOutcome, ServerCommand};
 use badgerstream_line_protocol::LineBuffer;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::cell::{Cell, RefCell};
@@ -118,7 +118,11 @@
 }
 
 /// Sends these statements one after the other to a server that does these steps; what was told of each.
-fn asked(steps: &[Step], statements: &[Statement], may_act: bool) -> (Rc<Server>, Vec<Asked>) {
+fn asked(
+    steps: &[Step],
+    statements: &[ServerCommand],
+    may_act: bool,
+) -> (Rc<Server>, Vec<CommandOutcome>) {
     let tasks = Rc::new(LocalExecutor::new());
     let (server, endpoint) = Server::start(&tasks, steps);
     let told = RefCell::new(Vec::new());
@@ -172,10 +176,10 @@
         .collect()
 }
 
-const CHANGES: [(Statement, &str); 3] = [
-    (Statement::Pause(4), "PAUSE 4"),
-    (Statement::Resume, "RESUME"),
-    (Statement::StepDown(4), "STEPDOWN 4"),
+const CHANGES: [(ServerCommand, &str); 3] = [
+    (ServerCommand::Pause(4), "PAUSE 4"),
+    (ServerCommand::Resume, "RESUME"),
+    (ServerCommand::StepDown(4), "STEPDOWN 4"),
 ];
 
 #[test]
@@ -183,9 +187,13 @@
     for (statement, text) in CHANGES {
         for end in [Step::Close, Step::HalfAnswer] {
             // The connection has carried an exchange before: a reset of it may have struck after the last byte.
-            let (server, told) = asked(&[Step::Answer, end], &[Statement::Status, statement], true);
+            let (server, told) = asked(
+                &[Step::Answer, end],
+                &[ServerCommand::Status, statement],
+                true,
+            );
             assert_eq!(texts(&server), ["STATUS", text], "{end:?}");
-            assert_eq!(told[1], Asked::Silent, "{end:?}");
+            assert_eq!(told[1], CommandOutcome::TimedOut, "{end:?}");
         }
     }
 }
@@ -195,14 +203,14 @@
     for end in [Step::Close, Step::HalfAnswer] {
         let (server, told) = asked(
             &[Step::Answer, end],
-            &[Statement::Status, Statement::Status],
+            &[ServerCommand::Status, ServerCommand::Status],
             true,
         );
         assert_eq!(texts(&server), ["STATUS", "STATUS", "STATUS"]);
         assert!(matches!(
             told[1],
-            Asked::Row {
-                statement: Statement::Status,
+            CommandOutcome::Status {
+                command: ServerCommand::Status,
                 ..
             }
         ));
@@ -215,24 +223,27 @@
     for (statement, text) in CHANGES {
         let (server, told) = asked(
             &[Step::AnswerAndClose],
-            &[Statement::Status, statement],
+            &[ServerCommand::Status, statement],
             true,
         );
         assert_eq!(
             *server.got.borrow(),
             [(0, "STATUS".to_owned()), (1, text.to_owned())]
         );
-        assert!(matches!(told[1], Asked::Row { .. }), "{told:?}");
+        assert!(matches!(told[1], CommandOutcome::Status { .. }), "{told:?}");
     }
 }
 
 #[test]
 fn without_authority_only_a_status_leaves() {
     for (statement, _) in CHANGES {
-        let (server, told) = asked(&[], &[statement, Statement::Status], false);
+        let (server, told) = asked(&[], &[statement, ServerCommand::Status], false);
         assert_eq!(texts(&server), ["STATUS"]);
         assert!(
-            matches!(told[..], [Asked::NotSent, Asked::Row { .. }]),
+            matches!(
+                told[..],
+                [CommandOutcome::NotSent, CommandOutcome::Status { .. }]
+            ),
             "{told:?}"
         );
     }
@@ -259,7 +270,7 @@
     let work = async {
         sender
             .send(Query {
-                statement: Statement::Resume,
+                statement: ServerCommand::Resume,
                 fence: 5,
             })
             .await
@@ -267,7 +278,7 @@
         server.until(|s| s.ends.borrow().len() == 1).await;
         sender
             .send(Query {
-                statement: Statement::Pause(4),
+                statement: ServerCommand::Pause(4),
                 fence: 5,
             })
             .await
@@ -283,9 +294,9 @@
     assert!(matches!(
         told.borrow()[..],
         [
-            Asked::Silent,
-            Asked::Row {
-                statement: Statement::Pause(4),
+            CommandOutcome::TimedOut,
+            CommandOutcome::Status {
+                command: ServerCommand::Pause(4),
                 ..
             }
         ]
@@ -299,7 +310,7 @@
     let (sender, questions) = async_channel::bounded(4);
     sender
         .try_send(Query {
-            statement: Statement::Status,
+            statement: ServerCommand::Status,
             fence: 5,
         })
         .unwrap();
@@ -308,7 +319,7 @@
         service: "s".to_owned(),
         endpoint,
     };
-    let told = |_, asked| assert!(matches!(asked, Asked::Row { .. }), "{asked:?}");
+    let told = |_, asked| assert!(matches!(asked, CommandOutcome::Status { .. }), "{asked:?}");
     let asking = async {
         run(
             target,
--- a/crates/runtime/pooler/src/tests/servers.rs
+++ b/crates/runtime/pooler/src/tests/servers.rs
@@ -3,7 +3,7 @@
 use super::{Servers, pack, unpack};
 use crate::tests::hex::{hex, unhex};
 use badgerstream_control::{
-    ControlTiming, Controller, FOUNDING, MemberNews, Record, Timing, Voter,
+    ControlConfig, Controller, FOUNDING_INCARNATION, FailoverConfig, HardState, MemberInfo, Voter,
 };
 use std::path::Path;
 
@@ -35,47 +35,47 @@
 }
 
 fn controller(known: &[&str]) -> Controller {
-    let member = |id: &&str| MemberNews {
+    let member = |id: &&str| MemberInfo {
         id: (*id).to_owned(),
         service: "s".to_owned(),
         endpoint: "10.0.0.1:1".to_owned(),
         zone: "z".to_owned(),
         slots: 4,
         draining: true,
-        gone: false,
+        departed: false,
         call_seq: 0,
     };
-    let service = Timing {
-        ask: 0.2,
-        ask_replica: 1.0,
-        silence: 0.6,
-        answer: 0.6,
-        heartbeat: 1.2,
-        drain: 7.0,
+    let service = FailoverConfig {
+        primary_poll_interval: 0.2,
+        replica_poll_interval: 1.0,
+        primary_timeout: 0.6,
+        query_timeout: 0.6,
+        heartbeat_interval: 1.2,
+        drain_timeout: 7.0,
     };
     let (lease, suspect, contact, platform, turn, call, forget) =
         (1.5, 0.6, 1.0, 1.0, 0.0, 0.9, 4.8);
-    let timing = ControlTiming {
-        lease,
-        suspect,
-        contact,
-        platform,
-        turn,
-        call,
-        forget,
-        service,
+    let timing = ControlConfig {
+        lease_duration: lease,
+        election_timeout: suspect,
+        contact_timeout: contact,
+        platform_call_timeout: platform,
+        duty_handover_delay: turn,
+        request_timeout: call,
+        member_timeout: forget,
+        failover: service,
     };
     let mut controller = Controller::new(
         Voter {
             node: 1,
-            incarnation: FOUNDING,
+            incarnation: FOUNDING_INCARNATION,
         },
-        Record::default(),
+        HardState::default(),
         0.0,
         7,
         timing,
     );
-    controller.recall(0.0, known.iter().map(member).collect(), 0.0);
+    controller.restore_members(0.0, known.iter().map(member).collect(), 0.0);
     controller
 }
 
@@ -107,25 +107,25 @@
 }
 
 /// The servers in the file of `fixtures/servers.txt`: one that drains, whose call number is kept, and one in service.
-fn pinned_servers(call_seq_in_service: u64) -> Vec<MemberNews> {
-    let draining = MemberNews {
+fn pinned_servers(call_seq_in_service: u64) -> Vec<MemberInfo> {
+    let draining = MemberInfo {
         id: "i-0a".to_owned(),
         service: "catalog".to_owned(),
         endpoint: "10.0.0.1:5432".to_owned(),
         zone: "lima-a".to_owned(),
         slots: 500,
         draining: true,
-        gone: false,
+        departed: false,
         call_seq: 0x4142_4344,
     };
-    let in_service = MemberNews {
+    let in_service = MemberInfo {
         id: "i-0b".to_owned(),
         service: "billing".to_owned(),
         endpoint: "10.0.0.2:5433".to_owned(),
         zone: "lima-b".to_owned(),
         slots: 8,
         draining: false,
-        gone: false,
+        departed: false,
         call_seq: call_seq_in_service,
     };
     vec![draining, in_service]
@@ -143,7 +143,7 @@
     let read = Servers::new(path.clone()).read();
     std::fs::remove_file(&path).unwrap();
     let mut controller = controller(&[]);
-    controller.recall(0.0, pinned_servers(9), 0.0);
+    controller.restore_members(0.0, pinned_servers(9), 0.0);
     assert!(Servers::new(path.clone()).keep_now(1.0, &controller));
     let written = std::fs::read(&path).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/runtime/pooler/src/tests/session.rs
+++ b/crates/runtime/pooler/src/tests/session.rs
@@ -7,7 +7,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use badgerstream_control::{
-    Ballot, ConfigNews, Difference, Evidence, GrantNews, MemberNews, ToControl, ToRouter,
+    ConfigUpdate, HealthReport, LeaseRequest, MemberInfo, PrimaryGrant, RouterMessage, Term,
+    TextDelta,
 };
 use futures_lite::{AsyncWriteExt, future};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -18,8 +19,8 @@
     renew: 0.3,
     suspect: 0.4,
 };
-const OLD: Ballot = Ballot(1 << 32);
-const NEW: Ballot = Ballot(2 << 32);
+const OLD: Term = Term(1 << 32);
+const NEW: Term = Term(2 << 32);
 
 /// A router's session, and the machine that it asks.
 struct Rig {
@@ -34,10 +35,10 @@
         let address = listener.get_ref().local_addr().unwrap();
         let shared = Shared::default();
         let seen = |wanted: &[String], _: f64| {
-            let seen = |service: &str| Evidence {
+            let seen = |service: &str| HealthReport {
                 service: service.to_owned(),
-                id: format!("{service}-primary"),
-                answered: 0.1,
+                server_id: format!("{service}-primary"),
+                answered_seconds_ago: 0.1,
             };
             let all = [seen("a"), seen("b")].into_iter();
             all.filter(|seen| wanted.contains(&seen.service)).collect()
@@ -70,57 +71,57 @@
     }
 }
 
-async fn renewal(stream: &mut Async<TcpStream>) -> ToControl {
+async fn renewal(stream: &mut Async<TcpStream>) -> LeaseRequest {
     match frames::read(stream).await.unwrap() {
         Frame::Renew(call) => call,
         other => panic!("{other:?}"),
     }
 }
 
-async fn say(stream: &mut Async<TcpStream>, news: ToRouter) {
+async fn say(stream: &mut Async<TcpStream>, news: RouterMessage) {
     frames::write(stream, &Frame::News(Rc::new(news)))
         .await
         .unwrap();
 }
 
-fn news(known: (Ballot, u64), whole: bool) -> ToRouter {
-    ToRouter::News {
-        known,
-        sent: None,
-        lease: 0.0,
-        whole,
+fn news(known: (Term, u64), whole: bool) -> RouterMessage {
+    RouterMessage::Update {
+        update_watermark: known,
+        request_sent_at: None,
+        lease_duration: 0.0,
+        is_snapshot: whole,
         grants: Vec::new(),
         members: Vec::new(),
         config: None,
         voters: Vec::new(),
-        routers: 1,
-        evidence_wanted: Vec::new(),
+        router_count: 1,
+        health_reports_wanted: Vec::new(),
     }
 }
 
-fn granting(known: (Ballot, u64), id: &str, closing: bool) -> ToRouter {
+fn granting(known: (Term, u64), id: &str, closing: bool) -> RouterMessage {
     let mut granting = news(known, true);
-    if let ToRouter::News { grants, .. } = &mut granting {
-        grants.push(GrantNews {
+    if let RouterMessage::Update { grants, .. } = &mut granting {
+        grants.push(PrimaryGrant {
             service: "a".to_owned(),
-            id: id.to_owned(),
-            term: 1,
-            closing,
+            server_id: id.to_owned(),
+            primary_term: 1,
+            revoking: closing,
         });
     }
     granting
 }
 
-fn answer(call: &ToControl, known: (Ballot, u64), given: f64, wanted: &[&str]) -> ToRouter {
+fn answer(call: &LeaseRequest, known: (Term, u64), given: f64, wanted: &[&str]) -> RouterMessage {
     let mut answer = news(known, false);
-    if let ToRouter::News {
-        sent,
-        lease,
-        evidence_wanted,
+    if let RouterMessage::Update {
+        request_sent_at: sent,
+        lease_duration: lease,
+        health_reports_wanted: evidence_wanted,
         ..
     } = &mut answer
     {
-        (*sent, *lease) = (Some(call.sent), given);
+        (*sent, *lease) = (Some(call.sent_at), given);
         evidence_wanted.extend(wanted.iter().map(|service| (*service).to_owned()));
     }
     answer
@@ -134,15 +135,15 @@
         let mut stream = rig.accept().await;
         renewal(&mut stream).await;
         let mut whole = news((OLD, 1), true);
-        if let ToRouter::News { members, .. } = &mut whole {
-            members.extend((0..200).map(|n| MemberNews {
+        if let RouterMessage::Update { members, .. } = &mut whole {
+            members.extend((0..200).map(|n| MemberInfo {
                 id: format!("server-{n}-{:x}", fastrand::u64(..)),
                 service: "a".to_owned(),
                 endpoint: "10.0.0.1:5432".to_owned(),
                 zone: "z".to_owned(),
                 slots: 4,
                 draining: false,
-                gone: false,
+                departed: false,
                 call_seq: n,
             }));
         }
@@ -174,11 +175,15 @@
         say(&mut stream, granting((OLD, 5), "x", false)).await;
         say(&mut stream, answer(&first, (OLD, 3), 1.0, &[])).await;
         assert_eq!(
-            renewal(&mut stream).await.known,
+            renewal(&mut stream).await.update_watermark,
             (OLD, 5),
             "in answer to the news"
         );
-        assert_eq!(renewal(&mut stream).await.known, (OLD, 5), "in its time");
+        assert_eq!(
+            renewal(&mut stream).await.update_watermark,
+            (OLD, 5),
+            "in its time"
+        );
         assert!(rig.may_use("x"));
     });
 }
@@ -193,11 +198,11 @@
         say(&mut stream, granting((OLD, 1), "x", false)).await;
         let told = renewal(&mut stream).await;
         say(&mut stream, answer(&told, (OLD, 1), 1.2, &[])).await;
-        let until = told.sent + 1.2;
+        let until = told.sent_at + 1.2;
         say(&mut stream, answer(&call, (NEW, 0), 0.0, &[])).await;
         say(&mut stream, granting((NEW, 1), "x", false)).await;
         let mut call = renewal(&mut stream).await;
-        while call.known != (NEW, 1) {
+        while call.update_watermark != (NEW, 1) {
             call = renewal(&mut stream).await;
         }
         assert!(
@@ -205,7 +210,7 @@
             "the machine is too slow for this test"
         );
         assert!(rig.may_use("x"));
-        while call.sent < until {
+        while call.sent_at < until {
             say(&mut stream, answer(&call, (NEW, 1), 0.0, &[])).await;
             call = renewal(&mut stream).await;
         }
@@ -227,7 +232,7 @@
             let told = renewal(&mut stream).await;
             say(&mut stream, answer(&told, (OLD, 1), 5.0, &[])).await;
             say(&mut stream, granting((NEW, 1), id, closing)).await;
-            while renewal(&mut stream).await.known != (NEW, 1) {}
+            while renewal(&mut stream).await.update_watermark != (NEW, 1) {}
             assert!(!rig.may_use("x") && !rig.may_use("y"));
         });
     }
@@ -243,11 +248,11 @@
         let told = renewal(&mut stream).await;
         say(&mut stream, answer(&told, (OLD, 1), 0.4, &[])).await;
         let mut call = renewal(&mut stream).await;
-        while call.sent < told.sent + 0.5 {
+        while call.sent_at < told.sent_at + 0.5 {
             say(&mut stream, answer(&call, (NEW, 0), 0.0, &[])).await;
             call = renewal(&mut stream).await;
         }
-        assert_eq!(call.known, (NEW, 0));
+        assert_eq!(call.update_watermark, (NEW, 0));
         assert!(!rig.may_use("x"));
     });
 }
@@ -258,17 +263,17 @@
     Rig::play(Ipv4Addr::new(127, 0, 0, 57), async |rig| {
         let mut stream = rig.accept().await;
         let call = renewal(&mut stream).await;
-        assert!(call.evidence.is_empty());
+        assert!(call.health_reports.is_empty());
         say(&mut stream, answer(&call, (OLD, 0), 0.0, &["b"])).await;
         let call = renewal(&mut stream).await;
         let told: Vec<&str> = call
-            .evidence
+            .health_reports
             .iter()
             .map(|seen| seen.service.as_str())
             .collect();
         assert_eq!(told, ["b"]);
         say(&mut stream, answer(&call, (OLD, 0), 0.0, &[])).await;
-        assert!(renewal(&mut stream).await.evidence.is_empty());
+        assert!(renewal(&mut stream).await.health_reports.is_empty());
     });
 }
 
@@ -284,7 +289,7 @@
                 let voters = vec![u32::from(Ipv4Addr::new(127, 0, 0, 58))];
                 say(
                     &mut stream,
-                    ToRouter::Elsewhere {
+                    RouterMessage::NotLeader {
                         leader: None,
                         voters,
                     },
@@ -318,9 +323,9 @@
     text.into_bytes().into()
 }
 
-fn telling(known: (Ballot, u64), told: ConfigNews) -> ToRouter {
+fn telling(known: (Term, u64), told: ConfigUpdate) -> RouterMessage {
     let mut telling = news(known, false);
-    if let ToRouter::News { config, .. } = &mut telling {
+    if let RouterMessage::Update { config, .. } = &mut telling {
         *config = Some(told);
     }
     telling
@@ -332,7 +337,7 @@
 fn a_change_of_the_configuration_fits_or_is_asked_for_whole() {
     Rig::play(Ipv4Addr::new(127, 0, 0, 55), async |rig| {
         let mut stream = rig.accept().await;
-        assert_eq!(renewal(&mut stream).await.epoch, 0);
+        assert_eq!(renewal(&mut stream).await.config_epoch, 0);
         let in_force = || {
             rig.shared
                 .view
@@ -343,25 +348,37 @@
         };
         say(
             &mut stream,
-            telling((OLD, 1), ConfigNews::Whole(config(3, 500))),
+            telling((OLD, 1), ConfigUpdate::Full(config(3, 500))),
         )
         .await;
-        assert_eq!((renewal(&mut stream).await.epoch, in_force()), (3, Some(3)));
+        assert_eq!(
+            (renewal(&mut stream).await.config_epoch, in_force()),
+            (3, Some(3))
+        );
         let step = |from: (u64, u64), to: (u64, u64)| {
-            Rc::new(Difference::between(&config(from.0, from.1), &config(to.0, to.1)).unwrap())
+            Rc::new(TextDelta::between(&config(from.0, from.1), &config(to.0, to.1)).unwrap())
         };
         let two = vec![step((3, 500), (5, 500)), step((5, 500), (6, 700))];
-        say(&mut stream, telling((OLD, 2), ConfigNews::Changes(two))).await;
-        assert_eq!((renewal(&mut stream).await.epoch, in_force()), (6, Some(6)));
-        let other = ConfigNews::Changes(vec![step((7, 500), (8, 500))]);
+        say(&mut stream, telling((OLD, 2), ConfigUpdate::Deltas(two))).await;
+        assert_eq!(
+            (renewal(&mut stream).await.config_epoch, in_force()),
+            (6, Some(6))
+        );
+        let other = ConfigUpdate::Deltas(vec![step((7, 500), (8, 500))]);
         say(&mut stream, telling((OLD, 3), other)).await;
-        assert_eq!((renewal(&mut stream).await.epoch, in_force()), (0, Some(6)));
+        assert_eq!(
+            (renewal(&mut stream).await.config_epoch, in_force()),
+            (0, Some(6))
+        );
         say(
             &mut stream,
-            telling((OLD, 4), ConfigNews::Whole(config(8, 500))),
+            telling((OLD, 4), ConfigUpdate::Full(config(8, 500))),
         )
         .await;
-        assert_eq!((renewal(&mut stream).await.epoch, in_force()), (8, Some(8)));
+        assert_eq!(
+            (renewal(&mut stream).await.config_epoch, in_force()),
+            (8, Some(8))
+        );
     });
 }
 
@@ -378,7 +395,7 @@
             let voters = vec![gone(60), gone(61), gone(62)];
             say(
                 &mut stream,
-                ToRouter::Elsewhere {
+                RouterMessage::NotLeader {
                     leader: None,
                     voters,
                 },
--- a/crates/runtime/pooler/src/tests/sessions.rs
+++ b/crates/runtime/pooler/src/tests/sessions.rs
@@ -1,37 +1,37 @@
 //! What waits for one router, and in which order it goes.
 
 use super::*;
-use badgerstream_control::{Ballot, ConfigNews};
+use badgerstream_control::{ConfigUpdate, Term};
 use futures_lite::future::poll_once;
 
-fn answer(sent: f64) -> ToRouter {
-    ToRouter::News {
-        known: (Ballot(1), 1),
-        sent: Some(sent),
-        lease: 1.0,
-        whole: false,
+fn answer(sent: f64) -> RouterMessage {
+    RouterMessage::Update {
+        update_watermark: (Term(1), 1),
+        request_sent_at: Some(sent),
+        lease_duration: 1.0,
+        is_snapshot: false,
         grants: Vec::new(),
         members: Vec::new(),
         config: None,
         voters: Vec::new(),
-        routers: 1,
-        evidence_wanted: Vec::new(),
+        router_count: 1,
+        health_reports_wanted: Vec::new(),
     }
 }
 
-fn news(number: u64) -> Rc<ToRouter> {
+fn news(number: u64) -> Rc<RouterMessage> {
     let mut news = answer(0.0);
-    if let ToRouter::News {
-        known,
-        sent,
+    if let RouterMessage::Update {
+        update_watermark: known,
+        request_sent_at: sent,
         config,
         ..
     } = &mut news
     {
         (*known, *sent, *config) = (
-            (Ballot(1), number),
+            (Term(1), number),
             None,
-            Some(ConfigNews::Whole(random_bytes(100_000).into())),
+            Some(ConfigUpdate::Full(random_bytes(100_000).into())),
         );
     }
     Rc::new(news)
@@ -70,10 +70,10 @@
     let sessions = Sessions::default();
     let outbox = open(&sessions, 1);
     let mut question = answer(0.0);
-    if let ToRouter::News {
-        sent,
-        lease,
-        evidence_wanted,
+    if let RouterMessage::Update {
+        request_sent_at: sent,
+        lease_duration: lease,
+        health_reports_wanted: evidence_wanted,
         ..
     } = &mut question
     {
@@ -81,10 +81,10 @@
     }
     sessions.answer(1, answer(5.0));
     sessions.answer(1, question.clone());
-    let Some(ToRouter::News {
-        sent,
-        lease,
-        evidence_wanted,
+    let Some(RouterMessage::Update {
+        request_sent_at: sent,
+        lease_duration: lease,
+        health_reports_wanted: evidence_wanted,
         ..
     }) = outbox.answer.borrow().clone()
     else {
@@ -94,7 +94,7 @@
         (sent, lease, evidence_wanted),
         (Some(5.0), 1.0, vec!["catalog".to_owned()])
     );
-    let elsewhere = ToRouter::Elsewhere {
+    let elsewhere = RouterMessage::NotLeader {
         leader: None,
         voters: Vec::new(),
     };
@@ -140,8 +140,8 @@
             };
             assert!(matches!(
                 &*second,
-                ToRouter::News {
-                    known: (Ballot(1), 7),
+                RouterMessage::Update {
+                    update_watermark: (Term(1), 7),
                     ..
                 }
             ));
--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -6,7 +6,7 @@
 
 use crate::operators::Outcome;
 use crate::world::World;
-use badgerstream_control::Node;
+use badgerstream_control::NodeId;
 use std::fmt;
 
 /// FNV-1a with 64 bits.
@@ -71,13 +71,13 @@
 /// What the digest last noted of what is looked at after every event.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LastNoted {
-    leader: Option<Node>,
+    leader: Option<NodeId>,
     /// The primary that each router may use, and its term.
     primaries: Vec<Option<(String, u64)>>,
 }
 
 /// 0 stands for nobody.
-fn node_number(node: Option<Node>) -> u64 {
+fn node_number(node: Option<NodeId>) -> u64 {
     node.map_or(0, u64::from)
 }
 
@@ -103,7 +103,7 @@
             let router = &self.routers[at];
             let primary = router
                 .primary(self.now + router.offset)
-                .map(|grant| (grant.id.as_str(), grant.term));
+                .map(|grant| (grant.server_id.as_str(), grant.primary_term));
             let before = self.last_noted.primaries[at].as_ref();
             if primary == before.map(|(id, term)| (id.as_str(), *term)) {
                 continue;
@@ -140,10 +140,10 @@
             let Some(controller) = &machine.controller else {
                 continue;
             };
-            let record = controller.consensus().record();
-            digest.number(record.promised.0);
-            digest.number(record.state.seq);
-            digest.number(record.state.epoch);
+            let record = controller.consensus().hard_state();
+            digest.number(record.voted_term.0);
+            digest.number(record.state.version);
+            digest.number(record.state.config_epoch);
             digest.bytes(record.state.digest().bytes());
         }
         for router in &self.routers {
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk of a control machine.
 
 use crate::schedule::Chance;
-use badgerstream_control::{MemberNews, Node, Record, State};
+use badgerstream_control::{HardState, MemberInfo, NodeId, State};
 use std::rc::Rc;
 
 /// How a disk takes what is written.
@@ -33,19 +33,19 @@
     /// Drawn when the disk was first used.
     pub incarnation: u64,
     /// The record that was saved last.
-    pub record: Record,
+    pub record: HardState,
     /// How it takes what is written.
     pub health: DiskHealth,
     /// The servers that were known.
-    pub servers: Vec<MemberNews>,
+    pub servers: Vec<MemberInfo>,
 }
 
 impl Disk {
     /// An empty disk of a machine that is told of these control machines.
-    pub fn empty(incarnation: u64, seeds: &[Node]) -> Disk {
-        let record = Record {
-            state: Rc::new(State::first(seeds.to_vec())),
-            ..Record::default()
+    pub fn empty(incarnation: u64, seeds: &[NodeId]) -> Disk {
+        let record = HardState {
+            state: Rc::new(State::founding(seeds.to_vec())),
+            ..HardState::default()
         };
         Disk {
             incarnation,
@@ -65,7 +65,7 @@
     }
 
     /// A save of this record was cut short or refused: either record may be on the disk.
-    pub fn save_unfinished(&mut self, record: Record, chance: &mut Chance) {
+    pub fn save_unfinished(&mut self, record: HardState, chance: &mut Chance) {
         if chance.of_thousand(500) {
             self.record = record;
         }
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::oracle::{CATCH_UP, RECOVERY};
 use crate::schedule::Chance;
 use crate::world::World;
-use badgerstream_control::Node;
+use badgerstream_control::NodeId;
 
 /// Operators at work at once.
 const OPERATORS: usize = 6;
@@ -75,12 +75,12 @@
 /// What is to be undone, and when.
 #[derive(Clone, Debug)]
 enum Undo {
-    Start(Node),
-    Thaw(Node),
-    Join(Node),
-    Heal(Node),
-    MendDisk(Node),
-    Remove(Node),
+    Start(NodeId),
+    Thaw(NodeId),
+    Join(NodeId),
+    Heal(NodeId),
+    MendDisk(NodeId),
+    Remove(NodeId),
     JoinHalves,
 }
 
@@ -90,7 +90,7 @@
     pub world: World,
     chance: Chance,
     undo: Vec<(f64, Undo)>,
-    next_node: Node,
+    next_node: NodeId,
     losses: Losses,
     /// Disks lost since all machines last decided.
     disks_lost: usize,
@@ -195,21 +195,21 @@
     }
 
     /// One machine that may be lost, the leader as often as not.
-    fn victim(&mut self) -> Option<Node> {
+    fn victim(&mut self) -> Option<NodeId> {
         let world = &self.world;
         let within = self.losses == Losses::WithinBudget;
         if within && world.lost() >= world.budget {
             return None;
         }
-        let fit = |node: &Node| {
+        let fit = |node: &NodeId| {
             if within {
                 !world.is_lost(*node)
             } else {
                 world.is_well(*node)
             }
         };
-        let there = |node: &Node| !world.controls[node].removed && fit(node);
-        let fit: Vec<Node> = world.controls.keys().copied().filter(there).collect();
+        let there = |node: &NodeId| !world.controls[node].removed && fit(node);
+        let fit: Vec<NodeId> = world.controls.keys().copied().filter(there).collect();
         let leader = self.world.leader().filter(|leader| fit.contains(leader));
         if self.chance.of_thousand(500) {
             leader.or(self.chance.pick(&fit))
@@ -250,7 +250,7 @@
         if self.losses == Losses::WithinBudget || self.world.halves {
             return;
         }
-        let mut others: Vec<Node> = self
+        let mut others: Vec<NodeId> = self
             .world
             .controls
             .iter()
@@ -266,7 +266,7 @@
         self.later(0.2, 6.0, Undo::JoinHalves);
     }
 
-    fn strike_one(&mut self, fault: Fault, node: Node) {
+    fn strike_one(&mut self, fault: Fault, node: NodeId) {
         match fault {
             Fault::Kill => {
                 self.world.kill(node);
@@ -331,7 +331,7 @@
         }
     }
 
-    fn new_node(&mut self) -> Node {
+    fn new_node(&mut self) -> NodeId {
         self.next_node += 1;
         self.next_node - 1
     }
@@ -343,20 +343,20 @@
             return;
         }
         self.tell(format!("{fault:?}"));
-        let there = |node: &Node| within || self.world.is_well(*node);
+        let there = |node: &NodeId| within || self.world.is_well(*node);
         let machines = self
             .world
             .controls
             .iter()
             .filter(|(_, m)| !m.removed)
             .map(|(node, _)| *node);
-        let nodes: Vec<Node> = machines.filter(there).collect();
+        let nodes: Vec<NodeId> = machines.filter(there).collect();
         let disks = if within {
             self.world.budget
         } else {
             self.world.budget - self.disks_lost
         };
-        let mut wiped: Vec<Node> = nodes.clone();
+        let mut wiped: Vec<NodeId> = nodes.clone();
         while wiped.len() > disks {
             let at = self.chance.below(wiped.len() as u64) as usize;
             wiped.remove(at);
--- a/crates/testing/simulation/src/links.rs
+++ b/crates/testing/simulation/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections between control machines: what is sent on one arrives in order, unless it is cut or reset.
 
 use crate::schedule::Chance;
-use badgerstream_control::{Node, PeerMessage, Recipient, Voter};
+use badgerstream_control::{NodeId, PeerMessage, Recipient, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a cut holds up for longer than this is lost, as its sender gives the connection up; in seconds.
@@ -41,9 +41,9 @@
 /// All of them.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
-    all: BTreeMap<(Node, Node), Link>,
+    all: BTreeMap<(NodeId, NodeId), Link>,
     /// Nothing passes from the first to the second.
-    pub cut: BTreeSet<(Node, Node)>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
     connections: u64,
     /// Of a thousand messages so many break their connection, and are lost with all behind them.
     pub resets: u64,
@@ -51,18 +51,18 @@
 
 impl Links {
     /// Whether nothing passes from one to the other.
-    pub fn is_cut(&self, from: Node, to: Node) -> bool {
+    pub fn is_cut(&self, from: NodeId, to: NodeId) -> bool {
         self.cut.contains(&(from, to))
     }
 
     /// Cuts both ways between these two.
-    pub fn cut_between(&mut self, one: Node, other: Node) {
+    pub fn cut_between(&mut self, one: NodeId, other: NodeId) {
         self.cut.insert((one, other));
         self.cut.insert((other, one));
     }
 
     /// The connection from this life of `from`, and whether it is a new one.
-    pub fn connection(&mut self, from: Node, to: Node, life: u64) -> (u64, bool) {
+    pub fn connection(&mut self, from: NodeId, to: NodeId, life: u64) -> (u64, bool) {
         let link = self.all.entry((from, to)).or_default();
         let new = link.connection == 0 || link.life != life;
         if new {
@@ -73,7 +73,7 @@
     }
 
     /// Ends the connection: what is still on its way is lost, and the next message opens another one.
-    pub fn reset(&mut self, from: Node, to: Node) {
+    pub fn reset(&mut self, from: NodeId, to: NodeId) {
         if let Some(link) = self.all.get_mut(&(from, to)) {
             link.connection = 0;
             link.held.clear();
@@ -81,34 +81,40 @@
     }
 
     /// What waits to be sent is lost, as too much of it waits; the connection goes on.
-    pub fn overflow(&mut self, from: Node, to: Node) {
+    pub fn overflow(&mut self, from: NodeId, to: NodeId) {
         if let Some(link) = self.all.get_mut(&(from, to)) {
             link.held.clear();
         }
     }
 
     /// Whether this connection is the newest one.
-    pub fn is_newest(&self, from: Node, to: Node, connection: u64) -> bool {
+    pub fn is_newest(&self, from: NodeId, to: NodeId, connection: u64) -> bool {
         self.all
             .get(&(from, to))
             .is_some_and(|link| link.connection == connection)
     }
 
     /// When a message that is sent now and takes so long arrives: none overtakes another.
-    pub fn arrival(&mut self, from: Node, to: Node, now: f64, takes: f64) -> f64 {
+    pub fn arrival(&mut self, from: NodeId, to: NodeId, now: f64, takes: f64) -> f64 {
         let link = self.all.entry((from, to)).or_default();
         link.last = (now + takes).max(link.last + 1e-5);
         link.last
     }
 
     /// A cut holds this up.
-    pub fn hold(&mut self, from: Node, to: Node, parcel: Parcel) {
+    pub fn hold(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
         self.all.entry((from, to)).or_default().held.push(parcel);
     }
 
     /// What arrives now that nothing is cut between these any more: all of it, or what was sent a moment ago and by
     /// chance some of the rest.
-    pub fn release(&mut self, from: Node, to: Node, now: f64, chance: &mut Chance) -> Vec<Parcel> {
+    pub fn release(
+        &mut self,
+        from: NodeId,
+        to: NodeId,
+        now: f64,
+        chance: &mut Chance,
+    ) -> Vec<Parcel> {
         let Some(link) = self.all.get_mut(&(from, to)) else {
             return Vec::new();
         };
@@ -126,8 +132,8 @@
     }
 
     /// Pairs between which something is held up and nothing is cut any more.
-    pub fn to_release(&self) -> Vec<(Node, Node)> {
-        let waits = |(pair, link): (&(Node, Node), &Link)| {
+    pub fn to_release(&self) -> Vec<(NodeId, NodeId)> {
+        let waits = |(pair, link): (&(NodeId, NodeId), &Link)| {
             (!link.held.is_empty() && !self.cut.contains(pair)).then_some(*pair)
         };
         self.all.iter().filter_map(waits).collect()
--- a/crates/testing/simulation/src/machine.rs
+++ b/crates/testing/simulation/src/machine.rs
@@ -5,7 +5,8 @@
 use crate::servers::Health;
 use crate::world::{Event, World, timing};
 use badgerstream_control::{
-    Asked, Call, Controller, FOUNDING, Node, Output, PeerMessage, Recipient, Record, Voter,
+    CommandOutcome, ControlRequest, Controller, FOUNDING_INCARNATION, HardState, NodeId, Output,
+    PeerMessage, Recipient, Voter,
 };
 use std::collections::VecDeque;
 
@@ -18,7 +19,7 @@
 /// A save under way: the process waits for its disk.
 #[derive(Clone, Debug)]
 pub struct Saving {
-    record: Record,
+    record: HardState,
     /// What is to be done behind it.
     rest: VecDeque<Output>,
     /// The disk has done it, but the process stands still.
@@ -47,7 +48,7 @@
     /// Its clock is ahead by so many seconds.
     pub offset: f64,
     /// The control machines that its settings name.
-    pub seeds: Vec<Node>,
+    pub seeds: Vec<NodeId>,
     /// Its process was asked to end.
     pub ending: bool,
     /// It was replaced: its process never comes back.
@@ -65,7 +66,7 @@
 
 impl World {
     /// A machine with an empty disk, not started yet.
-    pub fn add_control(&mut self, node: Node, incarnation: u64, seeds: &[Node]) {
+    pub fn add_control(&mut self, node: NodeId, incarnation: u64, seeds: &[NodeId]) {
         let machine = Machine {
             controller: None,
             life: 0,
@@ -85,7 +86,7 @@
     }
 
     /// Another machine at an address of its own, with an empty disk; it starts at once.
-    pub fn join(&mut self, node: Node) {
+    pub fn join(&mut self, node: NodeId) {
         let incarnation = self.draw_incarnation();
         let seeds = self.seeds.clone();
         self.add_control(node, incarnation, &seeds);
@@ -93,29 +94,29 @@
     }
 
     /// Three control machines as a list that runs late has them: some may be gone by now, but not all.
-    fn listed_seeds(&mut self, of: Node) -> Vec<Node> {
+    fn listed_seeds(&mut self, of: NodeId) -> Vec<NodeId> {
         let others = self
             .controls
             .iter()
             .filter(|(node, machine)| !machine.removed && **node != of);
-        let listed: Vec<Node> = others.map(|(node, _)| *node).collect();
-        let gone: Vec<Node> = self
+        let listed: Vec<NodeId> = others.map(|(node, _)| *node).collect();
+        let gone: Vec<NodeId> = self
             .controls
             .iter()
             .filter(|(_, machine)| machine.removed)
             .map(|(node, _)| *node)
             .collect();
-        let mut seeds: Vec<Node> = (0..2).filter_map(|_| self.chance.pick(&listed)).collect();
+        let mut seeds: Vec<NodeId> = (0..2).filter_map(|_| self.chance.pick(&listed)).collect();
         seeds.extend(self.chance.pick(&gone).or(self.chance.pick(&listed)));
         seeds
     }
 
     fn draw_incarnation(&mut self) -> u64 {
-        FOUNDING + 1 + self.draw(1 << 40)
+        FOUNDING_INCARNATION + 1 + self.draw(1 << 40)
     }
 
     /// Starts a control machine with what its disk holds.
-    pub fn start(&mut self, node: Node) {
+    pub fn start(&mut self, node: NodeId) {
         let now = self.now;
         let life = 1 + self.draw(1 << 40);
         let budget = self.budget;
@@ -138,26 +139,26 @@
         };
         let mut controller =
             Controller::new(me, machine.disk.record.clone(), clock, life, timing());
-        controller.settings(machine.seeds.clone(), budget);
-        controller.recall(clock, machine.disk.servers.clone(), 0.0);
+        controller.set_seeds_and_budget(machine.seeds.clone(), budget);
+        controller.restore_members(clock, machine.disk.servers.clone(), 0.0);
         machine.controller = Some(controller);
         self.put(0.0, Event::Tick(node, life));
         self.say(|| format!("control {node} starts as {me}"));
     }
 
     /// The process ends; its disk stays as at the last save, or has the one that was under way.
-    pub fn kill(&mut self, node: Node) {
+    pub fn kill(&mut self, node: NodeId) {
         self.say(|| format!("control {node} killed"));
         self.end(node, Health::Down);
     }
 
     /// The machine loses power: nobody is told.
-    pub fn power_off(&mut self, node: Node) {
+    pub fn power_off(&mut self, node: NodeId) {
         self.say(|| format!("control {node} loses power"));
         self.end(node, Health::Dark);
     }
 
-    fn end(&mut self, node: Node, health: Health) {
+    fn end(&mut self, node: NodeId, health: Health) {
         self.trouble(node);
         let machine = self.controls.get_mut(&node).expect("the machine exists");
         machine.controller = None;
@@ -185,7 +186,7 @@
     }
 
     /// The disk is lost with the process.
-    pub fn wipe(&mut self, node: Node) {
+    pub fn wipe(&mut self, node: NodeId) {
         self.kill(node);
         self.say(|| format!("control {node} loses its disk"));
         let incarnation = self.draw_incarnation();
@@ -196,7 +197,7 @@
     }
 
     /// The machine is gone for good.
-    pub fn remove(&mut self, node: Node) {
+    pub fn remove(&mut self, node: NodeId) {
         self.power_off(node);
         self.controls
             .get_mut(&node)
@@ -205,7 +206,7 @@
     }
 
     /// The process stands still.
-    pub fn freeze(&mut self, node: Node) {
+    pub fn freeze(&mut self, node: NodeId) {
         self.say(|| format!("control {node} frozen"));
         self.trouble(node);
         self.controls
@@ -215,7 +216,7 @@
     }
 
     /// It goes on.
-    pub fn thaw(&mut self, node: Node) {
+    pub fn thaw(&mut self, node: NodeId) {
         self.say(|| format!("control {node} thawed"));
         self.trouble(node);
         let machine = self.controls.get_mut(&node).expect("the machine exists");
@@ -227,7 +228,7 @@
         self.take_inbox(node);
     }
 
-    fn take_inbox(&mut self, node: Node) {
+    fn take_inbox(&mut self, node: NodeId) {
         let machine = self.controls.get_mut(&node).expect("the machine exists");
         if machine.stands_still() {
             return;
@@ -240,11 +241,11 @@
     }
 
     /// The machine that leads and may act.
-    pub fn leader(&self) -> Option<Node> {
-        let acts = |(node, machine): (&Node, &Machine)| {
+    pub fn leader(&self) -> Option<NodeId> {
+        let acts = |(node, machine): (&NodeId, &Machine)| {
             let clock = self.now + machine.offset;
             let controller = machine.controller.as_ref().filter(|_| !machine.frozen)?;
-            controller.acts(clock).then_some(*node)
+            controller.may_act(clock).then_some(*node)
         };
         self.controls.iter().find_map(acts)
     }
@@ -264,12 +265,14 @@
     }
 
     /// A call to this control machine; its answer is found in `replies` under this number.
-    pub fn call(&mut self, node: Node, number: u64, call: Call) {
-        self.with(node, |controller, now| controller.call(now, number, call));
+    pub fn call(&mut self, node: NodeId, number: u64, call: ControlRequest) {
+        self.with(node, |controller, now| {
+            controller.handle_request(now, number, call)
+        });
     }
 
     /// Lets the machine decide; nothing happens if its process doesn't run.
-    pub fn with(&mut self, node: Node, act: impl FnOnce(&mut Controller, f64) -> Vec<Output>) {
+    pub fn with(&mut self, node: NodeId, act: impl FnOnce(&mut Controller, f64) -> Vec<Output>) {
         let now = self.now;
         let Some(machine) = self.controls.get_mut(&node) else {
             return;
@@ -283,7 +286,7 @@
     }
 
     /// Whether this process takes in an event now; if it only stands still, the event waits.
-    pub fn reaches(&mut self, node: Node, life: Option<u64>, event: &Event) -> bool {
+    pub fn reaches(&mut self, node: NodeId, life: Option<u64>, event: &Event) -> bool {
         let Some(machine) = self.controls.get_mut(&node) else {
             return false;
         };
@@ -298,30 +301,37 @@
     }
 
     /// Does what was decided, in order; behind a save nothing happens before it is done.
-    pub fn perform(&mut self, node: Node, mut out: VecDeque<Output>) {
+    pub fn perform(&mut self, node: NodeId, mut out: VecDeque<Output>) {
         let life = self.controls[&node].life;
         while let Some(one) = out.pop_front() {
             match one {
-                Output::Save => match self.begin_save(node, out) {
+                Output::Persist => match self.begin_save(node, out) {
                     Some(rest) => out = rest,
                     None => return,
                 },
-                Output::KeepServers(then) => {
+                Output::PersistMembers(then) => {
                     if self.keep_servers(node) {
                         then.into_iter().rev().for_each(|next| out.push_front(next));
                     }
                 }
-                Output::Peer(to, message) => self.send(node, to, message),
-                Output::Router(connection, message) => self.send_news(node, connection, message),
-                Output::News(connection, news) => self.send_news(node, connection, (*news).clone()),
-                Output::Ask {
-                    id,
+                Output::SendToPeer(to, message) => self.send(node, to, message),
+                Output::SendToRouter(connection, message) => {
+                    self.send_news(node, connection, message)
+                }
+                Output::SendUpdate(connection, news) => {
+                    self.send_news(node, connection, (*news).clone())
+                }
+                Output::SendCommand {
+                    server_id: id,
                     endpoint,
-                    statement,
+                    command: statement,
                     ..
                 } => self.ask_server(node, id, &endpoint, statement),
                 Output::Promote {
-                    id, fence, before, ..
+                    server_id: id,
+                    fencing_token: fence,
+                    deadline: before,
+                    ..
                 } => {
                     let way = self.way();
                     self.put(
@@ -335,34 +345,34 @@
                         },
                     );
                 }
-                Output::Reply(call, answer) => self.reply(node, call, answer),
+                Output::Respond(call, answer) => self.reply(node, call, answer),
             }
         }
     }
 
     /// The servers that are known are on the disk from now on, if it takes them.
-    pub(crate) fn keep_servers(&mut self, node: Node) -> bool {
+    pub(crate) fn keep_servers(&mut self, node: NodeId) -> bool {
         let now = self.now;
         let Some(machine) = self.controls.get_mut(&node) else {
             return false;
         };
         let taken = machine.disk.begin_save(now) != Save::Refused;
         if let Some(controller) = machine.controller.as_ref().filter(|_| taken) {
-            machine.disk.servers = controller.members().kept();
+            machine.disk.servers = controller.members().to_persist();
             machine.servers_kept = now;
         }
         taken
     }
 
     /// The outputs that follow; none if they wait for the disk.
-    fn begin_save(&mut self, node: Node, rest: VecDeque<Output>) -> Option<VecDeque<Output>> {
+    fn begin_save(&mut self, node: NodeId, rest: VecDeque<Output>) -> Option<VecDeque<Output>> {
         let now = self.now;
         let machine = self.controls.get_mut(&node).expect("the machine exists");
         let record = machine
             .controller
             .as_ref()
             .expect("a process saves")
-            .record()
+            .hard_state()
             .clone();
         match machine.disk.begin_save(now) {
             Save::DoneAt(at) => {
@@ -382,7 +392,7 @@
                 let clock = now + machine.offset;
                 let controller = machine.controller.as_mut().expect("a process saves");
                 let mut out = rest;
-                out.extend(controller.save_failed(clock));
+                out.extend(controller.persist_failed(clock));
                 let life = machine.life;
                 self.put(REOPEN, Event::Reopen(node, life));
                 Some(out)
@@ -391,7 +401,7 @@
     }
 
     /// A save is done.
-    pub(crate) fn saved(&mut self, node: Node, life: u64) {
+    pub(crate) fn saved(&mut self, node: NodeId, life: u64) {
         let now = self.now;
         let Some(machine) = self
             .controls
@@ -414,14 +424,14 @@
         let Some(controller) = &mut machine.controller else {
             return;
         };
-        let mut out: VecDeque<Output> = controller.saved(clock).into();
+        let mut out: VecDeque<Output> = controller.persisted(clock).into();
         out.extend(saving.rest);
         self.perform(node, out);
         self.take_inbox(node);
     }
 
     /// A disk that failed is opened anew, if it takes bytes again.
-    pub(crate) fn reopen(&mut self, node: Node, life: u64) {
+    pub(crate) fn reopen(&mut self, node: NodeId, life: u64) {
         let now = self.now;
         let Some(machine) = self
             .controls
@@ -437,11 +447,11 @@
         let clock = now + machine.offset;
         let record = machine.disk.record.clone();
         if let Some(controller) = &mut machine.controller {
-            controller.reopened(clock, record);
+            controller.disk_reopened(clock, record);
         }
     }
 
-    fn send(&mut self, from: Node, to: Recipient, message: PeerMessage) {
+    fn send(&mut self, from: NodeId, to: Recipient, message: PeerMessage) {
         let machine = &self.controls[&from];
         let sender = Voter {
             node: from,
@@ -495,7 +505,7 @@
         };
         if !parcel.to.is(me) {
             // It learns all the same that a control machine has that address.
-            self.with(to, |controller, _| controller.contact(from.node));
+            self.with(to, |controller, _| controller.peer_discovered(from.node));
             return;
         }
         let current = self
@@ -507,16 +517,16 @@
         }
         self.lives_heard.insert((to, from.node), parcel.connection);
         self.with(to, |controller, now| {
-            controller.peer(now, from, parcel.message)
+            controller.handle_peer_message(now, from, parcel.message)
         });
     }
 
     fn ask_server(
         &mut self,
-        node: Node,
+        node: NodeId,
         id: String,
         endpoint: &str,
-        statement: badgerstream_control::Statement,
+        statement: badgerstream_control::ServerCommand,
     ) {
         let machine = &self.controls[&node];
         let (life, asked) = (machine.life, self.now + machine.offset);
@@ -530,21 +540,21 @@
         if silent || health == Health::Dark {
             self.put(
                 0.6,
-                Event::Asked {
+                Event::CommandOutcome {
                     node,
                     life,
                     id,
-                    asked: Asked::Silent,
+                    asked: CommandOutcome::TimedOut,
                 },
             );
         } else if health == Health::Down {
             self.put(
                 2.0 * way,
-                Event::Asked {
+                Event::CommandOutcome {
                     node,
                     life,
                     id,
-                    asked: Asked::Refused,
+                    asked: CommandOutcome::Refused,
                 },
             );
         } else {
@@ -562,13 +572,13 @@
     }
 
     /// Any control machine that runs, as a caller would find one.
-    pub(crate) fn any_control(&mut self) -> Option<Node> {
-        let runs = |(node, machine): &(&Node, &Machine)| {
+    pub(crate) fn any_control(&mut self) -> Option<NodeId> {
+        let runs = |(node, machine): &(&NodeId, &Machine)| {
             machine.controller.is_some()
                 && !machine.stands_still()
                 && !self.deaf_controls.contains(node)
         };
-        let fit: Vec<Node> = self
+        let fit: Vec<NodeId> = self
             .controls
             .iter()
             .filter(runs)
--- a/crates/testing/simulation/src/operators.rs
+++ b/crates/testing/simulation/src/operators.rs
@@ -1,7 +1,7 @@
 //! Operators that change the configuration at once, and send again what had no clear answer.
 
 use crate::world::{Event, World};
-use badgerstream_control::{Answer, Call, Node};
+use badgerstream_control::{ControlRequest, ControlResponse, NodeId};
 use std::rc::Rc;
 
 /// An operator goes on to another machine after so many seconds without an answer.
@@ -59,7 +59,7 @@
     /// It must know the version before it goes on.
     must_read: bool,
     /// The machine that was asked last: the next one is another.
-    last: Option<Node>,
+    last: Option<NodeId>,
 }
 
 impl World {
@@ -95,13 +95,13 @@
         let call = match self.operators[at].asks {
             Some(Asks::Order(order)) => {
                 let order = &self.orders[order];
-                Call::Replace {
-                    base: order.base,
+                ControlRequest::ReplaceConfig {
+                    base_epoch: order.base,
                     epoch: order.epoch,
                     body: order.body.clone(),
                 }
             }
-            _ => Call::Read,
+            _ => ControlRequest::ReadConfig,
         };
         let number = self.call_for_operator(at);
         self.say(|| {
@@ -112,7 +112,7 @@
         });
         self.operators[at].call = Some((number, self.now));
         let way = self.way();
-        self.put(way, Event::Call(node, number, call));
+        self.put(way, Event::ControlRequest(node, number, call));
     }
 
     fn next_task(&mut self, at: usize) -> Asks {
@@ -142,17 +142,17 @@
     }
 
     /// A machine of the list that operators have, any that was not removed, but for the one that was asked last.
-    fn chosen_machine(&mut self, last: Option<Node>) -> Option<Node> {
+    fn chosen_machine(&mut self, last: Option<NodeId>) -> Option<NodeId> {
         let there = self
             .controls
             .iter()
             .filter(|(node, machine)| !machine.removed && Some(**node) != last);
-        let listed: Vec<Node> = there.map(|(node, _)| *node).collect();
+        let listed: Vec<NodeId> = there.map(|(node, _)| *node).collect();
         self.chance.pick(&listed)
     }
 
     /// An operator has the answer to its call.
-    pub(crate) fn answer_operator(&mut self, at: usize, number: u64, answer: &Answer) {
+    pub(crate) fn answer_operator(&mut self, at: usize, number: u64, answer: &ControlResponse) {
         if self.operators[at]
             .call
             .is_none_or(|(call, _)| call != number)
--- a/crates/testing/simulation/src/oracle.rs
+++ b/crates/testing/simulation/src/oracle.rs
@@ -6,7 +6,7 @@
 use crate::machine::Machine;
 use crate::operators::{Outcome, epoch_of};
 use crate::world::World;
-use badgerstream_control::{Digest, Node, Voter};
+use badgerstream_control::{Digest, NodeId, Voter};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
     /// Configurations that a leader went by as agreed on, by epoch.
     configs: BTreeMap<u64, Rc<[u8]>>,
     /// The newest state of each machine that was looked at.
-    looked_at: BTreeMap<Node, (u64, u64)>,
+    looked_at: BTreeMap<NodeId, (u64, u64)>,
     /// When something last happened to a machine or a link.
     pub(crate) event: f64,
     /// More machines were lost than the budget allows, or halves cut from each other, and not all are back.
@@ -46,12 +46,12 @@
     /// How many orders were acknowledged.
     pub acknowledgements: u64,
     /// Machines that are gone for good, and when their successor started.
-    pub(crate) successors: BTreeMap<Node, Option<f64>>,
+    pub(crate) successors: BTreeMap<NodeId, Option<f64>>,
 }
 
 impl World {
     /// Something happens to this machine.
-    pub(crate) fn trouble(&mut self, node: Node) {
+    pub(crate) fn trouble(&mut self, node: NodeId) {
         self.seen.event = self.now;
         if let Some(machine) = self.controls.get_mut(&node) {
             machine.trouble_until = self.now + CATCH_UP;
@@ -59,7 +59,7 @@
     }
 
     /// Whether this machine counts as lost.
-    pub fn is_lost(&self, node: Node) -> bool {
+    pub fn is_lost(&self, node: NodeId) -> bool {
         let Some(machine) = self.controls.get(&node) else {
             return false;
         };
@@ -71,7 +71,7 @@
     }
 
     /// Whether this machine runs, hears the others and can save.
-    pub fn is_well(&self, node: Node) -> bool {
+    pub fn is_well(&self, node: NodeId) -> bool {
         let Some(machine) = self.controls.get(&node) else {
             return false;
         };
@@ -92,7 +92,7 @@
 
     /// How many machines are away now, those not counted that are back and catch up.
     fn absent(&self) -> usize {
-        let away = |(node, machine): &(&Node, &Machine)| {
+        let away = |(node, machine): &(&NodeId, &Machine)| {
             if machine.removed {
                 self.is_lost(**node)
             } else {
@@ -112,34 +112,41 @@
 
     /// Whether a leader has agreed on a set of voters in which every machine is, in the life of its disk, and none that is gone.
     pub fn all_decide(&self) -> bool {
-        let agreed = |machine: &Machine| machine.controller.as_ref()?.consensus().agreed().cloned();
+        let agreed = |machine: &Machine| {
+            machine
+                .controller
+                .as_ref()?
+                .consensus()
+                .committed_state()
+                .cloned()
+        };
         let newest = self
             .controls
             .values()
             .filter_map(agreed)
-            .max_by_key(|state| state.seq);
+            .max_by_key(|state| state.version);
         newest.is_some_and(|state| {
-            let decides = |(node, machine): (&Node, &Machine)| {
+            let decides = |(node, machine): (&NodeId, &Machine)| {
                 let voter = Voter {
                     node: *node,
                     incarnation: machine.disk.incarnation,
                 };
-                state.membership.contains(voter) != machine.removed
+                state.voters.contains(voter) != machine.removed
             };
-            !state.membership.is_joint() && self.controls.iter().all(decides)
+            !state.voters.is_joint() && self.controls.iter().all(decides)
         })
     }
 
     /// Checked at every event.
     pub(crate) fn check(&mut self) {
         self.check_primaries();
-        let acting: Vec<Node> = self
+        let acting: Vec<NodeId> = self
             .controls
             .iter()
             .filter(|(_, m)| {
                 m.controller
                     .as_ref()
-                    .is_some_and(|c| c.acts(self.now + m.offset))
+                    .is_some_and(|c| c.may_act(self.now + m.offset))
             })
             .map(|(node, _)| *node)
             .collect();
@@ -156,7 +163,7 @@
     /// Leaders go by one configuration of an epoch.
     fn note_configs(&mut self) {
         for (node, machine) in &self.controls {
-            let Some(controller) = machine.controller.as_ref().filter(|c| c.leads()) else {
+            let Some(controller) = machine.controller.as_ref().filter(|c| c.is_leader()) else {
                 continue;
             };
             let (epoch, text) = controller.config();
@@ -196,7 +203,7 @@
             .routers
             .iter()
             .filter_map(|router| router.primary(self.now + router.offset))
-            .map(|grant| (grant.id.as_str(), grant.term))
+            .map(|grant| (grant.server_id.as_str(), grant.primary_term))
             .collect();
         assert!(
             usable.len() < 2,
@@ -211,14 +218,19 @@
             let Some(controller) = &machine.controller else {
                 continue;
             };
-            let Some(state) = controller.consensus().agreed() else {
+            let Some(state) = controller.consensus().committed_state() else {
                 continue;
             };
-            let ballot = controller.consensus().leads().map_or(0, |ballot| ballot.0);
-            if self.seen.looked_at.insert(*node, (ballot, state.seq)) == Some((ballot, state.seq)) {
+            let ballot = controller
+                .consensus()
+                .leader_term()
+                .map_or(0, |ballot| ballot.0);
+            if self.seen.looked_at.insert(*node, (ballot, state.version))
+                == Some((ballot, state.version))
+            {
                 continue;
             }
-            let (digest, epoch) = (state.digest(), state.epoch);
+            let (digest, epoch) = (state.digest(), state.config_epoch);
             if self
                 .seen
                 .agreed
@@ -229,25 +241,25 @@
             }
             self.run_digest.number(note::AGREED);
             self.run_digest.time(self.now);
-            for number in [u64::from(*node), ballot, state.seq, epoch] {
+            for number in [u64::from(*node), ballot, state.version, epoch] {
                 self.run_digest.number(number);
             }
             self.run_digest.bytes(digest.bytes());
-            let other = self.seen.agreed.insert(state.seq, (digest, epoch));
+            let other = self.seen.agreed.insert(state.version, (digest, epoch));
             assert!(
                 other.is_none_or(|(other, _)| other == digest),
                 "{}: {node} agreed on another state {}",
                 self.now,
-                state.seq
+                state.version
             );
             let newest = self.seen.agreed.last_key_value().map_or(0, |(seq, _)| *seq);
             // A leader that was cut off may learn late that an older state had been agreed on; it acts on it no more.
-            let acts = controller.acts(self.now + machine.offset);
+            let acts = controller.may_act(self.now + machine.offset);
             assert!(
-                state.seq >= newest || !acts,
+                state.version >= newest || !acts,
                 "{}: {node} agreed on {} after {newest}",
                 self.now,
-                state.seq
+                state.version
             );
             let refused = self.orders.iter().find(|order| {
                 order.outcome == Outcome::Refused
@@ -315,8 +327,8 @@
 
     fn newest_config(&self) -> Option<(u64, Rc<[u8]>)> {
         let agreed = |machine: &Machine| {
-            let state = machine.controller.as_ref()?.consensus().agreed()?;
-            Some((state.seq, state.epoch, state.config.clone()))
+            let state = machine.controller.as_ref()?.consensus().committed_state()?;
+            Some((state.version, state.config_epoch, state.config.clone()))
         };
         let newest = self
             .controls
@@ -421,7 +433,7 @@
 
     /// How the machines stand, for messages.
     pub fn describe(&self) -> String {
-        let one = |(node, machine): (&Node, &Machine)| {
+        let one = |(node, machine): (&NodeId, &Machine)| {
             let lost = if self.is_lost(*node) { " lost" } else { "" };
             let Some(controller) = &machine.controller else {
                 return format!("{node}: down{lost}");
@@ -436,8 +448,8 @@
                     .map(|v| v.node)
                     .collect::<Vec<_>>(),
                 controller.leader(),
-                consensus.record().state.seq,
-                consensus.record().promised.0,
+                consensus.hard_state().state.version,
+                consensus.hard_state().voted_term.0,
                 machine.stands_still(),
                 machine.disk.health,
                 consensus.disk_failed(),
--- a/crates/testing/simulation/src/platform.rs
+++ b/crates/testing/simulation/src/platform.rs
@@ -3,10 +3,10 @@
 use crate::digest::note;
 use crate::servers::Health;
 use crate::world::{Event, World};
-use badgerstream_control::{Node, PromotionOutcome};
+use badgerstream_control::{NodeId, PromotionOutcome};
 
 impl World {
-    pub(crate) fn post_at(&mut self, node: Node, life: u64, id: &str, fence: u64) {
+    pub(crate) fn post_at(&mut self, node: NodeId, life: u64, id: &str, fence: u64) {
         let way = self.way();
         self.say(|| format!("platform: control {node} promotes {id} under {fence}"));
         self.posts.push((id.to_owned(), fence));
--- a/crates/testing/simulation/src/routers.rs
+++ b/crates/testing/simulation/src/routers.rs
@@ -3,13 +3,15 @@
 use crate::operators::epoch_of;
 use crate::servers::{Health, SERVICE};
 use crate::world::{Event, World};
-use badgerstream_control::{Ballot, ConfigNews, Evidence, GrantNews, Node, ToControl, ToRouter};
+use badgerstream_control::{
+    ConfigUpdate, HealthReport, LeaseRequest, NodeId, PrimaryGrant, RouterMessage, Term,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
 struct Conn {
-    node: Node,
+    node: NodeId,
     life: u64,
     id: u64,
     /// When the newest message on it arrives: they stay in order.
@@ -25,19 +27,19 @@
     pub(crate) offset: f64,
     conn: Option<Conn>,
     turn: usize,
-    hint: Option<Node>,
+    hint: Option<NodeId>,
     renewed: f64,
     answered: f64,
-    known: (Ballot, u64),
-    grants: HashMap<String, GrantNews>,
+    known: (Term, u64),
+    grants: HashMap<String, PrimaryGrant>,
     pub lease_until: f64,
-    fading: HashMap<String, (GrantNews, f64)>,
+    fading: HashMap<String, (PrimaryGrant, f64)>,
     /// The configuration that it holds; empty if it holds none.
     config: Rc<[u8]>,
     /// The highest epoch that was in force in this life; 0 before the first.
     pub in_force: u64,
     /// The control machines that it knows.
-    nodes: Vec<Node>,
+    nodes: Vec<NodeId>,
     /// When each server last answered it anything, by its own clock.
     pub(crate) evidence: BTreeMap<String, f64>,
     pub(crate) inbox: Vec<Event>,
@@ -45,15 +47,15 @@
 
 impl Router {
     /// The text that it goes by once it was told this. What it can make nothing of it asks for whole.
-    fn read_config(&mut self, news: &ConfigNews) -> Rc<[u8]> {
+    fn read_config(&mut self, news: &ConfigUpdate) -> Rc<[u8]> {
         self.config = news.resolve(&self.config).unwrap_or_else(|| Rc::from([]));
         self.config.clone()
     }
 
     /// The server that it may use as primary at that second of its own clock.
-    pub(crate) fn primary(&self, clock: f64) -> Option<&GrantNews> {
+    pub(crate) fn primary(&self, clock: f64) -> Option<&PrimaryGrant> {
         match self.grants.get(SERVICE) {
-            Some(grant) => (clock < self.lease_until && !grant.closing).then_some(grant),
+            Some(grant) => (clock < self.lease_until && !grant.revoking).then_some(grant),
             None => self
                 .fading
                 .get(SERVICE)
@@ -65,7 +67,7 @@
 
 impl Router {
     /// The process at the other end of its connection is gone.
-    pub(crate) fn forget_connection(&mut self, node: Node) {
+    pub(crate) fn forget_connection(&mut self, node: NodeId) {
         if self.conn.as_ref().is_some_and(|conn| conn.node == node) {
             self.conn = None;
         }
@@ -74,7 +76,7 @@
 
 impl World {
     /// What a control machine says on this connection.
-    pub(crate) fn send_news(&mut self, node: Node, conn: u64, message: ToRouter) {
+    pub(crate) fn send_news(&mut self, node: NodeId, conn: u64, message: RouterMessage) {
         let way = self.way();
         let life = self.controls[&node].life;
         let found = self.routers.iter().position(|r| {
@@ -113,7 +115,7 @@
             hint: None,
             renewed: 0.0,
             answered: 0.0,
-            known: (Ballot(0), 0),
+            known: (Term(0), 0),
             grants: HashMap::new(),
             lease_until: f64::NEG_INFINITY,
             fading: HashMap::new(),
@@ -137,7 +139,7 @@
         let Some(grant) = it.primary(self.now + it.offset) else {
             return;
         };
-        let server = grant.id.clone();
+        let server = grant.server_id.clone();
         let (seen, sent) = (self.acked.len(), self.now);
         let write = self.draw(3) == 0;
         let way = self.way();
@@ -248,18 +250,18 @@
         let it = &mut self.routers[router];
         let now = self.now + it.offset;
         it.renewed = now;
-        let evidence = it.evidence.iter().map(|(id, at)| Evidence {
+        let evidence = it.evidence.iter().map(|(id, at)| HealthReport {
             service: SERVICE.to_owned(),
-            id: id.clone(),
-            answered: now - at,
+            server_id: id.clone(),
+            answered_seconds_ago: now - at,
         });
-        let call = ToControl {
+        let call = LeaseRequest {
             router: it.name.clone(),
-            life: it.life,
-            sent: now,
-            known: it.known,
-            epoch: epoch_of(&it.config),
-            evidence: evidence.collect(),
+            process_incarnation: it.life,
+            sent_at: now,
+            update_watermark: it.known,
+            config_epoch: epoch_of(&it.config),
+            health_reports: evidence.collect(),
         };
         let Some(conn) = &mut it.conn else { return };
         conn.last = (self.now + way).max(conn.last + 1e-5);
@@ -274,28 +276,28 @@
         self.put(after, event);
     }
 
-    pub(crate) fn news(&mut self, router: usize, conn: u64, message: ToRouter) {
+    pub(crate) fn news(&mut self, router: usize, conn: u64, message: RouterMessage) {
         let it = &mut self.routers[router];
         if it.conn.as_ref().is_none_or(|c| c.id != conn) {
             return;
         }
         let now = self.now + it.offset;
         let (known, sent, lease, whole, grants, config, voters) = match message {
-            ToRouter::Elsewhere { leader, voters } => {
+            RouterMessage::NotLeader { leader, voters } => {
                 let node = it.conn.take().map(|c| c.node);
                 it.hint = leader.filter(|l| Some(*l) != node);
-                let told: Vec<Node> = voters
+                let told: Vec<NodeId> = voters
                     .into_iter()
                     .filter(|node| !it.nodes.contains(node))
                     .collect();
                 it.nodes.extend(told);
                 return;
             }
-            ToRouter::News {
-                known,
-                sent,
-                lease,
-                whole,
+            RouterMessage::Update {
+                update_watermark: known,
+                request_sent_at: sent,
+                lease_duration: lease,
+                is_snapshot: whole,
                 grants,
                 config,
                 voters,
@@ -310,7 +312,7 @@
             told = config.map(|news| it.read_config(&news));
             if whole {
                 let until = it.lease_until;
-                let old = it.grants.drain().filter(|(_, g)| !g.closing);
+                let old = it.grants.drain().filter(|(_, g)| !g.revoking);
                 it.fading = old
                     .map(|(service, grant)| (service, (grant, until)))
                     .collect();
@@ -352,10 +354,10 @@
         let mut used = None;
         for router in self.routers.iter().filter(|r| !r.frozen) {
             let grant = router.primary(self.now + router.offset)?;
-            if used.as_ref().is_some_and(|u| *u != grant.id) {
+            if used.as_ref().is_some_and(|u| *u != grant.server_id) {
                 return None;
             }
-            used = Some(grant.id.clone());
+            used = Some(grant.server_id.clone());
         }
         used.filter(|id| {
             self.servers
--- a/crates/testing/simulation/src/servers.rs
+++ b/crates/testing/simulation/src/servers.rs
@@ -3,7 +3,7 @@
 
 use crate::digest::note;
 use crate::world::{Event, World};
-use badgerstream_control::{Beat, Call, Phase, Row, Statement};
+use badgerstream_control::{ControlRequest, Heartbeat, MemberPhase, ServerCommand, ServerStatus};
 use std::collections::HashSet;
 
 /// The service.
@@ -52,13 +52,13 @@
 }
 
 /// A heartbeat of a server.
-pub fn beat(endpoint: &str, seq: u64, draining: bool) -> Beat {
+pub fn beat(endpoint: &str, seq: u64, draining: bool) -> Heartbeat {
     let phase = if draining {
-        Phase::Draining
+        MemberPhase::Draining
     } else {
-        Phase::Ready
+        MemberPhase::Ready
     };
-    Beat {
+    Heartbeat {
         service: SERVICE.to_owned(),
         endpoint: endpoint.to_owned(),
         zone: "z".to_owned(),
@@ -90,7 +90,7 @@
         };
         self.servers.insert(id.to_owned(), server);
         let wait = 0.01 * self.draw(100) as f64;
-        self.put(wait, Event::Beat(id.to_owned()));
+        self.put(wait, Event::Heartbeat(id.to_owned()));
     }
 
     pub fn crash(&mut self, id: &str) {
@@ -118,7 +118,7 @@
         server.held = None;
         // Whoever returns has to find the primary first; a pause that comes at once finds it as it was.
         server.apart_until = self.now + 0.25;
-        self.put(0.01, Event::Beat(id.to_owned()));
+        self.put(0.01, Event::Heartbeat(id.to_owned()));
     }
 
     /// A server that is gone is back at its address under another id, with its log; it leads if nobody was promoted since.
@@ -144,7 +144,7 @@
     pub fn drain(&mut self, id: &str) {
         self.say(|| format!("server {id} drains"));
         self.servers.get_mut(id).unwrap().draining = true;
-        self.put(0.0, Event::Beat(id.to_owned()));
+        self.put(0.0, Event::Heartbeat(id.to_owned()));
     }
 
     /// It leaves and ends.
@@ -154,7 +154,13 @@
         server.left = true;
         server.health = Health::Down;
         if let Some(node) = self.any_control() {
-            self.call(node, 0, Call::Depart { id: id.to_owned() });
+            self.call(
+                node,
+                0,
+                ControlRequest::Depart {
+                    server_id: id.to_owned(),
+                },
+            );
         }
     }
 
@@ -163,17 +169,27 @@
         self.say(|| format!("server {id} departs and serves on"));
         self.servers.get_mut(id).expect("the server exists").left = true;
         if let Some(node) = self.any_control() {
-            self.call(node, 0, Call::Depart { id: id.to_owned() });
+            self.call(
+                node,
+                0,
+                ControlRequest::Depart {
+                    server_id: id.to_owned(),
+                },
+            );
         }
     }
 
-    pub(crate) fn run_statement(&mut self, id: &str, statement: Statement) -> Option<Row> {
+    pub(crate) fn run_statement(
+        &mut self,
+        id: &str,
+        statement: ServerCommand,
+    ) -> Option<ServerStatus> {
         let heard = self.held_is_heard;
         let once = self.pause_once;
         let server = self.servers.get_mut(id).unwrap();
         match statement {
-            Statement::Status => {}
-            Statement::Pause(term) => {
+            ServerCommand::Status => {}
+            ServerCommand::Pause(term) => {
                 let newest = if heard {
                     server.term.max(server.heard_of)
                 } else {
@@ -188,8 +204,8 @@
                     server.heard_of = server.heard_of.max(term);
                 }
             }
-            Statement::Resume => server.held = None,
-            Statement::StepDown(term) => {
+            ServerCommand::Resume => server.held = None,
+            ServerCommand::StepDown(term) => {
                 server.heard_of = server.heard_of.max(term);
                 if server.leader && server.term < term {
                     server.leader = false;
@@ -201,11 +217,11 @@
         } else {
             server.held.unwrap_or(0)
         };
-        Some(Row {
-            leader: server.leader,
-            term: server.term,
+        Some(ServerStatus {
+            is_primary: server.leader,
+            primary_term: server.term,
             received: server.position(),
-            held,
+            highest_term: held,
         })
     }
 
@@ -275,12 +291,19 @@
             server.seq += 1;
             let one = beat(&server.endpoint, server.seq, server.draining);
             let id = id.to_owned();
-            self.call(node, number, Call::Beat { id, beat: one });
+            self.call(
+                node,
+                number,
+                ControlRequest::Heartbeat {
+                    server_id: id,
+                    heartbeat: one,
+                },
+            );
         }
         // Only one chain of beats goes on.
-        let waiting = self.waits_for(|e| matches!(e, Event::Beat(of) if of == id));
+        let waiting = self.waits_for(|e| matches!(e, Event::Heartbeat(of) if of == id));
         if !waiting {
-            self.put(1.2, Event::Beat(id.to_owned()));
+            self.put(1.2, Event::Heartbeat(id.to_owned()));
         }
     }
 
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -9,30 +9,30 @@
 use crate::schedule::{Chance, Schedule};
 use crate::servers::{Health, SERVICE, Server};
 use badgerstream_control::{
-    Answer, Asked, Call, ControlTiming, Controller, Node, PromotionOutcome, Statement, Timing,
-    ToControl, ToRouter,
+    CommandOutcome, ControlConfig, ControlRequest, ControlResponse, Controller, FailoverConfig,
+    LeaseRequest, NodeId, PromotionOutcome, RouterMessage, ServerCommand,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// As the program sets them by default, with heartbeats of 1.2 s.
-pub fn timing() -> ControlTiming {
-    let service = Timing {
-        ask: 0.2,
-        ask_replica: 1.0,
-        silence: 0.6,
-        answer: 0.6,
-        heartbeat: 1.2,
-        drain: 7.0,
+pub fn timing() -> ControlConfig {
+    let service = FailoverConfig {
+        primary_poll_interval: 0.2,
+        replica_poll_interval: 1.0,
+        primary_timeout: 0.6,
+        query_timeout: 0.6,
+        heartbeat_interval: 1.2,
+        drain_timeout: 7.0,
     };
-    ControlTiming {
-        lease: 1.0,
-        suspect: 0.6,
-        contact: 1.0,
-        platform: 1.0,
-        turn: 0.0,
-        call: 0.9,
-        forget: 4.8,
-        service,
+    ControlConfig {
+        lease_duration: 1.0,
+        election_timeout: 0.6,
+        contact_timeout: 1.0,
+        platform_call_timeout: 1.0,
+        duty_handover_delay: 0.0,
+        request_timeout: 0.9,
+        member_timeout: 4.8,
+        failover: service,
     }
 }
 
@@ -44,42 +44,42 @@
 /// What happens.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Tick(Node, u64),
+    Tick(NodeId, u64),
     Peer(Parcel),
-    Met(Node, Node, u64),
-    Saved(Node, u64),
-    Reopen(Node, u64),
-    Call(Node, u64, Call),
+    Met(NodeId, NodeId, u64),
+    Saved(NodeId, u64),
+    Reopen(NodeId, u64),
+    ControlRequest(NodeId, u64, ControlRequest),
     Operator(usize),
-    Resign(Node),
+    Resign(NodeId),
     Look,
     AskAt {
-        node: Node,
+        node: NodeId,
         life: u64,
         id: String,
-        statement: Statement,
+        statement: ServerCommand,
         asked: f64,
     },
-    Asked {
-        node: Node,
+    CommandOutcome {
+        node: NodeId,
         life: u64,
         id: String,
-        asked: Asked,
+        asked: CommandOutcome,
     },
     Renew {
-        node: Node,
+        node: NodeId,
         life: u64,
         conn: u64,
         router: usize,
-        call: ToControl,
+        call: LeaseRequest,
     },
     News {
         router: usize,
         conn: u64,
-        message: ToRouter,
+        message: RouterMessage,
     },
     RouterTick(usize),
-    Beat(String),
+    Heartbeat(String),
     Statement(usize),
     At {
         router: usize,
@@ -105,21 +105,21 @@
         length: usize,
     },
     Post {
-        node: Node,
+        node: NodeId,
         life: u64,
         id: String,
         fence: u64,
         before: f64,
     },
     PostAt {
-        node: Node,
+        node: NodeId,
         life: u64,
         id: String,
         fence: u64,
     },
     Promote(String),
     PostAnswer {
-        node: Node,
+        node: NodeId,
         life: u64,
         id: String,
         outcome: PromotionOutcome,
@@ -142,19 +142,19 @@
     schedule: Schedule<Event>,
     pub(crate) chance: Chance,
     /// Control machines.
-    pub controls: BTreeMap<Node, Machine>,
+    pub controls: BTreeMap<NodeId, Machine>,
     /// The control machines that settings name.
-    pub seeds: Vec<Node>,
+    pub seeds: Vec<NodeId>,
     /// How many control machines may be lost at once.
     pub budget: usize,
     /// Connections between control machines.
     pub links: Links,
     /// Control machines that are cut off from the others, one way at least.
-    pub(crate) cut_off: BTreeSet<Node>,
+    pub(crate) cut_off: BTreeSet<NodeId>,
     /// The control machines are cut into two halves.
     pub halves: bool,
     /// The newest connection that a machine (first) has heard of another one.
-    pub(crate) lives_heard: HashMap<(Node, Node), u64>,
+    pub(crate) lives_heard: HashMap<(NodeId, NodeId), u64>,
     pub routers: Vec<Router>,
     pub servers: BTreeMap<String, Server>,
     pub operators: Vec<Operator>,
@@ -162,8 +162,8 @@
     /// What the oracle has seen.
     pub seen: Seen,
     /// Control machines that reach no server, and pairs of control machine and router that do not meet.
-    pub deaf_controls: HashSet<Node>,
-    pub apart: HashSet<(Node, usize)>,
+    pub deaf_controls: HashSet<NodeId>,
+    pub apart: HashSet<(NodeId, usize)>,
     /// Servers that answer no control machine, though they go on.
     pub mute: HashSet<String>,
     /// Of a thousand questions to servers, so many do their work and their answers are lost.
@@ -261,7 +261,7 @@
         };
         let seeds = world.seeds.clone();
         for node in 1..=machines {
-            world.add_control(node, badgerstream_control::FOUNDING, &seeds);
+            world.add_control(node, badgerstream_control::FOUNDING_INCARNATION, &seeds);
             world.start(node);
         }
         world.put(LOOK, Event::Look);
@@ -294,12 +294,12 @@
     }
 
     /// This machine hears no other one, or is heard by none, or both.
-    pub fn cut_off(&mut self, node: Node, hears_nobody: bool, unheard: bool) {
+    pub fn cut_off(&mut self, node: NodeId, hears_nobody: bool, unheard: bool) {
         self.say(|| {
             format!("control {node} is cut off: hears nobody {hears_nobody}, unheard {unheard}")
         });
         self.cut_off.insert(node);
-        let others: Vec<Node> = self
+        let others: Vec<NodeId> = self
             .controls
             .keys()
             .copied()
@@ -317,7 +317,7 @@
     }
 
     /// Nothing is cut at this machine any more.
-    pub fn heal(&mut self, node: Node) {
+    pub fn heal(&mut self, node: NodeId) {
         self.say(|| format!("control {node} is no longer cut off"));
         self.cut_off.remove(&node);
         self.links
@@ -328,7 +328,7 @@
     }
 
     /// These control machines and those don't reach each other; each reaches all routers, servers and operators.
-    pub fn cut_halves(&mut self, half: &[Node], other: &[Node]) {
+    pub fn cut_halves(&mut self, half: &[NodeId], other: &[NodeId]) {
         self.say(|| format!("control is cut into {half:?} and {other:?}"));
         self.halves = true;
         self.seen.event = self.now;
@@ -366,7 +366,7 @@
 
     /// All connections between control machines end.
     pub fn reset_links(&mut self) {
-        let nodes: Vec<Node> = self.controls.keys().copied().collect();
+        let nodes: Vec<NodeId> = self.controls.keys().copied().collect();
         for from in &nodes {
             for to in nodes.iter().filter(|to| *to != from) {
                 self.links.reset(*from, *to);
@@ -376,7 +376,7 @@
     }
 
     /// The disk of this machine takes what is written like this from now on.
-    pub fn set_disk(&mut self, node: Node, health: crate::disk::DiskHealth) {
+    pub fn set_disk(&mut self, node: NodeId, health: crate::disk::DiskHealth) {
         self.say(|| format!("disk of control {node}: {health:?}"));
         self.trouble(node);
         self.controls
@@ -387,7 +387,7 @@
     }
 
     /// This machine is asked to end.
-    pub fn resign(&mut self, node: Node) {
+    pub fn resign(&mut self, node: NodeId) {
         self.say(|| format!("control {node} is asked to end"));
         self.trouble(node);
         if let Some(machine) = self.controls.get_mut(&node) {
@@ -397,13 +397,13 @@
     }
 
     /// It is asked to end soon, and will be removed.
-    pub fn leave_before_removal(&mut self, node: Node) {
+    pub fn leave_before_removal(&mut self, node: NodeId) {
         self.trouble(node);
         self.put(1.5, Event::Resign(node));
     }
 
     /// Another machine takes the place of this one, from now on.
-    pub fn seen_successor(&mut self, node: Node) {
+    pub fn seen_successor(&mut self, node: NodeId) {
         self.seen.successors.insert(node, Some(self.now + 3.0));
     }
 
@@ -421,21 +421,23 @@
     }
 
     /// A control machine answers a call.
-    pub(crate) fn reply(&mut self, node: Node, call: u64, answer: Answer) {
+    pub(crate) fn reply(&mut self, node: NodeId, call: u64, answer: ControlResponse) {
         let clock = self.now + self.controls[&node].offset;
-        let answer = match clock < answer.until {
+        let answer = match clock < answer.valid_until {
             true => answer,
             // It rested on contact that is over.
-            false => Answer {
+            false => ControlResponse {
                 status: 503,
                 body: std::rc::Rc::from([]),
-                until: f64::INFINITY,
+                valid_until: f64::INFINITY,
             },
         };
         match self.callers.remove(&call) {
             Some(Caller::Operator(_)) if self.chance.of_thousand(self.lost_replies) => {}
             Some(Caller::Operator(at)) => self.answer_operator(at, call, &answer),
-            Some(Caller::Server(id)) if answer.status != 200 => self.put(0.05, Event::Beat(id)),
+            Some(Caller::Server(id)) if answer.status != 200 => {
+                self.put(0.05, Event::Heartbeat(id))
+            }
             Some(Caller::Server(_)) => {}
             None => {
                 self.replies
@@ -492,18 +494,18 @@
                 let leads = self.controls[node]
                     .controller
                     .as_ref()
-                    .is_some_and(Controller::leads);
+                    .is_some_and(Controller::is_leader);
                 self.put(if leads { 0.02 } else { 0.05 }, Event::Tick(*node, *life));
             }
             Event::Peer(parcel) => self.deliver(parcel.clone(), &event),
             Event::Met(node, other, life) => {
                 if self.reaches(*node, Some(*life), &event) {
-                    self.with(*node, |controller, _| controller.met(*other));
+                    self.with(*node, |controller, _| controller.peer_connected(*other));
                 }
             }
             Event::Saved(node, life) => self.saved(*node, *life),
             Event::Reopen(node, life) => self.reopen(*node, *life),
-            Event::Call(node, number, call) => {
+            Event::ControlRequest(node, number, call) => {
                 if self.reaches(*node, None, &event) {
                     self.call(*node, *number, call.clone());
                 }
@@ -526,36 +528,36 @@
                 asked,
             } => {
                 if self.servers[id].health != Health::Up {
-                    let refused = Event::Asked {
+                    let refused = Event::CommandOutcome {
                         node: *node,
                         life: *life,
                         id: id.clone(),
-                        asked: Asked::Refused,
+                        asked: CommandOutcome::Refused,
                     };
                     self.put(0.001, refused);
                     return;
                 }
                 let row = self.run_statement(id, *statement);
-                if !matches!(statement, Statement::Status) {
+                if !matches!(statement, ServerCommand::Status) {
                     self.say(|| format!("control {node} {statement:?} {id}: {row:?}"));
                 }
                 let lost = self.draw(1000) < self.lost_answers;
                 let way = self.way();
                 let (after, asked) = match row {
-                    _ if lost => (0.6, Asked::Silent),
+                    _ if lost => (0.6, CommandOutcome::TimedOut),
                     Some(row) => (
                         way,
-                        Asked::Row {
-                            statement: *statement,
-                            row,
-                            asked: *asked,
+                        CommandOutcome::Status {
+                            command: *statement,
+                            status: row,
+                            sent_at: *asked,
                         },
                     ),
-                    None => (way, Asked::Busy),
+                    None => (way, CommandOutcome::Busy),
                 };
                 self.put(
                     after,
-                    Event::Asked {
+                    Event::CommandOutcome {
                         node: *node,
                         life: *life,
                         id: id.clone(),
@@ -563,7 +565,7 @@
                     },
                 );
             }
-            Event::Asked {
+            Event::CommandOutcome {
                 node,
                 life,
                 id,
@@ -576,7 +578,7 @@
                         .controller
                         .as_mut()
                         .unwrap()
-                        .asked(now, SERVICE, id, *asked);
+                        .command_completed(now, SERVICE, id, *asked);
                 }
             }
             Event::Renew {
@@ -591,7 +593,7 @@
                 }
                 if self.reaches(*node, Some(*life), &event) {
                     let call = call.clone();
-                    self.with(*node, |s, now| s.router(now, *conn, call));
+                    self.with(*node, |s, now| s.handle_lease_request(now, *conn, call));
                 }
             }
             Event::News {
@@ -609,7 +611,7 @@
                 self.router_tick(*router);
                 self.put(0.01, Event::RouterTick(*router));
             }
-            Event::Beat(id) => {
+            Event::Heartbeat(id) => {
                 self.beat(id);
             }
             Event::Statement(router) => {
@@ -689,7 +691,13 @@
                     return;
                 }
                 let control = &self.controls[node];
-                let promised = control.controller.as_ref().unwrap().record().promised.0;
+                let promised = control
+                    .controller
+                    .as_ref()
+                    .unwrap()
+                    .hard_state()
+                    .voted_term
+                    .0;
                 if self.now + control.offset >= *before || promised != *fence {
                     let outcome = PromotionOutcome::NotSent;
                     let answer = Event::PostAnswer {
@@ -732,7 +740,7 @@
                         .controller
                         .as_mut()
                         .unwrap()
-                        .promoted(now, SERVICE, id, *outcome);
+                        .promotion_completed(now, SERVICE, id, *outcome);
                 }
             }
             Event::Depose(id, term) => {
--- a/crates/testing/simulation/tests/calls.rs
+++ b/crates/testing/simulation/tests/calls.rs
@@ -1,12 +1,12 @@
 //! Calls of operators to the control machines, and what routers are told, in simulated time.
 
 use arbtest::arbtest;
-use badgerstream_control::Call;
+use badgerstream_control::ControlRequest;
 use badgerstream_simulation::World;
 
-fn replace(base: u64, epoch: u64, text: &str) -> Call {
-    Call::Replace {
-        base,
+fn replace(base: u64, epoch: u64, text: &str) -> ControlRequest {
+    ControlRequest::ReplaceConfig {
+        base_epoch: base,
         epoch,
         body: text.as_bytes().into(),
     }
@@ -20,7 +20,7 @@
 }
 
 /// What a fresh call to this machine comes to; none if nothing does.
-fn ask(world: &mut World, node: u32, number: u64, call: Call) -> Option<(u16, Vec<u8>)> {
+fn ask(world: &mut World, node: u32, number: u64, call: ControlRequest) -> Option<(u16, Vec<u8>)> {
     world.call(node, number, call);
     for _ in 0..600 {
         world.run(0.005);
@@ -65,7 +65,7 @@
     }
     assert_eq!(ask(&mut world, 2, 30, replace(3, 3, "z")).unwrap().0, 400);
     assert_eq!(
-        ask(&mut world, 2, 31, Call::Read).unwrap(),
+        ask(&mut world, 2, 31, ControlRequest::ReadConfig).unwrap(),
         (200, b"x".to_vec())
     );
 }
@@ -109,7 +109,7 @@
         }
         answers.sort_unstable();
         assert_eq!(answers, [200, 412], "step {step}");
-        let read = ask(&mut world, 1, 20, Call::Read).unwrap();
+        let read = ask(&mut world, 1, 20, ControlRequest::ReadConfig).unwrap();
         let won = world.controls[&1]
             .controller
             .as_ref()
@@ -151,7 +151,12 @@
         }
         world.run(4.0);
         for node in 1..=3 {
-            let read = ask(&mut world, node, 10 + u64::from(node), Call::Read);
+            let read = ask(
+                &mut world,
+                node,
+                10 + u64::from(node),
+                ControlRequest::ReadConfig,
+            );
             assert_eq!(read, Some((200, b"x".to_vec())), "step {step}, node {node}");
         }
         assert_eq!(ask(&mut world, 1, 20, replace(0, 5, "x")).unwrap().0, 200);
@@ -226,8 +231,13 @@
         }
         world.run(6.0);
         for node in 1..=3 {
-            let read =
-                ask(&mut world, node, 1000 + u64::from(node), Call::Read).expect("an answer");
+            let read = ask(
+                &mut world,
+                node,
+                1000 + u64::from(node),
+                ControlRequest::ReadConfig,
+            )
+            .expect("an answer");
             assert_eq!(read.0, 200);
             let newest: u64 = String::from_utf8_lossy(&read.1)
                 .trim_start_matches('c')
@@ -271,9 +281,9 @@
     // A follower is in contact once its leader has confirmed one of its answers.
     world.run(0.5);
     let leader = world.leader().expect("somebody leads");
-    let beat = |seq: u64| Call::Beat {
-        id: "new".to_owned(),
-        beat: badgerstream_simulation::servers::beat("10.0.9.9:1", seq, false),
+    let beat = |seq: u64| ControlRequest::Heartbeat {
+        server_id: "new".to_owned(),
+        heartbeat: badgerstream_simulation::servers::beat("10.0.9.9:1", seq, false),
     };
     let alone = *world
         .controls
--- a/crates/testing/simulation/tests/catch_up.rs
+++ b/crates/testing/simulation/tests/catch_up.rs
@@ -1,6 +1,6 @@
 //! Hundreds of changes, and machines that were away meanwhile.
 
-use badgerstream_control::Node;
+use badgerstream_control::NodeId;
 use badgerstream_simulation::World;
 use badgerstream_simulation::disk::{DiskHealth, USUAL};
 use badgerstream_simulation::oracle::CATCH_UP;
@@ -18,7 +18,7 @@
     world
         .controls
         .values()
-        .map(|machine| machine.disk.record.state.seq)
+        .map(|machine| machine.disk.record.state.version)
         .max()
         .unwrap_or(0)
 }
@@ -40,7 +40,7 @@
         world.set_disk(away, health);
         world.run(CATCH_UP);
         world.set_disk(away, USUAL);
-        assert!(world.controls[&away].disk.record.state.seq >= missed);
+        assert!(world.controls[&away].disk.record.state.version >= missed);
         // Only it and one other are left.
         world.run(CATCH_UP);
         world.kill(leader);
@@ -56,13 +56,13 @@
     for (seed, machines, budget) in [(3, 3, 1), (4, 5, 2), (5, 6, 2)] {
         let mut world = busy(seed, machines, budget);
         for round in 0..12 {
-            let nodes: Vec<Node> = (1..=machines).collect();
+            let nodes: Vec<NodeId> = (1..=machines).collect();
             let restarted = nodes[round % nodes.len()];
             world.kill(restarted);
             world.run(0.7);
             world.start(restarted);
             world.run(CATCH_UP + 0.5);
-            let behind = newest(&world) - world.controls[&restarted].disk.record.state.seq;
+            let behind = newest(&world) - world.controls[&restarted].disk.record.state.version;
             assert!(behind <= 3, "{behind} changes behind");
         }
         assert!(newest(&world) > 300, "{}", newest(&world));
--- a/crates/testing/simulation/tests/contact.rs
+++ b/crates/testing/simulation/tests/contact.rs
@@ -1,12 +1,12 @@
 //! A control machine that is cut off: it serves nothing old, confirms nothing and holds nobody up.
 
-use badgerstream_control::{Call, Node};
+use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::World;
 use badgerstream_simulation::servers::beat;
 use std::rc::Rc;
 
 /// Control machines that have settled, and operators at work.
-fn at_work(seed: u64, machines: u32, budget: usize) -> (World, Node) {
+fn at_work(seed: u64, machines: u32, budget: usize) -> (World, NodeId) {
     let mut world = World::control_only(seed, machines, budget);
     for _ in 0..4 {
         world.add_operator();
@@ -52,29 +52,29 @@
     }
 }
 
-fn calls() -> [(&'static str, Call); 4] {
+fn calls() -> [(&'static str, ControlRequest); 4] {
     let body = b"{\"epoch\":999999}".as_slice();
     [
-        ("read", Call::Read),
+        ("read", ControlRequest::ReadConfig),
         (
             "order",
-            Call::Replace {
-                base: 0,
+            ControlRequest::ReplaceConfig {
+                base_epoch: 0,
                 epoch: 999_999,
                 body: body.into(),
             },
         ),
         (
             "beat",
-            Call::Beat {
-                id: "new".to_owned(),
-                beat: beat("10.0.9.9:1", 1, false),
+            ControlRequest::Heartbeat {
+                server_id: "new".to_owned(),
+                heartbeat: beat("10.0.9.9:1", 1, false),
             },
         ),
         (
             "depart",
-            Call::Depart {
-                id: "new".to_owned(),
+            ControlRequest::Depart {
+                server_id: "new".to_owned(),
             },
         ),
     ]
@@ -141,8 +141,8 @@
     start.call(
         leader,
         1,
-        Call::Replace {
-            base: 0,
+        ControlRequest::ReplaceConfig {
+            base_epoch: 0,
             epoch: 3,
             body: first.into(),
         },
@@ -152,7 +152,7 @@
     for at in 0..40 {
         for asked in 1..=3 {
             let mut world = start.clone();
-            world.call(asked, 2, Call::Read);
+            world.call(asked, 2, ControlRequest::ReadConfig);
             for _ in 0..at {
                 world.step();
             }
@@ -164,8 +164,8 @@
             world.call(
                 next,
                 3,
-                Call::Replace {
-                    base: 3,
+                ControlRequest::ReplaceConfig {
+                    base_epoch: 3,
                     epoch: 4,
                     body: second.into(),
                 },
@@ -196,18 +196,20 @@
             world.call(
                 asked,
                 1,
-                Call::Beat {
-                    id: "a".to_owned(),
-                    beat: beat("10.0.0.1:1", 1, false),
+                ControlRequest::Heartbeat {
+                    server_id: "a".to_owned(),
+                    heartbeat: beat("10.0.0.1:1", 1, false),
                 },
             );
             world.run(0.5);
             assert_eq!(world.replies[&1].0, 200);
             let call = match depart {
-                true => Call::Depart { id: "a".to_owned() },
-                false => Call::Beat {
-                    id: "a".to_owned(),
-                    beat: beat("10.0.0.1:1", 2, true),
+                true => ControlRequest::Depart {
+                    server_id: "a".to_owned(),
+                },
+                false => ControlRequest::Heartbeat {
+                    server_id: "a".to_owned(),
+                    heartbeat: beat("10.0.0.1:1", 2, true),
                 },
             };
             world.call(asked, 2, call);
@@ -224,8 +226,8 @@
             let mut members = controller
                 .members()
                 .all()
-                .filter(|m| depart || !m.news.gone);
-            let known = members.any(|m| m.news.id == "a" && m.news.draining);
+                .filter(|m| depart || !m.info.departed);
+            let known = members.any(|m| m.info.id == "a" && m.info.draining);
             assert!(known || !acknowledged, "after {at} events");
         }
     }
@@ -238,8 +240,8 @@
     for draining in [false, true] {
         let (mut world, leader) = at_work(16, 5, 2);
         let asked = 1 + leader % 5;
-        let others: Vec<Node> = (1..=5).filter(|node| *node != asked).collect();
-        let only_leader: Vec<Node> = others
+        let others: Vec<NodeId> = (1..=5).filter(|node| *node != asked).collect();
+        let only_leader: Vec<NodeId> = others
             .iter()
             .copied()
             .filter(|node| *node != leader)
@@ -249,9 +251,9 @@
             for node in &unreached {
                 world.links.cut.insert((asked, *node));
             }
-            let call = Call::Beat {
-                id: id.clone(),
-                beat: beat("10.0.0.1:1", 1, draining),
+            let call = ControlRequest::Heartbeat {
+                server_id: id.clone(),
+                heartbeat: beat("10.0.0.1:1", 1, draining),
             };
             world.call(asked, number, call);
             world.run(1.0);
@@ -289,8 +291,8 @@
             world.add_router(0);
             world.run(3.0);
             let leader = world.leader().expect("somebody leads");
-            let replace = |base, epoch, by| Call::Replace {
-                base,
+            let replace = |base, epoch, by| ControlRequest::ReplaceConfig {
+                base_epoch: base,
                 epoch,
                 body: config(epoch, by),
             };
--- a/crates/testing/simulation/tests/losses.rs
+++ b/crates/testing/simulation/tests/losses.rs
@@ -1,7 +1,7 @@
 //! A second loss right after a repair, as soon as the budget allows it: somebody leads, agrees and has all that was
 //! acknowledged.
 
-use badgerstream_control::{Call, Node};
+use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::World;
 use badgerstream_simulation::oracle::CATCH_UP;
 
@@ -20,8 +20,8 @@
     world.call(
         leader,
         number,
-        Call::Replace {
-            base,
+        ControlRequest::ReplaceConfig {
+            base_epoch: base,
             epoch,
             body: body.into(),
         },
@@ -41,7 +41,7 @@
 }
 
 /// Machines that aren't gone and run.
-fn running(world: &World) -> Vec<Node> {
+fn running(world: &World) -> Vec<NodeId> {
     let runs = world
         .controls
         .iter()
@@ -53,7 +53,7 @@
 fn all_read(world: &mut World, number: u64, epoch: u64) {
     for node in running(world) {
         let call = number + u64::from(node);
-        world.call(node, call, Call::Read);
+        world.call(node, call, ControlRequest::ReadConfig);
         world.run(1.0);
         let expected = (200, format!("{{\"epoch\":{epoch}}}").into_bytes());
         assert_eq!(
@@ -74,7 +74,7 @@
             let mut world = settled(seed, machines, budget);
             replace(&mut world, 1, 0, 7);
             let leader = world.leader().unwrap();
-            let mut wiped: Vec<Node> = (0..machines)
+            let mut wiped: Vec<NodeId> = (0..machines)
                 .map(|at| 1 + (leader + at - 1) % machines)
                 .collect();
             wiped.rotate_left(seed as usize % 2);
@@ -90,7 +90,7 @@
             assert!(world.all_decide(), "{}", world.describe());
             let leader = world.leader().unwrap();
             let others = (1..=machines).filter(|node| !wiped.contains(node));
-            let mut ends: Vec<Node> = others.collect();
+            let mut ends: Vec<NodeId> = others.collect();
             ends.sort_by_key(|node| *node != leader);
             for node in ends.iter().take(budget) {
                 world.kill(*node);
@@ -155,7 +155,7 @@
             w.controls[&leaves]
                 .controller
                 .as_ref()
-                .is_some_and(|c| c.may_end())
+                .is_some_and(|c| c.may_shut_down())
         });
         world.remove(leaves);
         world.wipe(leader);
@@ -225,8 +225,8 @@
             world.call(
                 leader,
                 1,
-                Call::Replace {
-                    base: 0,
+                ControlRequest::ReplaceConfig {
+                    base_epoch: 0,
                     epoch: 7,
                     body: body.into(),
                 },
--- a/crates/testing/simulation/tests/orders.rs
+++ b/crates/testing/simulation/tests/orders.rs
@@ -1,11 +1,11 @@
 //! One outcome for an order: two operators under one number, on one base, with orders sent again.
 
-use badgerstream_control::{Call, Node};
+use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::World;
 
-fn order(base: u64, epoch: u64, text: &str) -> Call {
-    Call::Replace {
-        base,
+fn order(base: u64, epoch: u64, text: &str) -> ControlRequest {
+    ControlRequest::ReplaceConfig {
+        base_epoch: base,
         epoch,
         body: text.as_bytes().into(),
     }
@@ -19,7 +19,12 @@
 }
 
 /// The answer to a call that is made now.
-fn ask(world: &mut World, node: Node, number: u64, call: Call) -> Option<(u16, Vec<u8>)> {
+fn ask(
+    world: &mut World,
+    node: NodeId,
+    number: u64,
+    call: ControlRequest,
+) -> Option<(u16, Vec<u8>)> {
     world.call(node, number, call);
     for _ in 0..400 {
         world.run(0.005);
@@ -31,7 +36,12 @@
 }
 
 /// Asks until there is a clear answer, each time another machine.
-fn clear_answer(world: &mut World, first: Node, number: &mut u64, call: &Call) -> (u16, Vec<u8>) {
+fn clear_answer(
+    world: &mut World,
+    first: NodeId,
+    number: &mut u64,
+    call: &ControlRequest,
+) -> (u16, Vec<u8>) {
     for turn in 0..12 {
         let node = 1 + (first + turn) % 3;
         *number += 1;
@@ -51,7 +61,7 @@
     Wipe,
 }
 
-fn lose(world: &mut World, node: Node, loss: Loss) {
+fn lose(world: &mut World, node: NodeId, loss: Loss) {
     match loss {
         Loss::Kill => world.kill(node),
         Loss::Freeze => world.freeze(node),
@@ -61,7 +71,7 @@
     }
 }
 
-fn mend(world: &mut World, node: Node, loss: Loss) {
+fn mend(world: &mut World, node: NodeId, loss: Loss) {
     match loss {
         Loss::Kill | Loss::Wipe => world.start(node),
         Loss::Freeze => world.thaw(node),
@@ -103,8 +113,8 @@
                     [0, 1].map(|o| clear_answer(&mut world, leader, &mut number, &orders[o]).0);
                 mend(&mut world, leader, loss);
                 world.run(4.5);
-                let after =
-                    [0, 1].map(|o| clear_answer(&mut world, o as Node, &mut number, &orders[o]).0);
+                let after = [0, 1]
+                    .map(|o| clear_answer(&mut world, o as NodeId, &mut number, &orders[o]).0);
                 assert_eq!(
                     during, after,
                     "{loss:?} at {at}, sent to {first} and {second}"
@@ -125,8 +135,9 @@
                 taken[won] += 1;
                 for node in 1..=3 {
                     number += 1;
-                    let read = ask(&mut world, node, number, Call::Read).expect("an answer");
-                    let Call::Replace { body, .. } = &orders[won] else {
+                    let read = ask(&mut world, node, number, ControlRequest::ReadConfig)
+                        .expect("an answer");
+                    let ControlRequest::ReplaceConfig { body, .. } = &orders[won] else {
                         panic!("an order")
                     };
                     assert_eq!(read, (200, body.to_vec()));
@@ -142,11 +153,11 @@
 #[test]
 fn an_order_is_confirmed_again_after_hundreds_of_changes() {
     let mut world = settled(2, 3, 1);
-    let eight: Vec<Call> = (0..8)
+    let eight: Vec<ControlRequest> = (0..8)
         .map(|n| order(0, 5 + n / 2, &format!("{{\"epoch\":{}}}//{n}", 5 + n / 2)))
         .collect();
     for (at, call) in eight.iter().enumerate() {
-        world.call(1 + at as Node % 3, 100 + at as u64, call.clone());
+        world.call(1 + at as NodeId % 3, 100 + at as u64, call.clone());
     }
     world.run(2.0);
     let statuses: Vec<u16> = (0..8).map(|at| world.replies[&(100 + at)].0).collect();
--- a/crates/testing/simulation/tests/quorum.rs
+++ b/crates/testing/simulation/tests/quorum.rs
@@ -1,9 +1,9 @@
 //! Links between control machines that are cut one way.
 
-use badgerstream_control::Node;
+use badgerstream_control::NodeId;
 use badgerstream_simulation::World;
 
-fn led(seed: u64) -> (World, Node) {
+fn led(seed: u64) -> (World, NodeId) {
     let mut world = World::new(seed);
     world.run_until(6.0, "a primary in use", |w| w.in_use().is_some());
     world.run(1.0);
@@ -12,7 +12,7 @@
 }
 
 /// Cuts the links from the leader to the others, or those from the others to it.
-fn cut(world: &mut World, leader: Node, outgoing: bool) {
+fn cut(world: &mut World, leader: NodeId, outgoing: bool) {
     for other in (1..=3).filter(|n| *n != leader) {
         world.links.cut.insert(if outgoing {
             (leader, other)
@@ -72,7 +72,7 @@
 fn a_leader_whose_others_end_leads_again_with_them() {
     for seed in 0..8 {
         let (mut world, old) = led(seed);
-        let others: Vec<Node> = (1..=3).filter(|n| *n != old).collect();
+        let others: Vec<NodeId> = (1..=3).filter(|n| *n != old).collect();
         others.iter().for_each(|node| world.kill(*node));
         world.run(6.0);
         assert!(world.leader().is_none());
--- a/crates/testing/simulation/tests/rosters.rs
+++ b/crates/testing/simulation/tests/rosters.rs
@@ -1,6 +1,6 @@
 //! What a new leader has to know of servers before it replaces a primary.
 
-use badgerstream_control::{Call, Node};
+use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::World;
 use badgerstream_simulation::servers::beat;
 
@@ -16,7 +16,7 @@
         });
         world.run(3.0);
         let leader = world.leader().unwrap();
-        let others: Vec<Node> = (1..=3).filter(|node| *node != leader).collect();
+        let others: Vec<NodeId> = (1..=3).filter(|node| *node != leader).collect();
         let (takes_over, knows) = (others[0], others[1]);
         // It hears nothing of the others while they are told of the new copy.
         for other in [leader, knows] {
@@ -27,9 +27,9 @@
         world.call(
             knows,
             9,
-            Call::Beat {
-                id: "d".to_owned(),
-                beat: beat("10.0.0.200:1", 1, false),
+            ControlRequest::Heartbeat {
+                server_id: "d".to_owned(),
+                heartbeat: beat("10.0.0.200:1", 1, false),
             },
         );
         world.run(0.1);
@@ -89,7 +89,7 @@
         .members()
         .get(id)
         .expect("it serves on")
-        .news
+        .info
         .draining
 }
 
@@ -106,13 +106,13 @@
         let server = world.servers.get_mut("b").expect("a replica");
         server.beats = false;
         let endpoint = server.endpoint.clone();
-        let asked = 1 + (seed % 3) as Node;
+        let asked = 1 + (seed % 3) as NodeId;
         world.call(
             asked,
             9,
-            Call::Beat {
-                id: "b".to_owned(),
-                beat: beat(&endpoint, 1000, true),
+            ControlRequest::Heartbeat {
+                server_id: "b".to_owned(),
+                heartbeat: beat(&endpoint, 1000, true),
             },
         );
         lose_all_once_acknowledged(&mut world);
@@ -120,9 +120,9 @@
         world.call(
             leader,
             10,
-            Call::Beat {
-                id: "b".to_owned(),
-                beat: beat(&endpoint, 999, false),
+            ControlRequest::Heartbeat {
+                server_id: "b".to_owned(),
+                heartbeat: beat(&endpoint, 999, false),
             },
         );
         world.run(1.0);
@@ -141,8 +141,14 @@
         });
         world.run(2.0);
         world.servers.get_mut("b").expect("a replica").left = true;
-        let asked = 1 + (seed % 3) as Node;
-        world.call(asked, 9, Call::Depart { id: "b".to_owned() });
+        let asked = 1 + (seed % 3) as NodeId;
+        world.call(
+            asked,
+            9,
+            ControlRequest::Depart {
+                server_id: "b".to_owned(),
+            },
+        );
         lose_all_once_acknowledged(&mut world);
         world.run(1.0);
         assert!(drains(&world, "b"), "it is taken for one that stays");
