--- a/crates/core/fleet-sharing/src/lib.rs
+++ b/crates/core/fleet-sharing/src/lib.rs
@@ -7,6 +7,11 @@
 //!
 //! All of it narrows what the rules and the design allow, and never widens it.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 mod census;
 mod purse;
 mod ration;
--- a/crates/core/fleet-sharing/src/ration.rs
+++ b/crates/core/fleet-sharing/src/ration.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Spreads bits evenly (the finaliser of SplitMix64).
+/// Spreads bits evenly (the finaliser of `SplitMix64`).
 pub fn mixed(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/core/primary-change/src/lib.rs
+++ b/crates/core/primary-change/src/lib.rs
@@ -4,6 +4,11 @@
 //! No I/O and no clock: facts and the present (f64 seconds on the front's clock) are handed in, verdicts come
 //! back. Chance comes from the seed. docs/design/primary-changes.md tells why it is so.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 mod doubt;
 mod history;
 mod hold;
--- a/crates/core/primary-change/src/tests/mod.rs
+++ b/crates/core/primary-change/src/tests/mod.rs
@@ -8,13 +8,13 @@
 
 use crate::{Evidence, Room, Settings, Succession, Verdict, Wish};
 
-pub const G: u16 = 4;
-pub const A: u32 = 1;
-pub const B: u32 = 2;
-pub const C: u32 = 3;
+pub(crate) const G: u16 = 4;
+pub(crate) const A: u32 = 1;
+pub(crate) const B: u32 = 2;
+pub(crate) const C: u32 = 3;
 
 /// Room for four statements of a group, six in all; changes take two seconds.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         hold: Room {
             statements: 6,
@@ -32,7 +32,7 @@
 }
 
 /// A leads and is settled at 10.
-pub fn settled(settings: Settings) -> Succession {
+pub(crate) fn settled(settings: Settings) -> Succession {
     let mut born = Succession::new(settings, 7, 1.0);
     born.hear(9.0, G, A, Evidence::Leads { at: 9.0 });
     born.settle(10.0);
@@ -40,7 +40,7 @@
     born
 }
 
-pub fn wish(session: u64, arrived: f64) -> Wish {
+pub(crate) fn wish(session: u64, arrived: f64) -> Wish {
     Wish {
         group: G,
         session,
@@ -53,7 +53,7 @@
 }
 
 /// Asks for statements `1..=count` of sessions of their own, in this order; who may go is sent.
-pub fn ask(of: &mut Succession, now: f64, count: u32) -> Vec<Verdict> {
+pub(crate) fn ask(of: &mut Succession, now: f64, count: u32) -> Vec<Verdict> {
     let ask = |stmt: u32| {
         let verdict = of.admit(
             now,
--- a/crates/core/primary-change/src/tests/model.rs
+++ b/crates/core/primary-change/src/tests/model.rs
@@ -540,7 +540,7 @@
         for write in 0..WRITES {
             match world.stages[write] {
                 Stage::Fresh if write == 0 || left.second && world.stages[0] != Stage::Fresh => {
-                    actions.push(Action::Arrive(write))
+                    actions.push(Action::Arrive(write));
                 }
                 Stage::Waiting { .. } if left.leaves > 0 => actions.push(Action::Leave(write)),
                 Stage::Out { .. } if left.timeouts > 0 => actions.push(Action::Timeout(write)),
--- a/crates/core/restart-pacing/src/lib.rs
+++ b/crates/core/restart-pacing/src/lib.rs
@@ -7,6 +7,11 @@
 //!
 //! Inputs record; `may_send`, `may_probe` and `may_open` decide; `pass` goes on from phase to phase.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 mod node;
 mod phase;
 mod settings;
@@ -247,7 +252,7 @@
                 break;
             }
         }
-        self.tell(now, before)
+        self.tell(now, before);
     }
 
     fn tell(&mut self, now: f64, before: Phase) {
--- a/crates/core/restart-pacing/src/node.rs
+++ b/crates/core/restart-pacing/src/node.rs
@@ -9,7 +9,7 @@
 const GRANTED_S: f64 = 0.1;
 
 #[derive(Clone, Debug)]
-pub struct Node {
+pub(crate) struct Node {
     /// Its place in the order of turns.
     pub place: u64,
     /// A connection of this router's has come up there since the start or the standstill.
@@ -48,7 +48,7 @@
 
 impl Node {
     /// What was known before a standstill counts for nothing; its place stays.
-    pub fn doubt(&mut self) {
+    pub(crate) fn doubt(&mut self) {
         *self = Node {
             place: self.place,
             most_used: self.most_used,
@@ -58,7 +58,7 @@
     }
 
     /// One more statement at once for each good answer, half after a bad one.
-    pub fn answered(&mut self, good: bool) {
+    pub(crate) fn answered(&mut self, good: bool) {
         self.room = if good {
             (self.room + 1.0).min(2.0 * BELIEVED)
         } else {
@@ -66,47 +66,47 @@
         };
     }
 
-    pub fn believed(&self) -> bool {
+    pub(crate) fn believed(&self) -> bool {
         self.room >= BELIEVED
     }
 
-    pub fn opened(&mut self) {
+    pub(crate) fn opened(&mut self) {
         (self.met, self.refused) = (true, 0);
     }
 
     /// Refused, or not come up: exponential, and by lot, so that equal routers don't return together.
-    pub fn refused(&mut self, now: f64, settings: &Settings, lot: f64) {
+    pub(crate) fn refused(&mut self, now: f64, settings: &Settings, lot: f64) {
         let longest = settings.refused_ms * f64::from(self.refused.min(20)).exp2();
         let pause = longest.min(settings.refused_most_ms) * (0.5 + lot) / 1e3;
         (self.refused, self.closed_until) = (self.refused + 1, now + pause);
     }
 
     /// How long nothing may be opened there yet.
-    pub fn closed(&self, now: f64) -> Option<f64> {
+    pub(crate) fn closed(&self, now: f64) -> Option<f64> {
         (self.closed_until > now).then_some(self.closed_until - now)
     }
 
     /// Whether the turn of this slot is still there.
-    pub fn unused(&self, slot: u64) -> bool {
+    pub(crate) fn unused(&self, slot: u64) -> bool {
         self.used != Some(slot)
     }
 
-    pub fn take(&mut self, slot: u64) {
+    pub(crate) fn take(&mut self, slot: u64) {
         self.used = Some(slot);
     }
 
     /// A statement was sent there on the strength of this slot's turn: it may open its connection.
-    pub fn grant(&mut self, now: f64, slot: u64) {
+    pub(crate) fn grant(&mut self, now: f64, slot: u64) {
         (self.used, self.granted) = (Some(slot), Some(now));
     }
 
     /// Takes back a grant, if there is one that holds.
-    pub fn redeem(&mut self, now: f64) -> bool {
+    pub(crate) fn redeem(&mut self, now: f64) -> bool {
         self.granted.take().is_some_and(|at| now - at <= GRANTED_S)
     }
 
     /// How many of its connections were in use at once lately; a stretch ends after this.
-    pub fn in_use(&mut self, now: f64, busy: usize, stretch: f64) -> usize {
+    pub(crate) fn in_use(&mut self, now: f64, busy: usize, stretch: f64) -> usize {
         if now - self.stretch >= stretch {
             let before = if now - self.stretch >= 2.0 * stretch {
                 0
--- a/crates/core/restart-pacing/src/phase.rs
+++ b/crates/core/restart-pacing/src/phase.rs
@@ -33,7 +33,7 @@
 const STEPS_BACK: u32 = 3;
 
 #[derive(Clone, Debug)]
-pub struct Course {
+pub(crate) struct Course {
     pub phase: Phase,
     since: f64,
     /// When there was a sign of others last, in this phase.
@@ -44,7 +44,7 @@
 }
 
 impl Course {
-    pub fn begin(now: f64) -> Course {
+    pub(crate) fn begin(now: f64) -> Course {
         Course {
             phase: Phase::Listing,
             since: now,
@@ -54,19 +54,19 @@
         }
     }
 
-    pub fn done(now: f64) -> Course {
+    pub(crate) fn done(now: f64) -> Course {
         Course {
             phase: Phase::Full,
             ..Course::begin(now)
         }
     }
 
-    pub fn spoke(&mut self) {
+    pub(crate) fn spoke(&mut self) {
         self.spoke = true;
     }
 
     /// A sign that is there.
-    pub fn sign(&mut self, now: f64, sign: Sign) {
+    pub(crate) fn sign(&mut self, now: f64, sign: Sign) {
         match (self.phase, sign) {
             (Phase::Sounding, Sign::Alone) => self.enter(now, Phase::Full),
             (Phase::Sounding, Sign::Crowd) => self.enter(now, Phase::Turns),
@@ -84,7 +84,7 @@
     }
 
     /// Goes on where a phase's exit or longest stay is there; true if it did.
-    pub fn pass(&mut self, now: f64, settings: &Settings, cycle: f64) -> bool {
+    pub(crate) fn pass(&mut self, now: f64, settings: &Settings, cycle: f64) -> bool {
         let stayed = (now - self.since) * 1e3;
         let quiet = (now - self.signed) * 1e3;
         let over = stayed >= settings.longest_ms;
--- a/crates/core/restart-pacing/src/tests/mod.rs
+++ b/crates/core/restart-pacing/src/tests/mod.rs
@@ -7,9 +7,9 @@
 use crate::{Recovery, Settings};
 
 /// Seconds of Unix time, as the front's clock has it.
-pub const START: f64 = 1_800_000_000.0;
+pub(crate) const START: f64 = 1_800_000_000.0;
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         held_field: "held".into(),
         opened_field: "opened".into(),
@@ -18,19 +18,19 @@
 }
 
 /// Named routers, so that turns are exact.
-pub fn named(routers: usize) -> Settings {
+pub(crate) fn named(routers: usize) -> Settings {
     Settings {
         routers: (0..routers).map(name).collect(),
         ..settings()
     }
 }
 
-pub fn name(router: usize) -> String {
+pub(crate) fn name(router: usize) -> String {
     format!("r-{router:03}")
 }
 
 /// One of so many routers that has just started and knows these nodes.
-pub fn born(settings: Settings, routers: usize, number: usize, nodes: u32) -> Recovery {
+pub(crate) fn born(settings: Settings, routers: usize, number: usize, nodes: u32) -> Recovery {
     let mut born = Recovery::new(
         START,
         settings,
--- a/crates/core/restart-pacing/src/turns.rs
+++ b/crates/core/restart-pacing/src/turns.rs
@@ -6,7 +6,7 @@
 pub const WINDOW_S: f64 = 0.1;
 
 #[derive(Clone, Debug)]
-pub struct Turns {
+pub(crate) struct Turns {
     rank: u64,
     routers: u64,
     step: f64,
@@ -14,7 +14,7 @@
 
 impl Turns {
     /// `opens` is the bound of all routers together, a node and window.
-    pub fn new(rank: u64, routers: u64, opens: f64) -> Turns {
+    pub(crate) fn new(rank: u64, routers: u64, opens: f64) -> Turns {
         let routers = routers.max(1);
         Turns {
             rank: rank % routers,
@@ -23,12 +23,12 @@
         }
     }
 
-    pub fn rank(&self) -> u64 {
+    pub(crate) fn rank(&self) -> u64 {
         self.rank
     }
 
     /// How long it takes until everybody has had a turn at a node.
-    pub fn cycle(&self) -> f64 {
+    pub(crate) fn cycle(&self) -> f64 {
         self.routers as f64 * self.step
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// The number of the slot at this moment, if it is this router's at the node.
-    pub fn turn(&self, now: f64, place: u64) -> Option<u64> {
+    pub(crate) fn turn(&self, now: f64, place: u64) -> Option<u64> {
         let slot = self.slot(now);
         (self.wait(slot, place) == 0).then_some(slot)
     }
@@ -49,7 +49,7 @@
     }
 
     /// How long until the next turn behind the slot at this moment begins.
-    pub fn next(&self, now: f64, place: u64) -> f64 {
+    pub(crate) fn next(&self, now: f64, place: u64) -> f64 {
         let slot = self.slot(now) + 1;
         let begins = (slot + self.wait(slot, place)) as f64 * self.step;
         // A little inside, so that rounding does not put it into the slot before.
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -7,6 +7,10 @@
 //!
 //! Every decision is in [`policy`]; nothing here decides.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
 // Decoded fields go straight into a call, and each part takes its own few settings.
 #![allow(clippy::too_many_arguments)]
 
--- a/crates/core/routing/src/policy.rs
+++ b/crates/core/routing/src/policy.rs
@@ -16,7 +16,10 @@
 mod sends;
 mod worth;
 
-use crate::{Instance, Outbox, state::*};
+use crate::{
+    Instance, Outbox,
+    state::{Node, ROUNDING_S},
+};
 use std::collections::BTreeSet;
 
 /// The design's figure: how long a node may go unheard; the other, a session's mark, is `MARK_S`.
--- a/crates/core/routing/src/policy/choice.rs
+++ b/crates/core/routing/src/policy/choice.rs
@@ -1,7 +1,10 @@
 //! Choosing a node for a statement: the primary, the next replica, or whom to ask first.
 
 use super::{BEAT_S, IDLE_S, PROBE_SHARE, SEARCH_S};
-use crate::{Currency, Ending, Instance, MARK_S, Repeat, Workload, state::*};
+use crate::{
+    Currency, Ending, Instance, MARK_S, Repeat, Workload,
+    state::{Execution, Node, Statement},
+};
 
 /// A suspect's first trial comes after this, and none after more than eight times as long.
 const TRIAL_S: f64 = 0.5;
--- a/crates/core/routing/src/policy/guards.rs
+++ b/crates/core/routing/src/policy/guards.rs
@@ -1,7 +1,10 @@
 //! Guards: what may be sent to whom. Every send passes `permitted`.
 
 use super::{IDLE_S, LEAST_ROOM};
-use crate::{Currency, Drain, Instance, Repeat, Standing, Within, state::*};
+use crate::{
+    Currency, Drain, Instance, Repeat, Standing, Within,
+    state::{Node, Statement},
+};
 
 /// The part of a cold budget under one send that is used: rooms do not see there that a machine is shared.
 const COLD_PART: f64 = 0.5;
--- a/crates/core/routing/src/policy/health.rs
+++ b/crates/core/routing/src/policy/health.rs
@@ -2,7 +2,10 @@
 
 use super::{GAIN, IDLE_S, PROBE_SHARE, SEARCH_S};
 use crate::{ColdStart, Drain, Ending, Instance, Outbox};
-use crate::{state::*, succession::Evidence};
+use crate::{
+    state::{NEVER, Node, Signs},
+    succession::Evidence,
+};
 
 /// A node is silent once it owes this many answers by its own pace: with less, uneven work gives alarms.
 const OWED_ANSWERS: f64 = 12.0;
--- a/crates/core/routing/src/policy/inputs.rs
+++ b/crates/core/routing/src/policy/inputs.rs
@@ -2,7 +2,10 @@
 
 use super::{IN_VAIN, LEAST_ROOM, PRIOR, ROOM};
 use crate::{Currency, Ending, Instance, MARK_S, Mark, Role, Standing};
-use crate::{state::*, succession::Evidence};
+use crate::{
+    state::{Execution, NEVER, Node, ROUNDING_S, Signs, Statement, count, shares_of},
+    succession::Evidence,
+};
 
 impl Instance {
     pub fn member(
--- a/crates/core/routing/src/policy/pace.rs
+++ b/crates/core/routing/src/policy/pace.rs
@@ -1,7 +1,10 @@
 //! How quick answers are: pace, strain and room of a node, the length of a workload, and what is late.
 
 use super::{GAIN, IN_VAIN, PRIOR};
-use crate::{Instance, MARK_S, state::*};
+use crate::{
+    Instance, MARK_S,
+    state::{Execution, Node, Signs},
+};
 
 /// An execution is overdue after so many times the pace: of answers that come at random, one in twenty is.
 const OVERDUE: f64 = 3.0;
--- a/crates/core/routing/src/policy/primary.rs
+++ b/crates/core/routing/src/policy/primary.rs
@@ -1,6 +1,9 @@
 //! The primary: who is believed to be it, who is asked while nobody is, and which reads keep to it.
 
-use crate::{Currency, Instance, Outbox, state::*};
+use crate::{
+    Currency, Instance, Outbox,
+    state::{NEVER, Node, Statement},
+};
 
 impl Instance {
     /// The primary is the last member to answer as primary, until it answers otherwise.
--- a/crates/core/routing/src/policy/rules.rs
+++ b/crates/core/routing/src/policy/rules.rs
@@ -1,7 +1,10 @@
 //! The rules for a statement, in the order in which they are gone through.
 
 use crate::succession::{Next, Verdict};
-use crate::{Ending, Instance, Outbox, state::*};
+use crate::{
+    Ending, Instance, Outbox,
+    state::{ROUNDING_S, Statement},
+};
 
 /// So many errors show that a statement errs by itself, whoever executes it.
 const ERRORS: usize = 2;
--- a/crates/core/routing/src/policy/sends.rs
+++ b/crates/core/routing/src/policy/sends.rs
@@ -1,7 +1,10 @@
 //! Sends and final answers: the one way to each, and what they leave behind.
 
 use super::IN_VAIN;
-use crate::{Instance, Mark, Outbox, Repeat, Within, state::*};
+use crate::{
+    Instance, Mark, Outbox, Repeat, Within,
+    state::{Execution, NEVER, Signs},
+};
 
 impl Instance {
     pub(super) fn execute(&mut self, stmt: u32, id: u32, now: f64, out: &mut dyn Outbox) -> bool {
@@ -60,9 +63,9 @@
             .is_some()
         {}
         if asks {
-            out.inquire(stmt, id, limit)
+            out.inquire(stmt, id, limit);
         } else {
-            out.execute(stmt, id, limit)
+            out.execute(stmt, id, limit);
         }
         true
     }
--- a/crates/core/routing/src/policy/worth.rs
+++ b/crates/core/routing/src/policy/worth.rs
@@ -1,6 +1,9 @@
 //! What a statement is worth, and until when: importance, quotas, fairness, and who goes first.
 
-use crate::{Instance, state::*};
+use crate::{
+    Instance,
+    state::{Statement, count},
+};
 
 /// A write that no member took is held for this share of its statement timeout.
 const HOLD_SHARE: f64 = 0.05;
--- a/crates/core/routing/src/tests/succession.rs
+++ b/crates/core/routing/src/tests/succession.rs
@@ -100,7 +100,7 @@
             .nodes
             .get_mut(id)
             .unwrap()
-            .stands(Standing::Draining, T + 0.42)
+            .stands(Standing::Draining, T + 0.42);
     });
     word(&mut router, T + 0.6, B, true);
     take(&mut router, T + 0.61, 2, RECENT, 0, 0.0);
--- a/crates/protocol/control-store/src/lib.rs
+++ b/crates/protocol/control-store/src/lib.rs
@@ -29,7 +29,7 @@
 
 /// One row for what changes with each ballot and one for what changes with each value: a promise, or the same value under
 /// another ballot, then writes a few bytes, not the value again.
-const CONTROL: TableDefinition<u8, &[u8]> = TableDefinition::new("control");
+const CONTROL: TableDefinition<'_, u8, &[u8]> = TableDefinition::new("control");
 const BALLOTS: u8 = 0;
 const VALUE: u8 = 1;
 
--- a/crates/protocol/control-store/src/tests.rs
+++ b/crates/protocol/control-store/src/tests.rs
@@ -315,7 +315,7 @@
 
 #[test]
 fn cuts_upon_cuts_lose_nothing() {
-    arbtest(|lots: &mut arbitrary::Unstructured| {
+    arbtest(|lots: &mut arbitrary::Unstructured<'_>| {
         let (mut disk, mut oldest) = (killed(&[100]), reopen(killed(&[100])).unwrap());
         for life in 2..6 {
             let history = History::play(disk.clone(), &[lots.int_in_range(0..=9_000)?], life);
--- a/crates/protocol/pooler-config/src/json.rs
+++ b/crates/protocol/pooler-config/src/json.rs
@@ -2,7 +2,7 @@
 //!
 //! nanoserde takes texts that aren't JSON (commas too many, comments, whatever follows the value), and where
 //! a field that it doesn't know breaks off it panics or never ends. What arrives from outside is therefore
-//! gone over first: one whole value and nothing else, nested no deeper than [`DEPTH`], no key twice in one
+//! gone over first: one whole value and nothing else, nested no deeper than `DEPTH`, no key twice in one
 //! object.
 
 use nanoserde::{DeJson, DeJsonErr};
@@ -199,7 +199,7 @@
                     self.at += 1;
                     match self.peek() {
                         Some(b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't') => {
-                            self.at += 1
+                            self.at += 1;
                         }
                         Some(b'u') => {
                             self.at += 1;
--- a/crates/protocol/postgres-protocol/src/client.rs
+++ b/crates/protocol/postgres-protocol/src/client.rs
@@ -8,9 +8,9 @@
 const SSL: u32 = 80_877_103;
 const GSS: u32 = 80_877_104;
 const CANCEL: u32 = 80_877_102;
-/// ReadyForQuery, outside of a transaction.
+/// `ReadyForQuery`, outside of a transaction.
 const READY: &[u8] = b"Z\0\0\0\x05I";
-/// As large as PostgreSQL itself lets a startup message be.
+/// As large as `PostgreSQL` itself lets a startup message be.
 const LONGEST_START: usize = 10_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -186,7 +186,7 @@
         Turn::Write
     }
 
-    /// The row as the node gave it: its RowDescription, DataRow and CommandComplete.
+    /// The row as the node gave it: its `RowDescription`, `DataRow` and `CommandComplete`.
     pub fn completed(&mut self, output: &mut Ring, mut answer: Vec<u8>) {
         answer.extend_from_slice(READY);
         output.adopt(answer);
--- a/crates/protocol/postgres-protocol/src/message.rs
+++ b/crates/protocol/postgres-protocol/src/message.rs
@@ -1,4 +1,4 @@
-//! Framing of PostgreSQL's version 3: a type, a length that counts itself, a body.
+//! Framing of `PostgreSQL`'s version 3: a type, a length that counts itself, a body.
 
 use crate::Close;
 use crate::ring::Ring;
@@ -46,7 +46,7 @@
     put(ring, b'S', &[name.as_bytes(), &[0], value.as_bytes(), &[0]]);
 }
 
-/// An ErrorResponse; `detail` may be empty.
+/// An `ErrorResponse`; `detail` may be empty.
 pub fn put_error(ring: &mut Ring, severity: &str, code: &str, text: &str, detail: &str) {
     let mut body = Vec::new();
     for (field, value) in [
@@ -76,7 +76,7 @@
         .map_err(|_| Close::Malformed("a text in a message is not UTF-8"))
 }
 
-/// The code of an ErrorResponse.
+/// The code of an `ErrorResponse`.
 pub fn error_code(body: &[u8]) -> Result<[u8; 5], Close> {
     let mut fields = body.split(|b| *b == 0);
     let code = fields.find_map(|field| field.strip_prefix(b"C"));
@@ -84,7 +84,7 @@
         .ok_or(Close::Malformed("an error without a code"))
 }
 
-/// How many columns a RowDescription or DataRow has.
+/// How many columns a `RowDescription` or `DataRow` has.
 pub fn columns(body: &[u8]) -> Result<u16, Close> {
     let count = body
         .get(..2)
@@ -92,7 +92,7 @@
     Ok(u16::from_be_bytes([count[0], count[1]]))
 }
 
-/// The value of a DataRow of one column; null has none.
+/// The value of a `DataRow` of one column; null has none.
 pub fn only_value(body: &[u8]) -> Result<Option<&[u8]>, Close> {
     if columns(body)? != 1 {
         return Err(Close::Malformed("a row has not one column"));
--- a/crates/protocol/postgres-protocol/src/node.rs
+++ b/crates/protocol/postgres-protocol/src/node.rs
@@ -20,7 +20,7 @@
 pub struct Node {
     state: State,
     messages: usize,
-    /// RowDescription, DataRow and CommandComplete, each once and in this order.
+    /// `RowDescription`, `DataRow` and `CommandComplete`, each once and in this order.
     row: Vec<u8>,
     seen: Vec<u8>,
     /// The place of the value in `row`.
--- a/crates/protocol/postgres-protocol/src/tests/mod.rs
+++ b/crates/protocol/postgres-protocol/src/tests/mod.rs
@@ -10,28 +10,28 @@
 use crate::Ring;
 use crate::message::put;
 
-pub const READ: &str =
+pub(crate) const READ: &str =
     "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */";
 
-pub fn ring(bytes: &[u8]) -> Ring {
+pub(crate) fn ring(bytes: &[u8]) -> Ring {
     let mut ring = Ring::new(1 << 18);
     ring.push(bytes);
     ring
 }
 
-pub fn all(mut ring: Ring) -> Vec<u8> {
+pub(crate) fn all(mut ring: Ring) -> Vec<u8> {
     let length = ring.len();
     ring.take(length)
 }
 
-pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+pub(crate) fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut ring = Ring::new(1 << 18);
     put(&mut ring, kind, &[body]);
     all(ring)
 }
 
-/// What stands in messages: their types, and for an ErrorResponse its code.
-pub fn outline(mut bytes: &[u8]) -> String {
+/// What stands in messages: their types, and for an `ErrorResponse` its code.
+pub(crate) fn outline(mut bytes: &[u8]) -> String {
     let mut told = Vec::new();
     while let Some((head, rest)) = bytes.split_at_checked(5) {
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
--- a/crates/protocol/router-config/src/lib.rs
+++ b/crates/protocol/router-config/src/lib.rs
@@ -1,6 +1,11 @@
 //! What a router is handed at start, turned into the types of `badgerstream-routing`: one reading for every
 //! front. Lines of path=value and nested JSON come to the same pairs.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 mod instance;
 mod own;
 mod pairs;
--- a/crates/protocol/router-config/src/pairs.rs
+++ b/crates/protocol/router-config/src/pairs.rs
@@ -98,7 +98,7 @@
         .map_or_else(|| value.to_string(), |text| text.replace([' ', ','], "_"))
 }
 
-pub fn parse<T: FromStr>(path: &str, text: &str) -> Result<T, String> {
+pub(crate) fn parse<T: FromStr>(path: &str, text: &str) -> Result<T, String> {
     text.parse()
         .map_err(|_| format!("setting {path} cannot be read: {text:?}"))
 }
--- a/crates/runtime/router/src/belief.rs
+++ b/crates/runtime/router/src/belief.rs
@@ -10,7 +10,7 @@
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// Tells for as long as the router runs, if anybody wants to know.
-pub async fn tell(desk: Rc<Router>, pool: Rc<Pool>) {
+pub(crate) async fn tell(desk: Rc<Router>, pool: Rc<Pool>) {
     let wanted = || {
         tracing::enabled!(tracing::Level::DEBUG)
             || tracing::enabled!(target: "badgerstream::tally", tracing::Level::DEBUG)
--- a/crates/runtime/router/src/budget.rs
+++ b/crates/runtime/router/src/budget.rs
@@ -9,7 +9,7 @@
 /// What the process itself holds: standard streams, the listener, the poller, the signals' pipe, discovery.
 const OWN: usize = 24;
 
-pub struct Budget {
+pub(crate) struct Budget {
     used: Cell<usize>,
     clients: Cell<usize>,
     most: Cell<usize>,
@@ -27,7 +27,7 @@
 
 /// What a connection is while it waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub(crate) enum Kind {
     /// A client that has asked nothing yet, or stopped within a message.
     Silent,
     Client,
@@ -44,21 +44,21 @@
 }
 
 /// One descriptor, until it is dropped.
-pub struct Lease {
+pub(crate) struct Lease {
     budget: Rc<Budget>,
     client: bool,
     number: u64,
 }
 
 /// A waiting connection's place; it leaves with it.
-pub struct Place {
+pub(crate) struct Place {
     budget: Rc<Budget>,
     rank: Rank,
     unwanted: Receiver<()>,
 }
 
 impl Budget {
-    pub fn new(descriptors: usize) -> Rc<Budget> {
+    pub(crate) fn new(descriptors: usize) -> Rc<Budget> {
         let (used, clients, most, numbered) = Default::default();
         let (idle, closing) = (RefCell::default(), Cell::new(Closing::None));
         let budget = Rc::new(Budget {
@@ -75,23 +75,23 @@
     }
 
     /// What is in use beyond a smaller budget stays so until it ends.
-    pub fn resize(&self, descriptors: usize) {
+    pub(crate) fn resize(&self, descriptors: usize) {
         self.most.set(descriptors.saturating_sub(OWN).max(8));
         let _ = self.freed.0.try_send(());
     }
 
     /// How many clients are connected.
-    pub fn clients(&self) -> usize {
+    pub(crate) fn clients(&self) -> usize {
         self.clients.get()
     }
 
     /// One for a node, or none when all are in use.
-    pub fn for_node(self: &Rc<Self>) -> Option<Lease> {
+    pub(crate) fn for_node(self: &Rc<Self>) -> Option<Lease> {
         self.lease(self.most.get())
     }
 
     /// One for a client. A quarter is left to the nodes: a statement that is taken needs a connection there.
-    pub fn for_client(self: &Rc<Self>) -> Option<Lease> {
+    pub(crate) fn for_client(self: &Rc<Self>) -> Option<Lease> {
         self.lease(self.most.get() - self.most.get() / 4)
     }
 
@@ -113,13 +113,13 @@
     }
 
     /// Until some connection has ended, or waits and could make room.
-    pub async fn freed(&self) {
+    pub(crate) async fn freed(&self) {
         let _ = self.freed.1.recv().await;
     }
 
     /// Asks a waiting connection to close, if there is one: it does once its task has its turn, unless there
     /// is something to read on it.
-    pub fn make_room(&self) -> bool {
+    pub(crate) fn make_room(&self) -> bool {
         self.idle
             .borrow_mut()
             .pop_first()
@@ -127,12 +127,12 @@
     }
 
     /// From now on clients' connections close as they fall idle, but for the silent.
-    pub fn close_all_but_silent(&self) {
+    pub(crate) fn close_all_but_silent(&self) {
         self.close(Closing::AllButSilent);
     }
 
     /// From now on every client's connection closes as it falls idle.
-    pub fn close_all(&self) {
+    pub(crate) fn close_all(&self) {
         self.close(Closing::All);
     }
 
@@ -150,7 +150,7 @@
 
     /// Closes clients that wait for so long, while more are connected than ask at a time: some ask once and stay
     /// for good, and their side may have no connection left to ask on either.
-    pub fn thin_out(&self, waited: Duration) {
+    pub(crate) fn thin_out(&self, waited: Duration) {
         let mut beyond = self.clients.get().saturating_sub(self.most.get() / 4);
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, (kind, since, unwant)| {
@@ -171,13 +171,13 @@
 
 impl Lease {
     /// A client has come for it.
-    pub fn connected(&mut self) {
+    pub(crate) fn connected(&mut self) {
         self.client = true;
         self.budget.clients.set(self.budget.clients.get() + 1);
     }
 
     /// Its connection has nothing to do until something can be read on it.
-    pub fn wait(&self, kind: Kind) -> Place {
+    pub(crate) fn wait(&self, kind: Kind) -> Place {
         let silent = kind == Kind::Silent;
         let rank = (
             !silent,
@@ -206,7 +206,7 @@
 
 impl Place {
     /// Until the connection is wanted closed.
-    pub async fn unwanted(&self) {
+    pub(crate) async fn unwanted(&self) {
         let _ = self.unwanted.recv().await;
     }
 }
--- a/crates/runtime/router/src/client.rs
+++ b/crates/runtime/router/src/client.rs
@@ -28,7 +28,7 @@
 const JUST_COME: Duration = Duration::from_millis(100);
 
 /// The places of the names that statements carry.
-pub struct Names {
+pub(crate) struct Names {
     workloads: HashMap<String, (usize, Workload)>,
     customers: HashMap<String, usize>,
     /// The ids of the statements that are open: no other may take one's name meanwhile.
@@ -36,7 +36,7 @@
 }
 
 /// What an open statement holds until its answer: its id, and its share of the memory.
-pub struct Opened {
+pub(crate) struct Opened {
     names: Rc<Names>,
     id: String,
     _memory: Hold,
@@ -49,7 +49,11 @@
 }
 
 impl Names {
-    pub fn new(workloads: Vec<String>, kinds: Vec<Workload>, customers: Vec<String>) -> Names {
+    pub(crate) fn new(
+        workloads: Vec<String>,
+        kinds: Vec<Workload>,
+        customers: Vec<String>,
+    ) -> Names {
         let workloads = workloads.into_iter().zip(kinds).enumerate();
         let customers = customers.into_iter().enumerate();
         Names {
@@ -63,7 +67,7 @@
 }
 
 /// Takes a statement, unless no node may see it.
-pub fn take(
+pub(crate) fn take(
     desk: &Rc<Router>,
     names: &Rc<Names>,
     memory: &Rc<Memory>,
@@ -116,7 +120,7 @@
 }
 
 /// Serves a client until its connection ends.
-pub async fn serve(
+pub(crate) async fn serve(
     stream: Async<TcpStream>,
     desk: Rc<Router>,
     names: Rc<Names>,
--- a/crates/runtime/router/src/decide.rs
+++ b/crates/runtime/router/src/decide.rs
@@ -8,7 +8,7 @@
 
 /// What a load report tells of its node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub(crate) struct Report {
     pub primary: Option<bool>,
     /// Minus infinity where none was told.
     pub lsn: f64,
@@ -22,7 +22,7 @@
 
 impl Report {
     /// What it tells beyond role and position.
-    pub fn tell(&self, instance: &mut Instance, now: f64, node: u32) {
+    pub(crate) fn tell(&self, instance: &mut Instance, now: f64, node: u32) {
         if let Some((branch, promoted)) = self.took_over {
             instance.took_over(now, node, branch, promoted);
         }
@@ -37,7 +37,7 @@
 
 /// The fields of a load report that tell the last two of these, where settings name them.
 #[derive(Clone, Default)]
-pub struct Fields {
+pub(crate) struct Fields {
     pub log: Option<Rc<(String, String)>>,
     pub connections: Option<Rc<(String, String)>>,
     pub held: Option<Rc<String>>,
@@ -50,13 +50,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Never goes back. It starts at Unix time, so that positions and births told by others share it.
-pub struct Clock {
+pub(crate) struct Clock {
     anchor: f64,
     start: Instant,
 }
 
 impl Clock {
-    pub fn new() -> Clock {
+    pub(crate) fn new() -> Clock {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -66,14 +66,14 @@
         }
     }
 
-    pub fn now(&self) -> f64 {
+    pub(crate) fn now(&self) -> f64 {
         self.anchor + self.start.elapsed().as_secs_f64()
     }
 }
 
 /// The one final answer of a statement.
 #[derive(Debug, PartialEq)]
-pub enum Final<A> {
+pub(crate) enum Final<A> {
     Completed(A),
     /// Trying again is harmless, after so many seconds.
     Rejected(f64),
@@ -81,7 +81,7 @@
 }
 
 /// What the front has to do. An execution is no longer wanted once its channel is closed.
-pub enum Order<S> {
+pub(crate) enum Order<S> {
     /// `asks`: not the statement itself is sent, but the question how an earlier execution of it ended.
     Execute {
         stmt: u32,
@@ -121,20 +121,20 @@
     running: HashMap<(u32, u8), Running>,
 }
 
-pub struct Desk<S: 'static, A: 'static> {
+pub(crate) struct Desk<S: 'static, A: 'static> {
     inner: RefCell<Inner<S, A>>,
     told: (Sender<()>, Receiver<()>),
 }
 
 /// A statement that was taken. Dropped before its answer, its client has gone.
-pub struct Ticket<S: 'static, A: 'static> {
+pub(crate) struct Ticket<S: 'static, A: 'static> {
     desk: Rc<Desk<S, A>>,
     stmt: u32,
     answer: Receiver<Final<A>>,
 }
 
 impl<S: 'static, A: 'static> Ticket<S, A> {
-    pub async fn answer(&self) -> Final<A> {
+    pub(crate) async fn answer(&self) -> Final<A> {
         self.answer.recv().await.unwrap_or(Final::Aborted)
     }
 }
@@ -151,14 +151,14 @@
 }
 
 /// An execution that is out. Dropped without a word, its connection's end is all that is known.
-pub struct Out<S: 'static, A: 'static> {
+pub(crate) struct Out<S: 'static, A: 'static> {
     desk: Rc<Desk<S, A>>,
     key: (u32, u8),
 }
 
 impl<S: 'static, A: 'static> Out<S, A> {
     /// It ended. `lsn` is minus infinity where none was told, a report tells role and position.
-    pub fn ended(
+    pub(crate) fn ended(
         self,
         ending: Ending,
         role: Option<Role>,
@@ -185,7 +185,7 @@
 }
 
 impl<S: 'static, A: 'static> Desk<S, A> {
-    pub fn new(instance: Instance, clock: Clock) -> Rc<Desk<S, A>> {
+    pub(crate) fn new(instance: Instance, clock: Clock) -> Rc<Desk<S, A>> {
         let (taken, running) = (HashMap::new(), HashMap::new());
         let inner = Inner {
             instance,
@@ -202,7 +202,7 @@
     }
 
     /// Tells the instance a fact; it settles once all that is ready now has been told.
-    pub fn tell<T>(&self, fact: impl FnOnce(&mut Instance, f64) -> T) -> T {
+    pub(crate) fn tell<T>(&self, fact: impl FnOnce(&mut Instance, f64) -> T) -> T {
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
         let told = fact(&mut inner.instance, now);
@@ -217,7 +217,7 @@
 
     /// Takes a statement whose last byte has just arrived. `wait` is how long its client waits, `after` the
     /// position that it must see.
-    pub fn arrived(
+    pub(crate) fn arrived(
         self: &Rc<Self>,
         statement: S,
         workload: usize,
@@ -260,7 +260,7 @@
     }
 
     /// What is known of a statement beside its routing, see [`Instance::carries`].
-    pub fn carries(&self, ticket: &Ticket<S, A>, bytes: usize, marked: bool) {
+    pub(crate) fn carries(&self, ticket: &Ticket<S, A>, bytes: usize, marked: bool) {
         self.inner
             .borrow_mut()
             .instance
@@ -268,7 +268,7 @@
     }
 
     /// The fields of load reports in which nodes tell of their logs and of their connections, if any do.
-    pub fn fields(&self) -> Fields {
+    pub(crate) fn fields(&self) -> Fields {
         let inner = self.inner.borrow();
         let pair =
             |(a, b): (&String, &String)| (!a.is_empty()).then(|| Rc::new((a.clone(), b.clone())));
@@ -286,7 +286,11 @@
 
     /// Asks what coming back allows; none where nothing is held back. With `tells`, the instance looks again at
     /// what waits.
-    pub fn recovery<T>(&self, tells: bool, ask: impl FnOnce(&mut Recovery, f64) -> T) -> Option<T> {
+    pub(crate) fn recovery<T>(
+        &self,
+        tells: bool,
+        ask: impl FnOnce(&mut Recovery, f64) -> T,
+    ) -> Option<T> {
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
         let told = ask(inner.instance.recovery.as_mut()?, now);
@@ -297,11 +301,11 @@
     }
 
     /// Whether any node of such a group was ever listed.
-    pub fn knows_group(&self, group: u16) -> bool {
+    pub(crate) fn knows_group(&self, group: u16) -> bool {
         self.inner.borrow().instance.groups.contains_key(&group)
     }
 
-    pub fn out(self: &Rc<Self>, stmt: u32, execution: u8) -> Out<S, A> {
+    pub(crate) fn out(self: &Rc<Self>, stmt: u32, execution: u8) -> Out<S, A> {
         Out {
             desk: self.clone(),
             key: (stmt, execution),
@@ -310,7 +314,7 @@
 
     /// Whether what let an execution go still holds, for one that had to wait for its connection: a drain
     /// counts from the first byte, the age of data from the last.
-    pub fn still_stands(&self, stmt: u32, node: u32) -> bool {
+    pub(crate) fn still_stands(&self, stmt: u32, node: u32) -> bool {
         let inner = self.inner.borrow();
         let (now, instance) = (inner.clock.now(), &inner.instance);
         let Some(known) = instance.nodes.get(&node) else {
@@ -360,7 +364,7 @@
     }
 
     /// Settles whenever something was told or the instance asked to be woken.
-    pub async fn run(self: Rc<Self>, carry: impl Fn(Order<S>)) {
+    pub(crate) async fn run(self: Rc<Self>, carry: impl Fn(Order<S>)) {
         let mut timer = async_io::Timer::never();
         loop {
             // What else is ready at this moment is told first.
@@ -380,7 +384,7 @@
     }
 
     /// One settling, and what it asks for; tells when the next is due, if nothing is told before.
-    pub fn settle(&self, carry: &impl Fn(Order<S>)) -> Option<Duration> {
+    pub(crate) fn settle(&self, carry: &impl Fn(Order<S>)) -> Option<Duration> {
         let mut asked = Asked::default();
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
@@ -403,7 +407,7 @@
         for action in asked.actions {
             match action {
                 Action::Execute(stmt, node, limit, asks) => {
-                    self.execute(now, stmt, node, limit, asks, carry)
+                    self.execute(now, stmt, node, limit, asks, carry);
                 }
                 Action::Cancel(stmt, execution) => self.cancel(stmt, execution),
                 Action::Conclude(stmt, last) => self.conclude(stmt, last),
--- a/crates/runtime/router/src/ending.rs
+++ b/crates/runtime/router/src/ending.rs
@@ -5,7 +5,7 @@
 use badgerstream_routing::Ending;
 
 /// The connection ended under an execution. Unless its last byte was `written`, the node never began.
-pub fn of_close(close: Close, written: bool) -> Ending {
+pub(crate) fn of_close(close: Close, written: bool) -> Ending {
     match (close, written) {
         (Close::TimedOut, true) => Ending::TimedOut,
         // What had no place here tells nothing of the node.
@@ -22,7 +22,7 @@
 
 /// The node answered with an error. Asked how a write ended, only 02000 says that it never ran and never will:
 /// who is no primary can't tell.
-pub fn of_error(code: [u8; 5], asks: bool) -> Ending {
+pub(crate) fn of_error(code: [u8; 5], asks: bool) -> Ending {
     match &code {
         b"02000" if asks => Ending::Missed,
         b"25006" | b"72000" if asks => Ending::TurnedAway,
--- a/crates/runtime/router/src/execute.rs
+++ b/crates/runtime/router/src/execute.rs
@@ -16,10 +16,15 @@
 use std::time::{Duration, Instant};
 
 /// A row as the node gave it.
-pub type Row = Vec<u8>;
-pub type Router = Desk<Statement, Row>;
+pub(crate) type Row = Vec<u8>;
+pub(crate) type Router = Desk<Statement, Row>;
 
-pub async fn carry(desk: Rc<Router>, pool: Rc<Pool>, roster: Rc<Roster>, order: Order<Statement>) {
+pub(crate) async fn carry(
+    desk: Rc<Router>,
+    pool: Rc<Pool>,
+    roster: Rc<Roster>,
+    order: Order<Statement>,
+) {
     match order {
         Order::Execute {
             stmt,
@@ -118,7 +123,7 @@
 const ROUNDING_S: f64 = 0.001;
 
 /// Role, position and log that a load report tells; `own` is how many connections this router has there.
-pub fn report(vitals: &str, fields: &Fields, own: usize) -> Report {
+pub(crate) fn report(vitals: &str, fields: &Fields, own: usize) -> Report {
     let primary = vital(vitals, badgerstream_router_config::ROLE).map(|told| told >= 0.5);
     let lsn = vital(vitals, badgerstream_router_config::POSITION)
         .map_or(f64::NEG_INFINITY, |at| at - ROUNDING_S);
--- a/crates/runtime/router/src/gate.rs
+++ b/crates/runtime/router/src/gate.rs
@@ -8,10 +8,10 @@
 type Ask<'a> = &'a mut dyn FnMut(&mut Recovery, f64);
 
 /// Asks, and tells whether there was anybody to be asked.
-pub struct Gate(Box<dyn Fn(bool, Ask<'_>) -> bool>);
+pub(crate) struct Gate(Box<dyn Fn(bool, Ask<'_>) -> bool>);
 
 impl Gate {
-    pub fn of(desk: &Rc<Router>) -> Gate {
+    pub(crate) fn of(desk: &Rc<Router>) -> Gate {
         let desk = desk.clone();
         Gate(Box::new(move |tells, ask| {
             desk.recovery(tells, ask).is_some()
@@ -20,7 +20,7 @@
 
     /// Nothing is ever held back.
     #[cfg(test)]
-    pub fn open() -> Gate {
+    pub(crate) fn open() -> Gate {
         Gate(Box::new(|_, _| false))
     }
 
@@ -35,12 +35,12 @@
     }
 
     /// None where nothing is held back.
-    pub fn ask<T>(&self, ask: impl FnOnce(&mut Recovery, f64) -> T) -> Option<T> {
+    pub(crate) fn ask<T>(&self, ask: impl FnOnce(&mut Recovery, f64) -> T) -> Option<T> {
         self.through(false, ask)
     }
 
     /// Tells a fact by which what waits elsewhere may go on.
-    pub fn tell(&self, fact: impl FnOnce(&mut Recovery, f64)) {
+    pub(crate) fn tell(&self, fact: impl FnOnce(&mut Recovery, f64)) {
         self.through(true, fact);
     }
 }
--- a/crates/runtime/router/src/listen.rs
+++ b/crates/runtime/router/src/listen.rs
@@ -16,14 +16,14 @@
 const WAITS: Duration = Duration::from_millis(250);
 
 /// Closes clients that stay without asking, for as long as the router runs.
-pub async fn thin_out(budget: Rc<Budget>) {
+pub(crate) async fn thin_out(budget: Rc<Budget>) {
     loop {
         Timer::after(WAITS / 4).await;
         budget.thin_out(WAITS);
     }
 }
 
-pub async fn listen(
+pub(crate) async fn listen(
     listener: Async<TcpListener>,
     tasks: Tasks,
     desk: Rc<Router>,
--- a/crates/runtime/router/src/pool.rs
+++ b/crates/runtime/router/src/pool.rs
@@ -22,7 +22,7 @@
 /// An idle connection is retired at this share of the time after which its node closes it.
 const RETIRED_AT: f64 = 0.5;
 
-pub struct Connection {
+pub(crate) struct Connection {
     stream: Rc<Async<TcpStream>>,
     machine: Node,
     input: Ring,
@@ -37,7 +37,11 @@
 impl Connection {
     /// Sends a query and waits for its answer. `written` is set once its last byte is with the system: until
     /// then the node cannot have begun.
-    pub async fn query(&mut self, text: &str, written: &Cell<bool>) -> Result<Answer, Close> {
+    pub(crate) async fn query(
+        &mut self,
+        text: &str,
+        written: &Cell<bool>,
+    ) -> Result<Answer, Close> {
         self.machine.execute(&mut self.output, text);
         wire::write(&self.stream, &mut self.output).await?;
         written.set(true);
@@ -119,7 +123,7 @@
 /// When more may be opened is asked again after this at the latest: a phase may be over.
 const ASK_AGAIN: Duration = Duration::from_millis(50);
 
-pub struct Pool {
+pub(crate) struct Pool {
     nodes: RefCell<HashMap<u32, Stand>>,
     numbered: Cell<u64>,
     tasks: Tasks,
@@ -131,7 +135,7 @@
 }
 
 impl Pool {
-    pub fn new(
+    pub(crate) fn new(
         tasks: Tasks,
         budget: Rc<Budget>,
         memory: Rc<Memory>,
@@ -152,13 +156,13 @@
     }
 
     /// How long a node may take to let a connection in, or to answer a probe.
-    pub fn dial_limit(&self) -> Duration {
+    pub(crate) fn dial_limit(&self) -> Duration {
         self.dial_limit
     }
 
     /// An idle connection, else the first that is opened or falls idle. True with it if it had to be waited
     /// for.
-    pub async fn take(
+    pub(crate) async fn take(
         self: &Rc<Self>,
         node: u32,
         address: SocketAddr,
@@ -213,7 +217,7 @@
     }
 
     /// How many of a node's connections are busy, and how many are idle.
-    pub fn stand(&self, node: u32) -> (usize, usize) {
+    pub(crate) fn stand(&self, node: u32) -> (usize, usize) {
         self.nodes
             .borrow()
             .get(&node)
@@ -221,13 +225,13 @@
     }
 
     /// How many connections to a node are up.
-    pub fn held(&self, node: u32) -> usize {
+    pub(crate) fn held(&self, node: u32) -> usize {
         let up = |s: &Stand| s.busy.get().saturating_sub(s.opening) + s.idle.len();
         self.nodes.borrow().get(&node).map_or(0, up)
     }
 
     #[cfg(test)]
-    pub fn idle(&self) -> usize {
+    pub(crate) fn idle(&self) -> usize {
         self.nodes.borrow().values().map(|s| s.idle.len()).sum()
     }
 
@@ -328,7 +332,7 @@
 
     /// Lets an execution that nobody waits for any more end on its connection, for a while: its node has the work
     /// in any case, and a new connection would cost it more.
-    pub fn linger(
+    pub(crate) fn linger(
         self: &Rc<Self>,
         node: u32,
         run: impl Future<Output = Result<(Connection, Answer), Close>> + 'static,
@@ -399,7 +403,7 @@
 
     /// A connection that is free again: to the first who waits for one, else it stands idle. One that has
     /// ended, even with its answer, serves nobody.
-    pub fn put(self: &Rc<Self>, node: u32, mut connection: Connection) {
+    pub(crate) fn put(self: &Rc<Self>, node: u32, mut connection: Connection) {
         if !connection.quiet() {
             return;
         }
@@ -462,7 +466,7 @@
     }
 
     /// Retires what stood idle for long, for as long as the router runs.
-    pub async fn retire(self: Rc<Self>) {
+    pub(crate) async fn retire(self: Rc<Self>) {
         loop {
             let decided = self.gate.ask(|_, _| ()).is_some();
             Timer::after(if decided {
--- a/crates/runtime/router/src/probe.rs
+++ b/crates/runtime/router/src/probe.rs
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-pub async fn probe(desk: Rc<Router>, pool: Rc<Pool>, roster: Rc<Roster>, node: u32) {
+pub(crate) async fn probe(desk: Rc<Router>, pool: Rc<Pool>, roster: Rc<Roster>, node: u32) {
     let asked = async {
         let (mut connection, _) = pool.take(node, roster.dial(node)?).await?;
         let answer = connection.query("SHOW vitals", &Cell::new(false)).await?;
--- a/crates/runtime/router/src/reload.rs
+++ b/crates/runtime/router/src/reload.rs
@@ -15,7 +15,7 @@
 
 /// The watch that tells the list, and the one that is to take its place once it has told something: until
 /// then the list must go on from where it comes now.
-pub struct Watches {
+pub(crate) struct Watches {
     tasks: Tasks,
     desk: Rc<Router>,
     roster: Rc<Roster>,
@@ -27,7 +27,7 @@
 
 impl Watches {
     /// Begins with the first watch, which tells `heard` of its first answer.
-    pub fn begin(
+    pub(crate) fn begin(
         tasks: Tasks,
         desk: Rc<Router>,
         roster: Rc<Roster>,
@@ -66,7 +66,7 @@
 
     /// Discovery is there now. A watch that never told anything ends; the one in use goes on until the new one
     /// tells something.
-    pub fn moved(self: &Rc<Self>, address: SocketAddr) {
+    pub(crate) fn moved(self: &Rc<Self>, address: SocketAddr) {
         if self.address.replace(address) == address {
             return;
         }
@@ -90,7 +90,7 @@
 }
 
 /// Reads the file anew at each signal, for as long as the router runs.
-pub async fn reload(
+pub(crate) async fn reload(
     mut signals: Signals,
     started: Provision,
     read: impl Fn() -> Result<(Provision, Own), String>,
@@ -123,13 +123,13 @@
                 }
             }
             Err(problem) => {
-                tracing::error!("the file was not taken, all goes on as before: {problem}")
+                tracing::error!("the file was not taken, all goes on as before: {problem}");
             }
         }
     }
 }
 
 /// To be called before anybody may send SIGHUP: unheard, it would end the process.
-pub fn signals() -> Result<Signals, String> {
+pub(crate) fn signals() -> Result<Signals, String> {
     Signals::new([Signal::Hup]).map_err(|e| format!("SIGHUP can't be heard: {e}"))
 }
--- a/crates/runtime/router/src/shutdown.rs
+++ b/crates/runtime/router/src/shutdown.rs
@@ -13,7 +13,7 @@
 const OWED: Duration = Duration::from_millis(300);
 
 /// Until the signal has come and all that was taken is answered.
-pub async fn shutdown(budget: Rc<Budget>) {
+pub(crate) async fn shutdown(budget: Rc<Budget>) {
     let mut signals = match Signals::new([Signal::Term, Signal::Int]) {
         Ok(signals) => signals,
         Err(e) => {
--- a/crates/runtime/router/src/spawn.rs
+++ b/crates/runtime/router/src/spawn.rs
@@ -7,10 +7,14 @@
 use std::rc::Rc;
 
 #[derive(Clone, Default)]
-pub struct Tasks(Rc<LocalExecutor<'static>>);
+pub(crate) struct Tasks(Rc<LocalExecutor<'static>>);
 
 impl Tasks {
-    pub fn spawn(&self, what: &'static str, task: impl Future<Output = ()> + 'static) -> Task<()> {
+    pub(crate) fn spawn(
+        &self,
+        what: &'static str,
+        task: impl Future<Output = ()> + 'static,
+    ) -> Task<()> {
         self.0.spawn(async move {
             if AssertUnwindSafe(task).catch_unwind().await.is_err() {
                 tracing::error!("{what} has panicked; its connection is closed");
@@ -18,7 +22,7 @@
         })
     }
 
-    pub async fn run<T>(&self, until: impl Future<Output = T>) -> T {
+    pub(crate) async fn run<T>(&self, until: impl Future<Output = T>) -> T {
         self.0.run(until).await
     }
 }
--- a/crates/runtime/router/src/tests/clients.rs
+++ b/crates/runtime/router/src/tests/clients.rs
@@ -63,7 +63,7 @@
         self.0.write_all(bytes).await.unwrap();
     }
 
-    /// The messages up to the next ReadyForQuery: their types, and the codes of errors.
+    /// The messages up to the next `ReadyForQuery`: their types, and the codes of errors.
     async fn heard(&mut self) -> String {
         let mut told = String::new();
         loop {
--- a/crates/runtime/router/src/tests/mod.rs
+++ b/crates/runtime/router/src/tests/mod.rs
@@ -27,11 +27,11 @@
 use std::rc::Rc;
 use std::thread;
 
-pub const READ: &str =
+pub(crate) const READ: &str =
     "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=any,t=acme,d=60000,cluster=2 */";
 
 /// Reads that any member answers, and writes that only the primary takes.
-pub fn kinds() -> Vec<Workload> {
+pub(crate) fn kinds() -> Vec<Workload> {
     let any = Workload {
         slo: 30.0,
         timeout: 60.0,
@@ -52,7 +52,7 @@
 }
 
 /// A whole list of nodes of group 2, named by their addresses; the first is the primary.
-pub fn listed(seq: u64, dials: &[SocketAddr]) -> Value {
+pub(crate) fn listed(seq: u64, dials: &[SocketAddr]) -> Value {
     let host = |(i, dial): (usize, &SocketAddr)| {
         json!({"host": format!("s-{i}"), "dial": dial.to_string(), "site": "a", "block": 2,
                "health": "in_service", "born_ms": 0, "rank": if i == 0 { "source" } else { "copy" }})
@@ -60,7 +60,7 @@
     json!({"seq": seq, "whole": true, "hosts": dials.iter().enumerate().map(host).collect::<Vec<_>>()})
 }
 
-pub fn instance() -> Instance {
+pub(crate) fn instance() -> Instance {
     let allowance = Allowance {
         executions: 8,
         second_copies: true,
@@ -80,7 +80,7 @@
     )
 }
 
-pub fn desk<S: 'static, A: 'static>(dials: &[SocketAddr]) -> (Rc<Desk<S, A>>, Rc<Roster>) {
+pub(crate) fn desk<S: 'static, A: 'static>(dials: &[SocketAddr]) -> (Rc<Desk<S, A>>, Rc<Roster>) {
     let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
     roster
         .list(&mut born, clock.now(), &listed(1, dials))
@@ -89,7 +89,7 @@
 }
 
 /// With times so generous that no verdict hangs on how fast the machine is.
-pub fn pool(tasks: &Tasks, budget: &Rc<Budget>) -> Rc<Pool> {
+pub(crate) fn pool(tasks: &Tasks, budget: &Rc<Budget>) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
         budget.clone(),
@@ -101,7 +101,7 @@
 }
 
 /// The same with decisions on what may be opened.
-pub fn pool_behind(tasks: &Tasks, gate: Gate) -> Rc<Pool> {
+pub(crate) fn pool_behind(tasks: &Tasks, gate: Gate) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
         Budget::new(1024),
@@ -113,7 +113,7 @@
 }
 
 /// What a settling orders.
-pub fn settled<S: 'static, A: 'static>(desk: &Rc<Desk<S, A>>) -> Vec<Order<S>> {
+pub(crate) fn settled<S: 'static, A: 'static>(desk: &Rc<Desk<S, A>>) -> Vec<Order<S>> {
     let orders = RefCell::new(Vec::new());
     desk.settle(&|order| {
         orders.borrow_mut().push(order);
@@ -121,16 +121,16 @@
     orders.into_inner()
 }
 
-pub fn run<T>(tasks: &Tasks, work: impl Future<Output = T>) -> T {
+pub(crate) fn run<T>(tasks: &Tasks, work: impl Future<Output = T>) -> T {
     async_io::block_on(tasks.run(work))
 }
 
-pub fn statement() -> Statement {
+pub(crate) fn statement() -> Statement {
     Statement::read(READ).unwrap()
 }
 
 /// How the first execution of a statement ended, by what the instance was told.
-pub fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<Ending> {
+pub(crate) fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<Ending> {
     desk.tell(|instance, _| {
         instance
             .statements
@@ -141,7 +141,7 @@
 }
 
 /// Executes orders for real, against the stand-ins.
-pub fn carried(
+pub(crate) fn carried(
     tasks: &Tasks,
     desk: &Rc<Router>,
     pool: &Rc<Pool>,
@@ -155,7 +155,7 @@
 }
 
 /// A stand-in for a node: what it does with each connection, in their order; the last goes for all further.
-pub fn node(scripts: &[Script]) -> SocketAddr {
+pub(crate) fn node(scripts: &[Script]) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let (address, mut scripts) = (
         listener.local_addr().unwrap(),
@@ -175,7 +175,7 @@
 }
 
 #[derive(Clone, Copy)]
-pub enum Script {
+pub(crate) enum Script {
     /// Answers each query with these bytes and goes on.
     Answers(fn() -> Vec<u8>),
     /// The same, a moment later.
@@ -213,7 +213,7 @@
             Script::Answers(answer) => stream.write_all(&answer()).unwrap_or_default(),
             Script::AnswersLate(answer) => {
                 thread::sleep(std::time::Duration::from_millis(100));
-                stream.write_all(&answer()).unwrap_or_default()
+                stream.write_all(&answer()).unwrap_or_default();
             }
             Script::AnswersOnce(answer) => return stream.write_all(&answer()).unwrap_or_default(),
             Script::Greets(_) | Script::Hangs => {}
@@ -227,7 +227,7 @@
     count > 0
 }
 
-pub fn messages(parts: &[(u8, &[u8])]) -> Vec<u8> {
+pub(crate) fn messages(parts: &[(u8, &[u8])]) -> Vec<u8> {
     let mut ring = Ring::new(message::LONGEST);
     parts
         .iter()
@@ -238,7 +238,7 @@
 
 const DESCRIBED: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
-pub fn row() -> Vec<u8> {
+pub(crate) fn row() -> Vec<u8> {
     messages(&[
         (b'T', DESCRIBED),
         (b'D', b"\0\x01\0\0\0\x01v"),
@@ -246,11 +246,11 @@
     ])
 }
 
-pub fn answer() -> Vec<u8> {
+pub(crate) fn answer() -> Vec<u8> {
     [row(), messages(&[(b'S', b"rank\0copy\0"), (b'Z', b"I")])].concat()
 }
 
-pub fn error(code: &str) -> Vec<u8> {
+pub(crate) fn error(code: &str) -> Vec<u8> {
     messages(&[
         (b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
         (b'Z', b"I"),
--- a/crates/runtime/router/src/tests/nodes.rs
+++ b/crates/runtime/router/src/tests/nodes.rs
@@ -83,7 +83,7 @@
             .nodes
             .get_mut(&0)
             .unwrap()
-            .stands(Standing::Gone, now)
+            .stands(Standing::Gone, now);
     });
     run(
         &tasks,
@@ -289,6 +289,6 @@
         assert_eq!(
             (instance.nodes[&0].lsn, instance.nodes[&0].denied),
             (4.999, 4.999)
-        )
+        );
     });
 }
--- a/crates/runtime/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -88,7 +88,7 @@
             future::zip(pool.take(0, address), pool.take(0, address)),
         );
         future::or(async { drop(takes.await) }, async {
-            _ = Timer::after(MOMENT).await
+            _ = Timer::after(MOMENT).await;
         })
         .await;
         pool.stand(0).0
--- a/crates/runtime/router/src/watch.rs
+++ b/crates/runtime/router/src/watch.rs
@@ -22,7 +22,7 @@
 /// Numbers for the names that discovery uses, and where each node is reached. Nodes leave with what the
 /// instance remembers of them.
 #[derive(Default)]
-pub struct Roster {
+pub(crate) struct Roster {
     nodes: RefCell<HashMap<String, u32>>,
     dials: RefCell<HashMap<u32, SocketAddr>>,
     numbered: Cell<u32>,
@@ -30,14 +30,14 @@
 }
 
 impl Roster {
-    pub fn new(zones: Vec<String>) -> Rc<Roster> {
+    pub(crate) fn new(zones: Vec<String>) -> Rc<Roster> {
         Rc::new(Roster {
             zones: RefCell::new(zones),
             ..Roster::default()
         })
     }
 
-    pub fn dial(&self, node: u32) -> Result<SocketAddr, Close> {
+    pub(crate) fn dial(&self, node: u32) -> Result<SocketAddr, Close> {
         self.dials
             .borrow()
             .get(&node)
@@ -46,14 +46,14 @@
     }
 
     /// Tells the instance the names of all nodes again.
-    pub fn name_all(&self, instance: &mut Instance) {
+    pub(crate) fn name_all(&self, instance: &mut Instance) {
         self.nodes
             .borrow()
             .iter()
             .for_each(|(name, node)| instance.named(*node, name));
     }
 
-    pub fn forget(&self, gone: &[u32]) {
+    pub(crate) fn forget(&self, gone: &[u32]) {
         self.nodes
             .borrow_mut()
             .retain(|_, node| !gone.contains(node));
@@ -87,7 +87,12 @@
     }
 
     /// Tells the instance a list; its version, or why it can't be read.
-    pub fn list(&self, instance: &mut Instance, now: f64, told: &Value) -> Result<u64, Close> {
+    pub(crate) fn list(
+        &self,
+        instance: &mut Instance,
+        now: f64,
+        told: &Value,
+    ) -> Result<u64, Close> {
         instance.listing();
         let (seq, whole) =
             discovery::list(told, |name, dial, zone, group, standing, since, leads| {
@@ -102,7 +107,7 @@
 
 /// Watches until it is dropped; the last list stays in use whatever happens to the watch. `heard` is called
 /// at each answer.
-pub async fn watch(
+pub(crate) async fn watch(
     desk: Rc<Router>,
     roster: Rc<Roster>,
     address: SocketAddr,
@@ -126,7 +131,7 @@
 }
 
 /// Lets what is long gone leave, for as long as the router runs.
-pub async fn forget(desk: Rc<Router>, roster: Rc<Roster>) {
+pub(crate) async fn forget(desk: Rc<Router>, roster: Rc<Roster>) {
     loop {
         Timer::after(FORGETTING).await;
         roster.forget(&desk.tell(|instance, now| instance.forget_gone(now)));
--- a/crates/runtime/router/src/wire.rs
+++ b/crates/runtime/router/src/wire.rs
@@ -13,7 +13,7 @@
 const SHORT: Duration = Duration::from_millis(5);
 
 /// This work, or that end of it once so much time is over; what is done counts even if both are there.
-pub async fn within<T>(
+pub(crate) async fn within<T>(
     limit: Duration,
     late: Close,
     work: impl Future<Output = Result<T, Close>>,
@@ -26,7 +26,7 @@
 }
 
 /// Reads what is there, at least one byte.
-pub async fn read(stream: &Async<TcpStream>, input: &mut Ring) -> Result<(), Close> {
+pub(crate) async fn read(stream: &Async<TcpStream>, input: &mut Ring) -> Result<(), Close> {
     while input.room().is_empty() {
         if input.len() >= input.most() {
             return Err(Close::NoMemory);
@@ -43,7 +43,7 @@
 }
 
 /// What can be had without waiting: true if there were bytes.
-pub fn read_now(stream: &Async<TcpStream>, input: &mut Ring) -> Result<bool, Close> {
+pub(crate) fn read_now(stream: &Async<TcpStream>, input: &mut Ring) -> Result<bool, Close> {
     if input.room().is_empty() {
         return Ok(false);
     }
@@ -58,7 +58,7 @@
     }
 }
 
-pub async fn write(stream: &Async<TcpStream>, output: &mut Ring) -> Result<(), Close> {
+pub(crate) async fn write(stream: &Async<TcpStream>, output: &mut Ring) -> Result<(), Close> {
     while !output.is_empty() {
         // Most writes fit at once: the poller is asked only for those that do not.
         let count = match stream.get_ref().write(output.front()) {
@@ -76,15 +76,15 @@
 }
 
 /// Lines of the log that peers can cause: one a second, with how many were passed over since.
-pub struct Seldom(Cell<Option<Instant>>, Cell<u64>);
+pub(crate) struct Seldom(Cell<Option<Instant>>, Cell<u64>);
 
 impl Seldom {
-    pub const fn new() -> Seldom {
+    pub(crate) const fn new() -> Seldom {
         Seldom(Cell::new(None), Cell::new(0))
     }
 
     /// How many were passed over, if a line may be written now.
-    pub fn due(&self) -> Option<u64> {
+    pub(crate) fn due(&self) -> Option<u64> {
         if self
             .0
             .get()
--- a/crates/runtime/router/tests/command.rs
+++ b/crates/runtime/router/tests/command.rs
@@ -100,7 +100,7 @@
     );
 }
 
-/// The type of a program header that names the dynamic loader (System V ABI, program header, PT_INTERP).
+/// The type of a program header that names the dynamic loader (System V ABI, program header, `PT_INTERP`).
 const INTERPRETER: u32 = 3;
 
 #[test]
@@ -124,7 +124,7 @@
     }
 }
 
-/// The fleet's terms: one process, no further program, no door for a Unix socket, no io_uring; and nothing of
+/// The fleet's terms: one process, no further program, no door for a Unix socket, no `io_uring`; and nothing of
 /// ours is needed or started by a default.
 #[test]
 fn it_serves_alone_without_settings_of_ours() {
--- a/crates/testing/bench-adapter/src/codec.rs
+++ b/crates/testing/bench-adapter/src/codec.rs
@@ -4,14 +4,14 @@
 
 use std::io::{self, Read, Write};
 
-pub const EVENT_BYTES: usize = 48;
+pub(crate) const EVENT_BYTES: usize = 48;
 const ACTION_BYTES: usize = 24;
-pub const ENTRY_BYTES: usize = 25;
+pub(crate) const ENTRY_BYTES: usize = 25;
 const BATCH_HEADER: usize = 20;
 /// No batch comes near this; a length beyond it is a damaged frame, not a reason to ask for that much memory.
 const LONGEST: usize = 1 << 30;
 
-pub struct Batch {
+pub(crate) struct Batch {
     pub number: u32,
     pub count: usize,
     /// Seconds.
@@ -21,7 +21,7 @@
 
 impl Batch {
     /// The next batch, or none at a clean end of input.
-    pub fn read(input: &mut impl Read) -> Result<Option<Batch>, String> {
+    pub(crate) fn read(input: &mut impl Read) -> Result<Option<Batch>, String> {
         let mut header = [0; BATCH_HEADER];
         let got = fill(input, &mut header).map_err(|e| format!("reading a batch's header: {e}"))?;
         if got == 0 {
@@ -62,7 +62,7 @@
     }
 
     /// The code of a record, and its fields.
-    pub fn record(&self, index: usize) -> (u8, Fields<'_>) {
+    pub(crate) fn record(&self, index: usize) -> (u8, Fields<'_>) {
         let record = &self.body[index * EVENT_BYTES..(index + 1) * EVENT_BYTES];
         (
             record[0],
@@ -74,7 +74,7 @@
     }
 
     /// What a field of the form (offset, length) points at, each of `length` things being `size` bytes.
-    pub fn tail(&self, (offset, length): (u32, u32), size: usize) -> Result<&[u8], String> {
+    pub(crate) fn tail(&self, (offset, length): (u32, u32), size: usize) -> Result<&[u8], String> {
         let tail = &self.body[self.count * EVENT_BYTES..];
         let from = offset as usize;
         let to = from.saturating_add((length as usize).saturating_mul(size));
@@ -101,7 +101,7 @@
 }
 
 /// Fields read one after the other. A record has a fixed size that holds all that its code's fields need.
-pub struct Fields<'a> {
+pub(crate) struct Fields<'a> {
     pub bytes: &'a [u8],
     pub at: usize,
 }
@@ -114,48 +114,48 @@
         taken
     }
 
-    pub fn u8(&mut self) -> u8 {
+    pub(crate) fn u8(&mut self) -> u8 {
         self.take::<1>()[0]
     }
 
-    pub fn u16(&mut self) -> u16 {
+    pub(crate) fn u16(&mut self) -> u16 {
         u16::from_le_bytes(self.take())
     }
 
-    pub fn u32(&mut self) -> u32 {
+    pub(crate) fn u32(&mut self) -> u32 {
         u32::from_le_bytes(self.take())
     }
 
-    pub fn u64(&mut self) -> u64 {
+    pub(crate) fn u64(&mut self) -> u64 {
         u64::from_le_bytes(self.take())
     }
 
-    pub fn f32(&mut self) -> f32 {
+    pub(crate) fn f32(&mut self) -> f32 {
         f32::from_le_bytes(self.take())
     }
 
-    pub fn f64(&mut self) -> f64 {
+    pub(crate) fn f64(&mut self) -> f64 {
         f64::from_le_bytes(self.take())
     }
 
     /// Milliseconds on the wire, seconds inside.
-    pub fn seconds(&mut self) -> f64 {
+    pub(crate) fn seconds(&mut self) -> f64 {
         self.f64() / 1e3
     }
 
-    pub fn span(&mut self) -> (u32, u32) {
+    pub(crate) fn span(&mut self) -> (u32, u32) {
         (self.u32(), self.u32())
     }
 
     /// A load report: how many values it has, and the values.
-    pub fn report(&mut self) -> (u8, [f32; 4]) {
+    pub(crate) fn report(&mut self) -> (u8, [f32; 4]) {
         (self.u8(), [self.f32(), self.f32(), self.f32(), self.f32()])
     }
 }
 
 /// A reply under way.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
     count: u32,
@@ -163,7 +163,7 @@
 
 impl Reply {
     /// Appends a record of this code; the rest of it stays zero.
-    pub fn record(&mut self, code: u8, fields: &[&[u8]]) {
+    pub(crate) fn record(&mut self, code: u8, fields: &[&[u8]]) {
         let end = self.records.len() + ACTION_BYTES;
         self.records.push(code);
         for field in fields {
@@ -178,7 +178,7 @@
     }
 
     /// Appends a record of this code whose one field is a text in the tail.
-    pub fn text(&mut self, code: u8, text: &str) {
+    pub(crate) fn text(&mut self, code: u8, text: &str) {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
         self.record(
@@ -188,19 +188,19 @@
     }
 
     /// Takes back the last record, if nothing followed the given state.
-    pub fn drop_last_of(&mut self, count: u32) {
+    pub(crate) fn drop_last_of(&mut self, count: u32) {
         if self.count == count && count > 0 {
             self.records.truncate(self.records.len() - ACTION_BYTES);
             self.count -= 1;
         }
     }
 
-    pub fn count(&self) -> u32 {
+    pub(crate) fn count(&self) -> u32 {
         self.count
     }
 
     /// Writes the reply to a batch, flushes it, and is empty again.
-    pub fn send(&mut self, number: u32, output: &mut impl Write) -> io::Result<()> {
+    pub(crate) fn send(&mut self, number: u32, output: &mut impl Write) -> io::Result<()> {
         let length = (self.records.len() + self.tail.len()) as u32;
         let mut header = Vec::with_capacity(12);
         for field in [number, self.count, length] {
--- a/crates/testing/bench-adapter/src/link.rs
+++ b/crates/testing/bench-adapter/src/link.rs
@@ -63,13 +63,13 @@
 }
 
 #[derive(Default)]
-pub struct Link {
+pub(crate) struct Link {
     hosted: BTreeMap<u32, Hosted>,
     lists: [Option<Vec<u8>>; LISTS],
 }
 
 /// Answers batches until the input ends.
-pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
+pub(crate) fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
     let mut link = Link::default();
     let mut reply = Reply::default();
     while let Some(batch) = Batch::read(input)? {
@@ -84,7 +84,7 @@
 impl Link {
     /// All events of a batch happened at one clock reading: each instance is told all of its own, then
     /// settles.
-    pub fn answer(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
+    pub(crate) fn answer(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), String> {
         let mut present = None;
         let mut spoken_to = BTreeSet::new();
         for index in 0..batch.count {
@@ -94,7 +94,7 @@
             }));
             match told {
                 Ok(told) => {
-                    told.map_err(|e| format!("batch {}, record {index}: {e}", batch.number))?
+                    told.map_err(|e| format!("batch {}, record {index}: {e}", batch.number))?;
                 }
                 Err(panic) => return self.fault(present, panic, reply),
             }
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    pub fn fault(
+    pub(crate) fn fault(
         &mut self,
         id: Option<u32>,
         panic: Box<dyn std::any::Any + Send>,
--- a/crates/testing/experiments/src/lib.rs
+++ b/crates/testing/experiments/src/lib.rs
@@ -1,6 +1,11 @@
 //! Experiments on real routers against the emulator, for `badgerstream-experiments` and for tests. All figures come from
 //! simulated servers on loopback.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 pub use badgerstream_process_harness::router;
 
 pub mod client;
--- a/crates/testing/experiments/tests/rigged/mod.rs
+++ b/crates/testing/experiments/tests/rigged/mod.rs
@@ -13,7 +13,7 @@
 /// A connection that lasts so long is used: each front has thirty statements a second.
 const LASTS_US: u64 = 1_500_000;
 
-pub struct Played {
+pub(crate) struct Played {
     pub evidence: Evidence,
     pub verdict: Verdict,
     folder: PathBuf,
@@ -24,11 +24,11 @@
 }
 
 /// Eight routers and six nodes of a hard store; `steps` and what else a case needs come as JSON5.
-pub fn script(steps: &str, more: &str) -> Script {
+pub(crate) fn script(steps: &str, more: &str) -> Script {
     script_of(8, steps, more)
 }
 
-pub fn script_of(routers: usize, steps: &str, more: &str) -> Script {
+pub(crate) fn script_of(routers: usize, steps: &str, more: &str) -> Script {
     let text = format!(
         "{{store: {{groups: 2, members: 3, service_ms: 10, slots: 2, handshake_ms: 60, cold_ms: 2000, late_ms: 100}},
           routers: {routers}, load: {{per_s: 240, connections: 160, patience_ms: 3000, slo_ms: 1500, retries: 5}},
@@ -49,14 +49,14 @@
 }
 
 /// The seed of a case that is played once.
-pub const SEED: u64 = 3;
+pub(crate) const SEED: u64 = 3;
 
-pub fn played(name: &str, script: &Script, own: Option<&str>) -> Played {
+pub(crate) fn played(name: &str, script: &Script, own: Option<&str>) -> Played {
     played_with(SEED, name, script, own)
 }
 
 /// The first play that the machine left undisturbed; after so many tries, the one that it disturbed least.
-pub fn played_with(seed: u64, name: &str, script: &Script, own: Option<&str>) -> Played {
+pub(crate) fn played_with(seed: u64, name: &str, script: &Script, own: Option<&str>) -> Played {
     let mut least: Option<Played> = None;
     for number in 0..TRIES {
         let alone = number > 0;
@@ -107,13 +107,13 @@
 }
 
 impl Played {
-    pub fn keeps_the_rules(&self) -> &Played {
+    pub(crate) fn keeps_the_rules(&self) -> &Played {
         assert!(self.verdict.broken.is_empty(), "{:#?}", self.verdict.broken);
         self
     }
 
     /// When the first thing was done to anything.
-    pub fn fault(&self) -> u64 {
+    pub(crate) fn fault(&self) -> u64 {
         self.evidence
             .deeds
             .iter()
@@ -122,7 +122,7 @@
     }
 
     /// Connections asked for behind the first fault.
-    pub fn opened(&self) -> usize {
+    pub(crate) fn opened(&self) -> usize {
         let asks = |kind| matches!(kind, Kind::Opened | Kind::Full);
         let behind = self
             .evidence
@@ -134,7 +134,7 @@
     }
 
     /// Whether each router had statements executed after its last start, if clients were led to it again by then.
-    pub fn all_came_back(&self) -> bool {
+    pub(crate) fn all_came_back(&self) -> bool {
         (0..self.evidence.script.routers).all(|router| {
             let of = |d: &&Deed| d.what == What::Started && d.router == Some(router);
             let started = self
@@ -157,7 +157,7 @@
         })
     }
 
-    pub fn logs(&self) -> Vec<String> {
+    pub(crate) fn logs(&self) -> Vec<String> {
         let read =
             |router| std::fs::read_to_string(self.folder.join(format!("router-{router}.log")));
         (0..self.evidence.script.routers)
@@ -165,7 +165,7 @@
             .collect()
     }
 
-    pub fn said(&self, what: &str) -> usize {
+    pub(crate) fn said(&self, what: &str) -> usize {
         self.logs()
             .iter()
             .map(|log| log.matches(what).count())
--- a/crates/testing/experiments/tests/rigged/places.rs
+++ b/crates/testing/experiments/tests/rigged/places.rs
@@ -28,7 +28,7 @@
 static CHANGED: Condvar = Condvar::new();
 
 /// Plays once there is room beside the others, or, alone, once nobody else plays.
-pub fn with<T>(alone: bool, play: impl FnOnce() -> T) -> T {
+pub(super) fn with<T>(alone: bool, play: impl FnOnce() -> T) -> T {
     let _place = if alone {
         Place::enter_alone()
     } else {
--- a/crates/testing/load-generator/src/connection.rs
+++ b/crates/testing/load-generator/src/connection.rs
@@ -118,7 +118,7 @@
         self.heard_any
     }
 
-    /// What had been said when it ended: ReadyForQuery is not needed behind an error or a whole row.
+    /// What had been said when it ended: `ReadyForQuery` is not needed behind an error or a whole row.
     pub fn last_word(&mut self) -> Option<Answer> {
         let mut answer = self.answer.take()?;
         answer.position = self.position;
--- a/crates/testing/load-generator/src/lib.rs
+++ b/crates/testing/load-generator/src/lib.rs
@@ -1,6 +1,11 @@
 //! Open-loop load for any server of the protocol, counted without coordinated omission: statements are sent on
 //! a schedule drawn ahead, whatever the server does, and every wait is charged to the statement that waited.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 pub mod arrivals;
 pub mod attempts;
 pub mod compare;
--- a/crates/testing/load-generator/src/main.rs
+++ b/crates/testing/load-generator/src/main.rs
@@ -243,7 +243,10 @@
 
 fn tell(scenario: &Scenario) {
     for (number, phase) in scenario.phases.iter().enumerate() {
-        let expected: f64 = pieces(phase).iter().map(|piece| piece.mass()).sum();
+        let expected: f64 = pieces(phase)
+            .iter()
+            .map(badgerstream_load_generator::arrivals::Piece::mass)
+            .sum();
         let kind = if phase.random {
             "at random"
         } else {
--- a/crates/testing/load-generator/src/soonest.rs
+++ b/crates/testing/load-generator/src/soonest.rs
@@ -31,7 +31,7 @@
     }
 }
 
-pub struct Soonest<T>(BinaryHeap<Reverse<Timed<T>>>);
+pub(crate) struct Soonest<T>(BinaryHeap<Reverse<Timed<T>>>);
 
 impl<T> Default for Soonest<T> {
     fn default() -> Soonest<T> {
@@ -40,16 +40,16 @@
 }
 
 impl<T> Soonest<T> {
-    pub fn push(&mut self, at: f64, number: u64, thing: T) {
+    pub(crate) fn push(&mut self, at: f64, number: u64, thing: T) {
         self.0.push(Reverse(Timed { at, number, thing }));
     }
 
     /// The soonest moment.
-    pub fn at(&self) -> Option<f64> {
+    pub(crate) fn at(&self) -> Option<f64> {
         self.0.peek().map(|Reverse(first)| first.at)
     }
 
-    pub fn pop(&mut self) -> Option<T> {
+    pub(crate) fn pop(&mut self) -> Option<T> {
         self.0.pop().map(|Reverse(first)| first.thing)
     }
 }
--- a/crates/testing/load-generator/src/tests/mod.rs
+++ b/crates/testing/load-generator/src/tests/mod.rs
@@ -18,17 +18,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-pub const SCENARIO: &str = "{target: '127.0.0.1:1', workloads: [
+pub(crate) const SCENARIO: &str = "{target: '127.0.0.1:1', workloads: [
   {name: 'read', share: 3, zipf: 1.2, keys: 50, patience_ms: 5000, slo_ms: 2000},
   {name: 'write', share: 1, writes: true, marked: true, groups: 3, patience_ms: 5000, slo_ms: 2000, customer: 'acme'}],
  phases: [{for_ms: 1000, shape: {constant: {per_s: 200}}}]}";
 
-pub fn scenario() -> Scenario {
+pub(crate) fn scenario() -> Scenario {
     Scenario::read(SCENARIO).unwrap()
 }
 
 /// Against a server that goes by this script; clients wait for `patience_ms`.
-pub fn played(
+pub(crate) fn played(
     mut scenario: Scenario,
     patience_ms: f64,
     script: impl Fn(u64, &str) -> Turn + Send + Sync + 'static,
@@ -42,7 +42,7 @@
     (play(&scenario, &Setup::default(), None).unwrap(), server)
 }
 
-pub fn of(played: &Played, outcome: Outcome) -> u64 {
+pub(crate) fn of(played: &Played, outcome: Outcome) -> u64 {
     let o = played.summary.outcomes();
     match outcome {
         Outcome::Completed => o.completed,
@@ -55,7 +55,7 @@
 }
 
 /// A place of its own under the system's folder for such.
-pub fn place(name: &str) -> PathBuf {
+pub(crate) fn place(name: &str) -> PathBuf {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let folder =
@@ -64,6 +64,6 @@
     folder.join(name)
 }
 
-pub fn shared(scenario: Scenario) -> Arc<Scenario> {
+pub(crate) fn shared(scenario: Scenario) -> Arc<Scenario> {
     Arc::new(scenario)
 }
--- a/crates/testing/process-harness/src/clients.rs
+++ b/crates/testing/process-harness/src/clients.rs
@@ -198,7 +198,7 @@
         let (tell, told) = mpsc::sync_channel(BATCHES);
         let to = to.clone();
         threads.push(thread::spawn(move || {
-            told.iter().for_each(|batch| _ = to.send((place, batch)))
+            told.iter().for_each(|batch| _ = to.send((place, batch)));
         }));
         let most = sending.load.connections / fronts
             + usize::from(place < sending.load.connections % fronts);
--- a/crates/testing/process-harness/src/judge/figures.rs
+++ b/crates/testing/process-harness/src/judge/figures.rs
@@ -117,7 +117,7 @@
     (all > 0.0).then(|| done / all)
 }
 
-pub fn of(evidence: &Evidence) -> Figures {
+pub(super) fn of(evidence: &Evidence) -> Figures {
     let (asked, start) = (&evidence.heard.asked, evidence.heard.start_us);
     let script = &evidence.script;
     let ms = |at: u64| (at as f64 - start as f64) / 1e3;
--- a/crates/testing/process-harness/src/judge/rules.rs
+++ b/crates/testing/process-harness/src/judge/rules.rs
@@ -29,7 +29,7 @@
 /// A close and a statement that cross on their way through a relay do so within this.
 const CROSSING_US: u64 = 50_000;
 
-pub fn broken(evidence: &Evidence) -> Vec<Broken> {
+pub(super) fn broken(evidence: &Evidence) -> Vec<Broken> {
     let mut broken = Vec::new();
     let mut found = |rule: &'static str, cases: Vec<(String, Option<&Asked>)>| {
         if let Some((case, statement)) = cases.first() {
@@ -255,7 +255,7 @@
                 }
             }
             Event::Start if evidence.script.known == Known::First => {
-                told.retain(|(of, _), _| *of != router)
+                told.retain(|(of, _), _| *of != router);
             }
             Event::Start => told
                 .iter_mut()
--- a/crates/testing/process-harness/src/judge/way.rs
+++ b/crates/testing/process-harness/src/judge/way.rs
@@ -7,7 +7,7 @@
 /// Deeds so long before it was due are told, too: what has hit it may lie before it.
 const BEFORE_US: u64 = 1_500_000;
 
-pub fn of(evidence: &Evidence, asked: &Asked) -> Vec<String> {
+pub(super) fn of(evidence: &Evidence, asked: &Asked) -> Vec<String> {
     let start = evidence.heard.start_us;
     let ms = |at: u64| (at as f64 - start as f64) / 1e3;
     let (id, mut lines) = (asked.id(), Vec::new());
--- a/crates/testing/process-harness/src/lib.rs
+++ b/crates/testing/process-harness/src/lib.rs
@@ -3,6 +3,11 @@
 //! come by a script and a seed, and one judge reads what all sides saw. All on loopback, without privileges;
 //! all figures are of simulated clients and nodes.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 pub mod clients;
 pub mod judge;
 pub mod play;
--- a/crates/testing/process-harness/src/play.rs
+++ b/crates/testing/process-harness/src/play.rs
@@ -157,7 +157,7 @@
 
 /// # Errors
 /// A process that can't be started, or is lost.
-pub fn play(script: &Script, setup: &Setup) -> Result<Evidence, Fault> {
+pub fn play(script: &Script, setup: &Setup<'_>) -> Result<Evidence, Fault> {
     let plan = script.draw(setup.seed);
     let mut rig = Rig::build(script, setup)?;
     for router in 0..script.up() {
@@ -225,7 +225,7 @@
 }
 
 impl<'a> Rig<'a> {
-    fn build(script: &'a Script, setup: &'a Setup) -> Result<Rig<'a>, Fault> {
+    fn build(script: &'a Script, setup: &'a Setup<'_>) -> Result<Rig<'a>, Fault> {
         badgerstream_load_generator::run::descriptors();
         let ground = Ground::new();
         let mut store = Store::start(setup.helper)?;
--- a/crates/testing/process-harness/src/router.rs
+++ b/crates/testing/process-harness/src/router.rs
@@ -96,7 +96,7 @@
 
 impl Router {
     /// Starts number `place` of the routers and waits until it serves.
-    pub fn start(setup: &Setup, place: usize) -> Result<Router, Fault> {
+    pub fn start(setup: &Setup<'_>, place: usize) -> Result<Router, Fault> {
         let address = free_address(Ground::new().door(place))?;
         let name = format!("router-{place}");
         let config = config(setup, place, address);
@@ -277,7 +277,7 @@
 /// How long a node may still be sent work once the router was told that it drains.
 pub const GRACE_MS: u64 = 250;
 
-fn config(setup: &Setup, place: usize, address: SocketAddr) -> Value {
+fn config(setup: &Setup<'_>, place: usize, address: SocketAddr) -> Value {
     Told {
         name: &format!("lab-{place}"),
         listen: address,
--- a/crates/testing/process-harness/src/run_delay.rs
+++ b/crates/testing/process-harness/src/run_delay.rs
@@ -121,7 +121,7 @@
 
 impl Readings {
     /// What these threads have waited so far counts for nothing.
-    pub fn from(tasks: Vec<(PathBuf, Duration)>) -> Readings {
+    pub(crate) fn from(tasks: Vec<(PathBuf, Duration)>) -> Readings {
         let known = |(thread, delay)| (thread, (delay, VecDeque::new()));
         Readings {
             threads: tasks.into_iter().map(known).collect(),
@@ -130,7 +130,7 @@
     }
 
     /// One reading of all threads. All that a new one has waited counts.
-    pub fn sample(&mut self, tasks: &[(PathBuf, Duration)]) {
+    pub(crate) fn sample(&mut self, tasks: &[(PathBuf, Duration)]) {
         for (thread, delay) in tasks {
             let (before, lately) = self.threads.entry(thread.clone()).or_default();
             lately.push_back(delay.saturating_sub(*before));
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -4,6 +4,8 @@
 //! A run is a function of its seed and of what is done to it. Safety is checked at every event, and liveness whenever no
 //! more machines are lost than the fault budget allows ([`oracle`]). Days for the users' bench are drawn here, too ([`days`]).
 
+#![allow(missing_docs, reason = "to be documented file by file")]
+
 pub mod days;
 pub mod digest;
 pub mod disk;
--- a/crates/testing/simulation/src/machine.rs
+++ b/crates/testing/simulation/src/machine.rs
@@ -316,10 +316,10 @@
                 }
                 Output::SendToPeer(to, message) => self.send(node, to, message),
                 Output::SendToRouter(connection, message) => {
-                    self.send_news(node, connection, message)
+                    self.send_news(node, connection, message);
                 }
                 Output::SendUpdate(connection, news) => {
-                    self.send_news(node, connection, (*news).clone())
+                    self.send_news(node, connection, (*news).clone());
                 }
                 Output::SendCommand {
                     server_id: id,
--- a/crates/testing/simulation/src/tests/days.rs
+++ b/crates/testing/simulation/src/tests/days.rs
@@ -90,7 +90,10 @@
     for site in Site::value_variants() {
         for day in days(*site) {
             for entries in [day.plan(), day.faults()] {
-                assert!(entries.is_sorted_by_key(|entry| entry.at()), "{day}");
+                assert!(
+                    entries.is_sorted_by_key(super::super::days::Entry::at),
+                    "{day}"
+                );
                 assert!(
                     entries
                         .iter()
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -393,7 +393,7 @@
         if let Some(machine) = self.controls.get_mut(&node) {
             machine.ending = true;
         }
-        self.with(node, |controller, now| controller.resign(now));
+        self.with(node, badgerstream_control::Controller::resign);
     }
 
     /// It is asked to end soon, and will be removed.
@@ -436,7 +436,7 @@
             Some(Caller::Operator(_)) if self.chance.of_thousand(self.lost_replies) => {}
             Some(Caller::Operator(at)) => self.answer_operator(at, call, &answer),
             Some(Caller::Server(id)) if answer.status != 200 => {
-                self.put(0.05, Event::Heartbeat(id))
+                self.put(0.05, Event::Heartbeat(id));
             }
             Some(Caller::Server(_)) => {}
             None => {
@@ -487,7 +487,7 @@
                 if !self.reaches(*node, Some(*life), &event) {
                     return;
                 }
-                self.with(*node, |controller, now| controller.tick(now));
+                self.with(*node, badgerstream_control::Controller::tick);
                 if self.now - self.controls[node].servers_kept >= KEEP_SERVERS {
                     self.keep_servers(*node);
                 }
--- a/crates/testing/simulation/tests/calls.rs
+++ b/crates/testing/simulation/tests/calls.rs
@@ -139,9 +139,9 @@
         world.run(0.0005 * f64::from(step / 4));
         for node in 1..=3 {
             if node == wiped {
-                world.wipe(node)
+                world.wipe(node);
             } else {
-                world.kill(node)
+                world.kill(node);
             }
         }
         world.run(0.5);
--- a/crates/testing/simulation/tests/failover.rs
+++ b/crates/testing/simulation/tests/failover.rs
@@ -535,9 +535,9 @@
     for step in 0..40 {
         let mut world = start.clone();
         if step % 2 == 0 {
-            world.crash("a")
+            world.crash("a");
         } else {
-            world.drain("a")
+            world.drain("a");
         }
         world.run(0.03 * f64::from(step));
         let leader = world.leader().unwrap();
--- a/crates/testing/simulation/tests/losses.rs
+++ b/crates/testing/simulation/tests/losses.rs
@@ -155,7 +155,7 @@
             w.controls[&leaves]
                 .controller
                 .as_ref()
-                .is_some_and(|c| c.may_shut_down())
+                .is_some_and(badgerstream_control::Controller::may_shut_down)
         });
         world.remove(leaves);
         world.wipe(leader);
@@ -190,9 +190,9 @@
         }
         world.run(1.0);
         if at % 3 == 2 {
-            world.thaw(leader)
+            world.thaw(leader);
         } else {
-            world.start(leader)
+            world.start(leader);
         }
         world.run(CATCH_UP);
         assert_eq!(
@@ -240,9 +240,9 @@
                 let wiped =
                     (0..budget as u32).any(|more| 1 + (leader + at / 2 + more) % machines == node);
                 if wiped {
-                    world.wipe(node)
+                    world.wipe(node);
                 } else {
-                    world.power_off(node)
+                    world.power_off(node);
                 }
             }
             for node in 1..=machines {
--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -244,7 +244,7 @@
                 }
                 // The lowest term that turned it out, which is its own and one more.
                 2 if up && world.servers[id].leader => {
-                    world.servers.get_mut(id).unwrap().leader = false
+                    world.servers.get_mut(id).unwrap().leader = false;
                 }
                 3 if up
                     && world
--- a/crates/testing/store-emulator/src/lib.rs
+++ b/crates/testing/store-emulator/src/lib.rs
@@ -1,7 +1,12 @@
 //! A replicated store on loopback to test against: groups of a primary and its replicas that speak the
-//! platform's PostgreSQL protocol, and discovery beside them that may run late. It keeps a ledger of every
+//! platform's `PostgreSQL` protocol, and discovery beside them that may run late. It keeps a ledger of every
 //! effect, by which a run is judged. It is written from the published pages alone and is no part of the router.
 
+#![allow(
+    missing_docs,
+    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
+)]
+
 pub mod discovery;
 pub mod group;
 pub mod node;
@@ -105,9 +110,10 @@
             let store = Arc::new(Mutex::new(Group::new(shape.replication, shape.members)));
             for member in 0..shape.members {
                 let number = nodes.len();
-                let name = names
-                    .get(number)
-                    .map_or(format!("s-{group}-{member}"), |name| name.to_string());
+                let name = names.get(number).map_or(
+                    format!("s-{group}-{member}"),
+                    std::string::ToString::to_string,
+                );
                 let port = if shape.ports.0 == 0 {
                     0
                 } else {
@@ -204,7 +210,7 @@
             (Step::RestartOld, _) => self.restart_dead(group),
             (Step::DrainPrimary, Some(primary)) => self.drain(group, primary, true),
             (Step::EndDrain, _) => {
-                (0..self.members).for_each(|member| self.drain(group, member, false))
+                (0..self.members).for_each(|member| self.drain(group, member, false));
             }
             (Step::HangPrimary, Some(primary)) => {
                 locked(&self.watched).old.insert(group, primary);
@@ -219,7 +225,7 @@
                 .into_iter()
                 .for_each(|old| self.node(group, old).hang(false)),
             (Step::JoinOld, _) => {
-                (0..self.members).for_each(|member| self.link(group, member, true))
+                (0..self.members).for_each(|member| self.link(group, member, true));
             }
             (_, None) => {}
         }
--- a/crates/testing/store-emulator/src/node.rs
+++ b/crates/testing/store-emulator/src/node.rs
@@ -1,4 +1,4 @@
-//! A node on sockets: PostgreSQL's protocol, version 3, simple queries. Each connection has a thread.
+//! A node on sockets: `PostgreSQL`'s protocol, version 3, simple queries. Each connection has a thread.
 
 use crate::group::{Entry, Group, Outcome, Written};
 use crate::{Shape, now};
@@ -452,10 +452,10 @@
         match locked(&self.store).outcome(now(), self.member, mark) {
             Outcome::Ran(value) => row(output, Some(&value), "SELECT 1"),
             Outcome::Never => {
-                put_error(output, "ERROR", "02000", "it never ran and never will", "")
+                put_error(output, "ERROR", "02000", "it never ran and never will", "");
             }
             Outcome::Unknown => {
-                put_error(output, "ERROR", "25006", "only the primary can tell", "")
+                put_error(output, "ERROR", "25006", "only the primary can tell", "");
             }
         }
     }
--- a/crates/testing/testbed/src/relay.rs
+++ b/crates/testing/testbed/src/relay.rs
@@ -149,7 +149,7 @@
                 }
                 Some(Fault::Delay(late)) => drop(Timer::after(late).await),
                 Some(Fault::ResetAfter(most)) => {
-                    part = &part[..count.min(most.saturating_sub(passed))]
+                    part = &part[..count.min(most.saturating_sub(passed))];
                 }
                 None => {}
             }
--- a/crates/testing/testbed/src/world/primaries.rs
+++ b/crates/testing/testbed/src/world/primaries.rs
@@ -1,6 +1,6 @@
 //! How servers end, start and take the lead, and whom the others follow.
 
-use super::*;
+use super::{Conn, Out, World};
 
 impl World {
     /// `POST /promotions`: the status of its answer.
--- a/crates/testing/testbed/src/world/sessions.rs
+++ b/crates/testing/testbed/src/world/sessions.rs
@@ -1,6 +1,6 @@
 //! Connections to servers: their beginning and end, what they are answered, and the slots that their statements wait for.
 
-use super::*;
+use super::{BTreeMap, Code, Conn, Job, Out, Request, Session, State, WAITING, Work, World};
 
 impl World {
     /// A caller has sent `CONNECT`, as the first line of its connection. An error is to be written, then the connection
--- a/crates/testing/testbed/src/world/statements.rs
+++ b/crates/testing/testbed/src/world/statements.rs
@@ -1,6 +1,9 @@
 //! What servers do with statements.
 
-use super::*;
+use super::{
+    Code, Commit, Conn, Job, Kind, Out, Position, Server, Text, Transaction, Unanswered, Work,
+    World,
+};
 
 impl World {
     pub(super) fn row(&self, server: &Server) -> String {
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -253,7 +253,7 @@
     }
 
     /// Ends all clients, and compares what was acknowledged with what the primary holds.
-    async fn settle(&self, rig: &Rig) {
+    fn settle(&self, rig: &Rig) {
         self.done.set(true);
         let world = rig.stage.world.borrow();
         let primary = world.primary("db1").expect("somebody leads");
@@ -286,7 +286,7 @@
         seen.last.set(clock::now());
         (0..WRITERS).for_each(|n| rig.client(n, &seen));
         test(&rig, &seen).await;
-        seen.settle(&rig).await;
+        seen.settle(&rig);
     };
     let late = async {
         Timer::after(Duration::from_secs_f64(limit)).await;
