--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -7,12 +7,12 @@
 mod sessions;
 mod status;
 
+use crate::counters::ControlCounts;
 use crate::frames::{self, Frame};
-use crate::metrics::CallCounts;
 use crate::notify::Notify;
 use crate::server_queries::{Query, Target};
 use crate::servers::Servers;
-use crate::{clock, http};
+use crate::{clock, http, net};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -70,7 +70,7 @@
     /// The process is to end: no new duty is begun.
     pub ending: Cell<bool>,
     lease: f64,
-    counts: CallCounts,
+    counts: ControlCounts,
 }
 
 /// The spans that this deployment's settings give.
@@ -195,7 +195,7 @@
             open: Rc::default(),
             ending: Cell::new(false),
             lease: timing.lease_duration,
-            counts: CallCounts::default(),
+            counts: ControlCounts::default(),
         });
         let bind = |at: SocketAddr| http::listen(at).map_err(|e| format!("{at}: {e}"));
         let peers = bind(SocketAddr::from((settings.ip, this.port)))?;
@@ -275,7 +275,7 @@
                 Output::SendToPeer(to, message) => self.link(to, message),
                 Output::SendToRouter(session, message) => self.sessions.answer(session, message),
                 Output::SendUpdate(session, news) => {
-                    self.counts.told();
+                    self.counts.router_updated();
                     self.sessions.tell(session, news);
                 }
                 Output::SendCommand {
@@ -348,7 +348,7 @@
         self.perform(out);
         let none = ControlResponse::error(503, "no answer");
         let answer = receiver.recv().await.unwrap_or(none);
-        self.counts.answered(name, answer.status);
+        self.counts.responded(name, answer.status);
         answer
     }
 }
--- a/crates/runtime/pooler/src/control/calls.rs
+++ b/crates/runtime/pooler/src/control/calls.rs
@@ -23,7 +23,7 @@
                 },
                 Err(e) => {
                     log::info!("event=config_refused error={:?}", e.to_string());
-                    self.counts.answered("replace", 400);
+                    self.counts.responded("replace", 400);
                     return response(400, &[], format!("{e}\n").as_bytes(), keep);
                 }
             },
--- a/crates/runtime/pooler/src/control/disk.rs
+++ b/crates/runtime/pooler/src/control/disk.rs
@@ -128,7 +128,7 @@
         let record = self.controller.borrow().hard_state().clone();
         let began = clock::now();
         let saved = self.disk.borrow_mut().save(&record);
-        self.counts.saved(clock::now() - began, saved.is_ok());
+        self.counts.persisted(clock::now() - began, saved.is_ok());
         match saved {
             Ok(()) => self.controller.borrow_mut().persisted(clock::now()),
             Err(e) => {
--- a/crates/runtime/pooler/src/control/duties.rs
+++ b/crates/runtime/pooler/src/control/duties.rs
@@ -1,7 +1,7 @@
 //! What the leader asks of servers and of the platform. `docs/design/calls.md` says which of these calls may be repeated.
 
 use super::*;
-use crate::exchange::{self, DutyLost, ExchangeError};
+use crate::exchange::{self, AuthorityError, ExchangeError};
 use crate::server_queries::{self, Query, Target, Waits};
 use badgerstream_control::{CommandOutcome, PromotionOutcome};
 use badgerstream_line_protocol::Verdict;
@@ -119,8 +119,8 @@
     ) -> Result<u16, ExchangeError> {
         exchange::run(PLATFORM_S, async |progress| {
             let mut stream = Async::<TcpStream>::connect(provider).await?;
-            frames::prepare(&stream, PLATFORM_S);
-            frames::reset_on_close(&stream, true);
+            net::configure(&stream, PLATFORM_S);
+            net::reset_on_close(&stream, true);
             let Promotion {
                 service,
                 id,
@@ -132,11 +132,11 @@
             // Whoever was frozen since this was decided must not call: another one may hold the duty.
             let now = clock::now();
             if now >= *before || !self.controller.borrow().may_act_with(now, *fence) {
-                return Err(io::Error::other(DutyLost::NoAuthority));
+                return Err(AuthorityError::NotLeader.into());
             }
             progress.send(&stream, &request).await?;
             let status = read_status_code(&mut stream).await?;
-            frames::reset_on_close(&stream, false);
+            net::reset_on_close(&stream, false);
             Ok(status)
         })
         .await
--- a/crates/runtime/pooler/src/control/links.rs
+++ b/crates/runtime/pooler/src/control/links.rs
@@ -41,11 +41,14 @@
             };
             let heard = self.heard_of(node);
             let generation = heard.generation();
-            let Ok(mut stream) = future::or(frames::connect(to, frames::CONNECT, 1.0), async {
-                // It has just called: an attempt from before it was up would only be waited for.
-                heard.notified_since(generation).await;
-                Err(io::ErrorKind::Interrupted.into())
-            })
+            let Ok(mut stream) = future::or(
+                net::connect_with_timeout(to, frames::CONNECT_TIMEOUT_S, 1.0),
+                async {
+                    // It has just called: an attempt from before it was up would only be waited for.
+                    heard.notified_since(generation).await;
+                    Err(io::ErrorKind::Interrupted.into())
+                },
+            )
             .await
             else {
                 let pause = async {
@@ -60,9 +63,9 @@
             };
             let hello = frames::write(
                 &mut stream,
-                &Frame::Hello {
+                &Frame::Handshake {
                     from: self.me,
-                    life: self.life,
+                    process_incarnation: self.life,
                 },
             )
             .await;
@@ -89,7 +92,12 @@
                 };
                 told = match future::or(next, ended).await {
                     Ok(Some(message)) => {
-                        frames::write_slowly(&mut &stream, &frames::bytes(&message), STALLED).await
+                        frames::write_with_stall_timeout(
+                            &mut &stream,
+                            &frames::encode(&message),
+                            STALLED,
+                        )
+                        .await
                     }
                     Ok(None) => return,
                     Err(e) => Err(e),
@@ -102,7 +110,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    frames::prepare(&stream, 1.5);
+                    net::configure(&stream, 1.5);
                     let this = self.clone();
                     self.tasks.spawn(this.hear(stream)).detach();
                 }
@@ -122,7 +130,10 @@
         while let Ok(frame) = frames::read(&mut reader).await {
             let now = clock::now();
             match frame {
-                Frame::Hello { from, life } => {
+                Frame::Handshake {
+                    from,
+                    process_incarnation: life,
+                } => {
                     log::debug!("event=peer_connected from={from} life={life:x}");
                     peer = Some((from, self.newest_connection(from.node)));
                     self.controller.borrow_mut().peer_discovered(from.node);
@@ -144,7 +155,7 @@
                         self.perform(out);
                     }
                 }
-                Frame::Renew(call) => {
+                Frame::LeaseRequest(call) => {
                     let session = session.get_or_insert_with(|| self.open_session(&stream));
                     let out = self
                         .controller
@@ -152,7 +163,7 @@
                         .handle_lease_request(now, session.id, call);
                     self.perform(out);
                 }
-                Frame::News(_) => break,
+                Frame::RouterUpdate(_) => break,
             }
         }
     }
--- a/crates/runtime/pooler/src/control/sessions.rs
+++ b/crates/runtime/pooler/src/control/sessions.rs
@@ -65,7 +65,7 @@
         }
         // What only this list still holds is not told any more.
         encoded.retain(|known| Rc::strong_count(&known.news) > 1);
-        let bytes: Rc<[u8]> = frames::bytes(&Frame::News(news.clone())).into();
+        let bytes: Rc<[u8]> = frames::encode(&Frame::RouterUpdate(news.clone())).into();
         encoded.push(Encoded {
             news,
             bytes: bytes.clone(),
@@ -133,15 +133,15 @@
     let rings = outbox.filled.generation();
     let mut writer = stream;
     if let Some(answer) = outbox.answer.take() {
-        let bytes = frames::bytes(&Frame::News(Rc::new(answer)));
-        return frames::write_slowly(&mut writer, &bytes, STALLED).await;
+        let bytes = frames::encode(&Frame::RouterUpdate(Rc::new(answer)));
+        return frames::write_with_stall_timeout(&mut writer, &bytes, STALLED).await;
     }
     let news = outbox.news.borrow().clone();
     let Some(bytes) = news else {
         outbox.filled.notified_since(rings).await;
         return Ok(());
     };
-    frames::write_slowly(&mut writer, &bytes, STALLED).await?;
+    frames::write_with_stall_timeout(&mut writer, &bytes, STALLED).await?;
     outbox.news.take();
     Ok(())
 }
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -31,7 +31,7 @@
 
 impl Control {
     /// What was asked and done since the start of the process.
-    pub fn counts(&self) -> &CallCounts {
+    pub fn counts(&self) -> &ControlCounts {
         &self.counts
     }
 
--- a/crates/runtime/pooler/src/edge/client/response.rs
+++ b/crates/runtime/pooler/src/edge/client/response.rs
@@ -1,6 +1,6 @@
 //! The answer that a client gets to its statement.
 
-use crate::metrics::End;
+use crate::counters::StatementEnd as End;
 use badgerstream_line_protocol::{Code, State};
 use badgerstream_pooling::latency::MIN_RETRY_AFTER_S;
 
--- a/crates/runtime/pooler/src/edge/link.rs
+++ b/crates/runtime/pooler/src/edge/link.rs
@@ -1,6 +1,6 @@
 //! A connection to a server.
 
-use super::net::{self, NotSent, Scratch};
+use super::net::{self, Scratch, WriteError};
 use crate::clock;
 use async_io::Async;
 use badgerstream_line_protocol::{Answer, Code, LineBuffer, Outcome, Position, Reply, State};
@@ -100,7 +100,7 @@
     }
 
     /// Sends lines.
-    pub async fn send(&self, bytes: &[u8]) -> Result<(), NotSent> {
+    pub async fn send(&self, bytes: &[u8]) -> Result<(), WriteError> {
         net::write(&self.stream, bytes).await
     }
 
--- a/crates/runtime/pooler/src/edge/mod.rs
+++ b/crates/runtime/pooler/src/edge/mod.rs
@@ -5,12 +5,12 @@
 mod client;
 mod gate;
 mod link;
-pub(crate) mod net;
 mod place;
 mod pool;
 
 use crate::clock;
-use crate::metrics::StatementCounts;
+use crate::counters::StatementCounts;
+use crate::net;
 use crate::view::{Server, Shared};
 use async_executor::LocalExecutor;
 use async_io::Async;
--- a/crates/runtime/pooler/src/edge/pool/exchange.rs
+++ b/crates/runtime/pooler/src/edge/pool/exchange.rs
@@ -62,7 +62,7 @@
             other => {
                 self.link = None;
                 self.pool.mark_failing();
-                return Err(if matches!(other, Some(Err(e)) if e.none) {
+                return Err(if matches!(other, Some(Err(e)) if e.nothing_written) {
                     ExchangeError::Unsent
                 } else {
                     ExchangeError::Broken
--- a/crates/runtime/pooler/src/exchange.rs
+++ b/crates/runtime/pooler/src/exchange.rs
@@ -1,22 +1,27 @@
-//! One request to another process and its answer, with what its end proves of whether the request has run.
+//! One request to another process and its answer, and what the end of it proves of whether the request has run.
+//!
+//! Used where a request must not run twice: commands to database servers and promotions. The caller owns the connection; the
+//! only state here is how far one exchange has come.
 
-use crate::edge::net;
-use crate::frames;
+use crate::net;
 use async_io::Async;
 use badgerstream_line_protocol::Verdict;
-use quick_error::quick_error;
 use std::cell::Cell;
 use std::io::{Error, ErrorKind, Result};
 use std::net::TcpStream;
+use thiserror::Error as ThisError;
 
-quick_error! {
-    /// The request was not sent: another machine may hold the duty by now.
-    #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum DutyLost {
-        /// This machine can't tell any more that no other one leads.
-        NoAuthority {
-            display("another machine may lead by now")
-        }
+/// The request was not sent, as this machine has lost the authority to send it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, ThisError)]
+pub enum AuthorityError {
+    /// This machine no longer knows that it is the leader.
+    #[error("another machine may lead by now")]
+    NotLeader,
+}
+
+impl From<AuthorityError> for Error {
+    fn from(error: AuthorityError) -> Self {
+        Error::other(error)
     }
 }
 
@@ -30,11 +35,11 @@
 }
 
 impl ExchangeError {
-    /// Whether it was given up since another machine may hold the duty.
-    pub fn is_duty_lost(&self) -> bool {
+    /// Whether it ended with an [`AuthorityError`].
+    pub fn is_authority_lost(&self) -> bool {
         self.error
             .get_ref()
-            .is_some_and(|error| error.is::<DutyLost>())
+            .is_some_and(|error| error.is::<AuthorityError>())
     }
 }
 
@@ -42,11 +47,15 @@
 pub struct Progress(Cell<Verdict>);
 
 impl Progress {
-    /// Sends the whole request. From its first byte on it may have run.
+    /// Sends the complete request. From its first byte on it may have run.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::BrokenPipe`] if not all of it could be written.
     pub async fn send(&self, stream: &Async<TcpStream>, request: &[u8]) -> Result<()> {
         self.0.set(Verdict::MayHaveRun);
-        net::write(stream, request).await.map_err(|unsent| {
-            if unsent.none {
+        net::write(stream, request).await.map_err(|error| {
+            if error.nothing_written {
                 self.0.set(Verdict::NotRun);
             }
             ErrorKind::BrokenPipe.into()
@@ -54,14 +63,18 @@
     }
 }
 
-/// Runs an exchange that may take so many seconds. It must send its request by [`Progress::send`].
+/// Runs an exchange for so many seconds at most. The exchange must send its request by [`Progress::send`].
+///
+/// # Errors
+///
+/// [`ExchangeError`] with the error of the exchange, or with [`ErrorKind::TimedOut`].
 pub async fn run<T>(
-    seconds: f64,
+    timeout_s: f64,
     exchange: impl AsyncFnOnce(&Progress) -> Result<T>,
 ) -> std::result::Result<T, ExchangeError> {
     let progress = Progress(Cell::new(Verdict::NotRun));
-    let ended = frames::within(seconds, exchange(&progress)).await;
-    ended.map_err(|error| ExchangeError {
+    let result = net::with_timeout(timeout_s, exchange(&progress)).await;
+    result.map_err(|error| ExchangeError {
         verdict: progress.0.get(),
         error,
     })
--- a/crates/runtime/pooler/src/lib.rs
+++ b/crates/runtime/pooler/src/lib.rs
@@ -3,11 +3,13 @@
 pub mod cli;
 pub mod clock;
 pub mod control;
+pub mod counters;
 pub mod edge;
 pub mod exchange;
 pub mod frames;
 pub mod http;
 pub mod metrics;
+pub mod net;
 pub mod node;
 pub mod notify;
 pub mod server_queries;
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -4,7 +4,6 @@
 //! that a machine which nobody asks pays next to nothing.
 
 mod control;
-mod counters;
 mod router;
 
 use crate::control::Control;
@@ -13,7 +12,6 @@
 use crate::view::Shared;
 use async_executor::LocalExecutor;
 use badgerstream_http_codec::{Request, response};
-pub use counters::{CallCounts, End, StatementCounts};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/runtime/pooler/src/metrics/control.rs
+++ b/crates/runtime/pooler/src/metrics/control.rs
@@ -79,15 +79,11 @@
 
 fn add_calls(snapshot: &mut Snapshot, control: &Control) {
     let counts = control.counts();
-    let answered = counts
-        .all_answered()
-        .into_iter()
-        .map(|(call, status, count)| {
-            (
-                vec![("call", call.to_owned()), ("status", status.to_string())],
-                count,
-            )
-        });
+    let answered = counts.responses().into_iter().map(|response| {
+        let call = ("call", response.call.to_owned());
+        let status = ("status", response.status.to_string());
+        (vec![call, status], response.count)
+    });
     snapshot.counters(
         "control_calls",
         "Calls of servers and operators by answer",
@@ -96,17 +92,17 @@
     snapshot.counters(
         "control_news",
         "News handed to sessions of routers",
-        [(vec![], counts.news())],
+        [(vec![], counts.router_updates())],
     );
     snapshot.counters(
         "control_failed_saves",
         "Saves that the disk refused",
-        [(vec![], counts.failed_saves())],
+        [(vec![], counts.failed_persists())],
     );
     snapshot.histogram(
         "control_save_seconds",
         "How long saves of the agreed state took",
-        &counts.saves,
+        &counts.persist_seconds,
     );
     snapshot.histogram(
         "control_primary_change_seconds",
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -75,7 +75,7 @@
     snapshot.histogram(
         "router_placement_wait_seconds",
         "How long statements and transactions waited for a connection",
-        &counts.wait,
+        &counts.placement_wait,
     );
     snapshot.gauge(
         "router_clients",
--- a/crates/runtime/pooler/src/server_queries.rs
+++ b/crates/runtime/pooler/src/server_queries.rs
@@ -3,9 +3,9 @@
 //! The table in `docs/design/calls.md` says what may be sent again. A connection whose exchange came to no answer is reset,
 //! so that what a cut holds up of it is lost, and never used again.
 
-use crate::edge::net;
-use crate::exchange::{self, DutyLost, ExchangeError, Progress};
-use crate::{clock, frames};
+use crate::clock;
+use crate::exchange::{self, AuthorityError, ExchangeError, Progress};
+use crate::net;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use badgerstream_control::{CommandOutcome, ServerCommand, ServerStatus};
@@ -99,7 +99,7 @@
                     failed.error
                 );
                 match failed.error.kind() {
-                    _ if failed.is_duty_lost() => CommandOutcome::NotSent,
+                    _ if failed.is_authority_lost() => CommandOutcome::NotSent,
                     ErrorKind::ConnectionRefused | ErrorKind::NotFound => CommandOutcome::Refused,
                     _ => CommandOutcome::TimedOut,
                 }
@@ -108,7 +108,7 @@
         tell(query, asked);
     }
     if let Some(connection) = session.connection {
-        frames::reset_on_close(&connection.stream, false);
+        net::reset_on_close(&connection.stream, false);
     }
 }
 
@@ -168,7 +168,7 @@
             };
             // Whoever was frozen or cut off since this was decided must not send it: another machine may lead by now.
             if !query.is_idempotent() && !may_act(query) {
-                return Err(Error::other(DutyLost::NoAuthority));
+                return Err(AuthorityError::NotLeader.into());
             }
             let row = connection.exchange(progress, query, &target.id).await?;
             Ok((connection, row))
@@ -182,7 +182,7 @@
 
 /// Whether a query that failed on a connection that had rested is sent once more on a new one.
 fn may_try_again(query: Query, failed: &ExchangeError) -> bool {
-    let given_up = failed.is_duty_lost() || failed.error.kind() == ErrorKind::TimedOut;
+    let given_up = failed.is_authority_lost() || failed.error.kind() == ErrorKind::TimedOut;
     !given_up && failed.verdict.permits_retry(query.is_idempotent())
 }
 
@@ -196,8 +196,8 @@
     async fn open(target: &Target, answer_s: f64) -> Result<Connection> {
         let stream = Async::<TcpStream>::connect(target.endpoint).await?;
         // Bytes that are not acknowledged in time are dropped, also when this process is frozen or killed meanwhile.
-        frames::prepare(&stream, answer_s);
-        frames::reset_on_close(&stream, true);
+        net::configure(&stream, answer_s);
+        net::reset_on_close(&stream, true);
         let mut connection = Connection {
             stream,
             lines: LineBuffer::default(),
--- a/crates/runtime/pooler/src/session.rs
+++ b/crates/runtime/pooler/src/session.rs
@@ -3,7 +3,7 @@
 
 use crate::frames::{self, Frame};
 use crate::view::{Grant, Server, Shared};
-use crate::{clock, frames::within};
+use crate::{clock, net};
 use async_io::{Async, Timer};
 use badgerstream_control::{
     ConfigUpdate, HealthReport, LeaseRequest, MemberInfo, NodeId, PrimaryGrant, RouterMessage, Term,
@@ -177,7 +177,9 @@
     /// One connection, until it breaks or another machine leads.
     async fn with(&self, node: NodeId) -> io::Result<Option<NodeId>> {
         let to = SocketAddr::from((Ipv4Addr::from(node), self.port));
-        let stream = frames::connect(to, frames::CONNECT, self.spans.suspect * 2.0).await?;
+        let stream =
+            net::connect_with_timeout(to, frames::CONNECT_TIMEOUT_S, self.spans.suspect * 2.0)
+                .await?;
         let (news, told) = async_channel::bounded(64);
         let heard = Cell::new(clock::now());
         let read = async {
@@ -189,7 +191,7 @@
                 },
             );
             loop {
-                let Frame::News(one) = frames::read(&mut reader).await? else {
+                let Frame::RouterUpdate(one) = frames::read(&mut reader).await? else {
                     return Err(io::ErrorKind::InvalidData.into());
                 };
                 if news.send(Rc::unwrap_or_clone(one)).await.is_err() {
@@ -271,9 +273,9 @@
             health_reports: self.wanted_evidence(now),
         };
         let mut writer = stream;
-        within(
+        net::with_timeout(
             self.spans.suspect,
-            frames::write(&mut writer, &Frame::Renew(call)),
+            frames::write(&mut writer, &Frame::LeaseRequest(call)),
         )
         .await
     }
--- a/crates/runtime/pooler/src/tests/frame_bytes.rs
+++ b/crates/runtime/pooler/src/tests/frame_bytes.rs
@@ -36,7 +36,7 @@
         server_id: "i-0f".to_owned(),
         answered_seconds_ago: 0.75,
     };
-    Frame::Renew(LeaseRequest {
+    Frame::LeaseRequest(LeaseRequest {
         router: "router-1".to_owned(),
         process_incarnation: 0x5152_5354_5556_5758,
         sent_at: 3.125,
@@ -54,7 +54,7 @@
         primary_term: 240 + number,
         revoking: number % 3 == 0,
     };
-    Frame::News(Rc::new(RouterMessage::Update {
+    Frame::RouterUpdate(Rc::new(RouterMessage::Update {
         update_watermark: (Term(0x2122_2324_2526_2728), 900),
         request_sent_at: Some(4.5),
         lease_duration: 1.75,
@@ -70,9 +70,9 @@
 
 /// One sample at least for every variant.
 fn samples() -> BTreeMap<&'static str, Frame> {
-    let hello = Frame::Hello {
+    let hello = Frame::Handshake {
         from: voter(),
-        life: 0x3132_3334_3536_3738,
+        process_incarnation: 0x3132_3334_3536_3738,
     };
     BTreeMap::from([
         ("Hello", hello),
@@ -104,7 +104,7 @@
         assert_eq!(frame, samples[name], "{name}");
         let compressed = bytes[0] & 0x80 != 0;
         assert_eq!(compressed, name == COMPRESSED, "{name}");
-        let written = frames::bytes(&frame);
+        let written = frames::encode(&frame);
         if compressed {
             // Another release of the compressor may choose other bytes for the same body.
             assert_eq!(written[0] & 0x80, 0x80, "{name} is compressed");
--- a/crates/runtime/pooler/src/tests/frames.rs
+++ b/crates/runtime/pooler/src/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames, long and short.
 
-use crate::frames::{self, Frame, MOST};
+use crate::frames::{self, Frame, MAX_FRAME_BYTES};
 use async_io::{Async, Timer};
 use badgerstream_control::{MemberInfo, PeerMessage, Recipient, Term, Voter};
 use futures_lite::{AsyncReadExt, future, io::Cursor};
@@ -34,37 +34,37 @@
 #[test]
 fn what_is_written_is_read() {
     for frame in [
-        Frame::Hello {
+        Frame::Handshake {
             from: Voter {
                 node: 7,
                 incarnation: 3,
             },
-            life: 9,
+            process_incarnation: 9,
         },
         members(1),
         members(15),
         members(1000),
     ] {
-        assert_eq!(read(&frames::bytes(&frame)).unwrap(), frame);
+        assert_eq!(read(&frames::encode(&frame)).unwrap(), frame);
     }
 }
 
 /// A thousand servers take some 50 KB as they are; their names and addresses repeat themselves.
 #[test]
 fn long_frames_are_compressed() {
-    let length = frames::bytes(&members(1000)).len();
+    let length = frames::encode(&members(1000)).len();
     assert!(length < 25_000, "{length} bytes");
     let short = Frame::Peer {
         to: Recipient::Node(7),
         message: PeerMessage::MembersSnapshotRequest { term: Term(1) },
     };
-    assert!(frames::bytes(&short).len() < 32);
+    assert!(frames::encode(&short).len() < 32);
 }
 
 /// A few bytes that stand for more than any frame may hold are refused.
 #[test]
 fn what_would_grow_beyond_bounds_is_refused() {
-    let body = miniz_oxide::deflate::compress_to_vec(&vec![0; 2 * MOST], 6);
+    let body = miniz_oxide::deflate::compress_to_vec(&vec![0; 2 * MAX_FRAME_BYTES], 6);
     let mut bytes = (body.len() as u32 | 1 << 31).to_be_bytes().to_vec();
     bytes.extend_from_slice(&body);
     assert!(bytes.len() < 64 << 10);
@@ -99,7 +99,7 @@
         }
     };
     let begin = std::time::Instant::now();
-    let written = frames::write_slowly(&mut writer, &bytes, STALLED_S);
+    let written = frames::write_with_stall_timeout(&mut writer, &bytes, STALLED_S);
     let (written, ()) = future::block_on(future::zip(written, slow));
     written.unwrap();
     assert!(
@@ -107,6 +107,10 @@
         "it was not slow"
     );
     let (mut writer, _reader) = connection();
-    let stalled = future::block_on(frames::write_slowly(&mut writer, &bytes, STALLED_S));
+    let stalled = future::block_on(frames::write_with_stall_timeout(
+        &mut writer,
+        &bytes,
+        STALLED_S,
+    ));
     assert_eq!(stalled.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
 }
--- a/crates/runtime/pooler/src/tests/metrics.rs
+++ b/crates/runtime/pooler/src/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! The text of the figures: its form, its names, and that its labels are bounded.
 
-use super::counters::{CallCounts, End, StatementCounts};
 use super::{Labels, Snapshot};
+use crate::counters::{ControlCounts, ResponseCount, StatementCounts, StatementEnd};
 use badgerstream_line_protocol::Code;
 
 fn lines(text: &str) -> Vec<&str> {
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_text_has_the_form_of_openmetrics() {
+fn text_is_in_openmetrics_format() {
     let mut snapshot = Snapshot::default();
     snapshot.gauge("router_clients", "Clients", 3.0);
     snapshot.counters(
@@ -36,16 +36,16 @@
 }
 
 #[test]
-fn statements_are_counted_by_word_and_end() {
+fn statements_are_counted_by_kind_and_end() {
     let counts = StatementCounts::default();
-    counts.ended("FETCH a", End::Complete);
-    counts.ended("FETCH b", End::Complete);
-    counts.ended("COMMIT", End::Error(Code::InDoubt));
-    counts.ended("PUT a 1", End::ClientGone);
+    counts.ended("FETCH a", StatementEnd::Complete);
+    counts.ended("FETCH b", StatementEnd::Complete);
+    counts.ended("COMMIT", StatementEnd::Error(Code::InDoubt));
+    counts.ended("PUT a 1", StatementEnd::ClientGone);
     // What clients make up adds no label.
     for text in ["", "fetch a", "DROP TABLE", "\u{1f980}"] {
-        counts.ended(text, End::Error(Code::Other));
-        counts.ended(text, End::Error(Code::NoDb));
+        counts.ended(text, StatementEnd::Error(Code::Other));
+        counts.ended(text, StatementEnd::Error(Code::NoDb));
     }
     let all: Vec<_> = counts.all_ended().collect();
     let expected = [
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn placements_and_their_waits_are_counted() {
+fn placements_and_their_wait_times_are_counted() {
     let counts = StatementCounts::default();
     counts.placed(true, 0.002);
     counts.placed(false, -0.1);
@@ -69,7 +69,7 @@
         [("primary", 1), ("replica", 2), ("none", 1)]
     );
     let mut snapshot = Snapshot::default();
-    snapshot.histogram("wait_seconds", "Waits", &counts.wait);
+    snapshot.histogram("wait_seconds", "Waits", &counts.placement_wait);
     let text = snapshot.text();
     for line in [
         "badgerstream_wait_seconds_bucket{le=\"0.001\"} 1",
@@ -82,14 +82,19 @@
 }
 
 #[test]
-fn calls_and_saves_are_counted() {
-    let counts = CallCounts::default();
-    counts.answered("read", 200);
-    counts.answered("read", 503);
-    counts.answered("read", 200);
-    counts.saved(0.01, true);
-    counts.saved(3.0, false);
-    counts.told();
-    assert_eq!(counts.all_answered(), [("read", 200, 2), ("read", 503, 1)]);
-    assert_eq!((counts.failed_saves(), counts.news()), (1, 1));
+fn responses_and_persists_are_counted() {
+    let counts = ControlCounts::default();
+    counts.responded("read", 200);
+    counts.responded("read", 503);
+    counts.responded("read", 200);
+    counts.persisted(0.01, true);
+    counts.persisted(3.0, false);
+    counts.router_updated();
+    let responses = [(200, 2), (503, 1)].map(|(status, count)| ResponseCount {
+        call: "read",
+        status,
+        count,
+    });
+    assert_eq!(counts.responses(), responses);
+    assert_eq!((counts.failed_persists(), counts.router_updates()), (1, 1));
 }
--- a/crates/runtime/pooler/src/tests/session.rs
+++ b/crates/runtime/pooler/src/tests/session.rs
@@ -2,6 +2,7 @@
 
 use crate::clock;
 use crate::frames::{self, Frame};
+use crate::net;
 use crate::session::{Session, Spans};
 use crate::view::Shared;
 use async_executor::LocalExecutor;
@@ -73,13 +74,13 @@
 
 async fn renewal(stream: &mut Async<TcpStream>) -> LeaseRequest {
     match frames::read(stream).await.unwrap() {
-        Frame::Renew(call) => call,
+        Frame::LeaseRequest(call) => call,
         other => panic!("{other:?}"),
     }
 }
 
 async fn say(stream: &mut Async<TcpStream>, news: RouterMessage) {
-    frames::write(stream, &Frame::News(Rc::new(news)))
+    frames::write(stream, &Frame::RouterUpdate(Rc::new(news)))
         .await
         .unwrap();
 }
@@ -147,7 +148,7 @@
                 call_seq: n,
             }));
         }
-        let bytes = frames::bytes(&Frame::News(Rc::new(whole)));
+        let bytes = frames::encode(&Frame::RouterUpdate(Rc::new(whole)));
         let trickle = async {
             for part in bytes.chunks(bytes.len().div_ceil(12)) {
                 Timer::after(Duration::from_millis(100)).await;
@@ -389,7 +390,7 @@
     Rig::play(Ipv4Addr::new(127, 0, 0, 59), async |rig| {
         let gone = |last: u8| u32::from(Ipv4Addr::new(127, 0, 0, last));
         for _ in 0..3 {
-            let accepted = frames::within(3.0, async { Ok(rig.accept().await) }).await;
+            let accepted = net::with_timeout(3.0, async { Ok(rig.accept().await) }).await;
             let mut stream = accepted.expect("it comes back");
             renewal(&mut stream).await;
             let voters = vec![gone(60), gone(61), gone(62)];
@@ -403,7 +404,8 @@
             .await;
             // It has taken that once it closes.
             let closed =
-                frames::within(3.0, async { Ok(frames::read(&mut stream).await.is_err()) }).await;
+                net::with_timeout(3.0, async { Ok(frames::read(&mut stream).await.is_err()) })
+                    .await;
             assert!(closed.expect("it goes on"));
         }
     });
--- a/crates/runtime/pooler/src/tests/sessions.rs
+++ b/crates/runtime/pooler/src/tests/sessions.rs
@@ -61,7 +61,7 @@
     }
     assert_eq!(*outbox.answer.borrow(), Some(answer(99.0)));
     let waits = outbox.news.borrow().clone().unwrap();
-    assert_eq!(&*waits, &frames::bytes(&Frame::News(first))[..]);
+    assert_eq!(&*waits, &frames::encode(&Frame::RouterUpdate(first))[..]);
 }
 
 /// A question goes along with a lease that waits, not in its place; whoever is sent elsewhere needs neither.
@@ -134,8 +134,8 @@
         let mut writer = Box::pin(write(near, outbox.clone()));
         let read = async {
             let first = frames::read(&mut far).await.unwrap();
-            assert_eq!(first, Frame::News(Rc::new(answer(3.0))));
-            let Frame::News(second) = frames::read(&mut far).await.unwrap() else {
+            assert_eq!(first, Frame::RouterUpdate(Rc::new(answer(3.0))));
+            let Frame::RouterUpdate(second) = frames::read(&mut far).await.unwrap() else {
                 panic!()
             };
             assert!(matches!(
--- a/crates/testing/testbed/src/call.rs
+++ b/crates/testing/testbed/src/call.rs
@@ -2,7 +2,7 @@
 
 use async_io::Async;
 use badgerstream_http_codec::{Response, Responses, request};
-use badgerstream_pooler::frames::within;
+use badgerstream_pooler::net::with_timeout;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
@@ -19,7 +19,7 @@
     headers: &[(&str, &str)],
     body: &[u8],
 ) -> Result<Response> {
-    within(seconds, async {
+    with_timeout(seconds, async {
         let mut stream = Async::<TcpStream>::connect(to).await?;
         stream
             .write_all(&request(method, path, &to.to_string(), headers, body))
--- a/crates/testing/testbed/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -2,7 +2,7 @@
 
 use async_io::Async;
 use badgerstream_line_protocol::{Answer, LineBuffer, Outcome, Reply};
-use badgerstream_pooler::frames::within;
+use badgerstream_pooler::net::with_timeout;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
@@ -33,13 +33,13 @@
 impl Client {
     /// Opens a session with this database. Nothing here takes more than `limit` seconds.
     pub async fn open(at: SocketAddr, database: &str, who: &str, limit: f64) -> Result<Self> {
-        let stream = within(limit, Async::<TcpStream>::connect(at)).await?;
+        let stream = with_timeout(limit, Async::<TcpStream>::connect(at)).await?;
         let mut client = Self {
             stream,
             lines: LineBuffer::default(),
             limit,
         };
-        within(limit, async {
+        with_timeout(limit, async {
             client
                 .stream
                 .write_all(format!("CONNECT {database} {who}\r\n").as_bytes())
@@ -61,7 +61,7 @@
     /// Asks for one statement. After an error nobody knows whether it has run, and the session is of no more use.
     pub async fn ask(&mut self, id: &str, text: &str) -> Result<Answered> {
         let limit = self.limit;
-        within(limit, async {
+        with_timeout(limit, async {
             self.stream
                 .write_all(format!("QUERY {id} {text}\r\n").as_bytes())
                 .await?;
--- a/crates/testing/testbed/src/relay.rs
+++ b/crates/testing/testbed/src/relay.rs
@@ -183,5 +183,5 @@
 
 /// Makes the end of a connection a reset.
 fn reset(stream: &Async<TcpStream>) {
-    badgerstream_pooler::frames::reset_on_close(stream, true);
+    badgerstream_pooler::net::reset_on_close(stream, true);
 }
--- a/crates/testing/testbed/src/serve.rs
+++ b/crates/testing/testbed/src/serve.rs
@@ -8,7 +8,7 @@
 use badgerstream_http_codec::response;
 use badgerstream_line_protocol::{LineBuffer, Request};
 use badgerstream_pooler::clock;
-use badgerstream_pooler::frames::{self, within};
+use badgerstream_pooler::net::{self, with_timeout};
 use badgerstream_pooler::notify::Notify;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::cell::RefCell;
@@ -136,7 +136,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    frames::prepare(&stream, DARK);
+                    net::configure(&stream, DARK);
                     self.tasks
                         .spawn(self.clone().connection(id.clone(), stream))
                         .detach();
@@ -150,7 +150,7 @@
 
     async fn connection(self: Rc<Self>, id: String, mut stream: Async<TcpStream>) {
         let mut lines = LineBuffer::default();
-        let begun = within(BEGIN, async {
+        let begun = with_timeout(BEGIN, async {
             line(&mut stream, &mut lines)
                 .await
                 .ok_or(ErrorKind::UnexpectedEof.into())
@@ -169,7 +169,9 @@
         };
         let conn = match opened {
             Ok(conn) => conn,
-            Err(answer) => return drop(within(DARK, stream.write_all(answer.as_bytes())).await),
+            Err(answer) => {
+                return drop(with_timeout(DARK, stream.write_all(answer.as_bytes())).await);
+            }
         };
         let (sender, answers) = async_channel::bounded(4);
         self.answers.borrow_mut().insert(conn, sender);
@@ -191,7 +193,7 @@
             let Ok(answer) = answers.recv().await else {
                 return;
             };
-            if within(DARK, stream.write_all(answer.as_bytes()))
+            if with_timeout(DARK, stream.write_all(answer.as_bytes()))
                 .await
                 .is_err()
             {
@@ -216,7 +218,7 @@
             b"",
             false,
         );
-        let _ = within(DARK, stream.write_all(&answer)).await;
+        let _ = with_timeout(DARK, stream.write_all(&answer)).await;
     }
 }
 
