--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -1,354 +1,287 @@
-//! A control machine: the decisions of `badgerstream-control` with links, disk and clock.
+//! The driver of a control machine: it gives [`Controller`] (crate `badgerstream-control`) connections, a clock and a disk.
+//!
+//! The controller decides and has no side effects; the driver passes it what happens and executes the outputs that it returns
+//! (`outputs`). What happens comes from the timer in [`ControlNode::run`], from other control machines (`peers`), from routers
+//! (`router_sessions`), from servers and operators over HTTP (`requests`), and as outcomes of commands to servers (`commands`)
+//! and calls to the platform (`platform`). `persistence` writes the hard state, `status` reads for operators and metrics.
+//!
+//! All tasks run on one thread, so the state is in cells: the controller, the store and each table are borrowed for one
+//! synchronous step, and nothing is awaited while any of them is borrowed. The driver itself makes no decision of agreement
+//! or failover.
 
-mod calls;
-mod disk;
-mod duties;
-mod links;
-mod sessions;
+mod commands;
+mod config;
+mod outputs;
+mod peers;
+mod persistence;
+mod platform;
+mod requests;
+mod router_sessions;
+mod state_store;
 mod status;
 
+use crate::clock;
 use crate::counters::ControlCounts;
-use crate::frames::{self, Frame};
-use crate::notify::Notify;
-use crate::server_queries::{Query, Target};
-use crate::servers::Servers;
-use crate::{clock, http, net};
-use async_channel::{Receiver, Sender};
+use crate::http;
+use crate::members_file::MembersFile;
+use crate::net;
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
 use badgerstream_control::{
-    ControlConfig, ControlRequest, ControlResponse, Controller, FOUNDING_INCARNATION,
-    FailoverConfig, Heartbeat, MemberInfo, MemberPhase, NodeId, Output, PrimaryGrant, Recipient,
-    RouterMessage, Voter,
+    ControlRequest, ControlResponse, Controller, FOUNDING_INCARNATION, Voter,
 };
-use badgerstream_control_api::call::{self, Operation, Reply};
-use badgerstream_control_api::members as beats;
-use badgerstream_control_api::promotion;
-use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
-use badgerstream_http_codec::{Request, Responses, response};
-use badgerstream_pooler_config::config::Config;
 use badgerstream_pooler_config::settings::Settings;
-use disk::Disk;
-use futures_lite::{AsyncReadExt, future, io};
-use sessions::Sessions;
+use commands::CommandQueues;
+use peers::Peers;
+use router_sessions::RouterSessions;
+use state_store::{StateStore, StateStoreError};
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, VecDeque};
-use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::path::Path;
 use std::rc::Rc;
-use std::time::Duration;
 
-/// Messages that wait for a link or a session, at most; what is over is lost, and mended by what comes next.
-const WAITING: usize = 256;
+pub use status::ControlSnapshot;
 
-/// The control part of a process.
-pub struct Control {
-    tasks: Rc<LocalExecutor<'static>>,
-    /// This machine, in the life of its disk.
-    me: Voter,
-    /// Drawn at the start of the process.
-    life: u64,
-    name: String,
-    port: u16,
-    settings: Settings,
-    controller: RefCell<Controller>,
-    disk: RefCell<Disk>,
-    /// The servers that are known, for the next life.
-    servers: Servers,
-    links: RefCell<HashMap<NodeId, Sender<Frame>>>,
-    /// The newest connection that each other control machine has opened to here.
-    connections: RefCell<HashMap<NodeId, u64>>,
-    heard: RefCell<HashMap<NodeId, Rc<Notify>>>,
-    sessions: Sessions,
-    /// What waits for the connection to each server.
-    queries: RefCell<HashMap<String, Sender<Query>>>,
-    calls: RefCell<HashMap<u64, Sender<ControlResponse>>>,
-    next: Cell<u64>,
-    /// The configuration whose services were last told to the controller, and whether it led then.
-    read: Cell<(u64, bool)>,
-    /// Requests that are not answered yet.
-    pub open: Rc<Cell<usize>>,
-    /// The process is to end: no new duty is begun.
-    pub ending: Cell<bool>,
-    lease: f64,
-    counts: ControlCounts,
-}
-
-/// The spans that this deployment's settings give.
-fn timing(settings: &Settings) -> ControlConfig {
-    let suspect = settings.own.suspect_ms as f64 / 1000.0;
-    let heartbeat = settings.heartbeat_ms as f64 / 1000.0;
-    let service = FailoverConfig {
-        primary_poll_interval: 0.2,
-        replica_poll_interval: 1.0,
-        primary_timeout: suspect,
-        query_timeout: suspect,
-        heartbeat_interval: heartbeat,
-        drain_timeout: settings.bounds.drain_ms / 1000.0,
-    };
-    let lease = settings.own.lease_ms as f64 / 1000.0;
-    ControlConfig {
-        lease_duration: lease,
-        election_timeout: suspect,
-        contact_timeout: suspect + 0.4,
-        platform_call_timeout: 1.0,
-        duty_handover_delay: settings.bounds.lease_ms / 1000.0,
-        request_timeout: 0.9,
-        member_timeout: 4.0 * heartbeat,
-        failover: service,
-    }
-}
-
-/// The control machines that the settings name.
-fn known_nodes(settings: &Settings) -> Vec<NodeId> {
-    settings
-        .seeds
-        .iter()
-        .filter_map(|s| node_of(s.ip()))
-        .collect()
-}
+/// Between two ticks of the controller where this machine leads, in seconds.
+const LEADER_TICK_INTERVAL_S: f64 = 0.02;
+/// The same where it doesn't.
+const FOLLOWER_TICK_INTERVAL_S: f64 = 0.05;
+/// The largest body of an HTTP request, in bytes: a configuration.
+const MAX_REQUEST_BODY_BYTES: usize = 2 << 20;
+/// Name of the file of known servers below the state folder.
+const MEMBERS_FILE: &str = "servers";
 
-/// How many control machines may be lost at once: a zone or a region may hold one of them, or more; one is what is counted.
-fn losses(settings: &Settings) -> usize {
-    let budget = &settings.fault_budget;
-    budget.machine_loss.max(budget.zones).max(budget.sites) as usize
+/// Why a control machine can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The settings name no folder for the state.
+    #[error("state_dir is missing: control keeps its state there")]
+    MissingStateDir,
+    /// The settings name no address for HTTP requests.
+    #[error("bind_addrs.control is missing")]
+    MissingControlAddress,
+    /// The hard state can't be read or initialized.
+    #[error(transparent)]
+    StateStore(#[from] StateStoreError),
+    /// An address can't be bound.
+    #[error("{address}: {error}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// The error of the system.
+        error: std::io::Error,
+    },
 }
 
-/// For how long servers that were draining when this process began count as having drained, in seconds. How long it was away
-/// isn't known; what they say holds machines that are in touch, and none is before `quiet_ms` after this start: by then they
-/// have drained.
-fn drained_before(settings: &Settings) -> f64 {
-    (settings.bounds.drain_ms - settings.bounds.quiet_ms).max(0.0) / 1000.0
-}
-
-/// The name of a call, for its count.
-fn name_of(call: &ControlRequest) -> &'static str {
-    match call {
-        ControlRequest::Heartbeat { .. } => "heartbeat",
-        ControlRequest::Depart { .. } => "depart",
-        ControlRequest::ReplaceConfig { .. } => "replace",
-        ControlRequest::ReadConfig => "read",
-    }
+/// The configuration that the controller was last given the services of, and whether it led then.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct AppliedServices {
+    config_epoch: u64,
+    as_leader: bool,
 }
 
-fn node_of(address: IpAddr) -> Option<NodeId> {
-    match address {
-        IpAddr::V4(ip) => Some(u32::from(ip)),
-        IpAddr::V6(_) => None,
-    }
+/// A control machine.
+pub struct ControlNode {
+    tasks: Rc<LocalExecutor<'static>>,
+    /// The settings at the start of the process.
+    settings: Settings,
+    /// This machine in the incarnation of its disk.
+    voter: Voter,
+    /// Random, drawn at the start of the process.
+    process_incarnation: u64,
+    /// How long a lease of a router lasts, in seconds.
+    lease_duration: f64,
+    controller: RefCell<Controller>,
+    store: RefCell<StateStore>,
+    members_file: MembersFile,
+    peers: Peers,
+    router_sessions: RouterSessions,
+    command_queues: CommandQueues,
+    /// HTTP requests that wait for the controller's response.
+    pending_requests: RefCell<HashMap<u64, async_channel::Sender<ControlResponse>>>,
+    /// The last number given to a connection, a session or a request.
+    last_id: Cell<u64>,
+    applied_services: Cell<AppliedServices>,
+    /// HTTP requests that are not answered yet.
+    in_flight_requests: Rc<Cell<usize>>,
+    shutting_down: Cell<bool>,
+    counts: ControlCounts,
 }
 
-impl Control {
-    /// Opens the disk and starts all tasks. An error tells why this machine can't take part.
+impl ControlNode {
+    /// Opens the state folder, binds the addresses and starts all tasks.
+    ///
+    /// # Errors
+    ///
+    /// [`StartError`] if the settings lack something, or the folder or an address can't be used.
     pub fn start(
         tasks: &Rc<LocalExecutor<'static>>,
         settings: &Settings,
-        seed: u64,
-    ) -> Result<Rc<Control>, String> {
+        process_incarnation: u64,
+    ) -> Result<Rc<ControlNode>, StartError> {
         let folder = settings
             .state_dir
             .as_ref()
-            .ok_or("state_dir is missing: control keeps its state there")?;
-        let control = settings.control.ok_or("bind_addrs.control is missing")?;
-        let identity = if settings.bootstrap {
+            .ok_or(StartError::MissingStateDir)?;
+        let address = settings.control.ok_or(StartError::MissingControlAddress)?;
+        let node = ControlNode::new(tasks, settings, folder, process_incarnation)?;
+        let node = Rc::new(node);
+        let bind =
+            |address| http::listen(address).map_err(|error| StartError::Bind { address, error });
+        let peers = bind(SocketAddr::from((settings.ip, node.peer_port())))?;
+        let requests = bind(address)?;
+        tasks.spawn(node.clone().accept_connections(peers)).detach();
+        tasks
+            .spawn(http::serve(
+                tasks.clone(),
+                requests,
+                node.clone(),
+                MAX_REQUEST_BODY_BYTES,
+                node.in_flight_requests.clone(),
+            ))
+            .detach();
+        tasks.spawn(node.clone().run()).detach();
+        Ok(node)
+    }
+
+    /// Opens the state folder and restores what is in it.
+    fn new(
+        tasks: &Rc<LocalExecutor<'static>>,
+        settings: &Settings,
+        folder: &Path,
+        process_incarnation: u64,
+    ) -> Result<ControlNode, StateStoreError> {
+        let incarnation_if_new = if settings.bootstrap {
             FOUNDING_INCARNATION
         } else {
-            seed.max(FOUNDING_INCARNATION + 1)
+            process_incarnation.max(FOUNDING_INCARNATION + 1)
         };
-        let disk = Disk::open(folder, identity, &known_nodes(settings))?;
-        let me = Voter {
+        let seeds = config::seed_nodes(settings);
+        let store = StateStore::open(folder, incarnation_if_new, &seeds)?;
+        let voter = Voter {
             node: u32::from(settings.ip),
-            incarnation: disk.identity(),
+            incarnation: store.incarnation(),
         };
-        let record = disk.kept().clone();
+        let hard_state = store.hard_state().clone();
         log::info!(
-            "event=control_starts node={} voter={me} epoch={} promised={}",
+            "event=control_started node={} voter={voter} epoch={} voted_term={}",
             settings.node_name,
-            record.state.config_epoch,
-            record.voted_term.0
+            hard_state.state.config_epoch,
+            hard_state.voted_term.0
         );
         let now = clock::now();
-        let timing = timing(settings);
-        let mut controller = Controller::new(me, record, now, seed, timing);
-        controller.set_seeds_and_budget(known_nodes(settings), losses(settings));
-        let servers = Servers::new(folder.join("servers"));
-        let known = servers.read();
-        log::info!("event=servers_recalled count={}", known.len());
-        controller.restore_members(now, known, drained_before(settings));
-        let this = Rc::new(Control {
+        let control_config = config::control_config(settings);
+        let mut controller =
+            Controller::new(voter, hard_state, now, process_incarnation, control_config);
+        controller.set_seeds_and_budget(seeds, config::fault_budget(settings));
+        let members_file = MembersFile::new(folder.join(MEMBERS_FILE));
+        let members = members_file.read();
+        log::info!("event=members_restored count={}", members.len());
+        controller.restore_members(now, members, config::drained_before_start_s(settings));
+        Ok(ControlNode {
             tasks: tasks.clone(),
-            me,
-            life: seed,
-            name: settings.node_name.clone(),
-            port: settings.port_range.0,
             settings: settings.clone(),
+            voter,
+            process_incarnation,
+            lease_duration: control_config.lease_duration,
             controller: RefCell::new(controller),
-            disk: RefCell::new(disk),
-            servers,
-            links: RefCell::default(),
-            connections: RefCell::default(),
-            heard: RefCell::default(),
-            sessions: Sessions::default(),
-            queries: RefCell::default(),
-            calls: RefCell::default(),
-            next: Cell::new(0),
-            read: Cell::new((0, false)),
-            open: Rc::default(),
-            ending: Cell::new(false),
-            lease: timing.lease_duration,
+            store: RefCell::new(store),
+            members_file,
+            peers: Peers::default(),
+            router_sessions: RouterSessions::default(),
+            command_queues: CommandQueues::default(),
+            pending_requests: RefCell::default(),
+            last_id: Cell::new(0),
+            applied_services: Cell::default(),
+            in_flight_requests: Rc::default(),
+            shutting_down: Cell::new(false),
             counts: ControlCounts::default(),
-        });
-        let bind = |at: SocketAddr| http::listen(at).map_err(|e| format!("{at}: {e}"));
-        let peers = bind(SocketAddr::from((settings.ip, this.port)))?;
-        let calls = bind(control)?;
-        tasks.spawn(this.clone().accept(peers)).detach();
-        tasks
-            .spawn(http::serve(
-                tasks.clone(),
-                calls,
-                this.clone(),
-                2 << 20,
-                this.open.clone(),
-            ))
-            .detach();
-        tasks.spawn(this.clone().run()).detach();
-        Ok(this)
+        })
     }
 
-    /// The process is about to end.
-    pub fn end(self: &Rc<Self>) {
-        self.ending.set(true);
-        let out = self.controller.borrow_mut().resign(clock::now());
-        self.perform(out);
+    /// Begins the shutdown: gives up leadership, and asks to be left out of the voters.
+    pub fn shut_down(self: &Rc<Self>) {
+        self.shutting_down.set(true);
+        let outputs = self.controller.borrow_mut().resign(clock::now());
+        self.execute(outputs);
     }
 
-    /// Whether this machine, which is about to end, need not wait to be left out of the voters.
-    pub fn may_end(&self) -> bool {
+    /// Whether this machine, which shuts down, need not wait to be left out of the voters.
+    pub fn may_shut_down(&self) -> bool {
         self.controller.borrow().may_shut_down()
     }
 
-    /// The settings have changed: other control machines may be named.
-    pub fn changed(&self, settings: &Settings) {
+    /// How many HTTP requests are not answered yet.
+    pub fn in_flight_requests(&self) -> usize {
+        self.in_flight_requests.get()
+    }
+
+    /// Applies new settings: other seeds, another fault budget. All else takes effect at the next start.
+    pub fn reload(&self, settings: &Settings) {
         self.controller
             .borrow_mut()
-            .set_seeds_and_budget(known_nodes(settings), losses(settings));
+            .set_seeds_and_budget(config::seed_nodes(settings), config::fault_budget(settings));
     }
 
+    /// Gives the controller the time, for as long as the process runs.
     async fn run(self: Rc<Self>) {
         loop {
-            let out = self.controller.borrow_mut().tick(clock::now());
-            self.perform(out);
-            let changes = self.controller.borrow_mut().take_primary_changes();
-            changes
-                .into_iter()
-                .for_each(|seconds| self.counts.primary_changed(seconds));
-            self.servers.keep(clock::now(), &self.controller.borrow());
-            let pause = if self.controller.borrow().is_leader() {
-                20
+            let outputs = self.controller.borrow_mut().tick(clock::now());
+            self.execute(outputs);
+            let primary_changes = self.controller.borrow_mut().take_primary_changes();
+            for seconds in primary_changes {
+                self.counts.primary_changed(seconds);
+            }
+            self.members_file
+                .persist_if_changed(clock::now(), &self.controller.borrow());
+            let is_leader = self.controller.borrow().is_leader();
+            net::sleep(if is_leader {
+                LEADER_TICK_INTERVAL_S
             } else {
-                50
-            };
-            Timer::after(Duration::from_millis(pause)).await;
+                FOLLOWER_TICK_INTERVAL_S
+            })
+            .await;
         }
     }
 
-    /// Does what was decided, in order. Nothing here waits but for the disk.
-    fn perform(self: &Rc<Self>, out: Vec<Output>) {
-        let mut waiting = VecDeque::from(out);
-        while let Some(one) = waiting.pop_front() {
-            match one {
-                Output::Persist => {
-                    // What relies on the save goes before the rest, which doesn't.
-                    let mut then = VecDeque::from(self.save());
-                    then.append(&mut waiting);
-                    waiting = then;
-                }
-                Output::PersistMembers(then) => {
-                    if self
-                        .servers
-                        .keep_now(clock::now(), &self.controller.borrow())
-                    {
-                        then.into_iter()
-                            .rev()
-                            .for_each(|next| waiting.push_front(next));
-                    }
-                }
-                Output::SendToPeer(to, message) => self.link(to, message),
-                Output::SendToRouter(session, message) => self.sessions.answer(session, message),
-                Output::SendUpdate(session, news) => {
-                    self.counts.router_updated();
-                    self.sessions.tell(session, news);
-                }
-                Output::SendCommand {
-                    server_id: id,
-                    endpoint,
-                    service,
-                    command: statement,
-                    fencing_token: fence,
-                } => {
-                    if let Ok(endpoint) = endpoint.parse() {
-                        self.ask(
-                            Target {
-                                id,
-                                service,
-                                endpoint,
-                            },
-                            Query { statement, fence },
-                        );
-                    }
-                }
-                Output::Promote {
-                    service,
-                    server_id: id,
-                    fencing_token: fence,
-                    deadline: before,
-                } => {
-                    self.promote(duties::Promotion {
-                        service,
-                        id,
-                        fence,
-                        before,
-                    });
-                }
-                Output::Respond(call, answer) => {
-                    if let Some(waits) = self.calls.borrow_mut().remove(&call) {
-                        let _ = waits.try_send(answer);
-                    }
-                }
-            }
-        }
-        self.tell_services();
+    /// Submits a request to the controller and waits for its response.
+    async fn submit(self: &Rc<Self>, request: ControlRequest) -> ControlResponse {
+        let name = request_name(&request);
+        let id = self.next_id();
+        let (sender, receiver) = async_channel::bounded(1);
+        self.pending_requests.borrow_mut().insert(id, sender);
+        let outputs = self
+            .controller
+            .borrow_mut()
+            .handle_request(clock::now(), id, request);
+        self.execute(outputs);
+        let response = receiver
+            .recv()
+            .await
+            .unwrap_or_else(|_| ControlResponse::error(503, "no answer"));
+        self.counts.responded(name, response.status);
+        response
     }
 
-    /// The controller learns from each configuration how many replicas a commit waits for.
-    fn tell_services(&self) {
-        let mut controller = self.controller.borrow_mut();
-        let now = (controller.config().0, controller.is_leader());
-        if self.read.replace(now) != now
-            && let Ok(config) = Config::read(controller.config().1)
-        {
-            let sync = config
-                .services
-                .iter()
-                .map(|s| (s.name.clone(), s.sync_replicas))
-                .collect();
-            controller.set_sync_replicas(sync);
-        }
+    /// A number that no connection, session or request of this process has yet.
+    fn next_id(&self) -> u64 {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        id
     }
 
-    async fn settle(self: &Rc<Self>, call: ControlRequest) -> ControlResponse {
-        let name = name_of(&call);
-        let id = self.next.get() + 1;
-        self.next.set(id);
-        let (sender, receiver) = async_channel::bounded(1);
-        self.calls.borrow_mut().insert(id, sender);
-        let out = self
-            .controller
-            .borrow_mut()
-            .handle_request(clock::now(), id, call);
-        self.perform(out);
-        let none = ControlResponse::error(503, "no answer");
-        let answer = receiver.recv().await.unwrap_or(none);
-        self.counts.responded(name, answer.status);
-        answer
+    /// The port at which control machines expect each other and routers.
+    fn peer_port(&self) -> u16 {
+        self.settings.port_range.0
+    }
+}
+
+/// The name of a request in metrics.
+fn request_name(request: &ControlRequest) -> &'static str {
+    match request {
+        ControlRequest::Heartbeat { .. } => "heartbeat",
+        ControlRequest::Depart { .. } => "depart",
+        ControlRequest::ReplaceConfig { .. } => "replace",
+        ControlRequest::ReadConfig => "read",
     }
 }
--- /dev/null
+++ b/crates/runtime/pooler/src/control/persistence.rs
@@ -0,0 +1,45 @@
+//! Persisting the hard state before anything relies on it, and opening the store anew after a write has failed.
+
+use super::ControlNode;
+use crate::{clock, net};
+use badgerstream_control::Output;
+use std::rc::Rc;
+
+/// Between two attempts to open a store that failed, in seconds.
+const REOPEN_INTERVAL_S: f64 = 0.25;
+
+impl ControlNode {
+    /// Writes the hard state to the disk and tells the controller how that ended; returns what it decides then.
+    pub(super) fn persist_hard_state(self: &Rc<Self>) -> Vec<Output> {
+        let hard_state = self.controller.borrow().hard_state().clone();
+        let started_at = clock::now();
+        let saved = self.store.borrow_mut().save(&hard_state);
+        self.counts
+            .persisted(clock::now() - started_at, saved.is_ok());
+        match saved {
+            Ok(()) => self.controller.borrow_mut().persisted(clock::now()),
+            Err(e) => {
+                log::error!("event=disk_failed error={e}");
+                self.tasks.spawn(self.clone().reopen_store()).detach();
+                self.controller.borrow_mut().persist_failed(clock::now())
+            }
+        }
+    }
+
+    /// Tries to open the store anew until the disk takes writes again.
+    async fn reopen_store(self: Rc<Self>) {
+        loop {
+            net::sleep(REOPEN_INTERVAL_S).await;
+            let reopened = self.store.borrow_mut().reopen();
+            match reopened {
+                Ok(()) => break,
+                Err(e) => log::warn!("event=disk_reopen_failed error={:?}", e.to_string()),
+            }
+        }
+        log::info!("event=disk_reopened");
+        let hard_state = self.store.borrow().hard_state().clone();
+        self.controller
+            .borrow_mut()
+            .disk_reopened(clock::now(), hard_state);
+    }
+}
--- /dev/null
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -0,0 +1,137 @@
+//! Calls to the platform: promotions. `docs/design/calls.md` says why none of them is repeated here.
+
+use super::ControlNode;
+use super::config::PLATFORM_CALL_TIMEOUT_S;
+use crate::exchange::{self, AuthorityError, ExchangeError};
+use crate::{clock, net};
+use async_io::Async;
+use badgerstream_control::PromotionOutcome;
+use badgerstream_control_api::promotion;
+use badgerstream_http_codec::Responses;
+use badgerstream_line_protocol::Verdict;
+use futures_lite::{AsyncReadExt, io};
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+
+/// The largest response of the platform, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
+/// Size of the read buffer, in bytes.
+const READ_BYTES: usize = 1024;
+
+/// A call that makes a server the primary of its service.
+pub(super) struct Promotion {
+    pub service: String,
+    pub server_id: String,
+    /// The fencing token of the leader that decided on it.
+    pub fencing_token: u64,
+    /// It must not leave later than this, in seconds of the monotonic clock.
+    pub deadline: f64,
+}
+
+impl ControlNode {
+    /// Calls the platform and reports the outcome to the controller, unless this machine has lost its leadership by then.
+    pub(super) fn promote(self: &Rc<Self>, promotion: Promotion) {
+        let Some(platform) = self.settings.provider.as_ref().map(|p| p.endpoint) else {
+            log::error!(
+                "event=platform_not_configured service={}",
+                promotion.service
+            );
+            return;
+        };
+        let node = self.clone();
+        let call = async move {
+            log::info!(
+                "event=promotion_requested service={} server={} fencing_token={}",
+                promotion.service,
+                promotion.server_id,
+                promotion.fencing_token
+            );
+            let result = node.call_platform(platform, &promotion).await;
+            log_result(&promotion, &result);
+            let mut controller = node.controller.borrow_mut();
+            if controller.leads_with(promotion.fencing_token) {
+                let Promotion {
+                    service, server_id, ..
+                } = &promotion;
+                let outcome = outcome_of(&result);
+                controller.promotion_completed(clock::now(), service, server_id, outcome);
+            }
+        };
+        self.tasks.spawn(call).detach();
+    }
+
+    /// The HTTP status of the platform's response. Without one the connection is reset, so that what a network partition holds
+    /// up of the call is lost.
+    async fn call_platform(
+        &self,
+        platform: SocketAddr,
+        promotion: &Promotion,
+    ) -> Result<u16, ExchangeError> {
+        exchange::run(PLATFORM_CALL_TIMEOUT_S, async |progress| {
+            let mut stream = Async::<TcpStream>::connect(platform).await?;
+            net::configure(&stream, PLATFORM_CALL_TIMEOUT_S);
+            net::reset_on_close(&stream, true);
+            let request = promotion::promotion(
+                &promotion.service,
+                &promotion.server_id,
+                &self.settings.node_name,
+                promotion.fencing_token,
+                &platform.to_string(),
+            );
+            // A process that was suspended since this was decided must not call: another machine may lead.
+            let now = clock::now();
+            let may_act = self
+                .controller
+                .borrow()
+                .may_act_with(now, promotion.fencing_token);
+            if now >= promotion.deadline || !may_act {
+                return Err(AuthorityError::NotLeader.into());
+            }
+            progress.send(&stream, &request).await?;
+            let status = read_status_code(&mut stream).await?;
+            net::reset_on_close(&stream, false);
+            Ok(status)
+        })
+        .await
+    }
+}
+
+/// What the end of the call proves.
+fn outcome_of(result: &Result<u16, ExchangeError>) -> PromotionOutcome {
+    match result {
+        Ok(status) => PromotionOutcome::of_status(*status),
+        Err(error) if error.verdict == Verdict::NotRun => PromotionOutcome::NotSent,
+        Err(_) => PromotionOutcome::Unknown,
+    }
+}
+
+fn log_result(promotion: &Promotion, result: &Result<u16, ExchangeError>) {
+    let Promotion {
+        service, server_id, ..
+    } = promotion;
+    match result {
+        Ok(status) => log::info!(
+            "event=promotion_answered service={service} server={server_id} status={status}"
+        ),
+        Err(ExchangeError { verdict, error }) => log::info!(
+            "event=promotion_unanswered service={service} server={server_id} verdict={verdict:?} error={error}"
+        ),
+    }
+}
+
+async fn read_status_code(stream: &mut Async<TcpStream>) -> io::Result<u16> {
+    let mut responses = Responses::new(MAX_RESPONSE_BYTES);
+    let mut bytes = [0; READ_BYTES];
+    loop {
+        let response = responses
+            .next()
+            .map_err(|e| io::Error::other(e.to_string()))?;
+        if let Some(response) = response {
+            return Ok(response.status);
+        }
+        match stream.read(&mut bytes).await? {
+            0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+            count => responses.feed(&bytes[..count]),
+        }
+    }
+}
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -1,125 +1,149 @@
-//! How this machine sees the system, for operators.
+//! How this machine sees the system: the status that operators read, and the figures for metrics. Reads only.
 
-use super::*;
+use super::ControlNode;
+use crate::clock;
+use crate::counters::ControlCounts;
+use badgerstream_control::{Consensus, MemberInfo, NodeId, PrimaryGrant};
+use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
 use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
 
-/// How this machine stands, in numbers.
-pub struct ControlFigures {
-    /// It leads.
-    pub leads: bool,
-    /// A majority is heard, through its leader.
+/// In a status: the machine was never in contact with a majority.
+const NEVER_IN_CONTACT_S: f64 = -1.0;
+
+/// The state of a control machine in numbers, for metrics.
+pub struct ControlSnapshot {
+    /// It is the leader.
+    pub is_leader: bool,
+    /// A majority answers, as far as it knows through its leader.
     pub in_contact: bool,
-    /// The highest ballot that it promised.
-    pub ballot: u64,
-    /// Number of the newest state on its disk.
-    pub sequence: u64,
-    /// Version of the configuration that it knows.
-    pub epoch: u64,
-    /// How many control machines decide.
-    pub voters: usize,
-    /// It is one of them.
-    pub votes: bool,
-    /// Its disk takes no saves.
+    /// The highest term that it voted in.
+    pub voted_term: u64,
+    /// Version of the newest state on its disk.
+    pub state_version: u64,
+    /// Epoch of the configuration that it knows.
+    pub config_epoch: u64,
+    /// How many voters there are.
+    pub voter_count: usize,
+    /// It is a voter.
+    pub is_voter: bool,
+    /// Its disk takes no writes.
     pub disk_failed: bool,
-    /// Routers that hold a lease from it.
-    pub routers: usize,
-    /// Services by the phase of their primary; none where it doesn't lead.
-    pub primaries: BTreeMap<&'static str, usize>,
+    /// Routers that hold a lease from it; 0 where it doesn't lead.
+    pub leased_routers: usize,
+    /// Services by the phase of their failover; none where it doesn't lead.
+    pub primaries_by_phase: BTreeMap<&'static str, usize>,
     /// Database servers that are ready and that drain.
-    pub servers: BTreeMap<&'static str, usize>,
+    pub servers_by_phase: BTreeMap<&'static str, usize>,
 }
 
-impl Control {
-    /// What was asked and done since the start of the process.
+impl ControlNode {
+    /// Counters since the start of the process.
     pub fn counts(&self) -> &ControlCounts {
         &self.counts
     }
 
-    /// How this machine stands, in numbers.
-    pub fn figures(&self, now: f64) -> ControlFigures {
+    /// The state of this machine in numbers.
+    pub fn snapshot(&self, now: f64) -> ControlSnapshot {
         let controller = self.controller.borrow();
         let consensus = controller.consensus();
-        let record = consensus.hard_state();
-        let mut primaries = BTreeMap::new();
+        let hard_state = consensus.hard_state();
+        let mut primaries_by_phase = BTreeMap::new();
         for (_, phase, _) in controller.primaries() {
-            *primaries.entry(phase).or_default() += 1;
+            *primaries_by_phase.entry(phase).or_default() += 1;
         }
-        let mut servers = BTreeMap::from([("ready", 0), ("draining", 0)]);
-        for member in controller
+        let mut servers_by_phase = BTreeMap::from([("ready", 0), ("draining", 0)]);
+        let present = controller
             .members()
             .all()
-            .filter(|member| !member.info.departed)
-        {
-            *servers
-                .entry(if member.info.draining {
-                    "draining"
-                } else {
-                    "ready"
-                })
-                .or_default() += 1;
+            .filter(|member| !member.info.departed);
+        for member in present {
+            let phase = if member.info.draining {
+                "draining"
+            } else {
+                "ready"
+            };
+            *servers_by_phase.entry(phase).or_default() += 1;
         }
-        ControlFigures {
-            leads: controller.is_leader(),
+        ControlSnapshot {
+            is_leader: controller.is_leader(),
             in_contact: consensus.in_contact(now),
-            ballot: record.voted_term.0,
-            sequence: record.state.version,
-            epoch: controller.config().0,
-            voters: consensus.voters().len(),
-            votes: consensus.voters().contains(&consensus.me()),
+            voted_term: hard_state.voted_term.0,
+            state_version: hard_state.state.version,
+            config_epoch: controller.config().0,
+            voter_count: consensus.voters().len(),
+            is_voter: consensus.voters().contains(&consensus.me()),
             disk_failed: consensus.disk_failed(),
-            routers: controller.leased_routers(now),
-            primaries,
-            servers,
+            leased_routers: controller.leased_routers(now),
+            primaries_by_phase,
+            servers_by_phase,
         }
     }
 
-    /// How this machine sees the system, for operators.
+    /// The status for operators (`control-api`).
     pub(super) fn status(&self) -> Status {
         let controller = self.controller.borrow();
-        let node = |n: &NodeId| Ipv4Addr::from(*n).to_string();
-        let primary = |(service, phase, grant): (String, &str, PrimaryGrant)| PrimaryStatus {
-            service,
-            phase: phase.to_owned(),
-            id: grant.server_id,
-            term: grant.primary_term,
-            in_use: !grant.revoking,
-        };
-        let member = |news: &MemberInfo| MemberStatus {
-            id: news.id.clone(),
-            service: news.service.clone(),
-            endpoint: news.endpoint.clone(),
-            zone: news.zone.clone(),
-            slots: news.slots,
-            draining: news.draining,
-        };
-        let now = clock::now();
         let consensus = controller.consensus();
-        let in_contact = consensus.in_contact(now);
-        let since = match consensus.contact_until() {
-            _ if in_contact => 0.0,
-            until if until.is_finite() => (now - until).max(0.0),
-            _ => -1.0,
-        };
+        let now = clock::now();
+        let address = |node: &NodeId| Ipv4Addr::from(*node).to_string();
         Status {
-            out_of_contact: !in_contact,
-            out_of_contact_s: since,
+            out_of_contact: !consensus.in_contact(now),
+            out_of_contact_s: out_of_contact_s(consensus, now),
             disk_failed: consensus.disk_failed(),
             no_voter: !consensus.voters().contains(&consensus.me()),
-            node: self.name.clone(),
+            node: self.settings.node_name.clone(),
             leads: controller.is_leader(),
-            leader: controller.leader().as_ref().map(node),
-            voters: controller.voters().iter().map(node).collect(),
+            leader: controller.leader().as_ref().map(address),
+            voters: controller.voters().iter().map(address).collect(),
             epoch: controller.config().0,
             routers: controller.leased_routers(now) as u64,
-            lease_s: self.lease,
-            primaries: controller.primaries().into_iter().map(primary).collect(),
+            lease_s: self.lease_duration,
+            primaries: controller
+                .primaries()
+                .into_iter()
+                .map(|(service, phase, grant)| primary_status(service, phase, grant))
+                .collect(),
             members: controller
                 .members()
                 .all()
-                .map(|m| &m.info)
-                .filter(|n| !n.departed)
-                .map(member)
+                .map(|member| &member.info)
+                .filter(|info| !info.departed)
+                .map(member_status)
                 .collect(),
         }
     }
 }
+
+/// For how long no majority has answered, in seconds.
+fn out_of_contact_s(consensus: &Consensus, now: f64) -> f64 {
+    if consensus.in_contact(now) {
+        return 0.0;
+    }
+    let until = consensus.contact_until();
+    if until.is_finite() {
+        (now - until).max(0.0)
+    } else {
+        NEVER_IN_CONTACT_S
+    }
+}
+
+fn primary_status(service: String, phase: &str, grant: PrimaryGrant) -> PrimaryStatus {
+    PrimaryStatus {
+        service,
+        phase: phase.to_owned(),
+        id: grant.server_id,
+        term: grant.primary_term,
+        in_use: !grant.revoking,
+    }
+}
+
+fn member_status(member: &MemberInfo) -> MemberStatus {
+    MemberStatus {
+        id: member.id.clone(),
+        service: member.service.clone(),
+        endpoint: member.endpoint.clone(),
+        zone: member.zone.clone(),
+        slots: member.slots,
+        draining: member.draining,
+    }
+}
--- /dev/null
+++ b/crates/runtime/pooler/src/members_file.rs
@@ -0,0 +1,112 @@
+//! The file of the database servers that a control machine knows: after a loss of power it need not wait for all heartbeats.
+//!
+//! The control driver owns it and writes it when the membership has changed. A file that is incomplete or damaged is ignored; a
+//! server that is named there and has departed meanwhile times out as any other. What a server says only once (that it drains
+//! or departs) is in the file before it is acknowledged.
+
+use badgerstream_control::{Controller, MemberInfo};
+use std::cell::Cell;
+use std::fs::File;
+use std::io::{Read, Write};
+use std::path::{Path, PathBuf};
+
+/// Changes are written at most this often, in seconds.
+const WRITE_INTERVAL_S: f64 = 0.5;
+/// The largest file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+
+/// When the file was last written, and which change of the membership it covers.
+#[derive(Clone, Copy)]
+struct LastWrite {
+    at: f64,
+    change_count: u64,
+}
+
+/// The file.
+pub struct MembersFile {
+    path: PathBuf,
+    last_write: Cell<LastWrite>,
+}
+
+impl MembersFile {
+    /// The file at this path; it need not exist.
+    pub fn new(path: PathBuf) -> MembersFile {
+        let never = LastWrite {
+            at: f64::NEG_INFINITY,
+            change_count: 0,
+        };
+        MembersFile {
+            path,
+            last_write: Cell::new(never),
+        }
+    }
+
+    /// The servers in the file; none if it is missing, incomplete or damaged.
+    pub fn read(&self) -> Vec<MemberInfo> {
+        self.try_read().unwrap_or_default()
+    }
+
+    fn try_read(&self) -> Option<Vec<MemberInfo>> {
+        let mut bytes = Vec::new();
+        let file = File::open(&self.path).ok()?;
+        file.take(MAX_FILE_BYTES).read_to_end(&mut bytes).ok()?;
+        let body = verify_checksum(&bytes)?;
+        let config = bincode::config::standard().with_limit::<{ MAX_FILE_BYTES as usize }>();
+        let (members, _) = bincode::decode_from_slice(body, config).ok()?;
+        Some(members)
+    }
+
+    /// Writes the servers that the controller knows if they have changed. A failing disk is no reason to stop: the next
+    /// incarnation of the process waits for heartbeats then.
+    pub fn persist_if_changed(&self, now: f64, controller: &Controller) {
+        let last_write = self.last_write.get();
+        let change_count = controller.members().change_count();
+        if change_count == last_write.change_count || now - last_write.at < WRITE_INTERVAL_S {
+            return;
+        }
+        self.persist(now, controller);
+    }
+
+    /// Writes the servers that the controller knows; returns whether they are on the disk.
+    pub fn persist(&self, now: f64, controller: &Controller) -> bool {
+        self.last_write.set(LastWrite {
+            at: now,
+            change_count: controller.members().change_count(),
+        });
+        let written = self.write(&controller.members().to_persist());
+        if let Err(e) = &written {
+            log::warn!("event=members_persist_failed error={e}");
+        }
+        written.is_ok()
+    }
+
+    /// Replaces the file atomically: the one before stays complete until the rename.
+    fn write(&self, members: &[MemberInfo]) -> std::io::Result<()> {
+        let body = bincode::encode_to_vec(members, bincode::config::standard())
+            .map_err(std::io::Error::other)?;
+        let next = self.path.with_extension("next");
+        let mut file = File::create(&next)?;
+        file.write_all(&with_checksum(&body))?;
+        file.sync_data()?;
+        std::fs::rename(&next, &self.path)?;
+        let folder = self.path.parent().unwrap_or(Path::new("."));
+        File::open(folder)?.sync_all()
+    }
+}
+
+/// The bytes of the file: the CRC-32 of the body (little-endian) and the body.
+fn with_checksum(body: &[u8]) -> Vec<u8> {
+    let mut bytes = crc32fast::hash(body).to_le_bytes().to_vec();
+    bytes.extend_from_slice(body);
+    bytes
+}
+
+/// The body of the file; `None` if the checksum doesn't match.
+fn verify_checksum(bytes: &[u8]) -> Option<&[u8]> {
+    let (checksum, body) = bytes.split_first_chunk()?;
+    (u32::from_le_bytes(*checksum) == crc32fast::hash(body)).then_some(body)
+}
+
+#[cfg(test)]
+#[path = "tests/members_file.rs"]
+mod tests;
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -6,7 +6,8 @@
 mod control;
 mod router;
 
-use crate::control::Control;
+use crate::clock;
+use crate::control::ControlNode;
 use crate::edge::Edge;
 use crate::http::{self, Handler};
 use crate::view::Shared;
@@ -51,6 +52,11 @@
         self.gauges(name, help, [(Labels::new(), value)]);
     }
 
+    /// A gauge that is 1 or 0.
+    fn flag(&mut self, name: &str, help: &str, set: bool) {
+        self.gauge(name, help, f64::from(u8::from(set)));
+    }
+
     /// The same with labels.
     fn gauges(&mut self, name: &str, help: &str, values: impl IntoIterator<Item = (Labels, f64)>) {
         let family = Family::<Labels, GaugeOfNumbers>::default();
@@ -93,7 +99,7 @@
     /// What the router knows, and its data plane.
     pub router: Option<(Rc<Edge>, Shared)>,
     /// The control machine.
-    pub control: Option<Rc<Control>>,
+    pub control: Option<Rc<ControlNode>>,
 }
 
 impl Metrics {
@@ -104,7 +110,11 @@
             router::add(&mut snapshot, edge, shared);
         }
         if let Some(control) = &self.control {
-            control::add(&mut snapshot, control);
+            control::add(
+                &mut snapshot,
+                &control.snapshot(clock::now()),
+                control.counts(),
+            );
         }
         snapshot.text()
     }
--- a/crates/runtime/pooler/src/metrics/control.rs
+++ b/crates/runtime/pooler/src/metrics/control.rs
@@ -1,85 +1,90 @@
-//! The figures of a control machine.
+//! The metrics of a control machine.
 
 use super::Snapshot;
-use crate::clock;
-use crate::control::Control;
+use crate::control::ControlSnapshot;
+use crate::counters::ControlCounts;
 use std::collections::BTreeMap;
 
-/// Adds what agreement, sessions and failover tell.
-pub(super) fn add(snapshot: &mut Snapshot, control: &Control) {
-    add_agreement(snapshot, control);
-    add_calls(snapshot, control);
-    let figures = control.figures(clock::now());
-    let of = |label: &'static str, counts: BTreeMap<&'static str, usize>| {
-        counts
-            .into_iter()
-            .map(move |(value, count)| (vec![(label, value.to_owned())], count as f64))
-    };
+/// Adds the metrics of agreement, sessions and failover.
+pub(super) fn add(snapshot: &mut Snapshot, state: &ControlSnapshot, counts: &ControlCounts) {
+    add_agreement(snapshot, state);
+    add_counts(snapshot, counts);
     snapshot.gauge(
         "control_router_leases",
         "Routers that hold a lease; 0 where this machine doesn't lead",
-        figures.routers as f64,
+        state.leased_routers as f64,
     );
-    snapshot.gauges(
+    add_by_phase(
+        snapshot,
         "control_primaries",
         "Services by the phase of their primary; none where this machine doesn't lead",
-        of("phase", figures.primaries),
+        &state.primaries_by_phase,
     );
-    snapshot.gauges(
+    add_by_phase(
+        snapshot,
         "control_servers",
         "Database servers that are known",
-        of("phase", figures.servers),
+        &state.servers_by_phase,
     );
 }
 
-fn add_agreement(snapshot: &mut Snapshot, control: &Control) {
-    let figures = control.figures(clock::now());
-    let flag = |set: bool| f64::from(u8::from(set));
-    snapshot.gauge(
+fn add_by_phase(
+    snapshot: &mut Snapshot,
+    name: &str,
+    help: &str,
+    counts: &BTreeMap<&'static str, usize>,
+) {
+    let values = counts
+        .iter()
+        .map(|(phase, count)| (vec![("phase", (*phase).to_owned())], *count as f64));
+    snapshot.gauges(name, help, values);
+}
+
+fn add_agreement(snapshot: &mut Snapshot, state: &ControlSnapshot) {
+    snapshot.flag(
         "control_leads",
         "1 where this machine leads",
-        flag(figures.leads),
+        state.is_leader,
     );
-    snapshot.gauge(
+    snapshot.flag(
         "control_in_contact",
         "1 while a majority is heard, through its leader",
-        flag(figures.in_contact),
+        state.in_contact,
     );
     snapshot.gauge(
         "control_ballot",
         "The highest ballot that this machine promised",
-        figures.ballot as f64,
+        state.voted_term as f64,
     );
     snapshot.gauge(
         "control_sequence",
         "Number of the newest state on this disk",
-        figures.sequence as f64,
+        state.state_version as f64,
     );
     snapshot.gauge(
         "control_config_epoch",
         "Version of the configuration that is known",
-        figures.epoch as f64,
+        state.config_epoch as f64,
     );
     snapshot.gauge(
         "control_voters",
         "Control machines that decide",
-        figures.voters as f64,
+        state.voter_count as f64,
     );
-    snapshot.gauge(
+    snapshot.flag(
         "control_votes",
         "1 where this machine is one of them",
-        flag(figures.votes),
+        state.is_voter,
     );
-    snapshot.gauge(
+    snapshot.flag(
         "control_disk_failed",
         "1 while the disk takes no saves",
-        flag(figures.disk_failed),
+        state.disk_failed,
     );
 }
 
-fn add_calls(snapshot: &mut Snapshot, control: &Control) {
-    let counts = control.counts();
-    let answered = counts.responses().into_iter().map(|response| {
+fn add_counts(snapshot: &mut Snapshot, counts: &ControlCounts) {
+    let responses = counts.responses().into_iter().map(|response| {
         let call = ("call", response.call.to_owned());
         let status = ("status", response.status.to_string());
         (vec![call, status], response.count)
@@ -87,7 +92,7 @@
     snapshot.counters(
         "control_calls",
         "Calls of servers and operators by answer",
-        answered,
+        responses,
     );
     snapshot.counters(
         "control_news",
--- a/crates/runtime/pooler/src/node.rs
+++ b/crates/runtime/pooler/src/node.rs
@@ -1,7 +1,7 @@
 //! A process from its start to its end: which parts it runs, its signals, its settings file.
 
 use crate::clock;
-use crate::control::Control;
+use crate::control::ControlNode;
 use crate::edge::{Edge, EdgeLimits};
 use crate::http::{self, Handler};
 use crate::metrics::Metrics;
@@ -99,7 +99,7 @@
     let seed = fastrand::u64(..) >> 1;
     let shared = Shared::default();
     let control = match settings.control {
-        Some(_) => Some(Control::start(&tasks, &settings, seed)?),
+        Some(_) => Some(ControlNode::start(&tasks, &settings, seed).map_err(|e| e.to_string())?),
         None => None,
     };
     let router = settings
@@ -137,7 +137,7 @@
     shared.ending.set(Some(asked));
     shared.changed.notify_waiters();
     if let Some(control) = &control {
-        control.end();
+        control.shut_down();
     }
     drain(
         asked,
@@ -210,7 +210,7 @@
     signals: &mut Signals,
     path: &Path,
     settings: Settings,
-    control: Option<&Rc<Control>>,
+    control: Option<&Rc<ControlNode>>,
     router: Option<&Router>,
 ) -> Settings {
     let mut in_force = settings;
@@ -227,7 +227,7 @@
             Ok(settings) if settings != in_force => {
                 log::info!("event=settings_changed signal={}", signal.is_some());
                 if let Some(control) = control {
-                    control.changed(&settings);
+                    control.reload(&settings);
                 }
                 if let Some(router) = router {
                     router.session.seeds(&settings.seeds);
@@ -241,7 +241,7 @@
 }
 
 /// Waits until nothing is in work, within the grace period that began when the process was asked to end.
-async fn drain(asked: f64, grace: f64, control: Option<&Rc<Control>>, router: Option<&Router>) {
+async fn drain(asked: f64, grace: f64, control: Option<&Rc<ControlNode>>, router: Option<&Router>) {
     // The platform passes connections on for a moment longer, and callers of control are answered.
     let least = if router.is_some() {
         MIN_DRAIN_OF_GRACE * grace
@@ -252,8 +252,8 @@
         Timer::after(DRAIN_LOOK).await;
         let past = clock::now() - asked;
         let statements = router.map_or(0, |r| r.edge.open());
-        let calls = control.map_or(0, |c| c.open.get());
-        let left = past > LEAVE_S || control.is_none_or(|control| control.may_end());
+        let calls = control.map_or(0, |c| c.in_flight_requests());
+        let left = past > LEAVE_S || control.is_none_or(|control| control.may_shut_down());
         if (past > least && left && statements + calls == 0) || past > DRAIN_OF_GRACE * grace {
             log::info!("event=ended open={} after_s={past:.2}", statements + calls);
             return;
--- /dev/null
+++ b/crates/runtime/pooler/src/server_commands.rs
@@ -0,0 +1,317 @@
+//! The commands that the leading control machine sends to one database server, over one connection.
+//!
+//! The control driver starts [`run`] for a server once it has a command for it, and gives further commands through a channel;
+//! the connection belongs to that task. `docs/design/calls.md` says which command may be sent again. A connection whose
+//! exchange came to no answer is reset, so that what a network partition holds up of the command is lost, and never used again.
+
+use crate::exchange::{self, AuthorityError, ExchangeError, Progress};
+use crate::{clock, net};
+use async_channel::Receiver;
+use async_io::Async;
+use badgerstream_control::{CommandOutcome, ServerCommand, ServerStatus};
+use badgerstream_line_protocol::{Code, LineBuffer, Position, Reply};
+use futures_lite::future;
+use std::cell::RefCell;
+use std::io::{Error, ErrorKind, Result};
+use std::net::{SocketAddr, TcpStream};
+use thiserror::Error as ThisError;
+
+/// A connection without a command for so many seconds is closed.
+pub const IDLE_TIMEOUT_S: f64 = 6.0;
+/// Size of the read buffer, in bytes.
+const READ_BYTES: usize = 512;
+
+/// The server that commands are sent to.
+#[derive(Clone, Debug)]
+pub struct CommandTarget {
+    /// The server's id, so that another server that reuses its address isn't taken for it.
+    pub server_id: String,
+    /// Its service.
+    pub service: String,
+    /// Its address.
+    pub endpoint: SocketAddr,
+}
+
+/// A command, and the authority under which it was decided on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FencedCommand {
+    /// The command.
+    pub command: ServerCommand,
+    /// The fencing token of the leader that decided on it.
+    pub fencing_token: u64,
+}
+
+impl FencedCommand {
+    /// Whether it may run at any time and any number of times. All commands but `STATUS` change the server: a duplicate that
+    /// arrives late may undo what was decided since.
+    pub fn is_idempotent(self) -> bool {
+        self.command == ServerCommand::Status
+    }
+
+    fn line(self) -> String {
+        match self.command {
+            ServerCommand::Status => "QUERY - STATUS\r\n".to_owned(),
+            ServerCommand::Pause(term) => format!("QUERY - PAUSE {term}\r\n"),
+            ServerCommand::Resume => "QUERY - RESUME\r\n".to_owned(),
+            ServerCommand::StepDown(term) => format!("QUERY - STEPDOWN {term}\r\n"),
+        }
+    }
+}
+
+/// Time-outs of a connection, in seconds.
+#[derive(Clone, Copy, Debug)]
+pub struct CommandTimeouts {
+    /// For an answer.
+    pub answer_s: f64,
+    /// For the next command, before the connection is closed; with 0 it is closed after its answer.
+    pub idle_s: f64,
+}
+
+/// What a server answered in place of what was expected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, ThisError)]
+enum ReplyError {
+    /// Another server has the address by now.
+    #[error("another server is at this address")]
+    WrongServer,
+    /// Any other error of the line protocol, by its word.
+    #[error("{0}")]
+    Rejected(&'static str),
+    /// No reply of the line protocol.
+    #[error("the reply can't be read")]
+    Malformed,
+}
+
+impl From<ReplyError> for Error {
+    fn from(error: ReplyError) -> Self {
+        let kind = match error {
+            ReplyError::WrongServer => ErrorKind::NotFound,
+            ReplyError::Rejected(_) => ErrorKind::Other,
+            ReplyError::Malformed => ErrorKind::InvalidData,
+        };
+        Error::new(kind, error)
+    }
+}
+
+/// Sends the commands that come until none has come for the idle time-out, and reports what became of each. `may_act` is
+/// called just before a command leaves that only the present leader may send.
+pub async fn run(
+    target: CommandTarget,
+    commands: Receiver<FencedCommand>,
+    timeouts: CommandTimeouts,
+    may_act: impl Fn(FencedCommand) -> bool,
+    report: impl Fn(FencedCommand, CommandOutcome),
+) {
+    let mut session = ServerSession {
+        target,
+        answer_timeout_s: timeouts.answer_s,
+        connection: None,
+    };
+    while let Some(command) = next_command(&commands, timeouts.idle_s).await {
+        let sent_at = clock::now();
+        let outcome = match session.execute(command, &may_act).await {
+            Ok(Some(status)) => CommandOutcome::Status {
+                command: command.command,
+                status,
+                sent_at,
+            },
+            Ok(None) => CommandOutcome::Busy,
+            Err(error) => session.outcome_of_error(command, &error),
+        };
+        report(command, outcome);
+    }
+    if let Some(connection) = session.connection {
+        net::reset_on_close(&connection.stream, false);
+    }
+}
+
+/// The next command; `None` when there will be no more, or none has come within the idle time-out.
+async fn next_command(
+    commands: &Receiver<FencedCommand>,
+    idle_timeout_s: f64,
+) -> Option<FencedCommand> {
+    let idle = async {
+        net::sleep(idle_timeout_s).await;
+        None
+    };
+    future::or(async { commands.recv().await.ok() }, idle).await
+}
+
+/// The session with one server.
+struct ServerSession {
+    target: CommandTarget,
+    answer_timeout_s: f64,
+    /// `None` before the first exchange and after one that came to no answer.
+    connection: Option<ServerConnection>,
+}
+
+impl ServerSession {
+    /// The status that a server answers a command with; `None` if it answered without one.
+    async fn execute(
+        &mut self,
+        command: FencedCommand,
+        may_act: &impl Fn(FencedCommand) -> bool,
+    ) -> std::result::Result<Option<ServerStatus>, ExchangeError> {
+        self.connection
+            .take_if(|connection| !connection.is_usable());
+        let reused = self.connection.is_some();
+        match self.exchange(command, may_act).await {
+            // The server may have closed the connection while it was idle: a new one tells whether it is reachable.
+            Err(error) if reused && may_retry(command, &error) => {
+                self.exchange(command, may_act).await
+            }
+            result => result,
+        }
+    }
+
+    async fn exchange(
+        &mut self,
+        command: FencedCommand,
+        may_act: &impl Fn(FencedCommand) -> bool,
+    ) -> std::result::Result<Option<ServerStatus>, ExchangeError> {
+        let connection = self.connection.take();
+        let target = &self.target;
+        let answer_timeout_s = self.answer_timeout_s;
+        let exchanged = exchange::run(answer_timeout_s, async |progress| {
+            let mut connection = match connection {
+                Some(connection) => connection,
+                None => ServerConnection::open(target, answer_timeout_s).await?,
+            };
+            // A process that was suspended or partitioned since this was decided must not send it: another machine may lead.
+            if !command.is_idempotent() && !may_act(command) {
+                return Err(AuthorityError::NotLeader.into());
+            }
+            let status = connection
+                .exchange(progress, command, &target.server_id)
+                .await?;
+            Ok((connection, status))
+        });
+        // Without an answer the connection is dropped in there, which resets it.
+        let (connection, status) = exchanged.await?;
+        self.connection = Some(connection);
+        Ok(status)
+    }
+
+    /// What the controller learns of a command that came to no answer.
+    fn outcome_of_error(&self, command: FencedCommand, error: &ExchangeError) -> CommandOutcome {
+        log::debug!(
+            "event=command_failed server={} command={:?} verdict={:?} error={}",
+            self.target.server_id,
+            command.command,
+            error.verdict,
+            error.error
+        );
+        match error.error.kind() {
+            _ if error.is_authority_lost() => CommandOutcome::NotSent,
+            ErrorKind::ConnectionRefused | ErrorKind::NotFound => CommandOutcome::Refused,
+            _ => CommandOutcome::TimedOut,
+        }
+    }
+}
+
+/// Whether a command that failed on a connection that had been idle is sent once more on a new one.
+fn may_retry(command: FencedCommand, error: &ExchangeError) -> bool {
+    let given_up = error.is_authority_lost() || error.error.kind() == ErrorKind::TimedOut;
+    !given_up && error.verdict.permits_retry(command.is_idempotent())
+}
+
+struct ServerConnection {
+    stream: Async<TcpStream>,
+    lines: LineBuffer,
+}
+
+impl ServerConnection {
+    /// Opens a connection to the server of this id.
+    async fn open(target: &CommandTarget, answer_timeout_s: f64) -> Result<ServerConnection> {
+        let stream = Async::<TcpStream>::connect(target.endpoint).await?;
+        // Bytes that are not acknowledged in time are dropped, also if this process is suspended or killed meanwhile.
+        net::configure(&stream, answer_timeout_s);
+        net::reset_on_close(&stream, true);
+        let mut connection = ServerConnection {
+            stream,
+            lines: LineBuffer::default(),
+        };
+        let connect = format!(
+            "CONNECT {} control {}\r\n",
+            target.service, target.server_id
+        );
+        net::write(&connection.stream, connect.as_bytes())
+            .await
+            .map_err(|_| ErrorKind::BrokenPipe)?;
+        match Reply::parse(&connection.read_line().await?) {
+            Some(Reply::Idle { .. }) => Ok(connection),
+            Some(Reply::Error {
+                code: Code::WrongNode,
+                ..
+            }) => Err(ReplyError::WrongServer.into()),
+            Some(Reply::Error { code, .. }) => Err(ReplyError::Rejected(code.word()).into()),
+            _ => Err(ReplyError::Malformed.into()),
+        }
+    }
+
+    /// Whether it may carry another exchange: the server has neither closed it nor sent anything unasked.
+    fn is_usable(&mut self) -> bool {
+        let scratch = RefCell::new(vec![0; READ_BYTES]);
+        self.lines.is_empty()
+            && matches!(
+                net::read_now(&self.stream, &scratch, &mut self.lines),
+                Ok(None)
+            )
+    }
+
+    async fn exchange(
+        &mut self,
+        progress: &Progress,
+        command: FencedCommand,
+        server_id: &str,
+    ) -> Result<Option<ServerStatus>> {
+        progress
+            .send(&self.stream, command.line().as_bytes())
+            .await?;
+        let mut status = None;
+        loop {
+            let line = self.read_line().await?;
+            match Reply::parse(&line) {
+                Some(Reply::Row(text)) => status = parse_status(text),
+                Some(Reply::Idle { .. }) => return Ok(status),
+                Some(Reply::Error { code, text }) => {
+                    log::debug!(
+                        "event=command_rejected server={server_id} command={:?} code={} text={text}",
+                        command.command,
+                        code.word()
+                    );
+                }
+                Some(Reply::Complete(_)) => {}
+                None => return Err(ReplyError::Malformed.into()),
+            }
+        }
+    }
+
+    async fn read_line(&mut self) -> Result<Vec<u8>> {
+        let scratch = RefCell::new(vec![0; READ_BYTES]);
+        loop {
+            if let Some(line) = self.lines.next().map_err(|e| Error::other(e.to_string()))? {
+                return Ok(line.to_vec());
+            }
+            if net::read(&self.stream, &scratch, &mut self.lines).await? == 0 {
+                return Err(ErrorKind::UnexpectedEof.into());
+            }
+        }
+    }
+}
+
+/// Parses the row that answers `STATUS` (`line-protocol`): role, primary term, position received, highest term, lag in ms,
+/// busy, connections.
+pub fn parse_status(text: &[u8]) -> Option<ServerStatus> {
+    let text = std::str::from_utf8(text).ok()?;
+    let mut words = text.split_ascii_whitespace();
+    let is_primary = words.next()? == "leader";
+    let primary_term = words.next()?.parse().ok()?;
+    let received: Position = words.next()?.parse().ok()?;
+    let highest_term = words.next()?.parse().ok()?;
+    Some(ServerStatus {
+        is_primary,
+        primary_term,
+        received: (received.term, received.number),
+        highest_term,
+    })
+}
--- a/crates/runtime/pooler/src/tests/servers.rs
+++ b/crates/runtime/pooler/src/tests/members_file.rs
@@ -1,6 +1,6 @@
-//! The file of the servers that a control machine knows: torn ones and those of other forms are passed over.
+//! The file of the servers that a control machine knows: damaged files and those of another format are ignored.
 
-use super::{Servers, pack, unpack};
+use super::{MembersFile, verify_checksum, with_checksum};
 use crate::tests::hex::{hex, unhex};
 use badgerstream_control::{
     ControlConfig, Controller, FOUNDING_INCARNATION, FailoverConfig, HardState, MemberInfo, Voter,
@@ -8,30 +8,30 @@
 use std::path::Path;
 
 #[test]
-fn a_torn_file_is_told_from_a_whole_one() {
-    let bytes = pack(b"123456789");
+fn damaged_file_fails_its_checksum() {
+    let bytes = with_checksum(b"123456789");
     assert_eq!(bytes[..4], 0xCBF4_3926_u32.to_le_bytes());
-    assert_eq!(unpack(&bytes), Some(&b"123456789"[..]));
+    assert_eq!(verify_checksum(&bytes), Some(&b"123456789"[..]));
     for length in 0..bytes.len() {
-        assert_eq!(unpack(&bytes[..length]), None, "{length}");
+        assert_eq!(verify_checksum(&bytes[..length]), None, "{length}");
     }
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert_eq!(unpack(&changed), None, "{at}");
+        assert_eq!(verify_checksum(&changed), None, "{at}");
     }
 }
 
 /// Before, the body stood behind its FNV-1a of 64 bits.
 #[test]
-fn a_file_of_the_former_form_is_passed_over() {
+fn file_of_the_former_format_is_ignored() {
     let body = b"123456789";
     let sum = body.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3)
     });
     let mut bytes = sum.to_le_bytes().to_vec();
     bytes.extend_from_slice(body);
-    assert_eq!(unpack(&bytes), None);
+    assert_eq!(verify_checksum(&bytes), None);
 }
 
 fn controller(known: &[&str]) -> Controller {
@@ -45,7 +45,7 @@
         departed: false,
         call_seq: 0,
     };
-    let service = FailoverConfig {
+    let failover = FailoverConfig {
         primary_poll_interval: 0.2,
         replica_poll_interval: 1.0,
         primary_timeout: 0.6,
@@ -53,17 +53,15 @@
         heartbeat_interval: 1.2,
         drain_timeout: 7.0,
     };
-    let (lease, suspect, contact, platform, turn, call, forget) =
-        (1.5, 0.6, 1.0, 1.0, 0.0, 0.9, 4.8);
-    let timing = ControlConfig {
-        lease_duration: lease,
-        election_timeout: suspect,
-        contact_timeout: contact,
-        platform_call_timeout: platform,
-        duty_handover_delay: turn,
-        request_timeout: call,
-        member_timeout: forget,
-        failover: service,
+    let config = ControlConfig {
+        lease_duration: 1.5,
+        election_timeout: 0.6,
+        contact_timeout: 1.0,
+        platform_call_timeout: 1.0,
+        duty_handover_delay: 0.0,
+        request_timeout: 0.9,
+        member_timeout: 4.8,
+        failover,
     };
     let mut controller = Controller::new(
         Voter {
@@ -73,34 +71,34 @@
         HardState::default(),
         0.0,
         7,
-        timing,
+        config,
     );
     controller.restore_members(0.0, known.iter().map(member).collect(), 0.0);
     controller
 }
 
-/// What is kept is there whole, in place of what was kept before; what was left of a write that was cut short is no matter.
+/// A write replaces the file completely; the remains of a write that was interrupted are ignored.
 #[test]
-fn what_is_kept_is_read_in_the_next_life() {
+fn persisted_members_are_read_by_the_next_incarnation() {
     let folder = std::env::temp_dir().join(format!(
         "badgerstream-pooler-servers-{}",
         std::process::id()
     ));
     std::fs::create_dir_all(&folder).unwrap();
-    let servers = Servers::new(folder.join("servers"));
+    let file = MembersFile::new(folder.join("servers"));
     for known in [&["a"][..], &["a", "b"]] {
         std::fs::write(folder.join("servers.next"), b"half of it").unwrap();
-        assert!(servers.keep_now(1.0, &controller(known)));
-        let read: Vec<String> = servers.read().into_iter().map(|news| news.id).collect();
+        assert!(file.persist(1.0, &controller(known)));
+        let read: Vec<String> = file.read().into_iter().map(|member| member.id).collect();
         assert_eq!(read, known);
     }
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(
-        !servers.keep_now(2.0, &controller(&["a"])),
+        !file.persist(2.0, &controller(&["a"])),
         "its folder is gone"
     );
     assert!(
-        Servers::new(Path::new("/nowhere/servers").to_path_buf())
+        MembersFile::new(Path::new("/nowhere/servers").to_path_buf())
             .read()
             .is_empty()
     );
@@ -133,18 +131,18 @@
 
 /// A file that an earlier release wrote is read, and the same servers give the same bytes.
 #[test]
-fn the_file_has_the_bytes_of_its_fixture() {
+fn file_has_the_bytes_of_its_fixture() {
     let pinned = unhex(include_str!("fixtures/servers.txt").trim());
     let name = format!("badgerstream-pooler-servers-pinned-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("servers");
     std::fs::write(&path, &pinned).unwrap();
-    let read = Servers::new(path.clone()).read();
+    let read = MembersFile::new(path.clone()).read();
     std::fs::remove_file(&path).unwrap();
     let mut controller = controller(&[]);
     controller.restore_members(0.0, pinned_servers(9), 0.0);
-    assert!(Servers::new(path.clone()).keep_now(1.0, &controller));
+    assert!(MembersFile::new(path.clone()).persist(1.0, &controller));
     let written = std::fs::read(&path).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(read, pinned_servers(0), "only a drain's number is kept");
--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -1,7 +1,7 @@
 //! The metrics that monitoring systems know by name: their names, types and labels stay as they are.
 
 use crate::clock;
-use crate::control::Control;
+use crate::control::ControlNode;
 use crate::metrics::Metrics;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -41,7 +41,7 @@
 
 /// A control machine alone, which leads and knows a server and so a service.
 #[test]
-fn a_control_machine_keeps_the_names_of_its_metrics() {
+fn metric_names_of_a_control_machine_are_stable() {
     let folder = std::env::temp_dir().join(format!(
         "badgerstream-pooler-metrics-{}",
         std::process::id()
@@ -56,7 +56,7 @@
     );
     let settings = Settings::read(&settings).expect("valid settings");
     let tasks = Rc::new(LocalExecutor::new());
-    let control = Control::start(&tasks, &settings, 7).expect("it starts");
+    let control = ControlNode::start(&tasks, &settings, 7).expect("it starts");
     let beat = r#"{"backend":"db","endpoint":"127.0.0.1:1","phase":"ready","call_seq":1}"#;
     let text = async_io::block_on(tasks.run(async {
         let wait = async |what: &str, holds: &dyn Fn() -> bool| {
@@ -66,7 +66,7 @@
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        wait("it leads", &|| control.figures(clock::now()).leads).await;
+        wait("it leads", &|| control.snapshot(clock::now()).is_leader).await;
         let mut stream = Async::<TcpStream>::connect(calls)
             .await
             .expect("it listens");
@@ -82,7 +82,7 @@
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.expect("an answer");
         wait("a service", &|| {
-            !control.figures(clock::now()).primaries.is_empty()
+            !control.snapshot(clock::now()).primaries_by_phase.is_empty()
         })
         .await;
         let metrics = Metrics {
--- a/crates/runtime/pooler/src/tests/mod.rs
+++ b/crates/runtime/pooler/src/tests/mod.rs
@@ -3,5 +3,5 @@
 mod frames;
 pub(crate) mod hex;
 pub(crate) mod metric_names;
-mod server_queries;
+mod server_commands;
 mod session;
--- a/crates/runtime/pooler/src/tests/server_queries.rs
+++ b/crates/runtime/pooler/src/tests/server_commands.rs
@@ -1,6 +1,6 @@
-//! What is sent to a server, how often, and what is told of it, at a scripted server on loopback.
+//! Commands to a scripted server on loopback: what is sent, how often, and which outcome is reported.
 
-use crate::server_queries::{IDLE_S, Query, Target, Waits, run};
+use crate::server_commands::{CommandTarget, CommandTimeouts, FencedCommand, IDLE_TIMEOUT_S, run};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use badgerstream_control::{CommandOutcome, ServerCommand};
@@ -13,36 +13,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// So long a query may take here, in seconds.
-const WAITS: Waits = Waits {
+/// Short, so that time-outs don't take long.
+const TIMEOUTS: CommandTimeouts = CommandTimeouts {
     answer_s: 0.3,
-    idle_s: IDLE_S,
+    idle_s: IDLE_TIMEOUT_S,
 };
 const ROW: &str = "ROW follower 3 3.7 0 12 2 17\r\nCOMPLETE -\r\nIDLE I 3.7\r\n";
 
-/// What the server does with a statement.
+/// What the server does with a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// It answers with its row.
+    /// It answers with its status row.
     Answer,
-    /// It answers, and ends the connection once its answer is written.
+    /// It answers, and closes the connection once its answer is written.
     AnswerAndClose,
-    /// It ends the connection without a word.
+    /// It closes the connection without an answer.
     Close,
     /// It breaks off in the middle of its answer.
     HalfAnswer,
-    /// It says nothing for as long as the caller waits.
+    /// It sends nothing for as long as the caller waits.
     Silence,
 }
 
 #[derive(Default)]
 struct Server {
-    /// What it does with one statement after the other; it answers what comes after.
+    /// What it does with one command after the other; it answers all that come after.
     steps: RefCell<VecDeque<Step>>,
-    /// The statements that it got, and on which connection.
+    /// The commands that it received, each with its connection.
     got: RefCell<Vec<(usize, String)>>,
     connections: Cell<usize>,
-    /// How its connections ended; none for an end in order.
+    /// How its connections ended; `None` for an orderly close.
     ends: RefCell<Vec<Option<ErrorKind>>>,
     changed: crate::notify::Notify,
 }
@@ -117,34 +117,34 @@
     }
 }
 
-/// Sends these statements one after the other to a server that does these steps; what was told of each.
-fn asked(
+/// Sends these commands one after the other to a server that follows these steps; returns the outcome of each.
+fn execute(
     steps: &[Step],
-    statements: &[ServerCommand],
+    commands: &[ServerCommand],
     may_act: bool,
 ) -> (Rc<Server>, Vec<CommandOutcome>) {
     let tasks = Rc::new(LocalExecutor::new());
     let (server, endpoint) = Server::start(&tasks, steps);
-    let told = RefCell::new(Vec::new());
-    let target = Target {
-        id: "i-1".to_owned(),
+    let outcomes = RefCell::new(Vec::new());
+    let target = CommandTarget {
+        server_id: "i-1".to_owned(),
         service: "db".to_owned(),
         endpoint,
     };
     let (sender, receiver) = async_channel::bounded(1);
-    let (answered, answers) = async_channel::bounded(1);
+    let (reported, reports) = async_channel::bounded(1);
     let work = async {
-        for statement in statements {
+        for command in commands {
             sender
-                .send(Query {
-                    statement: *statement,
-                    fence: 5,
+                .send(FencedCommand {
+                    command: *command,
+                    fencing_token: 5,
                 })
                 .await
                 .unwrap();
-            let answer = answers.recv().await.unwrap();
-            told.borrow_mut().push(answer);
-            // Whatever the server has ended is seen before the next one is sent.
+            let outcome = reports.recv().await.unwrap();
+            outcomes.borrow_mut().push(outcome);
+            // The client sees a connection that the server has closed before it sends the next command.
             let closed = server.got.borrow().len();
             server
                 .until(|s| s.ends.borrow().len() >= ended_by_server(steps, closed))
@@ -152,16 +152,16 @@
         }
         sender.close();
     };
-    let tell = |query: Query, asked| {
-        assert_eq!(query.fence, 5);
-        answered.try_send(asked).unwrap();
+    let report = |command: FencedCommand, outcome| {
+        assert_eq!(command.fencing_token, 5);
+        reported.try_send(outcome).unwrap();
     };
-    let all = future::zip(work, run(target, receiver, WAITS, |_| may_act, tell));
+    let all = future::zip(work, run(target, receiver, TIMEOUTS, |_| may_act, report));
     async_io::block_on(tasks.run(all));
-    (server, told.into_inner())
+    (server, outcomes.into_inner())
 }
 
-/// How many connections the server has ended itself after so many statements.
+/// How many connections the server has closed itself after so many commands.
 fn ended_by_server(steps: &[Step], statements: usize) -> usize {
     let ends = |step: &&Step| matches!(step, Step::AnswerAndClose | Step::Close | Step::HalfAnswer);
     steps.iter().take(statements).filter(ends).count()
@@ -183,32 +183,32 @@
 ];
 
 #[test]
-fn what_changes_a_server_is_never_sent_again_without_an_answer() {
-    for (statement, text) in CHANGES {
+fn unanswered_changing_command_is_never_retried() {
+    for (command, text) in CHANGES {
         for end in [Step::Close, Step::HalfAnswer] {
             // The connection has carried an exchange before: a reset of it may have struck after the last byte.
-            let (server, told) = asked(
+            let (server, outcomes) = execute(
                 &[Step::Answer, end],
-                &[ServerCommand::Status, statement],
+                &[ServerCommand::Status, command],
                 true,
             );
             assert_eq!(texts(&server), ["STATUS", text], "{end:?}");
-            assert_eq!(told[1], CommandOutcome::TimedOut, "{end:?}");
+            assert_eq!(outcomes[1], CommandOutcome::TimedOut, "{end:?}");
         }
     }
 }
 
 #[test]
-fn a_status_is_asked_again_on_a_new_connection() {
+fn status_command_is_retried_on_a_new_connection() {
     for end in [Step::Close, Step::HalfAnswer] {
-        let (server, told) = asked(
+        let (server, outcomes) = execute(
             &[Step::Answer, end],
             &[ServerCommand::Status, ServerCommand::Status],
             true,
         );
         assert_eq!(texts(&server), ["STATUS", "STATUS", "STATUS"]);
         assert!(matches!(
-            told[1],
+            outcomes[1],
             CommandOutcome::Status {
                 command: ServerCommand::Status,
                 ..
@@ -219,80 +219,83 @@
 }
 
 #[test]
-fn a_connection_that_ended_at_rest_carries_nothing() {
-    for (statement, text) in CHANGES {
-        let (server, told) = asked(
+fn connection_closed_while_idle_carries_no_command() {
+    for (command, text) in CHANGES {
+        let (server, outcomes) = execute(
             &[Step::AnswerAndClose],
-            &[ServerCommand::Status, statement],
+            &[ServerCommand::Status, command],
             true,
         );
         assert_eq!(
             *server.got.borrow(),
             [(0, "STATUS".to_owned()), (1, text.to_owned())]
         );
-        assert!(matches!(told[1], CommandOutcome::Status { .. }), "{told:?}");
+        assert!(
+            matches!(outcomes[1], CommandOutcome::Status { .. }),
+            "{outcomes:?}"
+        );
     }
 }
 
 #[test]
-fn without_authority_only_a_status_leaves() {
-    for (statement, _) in CHANGES {
-        let (server, told) = asked(&[], &[statement, ServerCommand::Status], false);
+fn without_authority_only_status_is_sent() {
+    for (command, _) in CHANGES {
+        let (server, outcomes) = execute(&[], &[command, ServerCommand::Status], false);
         assert_eq!(texts(&server), ["STATUS"]);
         assert!(
             matches!(
-                told[..],
+                outcomes[..],
                 [CommandOutcome::NotSent, CommandOutcome::Status { .. }]
             ),
-            "{told:?}"
+            "{outcomes:?}"
         );
     }
 }
 
 #[test]
-fn a_connection_without_an_answer_in_time_is_reset() {
+fn connection_is_reset_when_an_answer_times_out() {
     let tasks = Rc::new(LocalExecutor::new());
     let (server, endpoint) = Server::start(&tasks, &[Step::Silence]);
-    let target = Target {
-        id: "i-1".to_owned(),
+    let target = CommandTarget {
+        server_id: "i-1".to_owned(),
         service: "db".to_owned(),
         endpoint,
     };
     let (sender, receiver) = async_channel::bounded(2);
-    let told = RefCell::new(Vec::new());
-    let ask = run(
+    let outcomes = RefCell::new(Vec::new());
+    let running = run(
         target,
         receiver,
-        WAITS,
+        TIMEOUTS,
         |_| true,
-        |_, asked| told.borrow_mut().push(asked),
+        |_, outcome| outcomes.borrow_mut().push(outcome),
     );
     let work = async {
         sender
-            .send(Query {
-                statement: ServerCommand::Resume,
-                fence: 5,
+            .send(FencedCommand {
+                command: ServerCommand::Resume,
+                fencing_token: 5,
             })
             .await
             .unwrap();
         server.until(|s| s.ends.borrow().len() == 1).await;
         sender
-            .send(Query {
-                statement: ServerCommand::Pause(4),
-                fence: 5,
+            .send(FencedCommand {
+                command: ServerCommand::Pause(4),
+                fencing_token: 5,
             })
             .await
             .unwrap();
         sender.close();
     };
-    async_io::block_on(tasks.run(future::zip(work, ask)));
+    async_io::block_on(tasks.run(future::zip(work, running)));
     assert_eq!(server.ends.borrow()[0], Some(ErrorKind::ConnectionReset));
     assert_eq!(
         *server.got.borrow(),
         [(0, "RESUME".to_owned()), (1, "PAUSE 4".to_owned())]
     );
     assert!(matches!(
-        told.borrow()[..],
+        outcomes.borrow()[..],
         [
             CommandOutcome::TimedOut,
             CommandOutcome::Status {
@@ -303,33 +306,38 @@
     ));
 }
 
-/// Whether the connection is still open so many milliseconds after the answer to its one question.
+/// Whether the connection is still open 300 ms after the answer to its one command.
 fn is_kept(idle_s: f64) -> bool {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let endpoint = listener.get_ref().local_addr().unwrap();
-    let (sender, questions) = async_channel::bounded(4);
+    let (sender, commands) = async_channel::bounded(4);
     sender
-        .try_send(Query {
-            statement: ServerCommand::Status,
-            fence: 5,
+        .try_send(FencedCommand {
+            command: ServerCommand::Status,
+            fencing_token: 5,
         })
         .unwrap();
-    let target = Target {
-        id: "i".to_owned(),
+    let target = CommandTarget {
+        server_id: "i".to_owned(),
         service: "s".to_owned(),
         endpoint,
     };
-    let told = |_, asked| assert!(matches!(asked, CommandOutcome::Status { .. }), "{asked:?}");
-    let asking = async {
+    let report = |_, outcome| {
+        assert!(
+            matches!(outcome, CommandOutcome::Status { .. }),
+            "{outcome:?}"
+        )
+    };
+    let sending = async {
         run(
             target,
-            questions,
-            Waits {
+            commands,
+            CommandTimeouts {
                 answer_s: 1.0,
                 idle_s,
             },
             |_| true,
-            told,
+            report,
         )
         .await;
         future::pending().await
@@ -351,11 +359,11 @@
         };
         future::or(ended, kept).await
     };
-    async_io::block_on(future::or(server, asking))
+    async_io::block_on(future::or(server, sending))
 }
 
 #[test]
-fn a_connection_is_kept_or_closed_with_its_answer() {
-    assert!(is_kept(IDLE_S));
+fn idle_connection_is_kept_or_closed_after_its_answer() {
+    assert!(is_kept(IDLE_TIMEOUT_S));
     assert!(!is_kept(0.0));
 }
--- a/crates/runtime/pooler/src/tests/disk.rs
+++ b/crates/runtime/pooler/src/tests/state_store.rs
@@ -1,7 +1,7 @@
 //! The record of a control machine on its disk, held by a fixture: the folder of `crates/protocol/control-store/tests/fixtures`, which an
 //! earlier release wrote, and the encoding of the state in it.
 
-use super::{Disk, FOLDER};
+use super::{FOLDER, StateStore};
 use crate::tests::hex::hex;
 use badgerstream_control::{
     AppliedConfig, Digest, HardState, PrimaryRecord, State, Term, Voter, VoterSet,
@@ -82,10 +82,13 @@
 }
 
 #[test]
-fn the_record_of_an_earlier_release_is_read_and_saved_in_the_same_encoding() {
+fn store_of_an_earlier_release_is_read_and_written_in_the_same_encoding() {
     let folder = unpacked();
-    let mut disk = Disk::open(&folder.0, 5, &[1, 2, 3]).unwrap();
-    assert_eq!((disk.identity(), disk.kept()), (IDENTITY, &record()));
+    let mut store = StateStore::open(&folder.0, 5, &[1, 2, 3]).unwrap();
+    assert_eq!(
+        (store.incarnation(), store.hard_state()),
+        (IDENTITY, &record())
+    );
     assert_eq!(hex(&state().encode()), VALUE.trim());
 
     // Another state, and then the one of the fixture again.
@@ -94,9 +97,9 @@
         ..record()
     };
     for saved in [&other, &record()] {
-        disk.save(saved).unwrap();
+        store.save(saved).unwrap();
     }
-    drop(disk);
+    drop(store);
     let (store, found, fresh) = Store::open(&folder.0.join(FOLDER), 5).unwrap();
     drop(store);
     assert_eq!(fresh, Fresh::Kept);
@@ -105,6 +108,6 @@
         (0x1112_1314_1516_1718, 0x0102_0304_0506_0708, IDENTITY)
     );
     assert_eq!(hex(&found.value), VALUE.trim());
-    let disk = Disk::open(&folder.0, 5, &[1, 2, 3]).unwrap();
-    assert_eq!(disk.kept(), &record());
+    let store = StateStore::open(&folder.0, 5, &[1, 2, 3]).unwrap();
+    assert_eq!(store.hard_state(), &record());
 }
