--- a/crates/runtime/pooler/src/clock.rs
+++ b/crates/runtime/pooler/src/clock.rs
@@ -1,4 +1,5 @@
-//! The monotonic clock of this process. All times in this crate are seconds on it, as `f64`; it says nothing of the time of day.
+//! The monotonic clock of this process. All times in this crate are seconds on it, as `f64`; it
+//! says nothing of the time of day.
 
 use std::sync::OnceLock;
 use std::time::Instant;
--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -1,13 +1,16 @@
-//! The driver of a control machine: it gives [`Controller`] (crate `badgerstream-control`) connections, a clock and a disk.
+//! The driver of a control machine: it gives [`Controller`] (crate `badgerstream-control`)
+//! connections, a clock and a disk.
 //!
-//! The controller decides and has no side effects; the driver passes it what happens and executes the outputs that it returns
-//! (`outputs`). What happens comes from the timer in [`ControlNode::run`], from other control machines (`peers`), from routers
-//! (`router_sessions`), from servers and operators over HTTP (`requests`), and as outcomes of commands to servers (`commands`)
-//! and calls to the platform (`platform`). `persistence` writes the hard state, `status` reads for operators and metrics.
+//! The controller decides and has no side effects; the driver passes it what happens and executes
+//! the outputs that it returns (`outputs`). What happens comes from the timer in
+//! [`ControlNode::run`], from other control machines (`peers`), from routers (`router_sessions`),
+//! from servers and operators over HTTP (`requests`), and as outcomes of commands to servers
+//! (`commands`) and calls to the platform (`platform`). `persistence` writes the hard state,
+//! `status` reads for operators and metrics.
 //!
-//! All tasks run on one thread, so the state is in cells: the controller, the store and each table are borrowed for one
-//! synchronous step, and nothing is awaited while any of them is borrowed. The driver itself makes no decision of agreement
-//! or failover.
+//! All tasks run on one thread, so the state is in cells: the controller, the store and each table
+//! are borrowed for one synchronous step, and nothing is awaited while any of them is borrowed. The
+//! driver itself makes no decision of agreement or failover.
 
 mod commands;
 mod config;
@@ -216,7 +219,8 @@
         self.in_flight_requests.get()
     }
 
-    /// Applies new settings: other seeds, another fault budget. All else takes effect at the next start.
+    /// Applies new settings: other seeds, another fault budget. All else takes effect at the next
+    /// start.
     pub fn reload(&self, settings: &Settings) {
         self.controller
             .borrow_mut()
--- a/crates/runtime/pooler/src/control/commands.rs
+++ b/crates/runtime/pooler/src/control/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to database servers: one connection for each server, with a short queue, owned by a task of its own
-//! ([`server_commands::run`]).
+//! Commands to database servers: one connection for each server, with a short queue, owned by a
+//! task of its own ([`server_commands::run`]).
 
 use super::{ControlNode, config};
 use crate::clock;
@@ -13,8 +13,8 @@
 /// Commands that wait for the connection to one server; further ones are reported as not sent.
 const MAX_QUEUED_COMMANDS: usize = 4;
 
-/// The share of the process's descriptors that idle connections to servers may hold. Beyond it a connection is closed after its
-/// answer, as sessions and requests need the rest.
+/// The share of the process's descriptors that idle connections to servers may hold. Beyond it a
+/// connection is closed after its answer, as sessions and requests need the rest.
 const IDLE_CONNECTIONS_SHARE: f64 = 0.4;
 
 /// The queue of commands for each server, by id and endpoint.
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Reports the outcome of a command to the controller. What was sent under another fencing token, in an earlier leadership
-    /// of this machine, doesn't count any more.
+    /// Reports the outcome of a command to the controller. What was sent under another fencing
+    /// token, in an earlier leadership of this machine, doesn't count any more.
     fn command_completed(
         &self,
         target: &CommandTarget,
--- a/crates/runtime/pooler/src/control/config.rs
+++ b/crates/runtime/pooler/src/control/config.rs
@@ -8,7 +8,8 @@
 const PRIMARY_POLL_INTERVAL_S: f64 = 0.2;
 /// Between two status commands to a replica, in seconds.
 const REPLICA_POLL_INTERVAL_S: f64 = 1.0;
-/// How much longer than the election time-out the knowledge lasts that a majority answered, in seconds.
+/// How much longer than the election time-out the knowledge lasts that a majority answered, in
+/// seconds.
 const CONTACT_MARGIN_S: f64 = 0.4;
 /// Time-out of a call to the platform, in seconds.
 pub(super) const PLATFORM_CALL_TIMEOUT_S: f64 = 1.0;
@@ -58,16 +59,19 @@
         .collect()
 }
 
-/// How many control machines may be lost at once. A zone or a site may hold one or more of them; one is what is counted.
+/// How many control machines may be lost at once. A zone or a site may hold one or more of them;
+/// one is what is counted.
 pub(super) fn fault_budget(settings: &Settings) -> usize {
     let budget = &settings.fault_budget;
     budget.machine_loss.max(budget.zones).max(budget.sites) as usize
 }
 
-/// For how long servers that were draining when this process started count as having drained, in seconds.
+/// For how long servers that were draining when this process started count as having drained, in
+/// seconds.
 ///
-/// How long the process was down isn't known. Until `quiet_ms` after this start no machine knows that it is in contact, so the
-/// controller doesn't act on this earlier; by then these servers have drained.
+/// How long the process was down isn't known. Until `quiet_ms` after this start no machine knows
+/// that it is in contact, so the controller doesn't act on this earlier; by then these servers have
+/// drained.
 pub(super) fn drained_before_start_s(settings: &Settings) -> f64 {
     seconds((settings.bounds.drain_ms - settings.bounds.quiet_ms).max(0.0))
 }
--- a/crates/runtime/pooler/src/control/outputs.rs
+++ b/crates/runtime/pooler/src/control/outputs.rs
@@ -47,7 +47,8 @@
                 command,
                 fencing_token,
             } => {
-                // An endpoint that is no address is the server's own mistake: it is as if it didn't answer.
+                // An endpoint that is no address is the server's own mistake: it is as if it didn't
+                // answer.
                 if let Ok(endpoint) = endpoint.parse() {
                     let target = CommandTarget {
                         server_id,
@@ -79,15 +80,16 @@
         Vec::new()
     }
 
-    /// Gives the response to the task that waits for it; that task may have ended with its connection.
+    /// Gives the response to the task that waits for it; that task may have ended with its
+    /// connection.
     fn respond(&self, request: u64, response: ControlResponse) {
         if let Some(waiter) = self.pending_requests.borrow_mut().remove(&request) {
             let _ = waiter.try_send(response);
         }
     }
 
-    /// Gives the controller of each new configuration how many replicas a commit waits for; again when this machine becomes
-    /// leader.
+    /// Gives the controller of each new configuration how many replicas a commit waits for; again
+    /// when this machine becomes leader.
     fn update_sync_replicas(&self) {
         let mut controller = self.controller.borrow_mut();
         let current = AppliedServices {
--- a/crates/runtime/pooler/src/control/peers.rs
+++ b/crates/runtime/pooler/src/control/peers.rs
@@ -1,7 +1,8 @@
 //! Connections with other control machines, and the listener that routers use as well.
 //!
-//! Each pair of control machines has two connections, one for each direction: who has messages for another connects to it and
-//! only writes there. Messages may be lost with a connection; the controller sends again whatever matters.
+//! Each pair of control machines has two connections, one for each direction: who has messages for
+//! another connects to it and only writes there. Messages may be lost with a connection; the
+//! controller sends again whatever matters.
 
 use super::ControlNode;
 use super::router_sessions::RouterSession;
@@ -19,16 +20,18 @@
 
 /// Messages that wait for a connection to one machine; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// After a failed attempt to connect only so many queued messages are kept: older ones are outdated, and heartbeats and
-/// appends are sent again.
+/// After a failed attempt to connect only so many queued messages are kept: older ones are
+/// outdated, and heartbeats and appends are sent again.
 const MAX_QUEUED_AFTER_FAILURE: usize = 4;
 /// Pause after a failed attempt to connect, in seconds.
 const RECONNECT_INTERVAL_S: f64 = 0.06;
 /// A machine whose connection takes nothing for so many seconds gets a new one.
 const WRITE_STALL_TIMEOUT_S: f64 = 1.0;
-/// On a connection that this machine opened: a peer that acknowledges nothing for so many seconds is given up.
+/// On a connection that this machine opened: a peer that acknowledges nothing for so many seconds
+/// is given up.
 const OUTGOING_USER_TIMEOUT_S: f64 = 1.0;
-/// On a connection that was accepted: a peer that acknowledges nothing for so many seconds is given up.
+/// On a connection that was accepted: a peer that acknowledges nothing for so many seconds is given
+/// up.
 const INCOMING_USER_TIMEOUT_S: f64 = 1.5;
 /// Pause after a connection could not be accepted, in seconds.
 const ACCEPT_RETRY_S: f64 = 0.02;
@@ -60,7 +63,8 @@
 }
 
 impl ControlNode {
-    /// Queues a message for another control machine. A full queue drops it: the machine is unreachable.
+    /// Queues a message for another control machine. A full queue drops it: the machine is
+    /// unreachable.
     pub(super) fn send_to_peer(self: &Rc<Self>, to: Recipient, message: PeerMessage) {
         let node = to.node();
         let mut queues = self.peers.queues.borrow_mut();
@@ -79,7 +83,8 @@
         while let Ok(first) = messages.recv().await {
             match self.connect_to_peer(node).await {
                 Ok(stream) => {
-                    // The error is of no matter: whatever ended the connection, the next message opens a new one.
+                    // The error is of no matter: whatever ended the connection, the next message
+                    // opens a new one.
                     let _ = self.send_messages(&stream, node, first, &messages).await;
                 }
                 Err(_) => {
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Connects to another control machine. After a failure it returns once it is worth while to try again.
+    /// Connects to another control machine. After a failure it returns once it is worth while to
+    /// try again.
     async fn connect_to_peer(&self, node: NodeId) -> io::Result<Async<TcpStream>> {
         let address = SocketAddr::from((Ipv4Addr::from(node), self.peer_port()));
         let connected = self.peers.connected(node);
@@ -99,7 +105,8 @@
         let connect =
             net::connect_with_timeout(address, frames::CONNECT_TIMEOUT_S, OUTGOING_USER_TIMEOUT_S);
         let interrupted = async {
-            // It has just connected to here: an attempt from before it was up would only run into its time-out.
+            // It has just connected to here: an attempt from before it was up would only run into
+            // its time-out.
             connected.notified_since(generation).await;
             Err(io::ErrorKind::Interrupted.into())
         };
@@ -128,7 +135,8 @@
         if sent.is_ok() {
             sent = frames::write(&mut writer, &first).await;
         }
-        // Also if that failed: the machine takes connections again, so what it may have missed is sent once more.
+        // Also if that failed: the machine takes connections again, so what it may have missed is
+        // sent once more.
         let outputs = self.controller.borrow_mut().peer_connected(node);
         self.execute(outputs);
         sent?;
@@ -173,7 +181,8 @@
                 } => peer = Some(self.accept_handshake(from, process_incarnation)),
                 Frame::Peer { to, message } => match peer {
                     Some(peer) if self.is_newest(peer) => self.receive(peer.from, to, message),
-                    // Whatever comes on an older connection may be of an earlier incarnation of that process.
+                    // Whatever comes on an older connection may be of an earlier incarnation of
+                    // that process.
                     _ => break,
                 },
                 Frame::LeaseRequest(request) => {
@@ -221,7 +230,8 @@
     }
 }
 
-/// Waits for the end of a connection on which the other side never writes: whatever is read is the end.
+/// Waits for the end of a connection on which the other side never writes: whatever is read is the
+/// end.
 async fn closed<T>(stream: &Async<TcpStream>) -> io::Result<T> {
     let mut byte = [0];
     let mut reader = stream;
--- a/crates/runtime/pooler/src/control/persistence.rs
+++ b/crates/runtime/pooler/src/control/persistence.rs
@@ -1,4 +1,5 @@
-//! Persisting the hard state before anything relies on it, and opening the store anew after a write has failed.
+//! Persisting the hard state before anything relies on it, and opening the store anew after a write
+//! has failed.
 
 use super::ControlNode;
 use crate::{clock, net};
@@ -9,7 +10,8 @@
 const REOPEN_INTERVAL_S: f64 = 0.25;
 
 impl ControlNode {
-    /// Writes the hard state to the disk and tells the controller how that ended; returns what it decides then.
+    /// Writes the hard state to the disk and tells the controller how that ended; returns what it
+    /// decides then.
     pub(super) fn persist_hard_state(self: &Rc<Self>) -> Vec<Output> {
         let hard_state = self.controller.borrow().hard_state().clone();
         let started_at = clock::now();
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -1,4 +1,5 @@
-//! Calls to the platform: promotions. `docs/design/calls.md` says why none of them is repeated here.
+//! Calls to the platform: promotions. `docs/design/calls.md` says why none of them is repeated
+//! here.
 
 use super::ControlNode;
 use super::config::PLATFORM_CALL_TIMEOUT_S;
@@ -29,7 +30,8 @@
 }
 
 impl ControlNode {
-    /// Calls the platform and reports the outcome to the controller, unless this machine has lost its leadership by then.
+    /// Calls the platform and reports the outcome to the controller, unless this machine has lost
+    /// its leadership by then.
     pub(super) fn promote(self: &Rc<Self>, promotion: Promotion) {
         let Some(platform) = self.settings.provider.as_ref().map(|p| p.endpoint) else {
             log::error!(
@@ -60,8 +62,8 @@
         self.tasks.spawn(call).detach();
     }
 
-    /// The HTTP status of the platform's response. Without one the connection is reset, so that what a network partition holds
-    /// up of the call is lost.
+    /// The HTTP status of the platform's response. Without one the connection is reset, so that
+    /// what a network partition holds up of the call is lost.
     async fn call_platform(
         &self,
         platform: SocketAddr,
@@ -78,7 +80,8 @@
                 promotion.fencing_token,
                 &platform.to_string(),
             );
-            // A process that was suspended since this was decided must not call: another machine may lead.
+            // A process that was suspended since this was decided must not call: another machine
+            // may lead.
             let now = clock::now();
             let may_act = self
                 .controller
@@ -114,7 +117,8 @@
             "event=promotion_answered service={service} server={server_id} status={status}"
         ),
         Err(ExchangeError { verdict, error }) => log::info!(
-            "event=promotion_unanswered service={service} server={server_id} verdict={verdict:?} error={error}"
+            "event=promotion_unanswered service={service} server={server_id} verdict={verdict:?} \
+             error={error}"
         ),
     }
 }
--- a/crates/runtime/pooler/src/control/requests.rs
+++ b/crates/runtime/pooler/src/control/requests.rs
@@ -1,4 +1,5 @@
-//! HTTP requests of servers and operators (`control-api`): each becomes a request to the controller, or is answered here.
+//! HTTP requests of servers and operators (`control-api`): each becomes a request to the
+//! controller, or is answered here.
 
 use super::ControlNode;
 use crate::{clock, http};
@@ -53,7 +54,8 @@
 /// The HTTP response for what the controller answered.
 fn encode_response(answer: &ControlResponse, is_read: bool, keep_alive: bool) -> Vec<u8> {
     if clock::now() >= answer.valid_until {
-        // It relied on contact with a majority, which may be over: this process may have been suspended since.
+        // It relied on contact with a majority, which may be over: this process may have been
+        // suspended since.
         let text = b"out of contact with the other control machines\n";
         return response(503, &[], text, keep_alive);
     }
@@ -63,7 +65,8 @@
     response(answer.status, &[], &answer.body, keep_alive)
 }
 
-/// The heartbeat of a server in the terms of the controller. A server without capacity counts as one with a single slot.
+/// The heartbeat of a server in the terms of the controller. A server without capacity counts as
+/// one with a single slot.
 fn heartbeat_of(body: members::Heartbeat) -> Heartbeat {
     let phase = match body.phase {
         members::Phase::Ready => MemberPhase::Ready,
--- a/crates/runtime/pooler/src/control/router_sessions.rs
+++ b/crates/runtime/pooler/src/control/router_sessions.rs
@@ -1,8 +1,9 @@
-//! Sessions of routers. What waits for a router is its newest response and one update at most: nothing queues up, however
-//! slowly it reads, and an update for several routers is encoded once and held in memory once.
+//! Sessions of routers. What waits for a router is its newest response and one update at most:
+//! nothing queues up, however slowly it reads, and an update for several routers is encoded once
+//! and held in memory once.
 //!
-//! The table belongs to the control driver; a writer task for each session sends what is in its outbox, and a session ends
-//! with the [`RouterSession`] that the connection's task holds.
+//! The table belongs to the control driver; a writer task for each session sends what is in its
+//! outbox, and a session ends with the [`RouterSession`] that the connection's task holds.
 
 use super::ControlNode;
 use crate::frames::{self, Frame};
@@ -23,7 +24,8 @@
 #[derive(Default)]
 pub(super) struct RouterSessions {
     outboxes: RefCell<HashMap<u64, Rc<Outbox>>>,
-    /// Updates for several routers in encoded form, for as long as the controller may send them again.
+    /// Updates for several routers in encoded form, for as long as the controller may send them
+    /// again.
     encoded: RefCell<Vec<EncodedUpdate>>,
 }
 
@@ -51,8 +53,8 @@
 }
 
 impl RouterSessions {
-    /// Queues a response to this router, in place of one that still waits. A query for health reports, which responds to no
-    /// request, doesn't take the place of a lease.
+    /// Queues a response to this router, in place of one that still waits. A query for health
+    /// reports, which responds to no request, doesn't take the place of a lease.
     pub(super) fn respond(&self, session: u64, response: RouterMessage) {
         let Some(outbox) = self.outboxes.borrow().get(&session).cloned() else {
             return;
@@ -62,8 +64,8 @@
         outbox.filled.notify_waiters();
     }
 
-    /// Queues an update to this router. While the one before is still being written it is left out: the controller sends it
-    /// again.
+    /// Queues an update to this router. While the one before is still being written it is left out:
+    /// the controller sends it again.
     pub(super) fn send_update(&self, session: u64, update: Rc<RouterMessage>) {
         let outbox = self.outboxes.borrow().get(&session).cloned();
         let Some(outbox) = outbox.filter(|outbox| outbox.update.borrow().is_none()) else {
@@ -115,8 +117,8 @@
     }
 }
 
-/// What waits for a router once a further response is there: the further response, or a query for health reports merged into
-/// the pending response to a lease request.
+/// What waits for a router once a further response is there: the further response, or a query for
+/// health reports merged into the pending response to a lease request.
 fn merge(pending: Option<RouterMessage>, response: RouterMessage) -> RouterMessage {
     let (
         Some(mut pending),
--- a/crates/runtime/pooler/src/control/state_store.rs
+++ b/crates/runtime/pooler/src/control/state_store.rs
@@ -1,7 +1,8 @@
-//! The store of the hard state on the disk of a control machine, and a copy in memory of what is in it.
+//! The store of the hard state on the disk of a control machine, and a copy in memory of what is in
+//! it.
 //!
-//! Synchronous; `persistence` is the only caller. After a failed write the store is closed until it is opened anew, as it isn't
-//! known what is on the disk by then.
+//! Synchronous; `persistence` is the only caller. After a failed write the store is closed until it
+//! is opened anew, as it isn't known what is on the disk by then.
 
 use badgerstream_control::{HardState, NodeId, State, Term};
 use badgerstream_control_store::{Fresh, Record, Store, StoreError};
@@ -44,8 +45,8 @@
 }
 
 impl StateStore {
-    /// Opens the store below this folder. An empty one gets the incarnation `incarnation_if_new` and a state with these control
-    /// machines as voters.
+    /// Opens the store below this folder. An empty one gets the incarnation `incarnation_if_new`
+    /// and a state with these control machines as voters.
     ///
     /// # Errors
     ///
@@ -124,11 +125,13 @@
         saved
     }
 
-    /// Opens the store anew and goes on from what is in it. It has to be the same disk, and to take a write.
+    /// Opens the store anew and goes on from what is in it. It has to be the same disk, and to take
+    /// a write.
     ///
     /// # Errors
     ///
-    /// [`StateStoreError::Reopen`], [`StateStoreError::Emptied`] or [`StateStoreError::Undecodable`].
+    /// [`StateStoreError::Reopen`], [`StateStoreError::Emptied`] or
+    /// [`StateStoreError::Undecodable`].
     pub(super) fn reopen(&mut self) -> Result<(), StateStoreError> {
         let (mut store, record, fresh) =
             Store::open(&self.folder, self.incarnation).map_err(StateStoreError::Reopen)?;
@@ -137,7 +140,8 @@
         }
         store.save(&record).map_err(StateStoreError::Reopen)?;
         let state = State::decode(&record.value).ok_or(StateStoreError::Undecodable)?;
-        // The same allocation as before lets the next save find that it is stored without a comparison.
+        // The same allocation as before lets the next save find that it is stored without a
+        // comparison.
         let state = if state == *self.hard_state.state {
             self.hard_state.state.clone()
         } else {
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -1,4 +1,5 @@
-//! How this machine sees the system: the status that operators read, and the figures for metrics. Reads only.
+//! How this machine sees the system: the status that operators read, and the figures for metrics.
+//! Reads only.
 
 use super::ControlNode;
 use crate::clock;
--- a/crates/runtime/pooler/src/counters.rs
+++ b/crates/runtime/pooler/src/counters.rs
@@ -1,5 +1,6 @@
-//! Counters and histograms that are kept all the time: cells on the one thread, written by the part that does the work and
-//! read by [`crate::metrics`] when somebody asks. This module knows neither of them.
+//! Counters and histograms that are kept all the time: cells on the one thread, written by the part
+//! that does the work and read by [`crate::metrics`] when somebody asks. This module knows neither
+//! of them.
 
 use badgerstream_line_protocol::Code;
 use prometheus_client::metrics::histogram::Histogram;
@@ -12,7 +13,8 @@
 const STATEMENT_KINDS: [&str; 10] = [
     "FETCH", "PUT", "EXECUTE", "COMMIT", "BEGIN", "ABORT", "SET", "PREPARE", "RELEASE", "other",
 ];
-/// Ways in which a statement ends for its client: codes of the line protocol and our own words; any other counts as the last.
+/// Ways in which a statement ends for its client: codes of the line protocol and our own words; any
+/// other counts as the last.
 const STATEMENT_ENDS: [&str; 10] = [
     "complete",
     "RETRY",
@@ -120,7 +122,8 @@
             .filter(|(_, _, count)| *count > 0)
     }
 
-    /// How many connections were got at primaries and at replicas, and how many statements got none.
+    /// How many connections were got at primaries and at replicas, and how many statements got
+    /// none.
     pub fn placements(&self) -> [(&'static str, u64); 3] {
         [
             ("primary", self.placed_at_primary.get()),
--- a/crates/runtime/pooler/src/edge/mod.rs
+++ b/crates/runtime/pooler/src/edge/mod.rs
@@ -11,7 +11,7 @@
 use crate::clock;
 use crate::counters::StatementCounts;
 use crate::net;
-use crate::view::{Server, Shared};
+use crate::view::{Server, SharedView};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use badgerstream_line_protocol::Position;
@@ -150,7 +150,7 @@
 /// The data plane of one router.
 pub struct Edge {
     tasks: Rc<LocalExecutor<'static>>,
-    shared: Shared,
+    shared: SharedView,
     limits: EdgeLimits,
     scratch: Scratch,
     pools: RefCell<HashMap<String, Rc<Pool>>>,
@@ -168,7 +168,7 @@
     /// every half second.
     pub fn start(
         tasks: &Rc<LocalExecutor<'static>>,
-        shared: Shared,
+        shared: SharedView,
         front: SocketAddr,
         limits: EdgeLimits,
     ) -> Rc<Self> {
@@ -268,8 +268,8 @@
     fn granted_term(&self, server: &Server, now: f64) -> Option<u64> {
         let view = self.shared.view.borrow();
         view.primary(&server.service, now)
-            .filter(|g| g.id == server.id)
-            .map(|g| g.term)
+            .filter(|g| g.server_id == server.id)
+            .map(|g| g.primary_term)
     }
 
     /// The grant of this service has gone to another server than this one, or is being taken back.
@@ -277,7 +277,7 @@
         let view = self.shared.view.borrow();
         view.grants
             .get(service)
-            .is_some_and(|g| g.id != server.id || g.closing)
+            .is_some_and(|g| g.server_id != server.id || g.revoking)
     }
 
     /// The server answered this position, asked then under the lease.
@@ -347,7 +347,7 @@
             };
             if self
                 .shared
-                .ending
+                .shutdown_started_at
                 .get()
                 .is_some_and(|at| clock::now() > at + ACCEPT_AFTER_TERM_S)
             {
@@ -398,11 +398,11 @@
     async fn maintain(self: Rc<Self>) {
         let mut swept = clock::now();
         loop {
-            let ending = self.shared.ending.get().is_some();
+            let ending = self.shared.shutdown_started_at.get().is_some();
             net::sleep_until(clock::now() + if ending { ENDING_LOOK_S } else { SWEEP_LOOK_S })
                 .await;
             let now = clock::now();
-            if let Some(ending) = self.shared.ending.get() {
+            if let Some(ending) = self.shared.shutdown_started_at.get() {
                 for session in self.sessions.borrow().values() {
                     let in_transaction = session.in_transaction.get();
                     session.advance(SessionEnd::at(
@@ -421,8 +421,8 @@
     fn sweep(&self, now: f64) {
         let mut pools = self.pools.borrow_mut();
         let view = self.shared.view.borrow();
-        if view.routers > 0 {
-            self.routers.set(view.routers);
+        if let Some(router_count) = view.router_count {
+            self.routers.set(router_count);
         }
         pools.retain(|id, pool| {
             let known = view
--- a/crates/runtime/pooler/src/edge/place.rs
+++ b/crates/runtime/pooler/src/edge/place.rs
@@ -205,7 +205,7 @@
         let view = self.shared.view.borrow();
         if primary {
             view.primary(&pool.server.service, clock::now())
-                .is_some_and(|g| g.id == pool.server.id)
+                .is_some_and(|g| g.server_id == pool.server.id)
         } else {
             view.servers
                 .get(&pool.server.id)
@@ -225,7 +225,7 @@
         let max_conns = request.terms.max_conns;
         let primary = view
             .primary(service, now)
-            .and_then(|g| view.servers.get(&g.id))
+            .and_then(|g| view.servers.get(&g.server_id))
             .map(|s| self.pool(s, max_conns));
         let slow = primary
             .as_ref()
@@ -242,7 +242,7 @@
         if let Choice::Replica(proof) =
             self.with_freshness(service, |f| choose(&input, session, &f.history, now))
         {
-            let leads = view.grants.get(service).map(|g| &g.id);
+            let leads = view.grants.get(service).map(|g| &g.server_id);
             let mut replicas: Vec<_> = view
                 .servers
                 .values()
--- a/crates/runtime/pooler/src/exchange.rs
+++ b/crates/runtime/pooler/src/exchange.rs
@@ -1,7 +1,8 @@
-//! One request to another process and its answer, and what the end of it proves of whether the request has run.
+//! One request to another process and its answer, and what the end of it proves of whether the
+//! request has run.
 //!
-//! Used where a request must not run twice: commands to database servers and promotions. The caller owns the connection; the
-//! only state here is how far one exchange has come.
+//! Used where a request must not run twice: commands to database servers and promotions. The caller
+//! owns the connection; the only state here is how far one exchange has come.
 
 use crate::net;
 use async_io::Async;
@@ -63,7 +64,8 @@
     }
 }
 
-/// Runs an exchange for so many seconds at most. The exchange must send its request by [`Progress::send`].
+/// Runs an exchange for so many seconds at most. The exchange must send its request by
+/// [`Progress::send`].
 ///
 /// # Errors
 ///
--- a/crates/runtime/pooler/src/frames.rs
+++ b/crates/runtime/pooler/src/frames.rs
@@ -1,8 +1,9 @@
 //! Frames: the messages between processes of this system on a TCP connection.
 //!
-//! A frame is a 32-bit big-endian length and a body, which is [`Frame`] in the standard encoding of `bincode`. The highest bit
-//! of the length says that the body is compressed with DEFLATE. The encoding is positional: the order of variants and fields is
-//! the wire format, their names are not. Fixtures hold the bytes, as processes of different releases read each other's frames.
+//! A frame is a 32-bit big-endian length and a body, which is [`Frame`] in the standard encoding of
+//! `bincode`. The highest bit of the length says that the body is compressed with DEFLATE. The
+//! encoding is positional: the order of variants and fields is the wire format, their names are
+//! not. Fixtures hold the bytes, as processes of different releases read each other's frames.
 
 use crate::net;
 use badgerstream_control::{LeaseRequest, PeerMessage, Recipient, RouterMessage, Voter};
@@ -17,13 +18,15 @@
 
 /// Bodies of so many bytes and more are compressed.
 const COMPRESSION_THRESHOLD_BYTES: usize = 1024;
-/// Level of DEFLATE: names and configurations repeat themselves, and the fastest search finds most of it.
+/// Level of DEFLATE: names and configurations repeat themselves, and the fastest search finds most
+/// of it.
 const COMPRESSION_LEVEL: u8 = 1;
 /// Set in the length of a frame whose body is compressed.
 const COMPRESSED_FLAG: u32 = 1 << 31;
 
-/// Time-out of connecting to another of our processes, in seconds. It is short, as the SYN to a machine that was without power
-/// is sent again only after a second, and by then the machine may have been up for long.
+/// Time-out of connecting to another of our processes, in seconds. It is short, as the SYN to a
+/// machine that was without power is sent again only after a second, and by then the machine may
+/// have been up for long.
 pub const CONNECT_TIMEOUT_S: f64 = 0.2;
 
 /// How much is written at a time, in bytes: a slow connection makes progress that can be seen.
@@ -52,7 +55,8 @@
     RouterUpdate(Rc<RouterMessage>),
 }
 
-/// Why the bytes of a connection are no frame. The connection ends with it, as the next frame can't be found.
+/// Why the bytes of a connection are no frame. The connection ends with it, as the next frame can't
+/// be found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The length is above [`MAX_FRAME_BYTES`].
@@ -91,7 +95,8 @@
 ///
 /// # Errors
 ///
-/// Those of the connection, or a [`FrameError`] of kind [`ErrorKind::InvalidData`]. Either ends the connection.
+/// Those of the connection, or a [`FrameError`] of kind [`ErrorKind::InvalidData`]. Either ends the
+/// connection.
 pub async fn read(stream: &mut (impl AsyncReadExt + Unpin)) -> Result<Frame> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
@@ -127,7 +132,8 @@
 ///
 /// # Errors
 ///
-/// Those of the connection, or [`ErrorKind::TimedOut`] if it takes nothing for `stall_timeout_s` seconds.
+/// Those of the connection, or [`ErrorKind::TimedOut`] if it takes nothing for `stall_timeout_s`
+/// seconds.
 pub async fn write_with_stall_timeout(
     stream: &mut (impl AsyncWriteExt + Unpin),
     bytes: &[u8],
--- a/crates/runtime/pooler/src/http.rs
+++ b/crates/runtime/pooler/src/http.rs
@@ -1,7 +1,8 @@
 //! A small HTTP/1.1 server: one task a connection, requests answered one after the other.
 //!
-//! Each service (control calls, readiness, metrics) implements [`Handler`] and owns its listener; this module owns the
-//! connections and how many there are. It never routes: paths are the handler's concern.
+//! Each service (control calls, readiness, metrics) implements [`Handler`] and owns its listener;
+//! this module owns the connections and how many there are. It never routes: paths are the
+//! handler's concern.
 
 use crate::net;
 use async_executor::LocalExecutor;
@@ -18,7 +19,8 @@
 const USER_TIMEOUT_S: f64 = 3.0;
 /// Connections at a time; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 1024;
-/// Pause after a connection could not be accepted, in seconds: the process may be short of descriptors.
+/// Pause after a connection could not be accepted, in seconds: the process may be short of
+/// descriptors.
 const ACCEPT_RETRY_S: f64 = 0.02;
 /// Size of a connection's read buffer, in bytes.
 const READ_BYTES: usize = 2048;
@@ -29,8 +31,9 @@
     fn answer(self: Rc<Self>, request: Request) -> impl Future<Output = Vec<u8>>;
 }
 
-/// Serves connections of this listener for as long as the executor runs. Requests with a body of more than `max_body_bytes`
-/// are rejected; `in_flight` counts the requests that are not answered yet.
+/// Serves connections of this listener for as long as the executor runs. Requests with a body of
+/// more than `max_body_bytes` are rejected; `in_flight` counts the requests that are not answered
+/// yet.
 pub async fn serve<H: Handler + 'static>(
     tasks: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
--- /dev/null
+++ b/crates/runtime/pooler/src/leader_session/update.rs
@@ -0,0 +1,169 @@
+//! Applying the leader's updates to the view.
+
+use super::LeaderSession;
+use crate::clock;
+use crate::view::{Grant, Server, View};
+use badgerstream_control::{ConfigUpdate, MemberInfo, RouterMessage};
+use badgerstream_pooler_config::config::Config;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// A server that a new leader doesn't name is kept for so many seconds: its heartbeat may not have
+/// reached it yet.
+const UNCONFIRMED_TIMEOUT_S: f64 = 6.0;
+
+/// Servers that the newest leader has not named, and since when it leads, in seconds of the
+/// monotonic clock.
+#[derive(Default)]
+pub(super) struct UnconfirmedServers(HashMap<String, f64>);
+
+impl UnconfirmedServers {
+    /// A new leader sends a snapshot: no known server is confirmed by it yet.
+    fn reset<'a>(&mut self, known: impl Iterator<Item = &'a String>, now: f64) {
+        self.0 = known.map(|id| (id.clone(), now)).collect();
+    }
+
+    fn confirm(&mut self, id: &str) {
+        self.0.remove(id);
+    }
+
+    /// Removes and returns those that were not confirmed in time.
+    fn expire(&mut self, now: f64) -> Vec<String> {
+        self.0
+            .extract_if(|_, since| now - *since >= UNCONFIRMED_TIMEOUT_S)
+            .map(|(id, _)| id)
+            .collect()
+    }
+}
+
+impl LeaderSession {
+    /// Applies an update to the view and wakes those that wait for a change; returns whether it
+    /// responds to a lease request.
+    pub(super) fn apply(&self, message: RouterMessage) -> bool {
+        let RouterMessage::Update {
+            update_watermark,
+            request_sent_at,
+            lease_duration,
+            is_snapshot,
+            grants,
+            members,
+            config,
+            voters,
+            router_count,
+            health_reports_wanted,
+        } = message
+        else {
+            return false;
+        };
+        let is_response = request_sent_at.is_some();
+        if update_watermark.0 < self.update_watermark.get().0 {
+            // From a former leader: a newer one has sent updates already.
+            return is_response;
+        }
+        let now = clock::now();
+        let mut view = self.shared.view.borrow_mut();
+        let mut changed = is_snapshot || !grants.is_empty() || !members.is_empty();
+        if is_snapshot {
+            view.expire_grants(now);
+            self.unconfirmed_servers
+                .borrow_mut()
+                .reset(view.servers.keys(), now);
+        }
+        for grant in grants {
+            let of_service = Grant {
+                server_id: grant.server_id,
+                primary_term: grant.primary_term,
+                revoking: grant.revoking,
+            };
+            view.set_grant(grant.service, of_service);
+        }
+        changed |= self.apply_members(&mut view, members, now);
+        if let Some(update) = config {
+            changed |= self.apply_config(&mut view, &update);
+        }
+        if let Some(sent_at) = request_sent_at
+            && lease_duration > 0.0
+        {
+            // The lease counts from when it was requested, so that it ends here before the leader
+            // takes it for ended.
+            changed |= view.extend_lease(sent_at + lease_duration, now);
+        }
+        // A response may be older than an update that came before it: what is known by now isn't
+        // taken back.
+        self.update_watermark
+            .set(self.update_watermark.get().max(update_watermark));
+        if router_count > 0 {
+            view.router_count = Some(router_count as usize);
+        }
+        drop(view);
+        if !voters.is_empty() {
+            self.control_nodes.borrow_mut().set_voters(voters);
+        }
+        *self.health_reports_wanted.borrow_mut() = health_reports_wanted;
+        if changed {
+            self.shared.changed.notify_waiters();
+        }
+        is_response
+    }
+
+    /// Applies what the leader says of servers; returns whether one was removed that it didn't name
+    /// in time.
+    fn apply_members(&self, view: &mut View, members: Vec<MemberInfo>, now: f64) -> bool {
+        let mut unconfirmed = self.unconfirmed_servers.borrow_mut();
+        for member in members {
+            unconfirmed.confirm(&member.id);
+            if member.departed {
+                view.servers.remove(&member.id);
+            } else if let Some(server) = server_of(member) {
+                view.servers.insert(server.id.clone(), server);
+            }
+        }
+        let expired = unconfirmed.expire(now);
+        for id in &expired {
+            view.servers.remove(id);
+        }
+        !expired.is_empty()
+    }
+
+    /// Puts a newer configuration in force; returns whether there was one.
+    fn apply_config(&self, view: &mut View, update: &ConfigUpdate) -> bool {
+        let Some(config) = self.resolve_config(update) else {
+            return false;
+        };
+        let is_newer = view
+            .config
+            .as_ref()
+            .is_none_or(|in_force| in_force.epoch < config.epoch);
+        if is_newer {
+            log::info!("event=config_applied epoch={}", config.epoch);
+            view.config = Some(Rc::new(config));
+        }
+        is_newer
+    }
+
+    /// The configuration of an update, on top of the text that is known. One that doesn't fit or
+    /// can't be read makes the next lease request ask for the full text.
+    fn resolve_config(&self, update: &ConfigUpdate) -> Option<Config> {
+        let text = update.resolve(&self.config_text.borrow());
+        let config = text.as_ref().and_then(|text| Config::read(text).ok());
+        if config.is_none() {
+            log::warn!("event=config_update_invalid");
+        }
+        *self.config_text.borrow_mut() = text
+            .filter(|_| config.is_some())
+            .unwrap_or_else(|| Rc::from([]));
+        config
+    }
+}
+
+/// A server of the view; `None` if its endpoint is no address, as it can't be connected to then.
+fn server_of(member: MemberInfo) -> Option<Server> {
+    Some(Server {
+        endpoint: member.endpoint.parse().ok()?,
+        id: member.id,
+        service: member.service,
+        zone: member.zone,
+        slots: member.slots,
+        draining: member.draining,
+    })
+}
--- a/crates/runtime/pooler/src/lib.rs
+++ b/crates/runtime/pooler/src/lib.rs
@@ -8,13 +8,13 @@
 pub mod exchange;
 pub mod frames;
 pub mod http;
+pub mod leader_session;
 pub mod members_file;
 pub mod metrics;
 pub mod net;
 pub mod node;
 pub mod notify;
 pub mod server_commands;
-pub mod session;
 pub mod view;
 
 #[cfg(test)]
--- a/crates/runtime/pooler/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -20,7 +20,8 @@
         /// The settings file; the variable BADGERSTREAM_BOOT names it otherwise.
         #[arg(long, env = "BADGERSTREAM_BOOT")]
         settings: PathBuf,
-        /// Answers `GET /metrics` with this machine's figures on this port of its address; without it nobody can ask.
+        /// Answers `GET /metrics` with this machine's figures on this port of its address; without
+        /// it nobody can ask.
         #[arg(long, value_name = "PORT")]
         metrics: Option<u16>,
     },
--- a/crates/runtime/pooler/src/members_file.rs
+++ b/crates/runtime/pooler/src/members_file.rs
@@ -1,8 +1,10 @@
-//! The file of the database servers that a control machine knows: after a loss of power it need not wait for all heartbeats.
+//! The file of the database servers that a control machine knows: after a loss of power it need not
+//! wait for all heartbeats.
 //!
-//! The control driver owns it and writes it when the membership has changed. A file that is incomplete or damaged is ignored; a
-//! server that is named there and has departed meanwhile times out as any other. What a server says only once (that it drains
-//! or departs) is in the file before it is acknowledged.
+//! The control driver owns it and writes it when the membership has changed. A file that is
+//! incomplete or damaged is ignored; a server that is named there and has departed meanwhile times
+//! out as any other. What a server says only once (that it drains or departs) is in the file before
+//! it is acknowledged.
 
 use badgerstream_control::{Controller, MemberInfo};
 use std::cell::Cell;
@@ -56,8 +58,8 @@
         Some(members)
     }
 
-    /// Writes the servers that the controller knows if they have changed. A failing disk is no reason to stop: the next
-    /// incarnation of the process waits for heartbeats then.
+    /// Writes the servers that the controller knows if they have changed. A failing disk is no
+    /// reason to stop: the next incarnation of the process waits for heartbeats then.
     pub fn persist_if_changed(&self, now: f64, controller: &Controller) {
         let last_write = self.last_write.get();
         let change_count = controller.members().change_count();
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -1,7 +1,8 @@
-//! The figures of this machine as text in the OpenMetrics form, for a monitoring system that fetches them over HTTP.
+//! The figures of this machine as text in the OpenMetrics form, for a monitoring system that
+//! fetches them over HTTP.
 //!
-//! What is counted all the time is a handful of cells; all else is read from the parts of the machine when somebody asks, so
-//! that a machine which nobody asks pays next to nothing.
+//! What is counted all the time is a handful of cells; all else is read from the parts of the
+//! machine when somebody asks, so that a machine which nobody asks pays next to nothing.
 
 mod control;
 mod router;
@@ -10,7 +11,7 @@
 use crate::control::ControlNode;
 use crate::edge::Edge;
 use crate::http::{self, Handler};
-use crate::view::Shared;
+use crate::view::SharedView;
 use async_executor::LocalExecutor;
 use badgerstream_http_codec::{Request, response};
 use prometheus_client::encoding::text::encode;
@@ -97,7 +98,7 @@
 /// Answers with the figures of the parts that this machine runs.
 pub struct Metrics {
     /// What the router knows, and its data plane.
-    pub router: Option<(Rc<Edge>, Shared)>,
+    pub router: Option<(Rc<Edge>, SharedView)>,
     /// The control machine.
     pub control: Option<Rc<ControlNode>>,
 }
@@ -119,8 +120,8 @@
         snapshot.text()
     }
 
-    /// Answers at this address for as long as the executor runs. Where it can't listen nobody can ask, which is logged: the
-    /// machine serves all the same.
+    /// Answers at this address for as long as the executor runs. Where it can't listen nobody can
+    /// ask, which is logged: the machine serves all the same.
     pub fn serve(self, tasks: &Rc<LocalExecutor<'static>>, at: SocketAddr) {
         let listener = match http::listen(at) {
             Ok(listener) => listener,
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -3,10 +3,10 @@
 use super::{Labels, Snapshot};
 use crate::clock;
 use crate::edge::Edge;
-use crate::view::Shared;
+use crate::view::SharedView;
 
 /// Adds what the data plane and the view tell.
-pub(super) fn add(snapshot: &mut Snapshot, edge: &Edge, shared: &Shared) {
+pub(super) fn add(snapshot: &mut Snapshot, edge: &Edge, shared: &SharedView) {
     let now = clock::now();
     add_statements(snapshot, edge);
     add_pools(snapshot, edge);
@@ -34,7 +34,7 @@
         "Database servers that are known",
         view.servers.len() as f64,
     );
-    let ending = shared.ending.get().is_some();
+    let ending = shared.shutdown_started_at.get().is_some();
     snapshot.gauge(
         "router_ending",
         "1 once the process was asked to end",
--- a/crates/runtime/pooler/src/net.rs
+++ b/crates/runtime/pooler/src/net.rs
@@ -1,7 +1,8 @@
-//! TCP sockets and deadlines: socket options, reads into memory that all connections share, writes that tell whether any
-//! byte left, and futures that give up at a time of the monotonic clock.
+//! TCP sockets and deadlines: socket options, reads into memory that all connections share, writes
+//! that tell whether any byte left, and futures that give up at a time of the monotonic clock.
 //!
-//! It holds no state of its own and knows nothing of what the bytes mean; every other module that has a socket uses it.
+//! It holds no state of its own and knows nothing of what the bytes mean; every other module that
+//! has a socket uses it.
 
 use crate::clock;
 use async_io::{Async, Timer};
@@ -16,7 +17,8 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Size of the shared read buffer, in bytes. One buffer serves all connections, so that an idle one holds none.
+/// Size of the shared read buffer, in bytes. One buffer serves all connections, so that an idle one
+/// holds none.
 pub const READ_SIZE: usize = 16 * 1024;
 
 /// Memory that every reader uses in turn, never across an await.
@@ -36,7 +38,8 @@
     Duration::from_secs_f64((at - clock::now()).clamp(0.0, 1e6))
 }
 
-/// The output of a future, or `None` if it isn't ready at this time of the monotonic clock, in seconds.
+/// The output of a future, or `None` if it isn't ready at this time of the monotonic clock, in
+/// seconds.
 pub fn until<F: Future>(at: f64, future: F) -> Until<F> {
     Until {
         future,
@@ -45,8 +48,8 @@
 }
 
 pin_project! {
-    /// The future of [`until`]. It holds the inner future once; an `async` block that awaits its argument holds it twice, and
-    /// these futures are nested on the path of every statement.
+    /// The future of [`until`]. It holds the inner future once; an `async` block that awaits its
+    /// argument holds it twice, and these futures are nested on the path of every statement.
     pub struct Until<F> {
         #[pin]
         future: F,
@@ -94,8 +97,8 @@
     Ok(stream)
 }
 
-/// Connects to another process of ours within a time-out; a peer that then acknowledges nothing for `user_timeout_s` seconds
-/// is given up.
+/// Connects to another process of ours within a time-out; a peer that then acknowledges nothing for
+/// `user_timeout_s` seconds is given up.
 ///
 /// # Errors
 ///
@@ -110,8 +113,8 @@
     Ok(stream)
 }
 
-/// Sets `TCP_NODELAY` and `TCP_USER_TIMEOUT`: small messages leave at once, and a peer that acknowledges nothing for so many
-/// milliseconds is given up.
+/// Sets `TCP_NODELAY` and `TCP_USER_TIMEOUT`: small messages leave at once, and a peer that
+/// acknowledges nothing for so many milliseconds is given up.
 ///
 /// # Errors
 ///
@@ -122,21 +125,22 @@
     Ok(())
 }
 
-/// As [`options`], with seconds, for connections that work without these options as well: where the system refuses one it only
-/// takes longer to notice that the peer is unreachable.
+/// As [`options`], with seconds, for connections that work without these options as well: where the
+/// system refuses one it only takes longer to notice that the peer is unreachable.
 pub fn configure(stream: &Async<TcpStream>, user_timeout_s: f64) {
     let _ = stream.get_ref().set_nodelay(true);
     let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, (user_timeout_s * 1000.0) as u32);
 }
 
-/// Whether closing a connection resets it (`SO_LINGER` of zero): what was sent on it and has not arrived is lost then. This
-/// holds for a process that is killed as well.
+/// Whether closing a connection resets it (`SO_LINGER` of zero): what was sent on it and has not
+/// arrived is lost then. This holds for a process that is killed as well.
 pub fn reset_on_close(stream: &Async<TcpStream>, resets: bool) {
     let linger = resets.then_some(Duration::ZERO);
     let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), linger);
 }
 
-/// Reads what has arrived, without waiting: the number of bytes, 0 at the end of the stream, `None` if nothing has arrived.
+/// Reads what has arrived, without waiting: the number of bytes, 0 at the end of the stream, `None`
+/// if nothing has arrived.
 ///
 /// # Errors
 ///
--- a/crates/runtime/pooler/src/node.rs
+++ b/crates/runtime/pooler/src/node.rs
@@ -4,9 +4,9 @@
 use crate::control::ControlNode;
 use crate::edge::{Edge, EdgeLimits};
 use crate::http::{self, Handler};
+use crate::leader_session::{LeaderSession, LeaderSessionConfig};
 use crate::metrics::Metrics;
-use crate::session::{Session, Spans};
-use crate::view::Shared;
+use crate::view::SharedView;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
@@ -31,7 +31,8 @@
 const MIN_DRAIN_OF_GRACE: f64 = 0.4;
 /// A machine without a router stays so long at least, in seconds.
 const MIN_CONTROL_DRAIN_S: f64 = 0.3;
-/// The part of the grace period for which a process stays at most: its last answers leave a little earlier.
+/// The part of the grace period for which a process stays at most: its last answers leave a little
+/// earlier.
 const DRAIN_OF_GRACE: f64 = 0.94;
 /// Between two looks at what is still in work.
 const DRAIN_LOOK: Duration = Duration::from_millis(25);
@@ -41,9 +42,10 @@
 /// A control machine that ends waits so long to be left out of the voters, in seconds.
 const LEAVE_S: f64 = 1.2;
 
-/// Whether this router can serve: it knows a configuration and servers and holds a lease, and is not asked to end.
+/// Whether this router can serve: it knows a configuration and servers and holds a lease, and is
+/// not asked to end.
 struct Readiness {
-    shared: Shared,
+    shared: SharedView,
 }
 
 impl Readiness {
@@ -52,7 +54,7 @@
         let able = view.config.is_some()
             && !view.servers.is_empty()
             && clock::now() < view.leased_until() + 1.0;
-        able && self.shared.ending.get().is_none()
+        able && self.shared.shutdown_started_at.get().is_none()
     }
 }
 
@@ -74,7 +76,8 @@
     Settings::read(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Runs the parts of this machine until SIGTERM; with a port for its figures somebody may ask for these there.
+/// Runs the parts of this machine until SIGTERM; with a port for its figures somebody may ask for
+/// these there.
 pub fn run(path: PathBuf, metrics: Option<u16>) -> Result<(), String> {
     clock::now();
     let settings = read(&path)?;
@@ -85,7 +88,7 @@
 /// The router's part of a machine.
 struct Router {
     edge: Rc<Edge>,
-    session: Rc<Session>,
+    session: Rc<LeaderSession>,
 }
 
 async fn serve(
@@ -97,7 +100,7 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .map_err(|e| format!("signals can't be heard: {e}"))?;
     let seed = fastrand::u64(..) >> 1;
-    let shared = Shared::default();
+    let shared = SharedView::default();
     let control = match settings.control {
         Some(_) => Some(ControlNode::start(&tasks, &settings, seed).map_err(|e| e.to_string())?),
         None => None,
@@ -134,7 +137,7 @@
     .await;
     let asked = clock::now();
     log::info!("event=ending");
-    shared.ending.set(Some(asked));
+    shared.shutdown_started_at.set(Some(asked));
     shared.changed.notify_waiters();
     if let Some(control) = &control {
         control.shut_down();
@@ -154,7 +157,7 @@
     tasks: &Rc<LocalExecutor<'static>>,
     settings: &Settings,
     front: SocketAddr,
-    shared: &Shared,
+    shared: &SharedView,
     seed: u64,
 ) -> Router {
     let limits = EdgeLimits {
@@ -173,20 +176,17 @@
             .map(|e| to_control(e, now))
             .collect()
     };
-    // A machine that leads no longer is left while the lease still has time to be had from the next one.
-    let spans = Spans {
-        renew: settings.own.renew_ms as f64 / 1000.0,
-        suspect: settings.own.suspect_ms as f64 / 1500.0,
+    // A machine that leads no longer is left while the lease still has time to be had from the next
+    // one.
+    let config = LeaderSessionConfig {
+        router: settings.node_name.clone(),
+        process_incarnation: seed,
+        port: settings.port_range.0,
+        renew_interval_s: settings.own.renew_ms as f64 / 1000.0,
+        silence_timeout_s: settings.own.suspect_ms as f64 / 1500.0,
     };
-    let session = Session::new(
-        settings.node_name.clone(),
-        seed,
-        settings.port_range.0,
-        spans,
-        shared.clone(),
-        evidence,
-    );
-    session.seeds(&settings.seeds);
+    let session = LeaderSession::new(config, shared.clone(), evidence);
+    session.add_seeds(&settings.seeds);
     tasks.spawn(session.clone().run()).detach();
     Router { edge, session }
 }
@@ -205,7 +205,8 @@
     }
 }
 
-/// Reads the settings file again at each SIGHUP, and from time to time, until SIGTERM; returns the settings in force.
+/// Reads the settings file again at each SIGHUP, and from time to time, until SIGTERM; returns the
+/// settings in force.
 async fn follow_settings(
     signals: &mut Signals,
     path: &Path,
@@ -230,7 +231,7 @@
                     control.reload(&settings);
                 }
                 if let Some(router) = router {
-                    router.session.seeds(&settings.seeds);
+                    router.session.add_seeds(&settings.seeds);
                 }
                 in_force = settings;
             }
@@ -240,7 +241,8 @@
     }
 }
 
-/// Waits until nothing is in work, within the grace period that began when the process was asked to end.
+/// Waits until nothing is in work, within the grace period that began when the process was asked to
+/// end.
 async fn drain(asked: f64, grace: f64, control: Option<&Rc<ControlNode>>, router: Option<&Router>) {
     // The platform passes connections on for a moment longer, and callers of control are answered.
     let least = if router.is_some() {
@@ -265,7 +267,7 @@
 fn readiness(
     tasks: &Rc<LocalExecutor<'static>>,
     at: SocketAddr,
-    shared: &Shared,
+    shared: &SharedView,
 ) -> Result<(), String> {
     let listener = http::listen(at).map_err(|e| format!("{at}: {e}"))?;
     let handler = Rc::new(Readiness {
--- a/crates/runtime/pooler/src/notify.rs
+++ b/crates/runtime/pooler/src/notify.rs
@@ -4,8 +4,8 @@
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Notifies the tasks that wait for a change. It counts its notifications, so that none is missed between reading the state
-/// and waiting for its next change.
+/// Notifies the tasks that wait for a change. It counts its notifications, so that none is missed
+/// between reading the state and waiting for its next change.
 #[derive(Default)]
 pub struct Notify {
     generation: Cell<u64>,
--- a/crates/runtime/pooler/src/server_commands.rs
+++ b/crates/runtime/pooler/src/server_commands.rs
@@ -1,8 +1,9 @@
 //! The commands that the leading control machine sends to one database server, over one connection.
 //!
-//! The control driver starts [`run`] for a server once it has a command for it, and gives further commands through a channel;
-//! the connection belongs to that task. `docs/design/calls.md` says which command may be sent again. A connection whose
-//! exchange came to no answer is reset, so that what a network partition holds up of the command is lost, and never used again.
+//! The control driver starts [`run`] for a server once it has a command for it, and gives further
+//! commands through a channel; the connection belongs to that task. `docs/design/calls.md` says
+//! which command may be sent again. A connection whose exchange came to no answer is reset, so that
+//! what a network partition holds up of the command is lost, and never used again.
 
 use crate::exchange::{self, AuthorityError, ExchangeError, Progress};
 use crate::{clock, net};
@@ -42,8 +43,8 @@
 }
 
 impl FencedCommand {
-    /// Whether it may run at any time and any number of times. All commands but `STATUS` change the server: a duplicate that
-    /// arrives late may undo what was decided since.
+    /// Whether it may run at any time and any number of times. All commands but `STATUS` change the
+    /// server: a duplicate that arrives late may undo what was decided since.
     pub fn is_idempotent(self) -> bool {
         self.command == ServerCommand::Status
     }
@@ -92,8 +93,8 @@
     }
 }
 
-/// Sends the commands that come until none has come for the idle time-out, and reports what became of each. `may_act` is
-/// called just before a command leaves that only the present leader may send.
+/// Sends the commands that come until none has come for the idle time-out, and reports what became
+/// of each. `may_act` is called just before a command leaves that only the present leader may send.
 pub async fn run(
     target: CommandTarget,
     commands: Receiver<FencedCommand>,
@@ -155,7 +156,8 @@
             .take_if(|connection| !connection.is_usable());
         let reused = self.connection.is_some();
         match self.exchange(command, may_act).await {
-            // The server may have closed the connection while it was idle: a new one tells whether it is reachable.
+            // The server may have closed the connection while it was idle: a new one tells whether
+            // it is reachable.
             Err(error) if reused && may_retry(command, &error) => {
                 self.exchange(command, may_act).await
             }
@@ -176,7 +178,8 @@
                 Some(connection) => connection,
                 None => ServerConnection::open(target, answer_timeout_s).await?,
             };
-            // A process that was suspended or partitioned since this was decided must not send it: another machine may lead.
+            // A process that was suspended or partitioned since this was decided must not send it:
+            // another machine may lead.
             if !command.is_idempotent() && !may_act(command) {
                 return Err(AuthorityError::NotLeader.into());
             }
@@ -223,7 +226,8 @@
     /// Opens a connection to the server of this id.
     async fn open(target: &CommandTarget, answer_timeout_s: f64) -> Result<ServerConnection> {
         let stream = Async::<TcpStream>::connect(target.endpoint).await?;
-        // Bytes that are not acknowledged in time are dropped, also if this process is suspended or killed meanwhile.
+        // Bytes that are not acknowledged in time are dropped, also if this process is suspended or
+        // killed meanwhile.
         net::configure(&stream, answer_timeout_s);
         net::reset_on_close(&stream, true);
         let mut connection = ServerConnection {
@@ -248,7 +252,8 @@
         }
     }
 
-    /// Whether it may carry another exchange: the server has neither closed it nor sent anything unasked.
+    /// Whether it may carry another exchange: the server has neither closed it nor sent anything
+    /// unasked.
     fn is_usable(&mut self) -> bool {
         let scratch = RefCell::new(vec![0; READ_BYTES]);
         self.lines.is_empty()
@@ -275,7 +280,8 @@
                 Some(Reply::Idle { .. }) => return Ok(status),
                 Some(Reply::Error { code, text }) => {
                     log::debug!(
-                        "event=command_rejected server={server_id} command={:?} code={} text={text}",
+                        "event=command_rejected server={server_id} command={:?} code={} \
+                         text={text}",
                         command.command,
                         code.word()
                     );
@@ -299,8 +305,8 @@
     }
 }
 
-/// Parses the row that answers `STATUS` (`line-protocol`): role, primary term, position received, highest term, lag in ms,
-/// busy, connections.
+/// Parses the row that answers `STATUS` (`line-protocol`): role, primary term, position received,
+/// highest term, lag in ms, busy, connections.
 pub fn parse_status(text: &[u8]) -> Option<ServerStatus> {
     let text = std::str::from_utf8(text).ok()?;
     let mut words = text.split_ascii_whitespace();
--- a/crates/runtime/pooler/src/tests/edge.rs
+++ b/crates/runtime/pooler/src/tests/edge.rs
@@ -3,7 +3,7 @@
 
 use super::{Edge, EdgeLimits, SessionEnd, client};
 use crate::clock;
-use crate::view::{Grant, Server, Shared};
+use crate::view::{ExpiringGrant, Grant, Server, SharedView};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use badgerstream_line_protocol::{LineBuffer, Position, Request};
@@ -292,7 +292,7 @@
 
 /// Two replicas and a primary, and a router before them.
 struct Rig {
-    shared: Shared,
+    shared: SharedView,
     edge: Rc<Edge>,
     front: SocketAddr,
     primary: Rc<Fake>,
@@ -309,7 +309,7 @@
 
 impl Rig {
     fn start(tasks: &Rc<LocalExecutor<'static>>) -> Self {
-        let shared = Shared::default();
+        let shared = SharedView::default();
         let fakes: Vec<_> = (0..3).map(|_| Fake::start(tasks)).collect();
         {
             let mut view = shared.view.borrow_mut();
@@ -328,9 +328,9 @@
             view.grants.insert(
                 "db".into(),
                 Grant {
-                    id: "i-0".into(),
-                    term: 3,
-                    closing: false,
+                    server_id: "i-0".into(),
+                    primary_term: 3,
+                    revoking: false,
                 },
             );
             view.lease_until = 1e9;
@@ -691,9 +691,9 @@
                 view.grants.insert(
                     "db".into(),
                     Grant {
-                        id: id.into(),
-                        term: 4,
-                        closing,
+                        server_id: id.into(),
+                        primary_term: 4,
+                        revoking: closing,
                     },
                 );
             });
@@ -704,9 +704,9 @@
                 view.grants.insert(
                     "db".into(),
                     Grant {
-                        id: "i-0".into(),
-                        term: 3,
-                        closing: false,
+                        server_id: "i-0".into(),
+                        primary_term: 3,
+                        revoking: false,
                     },
                 );
             });
@@ -757,7 +757,7 @@
         let mut a = Client::open(rig.front, "lead").await;
         a.ask("a1", "BEGIN").await;
         a.ask("a2", "PUT x 1").await;
-        rig.shared.ending.set(Some(clock::now()));
+        rig.shared.shutdown_started_at.set(Some(clock::now()));
         rig.shared.changed.notify_waiters();
         assert_eq!(idle.line().await, None);
         assert_eq!(
@@ -795,7 +795,7 @@
         held.say("QUERY h1 PUT x 4\r\n").await;
         assert_eq!(begun.ask("b1", "BEGIN").await, "COMPLETE -|IDLE T -");
         begun.say("QUERY b2 PUT x 5\r\n").await;
-        rig.shared.ending.set(Some(clock::now()));
+        rig.shared.shutdown_started_at.set(Some(clock::now()));
         rig.shared.changed.notify_waiters();
         assert_eq!(held.answer().await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(begun.answer().await, "ERROR RETRY 200|IDLE E -");
@@ -891,7 +891,7 @@
         a.ask("a2", "PUT x 1").await;
         rig.tell(|view| view.lease_until = 0.0);
         a.say("QUERY a3 COMMIT\r\n").await;
-        rig.shared.ending.set(Some(clock::now()));
+        rig.shared.shutdown_started_at.set(Some(clock::now()));
         rig.shared.changed.notify_waiters();
         assert_eq!(
             a.answer().await,
@@ -1133,10 +1133,10 @@
 #[test]
 fn a_success_that_comes_after_the_grant_is_acknowledged_to_nobody() {
     let changes: [fn(&mut crate::view::View); 4] = [
-        |view| view.grants.get_mut("db").unwrap().closing = true,
+        |view| view.grants.get_mut("db").unwrap().revoking = true,
         |view| view.lease_until = 0.0,
-        |view| view.grants.get_mut("db").unwrap().term = 4,
-        |view| view.grants.get_mut("db").unwrap().id = "i-1".into(),
+        |view| view.grants.get_mut("db").unwrap().primary_term = 4,
+        |view| view.grants.get_mut("db").unwrap().server_id = "i-1".into(),
     ];
     for change in changes {
         for commit in [false, true] {
@@ -1171,7 +1171,8 @@
         rig.primary.sees(|f| f.writes.get() == 1).await;
         rig.tell(|view| {
             let grant = view.grants.remove("db").unwrap();
-            view.fading.insert("db".into(), (grant, 1e9));
+            view.expiring_grants
+                .insert("db".into(), ExpiringGrant { grant, until: 1e9 });
             view.lease_until = f64::NEG_INFINITY;
         });
         rig.primary.release.notify_waiters();
--- a/crates/runtime/pooler/src/tests/frame_bytes.rs
+++ b/crates/runtime/pooler/src/tests/frame_bytes.rs
@@ -1,6 +1,8 @@
-//! The bytes of frames on a connection, held by fixtures: processes of different releases read each other's frames.
+//! The bytes of frames on a connection, held by fixtures: processes of different releases read each
+//! other's frames.
 //!
-//! Each line of `fixtures/frames.txt` is a name and the whole frame, length prefix included, in hexadecimal.
+//! Each line of `fixtures/frames.txt` is a name and the whole frame, length prefix included, in
+//! hexadecimal.
 
 use super::hex::{hex, unhex};
 use crate::frames::{self, Frame};
--- a/crates/runtime/pooler/src/tests/frames.rs
+++ b/crates/runtime/pooler/src/tests/frames.rs
@@ -84,8 +84,8 @@
     (Async::new(one).unwrap(), Async::new(other).unwrap())
 }
 
-/// A whole state over a link that needs longer for it than a stalled one is given arrives; one that takes nothing ends the
-/// connection.
+/// A whole state over a link that needs longer for it than a stalled one is given arrives; one that
+/// takes nothing ends the connection.
 #[test]
 fn a_slow_reader_is_waited_for_and_a_stalled_one_is_not() {
     const STALLED_S: f64 = 0.4;
--- a/crates/runtime/pooler/src/tests/members_file.rs
+++ b/crates/runtime/pooler/src/tests/members_file.rs
@@ -1,4 +1,5 @@
-//! The file of the servers that a control machine knows: damaged files and those of another format are ignored.
+//! The file of the servers that a control machine knows: damaged files and those of another format
+//! are ignored.
 
 use super::{MembersFile, verify_checksum, with_checksum};
 use crate::tests::hex::{hex, unhex};
@@ -104,7 +105,8 @@
     );
 }
 
-/// The servers in the file of `fixtures/servers.txt`: one that drains, whose call number is kept, and one in service.
+/// The servers in the file of `fixtures/servers.txt`: one that drains, whose call number is kept,
+/// and one in service.
 fn pinned_servers(call_seq_in_service: u64) -> Vec<MemberInfo> {
     let draining = MemberInfo {
         id: "i-0a".to_owned(),
--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -1,4 +1,5 @@
-//! The metrics that monitoring systems know by name: their names, types and labels stay as they are.
+//! The metrics that monitoring systems know by name: their names, types and labels stay as they
+//! are.
 
 use crate::clock;
 use crate::control::ControlNode;
--- a/crates/runtime/pooler/src/tests/router_sessions.rs
+++ b/crates/runtime/pooler/src/tests/router_sessions.rs
@@ -50,7 +50,8 @@
     outbox
 }
 
-/// However much is sent to a router that reads nothing, its newest response and one update wait for it.
+/// However much is sent to a router that reads nothing, its newest response and one update wait for
+/// it.
 #[test]
 fn nothing_queues_up_for_a_router_that_does_not_read() {
     let sessions = RouterSessions::default();
@@ -66,7 +67,8 @@
     assert_eq!(&*pending, &frames::encode(&Frame::RouterUpdate(first))[..]);
 }
 
-/// A query for health reports is merged into a pending lease; a redirection to another machine replaces both.
+/// A query for health reports is merged into a pending lease; a redirection to another machine
+/// replaces both.
 #[test]
 fn health_report_query_does_not_replace_a_pending_lease() {
     let sessions = RouterSessions::default();
@@ -106,7 +108,8 @@
     assert_eq!(*outbox.response.borrow(), Some(not_leader));
 }
 
-/// An update for several routers is encoded once and held once, and no longer than it may be sent again.
+/// An update for several routers is encoded once and held once, and no longer than it may be sent
+/// again.
 #[test]
 fn update_for_several_routers_is_held_once() {
     let sessions = RouterSessions::default();
--- a/crates/runtime/pooler/src/tests/server_commands.rs
+++ b/crates/runtime/pooler/src/tests/server_commands.rs
@@ -1,4 +1,5 @@
-//! Commands to a scripted server on loopback: what is sent, how often, and which outcome is reported.
+//! Commands to a scripted server on loopback: what is sent, how often, and which outcome is
+//! reported.
 
 use crate::server_commands::{CommandTarget, CommandTimeouts, FencedCommand, IDLE_TIMEOUT_S, run};
 use async_executor::LocalExecutor;
@@ -117,7 +118,8 @@
     }
 }
 
-/// Sends these commands one after the other to a server that follows these steps; returns the outcome of each.
+/// Sends these commands one after the other to a server that follows these steps; returns the
+/// outcome of each.
 fn execute(
     steps: &[Step],
     commands: &[ServerCommand],
@@ -144,7 +146,8 @@
                 .unwrap();
             let outcome = reports.recv().await.unwrap();
             outcomes.borrow_mut().push(outcome);
-            // The client sees a connection that the server has closed before it sends the next command.
+            // The client sees a connection that the server has closed before it sends the next
+            // command.
             let closed = server.got.borrow().len();
             server
                 .until(|s| s.ends.borrow().len() >= ended_by_server(steps, closed))
@@ -186,7 +189,8 @@
 fn unanswered_changing_command_is_never_retried() {
     for (command, text) in CHANGES {
         for end in [Step::Close, Step::HalfAnswer] {
-            // The connection has carried an exchange before: a reset of it may have struck after the last byte.
+            // The connection has carried an exchange before: a reset of it may have struck after
+            // the last byte.
             let (server, outcomes) = execute(
                 &[Step::Answer, end],
                 &[ServerCommand::Status, command],
--- a/crates/runtime/pooler/src/tests/state_store.rs
+++ b/crates/runtime/pooler/src/tests/state_store.rs
@@ -1,5 +1,6 @@
-//! The record of a control machine on its disk, held by a fixture: the folder of `crates/protocol/control-store/tests/fixtures`, which an
-//! earlier release wrote, and the encoding of the state in it.
+//! The record of a control machine on its disk, held by a fixture: the folder of
+//! `crates/protocol/control-store/tests/fixtures`, which an earlier release wrote, and the encoding
+//! of the state in it.
 
 use super::{FOLDER, StateStore};
 use crate::tests::hex::hex;
