--- a/crates/runtime/pooler/src/edge/mod.rs
+++ b/crates/runtime/pooler/src/edge/mod.rs
@@ -40,7 +40,7 @@
 /// The same while the router ends.
 const ENDING_LOOK_S: f64 = 0.05;
 /// The part of the grace period after which what is still at a server gets its last answer. What a server was asked is waited
-/// for during the first five sixths, and the process ends a little later than this (`node::DRAIN_OF_GRACE`).
+/// for during the first five sixths, and the process ends a little later than this (`process::shutdown`).
 const LAST_ANSWERS_OF_GRACE: f64 = 0.86;
 /// On how many routers a server's connections are divided until control tells.
 const DEFAULT_ROUTERS: usize = 9;
--- a/crates/runtime/pooler/src/lib.rs
+++ b/crates/runtime/pooler/src/lib.rs
@@ -1,4 +1,18 @@
 //! The program of every machine: sockets, clock and disk around the decisions.
+//!
+//! [`process`] starts the parts that the settings name:
+//!
+//! - a control machine: [`control`] drives the decisions of `badgerstream-control`, with
+//!   [`server_commands`] to database servers and [`members_file`] on its disk;
+//! - a router: [`edge`], the data plane, and [`leader_session`], which writes what the data plane
+//!   reads in [`view`].
+//!
+//! Both use [`frames`] between our processes, [`http`], [`exchange`], [`net`], [`notify`],
+//! [`clock`] and [`counters`]; [`metrics`] reads both. [`cli`] has the operators' commands. A
+//! module uses those below it only.
+//!
+//! A process has one thread. State is in `Rc<RefCell<_>>` and `Cell`s that one part owns, and
+//! nothing is awaited while something is borrowed.
 
 pub mod cli;
 pub mod clock;
@@ -12,8 +26,8 @@
 pub mod members_file;
 pub mod metrics;
 pub mod net;
-pub mod node;
 pub mod notify;
+pub mod process;
 pub mod server_commands;
 pub mod view;
 
--- a/crates/runtime/pooler/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -1,6 +1,6 @@
 //! `badgerstream-pooler`: the program of every machine of the system, and its operators' commands.
 
-use badgerstream_pooler::{cli, node};
+use badgerstream_pooler::{cli, process};
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -30,17 +30,19 @@
 }
 
 fn main() -> ExitCode {
-    let ended = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::Serve { settings, metrics } => {
             env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
                 .init();
-            node::run(settings, metrics).inspect_err(|e| log::error!("event=failed error={e:?}"))
+            process::run(settings, metrics)
+                .map_err(|e| e.to_string())
+                .inspect_err(|e| log::error!("event=process_failed error={e:?}"))
         }
         Command::Operator(command) => {
             cli::run(command, &mut std::io::stdout().lock()).map_err(|e| e.to_string())
         }
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("badgerstream-pooler: {e}");
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -1,8 +1,10 @@
-//! The figures of this machine as text in the OpenMetrics form, for a monitoring system that
+//! The metrics of this machine in the text format of OpenMetrics, for a monitoring system that
 //! fetches them over HTTP.
 //!
-//! What is counted all the time is a handful of cells; all else is read from the parts of the
-//! machine when somebody asks, so that a machine which nobody asks pays next to nothing.
+//! Counters and histograms are kept by the parts in [`crate::counters`]; all else is read from the
+//! parts when somebody asks, so that a machine which nobody asks pays next to nothing. This module
+//! reads control and the data plane, and neither knows it. The names, help texts and labels are
+//! those of the page `operators/metrics.md`.
 
 mod control;
 mod router;
@@ -25,30 +27,30 @@
 use std::rc::Rc;
 use std::sync::atomic::AtomicU64;
 
-/// Where the figures are asked for.
+/// The path of the metrics.
 pub const PATH: &str = "/metrics";
-/// What all names begin with.
+/// The prefix of all metric names.
 const PREFIX: &str = "badgerstream";
-/// The type of the answer.
+/// The media type of the response.
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// The most bytes that the body of a request may have.
+/// The largest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// Labels of one figure: names and values.
+/// Labels of one sample: names and values.
 type Labels = Vec<(&'static str, String)>;
-type GaugeOfNumbers = Gauge<f64, AtomicU64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// Figures as they stand, to be written out once.
-pub struct Snapshot(Registry);
+/// The samples of all metrics at one time, to be written out once.
+pub struct Exposition(Registry);
 
-impl Default for Snapshot {
+impl Default for Exposition {
     fn default() -> Self {
         Self(Registry::with_prefix(PREFIX))
     }
 }
 
-impl Snapshot {
-    /// A figure that goes up and down.
+impl Exposition {
+    /// A value that goes up and down.
     fn gauge(&mut self, name: &str, help: &str, value: f64) {
         self.gauges(name, help, [(Labels::new(), value)]);
     }
@@ -58,16 +60,17 @@
         self.gauge(name, help, f64::from(u8::from(set)));
     }
 
-    /// The same with labels.
+    /// Gauges with labels.
     fn gauges(&mut self, name: &str, help: &str, values: impl IntoIterator<Item = (Labels, f64)>) {
-        let family = Family::<Labels, GaugeOfNumbers>::default();
+        let family = Family::<Labels, FloatGauge>::default();
         for (labels, value) in values {
             family.get_or_create(&labels).set(value);
         }
         self.0.register(name, help, family);
     }
 
-    /// Counts that only rise within one life of the process; their names get `_total`.
+    /// Counts that only rise within one incarnation of the process; their names get the suffix
+    /// `_total`.
     fn counters(
         &mut self,
         name: &str,
@@ -95,74 +98,71 @@
     }
 }
 
-/// Answers with the figures of the parts that this machine runs.
-pub struct Metrics {
-    /// What the router knows, and its data plane.
-    pub router: Option<(Rc<Edge>, SharedView)>,
+/// What the metrics of a router are read from.
+pub struct RouterSource {
+    /// Its data plane.
+    pub edge: Rc<Edge>,
+    /// What it knows.
+    pub shared: SharedView,
+}
+
+/// Serves the metrics of the parts that this machine runs.
+pub struct MetricsServer {
+    /// The router.
+    pub router: Option<RouterSource>,
     /// The control machine.
     pub control: Option<Rc<ControlNode>>,
 }
 
-impl Metrics {
-    /// All figures as they stand.
+impl MetricsServer {
+    /// All metrics as they stand.
     pub fn text(&self) -> String {
-        let mut snapshot = Snapshot::default();
-        if let Some((edge, shared)) = &self.router {
-            router::add(&mut snapshot, edge, shared);
+        let now = clock::now();
+        let mut exposition = Exposition::default();
+        if let Some(router) = &self.router {
+            router::add(&mut exposition, router, now);
         }
         if let Some(control) = &self.control {
-            control::add(
-                &mut snapshot,
-                &control.snapshot(clock::now()),
-                control.counts(),
-            );
+            control::add(&mut exposition, &control.snapshot(now), control.counts());
         }
-        snapshot.text()
+        exposition.text()
     }
 
-    /// Answers at this address for as long as the executor runs. Where it can't listen nobody can
-    /// ask, which is logged: the machine serves all the same.
-    pub fn serve(self, tasks: &Rc<LocalExecutor<'static>>, at: SocketAddr) {
-        let listener = match http::listen(at) {
+    /// Serves at this address for as long as the executor runs. If the address can't be bound, that
+    /// is logged and the machine works without metrics.
+    pub fn serve(self, tasks: &Rc<LocalExecutor<'static>>, address: SocketAddr) {
+        let listener = match http::listen(address) {
             Ok(listener) => listener,
             Err(error) => {
-                log::error!("event=metrics_not_bound at={at} error={error}");
+                log::error!("event=metrics_bind_failed address={address} error={error}");
                 return;
             }
         };
-        let open = Rc::new(Cell::new(0));
+        let in_flight = Rc::new(Cell::new(0));
         tasks
             .spawn(http::serve(
                 tasks.clone(),
                 listener,
                 Rc::new(self),
                 MAX_BODY_BYTES,
-                open,
+                in_flight,
             ))
             .detach();
     }
 }
 
-impl Handler for Metrics {
+impl Handler for MetricsServer {
     async fn answer(self: Rc<Self>, request: Request) -> Vec<u8> {
+        let keep_alive = request.keep_alive;
         let path = request.path.split('?').next().unwrap_or_default();
         if path != PATH {
-            return response(
-                404,
-                &[],
-                b"the figures are at /metrics\n",
-                request.keep_alive,
-            );
+            return response(404, &[], b"the figures are at /metrics\n", keep_alive);
         }
         if request.method != "GET" {
-            return response(405, &[], b"ask with GET\n", request.keep_alive);
+            return response(405, &[], b"ask with GET\n", keep_alive);
         }
-        response(
-            200,
-            &[("Content-Type", CONTENT_TYPE)],
-            self.text().as_bytes(),
-            request.keep_alive,
-        )
+        let headers = [("Content-Type", CONTENT_TYPE)];
+        response(200, &headers, self.text().as_bytes(), keep_alive)
     }
 }
 
--- /dev/null
+++ b/crates/runtime/pooler/src/process.rs
@@ -0,0 +1,219 @@
+//! The process of a machine, from its start to its end: which parts it runs, its signals and its
+//! settings file.
+//!
+//! A machine runs a router, a control machine, or both, as its settings say. All of them share one
+//! thread and one executor; the parts own their state, this module only starts them, passes on new
+//! settings and waits for them at the end.
+
+mod readiness;
+mod settings_file;
+mod shutdown;
+
+use crate::clock;
+use crate::control::{ControlNode, StartError};
+use crate::edge::{Edge, EdgeLimits, Evidence};
+use crate::leader_session::{LeaderSession, LeaderSessionConfig};
+use crate::metrics::{MetricsServer, RouterSource};
+use crate::view::SharedView;
+use async_executor::LocalExecutor;
+use async_signal::{Signal, Signals};
+use badgerstream_control::HealthReport;
+use badgerstream_pooler_config::settings::{Settings, SettingsError};
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// What a health report says of a server that never answered, in seconds.
+const NEVER_ANSWERED_S: f64 = 1e9;
+
+/// Why a process can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum ProcessError {
+    /// The settings file can't be read.
+    #[error("{}: {error}", path.display())]
+    ReadSettings {
+        /// The settings file.
+        path: PathBuf,
+        /// The error of the system.
+        error: io::Error,
+    },
+    /// The settings file has an error.
+    #[error("{}: {error}", path.display())]
+    InvalidSettings {
+        /// The settings file.
+        path: PathBuf,
+        /// What is wrong in it.
+        error: SettingsError,
+    },
+    /// Handlers for signals can't be installed.
+    #[error("signals can't be heard: {0}")]
+    Signals(io::Error),
+    /// The control machine can't start.
+    #[error(transparent)]
+    Control(#[from] StartError),
+    /// The address for readiness requests can't be bound.
+    #[error("{address}: {error}")]
+    BindReadiness {
+        /// The address.
+        address: SocketAddr,
+        /// The error of the system.
+        error: io::Error,
+    },
+}
+
+/// The router of a machine.
+struct Router {
+    edge: Rc<Edge>,
+    session: Rc<LeaderSession>,
+}
+
+/// The parts that a machine runs.
+struct Parts {
+    control: Option<Rc<ControlNode>>,
+    router: Option<Router>,
+}
+
+impl Parts {
+    /// Passes on what may change while the process runs.
+    fn reload(&self, settings: &Settings) {
+        if let Some(control) = &self.control {
+            control.reload(settings);
+        }
+        if let Some(router) = &self.router {
+            router.session.add_seeds(&settings.seeds);
+        }
+    }
+}
+
+/// Runs the parts of this machine until SIGTERM or SIGINT. With `metrics_port` it serves its
+/// metrics there.
+///
+/// # Errors
+///
+/// [`ProcessError`] if it can't start.
+pub fn run(settings_path: PathBuf, metrics_port: Option<u16>) -> Result<(), ProcessError> {
+    // The monotonic clock counts from here.
+    clock::now();
+    let settings = settings_file::read(&settings_path)?;
+    let tasks = Rc::new(LocalExecutor::new());
+    let serve = serve(tasks.clone(), settings_path, settings, metrics_port);
+    async_io::block_on(tasks.run(serve))
+}
+
+async fn serve(
+    tasks: Rc<LocalExecutor<'static>>,
+    settings_path: PathBuf,
+    settings: Settings,
+    metrics_port: Option<u16>,
+) -> Result<(), ProcessError> {
+    let mut signals =
+        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(ProcessError::Signals)?;
+    let process_incarnation = fastrand::u64(..) >> 1;
+    let shared = SharedView::default();
+    let parts = start_parts(&tasks, &settings, &shared, process_incarnation)?;
+    if let Some(address) = settings.readiness {
+        readiness::serve(&tasks, address, &shared)?;
+    }
+    if let Some(port) = metrics_port {
+        let address = SocketAddr::from((settings.ip, port));
+        metrics_server(&parts, &shared).serve(&tasks, address);
+    }
+    log::info!(
+        "event=process_started node={} front={} control={}",
+        settings.node_name,
+        parts.router.is_some(),
+        parts.control.is_some()
+    );
+    let settings = settings_file::follow(&mut signals, &settings_path, settings, &parts).await;
+    let started_at = clock::now();
+    log::info!("event=shutdown_started");
+    shared.shutdown_started_at.set(Some(started_at));
+    shared.changed.notify_waiters();
+    if let Some(control) = &parts.control {
+        control.shut_down();
+    }
+    shutdown::drain(started_at, settings.bounds.grace_s, &parts).await;
+    Ok(())
+}
+
+/// Starts the control machine and the router, as far as the settings have addresses for them.
+fn start_parts(
+    tasks: &Rc<LocalExecutor<'static>>,
+    settings: &Settings,
+    shared: &SharedView,
+    process_incarnation: u64,
+) -> Result<Parts, StartError> {
+    let control = match settings.control {
+        Some(_) => Some(ControlNode::start(tasks, settings, process_incarnation)?),
+        None => None,
+    };
+    let router = settings
+        .front
+        .map(|front| start_router(tasks, settings, front, shared, process_incarnation));
+    Ok(Parts { control, router })
+}
+
+/// Starts the data plane and its session with the leader.
+fn start_router(
+    tasks: &Rc<LocalExecutor<'static>>,
+    settings: &Settings,
+    front: SocketAddr,
+    shared: &SharedView,
+    process_incarnation: u64,
+) -> Router {
+    let limits = EdgeLimits {
+        file_limit: settings.limits.file_limit as usize,
+        name: settings.node_name.clone(),
+        zone: settings.zone.clone(),
+        seed: process_incarnation,
+        grace_s: settings.bounds.grace_s,
+    };
+    let edge = Edge::start(tasks, shared.clone(), front, limits);
+    let observed = edge.clone();
+    let health_reports = move |services: &[String], now: f64| {
+        observed
+            .evidence(services, now)
+            .into_iter()
+            .map(|evidence| health_report(evidence, now))
+            .collect()
+    };
+    let config = LeaderSessionConfig {
+        router: settings.node_name.clone(),
+        process_incarnation,
+        port: settings.port_range.0,
+        renew_interval_s: settings.own.renew_ms as f64 / 1000.0,
+        // Two thirds of the time after which control machines suspect each other: a machine that is
+        // no longer the leader is left while the lease still has time to be renewed by the next
+        // one.
+        silence_timeout_s: settings.own.suspect_ms as f64 / 1500.0,
+    };
+    let session = LeaderSession::new(config, shared.clone(), health_reports);
+    session.add_seeds(&settings.seeds);
+    tasks.spawn(session.clone().run()).detach();
+    Router { edge, session }
+}
+
+/// What the data plane saw of a server, as the leader is told.
+fn health_report(evidence: Evidence, now: f64) -> HealthReport {
+    let answered_seconds_ago = if evidence.last_answer > 0.0 {
+        now - evidence.last_answer
+    } else {
+        NEVER_ANSWERED_S
+    };
+    HealthReport {
+        service: evidence.service,
+        server_id: evidence.id,
+        answered_seconds_ago,
+    }
+}
+
+fn metrics_server(parts: &Parts, shared: &SharedView) -> MetricsServer {
+    MetricsServer {
+        router: parts.router.as_ref().map(|router| RouterSource {
+            edge: router.edge.clone(),
+            shared: shared.clone(),
+        }),
+        control: parts.control.clone(),
+    }
+}
--- a/crates/runtime/pooler/src/tests/edge.rs
+++ b/crates/runtime/pooler/src/tests/edge.rs
@@ -1189,8 +1189,11 @@
             client.ask("a1", "PUT thing").await,
             "COMPLETE s.a1|IDLE I 3.1"
         );
-        let metrics = crate::metrics::Metrics {
-            router: Some((rig.edge.clone(), rig.shared.clone())),
+        let metrics = crate::metrics::MetricsServer {
+            router: Some(crate::metrics::RouterSource {
+                edge: rig.edge.clone(),
+                shared: rig.shared.clone(),
+            }),
             control: None,
         };
         let outline = crate::tests::metric_names::outline(&metrics.text());
--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -3,7 +3,7 @@
 
 use crate::clock;
 use crate::control::ControlNode;
-use crate::metrics::Metrics;
+use crate::metrics::MetricsServer;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use badgerstream_http_codec::request;
@@ -86,7 +86,7 @@
             !control.snapshot(clock::now()).primaries_by_phase.is_empty()
         })
         .await;
-        let metrics = Metrics {
+        let metrics = MetricsServer {
             router: None,
             control: Some(control.clone()),
         };
--- a/crates/runtime/pooler/src/tests/metrics.rs
+++ b/crates/runtime/pooler/src/tests/metrics.rs
@@ -1,6 +1,6 @@
 //! The text of the figures: its form, its names, and that its labels are bounded.
 
-use super::{Labels, Snapshot};
+use super::{Exposition, Labels};
 use crate::counters::{ControlCounts, ResponseCount, StatementCounts, StatementEnd};
 use badgerstream_line_protocol::Code;
 
@@ -10,16 +10,16 @@
 
 #[test]
 fn text_is_in_openmetrics_format() {
-    let mut snapshot = Snapshot::default();
-    snapshot.gauge("router_clients", "Clients", 3.0);
-    snapshot.counters(
+    let mut exposition = Exposition::default();
+    exposition.gauge("router_clients", "Clients", 3.0);
+    exposition.counters(
         "control_calls",
         "Calls",
         [(vec![("call", "read".to_owned())], 2)],
     );
     let labels: Labels = vec![("service", "a\"b\\c\n".to_owned())];
-    snapshot.gauges("router_waiting", "Waiting", [(labels, 1.5)]);
-    let text = snapshot.text();
+    exposition.gauges("router_waiting", "Waiting", [(labels, 1.5)]);
+    let text = exposition.text();
     let expected = [
         "# HELP badgerstream_router_clients Clients.",
         "# TYPE badgerstream_router_clients gauge",
@@ -68,9 +68,9 @@
         counts.placements(),
         [("primary", 1), ("replica", 2), ("none", 1)]
     );
-    let mut snapshot = Snapshot::default();
-    snapshot.histogram("wait_seconds", "Waits", &counts.placement_wait);
-    let text = snapshot.text();
+    let mut exposition = Exposition::default();
+    exposition.histogram("wait_seconds", "Waits", &counts.placement_wait);
+    let text = exposition.text();
     for line in [
         "badgerstream_wait_seconds_bucket{le=\"0.001\"} 1",
         "badgerstream_wait_seconds_bucket{le=\"0.005\"} 2",
--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -110,7 +110,9 @@
             statements,
         } => future::block_on(ask(address, &database, &statements)),
         What::Tell { address, words } => future::block_on(tell(address, &words)),
-        What::Serve { settings, metrics } => badgerstream_pooler::node::run(settings, metrics),
+        What::Serve { settings, metrics } => {
+            badgerstream_pooler::process::run(settings, metrics).map_err(|e| e.to_string())
+        }
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
