--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -30,7 +30,7 @@
 use crate::net;
 use async_executor::LocalExecutor;
 use badgerstream_control::{
-    ControlRequest, ControlResponse, Controller, FOUNDING_INCARNATION, Voter,
+    ControlRequest, ControlResponse, Controller, FOUNDING_INCARNATION, HardState, Voter,
 };
 use badgerstream_pooler_config::settings::Settings;
 use commands::CommandQueues;
@@ -165,22 +165,18 @@
             node: u32::from(settings.ip),
             incarnation: store.incarnation(),
         };
-        let hard_state = store.hard_state().clone();
-        log::info!(
-            "event=control_started node={} voter={voter} epoch={} voted_term={}",
-            settings.node_name,
-            hard_state.state.config_epoch,
-            hard_state.voted_term.0
-        );
-        let now = clock::now();
+        let members_file = MembersFile::new(folder.join(MEMBERS_FILE));
         let control_config = config::control_config(settings);
-        let mut controller =
-            Controller::new(voter, hard_state, now, process_incarnation, control_config);
+        let mut controller = Controller::new(
+            voter,
+            store.hard_state().clone(),
+            clock::now(),
+            process_incarnation,
+            control_config,
+        );
         controller.set_seeds_and_budget(seeds, config::fault_budget(settings));
-        let members_file = MembersFile::new(folder.join(MEMBERS_FILE));
-        let members = members_file.read();
-        log::info!("event=members_restored count={}", members.len());
-        controller.restore_members(now, members, config::drained_before_start_s(settings));
+        log_start(settings, voter, store.hard_state());
+        restore_members(&mut controller, &members_file, settings);
         Ok(ControlNode {
             tasks: tasks.clone(),
             settings: settings.clone(),
@@ -280,6 +276,23 @@
     }
 }
 
+fn log_start(settings: &Settings, voter: Voter, hard_state: &HardState) {
+    log::info!(
+        "event=control_started node={} voter={voter} epoch={} voted_term={}",
+        settings.node_name,
+        hard_state.state.config_epoch,
+        hard_state.voted_term.0
+    );
+}
+
+/// Gives the controller the servers that an earlier incarnation of this process knew.
+fn restore_members(controller: &mut Controller, file: &MembersFile, settings: &Settings) {
+    let members = file.read();
+    log::info!("event=members_restored count={}", members.len());
+    let drained_s = config::drained_before_start_s(settings);
+    controller.restore_members(clock::now(), members, drained_s);
+}
+
 /// The name of a request in metrics.
 fn request_name(request: &ControlRequest) -> &'static str {
     match request {
--- a/crates/runtime/pooler/src/control/outputs.rs
+++ b/crates/runtime/pooler/src/control/outputs.rs
@@ -47,6 +47,10 @@
                 command,
                 fencing_token,
             } => {
+                let command = FencedCommand {
+                    command,
+                    fencing_token,
+                };
                 // An endpoint that is no address is the server's own mistake: it is as if it didn't
                 // answer.
                 if let Ok(endpoint) = endpoint.parse() {
@@ -55,13 +59,7 @@
                         service,
                         endpoint,
                     };
-                    self.send_command(
-                        target,
-                        FencedCommand {
-                            command,
-                            fencing_token,
-                        },
-                    );
+                    self.send_command(target, command);
                 }
             }
             Output::Promote {
--- a/crates/runtime/pooler/src/leader_session.rs
+++ b/crates/runtime/pooler/src/leader_session.rs
@@ -81,10 +81,24 @@
 }
 
 impl RequestTimer {
+    /// The first request of a connection was sent just now.
+    fn start(now: f64) -> RequestTimer {
+        RequestTimer {
+            sent_at: now,
+            unanswered_since: Some(now),
+        }
+    }
+
     fn sent(&mut self, now: f64) {
         self.sent_at = now;
         self.unanswered_since.get_or_insert(now);
     }
+
+    /// Since when nothing has come though a response is due; `None` if none is due.
+    fn silent_since(&self, last_received: f64) -> Option<f64> {
+        self.unanswered_since
+            .map(|sent_at| sent_at.max(last_received))
+    }
 }
 
 impl LeaderSession {
@@ -183,25 +197,11 @@
         messages: &Receiver<RouterMessage>,
         last_received: &Cell<f64>,
     ) -> io::Result<Option<NodeId>> {
-        let silence_timeout_s = self.config.silence_timeout_s;
         let renew_interval_s = self.config.renew_interval_s;
         self.request_lease(stream).await?;
-        let started_at = clock::now();
-        let mut timer = RequestTimer {
-            sent_at: started_at,
-            unanswered_since: Some(started_at),
-        };
+        let mut timer = RequestTimer::start(clock::now());
         loop {
-            let now = clock::now();
-            let silent_since = timer
-                .unanswered_since
-                .map(|sent_at| sent_at.max(last_received.get()));
-            if silent_since.is_some_and(|since| now - since > silence_timeout_s) {
-                return Err(io::ErrorKind::TimedOut.into());
-            }
-            let silence_ends = silent_since.map_or(f64::INFINITY, |s| s + silence_timeout_s);
-            let renew_at = timer.sent_at + renew_interval_s;
-            let wait_s = (silence_ends.min(renew_at) - now).max(MIN_WAIT_S);
+            let wait_s = self.wait_s(&timer, last_received.get())?;
             let message = future::or(async { messages.recv().await.ok() }, async {
                 net::sleep(wait_s).await;
                 None
@@ -229,6 +229,20 @@
         }
     }
 
+    /// For how many seconds to wait for a message: until the next request is due, or the silence
+    /// time-out ends.
+    fn wait_s(&self, timer: &RequestTimer, last_received: f64) -> io::Result<f64> {
+        let now = clock::now();
+        let silence_timeout_s = self.config.silence_timeout_s;
+        let silent_since = timer.silent_since(last_received);
+        if silent_since.is_some_and(|since| now - since > silence_timeout_s) {
+            return Err(io::ErrorKind::TimedOut.into());
+        }
+        let silence_ends = silent_since.map_or(f64::INFINITY, |since| since + silence_timeout_s);
+        let renew_at = timer.sent_at + self.config.renew_interval_s;
+        Ok((silence_ends.min(renew_at) - now).max(MIN_WAIT_S))
+    }
+
     /// Sends a lease request, which also acknowledges the updates that are applied.
     async fn request_lease(&self, stream: &Async<TcpStream>) -> io::Result<()> {
         let now = clock::now();
--- a/crates/runtime/pooler/src/leader_session/update.rs
+++ b/crates/runtime/pooler/src/leader_session/update.rs
@@ -3,7 +3,7 @@
 use super::LeaderSession;
 use crate::clock;
 use crate::view::{Grant, Server, View};
-use badgerstream_control::{ConfigUpdate, MemberInfo, RouterMessage};
+use badgerstream_control::{ConfigUpdate, MemberInfo, PrimaryGrant, RouterMessage};
 use badgerstream_pooler_config::config::Config;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -64,18 +64,11 @@
         let mut view = self.shared.view.borrow_mut();
         let mut changed = is_snapshot || !grants.is_empty() || !members.is_empty();
         if is_snapshot {
-            view.expire_grants(now);
-            self.unconfirmed_servers
-                .borrow_mut()
-                .reset(view.servers.keys(), now);
+            self.begin_snapshot(&mut view, now);
         }
         for grant in grants {
-            let of_service = Grant {
-                server_id: grant.server_id,
-                primary_term: grant.primary_term,
-                revoking: grant.revoking,
-            };
-            view.set_grant(grant.service, of_service);
+            let (service, grant) = grant_of(grant);
+            view.set_grant(service, grant);
         }
         changed |= self.apply_members(&mut view, members, now);
         if let Some(update) = config {
@@ -106,6 +99,14 @@
         is_response
     }
 
+    /// A new leader sends everything anew: what the former one granted expires, and no server is
+    /// confirmed yet.
+    fn begin_snapshot(&self, view: &mut View, now: f64) {
+        view.expire_grants(now);
+        let mut unconfirmed = self.unconfirmed_servers.borrow_mut();
+        unconfirmed.reset(view.servers.keys(), now);
+    }
+
     /// Applies what the leader says of servers; returns whether one was removed that it didn't name
     /// in time.
     fn apply_members(&self, view: &mut View, members: Vec<MemberInfo>, now: f64) -> bool {
@@ -156,6 +157,16 @@
     }
 }
 
+/// The service of a grant, and the grant in the terms of the view.
+fn grant_of(grant: PrimaryGrant) -> (String, Grant) {
+    let of_service = Grant {
+        server_id: grant.server_id,
+        primary_term: grant.primary_term,
+        revoking: grant.revoking,
+    };
+    (grant.service, of_service)
+}
+
 /// A server of the view; `None` if its endpoint is no address, as it can't be connected to then.
 fn server_of(member: MemberInfo) -> Option<Server> {
     Some(Server {
--- a/crates/runtime/pooler/src/tests/frame_bytes.rs
+++ b/crates/runtime/pooler/src/tests/frame_bytes.rs
@@ -32,7 +32,7 @@
     Frame::Peer { to, message }
 }
 
-fn renewal() -> Frame {
+fn lease_request() -> Frame {
     let evidence = HealthReport {
         service: "billing".to_owned(),
         server_id: "i-0f".to_owned(),
@@ -48,8 +48,8 @@
     })
 }
 
-/// News with so many grants.
-fn news(grants: u64) -> Frame {
+/// An update with so many grants.
+fn router_update(grants: u64) -> Frame {
     let grant = |number| PrimaryGrant {
         service: format!("catalog-{number}"),
         server_id: format!("i-{:08x}", number * 2_654_435),
@@ -70,19 +70,19 @@
     }))
 }
 
-/// One sample at least for every variant.
+/// One sample at least for every variant, under the names that the fixture has for them.
 fn samples() -> BTreeMap<&'static str, Frame> {
-    let hello = Frame::Handshake {
+    let handshake = Frame::Handshake {
         from: voter(),
         process_incarnation: 0x3132_3334_3536_3738,
     };
     BTreeMap::from([
-        ("Hello", hello),
+        ("Hello", handshake),
         ("Peer.voter", peer(Recipient::Voter(voter()))),
         ("Peer.node", peer(Recipient::Node(0x0A01_0206))),
-        ("Renew", renewal()),
-        ("News", news(1)),
-        (COMPRESSED, news(60)),
+        ("Renew", lease_request()),
+        ("News", router_update(1)),
+        (COMPRESSED, router_update(60)),
     ])
 }
 
--- a/crates/runtime/pooler/src/tests/frames.rs
+++ b/crates/runtime/pooler/src/tests/frames.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn written_frames_are_read_back() {
     for frame in [
         Frame::Handshake {
             from: Voter {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A thousand servers take some 50 KB as they are; their names and addresses repeat themselves.
+/// A thousand servers take some 50 KB uncompressed; their names and addresses repeat themselves.
 #[test]
 fn long_frames_are_compressed() {
     let length = frames::encode(&members(1000)).len();
@@ -61,16 +61,16 @@
     assert!(frames::encode(&short).len() < 32);
 }
 
-/// A few bytes that stand for more than any frame may hold are refused.
+/// A few bytes that decompress to more than any frame may hold are rejected.
 #[test]
-fn what_would_grow_beyond_bounds_is_refused() {
+fn frame_that_decompresses_beyond_the_limit_is_rejected() {
     let body = miniz_oxide::deflate::compress_to_vec(&vec![0; 2 * MAX_FRAME_BYTES], 6);
     let mut bytes = (body.len() as u32 | 1 << 31).to_be_bytes().to_vec();
     bytes.extend_from_slice(&body);
     assert!(bytes.len() < 64 << 10);
-    for refused in [&bytes[..], &[0x80, 0, 0, 2, 1, 2]] {
+    for rejected in [&bytes[..], &[0x80, 0, 0, 2, 1, 2]] {
         assert_eq!(
-            read(refused).unwrap_err().to_string(),
+            read(rejected).unwrap_err().to_string(),
             "a frame can't be decompressed"
         );
     }
@@ -84,10 +84,10 @@
     (Async::new(one).unwrap(), Async::new(other).unwrap())
 }
 
-/// A whole state over a link that needs longer for it than a stalled one is given arrives; one that
-/// takes nothing ends the connection.
+/// A write that takes longer than the stall time-out succeeds as long as it makes progress; one
+/// that makes none times out.
 #[test]
-fn a_slow_reader_is_waited_for_and_a_stalled_one_is_not() {
+fn slow_reader_gets_everything_and_a_stalled_one_times_out() {
     const STALLED_S: f64 = 0.4;
     let bytes = vec![7; 12 << 20];
     let (mut writer, mut reader) = connection();
--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -1,5 +1,5 @@
-//! The metrics that monitoring systems know by name: their names, types and labels stay as they
-//! are.
+//! Monitoring systems know the metrics by name: their names, types and labels are pinned by
+//! fixtures.
 
 use crate::clock;
 use crate::control::ControlNode;
@@ -67,7 +67,10 @@
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        wait("it leads", &|| control.snapshot(clock::now()).is_leader).await;
+        wait("it is the leader", &|| {
+            control.snapshot(clock::now()).is_leader
+        })
+        .await;
         let mut stream = Async::<TcpStream>::connect(calls)
             .await
             .expect("it listens");
--- a/crates/runtime/pooler/src/tests/state_store.rs
+++ b/crates/runtime/pooler/src/tests/state_store.rs
@@ -1,4 +1,4 @@
-//! The record of a control machine on its disk, held by a fixture: the folder of
+//! The store of a control machine, pinned by a fixture: the folder of
 //! `crates/protocol/control-store/tests/fixtures`, which an earlier release wrote, and the encoding
 //! of the state in it.
 
@@ -19,10 +19,10 @@
 /// The encoded state in it, in hexadecimal.
 const VALUE: &str = include_str!("../../../../protocol/control-store/tests/fixtures/value.txt");
 
-/// The identity in it.
-const IDENTITY: u64 = 0x3132_3334_3536_3738;
+/// The incarnation of the disk in it.
+const INCARNATION: u64 = 0x3132_3334_3536_3738;
 
-/// The state in it: a joint set, a configuration, an order and a primary.
+/// The state in it: a joint voter set, a configuration, an applied configuration and a primary.
 fn state() -> State {
     let founders = VoterSet::founding([0x0A01_0204, 0x0A01_0205, 7]);
     let joining = Voter {
@@ -35,7 +35,7 @@
     };
     let voters = founders.replacing(Some(joining), Some(leaving));
     let config: Rc<[u8]> = Rc::from(&b"{\"a\":1}"[..]);
-    let order = AppliedConfig {
+    let applied = AppliedConfig {
         epoch: 252,
         digest: Digest::of(&config),
     };
@@ -48,13 +48,13 @@
         voters: founders.joint_with(voters).expect("a change of the voters"),
         config_epoch: 252,
         config,
-        applied_configs: vec![order],
+        applied_configs: vec![applied],
         primaries: BTreeMap::from([("catalog".to_owned(), primary)]),
     }
 }
 
-/// The record in it.
-fn record() -> HardState {
+/// The hard state in it.
+fn hard_state() -> HardState {
     HardState {
         voted_term: Term(0x1112_1314_1516_1718),
         accepted_term: Term(0x0102_0304_0506_0708),
@@ -77,7 +77,7 @@
     let folder = Folder(std::env::temp_dir().join(name));
     let store = folder.0.join(FOLDER);
     std::fs::create_dir_all(&store).unwrap();
-    let file = miniz_oxide::inflate::decompress_to_vec(PACKED).expect("a whole file");
+    let file = miniz_oxide::inflate::decompress_to_vec(PACKED).expect("a complete file");
     std::fs::write(store.join(FILE), file).unwrap();
     folder
 }
@@ -88,16 +88,16 @@
     let mut store = StateStore::open(&folder.0, 5, &[1, 2, 3]).unwrap();
     assert_eq!(
         (store.incarnation(), store.hard_state()),
-        (IDENTITY, &record())
+        (INCARNATION, &hard_state())
     );
     assert_eq!(hex(&state().encode()), VALUE.trim());
 
     // Another state, and then the one of the fixture again.
     let other = HardState {
         state: Rc::new(State::default()),
-        ..record()
+        ..hard_state()
     };
-    for saved in [&other, &record()] {
+    for saved in [&other, &hard_state()] {
         store.save(saved).unwrap();
     }
     drop(store);
@@ -106,9 +106,9 @@
     assert_eq!(fresh, Fresh::Kept);
     assert_eq!(
         (found.promised, found.accepted, found.identity),
-        (0x1112_1314_1516_1718, 0x0102_0304_0506_0708, IDENTITY)
+        (0x1112_1314_1516_1718, 0x0102_0304_0506_0708, INCARNATION)
     );
     assert_eq!(hex(&found.value), VALUE.trim());
     let store = StateStore::open(&folder.0, 5, &[1, 2, 3]).unwrap();
-    assert_eq!(store.hard_state(), &record());
+    assert_eq!(store.hard_state(), &hard_state());
 }
