--- a/crates/runtime/pooler/src/edge/client/response.rs
+++ b/crates/runtime/pooler/src/edge/client/response.rs
@@ -1,6 +1,6 @@
 //! The answer that a client gets to its statement.
 
-use crate::counters::StatementEnd as End;
+use crate::counters::StatementEnd;
 use badgerstream_line_protocol::{Code, State};
 use badgerstream_pooling::latency::MIN_RETRY_AFTER_S;
 
@@ -21,15 +21,15 @@
 
 impl Response {
     /// How the statement ended for its client.
-    pub(super) fn end(&self) -> End {
+    pub(super) fn end(&self) -> StatementEnd {
         match self {
             Self::Forward(raw) => match raw.strip_prefix(b"ERROR ") {
-                Some(rest) => End::Error(Code::parse(first_word(rest))),
-                None => End::Complete,
+                Some(rest) => StatementEnd::Error(Code::parse(first_word(rest))),
+                None => StatementEnd::Complete,
             },
-            Self::Error(code, ..) => End::Error(*code),
-            Self::Done => End::Complete,
-            Self::ClientGone => End::ClientGone,
+            Self::Error(code, ..) => StatementEnd::Error(*code),
+            Self::Done => StatementEnd::Complete,
+            Self::ClientGone => StatementEnd::ClientGone,
         }
     }
 }
