--- a/crates/core/control/src/consensus/election.rs
+++ b/crates/core/control/src/consensus/election.rs
@@ -1,391 +1,231 @@
-//! Who leads: the question whether a candidacy would be of use, the candidacy, promises.
-
-use super::replication::LeaderState;
-use super::{ByVoter, Consensus, ConsensusMessage, ConsensusOutput, Role, StateId, send};
+//! Elections: phase 1 of Paxos (Paxos Made Simple, 2.2), which in Raft is `RequestVote`.
+//!
+//! A candidate requests votes for a term of its own. Each vote tells which state the voter has
+//! accepted, and brings that state if it is newer. With votes of a quorum the candidate leads, and
+//! adopts the newest state among them: whatever was committed lies with one of them, or a newer
+//! state does.
+
+use super::leader::LeaderState;
+use super::message::MessageHeader;
+use super::pre_vote::VOTE_REQUEST_INTERVAL_S;
+use super::{ByVoter, Consensus, ConsensusMessage, ConsensusOutput, Role, StateId};
 use crate::digest::Digest;
 use crate::state::State;
 use crate::term::Term;
 use crate::voter_set::Voter;
-use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Whoever has not answered is asked again after so many seconds.
-const ASK_AGAIN: f64 = 0.1;
-/// A candidacy that has not won is given up after so many seconds.
-const CANDIDACY: f64 = 0.6;
-/// The question whether a candidacy would be of use is given up after so many seconds.
-const CANVASS: f64 = 0.35;
-/// A machine whose candidacy came to nothing waits so much longer, in seconds.
-const STAND_BACK: f64 = 0.05;
-
-/// The question whether a candidacy would be of use.
-#[derive(Clone, Debug)]
-pub(super) struct PreCandidateState {
-    term: Term,
-    granted: BTreeSet<Voter>,
-    since: f64,
-    asked: f64,
-}
+/// A candidate without a quorum of votes gives up after so many seconds.
+const ELECTION_TIMEOUT_S: f64 = 0.6;
 
-/// A candidacy.
+/// What a candidate knows.
 #[derive(Clone, Debug)]
 pub(super) struct CandidateState {
     term: Term,
-    promises: ByVoter<Promise>,
-    since: f64,
-    asked: f64,
+    votes: ByVoter<Vote>,
+    started_at: f64,
+    requests_sent_at: f64,
 }
 
 #[derive(Clone, Debug)]
-struct Promise {
+struct Vote {
     last_state: StateId,
-    /// The state, if it is newer than the candidate's own.
-    newer: Option<Rc<State>>,
+    /// The voter's state, if it is newer than the candidate's own.
+    newer_state: Option<Rc<State>>,
 }
 
 impl CandidateState {
-    /// The newest state that was met, if it isn't the candidate's own, which has this digest. What others accepted last
-    /// counts, also where it is just what the candidate has.
-    fn newest(&self, own: Digest) -> Option<&Rc<State>> {
-        let met = self
-            .promises
+    /// The newest state that came with a vote; none if the candidate's own, with this digest, is
+    /// the newest. A vote for a state that equals the candidate's counts by the term under which
+    /// the voter accepted it.
+    fn newest_state(&self, own_digest: Digest) -> Option<&Rc<State>> {
+        let known = self
+            .votes
             .values()
-            .filter(|p| p.newer.is_some() || p.last_state.digest == own);
-        met.max_by_key(|p| p.last_state.rank())?.newer.as_ref()
+            .filter(|vote| vote.newer_state.is_some() || vote.last_state.digest == own_digest);
+        known
+            .max_by_key(|vote| vote.last_state.rank())?
+            .newer_state
+            .as_ref()
     }
 }
 
 impl Consensus {
-    pub(super) fn tick_follower(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let missed = now - self.heard > self.timing.election_timeout + self.pause;
-        let decides = self.record.state.voters.contains(self.me) && !self.removed;
-        if missed && decides && !self.membership.leaving() {
-            self.canvass(now, out);
-        }
-    }
-
-    fn canvass(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let term = self
-            .highest
-            .max(self.record.voted_term)
-            .next_for(self.me.node);
-        self.leader = None;
-        let granted = BTreeSet::from([self.me]);
-        self.role = Role::PreCandidate(PreCandidateState {
-            term,
-            granted,
-            since: now,
-            asked: now,
-        });
-        let last_state = self.last_state();
-        let others = self
-            .record
-            .state
-            .voters
-            .all()
-            .filter(|voter| *voter != self.me);
-        out.extend(
-            others.map(|voter| send(voter, ConsensusMessage::PreVoteRequest { term, last_state })),
-        );
-        self.stand_if_granted(now, out);
-    }
-
-    pub(super) fn tick_canvass(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let last_state = self.last_state();
-        let Role::PreCandidate(canvass) = &mut self.role else {
-            return;
-        };
-        if now - canvass.since > CANVASS {
-            self.stand_back(now);
-        } else if now - canvass.asked > ASK_AGAIN {
-            canvass.asked = now;
-            let term = canvass.term;
-            let others = self
-                .record
-                .state
-                .voters
-                .all()
-                .filter(|voter| !canvass.granted.contains(voter));
-            out.extend(
-                others.map(|voter| {
-                    send(voter, ConsensusMessage::PreVoteRequest { term, last_state })
-                }),
-            );
-        }
-    }
-
-    /// Tries again a little later, and gives others the chance to stand before.
-    fn stand_back(&mut self, now: f64) {
-        self.role = Role::Follower;
-        self.heard = now - self.timing.election_timeout;
-        self.pause = self.stagger() + STAND_BACK;
-    }
-
-    pub(super) fn on_canvass(
-        &mut self,
-        now: f64,
-        from: Voter,
-        term: Term,
-        theirs: StateId,
-        out: &mut Vec<ConsensusOutput>,
-    ) {
-        let promised = self.record.voted_term;
-        // Whoever was left out meanwhile doesn't know, and would only disturb the others.
-        let left_out =
-            !self.record.state.voters.contains(from) && self.last_state().rank() > theirs.rank();
-        let granted = term > promised && !left_out && !self.keeps_to_a_leader(now, from);
-        out.push(send(
-            from,
-            ConsensusMessage::PreVoteResponse {
-                term,
-                granted,
-                voted_term: promised,
-            },
-        ));
-    }
-
-    pub(super) fn on_canvassed(
-        &mut self,
-        now: f64,
-        from: Voter,
-        term: Term,
-        granted: bool,
-        promised: Term,
-        out: &mut Vec<ConsensusOutput>,
-    ) {
-        self.highest = self.highest.max(promised);
-        let Role::PreCandidate(canvass) = &mut self.role else {
-            return;
-        };
-        if canvass.term == term && granted {
-            canvass.granted.insert(from);
-            self.stand_if_granted(now, out);
-        }
-    }
-
-    fn stand_if_granted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Role::PreCandidate(canvass) = &self.role else {
-            return;
-        };
-        if self
-            .record
-            .state
-            .voters
-            .is_quorum(|voter| canvass.granted.contains(&voter))
-        {
-            self.stand(now, out);
-        }
-    }
-
-    fn stand(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let term = self
-            .highest
-            .max(self.record.voted_term)
-            .next_for(self.me.node);
-        self.highest = term;
-        self.record.voted_term = term;
+    pub(super) fn become_candidate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let term = self.next_own_term();
+        self.highest_seen_term = term;
+        self.hard_state.voted_term = term;
         self.leader = None;
         self.role = Role::Candidate(CandidateState {
             term,
-            promises: ByVoter::new(),
-            since: now,
-            asked: now,
+            votes: ByVoter::new(),
+            started_at: now,
+            requests_sent_at: now,
         });
         self.persist(None, out);
     }
 
-    /// This machine's own promise is on its disk: the others are asked.
-    pub(super) fn count_own_promise(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+    /// Votes are requested only once the candidate's own is on disk: after a restart it could vote
+    /// for another one.
+    pub(super) fn on_own_vote_persisted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let last_state = self.last_state();
-        let Role::Candidate(candidacy) = &mut self.role else {
+        let Role::Candidate(candidate) = &mut self.role else {
             return;
         };
-        candidacy.promises.insert(
-            self.me,
-            Promise {
-                last_state,
-                newer: None,
-            },
-        );
-        let term = candidacy.term;
-        let others = self
-            .record
-            .state
-            .voters
-            .all()
-            .filter(|voter| *voter != self.me);
-        out.extend(
-            others.map(|voter| send(voter, ConsensusMessage::VoteRequest { term, last_state })),
-        );
-        self.elect(now, out);
+        let own_vote = Vote {
+            last_state,
+            newer_state: None,
+        };
+        candidate.votes.insert(self.me, own_vote);
+        let request = ConsensusMessage::VoteRequest {
+            term: candidate.term,
+            last_state,
+        };
+        let send = |voter| ConsensusOutput::to_voter(voter, request.clone());
+        out.extend(self.other_voters().map(send));
+        self.try_become_leader(now, out);
     }
 
     pub(super) fn tick_candidate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let last_state = self.last_state();
-        let Role::Candidate(candidacy) = &mut self.role else {
+        let Role::Candidate(candidate) = &mut self.role else {
             return;
         };
-        if now - candidacy.since > CANDIDACY {
-            log::info!("event=candidacy_failed ballot={}", candidacy.term.0);
-            self.stand_back(now);
+        if now - candidate.started_at > ELECTION_TIMEOUT_S {
+            log::info!("event=election_failed term={}", candidate.term.0);
+            self.back_off_from_election(now);
             return;
         }
-        if now - candidacy.asked <= ASK_AGAIN {
+        if now - candidate.requests_sent_at <= VOTE_REQUEST_INTERVAL_S {
             return;
         }
-        candidacy.asked = now;
-        // What was asked may be lost, and the newest state may name others who decide.
-        let newest = candidacy
-            .newest(self.digest)
+        candidate.requests_sent_at = now;
+        // Requests may be lost, and the newest state may have voters that this machine's own state
+        // doesn't have.
+        let newest_voters = candidate
+            .newest_state(self.state_digest)
             .map(|state| state.voters.clone())
             .unwrap_or_default();
-        let known = &self.record.state.voters;
-        let all = known
+        let own_voters = &self.hard_state.state.voters;
+        let added = newest_voters
             .all()
-            .chain(newest.all().filter(|voter| !known.contains(*voter)));
-        let term = candidacy.term;
-        for voter in all.filter(|voter| !candidacy.promises.contains_key(voter)) {
-            out.push(send(
-                voter,
-                ConsensusMessage::VoteRequest { term, last_state },
-            ));
-        }
-    }
-
-    /// Whether somebody else may act as leader on this machine's word, or this machine leads itself. The one that it was
-    /// promised to last may ask anew: by that it has given up what it led.
-    fn keeps_to_a_leader(&self, now: f64, from: Voter) -> bool {
-        let same = Some(from) == self.leader || self.record.voted_term.leader() == from.node;
-        let led = !same && now - self.led_at < self.timing.election_timeout;
+            .filter(|voter| !own_voters.contains(*voter));
+        let request = ConsensusMessage::VoteRequest {
+            term: candidate.term,
+            last_state,
+        };
+        let unanswered = own_voters
+            .all()
+            .chain(added)
+            .filter(|voter| !candidate.votes.contains_key(voter));
+        out.extend(unanswered.map(|voter| ConsensusOutput::to_voter(voter, request.clone())));
+    }
+
+    /// Whether a leader other than `candidate` may still act by what this machine answered, or this
+    /// machine leads itself. A vote before the lease has ended would break the lease (Raft thesis,
+    /// 4.2.3 and 6.4.1). The leader of the term that was voted for last may stand again: by that it
+    /// has given up its lease.
+    pub(super) fn supports_another_leader(&self, now: f64, candidate: Voter) -> bool {
+        let is_own_leader =
+            Some(candidate) == self.leader || self.hard_state.voted_term.leader() == candidate.node;
+        let supports = !is_own_leader && now - self.leader_seen_at < self.config.election_timeout;
         let leads = matches!(&self.role, Role::Leader(_)) && self.authority_until() > now;
-        led || leads
+        supports || leads
     }
 
-    pub(super) fn on_prepare(
+    pub(super) fn on_vote_request(
         &mut self,
-        now: f64,
-        from: Voter,
-        term: Term,
-        theirs: StateId,
+        header: MessageHeader,
+        candidate_state: StateId,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        self.highest = self.highest.max(term);
-        let promised = self.record.voted_term;
-        // The same promise may be asked for again, as its answer may be lost: by the one that has it.
-        let again = term == promised && term.leader() == from.node;
-        if term < promised || term == promised && !again || self.keeps_to_a_leader(now, from) {
-            out.push(send(
-                from,
-                ConsensusMessage::TermRejected {
-                    term,
-                    voted_term: promised,
-                },
-            ));
+        let MessageHeader { now, from, term } = header;
+        self.observe_term(term);
+        let voted_term = self.hard_state.voted_term;
+        // The response may have been lost, so the candidate that has this vote may request it
+        // again.
+        let is_repeated = term == voted_term && term.leader() == from.node;
+        let is_too_low = term < voted_term || term == voted_term && !is_repeated;
+        if is_too_low || self.supports_another_leader(now, from) {
+            self.reject_term(header, out);
             return;
         }
-        self.follow(out);
+        self.become_follower(out);
         self.leader = None;
-        self.heard = now;
-        self.pause = self.stagger();
+        self.reset_election_timer(now);
         let last_state = self.last_state();
-        let newer = (last_state.rank() > theirs.rank() && last_state.digest != theirs.digest)
-            .then(|| self.record.state.clone());
-        let promise = send(
-            from,
-            ConsensusMessage::VoteResponse {
-                term,
-                last_state,
-                newer_state: newer,
-            },
-        );
-        if term == promised {
-            out.push(promise);
+        let is_newer = last_state.rank() > candidate_state.rank()
+            && last_state.digest != candidate_state.digest;
+        let vote = ConsensusMessage::VoteResponse {
+            term,
+            last_state,
+            newer_state: is_newer.then(|| self.hard_state.state.clone()),
+        };
+        let vote = ConsensusOutput::to_voter(from, vote);
+        if is_repeated {
+            out.push(vote);
         } else {
-            self.record.voted_term = term;
-            self.persist(Some(promise), out);
+            self.hard_state.voted_term = term;
+            self.persist(Some(vote), out);
         }
     }
 
-    pub(super) fn on_promise(
+    pub(super) fn on_vote_response(
         &mut self,
-        now: f64,
-        from: Voter,
-        term: Term,
+        header: MessageHeader,
         last_state: StateId,
-        newer: Option<Rc<State>>,
+        newer_state: Option<Rc<State>>,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        if let Role::Candidate(candidacy) = &mut self.role
-            && candidacy.term == term
-        {
-            candidacy
-                .promises
-                .insert(from, Promise { last_state, newer });
-            self.elect(now, out);
+        let Role::Candidate(candidate) = &mut self.role else {
+            return;
+        };
+        if candidate.term == header.term {
+            let vote = Vote {
+                last_state,
+                newer_state,
+            };
+            candidate.votes.insert(header.from, vote);
+            self.try_become_leader(header.now, out);
         }
     }
 
-    /// Of those that the newest state names a majority is needed: any state that was agreed on lies with one of them, or
-    /// a newer one does.
-    fn elect(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let Role::Candidate(candidacy) = &self.role else {
+    /// Becomes the leader if the votes are a quorum of the voters that the newest known state
+    /// names.
+    fn try_become_leader(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let Role::Candidate(candidate) = &self.role else {
             return;
         };
-        let newest = candidacy
-            .newest(self.digest)
-            .unwrap_or(&self.record.state)
+        let newest = candidate
+            .newest_state(self.state_digest)
+            .unwrap_or(&self.hard_state.state)
             .clone();
-        if !newest
-            .voters
-            .is_quorum(|voter| candidacy.promises.contains_key(&voter))
-        {
+        let voted = |voter| candidate.votes.contains_key(&voter);
+        if !newest.voters.is_quorum(voted) {
             return;
         }
         if !newest.voters.contains(self.me) {
-            self.removed = true;
-            self.stand_back(now);
+            self.removed_by_newer_state = true;
+            self.back_off_from_election(now);
             return;
         }
-        let leading = LeaderState::new(
-            candidacy.term,
-            now,
-            candidacy.promises.iter().map(|(v, p)| (*v, p.last_state)),
-        );
-        let digest = newest.digest();
-        if digest != self.digest {
-            self.history.clear();
-            self.digest = digest;
-            self.record.state = newest;
-        }
-        self.leader = Some(self.me);
-        self.role = Role::Leader(leading);
-        self.replicate(now, out);
+        let accepted = candidate.votes.iter();
+        let accepted = accepted.map(|(voter, vote)| (*voter, vote.last_state.digest));
+        let leader_state = LeaderState::new(candidate.term, now, accepted);
+        self.become_leader(now, leader_state, newest, out);
     }
 
-    pub(super) fn on_refuse(
+    pub(super) fn on_term_rejected(
         &mut self,
-        now: f64,
-        term: Term,
-        promised: Term,
+        header: MessageHeader,
+        voted_term: Term,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        self.highest = self.highest.max(promised);
-        // Whoever leads and meets a higher promise leads no longer.
-        if matches!(&self.role, Role::Leader(leading) if leading.term == term) && promised > term {
-            self.follow(out);
-            self.heard = now;
-            self.pause = self.stagger();
-        }
-    }
-
-    pub(super) fn on_resign(&mut self, now: f64, from: Voter, term: Term) {
-        // It acts no longer on what this machine answered: nobody need wait for that to pass.
-        if self.leader == Some(from) && term == self.record.voted_term {
-            self.leader = None;
-            self.contact_until = f64::NEG_INFINITY;
-            self.led_at = f64::NEG_INFINITY;
-            self.heard = now - self.timing.election_timeout;
-            self.pause = self.stagger();
+        self.observe_term(voted_term);
+        let leads = matches!(&self.role, Role::Leader(leader) if leader.term == header.term);
+        if leads && voted_term > header.term {
+            self.become_follower(out);
+            self.reset_election_timer(header.now);
         }
     }
 }
--- a/crates/core/control/src/consensus/message.rs
+++ b/crates/core/control/src/consensus/message.rs
@@ -1,4 +1,7 @@
-//! What the control machines say to each other to agree.
+//! The messages of the consensus protocol.
+//!
+//! They are encoded with bincode: the order of variants and fields is part of the format and must
+//! not change.
 
 use crate::digest::Digest;
 use crate::state::{State, StateChange};
@@ -7,141 +10,166 @@
 use bincode::{Decode, Encode};
 use std::rc::Rc;
 
-/// What a machine has on its disk.
+/// Names a state that a machine has accepted and has on its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct StateId {
-    /// The ballot under which the state was accepted.
+    /// The term under which the state was accepted.
     pub accepted_term: Term,
-    /// The number of the state.
+    /// The version of the state.
     pub version: u64,
     /// The digest of the state.
     pub digest: Digest,
 }
 
 impl StateId {
-    /// Orders what was accepted: of two states a candidate goes on from the one that is higher.
+    /// Orders accepted states: a candidate adopts the highest of its quorum (Paxos Made Simple,
+    /// 2.2).
     pub fn rank(&self) -> (Term, u64) {
         (self.accepted_term, self.version)
     }
 }
 
-/// A state, for whoever has another one.
+/// A state, in the form that suits what the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum StatePayload {
-    /// All of it.
+    /// The complete state.
     Snapshot(Rc<State>),
-    /// What has changed.
+    /// The changes that lead from a state of the receiver to the one that is sent.
     Delta {
-        /// The state on which the changes build.
+        /// The digest of the state to which the changes apply.
         base: Digest,
-        /// The changes, in order; none if only the ballot is another one.
+        /// The changes, the first one first; empty if the receiver has the state under an earlier
+        /// term.
         steps: Vec<Rc<StateChange>>,
-        /// The state to which they lead.
+        /// The digest of the state to which they lead.
         result: Digest,
     },
 }
 
-/// One message.
+/// A message between control machines. Seconds are of the clock of the machine that is named with
+/// them.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConsensusMessage {
-    /// Would this ballot be promised? Asked before anything is promised, so that whoever is cut off raises no ballots.
+    /// Pre-candidate to voters: would you vote for me under this term? (Raft thesis, 9.6)
     PreVoteRequest {
-        /// The ballot.
+        /// The term that the sender would stand for.
         term: Term,
-        /// What the machine that asks has.
+        /// The state on the sender's disk.
         last_state: StateId,
     },
-    /// The answer.
+    /// Answer to a pre-vote request. It binds the sender to nothing.
     PreVoteResponse {
-        /// The ballot that was asked for.
+        /// The term of the request.
         term: Term,
-        /// Whether it would be promised.
+        /// Whether the sender would vote so.
         granted: bool,
-        /// The highest ballot that was promised.
+        /// The highest term that the sender has voted for.
         voted_term: Term,
     },
-    /// Asks for the promise to take part in nothing below this ballot.
+    /// Candidate to voters: vote for me under this term, and take part in no lower one (Paxos 1a,
+    /// prepare).
     VoteRequest {
-        /// The ballot.
+        /// The candidate's term.
         term: Term,
-        /// What the candidate has itself.
+        /// The state on the candidate's disk.
         last_state: StateId,
     },
-    /// The promise.
+    /// The vote, which is on the sender's disk (Paxos 1b, promise).
     VoteResponse {
-        /// The ballot.
+        /// The candidate's term.
         term: Term,
-        /// What this machine has.
+        /// The state on the voter's disk.
         last_state: StateId,
-        /// Its state, if it is newer than what the candidate has.
+        /// That state, if it is newer than the candidate's.
         newer_state: Option<Rc<State>>,
     },
-    /// No: a higher ballot was promised, or another machine leads.
+    /// A request is rejected: the sender voted for a higher term, or supports another leader.
     TermRejected {
-        /// The ballot that is refused.
+        /// The term of the request.
         term: Term,
-        /// The highest that was promised.
+        /// The highest term that the sender has voted for.
         voted_term: Term,
     },
-    /// Asks to accept a state.
+    /// Leader to followers: accept this state (Paxos 2a, accept; Raft's `AppendEntries`).
     AppendRequest {
-        /// The leader's ballot.
+        /// The leader's term.
         term: Term,
         /// The state.
         payload: StatePayload,
     },
-    /// It is accepted and on disk.
+    /// The state is accepted and on the sender's disk (Paxos 2b, accepted).
     AppendResponse {
-        /// The leader's ballot.
+        /// The leader's term.
         term: Term,
-        /// What is on disk.
+        /// The state on the sender's disk.
         last_state: StateId,
     },
-    /// The changes build on another state than the one that this machine has.
+    /// The delta applies to another state than the sender has.
     AppendMismatch {
-        /// The leader's ballot.
+        /// The leader's term.
         term: Term,
-        /// What this machine has.
+        /// The state on the sender's disk.
         last_state: StateId,
     },
-    /// The leader is there.
+    /// Leader to followers: I am still the leader.
     Heartbeat {
-        /// Its ballot.
+        /// The leader's term.
         term: Term,
         /// When this was sent, in seconds of the leader's clock.
         sent_at: f64,
-        /// When the newest answer that the leader has of this machine was sent, in seconds of this machine's clock; none
-        /// if the leader isn't in contact with a majority.
+        /// When the receiver sent the newest answer that the leader has, in seconds of the
+        /// receiver's clock; none if the leader is not in contact with a quorum.
         confirmed_answer_at: Option<f64>,
     },
-    /// It was heard.
+    /// Answer to a heartbeat.
     HeartbeatResponse {
-        /// The leader's ballot.
+        /// The leader's term.
         term: Term,
-        /// As in the heartbeat.
+        /// `sent_at` of the heartbeat, in seconds of the leader's clock.
         heartbeat_sent_at: f64,
-        /// When this was sent, in seconds of this machine's clock.
+        /// When this was sent, in seconds of the sender's clock.
         answered_at: f64,
-        /// What is on disk.
+        /// The state on the sender's disk.
         last_state: StateId,
     },
-    /// The leader under this ballot ends, and acts no longer.
+    /// Leader to followers: I no longer lead under this term, an election need not wait for a
+    /// time-out.
     Resign {
-        /// Its ballot.
+        /// The term under which the sender led.
         term: Term,
     },
-    /// Asks to be a voter.
+    /// To any control machine: take me in as a voter.
     JoinRequest {
-        /// What this machine has.
+        /// The state on the sender's disk.
         last_state: StateId,
     },
-    /// Whom to ask instead.
+    /// Answer to a join request of a machine that doesn't lead.
     KnownVoters {
-        /// Voters as far as they are known.
+        /// The voters as far as the sender knows them; one of them may lead.
         voters: Vec<Voter>,
     },
-    /// This machine is about to end: asks to be a voter no longer.
+    /// To the voters, of one that shuts down: remove me from the voter set.
     LeaveRequest,
-    /// It is none.
+    /// Answer to a leave request: the receiver is not in the committed voter set.
     LeaveResponse,
 }
+
+/// What a message of one term has in common with all others of this kind, as its handlers need it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct MessageHeader {
+    /// When it is processed, in seconds of this machine's clock.
+    pub(super) now: f64,
+    /// Its sender.
+    pub(super) from: Voter,
+    /// The term that it names.
+    pub(super) term: Term,
+}
+
+/// The times in a [`ConsensusMessage::HeartbeatResponse`]: two seconds of two different clocks.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HeartbeatTimes {
+    /// In seconds of the leader's clock.
+    pub(super) heartbeat_sent_at: f64,
+    /// In seconds of the follower's clock.
+    pub(super) answered_at: f64,
+}
--- a/crates/core/control/src/consensus/mod.rs
+++ b/crates/core/control/src/consensus/mod.rs
@@ -1,213 +1,204 @@
-//! One value that the control machines agree on, with one of them leading under a ballot.
+//! Consensus of the control machines on one value, [`crate::State`], with one of them as the
+//! leader.
 //!
-//! Paxos on a register: a ballot is promised by a majority before anything is accepted under it, and whoever wins one goes
-//! on from the newest state that a majority may have accepted. The winner leads: it alone proposes, and as long as a
-//! majority answered its heartbeats a moment ago it knows that nobody else has won. There is no log: a machine that was
-//! away gets the state, or the changes since the one that it has.
+//! The protocol is Paxos on a single register. There is no log: each accepted state replaces the
+//! one before. The names are those of Raft, which most readers know better; they map like this:
 //!
-//! Nothing counts before it is saved. Whatever relies on a save is held back until [`Consensus::persisted`]; after
-//! [`Consensus::persist_failed`] the machine goes on from what is on its disk and takes no part until
-//! [`Consensus::disk_reopened`]. Who decides is part of the state ([`crate::voter_set`]).
+//! - term: [`Term`], a Paxos ballot. Its low bits name its only possible leader, so a vote needs no
+//!   "voted for".
+//! - `RequestVote`: [`ConsensusMessage::VoteRequest`] (Paxos 1a). The response (1b) brings a newer
+//!   state, if any.
+//! - election restriction (thesis, 3.6.1): none. The winner adopts the newest state of its quorum
+//!   instead (Paxos Made Simple, 2.2).
+//! - `AppendEntries`, log: [`ConsensusMessage::AppendRequest`] (Paxos 2a), with a snapshot, or the
+//!   delta to a known state.
+//! - commit index: the version of the state that a quorum has accepted under the leader's term.
+//! - PreVote (thesis, 9.6): the same, [`ConsensusMessage::PreVoteRequest`].
+//! - check quorum, leader lease (thesis, 6.2 and 6.4.1): [`Consensus::authority_until`], from the
+//!   answers to heartbeats.
+//! - joint consensus (thesis, 4.3): the same, one voter at a time; see [`crate::voter_set`].
+//! - server: a [`Voter`], which is a machine in one incarnation of its disk. A machine that lost
+//!   its disk joins as a new voter, so nobody votes twice in a term.
+//!
+//! [`Consensus`] does no I/O and reads no clock. Its owner, [`crate::Controller`], passes in
+//! messages and the seconds of the machine's steady clock, and carries out the [`ConsensusOutput`]s
+//! in their order. Nothing counts before it is on disk (thesis, 3.8): what relies on a write is
+//! withheld until [`Consensus::persisted`].
+//!
+//! - `pre_vote`, `election`: who becomes the leader; `follower`: what it accepts from one
+//! - `leader`, `replication`, `progress`: what a leader knows of the others and sends to them
+//! - `voter_changes`, `join_leave`: changes of the voter set, at the leader and at the machine that
+//!   wants one
+//! - `persistence`: the writes to disk, and their failures
 
 mod election;
+mod follower;
+mod hard_state;
+mod join_leave;
+mod leader;
 mod message;
+mod output;
+mod persistence;
+mod pre_vote;
+mod progress;
 mod replication;
-mod voters;
+mod voter_changes;
 
+pub use hard_state::HardState;
 pub use message::{ConsensusMessage, StateId, StatePayload};
+pub use output::{ConsensusOutput, Recipient};
 
 use crate::change_history::ChangeHistory;
 use crate::digest::Digest;
-use crate::state::State;
 use crate::term::Term;
-use crate::voter_set::{NodeId, Voter};
-use bincode::{Decode, Encode};
-use replication::LeaderState;
+use crate::voter_set::Voter;
+use message::{HeartbeatTimes, MessageHeader};
 use std::collections::BTreeMap;
-use std::rc::Rc;
-
-/// What a machine keeps on its disk.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HardState {
-    /// Nothing below is taken part in.
-    pub voted_term: Term,
-    /// Under which the state was accepted.
-    pub accepted_term: Term,
-    /// The state.
-    pub state: Rc<State>,
-}
 
-/// What is to be done, in this order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum ConsensusOutput {
-    /// The record is to be saved, and [`Consensus::persisted`] or [`Consensus::persist_failed`] called before anything else.
-    Persist,
-    /// To another machine.
-    Send(Recipient, ConsensusMessage),
-    /// This machine leads from now on, with the state as it is.
-    BecameLeader,
-    /// It does no longer.
-    SteppedDown,
-    /// What was proposed holds.
-    Committed,
-}
-
-/// To whom a message goes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Recipient {
-    /// To this voter; whoever has its address in another incarnation must not take it.
-    Voter(Voter),
-    /// To whoever has this address.
-    Node(NodeId),
-}
+/// At a start so many seconds of the election time-out are left: if the whole system starts, nobody
+/// leads, and the first of the voters need not wait for long.
+const FIRST_ELECTION_DELAY_S: f64 = 0.05;
+/// By so many seconds more each voter waits than the one before it in the voter set, so that they
+/// rarely compete.
+const ELECTION_DELAY_PER_RANK_S: f64 = 0.12;
+/// Upper bound of the random part of the election delay, in seconds.
+const ELECTION_DELAY_JITTER_S: f64 = 0.05;
 
-impl Recipient {
-    /// The address.
-    pub fn node(self) -> NodeId {
-        match self {
-            Recipient::Voter(voter) => voter.node,
-            Recipient::Node(node) => node,
-        }
-    }
-
-    /// Whether this one is meant.
-    pub fn is(self, voter: Voter) -> bool {
-        match self {
-            Recipient::Voter(meant) => meant == voter,
-            Recipient::Node(node) => node == voter.node,
-        }
-    }
-}
+/// Values by voter; iterated in the order of the voters, so that runs can be repeated exactly.
+type ByVoter<T> = BTreeMap<Voter, T>;
 
-/// Spans and sizes.
+/// Time-outs, in seconds of the machine's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ConsensusConfig {
-    /// A leader is missed after so many seconds. One that heard of a majority acts for as long, from when its heartbeat
-    /// went out.
+    /// A follower that had no message of a leader for so long starts an election. A leader may act
+    /// for as long after it sent a heartbeat that a quorum answered.
     pub election_timeout: f64,
-    /// A follower is in contact for so many seconds after it sent an answer that the leader, in contact itself, confirmed.
+    /// A follower is in contact with a quorum for so long after it sent an answer that a leader in
+    /// contact confirmed.
     pub contact_timeout: f64,
 }
 
+/// The role of this machine, with what it knows only in that role.
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
-    /// Asks whether a candidacy would be of use.
-    PreCandidate(election::PreCandidateState),
+    PreCandidate(pre_vote::PreCandidateState),
     Candidate(election::CandidateState),
-    Leader(LeaderState),
+    Leader(leader::LeaderState),
 }
 
-/// One machine's part in it.
+/// The consensus state machine of one control machine.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     me: Voter,
-    timing: ConsensusConfig,
-    /// What is to be on disk; ahead of `durable` only while a save is under way.
-    record: HardState,
-    durable: HardState,
-    /// The digests of the states in `record` and in `durable`.
-    digest: Digest,
-    durable_digest: Digest,
+    config: ConsensusConfig,
+    /// What is to be on disk; ahead of `persisted_state` only while a write is in flight.
+    hard_state: HardState,
+    persisted_state: HardState,
+    /// The digests of the states in `hard_state` and in `persisted_state`.
+    state_digest: Digest,
+    persisted_digest: Digest,
     history: ChangeHistory,
-    /// A save is under way; nothing else is taken in.
-    saving: bool,
-    /// What may be done once it has succeeded.
-    after_save: Vec<ConsensusOutput>,
-    /// The last save failed, and the disk wasn't opened anew yet.
+    /// While a write is in flight no message and no tick is processed.
+    persist_in_flight: bool,
+    /// Outputs that must not be seen before the write in flight has succeeded.
+    outputs_after_persist: Vec<ConsensusOutput>,
+    /// The last write failed and the disk has not been reopened: this machine takes no part.
     disk_failed: bool,
     role: Role,
     leader: Option<Voter>,
-    /// When a leader was last heard, or this machine last stood back for one.
-    heard: f64,
-    /// When a leader was last heard that may act on it; a machine that starts may have heard one just before.
-    led_at: f64,
-    /// Until when this machine knows that its leader was in contact with a majority.
+    /// When the election time-out began to run: at the last message of a leader or the last vote.
+    election_timer_started_at: f64,
+    /// When a leader that may rely on our answer last sent something. A machine that restarts may
+    /// have answered one just before it ended, and doesn't know.
+    leader_seen_at: f64,
+    /// Until when a follower knows that its leader was in contact with a quorum.
     contact_until: f64,
-    /// The highest ballot that was met.
-    highest: Term,
-    /// This machine is none of those who decide by a newer state than its own.
-    removed: bool,
-    /// How much longer than others this machine waits before it stands, in seconds.
-    pause: f64,
-    random: u64,
-    membership: voters::Candidates,
+    /// The highest term that was seen in any message; a candidate goes above it.
+    highest_seen_term: Term,
+    /// A newer state than the one on this disk has this machine not among its voters.
+    removed_by_newer_state: bool,
+    /// What is added to the election time-out, in seconds; 0 until it is drawn.
+    election_delay: f64,
+    rng_state: u64,
+    voter_changes: voter_changes::VoterChanges,
 }
 
 impl Consensus {
-    /// A machine that starts with what its disk holds.
+    /// A machine that starts at `now` with `hard_state` on its disk. `seed` sets its random
+    /// election delays.
     pub fn new(
         me: Voter,
-        record: HardState,
+        hard_state: HardState,
         now: f64,
         seed: u64,
-        timing: ConsensusConfig,
+        config: ConsensusConfig,
     ) -> Consensus {
-        let digest = record.state.digest();
+        let digest = hard_state.state.digest();
         let mut consensus = Consensus {
             me,
-            timing,
-            durable: record.clone(),
-            digest,
-            durable_digest: digest,
+            config,
+            persisted_state: hard_state.clone(),
+            state_digest: digest,
+            persisted_digest: digest,
             history: ChangeHistory::default(),
-            saving: false,
-            after_save: Vec::new(),
+            persist_in_flight: false,
+            outputs_after_persist: Vec::new(),
             disk_failed: false,
             role: Role::Follower,
             leader: None,
-            // At the first start nobody leads: the first in order need not wait for a silence to pass.
-            heard: now - timing.election_timeout + 0.05,
-            led_at: f64::NEG_INFINITY,
+            election_timer_started_at: now - config.election_timeout + FIRST_ELECTION_DELAY_S,
+            leader_seen_at: f64::NEG_INFINITY,
             contact_until: f64::NEG_INFINITY,
-            highest: record.voted_term,
-            removed: false,
-            pause: 0.0,
-            random: seed | 1,
-            membership: voters::Candidates::new(now),
-            record,
+            highest_seen_term: hard_state.voted_term,
+            removed_by_newer_state: false,
+            election_delay: 0.0,
+            // A generator with an even state would have a shorter period.
+            rng_state: seed | 1,
+            voter_changes: voter_changes::VoterChanges::new(now),
+            hard_state,
         };
-        let promised = consensus.record.voted_term;
-        if promised != Term::default() && promised.leader() != me.node {
-            // What this machine answered in its last life another one may act on.
-            consensus.heard = now;
-            consensus.led_at = now;
+        let voted_term = consensus.hard_state.voted_term;
+        if voted_term != Term::default() && voted_term.leader() != me.node {
+            // A leader may still hold its lease by what this machine answered before it restarted.
+            consensus.election_timer_started_at = now;
+            consensus.leader_seen_at = now;
         }
-        consensus.pause = consensus.stagger();
+        consensus.election_delay = consensus.draw_election_delay();
         consensus
     }
 
-    /// This machine, in the life of its disk.
+    /// This machine, in the incarnation of its disk.
     pub fn me(&self) -> Voter {
         self.me
     }
 
-    /// The voters, as far as they are known here.
+    /// The voters as far as this machine knows them; while a change is under way, those to come.
     pub fn voters(&self) -> &[Voter] {
-        self.record.state.voters.voters()
+        self.hard_state.state.voters.voters()
     }
 
-    /// What is to be on disk.
+    /// What is on disk, or is being written to it.
     pub fn hard_state(&self) -> &HardState {
-        &self.record
+        &self.hard_state
     }
 
-    /// Whether this machine's word counts: its disk is in order, and it is one of the voters.
+    /// Whether this machine's vote counts: its disk works, and it is in the voter set.
     pub fn is_voter(&self) -> bool {
-        !self.disk_failed && self.record.state.voters.contains(self.me)
+        !self.disk_failed && self.hard_state.state.voters.contains(self.me)
     }
 
-    /// Whether the last save failed, and the disk wasn't opened anew yet.
+    /// Whether the last write failed and the disk has not been reopened since.
     pub fn disk_failed(&self) -> bool {
         self.disk_failed
     }
 
-    /// Who is believed to lead.
+    /// The machine believed to be the leader.
     pub fn leader(&self) -> Option<Voter> {
         self.leader
     }
 
-    /// Whether this machine was in contact with a majority a moment ago, itself or through its leader.
+    /// Whether this machine, or its leader as it confirmed, had answers of a quorum a moment ago.
     pub fn in_contact(&self, now: f64) -> bool {
         match self.role {
             Role::Leader(_) => now < self.authority_until(),
@@ -215,7 +206,8 @@
         }
     }
 
-    /// Since when this machine knows nothing of a majority, in seconds of its clock; the past if it never did.
+    /// Until when contact with a quorum is known, in seconds of this machine's clock; minus
+    /// infinity if it never was.
     pub fn contact_until(&self) -> f64 {
         match self.role {
             Role::Leader(_) => self.authority_until(),
@@ -223,92 +215,28 @@
         }
     }
 
-    /// The changes that are known of, for whoever holds an earlier state.
+    /// The newest changes of the state, for a receiver that holds an earlier one.
     pub fn history(&self) -> &ChangeHistory {
         &self.history
     }
 
-    /// A save of the record has succeeded.
-    pub fn persisted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        self.saving = false;
-        self.durable = self.record.clone();
-        self.durable_digest = self.digest;
-        out.append(&mut self.after_save);
-        match self.role {
-            Role::Candidate(_) => self.count_own_promise(now, out),
-            Role::Leader(_) => self.count_own_save(out),
-            Role::Follower | Role::PreCandidate(_) => {}
-        }
-    }
-
-    /// A save of the record has failed: whatever relied on it hasn't happened, and until the disk is opened anew this
-    /// machine takes no part. Whether the old or the new record is on the disk isn't known.
-    pub fn persist_failed(&mut self, out: &mut Vec<ConsensusOutput>) {
-        self.saving = false;
-        self.after_save.clear();
-        self.follow(out);
-        self.leader = None;
-        self.contact_until = f64::NEG_INFINITY;
-        self.restore(self.durable.clone());
-        self.disk_failed = true;
-    }
-
-    /// The disk is opened anew and holds this.
-    pub fn disk_reopened(&mut self, now: f64, record: HardState) {
-        self.restore(record);
-        self.durable = self.record.clone();
-        self.durable_digest = self.digest;
-        self.highest = self.highest.max(self.record.voted_term);
-        self.disk_failed = false;
-        self.heard = now;
-        self.pause = self.stagger();
-    }
-
-    fn restore(&mut self, record: HardState) {
-        let digest = record.state.digest();
-        if digest != self.digest {
-            self.history.clear();
-        }
-        self.record = record;
-        self.digest = digest;
-        self.removed = false;
-    }
-
-    /// Saves the record, and only then does this.
-    fn persist(&mut self, then: Option<ConsensusOutput>, out: &mut Vec<ConsensusOutput>) {
-        self.after_save.extend(then);
-        if !self.saving {
-            self.saving = true;
-            out.push(ConsensusOutput::Persist);
-        }
-    }
-
-    /// What is on the disk of this machine.
-    fn last_state(&self) -> StateId {
-        StateId {
-            accepted_term: self.durable.accepted_term,
-            version: self.durable.state.version,
-            digest: self.durable_digest,
-        }
-    }
-
-    /// Lets time pass.
+    /// Runs the timers; to be called every few hundredths of a second.
     pub fn tick(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        if self.saving || self.disk_failed {
+        if self.persist_in_flight || self.disk_failed {
             return;
         }
-        self.ask_to_join(now, out);
-        self.ask_to_leave(now, out);
+        self.request_join(now, out);
+        self.request_leave(now, out);
         self.advance_voter_change(now, out);
         match self.role {
-            Role::Leader(_) => self.send_heartbeats(now, out),
+            Role::Leader(_) => self.tick_leader(now, out),
             Role::Candidate(_) => self.tick_candidate(now, out),
-            Role::PreCandidate(_) => self.tick_canvass(now, out),
+            Role::PreCandidate(_) => self.tick_pre_candidate(now, out),
             Role::Follower => self.tick_follower(now, out),
         }
     }
 
-    /// A message of another machine.
+    /// Processes a message that came from `from` at `now`.
     pub fn step(
         &mut self,
         now: f64,
@@ -316,100 +244,106 @@
         message: ConsensusMessage,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        if self.saving || self.disk_failed {
+        if self.persist_in_flight || self.disk_failed {
             return;
         }
-        self.membership.met(from.node);
+        self.voter_changes.add_peer(from.node);
+        let header = |term| MessageHeader { now, from, term };
         match message {
             ConsensusMessage::PreVoteRequest { term, last_state } => {
-                self.on_canvass(now, from, term, last_state, out)
+                self.on_pre_vote_request(header(term), last_state, out);
             }
             ConsensusMessage::PreVoteResponse {
                 term,
                 granted,
-                voted_term: promised,
-            } => {
-                self.on_canvassed(now, from, term, granted, promised, out);
-            }
+                voted_term,
+            } => self.on_pre_vote_response(header(term), granted, voted_term, out),
             ConsensusMessage::VoteRequest { term, last_state } => {
-                self.on_prepare(now, from, term, last_state, out)
+                self.on_vote_request(header(term), last_state, out);
             }
             ConsensusMessage::VoteResponse {
                 term,
                 last_state,
-                newer_state: newer,
-            } => {
-                self.on_promise(now, from, term, last_state, newer, out);
+                newer_state,
+            } => self.on_vote_response(header(term), last_state, newer_state, out),
+            ConsensusMessage::TermRejected { term, voted_term } => {
+                self.on_term_rejected(header(term), voted_term, out);
+            }
+            ConsensusMessage::AppendRequest { term, payload } => {
+                self.on_append_request(header(term), payload, out);
             }
-            ConsensusMessage::TermRejected {
-                term,
-                voted_term: promised,
-            } => self.on_refuse(now, term, promised, out),
-            ConsensusMessage::AppendRequest {
-                term,
-                payload: content,
-            } => self.on_accept(now, from, term, content, out),
             ConsensusMessage::AppendResponse { term, last_state } => {
-                self.on_accepted(from, term, last_state, out)
+                self.on_append_response(header(term), last_state, out);
             }
             ConsensusMessage::AppendMismatch { term, last_state } => {
-                self.on_mismatch(now, from, term, last_state, out)
+                self.on_append_mismatch(header(term), last_state, out);
             }
             ConsensusMessage::Heartbeat {
                 term,
-                sent_at: sent,
-                confirmed_answer_at: confirms,
-            } => {
-                self.on_heartbeat(now, from, term, (sent, confirms), out);
-            }
+                sent_at,
+                confirmed_answer_at,
+            } => self.on_heartbeat(header(term), sent_at, confirmed_answer_at, out),
             ConsensusMessage::HeartbeatResponse {
                 term,
-                heartbeat_sent_at: sent,
-                answered_at: at,
+                heartbeat_sent_at,
+                answered_at,
                 last_state,
             } => {
-                self.on_heartbeat_ack(now, from, term, (sent, at), last_state, out);
+                let times = HeartbeatTimes {
+                    heartbeat_sent_at,
+                    answered_at,
+                };
+                self.on_heartbeat_response(header(term), times, last_state, out);
             }
-            ConsensusMessage::Resign { term } => self.on_resign(now, from, term),
+            ConsensusMessage::Resign { term } => self.on_resign(header(term)),
             ConsensusMessage::JoinRequest { last_state } => {
-                self.on_join(now, from, last_state, out)
+                self.on_join_request(now, from, last_state, out);
             }
-            ConsensusMessage::KnownVoters { voters } => self.membership.learn(voters),
-            ConsensusMessage::LeaveRequest => self.on_leave(now, from, out),
-            ConsensusMessage::LeaveResponse => self.membership.left(),
+            ConsensusMessage::KnownVoters { voters } => self.voter_changes.add_peers(&voters),
+            ConsensusMessage::LeaveRequest => self.on_leave_request(now, from, out),
+            ConsensusMessage::LeaveResponse => self.voter_changes.confirm_removal(),
         }
     }
 
-    /// How much later than the first in order this machine stands, so that they don't stand all at once.
-    fn stagger(&mut self) -> f64 {
-        const RANK: f64 = 0.12;
-        const CHANCE: f64 = 0.05;
+    /// Draws what this machine adds to the election time-out: by its rank among the voters, and a
+    /// random part (Raft thesis, 3.4).
+    fn draw_election_delay(&mut self) -> f64 {
         let rank = self
             .voters()
             .iter()
             .position(|voter| *voter == self.me)
             .unwrap_or(0);
-        self.random = self
-            .random
+        // Knuth's linear congruential generator (MMIX); its high bits are the random ones.
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        RANK * rank as f64 + CHANCE * ((self.random >> 33) as f64 / (1u64 << 31) as f64)
+        let fraction = (self.rng_state >> 33) as f64 / (1u64 << 31) as f64;
+        ELECTION_DELAY_PER_RANK_S * rank as f64 + ELECTION_DELAY_JITTER_S * fraction
     }
 
-    fn follow(&mut self, out: &mut Vec<ConsensusOutput>) {
-        if let Role::Leader(leading) = &self.role {
-            if leading.agreed.is_some() {
-                out.push(ConsensusOutput::SteppedDown);
-            }
-            self.leader = None;
-        }
-        self.role = Role::Follower;
+    /// Starts the election time-out anew, with another delay.
+    fn reset_election_timer(&mut self, now: f64) {
+        self.election_timer_started_at = now;
+        self.election_delay = self.draw_election_delay();
     }
-}
 
-fn send(to: Voter, message: ConsensusMessage) -> ConsensusOutput {
-    ConsensusOutput::Send(Recipient::Voter(to), message)
-}
+    fn observe_term(&mut self, term: Term) {
+        self.highest_seen_term = self.highest_seen_term.max(term);
+    }
 
-/// Machines and what each said, in order of the machines.
-type ByVoter<T> = BTreeMap<Voter, T>;
+    /// Everybody whose vote may count, except this machine.
+    fn other_voters(&self) -> impl Iterator<Item = Voter> {
+        let voters = &self.hard_state.state.voters;
+        voters.all().filter(|voter| *voter != self.me)
+    }
+
+    /// Rejects what `header` brought, as a higher term was voted for or another machine leads.
+    fn reject_term(&self, header: MessageHeader, out: &mut Vec<ConsensusOutput>) {
+        let rejection = ConsensusMessage::TermRejected {
+            term: header.term,
+            voted_term: self.hard_state.voted_term,
+        };
+        out.push(ConsensusOutput::to_voter(header.from, rejection));
+    }
+}
--- /dev/null
+++ b/crates/core/control/src/consensus/pre_vote.rs
@@ -0,0 +1,143 @@
+//! Pre-vote (Raft thesis, 9.6): before a machine raises its term it asks whether an election could
+//! succeed. So a machine that was partitioned or removed doesn't depose a working leader when it
+//! comes back.
+
+use super::message::MessageHeader;
+use super::{Consensus, ConsensusMessage, ConsensusOutput, Role, StateId};
+use crate::term::Term;
+use crate::voter_set::Voter;
+use std::collections::BTreeSet;
+
+/// Between two pre-vote requests to a voter that has not granted one, in seconds.
+pub(super) const VOTE_REQUEST_INTERVAL_S: f64 = 0.1;
+/// A pre-vote without a quorum is given up after so many seconds.
+const PRE_VOTE_TIMEOUT_S: f64 = 0.35;
+/// What is added to the election delay of a machine whose pre-vote or election failed, in seconds.
+const ELECTION_BACKOFF_S: f64 = 0.05;
+
+/// What a pre-candidate knows.
+#[derive(Clone, Debug)]
+pub(super) struct PreCandidateState {
+    /// The term for which votes would be requested.
+    term: Term,
+    granted: BTreeSet<Voter>,
+    started_at: f64,
+    requests_sent_at: f64,
+}
+
+impl Consensus {
+    /// A follower starts a pre-vote once the election time-out has passed without a leader.
+    pub(super) fn tick_follower(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let timeout = self.config.election_timeout + self.election_delay;
+        let timed_out = now - self.election_timer_started_at > timeout;
+        let may_stand =
+            self.hard_state.state.voters.contains(self.me) && !self.removed_by_newer_state;
+        if timed_out && may_stand && !self.voter_changes.is_shutting_down() {
+            self.become_pre_candidate(now, out);
+        }
+    }
+
+    fn become_pre_candidate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let term = self.next_own_term();
+        self.leader = None;
+        self.role = Role::PreCandidate(PreCandidateState {
+            term,
+            granted: BTreeSet::from([self.me]),
+            started_at: now,
+            requests_sent_at: now,
+        });
+        let request = ConsensusMessage::PreVoteRequest {
+            term,
+            last_state: self.last_state(),
+        };
+        let send = |voter| ConsensusOutput::to_voter(voter, request.clone());
+        out.extend(self.other_voters().map(send));
+        self.start_election_if_granted(now, out);
+    }
+
+    /// The lowest term above all seen that this machine may lead.
+    pub(super) fn next_own_term(&self) -> Term {
+        self.highest_seen_term
+            .max(self.hard_state.voted_term)
+            .next_for(self.me.node)
+    }
+
+    pub(super) fn tick_pre_candidate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let last_state = self.last_state();
+        let Role::PreCandidate(pre_candidate) = &mut self.role else {
+            return;
+        };
+        if now - pre_candidate.started_at > PRE_VOTE_TIMEOUT_S {
+            self.back_off_from_election(now);
+            return;
+        }
+        if now - pre_candidate.requests_sent_at <= VOTE_REQUEST_INTERVAL_S {
+            return;
+        }
+        pre_candidate.requests_sent_at = now;
+        let request = ConsensusMessage::PreVoteRequest {
+            term: pre_candidate.term,
+            last_state,
+        };
+        let voters = self.hard_state.state.voters.all();
+        let unanswered = voters.filter(|voter| !pre_candidate.granted.contains(voter));
+        out.extend(unanswered.map(|voter| ConsensusOutput::to_voter(voter, request.clone())));
+    }
+
+    /// Becomes a follower that tries again after the election delay alone, a little longer than
+    /// usual so that others get their chance first.
+    pub(super) fn back_off_from_election(&mut self, now: f64) {
+        self.role = Role::Follower;
+        self.election_timer_started_at = now - self.config.election_timeout;
+        self.election_delay = self.draw_election_delay() + ELECTION_BACKOFF_S;
+    }
+
+    pub(super) fn on_pre_vote_request(
+        &mut self,
+        header: MessageHeader,
+        candidate_state: StateId,
+        out: &mut Vec<ConsensusOutput>,
+    ) {
+        let voted_term = self.hard_state.voted_term;
+        // A machine that was removed while it was away doesn't know, and would disturb the others
+        // with elections that it can't win (thesis, 4.2.3).
+        let was_removed = !self.hard_state.state.voters.contains(header.from)
+            && self.last_state().rank() > candidate_state.rank();
+        let granted = header.term > voted_term
+            && !was_removed
+            && !self.supports_another_leader(header.now, header.from);
+        let response = ConsensusMessage::PreVoteResponse {
+            term: header.term,
+            granted,
+            voted_term,
+        };
+        out.push(ConsensusOutput::to_voter(header.from, response));
+    }
+
+    pub(super) fn on_pre_vote_response(
+        &mut self,
+        header: MessageHeader,
+        granted: bool,
+        voted_term: Term,
+        out: &mut Vec<ConsensusOutput>,
+    ) {
+        self.observe_term(voted_term);
+        let Role::PreCandidate(pre_candidate) = &mut self.role else {
+            return;
+        };
+        if pre_candidate.term == header.term && granted {
+            pre_candidate.granted.insert(header.from);
+            self.start_election_if_granted(header.now, out);
+        }
+    }
+
+    fn start_election_if_granted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let Role::PreCandidate(pre_candidate) = &self.role else {
+            return;
+        };
+        let voters = &self.hard_state.state.voters;
+        if voters.is_quorum(|voter| pre_candidate.granted.contains(&voter)) {
+            self.become_candidate(now, out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/control/src/consensus/voter_changes.rs
@@ -0,0 +1,262 @@
+//! Changes of the voter set, at the leader: by joint consensus (Raft thesis, 4.3), one voter at a
+//! time.
+//!
+//! A machine that asks to join replaces its own former incarnation or a voter that no longer
+//! answers, or is added. A voter that shuts down or no longer answers is removed, as long as enough
+//! are left for the fault budget.
+
+use super::{Consensus, ConsensusOutput, Role};
+use crate::state::StateChange;
+use crate::voter_set::{NodeId, Voter};
+use std::collections::BTreeMap;
+
+/// A machine that has not repeated its join request for so many seconds no longer wants to join.
+const JOIN_REQUEST_TTL_S: f64 = 0.8;
+/// A voter that answered no heartbeat for so many seconds may be replaced by a machine that asks to
+/// join.
+const REPLACEABLE_AFTER_S: f64 = 1.0;
+/// A voter is added only while all voters answered a heartbeat within so many seconds: one more
+/// voter makes a larger quorum, which must not depend on absent ones.
+const ALL_PRESENT_WITHIN_S: f64 = 0.5;
+/// A voter that answered no heartbeat for so many seconds is removed, if enough are left.
+const REMOVED_AFTER_S: f64 = 3.0;
+/// Between two changes of the voter set, in seconds: other proposals get their turn.
+const CHANGE_INTERVAL_S: f64 = 0.1;
+/// Largest voter set; each voter makes every proposal more expensive.
+const MAX_VOTERS: usize = 9;
+/// Smallest voter set that a removal may leave, whatever the fault budget.
+const MIN_VOTERS: usize = 3;
+/// Number of addresses of control machines that are remembered besides those of the voters and the
+/// seeds.
+const MAX_PEERS: usize = 32;
+
+/// What is known of changes to come: at the leader the requests of others, elsewhere what this
+/// machine wants itself.
+#[derive(Clone, Debug)]
+pub(super) struct VoterChanges {
+    /// Addresses of control machines that the settings name.
+    pub(super) seeds: Vec<NodeId>,
+    /// Addresses of control machines that sent a message or were named in one, the oldest first.
+    pub(super) peers: Vec<NodeId>,
+    /// Machines that ask to join, and when each asked last.
+    pub(super) join_requests: BTreeMap<Voter, f64>,
+    /// Voters that ask to be removed.
+    pub(super) leave_requests: Vec<Voter>,
+    /// When this machine last asked to join or to leave.
+    pub(super) last_request_at: f64,
+    /// This machine shuts down.
+    shutting_down: bool,
+    /// A leader has confirmed that this machine, which shuts down, is no voter.
+    removal_confirmed: bool,
+    /// When the last change of the voter set was completed.
+    last_change_at: f64,
+    /// No removal leaves fewer voters: a quorum of them survives the fault budget.
+    min_voters: usize,
+}
+
+impl VoterChanges {
+    pub(super) fn new(now: f64) -> VoterChanges {
+        VoterChanges {
+            seeds: Vec::new(),
+            peers: Vec::new(),
+            join_requests: BTreeMap::new(),
+            leave_requests: Vec::new(),
+            last_request_at: now,
+            shutting_down: false,
+            removal_confirmed: false,
+            last_change_at: f64::NEG_INFINITY,
+            min_voters: MIN_VOTERS,
+        }
+    }
+
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.shutting_down
+    }
+
+    /// A leader says that this machine is no voter; an answer from before this start counts for
+    /// nothing.
+    pub(super) fn confirm_removal(&mut self) {
+        self.removal_confirmed = self.shutting_down;
+    }
+
+    /// Machines that ask to join.
+    pub(super) fn joining(&self) -> impl Iterator<Item = Voter> {
+        self.join_requests.keys().copied()
+    }
+
+    /// Remembers the address of a control machine.
+    pub(super) fn add_peer(&mut self, node: NodeId) {
+        if self.peers.contains(&node) || self.seeds.contains(&node) {
+            return;
+        }
+        if self.peers.len() >= MAX_PEERS {
+            self.peers.remove(0);
+        }
+        self.peers.push(node);
+    }
+
+    /// Remembers the addresses of voters that another machine named.
+    pub(super) fn add_peers(&mut self, voters: &[Voter]) {
+        for voter in voters {
+            self.add_peer(voter.node);
+        }
+    }
+}
+
+impl Consensus {
+    /// Sets how many voters may be lost at once: no removal leaves fewer than twice as many and
+    /// one.
+    pub fn set_fault_budget(&mut self, fault_budget: usize) {
+        self.voter_changes.min_voters = (2 * fault_budget + 1).max(MIN_VOTERS);
+    }
+
+    /// Sets the addresses that are asked to join besides those of the known voters.
+    pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
+        self.voter_changes.seeds = seeds;
+    }
+
+    /// Remembers that a control machine has this address.
+    pub fn peer_discovered(&mut self, node: NodeId) {
+        self.voter_changes.add_peer(node);
+    }
+
+    /// Begins the shutdown of this machine: it gives up leadership, stands in no election, and asks
+    /// to be removed from the voter set. It may end once [`Consensus::may_shut_down`].
+    pub fn resign(&mut self, out: &mut Vec<ConsensusOutput>) {
+        self.voter_changes.shutting_down = true;
+        self.give_up_leadership(out);
+    }
+
+    /// Whether this machine need not wait for its removal: it is no voter, or too few would be left
+    /// to remove it.
+    pub fn may_shut_down(&self) -> bool {
+        let voters = &self.hard_state.state.voters;
+        let stays_voter = !voters.is_joint() && !self.can_remove_voter();
+        self.voter_changes.removal_confirmed || !voters.contains(self.me) || stays_voter
+    }
+
+    fn can_remove_voter(&self) -> bool {
+        self.voters().len() > self.voter_changes.min_voters
+    }
+
+    /// Proposes the next change of the voter set, if this machine leads and there is one to make.
+    pub fn advance_voter_change(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
+        let Some(state) = self.committed_state().cloned() else {
+            return;
+        };
+        if self.authority_until() < now {
+            return;
+        }
+        if !state.voters.contains(self.me) {
+            // A former leader began to remove this machine, which has completed that: it leads
+            // until the set without it is committed (Raft thesis, 4.2.2).
+            self.give_up_leadership(out);
+            self.election_timer_started_at = now;
+            return;
+        }
+        self.expire_join_requests(now);
+        let next = if state.voters.is_joint() {
+            self.voter_changes.last_change_at = now;
+            Some(state.voters.finalized())
+        } else if now - self.voter_changes.last_change_at < CHANGE_INTERVAL_S {
+            None
+        } else {
+            let voters = self.next_addition(now).or_else(|| self.next_removal(now));
+            voters.and_then(|voters| state.voters.joint_with(voters))
+        };
+        if let Some(next) = next {
+            log::info!(
+                "event=voters_changed voters={} joint={}",
+                comma_separated(next.voters()),
+                next.is_joint()
+            );
+            self.propose(now, StateChange::Voters(next), out);
+        }
+    }
+
+    fn expire_join_requests(&mut self, now: f64) {
+        let voters = self.hard_state.state.voters.voters();
+        self.voter_changes
+            .join_requests
+            .retain(|voter, requested_at| {
+                now - *requested_at < JOIN_REQUEST_TTL_S && !voters.contains(voter)
+            });
+    }
+
+    /// The voters with one more that asks to join and has the state, in place of another one where
+    /// there is one to replace; none if nobody asks, or there is no room.
+    fn next_addition(&self, now: f64) -> Option<Vec<Voter>> {
+        let voters = self.voters();
+        let is_ready = |voter: &Voter| self.has_accepted_state(*voter) && !voters.contains(voter);
+        let joining = self.voter_changes.joining().find(is_ready)?;
+        let unanswered = |voter: &Voter| self.seconds_unanswered(now, *voter);
+        let former_incarnation = voters.iter().find(|voter| voter.node == joining.node);
+        let replaceable = voters
+            .iter()
+            .max_by(|a, b| unanswered(a).total_cmp(&unanswered(b)))
+            .filter(|voter| unanswered(voter) > REPLACEABLE_AFTER_S);
+        let all_present = voters
+            .iter()
+            .all(|voter| unanswered(voter) < ALL_PRESENT_WITHIN_S);
+        let removed = former_incarnation.or(replaceable).copied();
+        let has_room = all_present && voters.len() < MAX_VOTERS;
+        (removed.is_some() || has_room).then(|| {
+            self.hard_state
+                .state
+                .voters
+                .replacing(Some(joining), removed)
+        })
+    }
+
+    /// The voters without one that asks to leave or no longer answers; none if there is no such
+    /// voter, or too few would be left.
+    fn next_removal(&mut self, now: f64) -> Option<Vec<Voter>> {
+        let voters = self.voters().to_vec();
+        self.voter_changes
+            .leave_requests
+            .retain(|voter| voters.contains(voter));
+        if !self.can_remove_voter() {
+            self.voter_changes.leave_requests.clear();
+            return None;
+        }
+        let leaving = self.voter_changes.leave_requests.pop();
+        let is_absent = |voter: &Voter| self.seconds_unanswered(now, *voter) > REMOVED_AFTER_S;
+        let removed = leaving.or_else(|| voters.into_iter().find(is_absent))?;
+        Some(self.hard_state.state.voters.replacing(None, Some(removed)))
+    }
+
+    /// For how many seconds a voter has answered no heartbeat of this leader.
+    fn seconds_unanswered(&self, now: f64, voter: Voter) -> f64 {
+        let Role::Leader(leader) = &self.role else {
+            return 0.0;
+        };
+        if voter == self.me {
+            return 0.0;
+        }
+        let last_answered = leader
+            .progress
+            .get(&voter)
+            .map_or(leader.elected_at, |progress| {
+                progress
+                    .answered_heartbeat_sent_at
+                    .max(progress.tracked_since)
+            });
+        now - last_answered
+    }
+
+    /// Whether a machine has accepted a state under this leader's term.
+    fn has_accepted_state(&self, voter: Voter) -> bool {
+        let Role::Leader(leader) = &self.role else {
+            return false;
+        };
+        leader
+            .progress
+            .get(&voter)
+            .is_some_and(|progress| progress.accepted_version.is_some())
+    }
+}
+
+fn comma_separated(voters: &[Voter]) -> String {
+    let names: Vec<String> = voters.iter().map(Voter::to_string).collect();
+    names.join(",")
+}
