--- a/crates/core/control/src/change_history.rs
+++ b/crates/core/control/src/change_history.rs
@@ -1,4 +1,5 @@
-//! The newest changes of the agreed state, so that whoever holds a state of a moment ago is sent only what changed since.
+//! The newest changes of the state, so that a receiver with a recent state is sent a delta and not
+//! a snapshot.
 
 use crate::digest::Digest;
 use crate::state::{ConfigPayload, State, StateChange};
@@ -6,21 +7,24 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// So many changes are kept, at most.
+/// Largest number of changes that are remembered.
 const MAX_CHANGES: usize = 512;
-/// So many bytes of changes are kept, at most.
+/// Largest size of the remembered changes, in bytes.
 const MAX_BYTES: usize = 256 << 10;
+/// About how many bytes the fixed fields of a change take.
+const CHANGE_HEADER_BYTES: usize = 64;
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// The state to which the change was made.
-    before: Digest,
+    /// The state to which the change was applied, and its configuration epoch.
+    digest_before: Digest,
     epoch_before: u64,
     change: Rc<StateChange>,
     bytes: usize,
 }
 
-/// Changes that follow each other, up to the state that is held now. In memory only: a machine that restarts begins anew.
+/// Consecutive changes that lead to the present state, the oldest first. They are in memory only:
+/// after a restart the history is empty.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeHistory {
     entries: VecDeque<Entry>,
@@ -28,11 +32,11 @@
 }
 
 impl ChangeHistory {
-    /// The state `before` was changed to the one that is held now.
-    pub fn push(&mut self, before: &State, before_digest: Digest, change: Rc<StateChange>) {
+    /// Records that `change` was applied to the state `before`, which makes the present state.
+    pub fn push(&mut self, before: &State, digest_before: Digest, change: Rc<StateChange>) {
         let bytes = size(&change);
         self.entries.push_back(Entry {
-            before: before_digest,
+            digest_before,
             epoch_before: before.config_epoch,
             change,
             bytes,
@@ -46,72 +50,72 @@
         }
     }
 
-    /// The state that is held now didn't come from the one before by changes that are known.
+    /// Forgets all changes, as the present state didn't come from the one before by a known change.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.bytes = 0;
     }
 
-    /// The changes since the state of this digest; none if it isn't one of those kept.
+    /// The changes since the state with this digest; none if they are not all remembered.
     pub fn since(&self, state: Digest) -> Option<Vec<Rc<StateChange>>> {
-        let at = self
+        let first = self
             .entries
             .iter()
-            .position(|entry| entry.before == state)?;
-        Some(
-            self.entries
-                .range(at..)
-                .map(|entry| entry.change.clone())
-                .collect(),
-        )
+            .position(|entry| entry.digest_before == state)?;
+        let changes = self.entries.range(first..);
+        Some(changes.map(|entry| entry.change.clone()).collect())
     }
 
-    /// The changes from the configuration of one epoch to that of another; none if they are not all known as differences.
-    /// What is held now may be ahead of what is agreed on, so where the changes end has to be said.
+    /// The deltas from the configuration of epoch `from` to that of epoch `to`; none if they are
+    /// not all remembered as deltas.
+    ///
+    /// `to` is needed as the present state may have a pending configuration, which must not be sent
+    /// to routers.
     pub fn config_deltas(&self, from: u64, to: u64) -> Option<Vec<Rc<TextDelta>>> {
-        let of = |entry: &Entry| match &*entry.change {
-            StateChange::Config {
-                epoch,
-                config: text,
-            } => Some((entry.epoch_before, *epoch, text.clone())),
+        let config_change = |entry: &Entry| match &*entry.change {
+            StateChange::Config { epoch, config } => {
+                Some((entry.epoch_before, *epoch, config.clone()))
+            }
             _ => None,
         };
-        let configs = self.entries.iter().filter_map(of);
-        let since = configs.skip_while(|(before, _, _)| *before != from);
-        let between: Vec<(u64, ConfigPayload)> = since
-            .map(|(_, epoch, text)| (epoch, text))
+        let changes: Vec<(u64, ConfigPayload)> = self
+            .entries
+            .iter()
+            .filter_map(config_change)
+            .skip_while(|(epoch_before, _, _)| *epoch_before != from)
+            .map(|(_, epoch, config)| (epoch, config))
             .take_while(|(epoch, _)| *epoch <= to)
             .collect();
-        if between.last().is_none_or(|(epoch, _)| *epoch != to) {
+        if changes.last().is_none_or(|(epoch, _)| *epoch != to) {
             return None;
         }
-        let difference = |(_, text): (u64, ConfigPayload)| match text {
-            ConfigPayload::Delta(difference) => Some(difference),
+        let delta = |(_, config): (u64, ConfigPayload)| match config {
+            ConfigPayload::Delta(delta) => Some(delta),
             ConfigPayload::Full(_) => None,
         };
-        between.into_iter().map(difference).collect()
+        changes.into_iter().map(delta).collect()
     }
 
-    /// About how many bytes these changes take.
+    /// About how many bytes these changes take when encoded.
     pub fn size_of(changes: &[Rc<StateChange>]) -> usize {
         changes.iter().map(|change| size(change)).sum()
     }
 }
 
 fn size(change: &StateChange) -> usize {
-    const FIELDS: usize = 64;
     match change {
         StateChange::Config {
             config: ConfigPayload::Full(text),
             ..
-        } => FIELDS + text.len(),
+        } => CHANGE_HEADER_BYTES + text.len(),
         StateChange::Config {
-            config: ConfigPayload::Delta(difference),
+            config: ConfigPayload::Delta(delta),
             ..
-        } => FIELDS + difference.size(),
+        } => CHANGE_HEADER_BYTES + delta.size(),
         StateChange::Primary { service, primary } => {
-            FIELDS + service.len() + primary.server_id.len()
+            CHANGE_HEADER_BYTES + service.len() + primary.server_id.len()
         }
-        StateChange::Voters(_) => 4 * FIELDS,
+        // A voter set has a dozen bytes a voter.
+        StateChange::Voters(_) => 4 * CHANGE_HEADER_BYTES,
     }
 }
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -30,7 +30,7 @@
         let action = FailoverAction::Promote {
             server_id: choice.to.clone(),
         };
-        self.pending.sent(now, &choice.to);
+        self.pending.record_sent(now, &choice.to);
         self.phase = Phase::Promoting(PromotionAttempt {
             choice,
             posted: now,
@@ -41,7 +41,7 @@
 
     /// How a call to promote this server has ended.
     pub fn promoted(&mut self, now: f64, id: &str, outcome: PromotionOutcome) {
-        if !self.pending.ended(now, id, outcome) {
+        if !self.pending.record_outcome(now, id, outcome) {
             return;
         }
         let Phase::Promoting(PromotionAttempt { choice, posted, .. }) = &mut self.phase else {
@@ -101,7 +101,7 @@
             log::info!("event=promoted_is_silent id={to}");
             self.give_up(actions);
         } else if now - promotion.posted > POST_AGAIN_S {
-            self.pending.sent(now, to);
+            self.pending.record_sent(now, to);
             actions.push(FailoverAction::Promote {
                 server_id: to.clone(),
             });
--- a/crates/core/control/src/lib.rs
+++ b/crates/core/control/src/lib.rs
@@ -1,7 +1,18 @@
-//! The decisions of control: agreement, members, leases, failover; no I/O, no clock.
+//! The control plane's decisions: consensus, membership of servers, leases of routers, failover.
 //!
-//! Seconds are handed in, of the steady clock of the machine on which this runs. What is to be done comes out as a list
-//! of [`Output`] in the order in which it must happen: whatever is to be on disk stands before what relies on it.
+//! No I/O and no clock, so that a simulation can run the same code. [`Controller`] is the entry
+//! point; the pooler process (`badgerstream-pooler`) owns one on each control machine and passes in
+//! messages, results and the seconds of the machine's steady clock. It gets a list of [`Output`]s
+//! to carry out in their order: a write to disk stands before all that relies on it.
+//!
+//! - `consensus`, `voter_set`, `term`: agreement on one [`State`], and who leads
+//! - `state`, `text_delta`, `change_history`, `digest`: the agreed state, its changes, and deltas
+//!   of it
+//! - `members`: the database servers by their heartbeats
+//! - `leases`: the leases of routers, which cover the grants of primaries
+//! - `failover`, `promotion`: the change of a service's primary
+//! - `controller`: what joins them
+//! - `message`: the messages between processes
 
 mod change_history;
 mod consensus;
@@ -35,7 +46,7 @@
 };
 pub use promotion::PromotionOutcome;
 pub use state::{
-    APPLIED_CONFIGS_KEPT, AppliedConfig, ConfigPayload, PrimaryRecord, ReplaceVerdict, State,
+    AppliedConfig, ConfigPayload, MAX_APPLIED_CONFIGS, PrimaryRecord, ReplaceVerdict, State,
     StateChange,
 };
 pub use term::Term;
--- a/crates/core/control/src/message.rs
+++ b/crates/core/control/src/message.rs
@@ -1,4 +1,8 @@
-//! What the system's processes tell each other.
+//! The messages between the processes of the system: among control machines, and between them and
+//! routers.
+//!
+//! They are encoded with bincode: the order of variants and fields is part of the format and must
+//! not change. The messages of the consensus protocol are in [`crate::ConsensusMessage`].
 
 use crate::consensus::ConsensusMessage;
 use crate::state::ConfigPayload;
@@ -8,188 +12,196 @@
 use bincode::{Decode, Encode};
 use std::rc::Rc;
 
-/// Names a call that one control machine passes on to another: no two lives of a process make the same.
+/// Names a request that one control machine forwards to another; unique also among the incarnations
+/// of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct RequestId {
-    /// The life of the process that passes it on.
+    /// The incarnation of the process that forwards it.
     pub process_incarnation: u64,
-    /// Counts its calls.
+    /// The number of the request in that incarnation.
     pub sequence: u64,
 }
 
-/// A call that only the leader can settle.
+/// A request of the HTTP API that only the leader can answer.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum LeaderRequest {
-    /// A configuration of this epoch, building on that version.
+    /// `PUT` of a configuration.
     ReplaceConfig {
-        /// The version on which it builds.
+        /// The epoch of the configuration that it builds on.
         base_epoch: u64,
-        /// Its epoch.
+        /// The epoch of the new configuration.
         epoch: u64,
-        /// Its text, against the configuration that the sender holds.
+        /// The text, complete or as a delta to the configuration that the sender has.
         config: ConfigPayload,
     },
-    /// The newest configuration.
+    /// `GET` of the present configuration.
     ReadConfig,
 }
 
-/// Between control machines.
+/// A message between control machines.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
-    /// To agree.
+    /// A message of the consensus protocol.
     Consensus(ConsensusMessage),
-    /// What is known of database servers; the sender may wait to hear that it is kept.
+    /// What the sender learnt of database servers.
     MembersUpdate {
-        /// To be answered with [`PeerMessage::MembersUpdateAck`]; none if nobody waits.
+        /// To be acknowledged with [`PeerMessage::MembersUpdateAck`] once persisted; none if no
+        /// acknowledgement is needed.
         update_id: Option<u64>,
-        /// The servers.
+        /// The database servers.
         members: Vec<MemberInfo>,
     },
-    /// The servers of that round are known here now.
+    /// The servers of a [`PeerMessage::MembersUpdate`] are persisted.
     MembersUpdateAck {
-        /// The round.
+        /// The number of the update.
         update_id: u64,
     },
-    /// A new leader asks for all that is known of database servers.
+    /// A new leader requests all that the receiver knows of database servers.
     MembersSnapshotRequest {
-        /// Its ballot.
+        /// The term of the leader.
         term: Term,
     },
-    /// All that is known here.
+    /// Answer to [`PeerMessage::MembersSnapshotRequest`]: all that the sender knows.
     MembersSnapshot {
-        /// The ballot of the leader that asked.
+        /// The term of the leader that requested it.
         term: Term,
-        /// The servers.
+        /// The database servers.
         members: Vec<MemberInfo>,
     },
-    /// A call that this machine can't settle.
+    /// A request of a client of the sender, for the leader to answer.
     ForwardedRequest {
-        /// Its number.
+        /// The id of the request.
         id: RequestId,
-        /// The call.
+        /// The request.
         request: LeaderRequest,
     },
-    /// The text of a call can't be read here: it is to be sent whole.
+    /// The delta in a forwarded request applies to a configuration that the sender doesn't have:
+    /// the request is to be forwarded again with the complete text.
     FullConfigRequest {
-        /// The number of the call.
+        /// The id of the request.
         id: RequestId,
     },
-    /// The answer to a call.
+    /// Answer to a [`PeerMessage::ForwardedRequest`].
     ForwardedResponse {
-        /// The number of the call.
+        /// The id of the request.
         id: RequestId,
-        /// As in HTTP.
+        /// The HTTP status.
         status: u16,
-        /// The body.
+        /// The HTTP body.
         body: Rc<[u8]>,
     },
 }
 
-/// A database server as the control machines tell it.
+/// What control machines tell each other, and routers, of a database server.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberInfo {
-    /// Its id, unique for good.
+    /// The server's id; never used again for another server.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service to which it belongs.
     pub service: String,
-    /// Address and port.
+    /// Address and port, for connections of routers.
     pub endpoint: String,
-    /// Its zone.
+    /// Its zone (failure domain).
     pub zone: String,
-    /// How much it works on at once.
+    /// The number of statements that it runs at once.
     pub slots: u32,
-    /// It leaves.
+    /// It shuts down gracefully, and is to get no new statements.
     pub draining: bool,
-    /// It has left, or fell silent.
+    /// It has left, or its heartbeats timed out.
     pub departed: bool,
-    /// The number of the call that told it: higher ones are newer.
+    /// The number of the heartbeat call that brought this; a higher one is newer.
     pub call_seq: u64,
 }
 
-/// Which server may be used as primary.
+/// Which server routers may use as the primary of a service, while they have a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PrimaryGrant {
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The server's id; empty while none is known.
     pub server_id: String,
-    /// The term that it leads.
+    /// The primary term that it leads.
     pub primary_term: u64,
-    /// Not to be used: a change is under way.
+    /// The grant is being taken back: the primary must no longer be used.
     pub revoking: bool,
 }
 
-/// What a router saw of a primary.
+/// What a router saw of a primary. The leader asks for it when it has no answers of the primary
+/// itself.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct HealthReport {
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The server's id.
     pub server_id: String,
-    /// Seconds since its last answer.
+    /// Seconds since the router last had an answer of the server.
     pub answered_seconds_ago: f64,
 }
 
-/// From a router to control: asks for the lease again, and tells up to where it knows the news.
+/// Router to control machine: requests a new lease, and acknowledges updates.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LeaseRequest {
     /// The router's name.
     pub router: String,
-    /// Drawn at its start: a new one means that all the old one held is gone.
+    /// A random number drawn at the router's start: a router with a new one has lost its lease and
+    /// all updates.
     pub process_incarnation: u64,
     /// When this was sent, in seconds of the router's clock.
     pub sent_at: f64,
-    /// The leader whose news it knows, and up to which number.
+    /// The newest update that it has: the term of the leader that sent it, and its number.
     pub update_watermark: (Term, u64),
-    /// The configuration it goes by.
+    /// The epoch of the configuration that it uses.
     pub config_epoch: u64,
-    /// What it saw of the servers of services that control asked about.
+    /// What it saw of the primaries of the services that [`RouterMessage::Update`] asked about.
     pub health_reports: Vec<HealthReport>,
 }
 
-/// A newer configuration, for a router.
+/// A newer configuration for a router.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConfigUpdate {
-    /// All of it.
+    /// The complete text.
     Full(Rc<[u8]>),
-    /// What has changed since the one that the router goes by, one change after the other.
+    /// The deltas from the one that the router uses, to be applied in order.
     Deltas(Vec<Rc<TextDelta>>),
 }
 
 impl ConfigUpdate {
-    /// The text, for a router that goes by `held`; none if the changes were not made for that.
-    pub fn resolve(&self, held: &[u8]) -> Option<Rc<[u8]>> {
+    /// The complete text, for a router that uses `current`; none if the deltas are from another
+    /// configuration.
+    pub fn resolve(&self, current: &[u8]) -> Option<Rc<[u8]>> {
         match self {
             ConfigUpdate::Full(text) => Some(text.clone()),
-            ConfigUpdate::Deltas(changes) => {
-                let mut text = held.to_vec();
-                for change in changes {
-                    text = change.apply(&text)?;
-                }
-                Some(text.into())
-            }
+            ConfigUpdate::Deltas(deltas) => deltas
+                .iter()
+                .try_fold(current.to_vec(), |text, delta| delta.apply(&text))
+                .map(Rc::from),
         }
     }
 }
 
-/// From control to a router.
+/// Control machine to router.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum RouterMessage {
-    /// Another machine leads.
+    /// The sender doesn't lead, so it can give no lease.
     NotLeader {
+        /// The leader, if the sender knows it.
         leader: Option<NodeId>,
+        /// The voters as far as the sender knows them.
         voters: Vec<NodeId>,
     },
-    /// News, or the answer to a renewal: an answer carries the lease and no news.
+    /// Changes that the router needs, or the answer to a [`LeaseRequest`]; an answer carries the
+    /// lease and no changes.
     Update {
-        /// Who tells it, and up to which number the router knows the news once it has taken this; it may know more already.
+        /// The term of the leader, and the number of the newest update that the router has once it
+        /// has applied this one. It may have a newer one already.
         update_watermark: (Term, u64),
-        /// The call that this answers, as it was sent; none for news.
+        /// `sent_at` of the request that this answers, in seconds of the router's clock; none if it
+        /// answers none.
         request_sent_at: Option<f64>,
-        /// The lease on all grants that the router was told of runs for so many seconds from when the call was sent; 0 for
-        /// none.
+        /// Seconds from `request_sent_at` for which the router has a lease on all grants it knows
+        /// of; 0 for no lease.
         lease_duration: f64,
-        /// All before is to be forgotten: these are all there are.
+        /// Whether this replaces all that the router knows, and isn't added to it.
         is_snapshot: bool,
         /// Grants that changed.
         grants: Vec<PrimaryGrant>,
@@ -197,11 +209,12 @@
         members: Vec<MemberInfo>,
         /// A newer configuration.
         config: Option<ConfigUpdate>,
-        /// The machines that decide.
+        /// The voters.
         voters: Vec<NodeId>,
-        /// How many routers share the servers; 0 while the leader doesn't know yet.
+        /// The number of routers that share the servers; 0 while the leader doesn't know it yet.
         router_count: u32,
-        /// Services of whose primary the leader had no answer for a while: the router tells what it saw of these.
+        /// Services of whose primaries the leader had no answers for a while: the router is to
+        /// report what it saw of them.
         health_reports_wanted: Vec<String>,
     },
 }
--- a/crates/core/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -1,49 +1,56 @@
-//! The call that makes another server the primary: what its end proves, and for how long a copy of it may still take
-//! effect.
+//! The call to the platform that promotes a server: what its outcome proves, and for how long it
+//! may still take effect.
+//!
+//! [`PendingPromotion`] belongs to the failover of one service ([`crate::failover`]), on the leader
+//! only. The table of all such calls and what late ones can do is in `docs/design/calls.md`.
 
 use badgerstream_line_protocol::Verdict;
 use std::collections::BTreeMap;
 
-/// A call without a clear answer may take effect for so long after it was given up, in seconds. Its connection is reset
-/// when it is given up, so only a platform that has read it whole and is slow can still run it.
-const SETTLING_S: f64 = 1.0;
-/// A server that the platform has just refused to promote is named again after so many seconds at the earliest.
-const REFUSED_S: f64 = 1.0;
+/// A call without a clear outcome may take effect for so many seconds after it was given up. Its
+/// connection is reset then, so only a platform that has read the complete call and is slow can
+/// still run it.
+const LATE_EFFECT_S: f64 = 1.0;
+/// A server that the platform has refused to promote is tried again after so many seconds at the
+/// earliest.
+const REFUSAL_BACKOFF_S: f64 = 1.0;
 /// A call is given up after so many seconds.
-const CALL_S: f64 = 1.0;
+const CALL_TIMEOUT_S: f64 = 1.0;
 
-/// How a call to the platform has ended.
+/// The outcome of a call to the platform, as the platform's HTTP API describes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionOutcome {
     /// 2xx: the named server is the primary, or will be within some hundred milliseconds.
     Accepted,
-    /// 409: nothing was changed, since a newer holder has called or the named server isn't running.
+    /// 409: nothing was changed, as a higher fencing token was seen or the named server isn't
+    /// running.
     Refused,
-    /// 429: nothing was changed, too many calls; later.
+    /// 429: nothing was changed, as there were too many calls; to be repeated later.
     RateLimited,
-    /// Another 4xx: nothing was changed, and the same call will fare no better.
+    /// Another 4xx: nothing was changed, and the same call would be rejected again.
     Rejected,
-    /// No byte of it was sent: the platform can't be reached, or this machine may no longer call it.
+    /// No byte was sent: the platform can't be reached, or this machine may no longer call it.
     NotSent,
-    /// A 5xx, or no answer: it may have happened, or may yet. Servers tell it by their `STATUS`.
+    /// A 5xx, or no answer: the server may have been promoted, or may yet be. Its `STATUS` will
+    /// tell.
     Unknown,
 }
 
 impl PromotionOutcome {
-    /// What the status of the platform's answer proves.
-    pub fn of_status(status: u16) -> PromotionOutcome {
+    /// The outcome of a call that was answered with this HTTP status.
+    pub fn from_status(status: u16) -> PromotionOutcome {
         match status {
             200..300 => PromotionOutcome::Accepted,
             409 => PromotionOutcome::Refused,
             429 => PromotionOutcome::RateLimited,
-            // A 408 comes of waiting, which proves nothing.
+            // A proxy may answer 408 (time-out) while the platform still runs the call.
             408 => PromotionOutcome::Unknown,
             400..500 => PromotionOutcome::Rejected,
             _ => PromotionOutcome::Unknown,
         }
     }
 
-    /// Whether the call has run at the platform.
+    /// Whether the platform has run the call.
     pub fn verdict(self) -> Verdict {
         match self {
             PromotionOutcome::Accepted => Verdict::Ran,
@@ -56,33 +63,34 @@
     }
 }
 
-/// The promotions of one service that this leader asked for and that may still take effect.
+/// The promotions of one service that this leader requested and that may still take effect.
 ///
-/// Two calls for the same server do no harm in any order: the second one finds it the primary. A call for another server
-/// must not be sent while one of the first may still be run after it, as the platform would then take the lead from the
-/// second server, whose commits the first one lacks. The fence does not tell the two apart: it is the same for both.
+/// Two calls for the same server are harmless in any order: the second one finds it the primary. A
+/// call for another server must not be sent while an earlier one may still run after it: the
+/// platform would then make the first server the primary again, which lacks the commits of the
+/// second one. The fencing token doesn't prevent that, as both calls carry the same one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingPromotion {
-    /// The server that the newest call names.
+    /// The id of the server that the newest call names.
     server: String,
-    /// How many calls have not ended yet.
+    /// The number of calls without an outcome yet.
     in_flight: u32,
-    /// When the newest call was decided on.
+    /// When the newest call was sent.
     sent_at: f64,
-    /// The servers that the platform has refused to promote, and when.
-    refused: BTreeMap<String, f64>,
-    /// Calls that ended without a clear answer may take effect until this second.
-    unclear_until: f64,
+    /// When the platform last refused to promote a server, by server id.
+    refusals: BTreeMap<String, f64>,
+    /// Until when calls without a clear outcome may take effect.
+    late_effect_until: f64,
 }
 
 impl PendingPromotion {
-    /// A call for this server is sent.
-    pub fn sent(&mut self, now: f64, server: &str) {
+    /// Records that a call for `server` is sent.
+    pub fn record_sent(&mut self, now: f64, server: &str) {
         if self.server != server {
-            let refused = std::mem::take(&mut self.refused);
+            let refusals = std::mem::take(&mut self.refusals);
             *self = PendingPromotion {
                 server: server.to_owned(),
-                refused,
+                refusals,
                 ..PendingPromotion::default()
             };
         }
@@ -90,35 +98,37 @@
         self.sent_at = now;
     }
 
-    /// The call for this server has ended; false if it isn't the one that is waited for.
-    pub fn ended(&mut self, now: f64, server: &str, outcome: PromotionOutcome) -> bool {
+    /// Records the outcome of a call for `server`; false if no call for it is pending.
+    pub fn record_outcome(&mut self, now: f64, server: &str, outcome: PromotionOutcome) -> bool {
         if self.server != server || self.in_flight == 0 {
             return false;
         }
         self.in_flight -= 1;
         if outcome == PromotionOutcome::Refused {
-            self.refused.insert(server.to_owned(), now);
+            self.refusals.insert(server.to_owned(), now);
         }
         if outcome.verdict() == Verdict::MayHaveRun {
-            self.unclear_until = now + SETTLING_S;
+            self.late_effect_until = now + LATE_EFFECT_S;
         }
         true
     }
 
-    /// Whether a call may still take effect after one that is sent now.
+    /// Whether an earlier call may still take effect after one that is sent now.
     fn may_take_effect(&self, now: f64) -> bool {
-        let in_flight = self.in_flight > 0 && now < self.sent_at + CALL_S + SETTLING_S;
-        in_flight || now < self.unclear_until
+        let is_in_flight =
+            self.in_flight > 0 && now < self.sent_at + CALL_TIMEOUT_S + LATE_EFFECT_S;
+        is_in_flight || now < self.late_effect_until
     }
 
-    /// Whether the platform has refused a moment ago to promote this server.
+    /// Whether the platform refused to promote `server` a moment ago.
     pub fn is_refused(&self, now: f64, server: &str) -> bool {
-        self.refused
+        self.refusals
             .get(server)
-            .is_some_and(|at| now < at + REFUSED_S)
+            .is_some_and(|refused_at| now < refused_at + REFUSAL_BACKOFF_S)
     }
 
-    /// Whether this server may be promoted now: no other one may be made the primary after it.
+    /// Whether a call for `server` may be sent now: no earlier call for another server can take
+    /// effect after it.
     pub fn permits(&self, now: f64, server: &str) -> bool {
         !self.is_refused(now, server) && (self.server == server || !self.may_take_effect(now))
     }
--- a/crates/core/control/src/state.rs
+++ b/crates/core/control/src/state.rs
@@ -1,4 +1,8 @@
-//! What the control machines agree on, and the changes from one such state to the next.
+//! The state that the control machines agree on, and the changes from one state to the next.
+//!
+//! Only the leader changes it, by [`crate::Consensus::propose`]; a [`State`] itself is never
+//! modified, each change makes a new one. State and changes are encoded with bincode, on disk and
+//! between machines: the order of fields and variants is part of the format and must not change.
 
 use crate::digest::Digest;
 use crate::text_delta::TextDelta;
@@ -7,114 +11,123 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// So many configurations are remembered, so that a repeated order is told from one that came too late.
-pub const APPLIED_CONFIGS_KEPT: usize = 1024;
+/// Number of applied configurations that are remembered, to tell a repeated request from an
+/// outdated one.
+pub const MAX_APPLIED_CONFIGS: usize = 1024;
 
-/// A state is no longer than this on a link or a disk, in bytes.
-const MAX_BYTES: usize = 16 << 20;
+/// Largest encoded state that is decoded, in bytes; it bounds what a damaged length can make us
+/// reserve.
+const MAX_ENCODED_BYTES: usize = 16 << 20;
 
-/// The server that is, or is about to be, the primary of a service: the one with this id, once it leads a term above
-/// that one. Agreed on before the platform is asked to promote, so that whoever takes over knows of it; and again with
-/// the term that it leads, once no router can use another.
+/// The server that is, or is about to be, the primary of a service: it is, once it reports a
+/// primary term above `min_term`.
+///
+/// The record is committed before the platform is asked to promote the server, so that the next
+/// leader knows of the promotion. It is committed again, with the server's own term, once the
+/// promotion is complete and no router can use another server as the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PrimaryRecord {
-    /// Its id.
+    /// The server's id.
     pub server_id: String,
-    /// The highest term known when it was chosen; its own once the change to it is complete.
+    /// The highest primary term known when the server was chosen; its own primary term once the
+    /// promotion is complete.
     pub min_term: u64,
 }
 
-/// An order that was taken.
+/// A configuration that was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AppliedConfig {
-    /// The epoch of its configuration.
+    /// The epoch of the configuration.
     pub epoch: u64,
-    /// The digest of its body.
+    /// The digest of the body of its request.
     pub digest: Digest,
 }
 
-/// The whole of it, one value.
+/// The one value that the control machines agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct State {
-    /// Rises with every change.
+    /// The number of the state: each change adds one.
     pub version: u64,
-    /// Who decides.
+    /// The machines whose votes count.
     pub voters: VoterSet,
-    /// The configuration's epoch; 0 before the first.
+    /// The epoch of the configuration; 0 before the first one.
     pub config_epoch: u64,
-    /// The configuration as the operator sent it.
+    /// The configuration, in JSON as the operator sent it.
     pub config: Rc<[u8]>,
-    /// Orders that were taken, the newest last; the oldest are forgotten beyond [`APPLIED_CONFIGS_KEPT`].
+    /// The newest configurations that were applied, the newest last; at most
+    /// [`MAX_APPLIED_CONFIGS`].
     pub applied_configs: Vec<AppliedConfig>,
-    /// Primaries by service, of services whose primary was changed by us.
+    /// Primaries by service, of the services whose primary this system has changed.
     pub primaries: BTreeMap<String, PrimaryRecord>,
 }
 
-/// What becomes of a configuration that is sent.
+/// What is to be done with a request to replace the configuration. See [`State::check_replace`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplaceVerdict {
-    /// It is the next one, to be agreed on.
+    /// It is to be proposed.
     Apply,
-    /// Just this one was taken before.
+    /// The same configuration was applied before: the request is a retry and succeeds without
+    /// effect.
     AlreadyApplied,
-    /// Another version is in place.
+    /// It builds on another configuration than the present one.
     Conflict,
-    /// Its epoch is not above the current one's.
+    /// Its epoch is not above that of the present configuration.
     Stale,
-    /// So old that nothing is known any more of orders of its time.
+    /// It is older than all remembered configurations, so whether it was applied is not known.
     Unknown,
 }
 
-/// One change of the state.
+/// One change of the state, as it is proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum StateChange {
-    /// A configuration, as the operator sent it.
+    /// Replaces the configuration.
     Config {
-        /// Its epoch.
+        /// The epoch of the new configuration.
         epoch: u64,
-        /// Its text.
+        /// The text of the new configuration.
         config: ConfigPayload,
     },
-    /// The primary of a service.
+    /// Sets the primary of a service.
     Primary {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// Its primary.
+        /// Its new primary.
         primary: PrimaryRecord,
     },
-    /// Who decides.
+    /// Replaces the voter set.
     Voters(VoterSet),
 }
 
-/// A text, whole or against another one that the receiver has.
+/// The text of a configuration, complete or as a delta to one that the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConfigPayload {
-    /// All of it.
+    /// The complete text.
     Full(Rc<[u8]>),
-    /// What is other than in the configuration before.
+    /// The delta from another configuration.
     Delta(Rc<TextDelta>),
 }
 
 impl ConfigPayload {
-    /// The cheaper way to send `new` to whoever has `old`.
-    pub fn relative_to(old: &[u8], new: &Rc<[u8]>) -> ConfigPayload {
-        match TextDelta::between(old, new) {
-            Some(difference) => ConfigPayload::Delta(Rc::new(difference)),
-            None => ConfigPayload::Full(new.clone()),
+    /// The smaller form of `text`, for a receiver that has `base`.
+    pub fn relative_to(base: &[u8], text: &Rc<[u8]>) -> ConfigPayload {
+        match TextDelta::between(base, text) {
+            Some(delta) => ConfigPayload::Delta(Rc::new(delta)),
+            None => ConfigPayload::Full(text.clone()),
         }
     }
 
-    /// The text, for whoever has `old`; none if `old` isn't the one against which it was written.
-    pub fn resolve(&self, old: &[u8]) -> Option<Rc<[u8]>> {
+    /// The complete text, for a receiver that has `base`; none if it is a delta from another text.
+    pub fn resolve(&self, base: &[u8]) -> Option<Rc<[u8]>> {
         match self {
             ConfigPayload::Full(text) => Some(text.clone()),
-            ConfigPayload::Delta(difference) => difference.apply(old).map(Rc::from),
+            ConfigPayload::Delta(delta) => delta.apply(base).map(Rc::from),
         }
     }
 }
 
 impl State {
-    /// The state of machines that start for the first time.
+    /// The state on empty disks, of a system that starts for the first time with the voters
+    /// `nodes`.
     pub fn founding(nodes: Vec<NodeId>) -> State {
         State {
             voters: VoterSet::founding(nodes),
@@ -122,19 +135,26 @@
         }
     }
 
-    /// What is to be done with a valid configuration of this epoch that builds on that version.
-    pub fn check_replace(&self, base: u64, epoch: u64, body: &[u8]) -> ReplaceVerdict {
+    /// What is to be done with a valid configuration of `epoch` that builds on the one of
+    /// `base_epoch`.
+    ///
+    /// A retry is recognised first, so that a request whose answer was lost can be repeated however
+    /// much later.
+    pub fn check_replace(&self, base_epoch: u64, epoch: u64, body: &[u8]) -> ReplaceVerdict {
         let digest = Digest::of(body);
-        let oldest = self.applied_configs.first().map_or(0, |order| order.epoch);
-        let forgets = self.applied_configs.len() >= APPLIED_CONFIGS_KEPT;
+        let oldest_epoch = self
+            .applied_configs
+            .first()
+            .map_or(0, |applied| applied.epoch);
+        let has_forgotten = self.applied_configs.len() >= MAX_APPLIED_CONFIGS;
         if self
             .applied_configs
             .contains(&AppliedConfig { epoch, digest })
         {
             ReplaceVerdict::AlreadyApplied
-        } else if forgets && epoch < oldest {
+        } else if has_forgotten && epoch < oldest_epoch {
             ReplaceVerdict::Unknown
-        } else if base != self.config_epoch {
+        } else if base_epoch != self.config_epoch {
             ReplaceVerdict::Conflict
         } else if epoch <= self.config_epoch {
             ReplaceVerdict::Stale
@@ -143,7 +163,7 @@
         }
     }
 
-    /// The change to this configuration.
+    /// The change that replaces the configuration by `body`.
     pub fn config_change(&self, epoch: u64, body: &Rc<[u8]>) -> StateChange {
         StateChange::Config {
             epoch,
@@ -151,40 +171,39 @@
         }
     }
 
-    /// The state after this change; none if the change was not made for this state.
+    /// The state after `change`; none if the change holds a delta from another configuration than
+    /// this state has.
     pub fn apply(&self, change: &StateChange) -> Option<State> {
         let mut next = State {
             version: self.version + 1,
             ..self.clone()
         };
         match change {
-            StateChange::Config {
-                epoch,
-                config: text,
-            } => {
-                next.config = text.resolve(&self.config)?;
+            StateChange::Config { epoch, config } => {
+                next.config = config.resolve(&self.config)?;
                 next.config_epoch = *epoch;
                 next.applied_configs.push(AppliedConfig {
                     epoch: *epoch,
                     digest: Digest::of(&next.config),
                 });
-                let forgotten = next
+                let excess = next
                     .applied_configs
                     .len()
-                    .saturating_sub(APPLIED_CONFIGS_KEPT);
-                next.applied_configs.drain(..forgotten);
+                    .saturating_sub(MAX_APPLIED_CONFIGS);
+                next.applied_configs.drain(..excess);
             }
             StateChange::Primary { service, primary } => {
                 next.primaries.insert(service.clone(), primary.clone());
             }
-            StateChange::Voters(membership) => next.voters = membership.clone(),
+            StateChange::Voters(voters) => next.voters = voters.clone(),
         }
         Some(next)
     }
 
-    /// Stands for the whole state: equal digests mean equal states.
+    /// The digest of the state: two states with the same digest are equal.
     pub fn digest(&self) -> Digest {
-        // The configuration stands in the newest order by its digest.
+        // The configuration is left out, as the newest of the applied configurations has its
+        // digest.
         let parts = (
             self.version,
             &self.voters,
@@ -193,21 +212,19 @@
             &self.primaries,
         );
         let bytes = bincode::encode_to_vec(parts, bincode::config::standard());
-        Digest::of(&bytes.expect("a state can be written to memory"))
+        Digest::of(&bytes.expect("a state has no type that bincode can't encode"))
     }
 
-    /// As bytes, for disks and links.
+    /// The state in bincode, as it is written to disk.
     pub fn encode(&self) -> Vec<u8> {
         bincode::encode_to_vec(self, bincode::config::standard())
-            .expect("a state can be written to memory")
+            .expect("a state has no type that bincode can't encode")
     }
 
-    /// From bytes; none if they are not a whole state.
+    /// Decodes a state in bincode; none if `bytes` are not exactly one state.
     pub fn decode(bytes: &[u8]) -> Option<State> {
-        let limits = bincode::config::standard().with_limit::<MAX_BYTES>();
-        let read = bincode::decode_from_slice(bytes, limits);
-        read.ok()
-            .filter(|(_, used)| *used == bytes.len())
-            .map(|(state, _)| state)
+        let limits = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
+        let (state, read_bytes) = bincode::decode_from_slice(bytes, limits).ok()?;
+        (read_bytes == bytes.len()).then_some(state)
     }
 }
--- a/crates/core/control/src/tests/agreement.rs
+++ b/crates/core/control/src/tests/agreement.rs
@@ -2,7 +2,7 @@
 
 use super::net::{CONTACT, Net, SUSPECT};
 use crate::consensus::{Consensus, ConsensusConfig, ConsensusMessage, ConsensusOutput, HardState};
-use crate::state::{APPLIED_CONFIGS_KEPT, ReplaceVerdict, State};
+use crate::state::{MAX_APPLIED_CONFIGS, ReplaceVerdict, State};
 use crate::voter_set::{FOUNDING_INCARNATION, NodeId, Voter};
 use arbtest::arbtest;
 use std::collections::HashSet;
@@ -515,10 +515,10 @@
     assert_eq!(State::decode(&third.encode()[1..]), None);
     // An order is remembered through a thousand others; of one that is forgotten neither yes nor no is said.
     let mut many = third;
-    for epoch in 10..9 + APPLIED_CONFIGS_KEPT as u64 {
+    for epoch in 10..9 + MAX_APPLIED_CONFIGS as u64 {
         many = take(&many, epoch, b"m");
     }
-    assert_eq!(many.applied_configs.len(), APPLIED_CONFIGS_KEPT);
+    assert_eq!(many.applied_configs.len(), MAX_APPLIED_CONFIGS);
     assert_eq!(
         many.check_replace(5, 9, b"z"),
         ReplaceVerdict::AlreadyApplied
@@ -529,6 +529,6 @@
         ReplaceVerdict::Conflict
     );
     let more = take(&many, many.config_epoch + 1, b"m");
-    assert_eq!(more.applied_configs.len(), APPLIED_CONFIGS_KEPT);
+    assert_eq!(more.applied_configs.len(), MAX_APPLIED_CONFIGS);
     assert_eq!(more.check_replace(5, 9, b"z"), ReplaceVerdict::Unknown);
 }
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -29,7 +29,7 @@
         (500, Unknown, Verdict::MayHaveRun),
         (503, Unknown, Verdict::MayHaveRun),
     ] {
-        assert_eq!(PromotionOutcome::of_status(status), outcome, "{status}");
+        assert_eq!(PromotionOutcome::from_status(status), outcome, "{status}");
         assert_eq!(outcome.verdict(), verdict, "{status}");
     }
     assert_eq!(NotSent.verdict(), Verdict::NotRun);
@@ -39,13 +39,13 @@
 fn another_server_waits_for_a_call_without_a_clear_answer() {
     let mut pending = PendingPromotion::default();
     assert!(pending.permits(0.0, "b"));
-    pending.sent(0.0, "b");
+    pending.record_sent(0.0, "b");
     assert!(pending.permits(0.5, "b") && !pending.permits(1.9, "c"));
-    assert!(pending.ended(1.0, "b", PromotionOutcome::Unknown));
+    assert!(pending.record_outcome(1.0, "b", PromotionOutcome::Unknown));
     assert!(pending.permits(1.0, "b") && !pending.permits(1.9, "c") && pending.permits(2.1, "c"));
     // A second copy that was refused proves nothing of the first one.
-    pending.sent(1.2, "b");
-    assert!(pending.ended(1.3, "b", PromotionOutcome::Refused));
+    pending.record_sent(1.2, "b");
+    assert!(pending.record_outcome(1.3, "b", PromotionOutcome::Refused));
     assert!(!pending.permits(1.9, "c") && pending.permits(2.1, "c"));
     // The platform is not asked again and again for one that it says isn't running.
     assert!(!pending.permits(2.2, "b") && pending.permits(2.4, "b"));
@@ -60,8 +60,8 @@
         PromotionOutcome::NotSent,
     ] {
         let mut pending = PendingPromotion::default();
-        pending.sent(0.0, "b");
-        assert!(pending.ended(0.1, "b", outcome));
+        pending.record_sent(0.0, "b");
+        assert!(pending.record_outcome(0.1, "b", outcome));
         assert!(pending.permits(0.1, "c"), "{outcome:?}");
     }
 }
@@ -69,12 +69,12 @@
 #[test]
 fn an_answer_counts_only_for_the_server_that_is_waited_for() {
     let mut pending = PendingPromotion::default();
-    pending.sent(0.0, "b");
-    pending.sent(3.0, "c");
-    assert!(!pending.ended(3.1, "b", PromotionOutcome::Refused));
-    assert!(pending.ended(3.1, "c", PromotionOutcome::Accepted));
+    pending.record_sent(0.0, "b");
+    pending.record_sent(3.0, "c");
+    assert!(!pending.record_outcome(3.1, "b", PromotionOutcome::Refused));
+    assert!(pending.record_outcome(3.1, "c", PromotionOutcome::Accepted));
     assert!(
-        !pending.ended(3.2, "c", PromotionOutcome::Accepted),
+        !pending.record_outcome(3.2, "c", PromotionOutcome::Accepted),
         "nothing is under way"
     );
 }
--- a/crates/core/control/src/voter_set.rs
+++ b/crates/core/control/src/voter_set.rs
@@ -1,24 +1,29 @@
-//! Who decides: the set of voters, and how one set takes the place of another.
+//! The voters, and the joint sets through which one set of voters replaces another.
 //!
-//! A change goes through a joint set in which majorities of the old and of the new voters are needed, as in Raft's joint
-//! consensus. A voter that is gone is replaced by another in one such change, so nothing ever waits for it.
+//! While a change is under way, quorums need majorities of the outgoing and of the incoming voters:
+//! joint consensus (Raft thesis, 4.3). A voter that no longer answers is replaced in one such
+//! change, so nothing ever waits for it.
 
 use bincode::{Decode, Encode};
 
-/// A control machine: its IPv4 address.
+/// The address of a control machine: IPv4, the first byte of the address as the highest.
 pub type NodeId = u32;
 
-/// A machine together with one life of its disk. A machine that lost its disk comes back as another voter: it knows
-/// nothing of what it promised before, and isn't asked.
+/// A control machine in one incarnation of its disk.
+///
+/// A machine that lost its disk comes back as another voter. It no longer knows what it voted for
+/// and accepted, so the vote of its former incarnation is lost; it must not be given a second time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Voter {
     /// The machine's address.
     pub node: NodeId,
-    /// Drawn when its disk was first used; [`FOUNDING_INCARNATION`] on disks that were empty when the whole system first started.
+    /// A random number drawn when the disk was first used; [`FOUNDING_INCARNATION`] if that was at
+    /// the first start of the whole system.
     pub incarnation: u64,
 }
 
-/// The incarnation of the disks with which the system started: the founders can name each other without having met.
+/// The incarnation of the disks with which the system starts for the first time: the founding
+/// voters must know each other's incarnations before they have met.
 pub const FOUNDING_INCARNATION: u64 = 0;
 
 impl std::fmt::Display for Voter {
@@ -32,16 +37,17 @@
     }
 }
 
-/// The voters, and while a change is under way those before it.
+/// The voters, and while a change is under way also those before it (the joint voter set).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VoterSet {
+    /// The voters, in order; while a change is under way the incoming ones.
     voters: Vec<Voter>,
-    /// The voters before the change that is under way; empty if there is none.
+    /// The voters before the change that is under way, in order; empty if none is.
     outgoing: Vec<Voter>,
 }
 
 impl VoterSet {
-    /// Those who decide when the system starts for the first time.
+    /// The voters of a system that starts for the first time, on empty disks.
     pub fn founding(nodes: impl IntoIterator<Item = NodeId>) -> VoterSet {
         let founder = |node| Voter {
             node,
@@ -53,7 +59,7 @@
         }
     }
 
-    /// The voters; while a change is under way those to come.
+    /// The voters, in order; while a change is under way the incoming ones.
     pub fn voters(&self) -> &[Voter] {
         &self.voters
     }
@@ -63,44 +69,50 @@
         !self.outgoing.is_empty()
     }
 
-    /// Everybody whose word may count, each once.
+    /// All whose votes may count: the voters, then those that are only outgoing.
     pub fn all(&self) -> impl Iterator<Item = Voter> {
-        let leaving = self
+        let only_outgoing = self
             .outgoing
             .iter()
             .filter(|voter| !self.voters.contains(voter));
-        self.voters.iter().chain(leaving).copied()
+        self.voters.iter().chain(only_outgoing).copied()
     }
 
-    /// Whether this one's word may count.
+    /// Whether the vote of `voter` may count.
     pub fn contains(&self, voter: Voter) -> bool {
         self.voters.contains(&voter) || self.outgoing.contains(&voter)
     }
 
-    /// Whether those for whom this holds are a majority, of the old voters as well while a change is under way.
+    /// Whether the voters for which `holds` is true are a quorum: a majority of the voters, and
+    /// while a change is under way also of the outgoing ones.
     pub fn is_quorum(&self, holds: impl Fn(Voter) -> bool) -> bool {
-        let most =
-            |set: &[Voter]| set.iter().filter(|voter| holds(**voter)).count() > set.len() / 2;
+        let has_majority = |voters: &[Voter]| {
+            voters.iter().filter(|voter| holds(**voter)).count() > voters.len() / 2
+        };
         !self.voters.is_empty()
-            && most(&self.voters)
-            && (self.outgoing.is_empty() || most(&self.outgoing))
+            && has_majority(&self.voters)
+            && (self.outgoing.is_empty() || has_majority(&self.outgoing))
     }
 
-    /// The latest second up to which a quorum was heard, given when each was last heard.
-    pub fn quorum_time(&self, heard: impl Fn(Voter) -> f64) -> f64 {
-        let of = |set: &[Voter]| {
-            let mut times: Vec<f64> = set.iter().map(|voter| heard(*voter)).collect();
+    /// The latest time at which or after which each voter of some quorum was seen, given when each
+    /// was last seen. Minus infinity without voters.
+    pub fn quorum_time(&self, last_seen: impl Fn(Voter) -> f64) -> f64 {
+        let majority_time = |voters: &[Voter]| {
+            let mut times: Vec<f64> = voters.iter().map(|voter| last_seen(*voter)).collect();
             times.sort_by(|a, b| b.total_cmp(a));
-            times.get(set.len() / 2).copied()
+            times.get(voters.len() / 2).copied()
         };
-        let voters = of(&self.voters).unwrap_or(f64::NEG_INFINITY);
-        voters.min(of(&self.outgoing).unwrap_or(f64::INFINITY))
+        let incoming = majority_time(&self.voters).unwrap_or(f64::NEG_INFINITY);
+        let outgoing = majority_time(&self.outgoing).unwrap_or(f64::INFINITY);
+        incoming.min(outgoing)
     }
 
-    /// The joint set on the way to these voters; none while another change is under way.
+    /// The joint set on the way to `voters`; none while another change is under way, or if nothing
+    /// would change.
     pub fn joint_with(&self, voters: Vec<Voter>) -> Option<VoterSet> {
         let voters = sorted(voters);
-        (!self.is_joint() && !voters.is_empty() && voters != self.voters).then(|| VoterSet {
+        let is_change = !voters.is_empty() && voters != self.voters;
+        (!self.is_joint() && is_change).then(|| VoterSet {
             voters,
             outgoing: self.voters.clone(),
         })
@@ -114,14 +126,14 @@
         }
     }
 
-    /// The voters with `added` in, in place of `removed`.
+    /// The voters without `removed` and with `added`.
     pub fn replacing(&self, added: Option<Voter>, removed: Option<Voter>) -> Vec<Voter> {
-        let kept = self
+        let remaining = self
             .voters
             .iter()
             .copied()
             .filter(|voter| Some(*voter) != removed);
-        kept.chain(added).collect()
+        remaining.chain(added).collect()
     }
 }
 
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -102,7 +102,7 @@
 /// What the end of the call proves.
 fn outcome_of(result: &Result<u16, ExchangeError>) -> PromotionOutcome {
     match result {
-        Ok(status) => PromotionOutcome::of_status(*status),
+        Ok(status) => PromotionOutcome::from_status(*status),
         Err(error) if error.verdict == Verdict::NotRun => PromotionOutcome::NotSent,
         Err(_) => PromotionOutcome::Unknown,
     }
--- a/crates/testing/simulation/src/platform.rs
+++ b/crates/testing/simulation/src/platform.rs
@@ -26,7 +26,7 @@
             self.put(after, Event::Promote(id.to_owned()));
         }
         let lost = self.draw(1000) < self.lost_posts;
-        let answer = PromotionOutcome::of_status(status);
+        let answer = PromotionOutcome::from_status(status);
         let (after, outcome) = if lost {
             (1.0, PromotionOutcome::Unknown)
         } else {
