--- a/crates/core/control/src/tests/differences.rs
+++ b/crates/core/control/src/tests/deltas.rs
@@ -1,5 +1,6 @@
 //! Differences between texts, and the changes that a machine remembers.
 
+use super::common::arbtest_budget_ms;
 use crate::change_history::ChangeHistory;
 use crate::digest::Digest;
 use crate::message::ConfigUpdate;
@@ -66,7 +67,7 @@
         assert_eq!(text.resolve(&old).as_deref(), Some(&*new));
         Ok(())
     })
-    .budget_ms(super::budget());
+    .budget_ms(arbtest_budget_ms());
 }
 
 /// Changes that are known lead from any state in between to the newest one.
--- a/crates/core/control/src/tests/mod.rs
+++ b/crates/core/control/src/tests/mod.rs
@@ -1,20 +1,13 @@
-mod agreement;
-mod answers;
-mod authority;
-mod differences;
+mod common;
+mod consensus_safety;
+mod consensus_steps;
+mod deltas;
 mod elections;
 mod fleet;
-mod guards;
+mod forwarded_requests;
+mod leader_authority;
+mod load;
 mod members;
-mod net;
+mod network;
 mod promotions;
-mod storm;
-mod voters;
-
-/// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
-fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS")
-        .ok()
-        .and_then(|v| v.parse().ok())
-        .unwrap_or(1500)
-}
+mod voter_changes;
--- /dev/null
+++ b/crates/core/control/src/tests/network.rs
@@ -0,0 +1,482 @@
+//! A test harness for consensus: control machines with fake disks and clocks, and the messages
+//! between them in flight.
+//!
+//! The test moves the time and chooses what arrives. After every step the harness checks what must
+//! always hold: no two leaders may act at once, no two states of one version are committed, and a
+//! new leader has all that was committed.
+
+use super::common::{CONSENSUS_CONFIG, founder, founding_hard_state};
+use crate::consensus::{Consensus, ConsensusMessage, ConsensusOutput, HardState, Recipient};
+use crate::digest::Digest;
+use crate::term::Term;
+use crate::voter_set::{NodeId, Voter};
+use std::collections::{BTreeMap, VecDeque};
+
+const FOUNDERS: [NodeId; 3] = [1, 2, 3];
+/// Between two ticks while the network runs, in seconds.
+const TICK_INTERVAL_S: f64 = 0.02;
+
+/// A control machine.
+#[derive(Clone)]
+pub struct Machine {
+    pub consensus: Consensus,
+    /// What is on its disk.
+    pub disk: HardState,
+    pub incarnation: u64,
+    pub is_running: bool,
+    /// Writes to its disk fail.
+    pub disk_full: bool,
+    /// What its clock shows more than `Network::now`, in seconds.
+    pub clock_offset: f64,
+}
+
+impl Machine {
+    pub fn voter(&self) -> Voter {
+        self.consensus.me()
+    }
+
+    fn may_act(&self, now: f64) -> bool {
+        self.is_running && self.consensus.authority_until() > now + self.clock_offset
+    }
+}
+
+/// A message in flight.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Envelope {
+    pub from: Voter,
+    pub to: Recipient,
+    pub message: ConsensusMessage,
+}
+
+impl Envelope {
+    /// Whether it is from this machine or to it.
+    pub fn involves(&self, node: NodeId) -> bool {
+        self.from.node == node || self.to.node() == node
+    }
+}
+
+/// What was committed under a version of the state.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CommittedState {
+    pub digest: Digest,
+    pub config_epoch: u64,
+}
+
+/// A machine that was elected, and when.
+#[derive(Clone, Copy, Debug)]
+pub struct Election {
+    pub at: f64,
+    pub leader: NodeId,
+}
+
+/// The machines and the messages between them.
+#[derive(Clone)]
+pub struct Network {
+    pub machines: BTreeMap<NodeId, Machine>,
+    /// In the order in which they were sent.
+    pub in_flight: Vec<Envelope>,
+    pub now: f64,
+    /// By version.
+    pub committed: BTreeMap<u64, CommittedState>,
+    pub elections: Vec<Election>,
+    proposals: u64,
+    /// What happened, for the messages of failing tests.
+    trace: Vec<String>,
+    is_tracing: bool,
+    last_incarnation: u64,
+    seed: u64,
+}
+
+impl Network {
+    /// Machines 1 to 3, which start for the first time.
+    pub fn new(seed: u64) -> Network {
+        let mut network = Network {
+            machines: BTreeMap::new(),
+            in_flight: Vec::new(),
+            now: 0.0,
+            committed: BTreeMap::new(),
+            elections: Vec::new(),
+            proposals: 0,
+            trace: Vec::new(),
+            is_tracing: true,
+            last_incarnation: 100,
+            seed,
+        };
+        for node in FOUNDERS {
+            network.add_machine(founder(node));
+        }
+        network
+    }
+
+    fn add_machine(&mut self, me: Voter) {
+        let disk = founding_hard_state(&FOUNDERS);
+        let machine = Machine {
+            consensus: self.start_consensus(me, &disk, self.now),
+            disk,
+            incarnation: me.incarnation,
+            is_running: true,
+            disk_full: false,
+            clock_offset: 0.0,
+        };
+        self.machines.insert(me.node, machine);
+    }
+
+    fn start_consensus(&self, me: Voter, disk: &HardState, clock: f64) -> Consensus {
+        let seed = self.seed + u64::from(me.node);
+        let mut consensus = Consensus::new(me, disk.clone(), clock, seed, CONSENSUS_CONFIG);
+        consensus.set_seeds(FOUNDERS.to_vec());
+        consensus
+    }
+
+    /// Starts a machine with an empty disk, which asks to join.
+    pub fn add_empty_machine(&mut self, node: NodeId) {
+        self.last_incarnation += 1;
+        self.add_machine(Voter {
+            node,
+            incarnation: self.last_incarnation,
+        });
+    }
+
+    pub fn machine_mut(&mut self, node: NodeId) -> &mut Machine {
+        self.machines.get_mut(&node).expect("the machine exists")
+    }
+
+    /// Stops a machine's process; what is in flight stays so.
+    pub fn stop(&mut self, node: NodeId) {
+        self.machine_mut(node).is_running = false;
+    }
+
+    /// Restarts a machine's process with what is on its disk.
+    pub fn restart(&mut self, node: NodeId) {
+        let now = self.now;
+        self.trace(|| format!("{now:.3} {node} restarts"));
+        self.start_process(node);
+    }
+
+    /// Restarts a machine's process with an empty disk.
+    pub fn restart_with_empty_disk(&mut self, node: NodeId) {
+        let now = self.now;
+        self.trace(|| format!("{now:.3} {node} restarts with an empty disk"));
+        self.last_incarnation += 1;
+        let incarnation = self.last_incarnation;
+        let machine = self.machine_mut(node);
+        machine.disk = founding_hard_state(&FOUNDERS);
+        machine.incarnation = incarnation;
+        self.start_process(node);
+    }
+
+    /// Restarts all machines, the one at `lost_disk` with an empty disk.
+    pub fn restart_all(&mut self, lost_disk: NodeId) {
+        for node in self.machines.keys().copied().collect::<Vec<_>>() {
+            if node == lost_disk {
+                self.restart_with_empty_disk(node);
+            } else {
+                self.restart(node);
+            }
+        }
+    }
+
+    fn start_process(&mut self, node: NodeId) {
+        // Its connections break, so what is in flight on them is lost.
+        self.in_flight.retain(|envelope| !envelope.involves(node));
+        let machine = &self.machines[&node];
+        let me = Voter {
+            node,
+            incarnation: machine.incarnation,
+        };
+        let clock = self.now + machine.clock_offset;
+        let consensus = self.start_consensus(me, &machine.disk, clock);
+        let machine = self.machine_mut(node);
+        machine.consensus = consensus;
+        machine.is_running = true;
+    }
+
+    /// Begins the shutdown of a machine.
+    pub fn resign(&mut self, node: NodeId) {
+        let mut outputs = Vec::new();
+        self.machine_mut(node).consensus.resign(&mut outputs);
+        self.perform(node, outputs);
+    }
+
+    /// Carries out what a machine's consensus asks for.
+    pub fn perform(&mut self, node: NodeId, outputs: Vec<ConsensusOutput>) {
+        let mut pending = VecDeque::from(outputs);
+        while let Some(output) = pending.pop_front() {
+            let now = self.now;
+            let machine = self.machine_mut(node);
+            match output {
+                ConsensusOutput::Persist => {
+                    let mut next = Vec::new();
+                    if machine.disk_full {
+                        machine.consensus.persist_failed(&mut next);
+                    } else {
+                        machine.disk = machine.consensus.hard_state().clone();
+                        let clock = now + machine.clock_offset;
+                        machine.consensus.persisted(clock, &mut next);
+                    }
+                    next.into_iter()
+                        .rev()
+                        .for_each(|output| pending.push_front(output));
+                }
+                ConsensusOutput::Send(to, message) => {
+                    let from = machine.voter();
+                    self.in_flight.push(Envelope { from, to, message });
+                }
+                ConsensusOutput::BecameLeader => {
+                    self.trace(|| format!("{node} is elected"));
+                    self.elections.push(Election {
+                        at: now,
+                        leader: node,
+                    });
+                    self.check_new_leader(node);
+                }
+                ConsensusOutput::Committed => self.check_commit(node),
+                ConsensusOutput::SteppedDown => {}
+            }
+        }
+        self.check_single_leader();
+    }
+
+    fn check_commit(&mut self, node: NodeId) {
+        let state = self.machines[&node].consensus.hard_state().state.clone();
+        self.trace(|| {
+            format!(
+                "{node} committed {} with epoch {}",
+                state.version, state.config_epoch
+            )
+        });
+        let committed = CommittedState {
+            digest: state.digest(),
+            config_epoch: state.config_epoch,
+        };
+        let other = self.committed.insert(state.version, committed);
+        assert!(
+            other.is_none_or(|other| other == committed),
+            "forked at {}: {other:?}\n{}",
+            state.version,
+            self.trace_text()
+        );
+    }
+
+    /// A new leader has all that was committed.
+    fn check_new_leader(&mut self, node: NodeId) {
+        let state = self.machines[&node].consensus.hard_state().state.clone();
+        let newest = self.newest_committed();
+        assert!(
+            state.version >= newest,
+            "{node} was elected with {} after {newest}\n{}",
+            state.version,
+            self.trace_text()
+        );
+        // By its election the state that it found is committed, except the founding one, which
+        // nobody proposed.
+        let committed = CommittedState {
+            digest: state.digest(),
+            config_epoch: state.config_epoch,
+        };
+        let other = if state.version > 0 {
+            self.committed.insert(state.version, committed)
+        } else {
+            None
+        };
+        assert!(
+            other.is_none_or(|other| other.digest == committed.digest),
+            "{node} was elected with another {}\n{}",
+            state.version,
+            self.trace_text()
+        );
+    }
+
+    /// At most one machine may act as the leader.
+    pub fn check_single_leader(&self) {
+        let acting: Vec<NodeId> = self
+            .machines
+            .iter()
+            .filter(|(_, machine)| machine.may_act(self.now))
+            .map(|(node, _)| *node)
+            .collect();
+        assert!(
+            acting.len() < 2,
+            "{}: {acting:?} may act\n{}",
+            self.now,
+            self.trace_text()
+        );
+    }
+
+    fn trace(&mut self, event: impl FnOnce() -> String) {
+        if self.is_tracing {
+            self.trace.push(event());
+        }
+    }
+
+    pub fn trace_text(&self) -> String {
+        self.trace.join("\n")
+    }
+
+    /// Ends the trace, for tests of so many steps that it would take too long.
+    pub fn disable_trace(&mut self) {
+        self.is_tracing = false;
+        self.trace.clear();
+    }
+
+    /// Reopens the disk of a machine after a failed write, if it is no longer full.
+    pub fn reopen_disk(&mut self, node: NodeId) {
+        let now = self.now;
+        let machine = self.machine_mut(node);
+        if machine.consensus.disk_failed() && !machine.disk_full {
+            let (clock, disk) = (now + machine.clock_offset, machine.disk.clone());
+            machine.consensus.disk_reopened(clock, disk);
+        }
+    }
+
+    pub fn tick(&mut self, node: NodeId) {
+        let now = self.now;
+        let machine = self.machine_mut(node);
+        if machine.is_running {
+            let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset);
+            machine.consensus.tick(clock, &mut outputs);
+            self.perform(node, outputs);
+        }
+    }
+
+    pub fn tick_all(&mut self) {
+        for node in self.machines.keys().copied().collect::<Vec<_>>() {
+            self.tick(node);
+        }
+    }
+
+    /// Lets the message at `index` arrive.
+    pub fn deliver(&mut self, index: usize) {
+        let envelope = self.in_flight.remove(index);
+        self.arrive(envelope);
+    }
+
+    /// Lets a copy of the message at `index` arrive, which stays in flight.
+    pub fn deliver_copy(&mut self, index: usize) {
+        let envelope = self.in_flight[index].clone();
+        self.arrive(envelope);
+    }
+
+    fn arrive(&mut self, envelope: Envelope) {
+        let now = self.now;
+        self.trace(|| {
+            format!(
+                "{now:.3} {}>{:?} {:?}",
+                envelope.from, envelope.to, envelope.message
+            )
+        });
+        let to = envelope.to.node();
+        let running = |machine: &&mut Machine| machine.is_running;
+        let Some(machine) = self.machines.get_mut(&to).filter(running) else {
+            return;
+        };
+        if envelope.to.is(machine.voter()) {
+            let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset);
+            machine
+                .consensus
+                .step(clock, envelope.from, envelope.message, &mut outputs);
+            self.perform(to, outputs);
+        }
+    }
+
+    /// Lets everything in flight arrive in order, also what is sent meanwhile, except what
+    /// `is_lost` drops.
+    pub fn deliver_all(&mut self, is_lost: impl Fn(&Envelope) -> bool) {
+        while let Some(envelope) = self.in_flight.first() {
+            if is_lost(envelope) {
+                self.in_flight.remove(0);
+            } else {
+                self.deliver(0);
+            }
+        }
+    }
+
+    /// The leader `node` proposes a configuration of an epoch that nobody else uses. False if it
+    /// may not act.
+    pub fn propose(&mut self, node: NodeId) -> bool {
+        let now = self.now;
+        self.proposals += 1;
+        let epoch = self.proposals * 10 + u64::from(node);
+        let machine = self.machine_mut(node);
+        if !machine.may_act(now) {
+            return false;
+        }
+        let Some(state) = machine.consensus.committed_state().cloned() else {
+            return false;
+        };
+        let clock = now + machine.clock_offset;
+        let mut outputs = Vec::new();
+        let change = state.config_change(epoch, &epoch.to_string().into_bytes().into());
+        machine.consensus.propose(clock, change, &mut outputs);
+        self.trace(|| format!("{now:.3} {node} proposes {epoch}"));
+        self.perform(node, outputs);
+        true
+    }
+
+    /// Lets so many seconds pass in which everything arrives in order.
+    pub fn run(&mut self, seconds: f64) {
+        self.run_with_loss(seconds, |_| false);
+    }
+
+    /// The same, except that messages for which `is_lost` is true are lost.
+    pub fn run_with_loss(&mut self, seconds: f64, is_lost: impl Fn(&Envelope) -> bool) {
+        let until = self.now + seconds;
+        while self.now < until {
+            self.now += TICK_INTERVAL_S;
+            self.tick_all();
+            self.deliver_all(&is_lost);
+        }
+    }
+
+    /// The machine that may act as the leader.
+    pub fn leader(&self) -> Option<NodeId> {
+        self.machines
+            .iter()
+            .find(|(_, machine)| machine.may_act(self.now))
+            .map(|(node, _)| *node)
+    }
+
+    fn leader_machine(&self) -> Option<&Machine> {
+        self.machines.get(&self.leader()?)
+    }
+
+    /// Addresses of the voters as the leader has them.
+    pub fn voters(&self) -> Vec<NodeId> {
+        self.leader_machine()
+            .map(|leader| leader.consensus.voters().iter().map(|v| v.node).collect())
+            .unwrap_or_default()
+    }
+
+    /// Whether every running machine is a voter, in the incarnation of its disk, as the leader has
+    /// it.
+    pub fn all_are_voters(&self) -> bool {
+        let Some(leader) = self.leader_machine() else {
+            return false;
+        };
+        let voters = leader.consensus.voters();
+        self.machines
+            .values()
+            .filter(|machine| machine.is_running)
+            .all(|machine| voters.contains(&machine.voter()))
+    }
+
+    /// Whether a change of the voter set is under way at the leader.
+    pub fn is_joint(&self) -> bool {
+        self.leader_machine()
+            .is_some_and(|leader| leader.consensus.hard_state().state.voters.is_joint())
+    }
+
+    /// The highest term that any machine voted for.
+    pub fn highest_voted_term(&self) -> Term {
+        self.machines
+            .values()
+            .map(|machine| machine.disk.voted_term)
+            .max()
+            .unwrap_or_default()
+    }
+
+    /// The version of the newest committed state; 0 if none is.
+    pub fn newest_committed(&self) -> u64 {
+        self.committed.keys().max().copied().unwrap_or(0)
+    }
+}
