--- a/crates/core/control/src/tests/deltas.rs
+++ b/crates/core/control/src/tests/deltas.rs
@@ -1,4 +1,4 @@
-//! Differences between texts, and the changes that a machine remembers.
+//! Deltas between texts, and the history of changes.
 
 use super::common::arbtest_budget_ms;
 use crate::change_history::ChangeHistory;
@@ -9,11 +9,12 @@
 use arbtest::arbtest;
 use std::rc::Rc;
 
+/// A configuration of so many routes, of which the one at `changed` has a deadline of its own.
 fn config(epoch: u64, routes: usize, changed: usize) -> Rc<[u8]> {
-    let route = |at: usize| {
-        let deadline = if at == changed { 1000 + epoch } else { 1000 };
+    let route = |index: usize| {
+        let deadline = if index == changed { 1000 + epoch } else { 1000 };
         format!(
-            "{{\"name\":\"r-{at}\",\"authority\":\"db{at}\",\"deadline_ms\":{deadline},\"rank\":1}}"
+            "{{\"name\":\"r-{index}\",\"authority\":\"db{index}\",\"deadline_ms\":{deadline},\"rank\":1}}"
         )
     };
     let routes: Vec<String> = (0..routes).map(route).collect();
@@ -23,56 +24,56 @@
 }
 
 #[test]
-fn a_small_change_of_a_large_configuration_is_small() {
+fn delta_of_a_small_change_is_small() {
     let (old, new) = (config(7, 300, 5), config(8, 300, 211));
-    let difference = TextDelta::between(&old, &new).expect("it pays");
+    let delta = TextDelta::between(&old, &new).expect("the delta is smaller");
     assert!(
-        difference.size() < 300,
+        delta.size() < 300,
         "{} of {} bytes",
-        difference.size(),
+        delta.size(),
         new.len()
     );
-    assert_eq!(difference.apply(&old).as_deref(), Some(&*new));
-    assert_eq!(difference.apply(&new), None, "it leads from the other one");
+    assert_eq!(delta.apply(&old).as_deref(), Some(&*new));
+    assert_eq!(delta.apply(&new), None, "it applies to the other text");
     let ConfigPayload::Delta(_) = ConfigPayload::relative_to(&old, &new) else {
-        panic!("sent whole")
+        panic!("not a delta")
     };
     assert_eq!(
         ConfigPayload::relative_to(b"", &new),
         ConfigPayload::Full(new.clone()),
-        "nothing is held"
+        "the receiver has nothing"
     );
 }
 
 #[test]
-fn a_difference_that_was_tampered_with_makes_nothing() {
+fn corrupted_delta_is_rejected() {
     let (old, new) = (config(7, 20, 5), config(8, 20, 6));
-    let difference = TextDelta::between(&old, &new).expect("it pays");
-    let bytes = bincode::encode_to_vec(&difference, bincode::config::standard()).unwrap();
-    for at in 0..bytes.len() {
-        let mut changed = bytes.clone();
-        changed[at] ^= 1;
-        let read =
-            bincode::decode_from_slice::<TextDelta, _>(&changed, bincode::config::standard());
-        let made = read.ok().and_then(|(difference, _)| difference.apply(&old));
-        assert!(made.is_none_or(|made| made == *new), "byte {at}");
+    let delta = TextDelta::between(&old, &new).expect("the delta is smaller");
+    let bytes = bincode::encode_to_vec(&delta, bincode::config::standard()).unwrap();
+    for index in 0..bytes.len() {
+        let mut corrupted = bytes.clone();
+        corrupted[index] ^= 1;
+        let decoded =
+            bincode::decode_from_slice::<TextDelta, _>(&corrupted, bincode::config::standard());
+        let result = decoded.ok().and_then(|(delta, _)| delta.apply(&old));
+        assert!(result.is_none_or(|result| result == *new), "byte {index}");
     }
 }
 
 #[test]
-fn any_text_comes_from_any_other() {
+fn any_text_can_be_sent_relative_to_any_other() {
     arbtest(|u| {
         let (old, new): (Vec<u8>, Vec<u8>) = (u.arbitrary()?, u.arbitrary()?);
-        let text = ConfigPayload::relative_to(&old, &new.clone().into());
-        assert_eq!(text.resolve(&old).as_deref(), Some(&*new));
+        let payload = ConfigPayload::relative_to(&old, &new.clone().into());
+        assert_eq!(payload.resolve(&old).as_deref(), Some(&*new));
         Ok(())
     })
     .budget_ms(arbtest_budget_ms());
 }
 
-/// Changes that are known lead from any state in between to the newest one.
+/// The remembered changes lead from every earlier state to the newest one.
 #[test]
-fn a_history_leads_from_where_one_was() {
+fn history_leads_from_every_remembered_state_to_the_newest() {
     let mut history = ChangeHistory::default();
     let mut states = vec![State::founding(vec![1, 2, 3])];
     for epoch in 1..40 {
@@ -90,38 +91,43 @@
             }
             _ => before.config_change(epoch, &config(epoch, 50, epoch as usize)),
         };
-        states.push(before.apply(&change).expect("it fits"));
+        states.push(before.apply(&change).expect("the delta is from this state"));
         history.push(&before, before.digest(), Rc::new(change));
     }
     let newest = states.last().unwrap().clone();
     for state in &states[..states.len() - 1] {
-        let changes = history.since(state.digest()).expect("all are known");
-        let made = changes
+        let changes = history
+            .since(state.digest())
+            .expect("all changes are remembered");
+        let result = changes
             .iter()
             .try_fold(state.clone(), |state, change| state.apply(change));
-        assert_eq!(made.as_ref(), Some(&newest));
+        assert_eq!(result.as_ref(), Some(&newest));
     }
     assert_eq!(history.since(Digest::of(b"another")), None);
-    let changes = |from: u64, to: u64| history.config_deltas(from, to).map(ConfigUpdate::Deltas);
-    let all = changes(states[3].config_epoch, newest.config_epoch).expect("all are known");
+    let deltas = |from: u64, to: u64| history.config_deltas(from, to).map(ConfigUpdate::Deltas);
+    let all =
+        deltas(states[3].config_epoch, newest.config_epoch).expect("all changes are remembered");
     assert_eq!(
         all.resolve(&states[3].config).as_ref(),
         Some(&newest.config)
     );
-    assert_eq!(all.resolve(&states[4].config), None, "made for another one");
-    // Up to an earlier one: what came behind it isn't told.
-    let some = changes(states[3].config_epoch, states[7].config_epoch).expect("all are known");
     assert_eq!(
-        some.resolve(&states[3].config).as_ref(),
-        Some(&states[7].config)
+        all.resolve(&states[4].config),
+        None,
+        "the deltas are from another configuration"
     );
-    assert_eq!(changes(999, newest.config_epoch), None);
-    assert_eq!(changes(states[3].config_epoch, 999), None);
+    // Up to an earlier epoch: newer changes are left out.
+    let some =
+        deltas(states[3].config_epoch, states[7].config_epoch).expect("all changes are remembered");
     assert_eq!(
-        changes(states[7].config_epoch, states[3].config_epoch),
-        None
+        some.resolve(&states[3].config).as_ref(),
+        Some(&states[7].config)
     );
-    // Another state's changes lead nowhere from this one.
+    assert_eq!(deltas(999, newest.config_epoch), None);
+    assert_eq!(deltas(states[3].config_epoch, 999), None);
+    assert_eq!(deltas(states[7].config_epoch, states[3].config_epoch), None);
+    // The deltas of one state can't be applied to another one.
     let other = State {
         config_epoch: 5,
         config: config(5, 50, 1),
@@ -136,9 +142,9 @@
     );
 }
 
-/// However many changes there are, what is remembered of them is bounded.
+/// The history forgets the oldest changes beyond its bounds.
 #[test]
-fn a_history_is_bounded() {
+fn history_is_bounded() {
     let mut history = ChangeHistory::default();
     let mut state = State::founding(vec![1, 2, 3]);
     let first = state.digest();
@@ -152,7 +158,7 @@
         history.push(&state, state.digest(), Rc::new(change));
         state = next;
     }
-    assert_eq!(history.since(first), None, "too long ago");
+    assert_eq!(history.since(first), None, "too many changes ago");
     let bytes =
         bincode::encode_to_vec(format!("{history:?}"), bincode::config::standard()).unwrap();
     assert!(bytes.len() < 8 << 20);
--- a/crates/core/control/src/tests/elections.rs
+++ b/crates/core/control/src/tests/elections.rs
@@ -1,26 +1,15 @@
-//! One candidate, message by message: which answers elect it, and what it goes on from.
+//! One candidate, message by message: which votes elect it, and which state it adopts.
 
+use super::common::{CONSENSUS_CONFIG, founder, term};
 use crate::consensus::{
-    Consensus, ConsensusConfig, ConsensusMessage, ConsensusOutput, HardState, StateId, StatePayload,
+    Consensus, ConsensusMessage, ConsensusOutput, HardState, StateId, StatePayload,
 };
 use crate::state::{State, StateChange};
 use crate::term::Term;
-use crate::voter_set::{FOUNDING_INCARNATION, NodeId, Voter, VoterSet};
+use crate::voter_set::{NodeId, Voter, VoterSet};
 use std::rc::Rc;
 
-const TIMING: ConsensusConfig = ConsensusConfig {
-    election_timeout: 0.6,
-    contact_timeout: 1.0,
-};
-
-fn founder(node: NodeId) -> Voter {
-    Voter {
-        node,
-        incarnation: FOUNDING_INCARNATION,
-    }
-}
-
-/// Machine 1, whose disk holds this, while it waits for promises.
+/// Machine 1 while it waits for votes.
 struct Candidate {
     consensus: Consensus,
     now: f64,
@@ -28,17 +17,19 @@
 }
 
 impl Candidate {
-    fn stands(record: HardState) -> Candidate {
-        let mut consensus = Consensus::new(founder(1), record, 0.0, 7, TIMING);
-        let (mut now, mut term) = (0.0, None);
+    /// Machine 1 with this hard state, once its pre-vote has succeeded.
+    fn new(hard_state: HardState) -> Candidate {
+        let mut consensus = Consensus::new(founder(1), hard_state, 0.0, 7, CONSENSUS_CONFIG);
+        let mut now = 0.0;
+        let mut term = None;
         while term.is_none() {
             now += 0.02;
-            assert!(now < 5.0, "it doesn't stand");
-            let mut outs = Vec::new();
-            consensus.tick(now, &mut outs);
-            term = outs.iter().find_map(canvassed);
+            assert!(now < 5.0, "it starts no pre-vote");
+            let mut outputs = Vec::new();
+            consensus.tick(now, &mut outputs);
+            term = outputs.iter().find_map(pre_vote_term);
         }
-        let term = term.expect("it asks whether to stand");
+        let term = term.expect("a pre-vote request");
         let others: Vec<Voter> = consensus
             .voters()
             .iter()
@@ -56,72 +47,67 @@
                 granted: true,
                 voted_term: Term::default(),
             };
-            candidate.hears(other, granted);
+            candidate.receive(other, granted);
         }
         candidate.term = candidate.consensus.hard_state().voted_term;
         candidate
     }
 
-    /// A message arrives, and all saves behind it succeed.
-    fn hears(&mut self, from: Voter, message: ConsensusMessage) -> Vec<ConsensusOutput> {
-        let mut outs = Vec::new();
-        self.consensus.step(self.now, from, message, &mut outs);
-        while let Some(at) = outs.iter().position(|out| *out == ConsensusOutput::Persist) {
-            outs.remove(at);
-            self.consensus.persisted(self.now, &mut outs);
+    /// Lets a message arrive, and the writes that it leads to succeed.
+    fn receive(&mut self, from: Voter, message: ConsensusMessage) -> Vec<ConsensusOutput> {
+        let mut outputs = Vec::new();
+        self.consensus.step(self.now, from, message, &mut outputs);
+        while let Some(index) = outputs
+            .iter()
+            .position(|output| *output == ConsensusOutput::Persist)
+        {
+            outputs.remove(index);
+            self.consensus.persisted(self.now, &mut outputs);
         }
-        outs
+        outputs
     }
 
-    fn is_promised(
+    /// Lets a vote of a machine arrive that has accepted `state` under `accepted_term`.
+    fn receive_vote(
         &mut self,
         from: NodeId,
-        accepted: Term,
+        accepted_term: Term,
         state: &Rc<State>,
     ) -> Vec<ConsensusOutput> {
-        let holds = StateId {
-            accepted_term: accepted,
+        let last_state = StateId {
+            accepted_term,
             version: state.version,
             digest: state.digest(),
         };
         let own = self.consensus.hard_state();
-        let newer = (holds.digest != own.state.digest()).then(|| state.clone());
-        let promise = ConsensusMessage::VoteResponse {
+        let newer_state = (last_state.digest != own.state.digest()).then(|| state.clone());
+        let vote = ConsensusMessage::VoteResponse {
             term: self.term,
-            last_state: holds,
-            newer_state: newer,
+            last_state,
+            newer_state,
         };
-        self.hears(founder(from), promise)
+        self.receive(founder(from), vote)
     }
 }
 
-fn canvassed(out: &ConsensusOutput) -> Option<Term> {
-    match out {
+fn pre_vote_term(output: &ConsensusOutput) -> Option<Term> {
+    match output {
         ConsensusOutput::Send(_, ConsensusMessage::PreVoteRequest { term, .. }) => Some(*term),
         _ => None,
     }
 }
 
-/// The state that a candidate which has won sends to all.
-fn replicated(outs: &[ConsensusOutput]) -> Option<&StatePayload> {
-    outs.iter().find_map(|out| match out {
-        ConsensusOutput::Send(
-            _,
-            ConsensusMessage::AppendRequest {
-                payload: content, ..
-            },
-        ) => Some(content),
+/// The state that an elected leader sends.
+fn sent_state(outputs: &[ConsensusOutput]) -> Option<&StatePayload> {
+    outputs.iter().find_map(|output| match output {
+        ConsensusOutput::Send(_, ConsensusMessage::AppendRequest { payload, .. }) => Some(payload),
         _ => None,
     })
 }
 
-fn term(round: u64, node: NodeId) -> Term {
-    (0..round).fold(Term::default(), |term, _| term.next_for(node))
-}
-
 fn with_config(state: &State, epoch: u64) -> Rc<State> {
     let change = state.config_change(epoch, &epoch.to_string().into_bytes().into());
-    Rc::new(state.apply(&change).expect("the change was made for it"))
+    Rc::new(state.apply(&change).expect("the delta is from this state"))
 }
 
 fn with_voters(state: &State, nodes: &[NodeId]) -> Rc<State> {
@@ -133,127 +119,136 @@
     )
 }
 
-/// Two of the three that it knows have promised, but one of them knows of a later set of five: three of these are needed.
+/// The candidate has votes of two of the three voters that it knows, but one of them knows of a
+/// newer set of five: three of these are needed.
 #[test]
-fn the_newest_set_that_was_met_elects() {
+fn newest_known_voter_set_elects() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
-    let later = with_voters(&first, &[1, 2, 4, 5, 6]);
-    let mut candidate = Candidate::stands(HardState {
+    let newer = with_voters(&first, &[1, 2, 4, 5, 6]);
+    let mut candidate = Candidate::new(HardState {
         state: first,
         ..HardState::default()
     });
     assert_eq!(
-        replicated(&candidate.is_promised(2, term(3, 2), &later)),
+        sent_state(&candidate.receive_vote(2, term(3, 2), &newer)),
         None,
         "two of five"
     );
     assert!(
-        replicated(&candidate.is_promised(4, term(3, 2), &later)).is_some(),
+        sent_state(&candidate.receive_vote(4, term(3, 2), &newer)).is_some(),
         "three of five"
     );
-    assert_eq!(candidate.consensus.hard_state().state, later);
+    assert_eq!(candidate.consensus.hard_state().state, newer);
 }
 
-/// While a change of the set is under way, majorities of the old and the new voters are needed.
+/// While a change is under way, majorities of the outgoing and of the incoming voters are needed.
 #[test]
-fn both_sets_of_a_change_elect() {
+fn election_in_a_joint_voter_set_needs_both_majorities() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
     let voters = [1, 4, 5].map(founder).to_vec();
     let joint = first.voters.joint_with(voters).expect("another set");
-    let later = Rc::new(
+    let newer = Rc::new(
         first
             .apply(&StateChange::Voters(joint))
             .expect("the change fits"),
     );
-    let mut candidate = Candidate::stands(HardState {
+    let mut candidate = Candidate::new(HardState {
         state: first,
         ..HardState::default()
     });
     assert_eq!(
-        replicated(&candidate.is_promised(2, term(3, 2), &later)),
+        sent_state(&candidate.receive_vote(2, term(3, 2), &newer)),
         None,
-        "one of the new three"
+        "one of the incoming three"
     );
-    assert!(replicated(&candidate.is_promised(5, term(3, 2), &later)).is_some());
+    assert!(sent_state(&candidate.receive_vote(5, term(3, 2), &newer)).is_some());
 }
 
-/// What another machine accepted last goes before what a third one accepted earlier, also where it is just the state that
-/// the candidate has from long ago.
+/// The state that was accepted under the highest term is adopted, also if it equals the one that
+/// the candidate has from a lower term.
 #[test]
-fn what_was_accepted_last_goes_on() {
+fn state_of_the_highest_accepted_term_is_adopted() {
     let first = State::founding(vec![1, 2, 3, 4, 5]);
     let (own, other) = (with_config(&first, 7), with_config(&first, 8));
-    let record = HardState {
+    let hard_state = HardState {
         voted_term: term(1, 3),
         accepted_term: term(1, 3),
         state: own.clone(),
     };
     for order in [[2, 3], [3, 2]] {
-        let mut candidate = Candidate::stands(record.clone());
-        let mut outs = Vec::new();
+        let mut candidate = Candidate::new(hard_state.clone());
+        let mut outputs = Vec::new();
         for node in order {
-            // 2 accepted the candidate's own state under a later ballot than 3 the other one.
-            let (accepted, state) = if node == 2 {
+            // 2 accepted the candidate's own state under a higher term than 3 the other one.
+            let (accepted_term, state) = if node == 2 {
                 (term(3, 2), &own)
             } else {
                 (term(2, 3), &other)
             };
-            outs = candidate.is_promised(node, accepted, state);
+            outputs = candidate.receive_vote(node, accepted_term, state);
         }
-        assert!(replicated(&outs).is_some(), "three of five");
+        assert!(sent_state(&outputs).is_some(), "three of five");
         assert_eq!(candidate.consensus.hard_state().state, own, "{order:?}");
     }
 }
 
-/// Who learns from a promise that it is no voter any more leads nothing, though a majority has promised.
+/// A candidate that learns from a vote that it is no voter any more doesn't lead, although it has
+/// the votes of a majority.
 #[test]
-fn who_was_left_out_does_not_lead() {
+fn removed_voter_is_not_elected() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
-    let later = with_voters(&first, &[2, 3, 4]);
-    let mut candidate = Candidate::stands(HardState {
+    let newer = with_voters(&first, &[2, 3, 4]);
+    let mut candidate = Candidate::new(HardState {
         state: first,
         ..HardState::default()
     });
-    let mut outs = candidate.is_promised(2, term(3, 2), &later);
-    outs.extend(candidate.is_promised(3, term(3, 2), &later));
-    assert_eq!(replicated(&outs), None);
+    let mut outputs = candidate.receive_vote(2, term(3, 2), &newer);
+    outputs.extend(candidate.receive_vote(3, term(3, 2), &newer));
+    assert_eq!(sent_state(&outputs), None);
     assert_eq!(candidate.consensus.leader_term(), None);
 }
 
-/// Changes count only for whoever has the state to which they were made, and only if they lead to the state that they claim.
+/// A delta is accepted only by a machine that has its base, and only if it leads to the state whose
+/// digest it names.
 #[test]
-fn changes_to_another_state_are_not_taken() {
+fn delta_of_another_state_is_rejected() {
     let first = State::founding(vec![1, 2, 3]);
     let (seven, eight) = (with_config(&first, 7), with_config(&first, 8));
     let change = Rc::new(first.config_change(9, &Rc::from(*b"9")));
-    let made = first.apply(&change).expect("the change was made for it");
-    let record = HardState {
+    let result = first.apply(&change).expect("the delta is from this state");
+    let hard_state = HardState {
         voted_term: term(1, 2),
         accepted_term: term(1, 2),
         state: seven.clone(),
     };
-    let accept = |base, result| {
-        let content = StatePayload::Delta {
+    let append_request = |base, result| {
+        let payload = StatePayload::Delta {
             base,
             steps: vec![change.clone()],
             result,
         };
         ConsensusMessage::AppendRequest {
             term: term(2, 2),
-            payload: content,
+            payload,
         }
     };
-    let wrong = [
-        accept(first.digest(), made.digest()),
-        accept(eight.digest(), made.digest()),
-        accept(seven.digest(), made.digest()),
+    let mismatching = [
+        append_request(first.digest(), result.digest()),
+        append_request(eight.digest(), result.digest()),
+        append_request(seven.digest(), result.digest()),
     ];
-    for message in wrong {
-        let mut consensus = Consensus::new(founder(1), record.clone(), 0.0, 7, TIMING);
-        let mut outs = Vec::new();
-        consensus.step(0.1, founder(2), message, &mut outs);
-        let answers = |out: &ConsensusOutput| matches!(out, ConsensusOutput::Send(_, ConsensusMessage::AppendMismatch { last_state: holds, .. }) if holds.digest == seven.digest());
-        assert!(outs.iter().any(answers), "{outs:?}");
+    for message in mismatching {
+        let mut consensus =
+            Consensus::new(founder(1), hard_state.clone(), 0.0, 7, CONSENSUS_CONFIG);
+        let mut outputs = Vec::new();
+        consensus.step(0.1, founder(2), message, &mut outputs);
+        let reports_mismatch = |output: &ConsensusOutput| match output {
+            ConsensusOutput::Send(_, ConsensusMessage::AppendMismatch { last_state, .. }) => {
+                last_state.digest == seven.digest()
+            }
+            _ => false,
+        };
+        assert!(outputs.iter().any(reports_mismatch), "{outputs:?}");
         assert_eq!(consensus.hard_state().state, seven);
     }
 }
--- a/crates/core/control/src/tests/forwarded_requests.rs
+++ b/crates/core/control/src/tests/forwarded_requests.rs
@@ -1,52 +1,46 @@
-//! One caller for an answer: calls that a control machine passes on to the leader.
+//! Requests that a control machine forwards to the leader: each answer reaches the one client that
+//! waits for it.
 
+use super::common::{founder, founding_hard_state};
 use super::fleet::timing;
-use crate::consensus::{ConsensusMessage, HardState};
+use crate::consensus::ConsensusMessage;
 use crate::controller::{ControlRequest, Controller, Output};
 use crate::message::{LeaderRequest, PeerMessage, RequestId};
-use crate::state::{ConfigPayload, State};
-use crate::voter_set::{FOUNDING_INCARNATION, Voter};
+use crate::state::ConfigPayload;
+use crate::voter_set::Voter;
 use crate::{Recipient, Term};
 use std::rc::Rc;
 
-fn voter(node: u32) -> Voter {
-    Voter {
-        node,
-        incarnation: FOUNDING_INCARNATION,
-    }
-}
-
-const LIFE: u64 = 77;
+const PROCESS_INCARNATION: u64 = 77;
 
 /// Machine 2, which follows machine 1.
 fn follower() -> Controller {
-    let record = HardState {
-        state: Rc::new(State::founding(vec![1, 2, 3])),
-        ..HardState::default()
-    };
-    let mut controller = Controller::new(voter(2), record, 0.0, LIFE, timing());
+    let disk = founding_hard_state(&[1, 2, 3]);
+    let mut controller = Controller::new(founder(2), disk, 0.0, PROCESS_INCARNATION, timing());
     let heartbeat = ConsensusMessage::Heartbeat {
         term: Term(1 << 32 | 1),
         sent_at: 0.0,
         confirmed_answer_at: None,
     };
-    controller.handle_peer_message(0.1, voter(1), PeerMessage::Consensus(heartbeat));
+    controller.handle_peer_message(0.1, founder(1), PeerMessage::Consensus(heartbeat));
     controller.persisted(0.1);
     controller
 }
 
-fn passed_on(out: &[Output]) -> (RequestId, LeaderRequest) {
-    let call = out.iter().find_map(|one| match one {
-        Output::SendToPeer(
-            Recipient::Voter(to),
-            PeerMessage::ForwardedRequest { id, request: call },
-        ) if *to == voter(1) => Some((*id, call.clone())),
+/// The request that was forwarded to the leader, machine 1.
+fn forwarded(outputs: &[Output]) -> (RequestId, LeaderRequest) {
+    let forwarded = outputs.iter().find_map(|output| match output {
+        Output::SendToPeer(Recipient::Voter(to), PeerMessage::ForwardedRequest { id, request })
+            if *to == founder(1) =>
+        {
+            Some((*id, request.clone()))
+        }
         _ => None,
     });
-    call.expect("it is passed on to the leader")
+    forwarded.expect("a request forwarded to the leader")
 }
 
-fn answer(id: RequestId, status: u16) -> PeerMessage {
+fn response(id: RequestId, status: u16) -> PeerMessage {
     PeerMessage::ForwardedResponse {
         id,
         status,
@@ -54,77 +48,83 @@
     }
 }
 
-fn replies(out: &[Output]) -> Vec<(u64, u16)> {
-    let reply = |one: &Output| match one {
-        Output::Respond(call, answer) => Some((*call, answer.status)),
+/// The clients that were answered, with the HTTP status.
+fn responses(outputs: &[Output]) -> Vec<(u64, u16)> {
+    let response = |output: &Output| match output {
+        Output::Respond(client, response) => Some((*client, response.status)),
         _ => None,
     };
-    out.iter().filter_map(reply).collect()
+    outputs.iter().filter_map(response).collect()
 }
 
 #[test]
-fn an_answer_is_taken_from_whom_was_asked_in_that_life_for_that_call() {
+fn response_must_match_recipient_incarnation_and_request() {
     let mut controller = follower();
-    let (first, _) = passed_on(&controller.handle_request(0.2, 501, ControlRequest::ReadConfig));
-    let (second, _) = passed_on(&controller.handle_request(0.2, 502, ControlRequest::ReadConfig));
+    let (first, _) = forwarded(&controller.handle_request(0.2, 501, ControlRequest::ReadConfig));
+    let (second, _) = forwarded(&controller.handle_request(0.2, 502, ControlRequest::ReadConfig));
     assert_ne!(first, second);
-    let other_life = RequestId {
-        process_incarnation: LIFE + 1,
+    let of_other_incarnation = RequestId {
+        process_incarnation: PROCESS_INCARNATION + 1,
         ..first
     };
-    let wiped = Voter {
+    let with_lost_disk = Voter {
         node: 1,
         incarnation: 9,
     };
     assert_eq!(
-        replies(&controller.handle_peer_message(0.3, voter(3), answer(first, 200))),
+        responses(&controller.handle_peer_message(0.3, founder(3), response(first, 200))),
         [],
         "from another machine"
     );
     assert_eq!(
-        replies(&controller.handle_peer_message(0.3, wiped, answer(first, 200))),
+        responses(&controller.handle_peer_message(0.3, with_lost_disk, response(first, 200))),
         [],
         "from another incarnation"
     );
     assert_eq!(
-        replies(&controller.handle_peer_message(0.3, voter(1), answer(other_life, 200))),
+        responses(&controller.handle_peer_message(
+            0.3,
+            founder(1),
+            response(of_other_incarnation, 200)
+        )),
         [],
-        "of a life before"
+        "of another process incarnation"
     );
     assert_eq!(
-        replies(&controller.handle_peer_message(0.3, voter(1), answer(second, 412))),
+        responses(&controller.handle_peer_message(0.3, founder(1), response(second, 412))),
         [(502, 412)]
     );
     assert_eq!(
-        replies(&controller.handle_peer_message(0.3, voter(1), answer(second, 200))),
+        responses(&controller.handle_peer_message(0.3, founder(1), response(second, 200))),
         [],
         "once only"
     );
     assert_eq!(
-        replies(&controller.handle_peer_message(0.3, voter(1), answer(first, 200))),
+        responses(&controller.handle_peer_message(0.3, founder(1), response(first, 200))),
         [(501, 200)]
     );
 }
 
 #[test]
-fn a_call_without_an_answer_is_told_so_within_the_second() {
+fn forwarded_request_times_out_within_a_second() {
     let mut controller = follower();
-    let (id, _) = passed_on(&controller.handle_request(0.2, 501, ControlRequest::ReadConfig));
-    let late = controller.tick(1.15);
-    assert_eq!(replies(&late), [(501, 503)]);
+    let (id, _) = forwarded(&controller.handle_request(0.2, 501, ControlRequest::ReadConfig));
+    let after_timeout = controller.tick(1.15);
+    assert_eq!(responses(&after_timeout), [(501, 503)]);
     assert_eq!(
-        replies(&controller.handle_peer_message(1.2, voter(1), answer(id, 200))),
+        responses(&controller.handle_peer_message(1.2, founder(1), response(id, 200))),
         [],
         "it was answered already"
     );
 }
 
-/// The text of an order goes as a difference; whole where the leader asks for that, and only the leader.
+/// The configuration is forwarded as a delta, and again with the complete text if the leader asks
+/// for it, but nobody else.
 #[test]
-fn an_order_is_sent_whole_on_request() {
+fn configuration_is_forwarded_in_full_on_request_of_the_leader() {
     let mut controller = follower();
     let body: Rc<[u8]> = Rc::from(*b"{\"epoch\":5}");
-    let (id, _) = passed_on(&controller.handle_request(
+    let (id, _) = forwarded(&controller.handle_request(
         0.2,
         501,
         ControlRequest::ReplaceConfig {
@@ -135,16 +135,16 @@
     ));
     assert!(
         controller
-            .handle_peer_message(0.3, voter(3), PeerMessage::FullConfigRequest { id })
+            .handle_peer_message(0.3, founder(3), PeerMessage::FullConfigRequest { id })
             .is_empty()
     );
-    let (again, call) = passed_on(&controller.handle_peer_message(
+    let (repeated_id, request) = forwarded(&controller.handle_peer_message(
         0.3,
-        voter(1),
+        founder(1),
         PeerMessage::FullConfigRequest { id },
     ));
     assert_eq!(
-        (again, call),
+        (repeated_id, request),
         (
             id,
             LeaderRequest::ReplaceConfig {
--- a/crates/core/control/src/tests/leader_authority.rs
+++ b/crates/core/control/src/tests/leader_authority.rs
@@ -1,127 +1,125 @@
-//! One leader of three, with one follower that answers for as long as a test wants: what it does only under its authority, and only
-//! once it knows enough.
+//! A controller that leads three machines, with one follower that answers for as long as a test
+//! wants: what it does only while it has authority, and only once it knows enough.
 
+use super::common::{founder, founding_hard_state};
 use super::fleet::timing;
 use crate::controller::{ControlConfig, ControlRequest, ControlResponse, Controller, Output};
 use crate::{
-    CommandOutcome, ConsensusMessage, FOUNDING_INCARNATION, HardState, Heartbeat, LeaseRequest,
-    MemberInfo, MemberPhase, NodeId, PeerMessage, Recipient, RouterMessage, ServerCommand,
-    ServerStatus, State, StateId, Term, Voter,
+    CommandOutcome, ConsensusMessage, Heartbeat, LeaseRequest, MemberInfo, MemberPhase,
+    PeerMessage, Recipient, RouterMessage, ServerCommand, ServerStatus, StateId, Term,
 };
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-const TICK: f64 = 0.02;
+/// Between two ticks of the controller, in seconds.
+const TICK_INTERVAL_S: f64 = 0.02;
 
-fn voter(node: NodeId) -> Voter {
-    Voter {
-        node,
-        incarnation: FOUNDING_INCARNATION,
-    }
-}
-
-/// Machine 1, which leads, and what machine 2 does; machine 3 is gone.
-struct Led {
+/// Machine 1, which leads, and what machine 2 does; machine 3 is down.
+struct LeaderHarness {
     controller: Controller,
     now: f64,
-    /// Machine 2 answers what agreement asks.
-    follows: bool,
-    /// Its answers under way.
-    answers: Vec<ConsensusMessage>,
-    /// The terms at which servers are paused.
-    held: HashMap<String, u64>,
-    /// The primary a has refused connections since then.
+    /// Machine 2 answers messages of consensus.
+    follower_answers: bool,
+    /// Its answers in flight.
+    in_flight: Vec<ConsensusMessage>,
+    /// The primary terms at which servers are paused.
+    paused_at: HashMap<String, u64>,
+    /// From then on the primary, `a`, refuses connections.
     refuses_from: f64,
     promotions: usize,
-    news: usize,
-    replies: Vec<(u64, ControlResponse)>,
-    told: Vec<RouterMessage>,
+    /// The number of updates that were sent to routers.
+    updates: usize,
+    /// By number of the request.
+    responses: Vec<(u64, ControlResponse)>,
+    router_messages: Vec<RouterMessage>,
 }
 
-impl Led {
-    /// It leads, with a service of three servers whose primary is a.
-    fn new() -> Led {
-        Led::with(timing())
+impl LeaderHarness {
+    /// A leader of a service of three servers whose primary is `a`.
+    fn new() -> LeaderHarness {
+        LeaderHarness::with_config(timing())
     }
 
-    /// The same with these spans.
-    fn with(timing: ControlConfig) -> Led {
-        let first = State::founding(vec![1, 2, 3]);
-        let record = HardState {
-            state: Rc::new(first),
-            ..HardState::default()
-        };
-        let mut led = Led {
-            controller: Controller::new(voter(1), record, 0.0, 7, timing),
+    /// The same with other time-outs.
+    fn with_config(timing: ControlConfig) -> LeaderHarness {
+        let disk = founding_hard_state(&[1, 2, 3]);
+        let mut leader = LeaderHarness {
+            controller: Controller::new(founder(1), disk, 0.0, 7, timing),
             now: 0.0,
-            follows: true,
-            answers: Vec::new(),
-            held: HashMap::new(),
+            follower_answers: true,
+            in_flight: Vec::new(),
+            paused_at: HashMap::new(),
             refuses_from: f64::INFINITY,
             promotions: 0,
-            news: 0,
-            replies: Vec::new(),
-            told: Vec::new(),
+            updates: 0,
+            responses: Vec::new(),
+            router_messages: Vec::new(),
         };
-        led.run(1.0);
-        assert!(led.controller.is_leader());
-        led
+        leader.run(1.0);
+        assert!(leader.controller.is_leader());
+        leader
     }
 
     fn run(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
-            self.now += TICK;
-            let out = self.controller.tick(self.now);
-            self.perform(out);
-            for answer in std::mem::take(&mut self.answers) {
-                let out = self.controller.handle_peer_message(
+            self.now += TICK_INTERVAL_S;
+            let outputs = self.controller.tick(self.now);
+            self.perform(outputs);
+            for answer in std::mem::take(&mut self.in_flight) {
+                let outputs = self.controller.handle_peer_message(
                     self.now,
-                    voter(2),
+                    founder(2),
                     PeerMessage::Consensus(answer),
                 );
-                self.perform(out);
+                self.perform(outputs);
             }
         }
     }
 
-    fn perform(&mut self, out: Vec<Output>) {
-        let mut waiting = VecDeque::from(out);
-        while let Some(one) = waiting.pop_front() {
-            match one {
+    fn perform(&mut self, outputs: Vec<Output>) {
+        let mut pending = VecDeque::from(outputs);
+        while let Some(output) = pending.pop_front() {
+            match output {
                 Output::Persist => {
-                    let then = self.controller.persisted(self.now);
-                    then.into_iter()
+                    let next = self.controller.persisted(self.now);
+                    next.into_iter()
                         .rev()
-                        .for_each(|next| waiting.push_front(next));
+                        .for_each(|output| pending.push_front(output));
                 }
-                Output::PersistMembers(then) => waiting.extend(then),
-                Output::SendToPeer(to, PeerMessage::Consensus(message)) if self.follows => {
-                    self.answers.extend(self.answer(to, message));
+                Output::PersistMembers(next) => pending.extend(next),
+                Output::SendToPeer(to, PeerMessage::Consensus(message))
+                    if self.follower_answers =>
+                {
+                    self.in_flight.extend(self.follower_answer(to, message));
                 }
                 Output::SendToPeer(..) => {}
                 Output::SendCommand {
                     server_id: id,
                     service,
-                    command: statement,
+                    command,
                     ..
-                } => self.ask(&service, &id, statement),
+                } => self.run_command(&service, &id, command),
                 Output::Promote { .. } => self.promotions += 1,
-                Output::SendUpdate(..) => self.news += 1,
-                Output::Respond(call, answer) => self.replies.push((call, answer)),
-                Output::SendToRouter(_, message) => self.told.push(message),
+                Output::SendUpdate(..) => self.updates += 1,
+                Output::Respond(request, response) => self.responses.push((request, response)),
+                Output::SendToRouter(_, message) => self.router_messages.push(message),
             }
         }
     }
 
-    /// What machine 2 says to this.
-    fn answer(&self, to: Recipient, message: ConsensusMessage) -> Option<ConsensusMessage> {
+    /// What machine 2 answers.
+    fn follower_answer(
+        &self,
+        to: Recipient,
+        message: ConsensusMessage,
+    ) -> Option<ConsensusMessage> {
         if to.node() != 2 {
             return None;
         }
         let state = self.controller.hard_state().state.clone();
-        let holds = |accepted| StateId {
-            accepted_term: accepted,
+        let last_state = |accepted_term| StateId {
+            accepted_term,
             version: state.version,
             digest: state.digest(),
         };
@@ -131,262 +129,272 @@
                 granted: true,
                 voted_term: Term::default(),
             },
-            ConsensusMessage::VoteRequest {
-                term,
-                last_state: holds,
-            } => ConsensusMessage::VoteResponse {
+            ConsensusMessage::VoteRequest { term, last_state } => ConsensusMessage::VoteResponse {
                 term,
-                last_state: holds,
+                last_state,
                 newer_state: None,
             },
             ConsensusMessage::AppendRequest { term, .. } => ConsensusMessage::AppendResponse {
                 term,
-                last_state: holds(term),
-            },
-            ConsensusMessage::Heartbeat {
-                term,
-                sent_at: sent,
-                ..
-            } => ConsensusMessage::HeartbeatResponse {
-                term,
-                heartbeat_sent_at: sent,
-                answered_at: self.now,
-                last_state: holds(term),
+                last_state: last_state(term),
             },
+            ConsensusMessage::Heartbeat { term, sent_at, .. } => {
+                ConsensusMessage::HeartbeatResponse {
+                    term,
+                    heartbeat_sent_at: sent_at,
+                    answered_at: self.now,
+                    last_state: last_state(term),
+                }
+            }
             _ => return None,
         })
     }
 
-    fn ask(&mut self, service: &str, id: &str, statement: ServerCommand) {
-        let leader = id == "a";
-        match statement {
-            ServerCommand::Pause(primary_term) if !leader => {
-                self.held.insert(id.to_owned(), primary_term)
+    /// Lets a server run a command; `a` is the primary.
+    fn run_command(&mut self, service: &str, id: &str, command: ServerCommand) {
+        let is_primary = id == "a";
+        match command {
+            ServerCommand::Pause(primary_term) if !is_primary => {
+                self.paused_at.insert(id.to_owned(), primary_term)
             }
-            ServerCommand::Resume => self.held.remove(id),
+            ServerCommand::Resume => self.paused_at.remove(id),
             _ => None,
         };
-        let held = self.held.get(id).copied().unwrap_or(0);
-        let row = ServerStatus {
-            is_primary: leader,
+        let highest_term = self.paused_at.get(id).copied().unwrap_or(0);
+        let status = ServerStatus {
+            is_primary,
             primary_term: 1,
             received: (1, 5),
-            highest_term: held,
+            highest_term,
         };
-        let asked = match leader && self.now >= self.refuses_from {
-            true => CommandOutcome::Refused,
-            false => CommandOutcome::Status {
-                command: statement,
-                status: row,
+        let outcome = if is_primary && self.now >= self.refuses_from {
+            CommandOutcome::Refused
+        } else {
+            CommandOutcome::Status {
+                command,
+                status,
                 sent_at: self.now,
-            },
+            }
         };
         self.controller
-            .command_completed(self.now, service, id, asked);
+            .command_completed(self.now, service, id, outcome);
     }
 
-    fn beat(&mut self, id: &str, version: u64) {
+    /// Lets a server send a heartbeat.
+    fn heartbeat(&mut self, id: &str, call_seq: u64) {
         let text = |text: &str| text.to_owned();
         let (service, zone) = (text("s"), text("z"));
         let endpoint = format!("10.0.0.{}:1", id.as_bytes()[0]);
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             service,
             endpoint,
             zone,
             slots: 4,
             phase: MemberPhase::Ready,
-            call_seq: version,
+            call_seq,
         };
-        let out = self.controller.handle_request(
+        let outputs = self.controller.handle_request(
             self.now,
-            1000 + version,
+            1000 + call_seq,
             ControlRequest::Heartbeat {
                 server_id: text(id),
-                heartbeat: beat,
+                heartbeat,
             },
         );
-        self.perform(out);
+        self.perform(outputs);
     }
 
-    fn renew(&mut self, known: (Term, u64)) {
-        let call = LeaseRequest {
+    /// Lets the router request a lease.
+    fn renew_lease(&mut self, update_watermark: (Term, u64)) {
+        let request = LeaseRequest {
             router: "r".to_owned(),
             process_incarnation: 1,
             sent_at: self.now,
-            update_watermark: known,
+            update_watermark,
             config_epoch: 0,
             health_reports: Vec::new(),
         };
-        let out = self.controller.handle_lease_request(self.now, 1, call);
-        self.perform(out);
+        let outputs = self.controller.handle_lease_request(self.now, 1, request);
+        self.perform(outputs);
     }
 
-    /// The answer to a call that is made now, within two ticks.
-    fn call(&mut self, number: u64, call: ControlRequest) -> Option<ControlResponse> {
-        let out = self.controller.handle_request(self.now, number, call);
-        self.perform(out);
-        self.run(2.0 * TICK);
-        self.replies
+    /// The response to a request of a client within two ticks.
+    fn request(&mut self, number: u64, request: ControlRequest) -> Option<ControlResponse> {
+        let outputs = self.controller.handle_request(self.now, number, request);
+        self.perform(outputs);
+        self.run(2.0 * TICK_INTERVAL_S);
+        self.responses
             .iter()
-            .find(|(of, _)| *of == number)
-            .map(|(_, answer)| answer.clone())
+            .find(|(request, _)| *request == number)
+            .map(|(_, response)| response.clone())
     }
 }
 
-fn replace(base: u64, epoch: u64) -> ControlRequest {
+fn replace(base_epoch: u64, epoch: u64) -> ControlRequest {
     ControlRequest::ReplaceConfig {
-        base_epoch: base,
+        base_epoch,
         epoch,
         body: Rc::from(*b"a configuration"),
     }
 }
 
-/// A process may stand still between a decision and its answer: what rests on contact says until when it holds.
+/// A process may be suspended between a decision and its response, so a response that relies on
+/// contact says until when it is valid.
 #[test]
-fn what_rests_on_contact_holds_no_longer_than_the_authority() {
-    let mut led = Led::new();
-    let taken = led.call(1, replace(0, 5)).expect("an answer");
+fn response_that_needs_contact_is_valid_no_longer_than_the_authority() {
+    let mut leader = LeaderHarness::new();
+    let applied = leader.request(1, replace(0, 5)).expect("a response");
     assert_eq!(
-        (taken.status, taken.valid_until),
+        (applied.status, applied.valid_until),
         (200, f64::INFINITY),
-        "what is agreed on holds for good"
+        "what is committed is valid for good"
     );
-    for (number, call, status) in [
+    for (number, request, status) in [
         (2, ControlRequest::ReadConfig, 200),
         (3, replace(0, 7), 412),
         (4, replace(5, 4), 400),
     ] {
-        let answer = led.call(number, call).expect("an answer");
-        assert_eq!(answer.status, status);
+        let response = leader.request(number, request).expect("a response");
+        assert_eq!(response.status, status);
         assert!(
-            answer.valid_until <= led.now + timing().election_timeout,
-            "{status} holds until {}",
-            answer.valid_until
+            response.valid_until <= leader.now + timing().election_timeout,
+            "{status} is valid until {}",
+            response.valid_until
         );
     }
 }
 
-/// Behind its authority a leader gives no lease and tells no news, though it doesn't know yet that it leads no longer; and it makes
-/// no call that a former leader must not make.
+/// Once its authority has ended, a leader that doesn't know it yet gives no lease, sends no update,
+/// and makes no call that a former leader must not make.
 #[test]
-fn nothing_leaves_behind_the_authority() {
-    let mut led = Led::new();
-    let fencing_token = led
+fn nothing_is_sent_after_the_end_of_the_authority() {
+    let mut leader = LeaderHarness::new();
+    let fencing_token = leader
         .controller
         .consensus()
         .leader_term()
         .expect("it leads")
         .0;
-    led.renew((Term(fencing_token), 0));
-    led.run(0.1);
-    assert!(led.news > 0, "the router is told");
-    led.renew((Term(fencing_token), 1));
-    led.beat("a", 1);
-    led.run(0.1);
-    // It knows whatever it was told: what is new by then goes out at once, were it not for the authority.
-    led.renew((Term(fencing_token), 50));
-    let lease = |told: &[RouterMessage]| match told.last() {
-        Some(RouterMessage::Update {
-            lease_duration: lease,
-            ..
-        }) => *lease,
+    leader.renew_lease((Term(fencing_token), 0));
+    leader.run(0.1);
+    assert!(leader.updates > 0, "the router is sent updates");
+    leader.renew_lease((Term(fencing_token), 1));
+    leader.heartbeat("a", 1);
+    leader.run(0.1);
+    // It has acknowledged everything, so only the lack of authority can keep a new update from it.
+    leader.renew_lease((Term(fencing_token), 50));
+    let lease_duration = |messages: &[RouterMessage]| match messages.last() {
+        Some(RouterMessage::Update { lease_duration, .. }) => *lease_duration,
         other => panic!("{other:?}"),
     };
-    assert!(lease(&led.told) > 0.0);
-    assert!(led.controller.may_act_with(led.now, fencing_token));
+    assert!(lease_duration(&leader.router_messages) > 0.0);
+    assert!(leader.controller.may_act_with(leader.now, fencing_token));
     assert!(
-        !led.controller.may_act_with(led.now, fencing_token - 1)
-            && !led.controller.may_act_with(led.now, fencing_token + 1)
+        !leader
+            .controller
+            .may_act_with(leader.now, fencing_token - 1)
+            && !leader
+                .controller
+                .may_act_with(leader.now, fencing_token + 1)
     );
-    led.follows = false;
-    led.run(timing().election_timeout + 0.1);
-    assert!(led.controller.is_leader(), "it doesn't know yet");
-    led.renew((Term(fencing_token), 50));
-    assert_eq!(lease(&led.told), 0.0);
-    assert!(!led.controller.may_act_with(led.now, fencing_token));
-    let news = led.news;
-    led.beat("b", 2);
-    led.run(0.1);
-    assert_eq!(led.news, news);
+    leader.follower_answers = false;
+    leader.run(timing().election_timeout + 0.1);
+    assert!(leader.controller.is_leader(), "it doesn't know it yet");
+    leader.renew_lease((Term(fencing_token), 50));
+    assert_eq!(lease_duration(&leader.router_messages), 0.0);
+    assert!(!leader.controller.may_act_with(leader.now, fencing_token));
+    let updates = leader.updates;
+    leader.heartbeat("b", 2);
+    leader.run(0.1);
+    assert_eq!(leader.updates, updates);
 }
 
-/// Whoever waits for a leader that leads no longer is told so then.
+/// Clients that wait for a commit get 503 when the leader loses its leadership.
 #[test]
-fn whoever_waits_is_told_when_the_lead_is_lost() {
-    let mut led = Led::new();
-    led.follows = false;
-    led.run(timing().election_timeout + 0.3);
+fn pending_requests_fail_when_leadership_is_lost() {
+    let mut leader = LeaderHarness::new();
+    leader.follower_answers = false;
+    leader.run(timing().election_timeout + 0.3);
     assert!(
-        led.controller.is_leader() && led.call(1, replace(0, 5)).is_none(),
-        "nobody can agree"
+        leader.controller.is_leader() && leader.request(1, replace(0, 5)).is_none(),
+        "nothing can be committed"
     );
-    led.run(0.6);
-    assert!(!led.controller.is_leader());
-    let answer = led
-        .replies
+    leader.run(0.6);
+    assert!(!leader.controller.is_leader());
+    let status = leader
+        .responses
         .iter()
-        .find(|(call, _)| *call == 1)
-        .map(|(_, answer)| answer.status);
-    assert_eq!(answer, Some(503));
+        .find(|(request, _)| *request == 1)
+        .map(|(_, response)| response.status);
+    assert_eq!(status, Some(503));
 }
 
-/// A new leader that doesn't know yet what a majority was told of servers promotes none, however long that takes.
+/// A new leader promotes no server before it has the membership snapshots of a majority, however
+/// long that takes.
 #[test]
-fn nobody_is_promoted_before_a_majority_told_what_it_knows() {
-    let mut led = Led::new();
-    for (version, id) in (1..).zip(["a", "b", "c"]) {
-        led.beat(id, version);
+fn no_promotion_before_the_membership_snapshots_of_a_majority() {
+    let mut leader = LeaderHarness::new();
+    for (call_seq, id) in (1..).zip(["a", "b", "c"]) {
+        leader.heartbeat(id, call_seq);
     }
-    led.run(1.0);
-    led.refuses_from = led.now;
-    for version in 10..18 {
-        led.run(1.0);
-        led.beat("b", version);
-        led.beat("c", version);
+    leader.run(1.0);
+    leader.refuses_from = leader.now;
+    for call_seq in 10..18 {
+        leader.run(1.0);
+        leader.heartbeat("b", call_seq);
+        leader.heartbeat("c", call_seq);
     }
-    assert_eq!(led.promotions, 0);
-    let fencing_token = led.controller.consensus().leader_term().expect("it leads");
-    let roster = PeerMessage::MembersSnapshot {
-        term: fencing_token,
+    assert_eq!(leader.promotions, 0);
+    let term = leader
+        .controller
+        .consensus()
+        .leader_term()
+        .expect("it leads");
+    let snapshot = PeerMessage::MembersSnapshot {
+        term,
         members: Vec::<MemberInfo>::new(),
     };
-    let out = led
+    let outputs = leader
         .controller
-        .handle_peer_message(led.now, voter(2), roster);
-    led.perform(out);
-    led.run(2.0);
-    assert!(led.promotions > 0, "{:?}", led.controller.primaries());
+        .handle_peer_message(leader.now, founder(2), snapshot);
+    leader.perform(outputs);
+    leader.run(2.0);
+    assert!(leader.promotions > 0, "{:?}", leader.controller.primaries());
 }
 
-/// Holders of the duty don't take turns within what the settings say: a new leader promotes nobody before it has led for as long.
+/// A new leader promotes no server before it has led for the handover delay of the settings.
 #[test]
-fn the_duty_changes_hands_no_sooner_than_the_settings_say() {
-    for (turn, later) in [(0.0, false), (9.0, true)] {
-        let mut led = Led::with(ControlConfig {
-            duty_handover_delay: turn,
+fn no_promotion_before_the_handover_delay() {
+    for (handover_delay, is_delayed) in [(0.0, false), (9.0, true)] {
+        let mut leader = LeaderHarness::with_config(ControlConfig {
+            duty_handover_delay: handover_delay,
             ..timing()
         });
-        for (version, id) in (1..).zip(["a", "b", "c"]) {
-            led.beat(id, version);
+        for (call_seq, id) in (1..).zip(["a", "b", "c"]) {
+            leader.heartbeat(id, call_seq);
         }
-        let fencing_token = led.controller.consensus().leader_term().expect("it leads");
-        let roster = PeerMessage::MembersSnapshot {
-            term: fencing_token,
+        let term = leader
+            .controller
+            .consensus()
+            .leader_term()
+            .expect("it leads");
+        let snapshot = PeerMessage::MembersSnapshot {
+            term,
             members: Vec::<MemberInfo>::new(),
         };
-        let out = led
+        let outputs = leader
             .controller
-            .handle_peer_message(led.now, voter(2), roster);
-        led.perform(out);
-        led.run(1.0);
-        led.refuses_from = led.now;
-        for version in 10..16 {
-            led.run(1.0);
-            led.beat("b", version);
-            led.beat("c", version);
+            .handle_peer_message(leader.now, founder(2), snapshot);
+        leader.perform(outputs);
+        leader.run(1.0);
+        leader.refuses_from = leader.now;
+        for call_seq in 10..16 {
+            leader.run(1.0);
+            leader.heartbeat("b", call_seq);
+            leader.heartbeat("c", call_seq);
         }
-        assert_eq!(led.promotions == 0, later, "{turn}");
-        led.run(4.0);
-        assert!(led.promotions > 0);
+        assert_eq!(leader.promotions == 0, is_delayed, "{handover_delay}");
+        leader.run(4.0);
+        assert!(leader.promotions > 0);
     }
 }
--- a/crates/core/control/src/tests/load.rs
+++ b/crates/core/control/src/tests/load.rs
@@ -1,24 +1,32 @@
-//! Many at once: routers that come all together, routers that are slow, hundreds of services, a machine that is late. What the
-//! leader does of it in one tick is bounded, and leases go before all else.
+//! The leader under load: many routers that connect at once, slow routers, hundreds of services,
+//! late ticks. Its work in one tick is bounded, and leases go before everything else.
 
+use super::common::{founder, founding_hard_state};
 use super::fleet::{Fleet, TICK, timing};
 use crate::controller::{
-    EVIDENCE_WANTED, Output, QUESTIONS_A_TICK, SERVICES_A_TICK, SESSIONS_A_TICK,
+    ControlRequest, EVIDENCE_WANTED, Output, QUESTIONS_A_TICK, SERVICES_A_TICK, SESSIONS_A_TICK,
 };
 use crate::{
-    ConfigUpdate, ConsensusMessage, Controller, FOUNDING_INCARNATION, HardState, HealthReport,
-    MemberPhase, PeerMessage, Recipient, RouterMessage, State, Term, Voter,
+    ConfigUpdate, ConsensusMessage, Controller, HealthReport, Heartbeat, MemberPhase, PeerMessage,
+    Recipient, RouterMessage, Term,
 };
 use std::collections::HashSet;
 use std::rc::Rc;
 
-fn is_lease(answer: &RouterMessage) -> bool {
-    matches!(answer, RouterMessage::Update { request_sent_at: Some(_), lease_duration: lease, .. } if *lease > 0.0)
+fn gives_lease(message: &RouterMessage) -> bool {
+    match message {
+        RouterMessage::Update {
+            request_sent_at,
+            lease_duration,
+            ..
+        } => request_sent_at.is_some() && *lease_duration > 0.0,
+        RouterMessage::NotLeader { .. } => false,
+    }
 }
 
-/// An answer is as small for a router that lacks everything as for one that lacks nothing.
+/// An answer to a lease request is small, also for a router that knows nothing yet.
 #[test]
-fn an_answer_carries_the_lease_and_no_news() {
+fn lease_response_carries_no_changes() {
     let mut fleet = Fleet::new(1, 20);
     fleet.configure(1, b"x");
     fleet.until(5.0, "primaries", |f| f.served(20) == 1);
@@ -26,37 +34,41 @@
         fleet.tick();
     }
     let it = &fleet.routers[0];
-    assert!(it.answers.len() > 2 && it.answers.iter().any(is_lease));
+    assert!(it.answers.len() > 2 && it.answers.iter().any(gives_lease));
     for answer in &it.answers {
         let RouterMessage::Update {
             grants,
             members,
             config,
-            is_snapshot: whole,
+            is_snapshot,
             ..
         } = answer
         else {
             panic!("{answer:?}")
         };
-        assert!(grants.is_empty() && members.is_empty() && config.is_none() && !whole);
+        assert!(grants.is_empty() && members.is_empty() && config.is_none() && !is_snapshot);
     }
 }
 
-/// Whoever was told nothing by this leader is given no lease: it would cover what another one granted.
+/// A router without a snapshot of this leader gets no lease: it would cover grants of a former
+/// leader.
 #[test]
-fn the_first_lease_comes_once_the_whole_is_known() {
+fn first_lease_needs_an_acknowledged_snapshot() {
     let mut fleet = Fleet::new(1, 2);
     fleet.routers[0].reads_from = fleet.now + 1.0;
     for _ in 0..45 {
         fleet.tick();
     }
-    assert!(fleet.routers[0].answers.len() > 1 && !fleet.routers[0].answers.iter().any(is_lease));
+    assert!(
+        fleet.routers[0].answers.len() > 1 && !fleet.routers[0].answers.iter().any(gives_lease)
+    );
     fleet.until(1.0, "a lease", |f| f.served(2) == 1);
 }
 
-/// A new leader's first moment: five hundred routers ask at once. Each is told once, in turn, and all share what they are told.
+/// Five hundred routers connect at once. Each gets one snapshot, a bounded number per tick, and all
+/// share the same ones.
 #[test]
-fn a_crowd_is_told_in_turns_and_shares_what_it_is_told() {
+fn snapshots_for_many_routers_are_paced_and_shared() {
     let mut fleet = Fleet::new(530, 20);
     fleet.until(2.0, "primaries", |f| {
         f.controller
@@ -64,7 +76,7 @@
             .iter()
             .all(|(_, phase, _)| *phase == "steady")
     });
-    // All connections break: every router is a new one.
+    // All connections break, and every router starts without any state.
     for router in 0..530 {
         fleet.controller.session_closed(router as u64 + 1);
         fleet.routers[router] = Default::default();
@@ -82,15 +94,16 @@
         shared.extend(said.news.iter().map(|(_, news)| Rc::as_ptr(news)));
     }
     told.sort_unstable();
-    assert_eq!(told, (0..530).collect::<Vec<_>>(), "each is told once");
-    assert!(shared.len() <= 2, "{} different wholes", shared.len());
+    assert_eq!(told, (0..530).collect::<Vec<_>>(), "each gets it once");
+    assert!(shared.len() <= 2, "{} different snapshots", shared.len());
     fleet.until(0.1, "leases", |f| f.served(20) == 530);
 }
 
-/// A router that takes no news for three seconds, while a hundred things change, is told at most its last news again after a
-/// second and after two more. It keeps its lease, and is told the rest in one.
+/// A router reads no updates for three seconds, while a hundred things change: it is sent its last
+/// update again at most after one second and after two more. It keeps its lease, and gets all the
+/// rest in one update.
 #[test]
-fn a_slow_router_has_one_news_under_way() {
+fn slow_router_has_one_update_in_flight() {
     let mut fleet = Fleet::new(2, 5);
     fleet.until(2.0, "primaries", |f| f.served(5) == 2);
     fleet.routers[0].reads_from = fleet.now + 3.0;
@@ -110,15 +123,15 @@
             "it lost its lease"
         );
     }
-    assert!(told[1] > 100, "the other was told each change: {told:?}");
+    assert!(told[1] > 100, "the other router gets each change: {told:?}");
     assert!((1..=3).contains(&told[0]), "{told:?}");
     let last = fleet.routers[1].known;
     fleet.until(1.0, "the rest", |f| f.routers[0].known >= last);
 }
 
-/// A session whose configuration is under way gets its leases meanwhile, and the configuration only once.
+/// A router gets leases while a configuration is in flight to it, and the configuration only once.
 #[test]
-fn leases_go_on_while_a_configuration_is_under_way() {
+fn leases_are_renewed_while_a_configuration_is_in_flight() {
     let mut fleet = Fleet::new(1, 2);
     fleet.until(2.0, "primaries", |f| f.served(2) == 1);
     fleet.routers[0].reads_from = fleet.now + 0.8;
@@ -128,10 +141,12 @@
         told += fleet.tick().news.len();
     }
     assert_eq!(told, 1);
-    assert!(fleet.routers[0].answers.len() >= 2 && fleet.routers[0].answers.iter().all(is_lease));
+    assert!(
+        fleet.routers[0].answers.len() >= 2 && fleet.routers[0].answers.iter().all(gives_lease)
+    );
 }
 
-/// A text of so many bytes, whose length these tests take for its epoch.
+/// A configuration text of `epoch` bytes: the fake routers take its length for its epoch.
 fn text(epoch: u64) -> Vec<u8> {
     let mut text: Vec<u8> = (0..)
         .flat_map(|n: u32| format!("{n},").into_bytes())
@@ -141,10 +156,9 @@
     text
 }
 
-/// Routers that go by the configuration before are told the change, all by the same news; one that goes by none, or could
-/// make nothing of what it was told, is told all of it.
+/// Routers with the previous configuration get a delta; one without it gets the complete text.
 #[test]
-fn a_changed_configuration_goes_as_its_change() {
+fn changed_configuration_is_sent_as_a_delta() {
     let mut fleet = Fleet::new(30, 2);
     let configs = |said: &[(usize, Rc<RouterMessage>)]| {
         let of = |(router, news): &(usize, Rc<RouterMessage>)| match &**news {
@@ -172,7 +186,7 @@
                 .iter()
                 .all(|(_, config)| matches!(config, ConfigUpdate::Full(_)))
     );
-    // One has lost what it had.
+    // One router loses its configuration.
     fleet.routers[7].forget_config();
     fleet.until(0.5, "it says so", |f| f.routers[7].epoch == 5000);
     let mut bytes = 0;
@@ -186,7 +200,7 @@
                 .news,
         );
         let told = configs(&said);
-        assert_eq!(told.len(), 30, "each is told once");
+        assert_eq!(told.len(), 30, "each gets it once");
         assert!(
             told.iter()
                 .all(|(_, config)| matches!(config, ConfigUpdate::Deltas(_)))
@@ -204,29 +218,38 @@
     bincode::encode_to_vec(news, bincode::config::standard()).map_or(0, |bytes| bytes.len())
 }
 
-/// What is taken back counts as known only once the router has said so, though its lease is renewed meanwhile.
+/// A revocation waits for the acknowledgement of the router, although its lease is renewed
+/// meanwhile.
 #[test]
-fn a_lease_that_is_renewed_proves_nothing_of_news_under_way() {
+fn renewed_lease_does_not_acknowledge_updates_in_flight() {
     let mut fleet = Fleet::new(1, 1);
     fleet.until(2.0, "primaries", |f| f.served(1) == 1);
     fleet.routers[0].reads_from = fleet.now + 2.0;
-    // The primary dies: its grant is taken back, and nobody is chosen before the router knows.
+    // The primary fails: its grant is revoked, and no server is promoted before the router knows.
     fleet.dark.insert("server-0".to_owned());
     let mut promotions = 0;
     while fleet.now < fleet.routers[0].reads_from - TICK {
         promotions += fleet.tick().promotions;
     }
     assert!(!fleet.routers[0].unread.is_empty() && promotions == 0);
-    assert!(fleet.routers[0].answers.iter().rev().take(2).all(is_lease));
+    assert!(
+        fleet.routers[0]
+            .answers
+            .iter()
+            .rev()
+            .take(2)
+            .all(gives_lease)
+    );
 }
 
-/// A router that could hold no lease any more when a primary was replaced gets none before it knows of that, though its session
-/// goes on with older news.
+/// The lease of a router had expired when a primary was replaced: it gets a new one only when it
+/// knows of that, although its session goes on with older updates.
 #[test]
-fn a_lease_that_ran_out_is_given_again_to_whom_knows_all_grants() {
+fn expired_lease_is_renewed_only_with_all_grants_known() {
     let mut fleet = Fleet::new(2, 1);
     fleet.until(2.0, "primaries", |f| f.served(1) == 2);
-    // One router says nothing and takes nothing for a while; it is told of a member before the grant is taken back.
+    // One router neither sends nor reads for a while; an update of a member is sent to it before
+    // the revocation.
     fleet.routers[0].silent = true;
     fleet.beat("server-1", MemberPhase::Draining);
     for _ in 0..20 {
@@ -243,28 +266,29 @@
     let it = &fleet.routers[0];
     assert!(
         !it.grants["service-0000"].revoking,
-        "it knows the grant as it was"
+        "it has the grant from before"
     );
     assert!(
-        it.answers.last().is_some_and(|answer| !is_lease(answer)) && it.lease_until < fleet.now
+        it.answers.last().is_some_and(|answer| !gives_lease(answer)) && it.lease_until < fleet.now
     );
-    // Told the rest, it gets one.
+    // With the rest of the updates it gets one.
     fleet.routers[0].unread = later;
     fleet.until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
     assert!(fleet.routers[0].grants["service-0000"].revoking);
 }
 
-/// Four hundred services under a leader that has just begun: their servers are asked in bounded numbers, also where each tick
-/// comes late, and no service counts as without a primary before its servers were asked.
+/// Four hundred services under a new leader: the number of queries per tick is bounded, also when
+/// ticks are late, and no service is taken to have lost its primary before its servers were
+/// queried.
 #[test]
-fn many_services_are_asked_in_turns() {
+fn queries_for_many_services_are_paced() {
     const SERVICES: usize = 400;
     for tick in [TICK, 0.2] {
         let mut fleet = Fleet::new(1, SERVICES);
-        let began = fleet.now;
+        let started_at = fleet.now;
         while fleet.served(SERVICES) == 0 {
             let said = fleet.tick_after(tick);
-            // The last service that had its turn asks all of its servers.
+            // The last service of a tick queries all of its servers, even beyond the bound.
             assert!(
                 said.questions.len() <= QUESTIONS_A_TICK + 2,
                 "{} questions",
@@ -278,11 +302,11 @@
             assert_eq!(
                 given_up,
                 None,
-                "{:.2} s after the beginning",
-                fleet.now - began
+                "{:.2} s after the start",
+                fleet.now - started_at
             );
             assert!(
-                fleet.now - began < 12.0,
+                fleet.now - started_at < 12.0,
                 "{} primaries",
                 fleet.routers[0].grants.len()
             );
@@ -290,9 +314,10 @@
     }
 }
 
-/// Four hundred services, calm: no more questions than are planned for, and no primary is missed for that.
+/// Four hundred services without faults: queries are as rare as planned, and no primary times
+/// outputs because of that.
 #[test]
-fn many_services_are_asked_seldom() {
+fn query_interval_grows_with_the_number_of_services() {
     let mut fleet = Fleet::new(1, 400);
     fleet.until(3.0, "primaries", |f| f.served(400) == 1);
     let mut questions = 0;
@@ -300,16 +325,17 @@
         questions += fleet.tick().questions.len();
         assert_eq!(fleet.served(400), 1);
     }
-    // Each primary each 0.4 s at its turn, each replica each 7 s; with replicas as often as with few services it would be 7,500.
+    // Each primary every 0.4 s, each replica every 7 s. With the interval of few services it would
+    // be 7,500.
     assert!(
         (5_000..6_500).contains(&questions),
         "{questions} in five seconds"
     );
 }
 
-/// A tick of few services steps all of them: nothing waits for a turn.
+/// With few services, every tick handles all of them.
 #[test]
-fn few_services_wait_for_no_turn() {
+fn few_services_are_all_handled_in_every_tick() {
     let services = SERVICES_A_TICK / 4;
     let mut fleet = Fleet::new(1, services);
     let asked: usize = (0..10).map(|_| fleet.tick().questions.len()).sum();
@@ -317,9 +343,10 @@
     fleet.until(0.5, "primaries", |f| f.served(services) == 1);
 }
 
-/// A leader that didn't run for two seconds asked nobody meanwhile: no primary is dead for that.
+/// A leader that was suspended for two seconds sent no queries meanwhile, so no primary times
+/// outputs.
 #[test]
-fn a_late_leader_takes_nobody_for_dead() {
+fn late_tick_does_not_time_out_primaries() {
     let mut fleet = Fleet::new(1, 10);
     fleet.until(2.0, "primaries", |f| f.served(10) == 1);
     fleet.tick_after(2.0);
@@ -333,21 +360,22 @@
         .filter(|(_, phase, _)| *phase == "steady")
         .count();
     assert_eq!(steady, 10);
-    // A silence of their own counts as before, once the leader is punctual again.
+    // Once ticks are punctual again, primaries time outputs as before.
     for _ in 0..60 {
         fleet.tick();
     }
     fleet.dark.insert("server-0".to_owned());
-    let began = fleet.now;
-    fleet.until(0.8, "one is given up", |f| {
+    let started_at = fleet.now;
+    fleet.until(0.8, "one times outputs", |f| {
         f.controller.primaries()[0].1 != "steady"
     });
-    assert!(fleet.now - began > 0.4);
+    assert!(fleet.now - started_at > 0.4);
 }
 
-/// Routers are asked for evidence only of primaries that the leader doesn't hear, and their evidence keeps these in use.
+/// Routers are asked for health reports only of primaries that don't answer the leader, and their
+/// reports keep these in use.
 #[test]
-fn evidence_is_asked_for_where_it_is_wanted() {
+fn health_reports_are_requested_for_silent_primaries() {
     let mut fleet = Fleet::new(1, 3);
     fleet.until(2.0, "primaries", |f| f.served(3) == 1);
     let seen = |n: usize| HealthReport {
@@ -361,7 +389,7 @@
         assert!(fleet.routers[0].evidence_wanted.is_empty());
     }
     fleet.dark.insert("server-3".to_owned());
-    fleet.until(0.5, "it is asked about", |f| {
+    fleet.until(0.5, "a report is requested", |f| {
         f.routers[0].evidence_wanted == ["service-0001"]
     });
     for _ in 0..150 {
@@ -369,134 +397,132 @@
         assert_eq!(fleet.controller.primaries()[1].1, "steady");
     }
     fleet.routers[0].evidence.clear();
-    fleet.until(1.0, "it is given up", |f| {
+    fleet.until(1.0, "it times outputs", |f| {
         f.controller.primaries()[1].1 != "steady"
     });
 }
 
-/// However many primaries fall silent, an answer names a bounded number of them.
+/// However many primaries are silent, a response requests a bounded number of health reports.
 #[test]
-fn an_answer_asks_about_so_many_primaries_at_most() {
+fn number_of_requested_health_reports_is_bounded() {
     let services = 2 * EVIDENCE_WANTED;
     let mut fleet = Fleet::new(1, services);
     fleet.until(3.0, "primaries", |f| f.served(services) == 1);
     fleet.dark = (0..services).map(|n| format!("server-{}", 3 * n)).collect();
-    fleet.until(1.0, "they are asked about", |f| {
+    fleet.until(1.0, "reports are requested", |f| {
         f.routers[0].evidence_wanted.len() == EVIDENCE_WANTED
     });
 }
 
-/// Servers that are new are told to the other machines together, and acknowledged once these know them; beats that tell
-/// nothing new go together, four times a second, and are acknowledged at once; a server that leaves is told at once.
+/// New servers are sent to the other machines in one batch, and acknowledged once a quorum has
+/// them. Heartbeats without changes are batched, four times a second, and acknowledged at once. A
+/// server that drains is sent at once.
 #[test]
-fn beats_are_gathered() {
-    let voter = |node| Voter {
-        node,
-        incarnation: FOUNDING_INCARNATION,
-    };
-    let record = HardState {
-        state: Rc::new(State::founding(vec![1, 2, 3])),
-        ..HardState::default()
-    };
-    let mut controller = Controller::new(voter(1), record, 0.0, 7, timing());
-    let members = |out: &[Output]| {
-        let to = out.iter().filter_map(|o| match o {
+fn heartbeats_are_batched() {
+    let disk = founding_hard_state(&[1, 2, 3]);
+    let mut controller = Controller::new(founder(1), disk, 0.0, 7, timing());
+    // The updates of members to machine 2: their number, and how many servers each has.
+    let member_updates = |outputs: &[Output]| {
+        let updates = outputs.iter().filter_map(|output| match output {
             Output::SendToPeer(
                 Recipient::Voter(to),
-                PeerMessage::MembersUpdate {
-                    update_id: round,
-                    members: news,
-                },
-            ) if to.node == 2 => Some((*round, news.len())),
+                PeerMessage::MembersUpdate { update_id, members },
+            ) if to.node == 2 => Some((*update_id, members.len())),
             _ => None,
         });
-        to.collect::<Vec<(Option<u64>, usize)>>()
+        updates.collect::<Vec<(Option<u64>, usize)>>()
     };
-    let replies = |out: &[Output]| {
-        out.iter()
-            .filter(|o| matches!(o, Output::Respond(_, a) if a.status == 200))
+    let acknowledged = |outputs: &[Output]| {
+        outputs
+            .iter()
+            .filter(
+                |output| matches!(output, Output::Respond(_, response) if response.status == 200),
+            )
             .count()
     };
-    let heard = |controller: &mut Controller, now: f64| {
+    let receive_leader_heartbeat = |controller: &mut Controller, now: f64| {
         let heartbeat = ConsensusMessage::Heartbeat {
             term: Term(1 << 32 | 2),
             sent_at: now,
             confirmed_answer_at: Some(now),
         };
-        controller.handle_peer_message(now, voter(2), PeerMessage::Consensus(heartbeat));
+        controller.handle_peer_message(now, founder(2), PeerMessage::Consensus(heartbeat));
         controller.persisted(now);
     };
-    let mut version = 0;
-    let mut beat = |controller: &mut Controller, now: f64, id: usize, phase: MemberPhase| {
-        version += 1;
-        let beat = crate::Heartbeat {
-            service: "s".to_owned(),
-            endpoint: "10.0.0.9:5432".to_owned(),
-            zone: "a".to_owned(),
-            slots: 4,
-            phase,
-            call_seq: version,
+    let mut call_seq = 0;
+    let mut send_heartbeat =
+        |controller: &mut Controller, now: f64, id: usize, phase: MemberPhase| {
+            call_seq += 1;
+            let heartbeat = Heartbeat {
+                service: "s".to_owned(),
+                endpoint: "10.0.0.9:5432".to_owned(),
+                zone: "a".to_owned(),
+                slots: 4,
+                phase,
+                call_seq,
+            };
+            controller.handle_request(
+                now,
+                call_seq,
+                ControlRequest::Heartbeat {
+                    server_id: format!("server-{id}"),
+                    heartbeat,
+                },
+            )
         };
-        controller.handle_request(
-            now,
-            version,
-            crate::controller::ControlRequest::Heartbeat {
-                server_id: format!("server-{id}"),
-                heartbeat: beat,
-            },
-        )
-    };
-    heard(&mut controller, 0.0);
+    receive_leader_heartbeat(&mut controller, 0.0);
     for id in 0..10 {
-        let out = beat(&mut controller, 0.0, id, MemberPhase::Ready);
+        let outputs = send_heartbeat(&mut controller, 0.0, id, MemberPhase::Ready);
         assert!(
-            members(&out).is_empty() && replies(&out) == 0,
-            "it goes with the others"
+            member_updates(&outputs).is_empty() && acknowledged(&outputs) == 0,
+            "it waits for the batch"
         );
     }
-    let told = members(&controller.tick(0.0));
-    let [(Some(round), 10)] = told[..] else {
-        panic!("{told:?}")
+    let updates = member_updates(&controller.tick(0.0));
+    let [(Some(update_id), 10)] = updates[..] else {
+        panic!("{updates:?}")
     };
     assert_eq!(
-        replies(&controller.handle_peer_message(
+        acknowledged(&controller.handle_peer_message(
             0.0,
-            voter(3),
-            PeerMessage::MembersUpdateAck { update_id: round }
+            founder(3),
+            PeerMessage::MembersUpdateAck { update_id }
         )),
         0,
-        "the leader isn't told"
+        "the leader has not acknowledged it"
     );
     assert_eq!(
-        replies(&controller.handle_peer_message(
+        acknowledged(&controller.handle_peer_message(
             0.0,
-            voter(2),
-            PeerMessage::MembersUpdateAck { update_id: round }
+            founder(2),
+            PeerMessage::MembersUpdateAck { update_id }
         )),
         10
     );
-    let (mut frames, mut told) = (0, 0);
+    let (mut frames, mut servers) = (0, 0);
     for tick in 1..=100 {
         let now = f64::from(tick) * TICK;
-        heard(&mut controller, now);
+        receive_leader_heartbeat(&mut controller, now);
         for id in 0..10 {
-            let out = beat(&mut controller, now, id, MemberPhase::Ready);
+            let outputs = send_heartbeat(&mut controller, now, id, MemberPhase::Ready);
             assert!(
-                members(&out).is_empty() && replies(&out) == 1,
+                member_updates(&outputs).is_empty() && acknowledged(&outputs) == 1,
                 "nothing new"
             );
         }
-        let out = members(&controller.tick(now));
-        frames += out.len();
-        told += out.iter().map(|(_, count)| count).sum::<usize>();
+        let updates = member_updates(&controller.tick(now));
+        frames += updates.len();
+        servers += updates.iter().map(|(_, count)| count).sum::<usize>();
     }
     assert!(
-        (7..=9).contains(&frames) && told > 800,
-        "{frames} frames with {told}"
+        (7..=9).contains(&frames) && servers > 800,
+        "{frames} frames with {servers}"
     );
-    let out = beat(&mut controller, 2.0, 4, MemberPhase::Draining);
-    let [Output::PersistMembers(kept)] = &out[..] else {
-        panic!("nothing leaves before it is on the disk: {out:?}")
+    let outputs = send_heartbeat(&mut controller, 2.0, 4, MemberPhase::Draining);
+    let [Output::PersistMembers(after_write)] = &outputs[..] else {
+        panic!("nothing is sent before it is on disk: {outputs:?}")
     };
-    assert!(matches!(members(kept)[..], [(Some(_), 1)]) && replies(kept) == 0);
+    assert!(
+        matches!(member_updates(after_write)[..], [(Some(_), 1)]) && acknowledged(after_write) == 0
+    );
 }
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -1,5 +1,5 @@
-//! Calls that change servers, and what becomes of them when they come late: `POST /promotions`, `PAUSE`, `RESUME` and
-//! `STEPDOWN`. The table that these tests hold to is in `docs/design/calls.md`.
+//! Calls that change servers, and what late ones can do: `POST /promotions`, `PAUSE`, `RESUME` and
+//! `STEPDOWN`. The table behind these tests is in `docs/design/calls.md`.
 
 use crate::failover::{Failover, FailoverAction, FailoverContext, ServerCandidate};
 use crate::promotion::{PendingPromotion, PromotionOutcome};
@@ -15,11 +15,11 @@
     drain_timeout: 7.0,
 };
 
-// ---- what the end of a call to the platform proves
+// ---- What the outcome of a call to the platform proves.
 
 #[test]
-fn a_status_of_the_platform_proves_no_more_than_it_says() {
-    use PromotionOutcome::*;
+fn http_status_maps_to_outcome_and_verdict() {
+    use PromotionOutcome::{Accepted, NotSent, RateLimited, Refused, Rejected, Unknown};
     for (status, outcome, verdict) in [
         (200, Accepted, Verdict::Ran),
         (409, Refused, Verdict::NotRun),
@@ -36,23 +36,23 @@
 }
 
 #[test]
-fn another_server_waits_for_a_call_without_a_clear_answer() {
+fn call_without_clear_outcome_blocks_calls_for_other_servers() {
     let mut pending = PendingPromotion::default();
     assert!(pending.permits(0.0, "b"));
     pending.record_sent(0.0, "b");
     assert!(pending.permits(0.5, "b") && !pending.permits(1.9, "c"));
     assert!(pending.record_outcome(1.0, "b", PromotionOutcome::Unknown));
     assert!(pending.permits(1.0, "b") && !pending.permits(1.9, "c") && pending.permits(2.1, "c"));
-    // A second copy that was refused proves nothing of the first one.
+    // The refusal of a second call proves nothing of the first one.
     pending.record_sent(1.2, "b");
     assert!(pending.record_outcome(1.3, "b", PromotionOutcome::Refused));
     assert!(!pending.permits(1.9, "c") && pending.permits(2.1, "c"));
-    // The platform is not asked again and again for one that it says isn't running.
+    // After a refusal the same server is tried again only later.
     assert!(!pending.permits(2.2, "b") && pending.permits(2.4, "b"));
 }
 
 #[test]
-fn a_call_that_has_not_run_is_waited_for_by_nobody() {
+fn call_that_has_not_run_blocks_nothing() {
     for outcome in [
         PromotionOutcome::Refused,
         PromotionOutcome::RateLimited,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_answer_counts_only_for_the_server_that_is_waited_for() {
+fn outcome_counts_only_for_the_pending_server() {
     let mut pending = PendingPromotion::default();
     pending.record_sent(0.0, "b");
     pending.record_sent(3.0, "c");
@@ -75,34 +75,35 @@
     assert!(pending.record_outcome(3.1, "c", PromotionOutcome::Accepted));
     assert!(
         !pending.record_outcome(3.2, "c", PromotionOutcome::Accepted),
-        "nothing is under way"
+        "no call is pending"
     );
 }
 
-// ---- one service's fail-over alone, with servers that answer at once
+// ---- The failover of one service harness, with servers that answer at once.
 
-struct Alone {
+struct FailoverHarness {
     failover: Failover,
     members: Vec<ServerCandidate>,
     now: f64,
 }
 
-impl Alone {
-    fn new() -> Alone {
+impl FailoverHarness {
+    fn new() -> FailoverHarness {
         let candidate = |id: &str| ServerCandidate {
             id: id.to_owned(),
             draining_since: None,
             heard: 0.0,
         };
         let members = ["a", "b", "c"].map(candidate).to_vec();
-        Alone {
+        FailoverHarness {
             failover: Failover::new(TIMING),
             members,
             now: 0.0,
         }
     }
 
-    /// A tenth of a second: all queries are answered with what `row` gives, and refused where it gives none. The other acts.
+    /// A tenth of a second: all queries are answered with what `row` gives, and refused where it
+    /// gives none. The other acts.
     fn step(
         &mut self,
         record: (&str, u64),
@@ -149,14 +150,16 @@
     }
 }
 
-/// A late `STEPDOWN` must not turn out a primary of a later term: it carries the lowest term that does.
+/// A late `STEPDOWN` must not depose a primary of a higher term, so it carries the lowest primary
+/// term that serves.
 #[test]
-fn a_step_down_carries_the_lowest_term() {
-    let mut alone = Alone::new();
+fn step_down_carries_the_lowest_sufficient_term() {
+    let mut harness = FailoverHarness::new();
     let mut terms = Vec::new();
     for step in 0..40 {
-        let acts = alone.step(("a", 0), |id, _| match id {
-            // Somebody has paused c at term 7; b takes itself for the primary of an old term, a is gone after a while.
+        let acts = harness.step(("a", 0), |id, _| match id {
+            // `c` was paused at term 7, `b` believes to be the primary of an old term, `a` fails
+            // after a second.
             "a" => (step < 10).then(|| row(true, 2, 0)),
             "b" => Some(row(true, 1, 0)),
             _ => Some(row(false, 2, 7)),
@@ -166,84 +169,85 @@
             _ => None,
         }));
     }
-    // Under the primary of term 2 it is its term that counts, and without one the lowest that does.
+    // The term of the primary, 2; without a primary, the lowest that deposes `b`.
     assert!(
         terms.len() > 2 && terms.iter().all(|primary_term| *primary_term == 2),
         "{terms:?}"
     );
 }
 
-/// The platform's answer to a call for another server says nothing of this one.
+/// The outcome of a call for another server has no effect.
 #[test]
-fn an_answer_about_another_server_changes_nothing() {
-    let mut alone = Alone::new();
-    let servers = |alone_gone: bool| {
+fn outcome_for_another_server_has_no_effect() {
+    let mut harness = FailoverHarness::new();
+    let servers = |primary_failed: bool| {
         move |id: &str, statement: ServerCommand| match (id, statement) {
-            ("a", _) => (!alone_gone).then(|| row(true, 1, 0)),
+            ("a", _) => (!primary_failed).then(|| row(true, 1, 0)),
             (_, ServerCommand::Pause(primary_term)) => Some(row(false, 1, primary_term)),
-            _ => Some(row(false, 1, if alone_gone { 2 } else { 0 })),
+            _ => Some(row(false, 1, if primary_failed { 2 } else { 0 })),
         }
     };
     for _ in 0..5 {
-        alone.step(("a", 0), servers(false));
+        harness.step(("a", 0), servers(false));
     }
-    assert_eq!(alone.failover.phase(), "steady");
-    let mut agreed = None;
-    while agreed.is_none() {
-        assert!(alone.now < 5.0);
-        let acts = alone.step(("a", 0), servers(true));
-        agreed = acts.into_iter().find_map(|act| match act {
+    assert_eq!(harness.failover.phase(), "steady");
+    let mut proposed = None;
+    while proposed.is_none() {
+        assert!(harness.now < 5.0);
+        let acts = harness.step(("a", 0), servers(true));
+        proposed = acts.into_iter().find_map(|act| match act {
             FailoverAction::ProposePrimary { server_id: to, .. } => Some(to),
             _ => None,
         });
     }
-    let to = agreed.unwrap_or_default();
+    let to = proposed.unwrap_or_default();
     let other = if to == "b" { "c" } else { "b" };
-    alone.failover.agreed(alone.now, true);
-    alone
+    harness.failover.agreed(harness.now, true);
+    harness
         .failover
-        .promoted(alone.now, other, PromotionOutcome::Refused);
-    assert_eq!(alone.failover.phase(), "promoting");
-    alone
+        .promoted(harness.now, other, PromotionOutcome::Refused);
+    assert_eq!(harness.failover.phase(), "promoting");
+    harness
         .failover
-        .promoted(alone.now, &to, PromotionOutcome::Refused);
-    assert_eq!(alone.failover.phase(), "closing");
+        .promoted(harness.now, &to, PromotionOutcome::Refused);
+    assert_eq!(harness.failover.phase(), "closing");
 }
 
-/// A primary that was replaced and doesn't know it can't be paused: it is told to follow, also while its successor leaves.
+/// A replaced primary that doesn't know it can't be paused: it gets `STEPDOWN`, also while its
+/// successor drains.
 #[test]
-fn a_deposed_primary_is_told_to_follow_while_the_next_one_leaves() {
-    let mut alone = Alone::new();
+fn deposed_primary_steps_down_while_its_successor_drains() {
+    let mut harness = FailoverHarness::new();
     let servers = |id: &str, _| match id {
         "a" => Some(row(true, 2, 0)),
         "b" => Some(row(true, 1, 0)),
         _ => Some(row(false, 2, 0)),
     };
     for _ in 0..5 {
-        alone.step(("a", 2), servers);
+        harness.step(("a", 2), servers);
     }
-    alone.members[0].draining_since = Some(alone.now);
-    let mut told = Vec::new();
+    harness.members[0].draining_since = Some(harness.now);
+    let mut commands = Vec::new();
     for _ in 0..8 {
-        let acts = alone.step(("a", 2), servers);
-        if alone.failover.phase() == "handing" {
-            told.extend(
+        let acts = harness.step(("a", 2), servers);
+        if harness.failover.phase() == "handing" {
+            commands.extend(
                 acts.into_iter()
                     .filter(|act| matches!(act, FailoverAction::Query(id, _) if id == "b")),
             );
         }
     }
     assert!(
-        told.contains(&FailoverAction::Query(
+        commands.contains(&FailoverAction::Query(
             "b".to_owned(),
             ServerCommand::StepDown(2)
         )),
-        "{told:?}"
+        "{commands:?}"
     );
     assert!(
-        !told
+        !commands
             .iter()
             .any(|act| matches!(act, FailoverAction::Query(_, ServerCommand::Pause(_)))),
-        "{told:?}"
+        "{commands:?}"
     );
 }
--- a/crates/core/control/tests/encoding.rs
+++ b/crates/core/control/tests/encoding.rs
@@ -1,8 +1,9 @@
 //! The encoding of every type that processes exchange or keep on disk, held by fixtures.
 //!
-//! Control machines, routers and disks of different releases read each other's bytes, so renaming or moving a type must not
-//! change its encoding. Each line of `fixtures/encoding.txt` is a name and the bytes, in hexadecimal, of the sample with that
-//! name. An intended change of the encoding needs a new line under a new name, written by hand.
+//! Control machines, routers and disks of different releases read each other's bytes, so renaming
+//! or moving a type must not change its encoding. Each line of `fixtures/encoding.txt` is a name
+//! and the bytes, in hexadecimal, of the sample with that name. An intended change of the encoding
+//! needs a new line under a new name, written by hand.
 
 use badgerstream_control::{
     AppliedConfig, ConfigPayload, ConfigUpdate, ConsensusMessage, Digest, HealthReport,
@@ -27,8 +28,8 @@
     check: Box<Check>,
 }
 
-/// The sample of this name. Decoding must consume all bytes and give the value; encoding the decoded value must give the same
-/// bytes.
+/// The sample of this name. Decoding must consume all bytes and give the value; encoding the
+/// decoded value must give the same bytes.
 fn sample<T: Encode + Decode<()> + PartialEq + Debug + 'static>(
     name: &'static str,
     value: T,
@@ -36,7 +37,7 @@
     let check = move |bytes: &[u8]| {
         let (decoded, used): (T, usize) = bincode::decode_from_slice(bytes, standard())
             .unwrap_or_else(|e| panic!("{name} cannot be decoded: {e}"));
-        assert_eq!(used, bytes.len(), "{name} leaves bytes over");
+        assert_eq!(used, bytes.len(), "{name} leaves bytes undecoded");
         assert_eq!(decoded, value, "{name} decodes to another value");
         let encoded = bincode::encode_to_vec(&decoded, standard()).unwrap();
         assert_eq!(hex(&encoded), hex(bytes), "{name} encodes to other bytes");
@@ -47,7 +48,7 @@
     }
 }
 
-/// These bytes in hexadecimal.
+/// Bytes in hexadecimal.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -61,13 +62,13 @@
         .collect()
 }
 
-/// A ballot whose varint takes nine bytes.
+/// A term whose varint takes nine bytes.
 fn term() -> Term {
     Term(0x0102_0304_0506_0708)
 }
 
-/// A higher ballot than [`term`], for fields that stand beside it.
-fn higher_ballot() -> Term {
+/// Another term than [`term`], for the second term of a message.
+fn higher_term() -> Term {
     Term(0x1112_1314_1516_1718)
 }
 
@@ -87,8 +88,8 @@
     }
 }
 
-/// What a machine reports of the state that it accepted; its sequence number takes three bytes.
-fn holds() -> StateId {
+/// A state id whose version takes three bytes.
+fn state_id() -> StateId {
     StateId {
         accepted_term: Term(0x2122_2324_2526_2728),
         version: 300,
@@ -115,7 +116,7 @@
     }
 }
 
-fn order() -> AppliedConfig {
+fn applied_config() -> AppliedConfig {
     AppliedConfig {
         epoch: 251,
         digest: Digest::of(b"order"),
@@ -137,7 +138,7 @@
         voters: joint_set(),
         config_epoch: 252,
         config: config(),
-        applied_configs: vec![older, order()],
+        applied_configs: vec![older, applied_config()],
         primaries: BTreeMap::from([
             ("catalog".to_owned(), primary()),
             ("billing".to_owned(), other),
@@ -150,15 +151,15 @@
     Rc::from(&b"{\"a\":1}"[..])
 }
 
-/// A difference with a copied and an inserted piece; the length of the copied one takes three bytes.
-fn difference() -> Rc<TextDelta> {
-    let old = "\"field\":\"value\",".repeat(40);
-    let new = format!("{old}\"added\":\"text\",");
-    let difference = TextDelta::between(old.as_bytes(), new.as_bytes());
-    Rc::new(difference.expect("a difference shorter than the text"))
+/// A delta with a copy and an insert operation; the length of the copy takes three bytes.
+fn text_delta() -> Rc<TextDelta> {
+    let base = "\"field\":\"value\",".repeat(40);
+    let new = format!("{base}\"added\":\"text\",");
+    let delta = TextDelta::between(base.as_bytes(), new.as_bytes());
+    Rc::new(delta.expect("a delta smaller than the text"))
 }
 
-fn call_id() -> RequestId {
+fn request_id() -> RequestId {
     RequestId {
         process_incarnation: 0x3132_3334_3536_3738,
         sequence: 400,
@@ -180,7 +181,7 @@
 }
 
 /// A server that has left.
-fn gone_server() -> MemberInfo {
+fn departed_server() -> MemberInfo {
     MemberInfo {
         id: "i-0d".to_owned(),
         service: "billing".to_owned(),
@@ -202,7 +203,7 @@
     }
 }
 
-fn evidence() -> HealthReport {
+fn health_report() -> HealthReport {
     HealthReport {
         service: "billing".to_owned(),
         server_id: "i-0f".to_owned(),
@@ -210,62 +211,65 @@
     }
 }
 
-/// The types that stand inside messages.
-fn parts() -> Vec<Sample> {
+/// The types of which messages and the stored state consist.
+fn components() -> Vec<Sample> {
     vec![
-        sample("Ballot", term()),
+        sample("Term", term()),
         sample("Digest", Digest::of(b"digest")),
         sample("Voter", voter()),
-        sample("Membership.single", single_set()),
-        sample("Membership.joint", joint_set()),
-        sample("Holds", holds()),
+        sample("VoterSet.single", single_set()),
+        sample("VoterSet.joint", joint_set()),
+        sample("StateId", state_id()),
         sample("Recipient.Voter", Recipient::Voter(voter())),
         sample("Recipient.Node", Recipient::Node(0x0A01_0206)),
-        sample("Primary", primary()),
-        sample("Order", order()),
+        sample("PrimaryRecord", primary()),
+        sample("AppliedConfig", applied_config()),
         sample("State.empty", State::default()),
         sample("State", state()),
-        sample("Difference", (*difference()).clone()),
-        sample("Text.Whole", ConfigPayload::Full(config())),
-        sample("Text.Difference", ConfigPayload::Delta(difference())),
-        sample("Change.Config", change_of_config()),
-        sample("Change.Primary", change_of_primary()),
-        sample("Change.Membership", StateChange::Voters(joint_set())),
-        sample("Content.Whole", StatePayload::Snapshot(Rc::new(state()))),
-        sample("Content.Changes", content_changes()),
-        sample("CallId", call_id()),
-        sample("LeaderCall.Replace", replace()),
-        sample("LeaderCall.Read", LeaderRequest::ReadConfig),
-        sample("MemberNews.draining", draining_server()),
-        sample("MemberNews.gone", gone_server()),
-        sample("GrantNews", grant()),
-        sample("Evidence", evidence()),
-        sample("ConfigNews.Whole", ConfigUpdate::Full(config())),
+        sample("TextDelta", (*text_delta()).clone()),
+        sample("ConfigPayload.Full", ConfigPayload::Full(config())),
+        sample("ConfigPayload.Delta", ConfigPayload::Delta(text_delta())),
+        sample("StateChange.Config", config_change()),
+        sample("StateChange.Primary", primary_change()),
+        sample("StateChange.Voters", StateChange::Voters(joint_set())),
         sample(
-            "ConfigNews.Changes",
-            ConfigUpdate::Deltas(vec![difference()]),
+            "StatePayload.Snapshot",
+            StatePayload::Snapshot(Rc::new(state())),
+        ),
+        sample("StatePayload.Delta", state_delta()),
+        sample("RequestId", request_id()),
+        sample("LeaderRequest.ReplaceConfig", replace()),
+        sample("LeaderRequest.ReadConfig", LeaderRequest::ReadConfig),
+        sample("MemberInfo.draining", draining_server()),
+        sample("MemberInfo.departed", departed_server()),
+        sample("PrimaryGrant", grant()),
+        sample("HealthReport", health_report()),
+        sample("ConfigUpdate.Full", ConfigUpdate::Full(config())),
+        sample(
+            "ConfigUpdate.Deltas",
+            ConfigUpdate::Deltas(vec![text_delta()]),
         ),
     ]
 }
 
-fn change_of_config() -> StateChange {
+fn config_change() -> StateChange {
     StateChange::Config {
         epoch: 253,
         config: ConfigPayload::Full(config()),
     }
 }
 
-fn change_of_primary() -> StateChange {
+fn primary_change() -> StateChange {
     StateChange::Primary {
         service: "billing".to_owned(),
         primary: primary(),
     }
 }
 
-fn content_changes() -> StatePayload {
+fn state_delta() -> StatePayload {
     StatePayload::Delta {
         base: Digest::of(b"base"),
-        steps: vec![Rc::new(change_of_config()), Rc::new(change_of_primary())],
+        steps: vec![Rc::new(config_change()), Rc::new(primary_change())],
         result: Digest::of(b"result"),
     }
 }
@@ -281,157 +285,145 @@
 /// Every message of the consensus.
 fn consensus_messages() -> Vec<Sample> {
     use ConsensusMessage::*;
-    let (term, holds) = (term(), holds());
-    let promised = higher_ballot();
-    let (sent, at) = (1.5, -2.25);
-    let contacts = vec![voter(), founder()];
+    let term = term();
+    let last_state = state_id();
+    let voted_term = higher_term();
+    let sent_at = 1.5;
+    let answered_at = -2.25;
+    let voters = vec![voter(), founder()];
     vec![
         sample(
-            "ConsensusMessage.Canvass",
-            PreVoteRequest {
-                term,
-                last_state: holds,
-            },
+            "ConsensusMessage.PreVoteRequest",
+            PreVoteRequest { term, last_state },
         ),
         sample(
-            "ConsensusMessage.Canvassed",
+            "ConsensusMessage.PreVoteResponse",
             PreVoteResponse {
                 term,
                 granted: true,
-                voted_term: promised,
+                voted_term,
             },
         ),
         sample(
-            "ConsensusMessage.Prepare",
-            VoteRequest {
-                term,
-                last_state: holds,
-            },
+            "ConsensusMessage.VoteRequest",
+            VoteRequest { term, last_state },
         ),
         sample(
-            "ConsensusMessage.Promise.none",
+            "ConsensusMessage.VoteResponse.none",
             VoteResponse {
                 term,
-                last_state: holds,
+                last_state,
                 newer_state: None,
             },
         ),
         sample(
-            "ConsensusMessage.Promise.newer",
+            "ConsensusMessage.VoteResponse.newer",
             VoteResponse {
                 term,
-                last_state: holds,
+                last_state,
                 newer_state: Some(Rc::new(state())),
             },
         ),
         sample(
-            "ConsensusMessage.Refuse",
-            TermRejected {
-                term,
-                voted_term: promised,
-            },
+            "ConsensusMessage.TermRejected",
+            TermRejected { term, voted_term },
         ),
         sample(
-            "ConsensusMessage.Accept",
+            "ConsensusMessage.AppendRequest",
             AppendRequest {
                 term,
-                payload: content_changes(),
+                payload: state_delta(),
             },
         ),
         sample(
-            "ConsensusMessage.Accepted",
-            AppendResponse {
-                term,
-                last_state: holds,
-            },
+            "ConsensusMessage.AppendResponse",
+            AppendResponse { term, last_state },
         ),
         sample(
-            "ConsensusMessage.Mismatch",
-            AppendMismatch {
-                term,
-                last_state: holds,
-            },
+            "ConsensusMessage.AppendMismatch",
+            AppendMismatch { term, last_state },
         ),
         sample(
             "ConsensusMessage.Heartbeat.none",
             Heartbeat {
                 term,
-                sent_at: sent,
+                sent_at,
                 confirmed_answer_at: None,
             },
         ),
         sample(
-            "ConsensusMessage.Heartbeat.confirms",
+            "ConsensusMessage.Heartbeat.confirming",
             Heartbeat {
                 term,
-                sent_at: sent,
-                confirmed_answer_at: Some(at),
+                sent_at,
+                confirmed_answer_at: Some(answered_at),
             },
         ),
         sample(
-            "ConsensusMessage.HeartbeatAck",
+            "ConsensusMessage.HeartbeatResponse",
             HeartbeatResponse {
                 term,
-                heartbeat_sent_at: sent,
-                answered_at: at,
-                last_state: holds,
+                heartbeat_sent_at: sent_at,
+                answered_at,
+                last_state,
             },
         ),
         sample("ConsensusMessage.Resign", Resign { term }),
-        sample("ConsensusMessage.Join", JoinRequest { last_state: holds }),
-        sample(
-            "ConsensusMessage.Contacts",
-            KnownVoters { voters: contacts },
-        ),
-        sample("ConsensusMessage.Leave", LeaveRequest),
-        sample("ConsensusMessage.Left", LeaveResponse),
+        sample("ConsensusMessage.JoinRequest", JoinRequest { last_state }),
+        sample("ConsensusMessage.KnownVoters", KnownVoters { voters }),
+        sample("ConsensusMessage.LeaveRequest", LeaveRequest),
+        sample("ConsensusMessage.LeaveResponse", LeaveResponse),
     ]
 }
 
 /// Every message between control machines.
 fn peer_messages() -> Vec<Sample> {
     use PeerMessage::*;
-    let news = || vec![draining_server(), gone_server()];
-    let (term, id) = (term(), call_id());
+    let members = || vec![draining_server(), departed_server()];
+    let term = term();
+    let id = request_id();
     let resign = ConsensusMessage::Resign { term };
     vec![
         sample("PeerMessage.Consensus", Consensus(resign)),
         sample(
-            "PeerMessage.Members.none",
+            "PeerMessage.MembersUpdate.none",
             MembersUpdate {
                 update_id: None,
-                members: news(),
+                members: members(),
             },
         ),
         sample(
-            "PeerMessage.Members.round",
+            "PeerMessage.MembersUpdate.numbered",
             MembersUpdate {
                 update_id: Some(700),
-                members: news(),
+                members: members(),
             },
         ),
         sample(
-            "PeerMessage.MembersKept",
+            "PeerMessage.MembersUpdateAck",
             MembersUpdateAck { update_id: 701 },
         ),
-        sample("PeerMessage.RosterWanted", MembersSnapshotRequest { term }),
         sample(
-            "PeerMessage.Roster",
+            "PeerMessage.MembersSnapshotRequest",
+            MembersSnapshotRequest { term },
+        ),
+        sample(
+            "PeerMessage.MembersSnapshot",
             MembersSnapshot {
                 term,
-                members: news(),
+                members: members(),
             },
         ),
         sample(
-            "PeerMessage.Call",
+            "PeerMessage.ForwardedRequest",
             ForwardedRequest {
                 id,
                 request: replace(),
             },
         ),
-        sample("PeerMessage.SendWhole", FullConfigRequest { id }),
+        sample("PeerMessage.FullConfigRequest", FullConfigRequest { id }),
         sample(
-            "PeerMessage.Answer",
+            "PeerMessage.ForwardedResponse",
             ForwardedResponse {
                 id,
                 status: 409,
@@ -443,31 +435,31 @@
 
 /// Every message between control machines and routers.
 fn router_messages() -> Vec<Sample> {
-    let renewal = LeaseRequest {
+    let lease_request = LeaseRequest {
         router: "router-1".to_owned(),
         process_incarnation: 0x5152_5354_5556_5758,
         sent_at: 3.125,
         update_watermark: (term(), 800),
         config_epoch: 70_002,
-        health_reports: vec![evidence()],
+        health_reports: vec![health_report()],
     };
-    let elsewhere = |leader| RouterMessage::NotLeader {
+    let not_leader = |leader| RouterMessage::NotLeader {
         leader,
         voters: vec![0x0A01_0207, 5],
     };
-    let news = RouterMessage::Update {
-        update_watermark: (higher_ballot(), 900),
+    let changes = RouterMessage::Update {
+        update_watermark: (higher_term(), 900),
         request_sent_at: None,
         lease_duration: 0.0,
         is_snapshot: true,
         grants: vec![grant()],
-        members: vec![draining_server(), gone_server()],
+        members: vec![draining_server(), departed_server()],
         config: Some(ConfigUpdate::Full(config())),
         voters: vec![0x0A01_0208, 6],
         router_count: 1000,
         health_reports_wanted: vec!["catalog".to_owned(), "billing".to_owned()],
     };
-    let answer = RouterMessage::Update {
+    let response = RouterMessage::Update {
         update_watermark: (term(), 901),
         request_sent_at: Some(4.5),
         lease_duration: 1.75,
@@ -480,11 +472,14 @@
         health_reports_wanted: Vec::new(),
     };
     vec![
-        sample("ToControl", renewal),
-        sample("ToRouter.Elsewhere.none", elsewhere(None)),
-        sample("ToRouter.Elsewhere.leader", elsewhere(Some(0x0A01_0209))),
-        sample("ToRouter.News.news", news),
-        sample("ToRouter.News.answer", answer),
+        sample("LeaseRequest", lease_request),
+        sample("RouterMessage.NotLeader.none", not_leader(None)),
+        sample(
+            "RouterMessage.NotLeader.leader",
+            not_leader(Some(0x0A01_0209)),
+        ),
+        sample("RouterMessage.Update.changes", changes),
+        sample("RouterMessage.Update.response", response),
     ]
 }
 
@@ -502,9 +497,9 @@
 }
 
 #[test]
-fn every_sample_has_the_bytes_of_its_fixture() {
+fn samples_are_encoded_as_in_their_fixtures() {
     let groups = [
-        parts(),
+        components(),
         consensus_messages(),
         peer_messages(),
         router_messages(),
@@ -520,13 +515,12 @@
     }
 }
 
-/// The difference of the samples holds both kinds of piece, which are private: it decodes to one that still makes the text.
+/// The operations of a delta are private, so the sample of one is also applied.
 #[test]
-fn the_pinned_difference_still_applies() {
-    let bytes = &fixtures()["Difference"];
-    let (difference, _): (TextDelta, usize) =
-        bincode::decode_from_slice(bytes, standard()).unwrap();
-    let old = "\"field\":\"value\",".repeat(40);
-    let new = difference.apply(old.as_bytes()).expect("the old text");
-    assert_eq!(new, format!("{old}\"added\":\"text\",").into_bytes());
+fn pinned_delta_still_applies() {
+    let bytes = &fixtures()["TextDelta"];
+    let (delta, _): (TextDelta, usize) = bincode::decode_from_slice(bytes, standard()).unwrap();
+    let base = "\"field\":\"value\",".repeat(40);
+    let result = delta.apply(base.as_bytes()).expect("a delta to the base");
+    assert_eq!(result, format!("{base}\"added\":\"text\",").into_bytes());
 }
