--- a/crates/core/control/src/consensus/follower.rs
+++ b/crates/core/control/src/consensus/follower.rs
@@ -63,11 +63,10 @@
             self.contact_until = f64::NEG_INFINITY;
         }
         self.leader = Some(header.from);
-        self.election_timer_started_at = header.now;
         self.leader_seen_at = header.now;
-        if self.election_delay == 0.0 {
-            self.election_delay = self.draw_election_delay();
-        }
+        let rank = self.rank();
+        self.election_timer.restart(header.now);
+        self.election_timer.ensure_delay(rank);
     }
 
     pub(super) fn on_append_request(
--- a/crates/core/control/src/consensus/join_leave.rs
+++ b/crates/core/control/src/consensus/join_leave.rs
@@ -1,5 +1,5 @@
-//! Requests of a machine to join the voters or to leave them, and how a machine that receives one
-//! answers.
+//! A machine that wants to join the voters, or shuts down and leaves them: its requests, and the
+//! answers to them.
 
 use super::{Consensus, ConsensusMessage, ConsensusOutput, Role, StateId};
 use crate::voter_set::{NodeId, Voter};
@@ -10,6 +10,31 @@
 const LEAVE_REQUEST_INTERVAL_S: f64 = 0.1;
 
 impl Consensus {
+    /// Sets the addresses that are asked to join besides those of the known voters.
+    pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
+        self.voter_changes.seeds = seeds;
+    }
+
+    /// Remembers that a control machine has this address.
+    pub fn peer_discovered(&mut self, node: NodeId) {
+        self.voter_changes.add_peer(node);
+    }
+
+    /// Begins the shutdown of this machine: it gives up leadership, stands in no election, and asks
+    /// to be removed from the voter set. It may end once [`Consensus::may_shut_down`].
+    pub fn resign(&mut self, out: &mut Vec<ConsensusOutput>) {
+        self.voter_changes.shutting_down = true;
+        self.give_up_leadership(out);
+    }
+
+    /// Whether this machine need not wait for its removal: it is no voter, or too few would be left
+    /// to remove it.
+    pub fn may_shut_down(&self) -> bool {
+        let voters = &self.hard_state.state.voters;
+        let stays_voter = !voters.is_joint() && !self.can_remove_voter();
+        self.voter_changes.removal_confirmed || !voters.contains(self.me) || stays_voter
+    }
+
     /// Asks all known control machines to be taken in as a voter. Voters without a leader ask as
     /// well: the voter set that they know may be an old one.
     pub(super) fn request_join(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
@@ -29,7 +54,7 @@
     }
 
     fn has_recent_leader(&self, now: f64) -> bool {
-        let last_sign = self.leader_seen_at.max(self.election_timer_started_at);
+        let last_sign = self.leader_seen_at.max(self.election_timer.started_at());
         let follows = self.leader.is_some() && now - last_sign < 2.0 * JOIN_REQUEST_INTERVAL_S;
         follows || matches!(self.role, Role::Leader(_))
     }
--- a/crates/core/control/src/consensus/leader.rs
+++ b/crates/core/control/src/consensus/leader.rs
@@ -189,7 +189,7 @@
             log::info!("event=quorum_lost");
             // Those that still receive from it need not wait for the election time-out.
             self.give_up_leadership(out);
-            self.election_timer_started_at = now;
+            self.election_timer.restart(now);
             return;
         }
         self.send_heartbeats(now, out);
--- a/crates/core/control/src/consensus/mod.rs
+++ b/crates/core/control/src/consensus/mod.rs
@@ -25,13 +25,15 @@
 //! in their order. Nothing counts before it is on disk (thesis, 3.8): what relies on a write is
 //! withheld until [`Consensus::persisted`].
 //!
-//! - `pre_vote`, `election`: who becomes the leader; `follower`: what it accepts from one
+//! - `election_timer`, `pre_vote`, `election`: who becomes the leader; `follower`: what it accepts
+//!   from one
 //! - `leader`, `replication`, `progress`: what a leader knows of the others and sends to them
 //! - `voter_changes`, `join_leave`: changes of the voter set, at the leader and at the machine that
 //!   wants one
 //! - `persistence`: the writes to disk, and their failures
 
 mod election;
+mod election_timer;
 mod follower;
 mod hard_state;
 mod join_leave;
@@ -52,18 +54,13 @@
 use crate::digest::Digest;
 use crate::term::Term;
 use crate::voter_set::Voter;
+use election_timer::ElectionTimer;
 use message::{HeartbeatTimes, MessageHeader};
 use std::collections::BTreeMap;
 
-/// At a start so many seconds of the election time-out are left: if the whole system starts, nobody
-/// leads, and the first of the voters need not wait for long.
-const FIRST_ELECTION_DELAY_S: f64 = 0.05;
-/// By so many seconds more each voter waits than the one before it in the voter set, so that they
-/// rarely compete.
-const ELECTION_DELAY_PER_RANK_S: f64 = 0.12;
-/// Upper bound of the random part of the election delay, in seconds.
-const ELECTION_DELAY_JITTER_S: f64 = 0.05;
-
+/// So many seconds of the election time-out are left at the start of a machine that voted for no
+/// other machine: where the whole system starts, nobody leads, and the first voter need not wait.
+const INITIAL_ELECTION_WAIT_S: f64 = 0.05;
 /// Values by voter; iterated in the order of the voters, so that runs can be repeated exactly.
 type ByVoter<T> = BTreeMap<Voter, T>;
 
@@ -107,8 +104,7 @@
     disk_failed: bool,
     role: Role,
     leader: Option<Voter>,
-    /// When the election time-out began to run: at the last message of a leader or the last vote.
-    election_timer_started_at: f64,
+    election_timer: ElectionTimer,
     /// When a leader that may rely on our answer last sent something. A machine that restarts may
     /// have answered one just before it ended, and doesn't know.
     leader_seen_at: f64,
@@ -118,9 +114,6 @@
     highest_seen_term: Term,
     /// A newer state than the one on this disk has this machine not among its voters.
     removed_by_newer_state: bool,
-    /// What is added to the election time-out, in seconds; 0 until it is drawn.
-    election_delay: f64,
-    rng_state: u64,
     voter_changes: voter_changes::VoterChanges,
 }
 
@@ -135,7 +128,16 @@
         config: ConsensusConfig,
     ) -> Consensus {
         let digest = hard_state.state.digest();
-        let mut consensus = Consensus {
+        let voted_term = hard_state.voted_term;
+        // A leader may still hold its lease by what this machine answered before it restarted.
+        let may_have_leader = voted_term != Term::default() && voted_term.leader() != me.node;
+        let timer_started_at = if may_have_leader {
+            now
+        } else {
+            now - config.election_timeout + INITIAL_ELECTION_WAIT_S
+        };
+        let rank = rank(hard_state.state.voters.voters(), me);
+        Consensus {
             me,
             config,
             persisted_state: hard_state.clone(),
@@ -147,25 +149,18 @@
             disk_failed: false,
             role: Role::Follower,
             leader: None,
-            election_timer_started_at: now - config.election_timeout + FIRST_ELECTION_DELAY_S,
-            leader_seen_at: f64::NEG_INFINITY,
+            election_timer: ElectionTimer::new(seed, rank, timer_started_at),
+            leader_seen_at: if may_have_leader {
+                now
+            } else {
+                f64::NEG_INFINITY
+            },
             contact_until: f64::NEG_INFINITY,
-            highest_seen_term: hard_state.voted_term,
+            highest_seen_term: voted_term,
             removed_by_newer_state: false,
-            election_delay: 0.0,
-            // A generator with an even state would have a shorter period.
-            rng_state: seed | 1,
             voter_changes: voter_changes::VoterChanges::new(now),
             hard_state,
-        };
-        let voted_term = consensus.hard_state.voted_term;
-        if voted_term != Term::default() && voted_term.leader() != me.node {
-            // A leader may still hold its lease by what this machine answered before it restarted.
-            consensus.election_timer_started_at = now;
-            consensus.leader_seen_at = now;
         }
-        consensus.election_delay = consensus.draw_election_delay();
-        consensus
     }
 
     /// This machine, in the incarnation of its disk.
@@ -305,27 +300,14 @@
         }
     }
 
-    /// Draws what this machine adds to the election time-out: by its rank among the voters, and a
-    /// random part (Raft thesis, 3.4).
-    fn draw_election_delay(&mut self) -> f64 {
-        let rank = self
-            .voters()
-            .iter()
-            .position(|voter| *voter == self.me)
-            .unwrap_or(0);
-        // Knuth's linear congruential generator (MMIX); its high bits are the random ones.
-        self.rng_state = self
-            .rng_state
-            .wrapping_mul(6_364_136_223_846_793_005)
-            .wrapping_add(1_442_695_040_888_963_407);
-        let fraction = (self.rng_state >> 33) as f64 / (1u64 << 31) as f64;
-        ELECTION_DELAY_PER_RANK_S * rank as f64 + ELECTION_DELAY_JITTER_S * fraction
+    /// This machine's position among the voters.
+    fn rank(&self) -> usize {
+        rank(self.voters(), self.me)
     }
 
-    /// Starts the election time-out anew, with another delay.
     fn reset_election_timer(&mut self, now: f64) {
-        self.election_timer_started_at = now;
-        self.election_delay = self.draw_election_delay();
+        let rank = self.rank();
+        self.election_timer.restart_with_new_delay(now, rank);
     }
 
     fn observe_term(&mut self, term: Term) {
@@ -347,3 +329,8 @@
         out.push(ConsensusOutput::to_voter(header.from, rejection));
     }
 }
+
+/// The position of `me` among the voters; 0 if it is no voter.
+fn rank(voters: &[Voter], me: Voter) -> usize {
+    voters.iter().position(|voter| *voter == me).unwrap_or(0)
+}
--- a/crates/core/control/src/consensus/pre_vote.rs
+++ b/crates/core/control/src/consensus/pre_vote.rs
@@ -12,8 +12,6 @@
 pub(super) const VOTE_REQUEST_INTERVAL_S: f64 = 0.1;
 /// A pre-vote without a quorum is given up after so many seconds.
 const PRE_VOTE_TIMEOUT_S: f64 = 0.35;
-/// What is added to the election delay of a machine whose pre-vote or election failed, in seconds.
-const ELECTION_BACKOFF_S: f64 = 0.05;
 
 /// What a pre-candidate knows.
 #[derive(Clone, Debug)]
@@ -28,8 +26,9 @@
 impl Consensus {
     /// A follower starts a pre-vote once the election time-out has passed without a leader.
     pub(super) fn tick_follower(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
-        let timeout = self.config.election_timeout + self.election_delay;
-        let timed_out = now - self.election_timer_started_at > timeout;
+        let timed_out = self
+            .election_timer
+            .has_expired(now, self.config.election_timeout);
         let may_stand =
             self.hard_state.state.voters.contains(self.me) && !self.removed_by_newer_state;
         if timed_out && may_stand && !self.voter_changes.is_shutting_down() {
@@ -88,8 +87,9 @@
     /// usual so that others get their chance first.
     pub(super) fn back_off_from_election(&mut self, now: f64) {
         self.role = Role::Follower;
-        self.election_timer_started_at = now - self.config.election_timeout;
-        self.election_delay = self.draw_election_delay() + ELECTION_BACKOFF_S;
+        let rank = self.rank();
+        self.election_timer
+            .back_off(now, self.config.election_timeout, rank);
     }
 
     pub(super) fn on_pre_vote_request(
--- a/crates/core/control/src/consensus/voter_changes.rs
+++ b/crates/core/control/src/consensus/voter_changes.rs
@@ -45,9 +45,9 @@
     /// When this machine last asked to join or to leave.
     pub(super) last_request_at: f64,
     /// This machine shuts down.
-    shutting_down: bool,
+    pub(super) shutting_down: bool,
     /// A leader has confirmed that this machine, which shuts down, is no voter.
-    removal_confirmed: bool,
+    pub(super) removal_confirmed: bool,
     /// When the last change of the voter set was completed.
     last_change_at: f64,
     /// No removal leaves fewer voters: a quorum of them survives the fault budget.
@@ -110,32 +110,7 @@
         self.voter_changes.min_voters = (2 * fault_budget + 1).max(MIN_VOTERS);
     }
 
-    /// Sets the addresses that are asked to join besides those of the known voters.
-    pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
-        self.voter_changes.seeds = seeds;
-    }
-
-    /// Remembers that a control machine has this address.
-    pub fn peer_discovered(&mut self, node: NodeId) {
-        self.voter_changes.add_peer(node);
-    }
-
-    /// Begins the shutdown of this machine: it gives up leadership, stands in no election, and asks
-    /// to be removed from the voter set. It may end once [`Consensus::may_shut_down`].
-    pub fn resign(&mut self, out: &mut Vec<ConsensusOutput>) {
-        self.voter_changes.shutting_down = true;
-        self.give_up_leadership(out);
-    }
-
-    /// Whether this machine need not wait for its removal: it is no voter, or too few would be left
-    /// to remove it.
-    pub fn may_shut_down(&self) -> bool {
-        let voters = &self.hard_state.state.voters;
-        let stays_voter = !voters.is_joint() && !self.can_remove_voter();
-        self.voter_changes.removal_confirmed || !voters.contains(self.me) || stays_voter
-    }
-
-    fn can_remove_voter(&self) -> bool {
+    pub(super) fn can_remove_voter(&self) -> bool {
         self.voters().len() > self.voter_changes.min_voters
     }
 
@@ -151,7 +126,7 @@
             // A former leader began to remove this machine, which has completed that: it leads
             // until the set without it is committed (Raft thesis, 4.2.2).
             self.give_up_leadership(out);
-            self.election_timer_started_at = now;
+            self.election_timer.restart(now);
             return;
         }
         self.expire_join_requests(now);
--- a/crates/core/control/src/message.rs
+++ b/crates/core/control/src/message.rs
@@ -45,13 +45,13 @@
     Consensus(ConsensusMessage),
     /// What the sender learnt of database servers.
     MembersUpdate {
-        /// To be acknowledged with [`PeerMessage::MembersUpdateAck`] once persisted; none if no
-        /// acknowledgement is needed.
+        /// To be acknowledged with [`PeerMessage::MembersUpdateAck`]; none if no acknowledgement is
+        /// needed.
         update_id: Option<u64>,
         /// The database servers.
         members: Vec<MemberInfo>,
     },
-    /// The servers of a [`PeerMessage::MembersUpdate`] are persisted.
+    /// The sender knows the servers of a [`PeerMessage::MembersUpdate`].
     MembersUpdateAck {
         /// The number of the update.
         update_id: u64,
@@ -92,7 +92,7 @@
     },
 }
 
-/// What control machines tell each other, and routers, of a database server.
+/// A database server, as control machines describe it to each other and to routers.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberInfo {
     /// The server's id; never used again for another server.
--- a/crates/core/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -75,7 +75,7 @@
     server: String,
     /// The number of calls without an outcome yet.
     in_flight: u32,
-    /// When the newest call was sent.
+    /// When the newest call was decided on; it is sent a moment later.
     sent_at: f64,
     /// When the platform last refused to promote a server, by server id.
     refusals: BTreeMap<String, f64>,
@@ -84,7 +84,7 @@
 }
 
 impl PendingPromotion {
-    /// Records that a call for `server` is sent.
+    /// Records that a call for `server` is about to be sent.
     pub fn record_sent(&mut self, now: f64, server: &str) {
         if self.server != server {
             let refusals = std::mem::take(&mut self.refusals);
--- a/crates/core/control/src/tests/load.rs
+++ b/crates/core/control/src/tests/load.rs
@@ -33,9 +33,9 @@
     for _ in 0..50 {
         fleet.tick();
     }
-    let it = &fleet.routers[0];
-    assert!(it.answers.len() > 2 && it.answers.iter().any(gives_lease));
-    for answer in &it.answers {
+    let router = &fleet.routers[0];
+    assert!(router.answers.len() > 2 && router.answers.iter().any(gives_lease));
+    for answer in &router.answers {
         let RouterMessage::Update {
             grants,
             members,
@@ -82,19 +82,19 @@
         fleet.routers[router] = Default::default();
         fleet.renew(router);
     }
-    let (mut told, mut shared) = (Vec::new(), HashSet::new());
+    let (mut sent, mut shared) = (Vec::new(), HashSet::new());
     for _ in 0..530usize.div_ceil(SESSIONS_A_TICK) {
-        let said = fleet.tick();
+        let outcome = fleet.tick();
         assert!(
-            said.news.len() <= SESSIONS_A_TICK,
+            outcome.news.len() <= SESSIONS_A_TICK,
             "{} in one tick",
-            said.news.len()
+            outcome.news.len()
         );
-        told.extend(said.news.iter().map(|(router, _)| *router));
-        shared.extend(said.news.iter().map(|(_, news)| Rc::as_ptr(news)));
+        sent.extend(outcome.news.iter().map(|(router, _)| *router));
+        shared.extend(outcome.news.iter().map(|(_, update)| Rc::as_ptr(update)));
     }
-    told.sort_unstable();
-    assert_eq!(told, (0..530).collect::<Vec<_>>(), "each gets it once");
+    sent.sort_unstable();
+    assert_eq!(sent, (0..530).collect::<Vec<_>>(), "each gets it once");
     assert!(shared.len() <= 2, "{} different snapshots", shared.len());
     fleet.until(0.1, "leases", |f| f.served(20) == 530);
 }
@@ -107,7 +107,7 @@
     let mut fleet = Fleet::new(2, 5);
     fleet.until(2.0, "primaries", |f| f.served(5) == 2);
     fleet.routers[0].reads_from = fleet.now + 3.0;
-    let mut told = [0, 0];
+    let mut sent = [0, 0];
     for change in 0..150 {
         let phase = if change % 2 == 0 {
             MemberPhase::Draining
@@ -116,15 +116,15 @@
         };
         fleet.beat("server-1", phase);
         for (router, _) in fleet.tick().news {
-            told[router] += 1;
+            sent[router] += 1;
         }
         assert!(
             fleet.now < fleet.routers[0].lease_until,
             "it lost its lease"
         );
     }
-    assert!(told[1] > 100, "the other router gets each change: {told:?}");
-    assert!((1..=3).contains(&told[0]), "{told:?}");
+    assert!(sent[1] > 100, "the other router gets each change: {sent:?}");
+    assert!((1..=3).contains(&sent[0]), "{sent:?}");
     let last = fleet.routers[1].known;
     fleet.until(1.0, "the rest", |f| f.routers[0].known >= last);
 }
@@ -136,11 +136,11 @@
     fleet.until(2.0, "primaries", |f| f.served(2) == 1);
     fleet.routers[0].reads_from = fleet.now + 0.8;
     fleet.routers[0].answers.clear();
-    let mut told = fleet.configure(1, &[b'x'; 9]).news.len();
+    let mut sent = fleet.configure(1, &[b'x'; 9]).news.len();
     for _ in 0..39 {
-        told += fleet.tick().news.len();
+        sent += fleet.tick().news.len();
     }
-    assert_eq!(told, 1);
+    assert_eq!(sent, 1);
     assert!(
         fleet.routers[0].answers.len() >= 2 && fleet.routers[0].answers.iter().all(gives_lease)
     );
@@ -160,16 +160,17 @@
 #[test]
 fn changed_configuration_is_sent_as_a_delta() {
     let mut fleet = Fleet::new(30, 2);
-    let configs = |said: &[(usize, Rc<RouterMessage>)]| {
-        let of = |(router, news): &(usize, Rc<RouterMessage>)| match &**news {
+    let configs = |updates: &[(usize, Rc<RouterMessage>)]| {
+        let config = |(router, update): &(usize, Rc<RouterMessage>)| match &**update {
             RouterMessage::Update {
                 config: Some(config),
                 ..
             } => Some((*router, config.clone())),
             _ => None,
         };
-        said.iter()
-            .filter_map(of)
+        updates
+            .iter()
+            .filter_map(config)
             .collect::<Vec<(usize, ConfigUpdate)>>()
     };
     fleet.configure(5000, &text(5000));
@@ -191,31 +192,31 @@
     fleet.until(0.5, "it says so", |f| f.routers[7].epoch == 5000);
     let mut bytes = 0;
     for epoch in 5001..5004 {
-        let mut said = fleet.configure(epoch, &text(epoch)).news;
-        said.extend(
+        let mut updates = fleet.configure(epoch, &text(epoch)).news;
+        updates.extend(
             fleet
                 .until(3.0, "the next", |f| {
                     f.routers.iter().all(|r| r.epoch == epoch)
                 })
                 .news,
         );
-        let told = configs(&said);
-        assert_eq!(told.len(), 30, "each gets it once");
+        let sent = configs(&updates);
+        assert_eq!(sent.len(), 30, "each gets it once");
         assert!(
-            told.iter()
+            sent.iter()
                 .all(|(_, config)| matches!(config, ConfigUpdate::Deltas(_)))
         );
-        bytes += said
+        bytes += updates
             .iter()
-            .map(|(_, news)| bincode_length(news))
+            .map(|(_, update)| encoded_bytes(update))
             .max()
             .unwrap_or(0);
     }
     assert!(bytes < 3 * 400, "{bytes} bytes for three changes of 5000");
 }
 
-fn bincode_length(news: &RouterMessage) -> usize {
-    bincode::encode_to_vec(news, bincode::config::standard()).map_or(0, |bytes| bytes.len())
+fn encoded_bytes(message: &RouterMessage) -> usize {
+    bincode::encode_to_vec(message, bincode::config::standard()).map_or(0, |bytes| bytes.len())
 }
 
 /// A revocation waits for the acknowledgement of the router, although its lease is renewed
@@ -263,13 +264,17 @@
     fleet.routers[0].take(&before);
     fleet.routers[0].silent = false;
     fleet.renew(0);
-    let it = &fleet.routers[0];
+    let router = &fleet.routers[0];
     assert!(
-        !it.grants["service-0000"].revoking,
+        !router.grants["service-0000"].revoking,
         "it has the grant from before"
     );
     assert!(
-        it.answers.last().is_some_and(|answer| !gives_lease(answer)) && it.lease_until < fleet.now
+        router
+            .answers
+            .last()
+            .is_some_and(|answer| !gives_lease(answer))
+            && router.lease_until < fleet.now
     );
     // With the rest of the updates it gets one.
     fleet.routers[0].unread = later;
@@ -287,12 +292,12 @@
         let mut fleet = Fleet::new(1, SERVICES);
         let started_at = fleet.now;
         while fleet.served(SERVICES) == 0 {
-            let said = fleet.tick_after(tick);
+            let outcome = fleet.tick_after(tick);
             // The last service of a tick queries all of its servers, even beyond the bound.
             assert!(
-                said.questions.len() <= QUESTIONS_A_TICK + 2,
+                outcome.questions.len() <= QUESTIONS_A_TICK + 2,
                 "{} questions",
-                said.questions.len()
+                outcome.questions.len()
             );
             let given_up = fleet
                 .controller
@@ -315,7 +320,7 @@
 }
 
 /// Four hundred services without faults: queries are as rare as planned, and no primary times
-/// outputs because of that.
+/// out because of that.
 #[test]
 fn query_interval_grows_with_the_number_of_services() {
     let mut fleet = Fleet::new(1, 400);
@@ -344,7 +349,7 @@
 }
 
 /// A leader that was suspended for two seconds sent no queries meanwhile, so no primary times
-/// outputs.
+/// out.
 #[test]
 fn late_tick_does_not_time_out_primaries() {
     let mut fleet = Fleet::new(1, 10);
@@ -360,13 +365,13 @@
         .filter(|(_, phase, _)| *phase == "steady")
         .count();
     assert_eq!(steady, 10);
-    // Once ticks are punctual again, primaries time outputs as before.
+    // Once ticks are punctual again, primaries time out as before.
     for _ in 0..60 {
         fleet.tick();
     }
     fleet.dark.insert("server-0".to_owned());
     let started_at = fleet.now;
-    fleet.until(0.8, "one times outputs", |f| {
+    fleet.until(0.8, "one times out", |f| {
         f.controller.primaries()[0].1 != "steady"
     });
     assert!(fleet.now - started_at > 0.4);
@@ -397,7 +402,7 @@
         assert_eq!(fleet.controller.primaries()[1].1, "steady");
     }
     fleet.routers[0].evidence.clear();
-    fleet.until(1.0, "it times outputs", |f| {
+    fleet.until(1.0, "it times out", |f| {
         f.controller.primaries()[1].1 != "steady"
     });
 }
