--- a/crates/core/control/src/consensus/output.rs
+++ b/crates/core/control/src/consensus/output.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether `voter` is to process the message.
-    pub fn is(self, voter: Voter) -> bool {
+    pub fn matches(self, voter: Voter) -> bool {
         match self {
             Recipient::Voter(recipient) => recipient == voter,
             Recipient::Node(node) => node == voter.node,
--- a/crates/core/control/src/tests/consensus_steps.rs
+++ b/crates/core/control/src/tests/consensus_steps.rs
@@ -483,6 +483,9 @@
         node: 2,
         incarnation: 8,
     };
-    assert!(Recipient::Voter(recipient).is(recipient) && !Recipient::Voter(recipient).is(other));
-    assert!(Recipient::Node(2).is(other) && !Recipient::Node(3).is(other));
+    assert!(
+        Recipient::Voter(recipient).matches(recipient)
+            && !Recipient::Voter(recipient).matches(other)
+    );
+    assert!(Recipient::Node(2).matches(other) && !Recipient::Node(3).matches(other));
 }
--- a/crates/core/control/src/tests/network.rs
+++ b/crates/core/control/src/tests/network.rs
@@ -370,7 +370,7 @@
         let Some(machine) = self.machines.get_mut(&to).filter(running) else {
             return;
         };
-        if envelope.to.is(machine.voter()) {
+        if envelope.to.matches(machine.voter()) {
             let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset);
             machine
                 .consensus
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -79,8 +79,9 @@
     );
 }
 
-// ---- The failover of one service harness, with servers that answer at once.
+// ---- The failover of one service alone, with servers that answer at once.
 
+/// The failover of a service with three servers, `a`, `b` and `c`.
 struct FailoverHarness {
     failover: Failover,
     members: Vec<ServerCandidate>,
@@ -102,15 +103,15 @@
         }
     }
 
-    /// A tenth of a second: all queries are answered with what `row` gives, and refused where it
-    /// gives none. The other acts.
+    /// Lets a tenth of a second pass. Queries are answered with what `status` gives, or refused if it
+    /// gives none. Returns all actions of the failover.
     fn step(
         &mut self,
         record: (&str, u64),
-        row: impl Fn(&str, ServerCommand) -> Option<ServerStatus>,
+        status: impl Fn(&str, ServerCommand) -> Option<ServerStatus>,
     ) -> Vec<FailoverAction> {
         self.now += 0.1;
-        let acts = self.failover.tick(&FailoverContext {
+        let actions = self.failover.tick(&FailoverContext {
             now: self.now,
             members: &self.members,
             lost: &[],
@@ -123,30 +124,31 @@
             sync: 1,
         });
         self.failover.told(1);
-        for act in &acts {
-            let FailoverAction::Query(id, statement) = act else {
+        for action in &actions {
+            let FailoverAction::Query(id, command) = action else {
                 continue;
             };
-            let asked = match row(id, *statement) {
-                Some(row) => CommandOutcome::Status {
-                    command: *statement,
-                    status: row,
+            let outcome = match status(id, *command) {
+                Some(status) => CommandOutcome::Status {
+                    command: *command,
+                    status,
                     sent_at: self.now,
                 },
                 None => CommandOutcome::Refused,
             };
-            self.failover.asked(self.now, id, asked);
+            self.failover.asked(self.now, id, outcome);
         }
-        acts
+        actions
     }
 }
 
-fn row(leader: bool, primary_term: u64, held: u64) -> ServerStatus {
+/// What a server reports of itself; `highest_term` is that of a `PAUSE`.
+fn status(is_primary: bool, primary_term: u64, highest_term: u64) -> ServerStatus {
     ServerStatus {
-        is_primary: leader,
+        is_primary,
         primary_term,
         received: (primary_term, 0),
-        highest_term: held,
+        highest_term,
     }
 }
 
@@ -157,14 +159,14 @@
     let mut harness = FailoverHarness::new();
     let mut terms = Vec::new();
     for step in 0..40 {
-        let acts = harness.step(("a", 0), |id, _| match id {
+        let actions = harness.step(("a", 0), |id, _| match id {
             // `c` was paused at term 7, `b` believes to be the primary of an old term, `a` fails
             // after a second.
-            "a" => (step < 10).then(|| row(true, 2, 0)),
-            "b" => Some(row(true, 1, 0)),
-            _ => Some(row(false, 2, 7)),
+            "a" => (step < 10).then(|| status(true, 2, 0)),
+            "b" => Some(status(true, 1, 0)),
+            _ => Some(status(false, 2, 7)),
         });
-        terms.extend(acts.iter().filter_map(|act| match act {
+        terms.extend(actions.iter().filter_map(|action| match action {
             FailoverAction::Query(_, ServerCommand::StepDown(primary_term)) => Some(*primary_term),
             _ => None,
         }));
@@ -181,10 +183,10 @@
 fn outcome_for_another_server_has_no_effect() {
     let mut harness = FailoverHarness::new();
     let servers = |primary_failed: bool| {
-        move |id: &str, statement: ServerCommand| match (id, statement) {
-            ("a", _) => (!primary_failed).then(|| row(true, 1, 0)),
-            (_, ServerCommand::Pause(primary_term)) => Some(row(false, 1, primary_term)),
-            _ => Some(row(false, 1, if primary_failed { 2 } else { 0 })),
+        move |id: &str, command: ServerCommand| match (id, command) {
+            ("a", _) => (!primary_failed).then(|| status(true, 1, 0)),
+            (_, ServerCommand::Pause(primary_term)) => Some(status(false, 1, primary_term)),
+            _ => Some(status(false, 1, if primary_failed { 2 } else { 0 })),
         }
     };
     for _ in 0..5 {
@@ -194,8 +196,8 @@
     let mut proposed = None;
     while proposed.is_none() {
         assert!(harness.now < 5.0);
-        let acts = harness.step(("a", 0), servers(true));
-        proposed = acts.into_iter().find_map(|act| match act {
+        let actions = harness.step(("a", 0), servers(true));
+        proposed = actions.into_iter().find_map(|action| match action {
             FailoverAction::ProposePrimary { server_id: to, .. } => Some(to),
             _ => None,
         });
@@ -219,9 +221,9 @@
 fn deposed_primary_steps_down_while_its_successor_drains() {
     let mut harness = FailoverHarness::new();
     let servers = |id: &str, _| match id {
-        "a" => Some(row(true, 2, 0)),
-        "b" => Some(row(true, 1, 0)),
-        _ => Some(row(false, 2, 0)),
+        "a" => Some(status(true, 2, 0)),
+        "b" => Some(status(true, 1, 0)),
+        _ => Some(status(false, 2, 0)),
     };
     for _ in 0..5 {
         harness.step(("a", 2), servers);
@@ -229,11 +231,12 @@
     harness.members[0].draining_since = Some(harness.now);
     let mut commands = Vec::new();
     for _ in 0..8 {
-        let acts = harness.step(("a", 2), servers);
+        let actions = harness.step(("a", 2), servers);
         if harness.failover.phase() == "handing" {
             commands.extend(
-                acts.into_iter()
-                    .filter(|act| matches!(act, FailoverAction::Query(id, _) if id == "b")),
+                actions
+                    .into_iter()
+                    .filter(|action| matches!(action, FailoverAction::Query(id, _) if id == "b")),
             );
         }
     }
@@ -247,7 +250,7 @@
     assert!(
         !commands
             .iter()
-            .any(|act| matches!(act, FailoverAction::Query(_, ServerCommand::Pause(_)))),
+            .any(|action| matches!(action, FailoverAction::Query(_, ServerCommand::Pause(_)))),
         "{commands:?}"
     );
 }
--- a/crates/runtime/pooler/src/control/peers.rs
+++ b/crates/runtime/pooler/src/control/peers.rs
@@ -219,7 +219,7 @@
 
     /// Gives a message to the controller, unless it is for an earlier machine at this address.
     fn receive(self: &Rc<Self>, from: Voter, to: Recipient, message: PeerMessage) {
-        if !to.is(self.voter) {
+        if !to.matches(self.voter) {
             return;
         }
         let outputs = self
--- a/crates/testing/simulation/src/machine.rs
+++ b/crates/testing/simulation/src/machine.rs
@@ -503,7 +503,7 @@
             node: to,
             incarnation: machine.disk.incarnation,
         };
-        if !parcel.to.is(me) {
+        if !parcel.to.matches(me) {
             // It learns all the same that a control machine has that address.
             self.with(to, |controller, _| controller.peer_discovered(from.node));
             return;
