--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -7,23 +7,23 @@
 use crate::message::{MemberInfo, PeerMessage, PrimaryGrant, RouterMessage};
 use crate::state::State;
 use crate::voter_set::{NodeId, Voter};
-use beats::HeartbeatBatch;
-use members_news::{PendingUpdates, SnapshotCollection};
+use failover_driver::ServiceScheduler;
 #[cfg(test)]
-pub(crate) use news::SESSIONS_A_TICK;
-use news::{Session, UpdateDistributor};
-use orders::{ForwardedRequest, PendingProposal, ProposedChange, Requester, reply};
-use services::ServiceScheduler;
+pub(crate) use failover_driver::{EVIDENCE_WANTED, QUESTIONS_A_TICK, SERVICES_A_TICK};
+use heartbeat_batch::HeartbeatBatch;
+use member_replication::{PendingUpdates, SnapshotCollection};
+use requests::{ForwardedRequest, PendingProposal, ProposedChange, Requester, reply};
 #[cfg(test)]
-pub(crate) use services::{EVIDENCE_WANTED, QUESTIONS_A_TICK, SERVICES_A_TICK};
+pub(crate) use router_updates::SESSIONS_A_TICK;
+use router_updates::{Session, UpdateDistributor};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-mod beats;
-mod members_news;
-mod news;
-mod orders;
-mod services;
+mod failover_driver;
+mod heartbeat_batch;
+mod member_replication;
+mod requests;
+mod router_updates;
 
 /// Spans, in seconds.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -6,25 +6,25 @@
 //!
 //! A primary that is to leave is replaced while it goes on: all copies but the coming primary are paused, so that whatever
 //! is acknowledged from then on is there; only once it leads do the routers let go of the old one.
-mod choosing;
-mod closing;
-mod finding;
-mod grant;
+mod completing;
+mod discovering;
 mod handing_over;
-mod load;
+mod interface;
 mod observation;
+mod polling;
 mod promoting;
-mod switching;
-mod types;
-mod watching;
+mod promotion_target;
+mod revocation;
+mod revoking;
+mod steady;
 
 use crate::promotion::{PendingPromotion, PromotionOutcome};
-use grant::Revocation;
-pub(crate) use load::Unheard;
+pub use interface::{CommandOutcome, FailoverConfig, Position, ServerCommand, ServerStatus};
+pub(crate) use interface::{FailoverAction, FailoverContext, ServerCandidate};
 use observation::Observation;
+pub(crate) use polling::Unheard;
+use revocation::Revocation;
 use std::collections::BTreeMap;
-pub use types::{CommandOutcome, FailoverConfig, Position, ServerCommand, ServerStatus};
-pub(crate) use types::{FailoverAction, FailoverContext, ServerCandidate};
 
 /// A server that leads a term.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -98,7 +98,7 @@
     retry: f64,
     /// That a change is complete is told again after this.
     settle: f64,
-    pace: load::Pace,
+    pace: polling::Pace,
     /// The calls to the platform that may still take effect.
     pending: PendingPromotion,
     /// Since when the grant is given back by all.
@@ -118,7 +118,7 @@
             trail: Vec::new(),
             retry: 0.0,
             settle: f64::NEG_INFINITY,
-            pace: load::Pace::default(),
+            pace: polling::Pace::default(),
             pending: PendingPromotion::default(),
             given_since: None,
         }
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -1,6 +1,6 @@
 //! The choice is agreed on, and the platform is asked to promote it.
 
-use super::watching::DRAIN_MARGIN_S;
+use super::steady::DRAIN_MARGIN_S;
 use super::*;
 
 /// Between two questions to the server that is promoted, in seconds.
