--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -453,7 +453,7 @@
                     service, settled, ..
                 } => {
                     if !settled && let Some(failover) = lead.services.get_mut(&service) {
-                        let act = failover.agreed(now, true);
+                        let act = failover.proposal_decided(now, true);
                         self.act(now, &service, act.into_iter().collect(), out);
                     }
                 }
--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -6,7 +6,7 @@
 };
 use crate::failover::{
     CommandOutcome, Failover, FailoverAction, FailoverConfig, FailoverContext, ServerCandidate,
-    Unheard,
+    UnresponsiveRole,
 };
 use crate::members::Member;
 use crate::message::PrimaryGrant;
@@ -87,7 +87,7 @@
         .services
         .range(from)
         .chain(lead.services.range(..=lead.turns.last.clone()));
-    let (steady, unsettled): (Vec<_>, Vec<_>) = behind.partition(|(_, f)| f.is_watching());
+    let (steady, unsettled): (Vec<_>, Vec<_>) = behind.partition(|(_, f)| f.is_steady());
     let first = unsettled
         .len()
         .min(UNSETTLED_A_TICK.max(SERVICES_A_TICK.saturating_sub(steady.len())));
@@ -101,8 +101,8 @@
 /// The services that routers are to tell evidence of: those whose primary nobody heard for the longest, then those with a replica
 /// that is silent.
 fn evidence_wanted(now: f64, lead: &Leadership) -> Vec<String> {
-    let silent = |(service, failover): (_, &Failover)| Some((failover.unheard(now)?, service));
-    let mut wanted: Vec<((Unheard, f64), &String)> =
+    let silent = |(service, failover): (_, &Failover)| Some((failover.unresponsive(now)?, service));
+    let mut wanted: Vec<((UnresponsiveRole, f64), &String)> =
         lead.services.iter().filter_map(silent).collect();
     wanted.sort_by(|((a, for_a), _), ((b, for_b), _)| b.cmp(a).then(for_b.total_cmp(for_a)));
     wanted
@@ -177,8 +177,8 @@
         let Some(failover) = lead.services.get_mut(service) else {
             return;
         };
-        failover.pace(now, timing);
-        let lost = self
+        failover.begin_step(now, timing);
+        let departed = self
             .members
             .departed_of(service, self.timing.failover.heartbeat_interval);
         let record = self.current.primaries.get(service);
@@ -195,14 +195,14 @@
         let acts = failover.tick(&FailoverContext {
             now,
             members: &members,
-            lost: &lost,
-            record: record.map(|p| (p.server_id.as_str(), p.min_term)),
+            departed: &departed,
+            recorded_primary: record,
             succeeds: &succeeds,
             same_address: &same_address,
-            all_know: &all_know,
-            since: lead.since,
+            all_acknowledged: &all_know,
+            leading_since: lead.since,
             not_before,
-            sync: lead.sync.get(service).copied().unwrap_or(1),
+            sync_replicas: lead.sync.get(service).copied().unwrap_or(1),
         });
         self.act(now, service, acts, out);
     }
@@ -216,7 +216,10 @@
     ) {
         for act in acts {
             match act {
-                FailoverAction::Query(id, statement) => {
+                FailoverAction::SendCommand {
+                    server_id: id,
+                    command: statement,
+                } => {
                     let Some(member) = self.members.get(&id) else {
                         self.command_completed(now, service, &id, CommandOutcome::TimedOut);
                         continue;
@@ -313,7 +316,7 @@
                     );
                     let number = lead.number;
                     if let Some(failover) = lead.services.get_mut(service) {
-                        failover.told(number);
+                        failover.grant_announced(number);
                     }
                     self.news_due = true;
                 }
@@ -350,8 +353,8 @@
         let Some(failover) = lead.services.get_mut(service) else {
             return;
         };
-        failover.asked(now, id, asked);
-        if !failover.is_watching() && !lead.turns.answered.contains(service) {
+        failover.command_completed(now, id, asked);
+        if !failover.is_steady() && !lead.turns.answered.contains(service) {
             lead.turns.answered.insert(service.to_owned());
         }
     }
@@ -365,7 +368,7 @@
         outcome: PromotionOutcome,
     ) {
         if let Some(failover) = self.lead.as_mut().and_then(|l| l.services.get_mut(service)) {
-            failover.promoted(now, id, outcome);
+            failover.promotion_completed(now, id, outcome);
         }
     }
 }
@@ -374,6 +377,6 @@
     ServerCandidate {
         id: member.info.id.clone(),
         draining_since: member.draining_since,
-        heard: member.last_seen,
+        last_seen: member.last_seen,
     }
 }
--- a/crates/core/control/src/controller/requests.rs
+++ b/crates/core/control/src/controller/requests.rs
@@ -105,7 +105,7 @@
                 } if !lead
                     .services
                     .get(service)
-                    .is_some_and(|f| f.is_steady(to, *above)) =>
+                    .is_some_and(|f| f.is_steady_with(to, *above)) =>
                 {
                     continue;
                 }
@@ -162,7 +162,7 @@
                     .as_mut()
                     .and_then(|lead| lead.services.get_mut(&service))
                 {
-                    failover.agreed(now, false);
+                    failover.proposal_decided(now, false);
                 }
             }
             _ => reply(
--- a/crates/core/control/src/controller/router_updates.rs
+++ b/crates/core/control/src/controller/router_updates.rs
@@ -307,7 +307,7 @@
         for seen in &call.health_reports {
             let answered = now - seen.answered_seconds_ago;
             if let Some(failover) = lead.services.get_mut(&seen.service) {
-                failover.evidence(&seen.server_id, answered);
+                failover.health_reported(&seen.server_id, answered);
             }
             // Whoever answers a router is there, though control doesn't reach it.
             self.members.seen_alive(answered, &seen.server_id);
--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -1,13 +1,41 @@
-//! The primary of one service: who it is, when it is to be replaced, and by whom.
+//! The failover of one service: which server is its primary, when that primary is replaced, and
+//! by which replica.
 //!
-//! Nobody tells that a primary is dead. It counts as dead when it refuses connections, or when neither we nor any router
-//! has had an answer from it for a while. Before another is promoted, all routers have given up the old one, and all
-//! other copies are paused and asked how far they got: what a client was promised is then at the furthest of them.
+//! [`Failover`] is a state machine without I/O and without a clock. The leading control machine
+//! owns one for each service (see `controller::failover_driver`), calls [`Failover::tick`] with a
+//! [`FailoverContext`], carries out the [`FailoverAction`]s that come back, and reports what came
+//! of them. It never sends anything, never decides about leases, and keeps nothing on disk: what
+//! must outlive this leader is proposed as a [`PrimaryRecord`](crate::state::PrimaryRecord).
 //!
-//! A primary that is to leave is replaced while it goes on: all copies but the coming primary are paused, so that whatever
-//! is acknowledged from then on is there; only once it leads do the routers let go of the old one.
+//! # When a primary is replaced
+//!
+//! No server reports its own death. A primary counts as dead when it refuses connections, or when
+//! neither this machine nor any router has had an answer from it for the primary time-out. Before
+//! another server is promoted, every router has acknowledged that the grant is revoked (or its
+//! lease has ended), and all other replicas are paused and queried for their position: every write
+//! that was acknowledged to a client is then on the replica that is furthest ahead.
+//!
+//! A draining primary is replaced while it still serves. All replicas but the target are paused,
+//! so that whatever is acknowledged from then on is on the target; only once the target is primary
+//! do routers give up the old one.
+//!
+//! # Phases
+//!
+//! ```text
+//!                        ┌── found ──────────────────────────────┐
+//! Discovering ── missing ┴─> Revoking ── chosen ─┐               v
+//!      ^                        ^                v            Steady
+//!      │ changed itself         │ dead      Proposing            │ draining
+//!      └── Steady ──────────────┘                v               v
+//!                                            Promoting <──── Handover
+//!                        Steady <── Completing <─┘ (planned)
+//! ```
+//!
+//! Each phase has its module, with the method that [`Failover::tick`] calls in that phase.
+
 mod completing;
 mod discovering;
+mod fencing;
 mod handing_over;
 mod interface;
 mod observation;
@@ -18,113 +46,121 @@
 mod revoking;
 mod steady;
 
-use crate::promotion::{PendingPromotion, PromotionOutcome};
+use crate::promotion::PendingPromotion;
 pub use interface::{CommandOutcome, FailoverConfig, Position, ServerCommand, ServerStatus};
 pub(crate) use interface::{FailoverAction, FailoverContext, ServerCandidate};
 use observation::Observation;
-pub(crate) use polling::Unheard;
+pub(crate) use polling::UnresponsiveRole;
+use polling::{PollingDelay, PositionSample};
 use revocation::Revocation;
 use std::collections::BTreeMap;
 
-/// A server that leads a term.
+/// A server that is the primary of a primary term.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Primary {
-    id: String,
+    server_id: String,
     primary_term: u64,
 }
 
 /// The server that is to be the next primary.
 #[derive(Clone, Debug, PartialEq)]
 struct PromotionTarget {
-    to: String,
-    /// It must lead a term above this one.
-    above: u64,
-    /// The primary is replaced while it serves.
+    server_id: String,
+    /// The target counts as promoted once it is the primary of a term above this one.
+    after_term: u64,
+    /// The old primary still serves while this target takes its place.
     planned: bool,
 }
 
-/// A call to the platform that promotes a server.
+/// The requests to the platform for one promotion target.
 #[derive(Clone, Debug, PartialEq)]
 struct PromotionAttempt {
-    choice: PromotionTarget,
-    /// When the platform was asked last; a second later it is asked again.
-    posted: f64,
-    /// When it was asked first.
-    since: f64,
+    target: PromotionTarget,
+    /// The next request follows [`promoting::REQUEST_INTERVAL_S`] after this second. That is when
+    /// the last request was sent, moved by the platform's answer.
+    backoff_from: f64,
+    /// When the first request was sent.
+    started_at: f64,
 }
 
-/// A primary that is being replaced while it serves.
+/// A draining primary that is being replaced while it serves.
 #[derive(Clone, Debug, PartialEq)]
 struct Handover {
-    to: String,
-    /// The term at which the other copies are paused.
-    primary_term: u64,
-    since: f64,
+    target_id: String,
+    /// The primary term at which the other replicas are paused.
+    pause_term: u64,
+    started_at: f64,
 }
 
+/// Where the failover of a service stands.
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    /// Who leads isn't known.
+    /// The primary isn't known; all servers are queried.
     Discovering,
-    /// A primary is in use.
+    /// Routers may use a primary, whose health is watched.
     Steady,
-    /// The primary is given up: routers let go, and the others are paused at this term.
-    Revoking { primary_term: u64 },
-    /// The primary leaves: all but the coming one are paused.
+    /// The primary is given up: its grant is revoked, and the replicas are paused at this term.
+    Revoking { pause_term: u64 },
+    /// The primary drains: all replicas but the target are paused while it serves on.
     Handover(Handover),
-    /// What is to be promoted is being agreed on.
+    /// The control machines are committing the promotion target.
     Proposing(PromotionTarget),
-    /// The platform is asked.
+    /// The platform is requested to promote the target.
     Promoting(PromotionAttempt),
-    /// The new one leads; routers let go of the old one.
+    /// The target of a planned promotion is primary; routers are giving up the old one.
     Completing(Primary),
 }
 
 /// The failover of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Failover {
-    timing: FailoverConfig,
+    config: FailoverConfig,
     phase: Phase,
-    seen: BTreeMap<String, Observation>,
-    /// The primary in use or last in use.
+    observations: BTreeMap<String, Observation>,
+    /// The primary that routers may use, or used last.
     primary: Option<Primary>,
-    /// Whether its grant was taken back.
+    /// How far the revocation of its grant has come.
     revocation: Revocation,
-    /// The last answer of the primary that any router told of.
-    evidence: f64,
-    /// Positions of the primary, with when it was asked.
-    trail: Vec<(f64, Position)>,
-    /// A planned change that came to nothing is tried again after this.
-    retry: f64,
-    /// That a change is complete is told again after this.
-    settle: f64,
-    pace: polling::Pace,
-    /// The calls to the platform that may still take effect.
-    pending: PendingPromotion,
-    /// Since when the grant is given back by all.
-    given_since: Option<f64>,
+    /// When the primary last answered any router, as far as routers have reported.
+    primary_reported_at: f64,
+    /// The newest positions of the primary, oldest first.
+    primary_positions: Vec<PositionSample>,
+    /// No planned replacement and no new discovery ends before this second.
+    retry_at: f64,
+    /// The completed change of the primary is proposed again after this second.
+    record_retry_at: f64,
+    polling_delay: PollingDelay,
+    /// The requests to the platform that may still take effect.
+    pending_promotion: PendingPromotion,
+    /// Since when the revocation has been complete.
+    revoked_since: Option<f64>,
 }
 
 impl Failover {
-    /// A service of which nothing is known yet.
-    pub fn new(timing: FailoverConfig) -> Failover {
+    /// The failover of a service of which nothing is known yet.
+    pub fn new(config: FailoverConfig) -> Failover {
         Failover {
-            timing,
+            config,
             phase: Phase::Discovering,
-            seen: BTreeMap::new(),
+            observations: BTreeMap::new(),
             primary: None,
             revocation: Revocation::None,
-            evidence: f64::NEG_INFINITY,
-            trail: Vec::new(),
-            retry: 0.0,
-            settle: f64::NEG_INFINITY,
-            pace: polling::Pace::default(),
-            pending: PendingPromotion::default(),
-            given_since: None,
+            primary_reported_at: f64::NEG_INFINITY,
+            primary_positions: Vec::new(),
+            retry_at: 0.0,
+            record_retry_at: f64::NEG_INFINITY,
+            polling_delay: PollingDelay::default(),
+            pending_promotion: PendingPromotion::default(),
+            revoked_since: None,
         }
     }
 
-    /// The name of the phase, for logs and operators.
+    /// The name of the phase for operators: in the `primaries` JSON, metric labels and log lines.
+    ///
+    /// These words are documented output (users' pages, dashboards and tests rely on them), and
+    /// therefore older than the names in the code: `finding` is [`Phase::Discovering`], `closing`
+    /// [`Phase::Revoking`], `handing` [`Phase::Handover`], `agreeing` [`Phase::Proposing`], and
+    /// `switching` [`Phase::Completing`].
     pub fn phase(&self) -> &'static str {
         match self.phase {
             Phase::Discovering => "finding",
@@ -137,30 +173,58 @@
         }
     }
 
-    /// Whether just this primary is in use, in steady order.
-    pub fn is_steady(&self, id: &str, primary_term: u64) -> bool {
+    /// Whether a primary is in use and no change is under way.
+    pub fn is_steady(&self) -> bool {
         self.phase == Phase::Steady
-            && self
-                .primary
-                .as_ref()
-                .is_some_and(|p| p.id == id && p.primary_term == primary_term)
     }
 
-    /// Lets time pass.
+    /// Whether exactly this primary is in use and no change is under way.
+    pub fn is_steady_with(&self, server_id: &str, primary_term: u64) -> bool {
+        self.is_steady()
+            && self.primary.as_ref().is_some_and(|primary| {
+                primary.server_id == server_id && primary.primary_term == primary_term
+            })
+    }
+
+    /// Advances the failover to the second `context.now`, and returns what is to be done.
     pub fn tick(&mut self, context: &FailoverContext<'_>) -> Vec<FailoverAction> {
         let mut actions = Vec::new();
-        let primary = &self.primary;
-        self.seen
-            .retain(|id, _| context.is_member(id) || primary.as_ref().is_some_and(|p| p.id == *id));
+        self.forget_former_members(context);
         match self.phase.clone() {
-            Phase::Discovering => self.find(context, &mut actions),
-            Phase::Steady => self.watch(context, &mut actions),
-            Phase::Revoking { primary_term } => self.close(context, primary_term, &mut actions),
-            Phase::Handover(handing) => self.hand_over(context, &handing, &mut actions),
+            Phase::Discovering => self.tick_discovering(context, &mut actions),
+            Phase::Steady => self.tick_steady(context, &mut actions),
+            Phase::Revoking { pause_term } => {
+                self.tick_revoking(context, pause_term, &mut actions);
+            }
+            Phase::Handover(handover) => self.tick_handover(context, &handover, &mut actions),
+            // Nothing to do until `proposal_decided` is called.
             Phase::Proposing(_) => {}
-            Phase::Promoting(promotion) => self.promote(context, promotion, &mut actions),
-            Phase::Completing(to) => self.switch(context, to, &mut actions),
+            Phase::Promoting(attempt) => self.tick_promoting(context, attempt, &mut actions),
+            Phase::Completing(promoted) => self.tick_completing(context, promoted, &mut actions),
         }
         actions
     }
+
+    /// Drops what was observed of servers that are no members any more, except of the primary: its
+    /// position decides which replica may be promoted.
+    fn forget_former_members(&mut self, context: &FailoverContext<'_>) {
+        let primary = self.primary.as_ref();
+        self.observations.retain(|id, _| {
+            context.is_member(id) || primary.is_some_and(|primary| primary.server_id == *id)
+        });
+    }
+
+    /// Whether this server is the primary that routers may use, or used last.
+    fn is_primary(&self, server_id: &str) -> bool {
+        self.primary
+            .as_ref()
+            .is_some_and(|primary| primary.server_id == server_id)
+    }
+
+    /// The term of the primary that routers may use, or used last; 0 before the first.
+    fn current_primary_term(&self) -> u64 {
+        self.primary
+            .as_ref()
+            .map_or(0, |primary| primary.primary_term)
+    }
 }
--- a/crates/core/control/src/failover/completing.rs
+++ b/crates/core/control/src/failover/completing.rs
@@ -1,23 +1,24 @@
-//! The new primary leads: routers let go of the old one.
+//! The phase [`Phase::Completing`](super::Phase::Completing): the target of a planned promotion is
+//! primary, and routers are giving up the old one.
 
-use super::*;
+use super::{Failover, FailoverAction, FailoverContext, Primary, ServerCommand};
 
 impl Failover {
-    pub(super) fn switch(
+    pub(super) fn tick_completing(
         &mut self,
         context: &FailoverContext<'_>,
-        to: Primary,
+        promoted: Primary,
         actions: &mut Vec<FailoverAction>,
     ) {
-        self.ask(
+        self.send_command(
             context.now,
-            &to.id,
-            self.timing.primary_poll_interval,
+            &promoted.server_id,
+            self.config.primary_poll_interval,
             ServerCommand::Status,
             actions,
         );
-        if self.given_back(context) {
-            self.use_primary(context.now, to, actions);
+        if self.is_revoked(context) {
+            self.grant_primary(context.now, promoted, actions);
         }
     }
 }
--- a/crates/core/control/src/failover/discovering.rs
+++ b/crates/core/control/src/failover/discovering.rs
@@ -1,26 +1,26 @@
-//! Nobody is known to lead: the server that does is looked for.
+//! The phase [`Phase::Discovering`](super::Phase::Discovering): no primary is known, and all
+//! servers are queried for one.
 
-use super::*;
+use super::{Failover, FailoverAction, FailoverContext, Primary, Revocation, ServerCommand};
 
-/// How many heartbeats are waited for before a primary counts as missing.
-const HEARTBEATS: f64 = 2.5;
-/// How old the answer of a server that leads may be, in seconds.
-const FRESH_S: f64 = 1.0;
-/// Servers that don't answer are waited for so long, in seconds.
-const UNKNOWN_S: f64 = 1.0;
+/// A primary counts as missing only after this many heartbeat intervals.
+const MISSING_AFTER_HEARTBEATS: f64 = 2.5;
+/// The last answer of a server that is taken for the primary is no older than this.
+const ANSWER_MAX_AGE_S: f64 = 1.0;
+/// How long servers that don't answer are waited for, if no primary is recorded.
+const UNREACHABLE_WAIT_S: f64 = 1.0;
 
 impl Failover {
-    pub(super) fn find(
+    pub(super) fn tick_discovering(
         &mut self,
         context: &FailoverContext<'_>,
         actions: &mut Vec<FailoverAction>,
     ) {
-        let now = context.now;
         for member in context.members {
-            self.ask(
-                now,
+            self.send_command(
+                context.now,
                 &member.id,
-                self.timing.primary_poll_interval,
+                self.config.primary_poll_interval,
                 ServerCommand::Status,
                 actions,
             );
@@ -28,83 +28,81 @@
         if context.members.is_empty() {
             return;
         }
-        if let Some(found) = self.found(context) {
-            self.use_found(context, found, actions);
-            return;
-        }
-        // Nobody leads whom we may use: after a while somebody is to be promoted. Beats of all must have had their time.
-        let patience = self
-            .timing
-            .primary_timeout
-            .max(HEARTBEATS * self.timing.heartbeat_interval);
-        let waited = now - self.asked_since(context) > patience;
-        if waited && now > context.not_before && now > self.retry {
+        if let Some(found) = self.find_primary(context) {
+            self.adopt_primary(context, found, actions);
+        } else if self.is_primary_missing(context) {
             if self.primary.is_none() && self.revocation == Revocation::None {
-                // Nothing is granted by us, and the grants of those before us have ended.
+                // This leader has granted nothing, and the grants of former leaders have ended.
                 self.revocation = Revocation::Announced(0);
             }
-            log::info!("event=primary_missing top={}", self.highest_led());
-            self.give_up(actions);
+            log::info!("event=primary_missing top={}", self.highest_log_term());
+            self.abandon_primary(actions);
         }
     }
 
-    /// Uses the primary that was found, once routers use no other.
-    fn use_found(
+    /// Whether another server is to be promoted, as no usable primary turned up in the time that
+    /// the heartbeats of all servers need to come in.
+    fn is_primary_missing(&self, context: &FailoverContext<'_>) -> bool {
+        let timeout = self
+            .config
+            .primary_timeout
+            .max(MISSING_AFTER_HEARTBEATS * self.config.heartbeat_interval);
+        context.now - self.polling_since(context) > timeout
+            && context.now > context.not_before
+            && context.now > self.retry_at
+    }
+
+    /// Grants the primary that was found, once routers can't use another.
+    fn adopt_primary(
         &mut self,
         context: &FailoverContext<'_>,
         found: Primary,
         actions: &mut Vec<FailoverAction>,
     ) {
         match (&self.primary, self.revocation) {
-            (Some(old), Revocation::None) if *old != found => {
-                // Routers may still use the one before.
-                self.revoke(actions);
-                return;
-            }
-            // Under the leader before us routers may have used another until a moment ago.
+            // Routers may still use the one before.
+            (Some(old), Revocation::None) if *old != found => self.revoke_grant(actions),
+            // Routers may have used another under the former leader until a moment ago.
             (None, Revocation::None)
-                if context
-                    .record
-                    .is_some_and(|record| record != (found.id.as_str(), found.primary_term))
-                    && !(context.all_know)(0) =>
-            {
-                return;
-            }
+                if context.records_another(&found.server_id, found.primary_term)
+                    && !(context.all_acknowledged)(0) => {}
             (_, Revocation::Unannounced | Revocation::Announced(_))
-                if !self.given_back(context) =>
-            {
-                return;
-            }
-            _ => {}
+                if !self.is_revoked(context) => {}
+            _ => self.grant_primary(context.now, found, actions),
         }
-        self.use_primary(context.now, found, actions);
     }
 
-    /// The server that leads and may be used.
-    pub(super) fn found(&self, context: &FailoverContext<'_>) -> Option<Primary> {
-        let top = self.highest_led();
-        let found = context.members.iter().find_map(|m| {
-            let seen = self.observed(&m.id);
-            let fresh = context.now - seen.answered < FRESH_S;
-            let row = seen
-                .row
-                .filter(|r| seen.leads() && fresh && r.primary_term >= top)?;
+    /// The server that is primary and may be used as such.
+    pub(super) fn find_primary(&self, context: &FailoverContext<'_>) -> Option<Primary> {
+        let highest_log_term = self.highest_log_term();
+        let found = context.members.iter().find_map(|member| {
+            let observation = self.observed(&member.id);
+            let is_recent = context.now - observation.answered_at < ANSWER_MAX_AGE_S;
+            let status = observation.status.filter(|status| {
+                observation.claims_primary() && is_recent && status.primary_term >= highest_log_term
+            })?;
             Some(Primary {
-                id: m.id.clone(),
-                primary_term: row.primary_term,
+                server_id: member.id.clone(),
+                primary_term: status.primary_term,
             })
         })?;
-        let of_record = match context.record {
-            Some(_) => context.is_of_record(&found.id, found.primary_term),
-            // Nobody was promoted by us: whoever leads is the primary, once all that are known were asked.
+        let may_be_used = match context.recorded_primary {
+            Some(_) => context.is_recorded(&found.server_id, found.primary_term),
+            // Control machines have promoted nobody: whichever server is primary may be used, once
+            // all members had the time to report that they are.
             None => {
-                let known = context
-                    .members
-                    .iter()
-                    .all(|m| self.observed(&m.id).row.is_some());
-                known || context.now - self.asked_since(context) > UNKNOWN_S
+                self.all_reported(context)
+                    || context.now - self.polling_since(context) > UNREACHABLE_WAIT_S
             }
         };
-        of_record.then_some(found)
+        may_be_used.then_some(found)
+    }
+
+    /// Whether all members have reported a status.
+    fn all_reported(&self, context: &FailoverContext<'_>) -> bool {
+        context
+            .members
+            .iter()
+            .all(|member| self.observed(&member.id).status.is_some())
     }
 }
--- a/crates/core/control/src/failover/handing_over.rs
+++ b/crates/core/control/src/failover/handing_over.rs
@@ -1,30 +1,34 @@
-//! The primary is about to leave: another is made ready while it serves.
+//! The phase [`Phase::Handover`](super::Phase::Handover): the primary drains, and another server
+//! is made ready to take its place while it serves.
 
-use super::*;
+use super::{
+    Failover, FailoverAction, FailoverContext, Handover, Phase, Position, PromotionTarget,
+    ServerCommand,
+};
 
-/// Between two pauses of a copy, in seconds.
-const PAUSE_AGAIN_S: f64 = 0.05;
-/// Between two questions to a copy that was paused, until one confirms it, in seconds.
-const CONFIRM_AGAIN_S: f64 = 0.02;
-/// Between two questions to the coming primary, in seconds.
-const ASK_COMING_S: f64 = 0.04;
-/// The coming primary must be ready within this, in seconds.
-const LONGEST_S: f64 = 1.5;
-/// The pause until the next try, in seconds.
-const RETRY_S: f64 = 0.5;
+/// Between two attempts to pause a replica.
+const PAUSE_INTERVAL_S: f64 = 0.05;
+/// Between two queries to a paused replica, until one confirms the pause.
+const CONFIRM_INTERVAL_S: f64 = 0.02;
+/// Between two queries to the target.
+const TARGET_QUERY_INTERVAL_S: f64 = 0.04;
+/// The target must be ready within this time.
+const HANDOVER_TIMEOUT_S: f64 = 1.5;
+/// Between a handover that timed out and the next.
+const RETRY_BACKOFF_S: f64 = 0.5;
 
-/// How far the pausing of the other copies has come.
-struct Pausing {
+/// How far the pausing of the replicas other than the target has come.
+struct PauseProgress {
     complete: bool,
-    /// The furthest position among them.
+    /// The furthest position of the paused replicas.
     furthest: Position,
     /// When the last of them answered.
-    answered: f64,
+    last_answered_at: f64,
 }
 
 impl Failover {
-    /// Begins to hand over, if there is anybody to hand over to.
-    pub(super) fn begin_handing(
+    /// Begins a handover, if any server can take the primary's place.
+    pub(super) fn begin_handover(
         &mut self,
         context: &FailoverContext<'_>,
         actions: &mut Vec<FailoverAction>,
@@ -32,29 +36,33 @@
         let Some(primary) = self.primary.clone() else {
             return;
         };
-        if context.sync == 0 {
-            // Nothing but its own end keeps the old one from acknowledging: routers let go of it first.
-            self.give_up(actions);
+        if context.sync_replicas == 0 {
+            // Pausing replicas doesn't keep this primary from acknowledging writes: routers must
+            // give it up first.
+            self.abandon_primary(actions);
             return;
         }
-        let best = self.best(context, |m| {
-            m.id != primary.id && m.draining_since.is_none()
+        let furthest = self.furthest_candidate(context, |member| {
+            member.id != primary.server_id && member.draining_since.is_none()
         });
-        if let Some((to, _)) = best {
-            let (to, primary_term) = (to.to_owned(), self.highest_term() + 1);
-            log::info!("event=primary_leaves id={} to={to}", primary.id);
+        if let Some(candidate) = furthest {
+            let target_id = candidate.server_id.to_owned();
+            log::info!(
+                "event=handover_started id={} to={target_id}",
+                primary.server_id
+            );
             self.phase = Phase::Handover(Handover {
-                to,
-                primary_term,
-                since: context.now,
+                target_id,
+                pause_term: self.highest_held_term() + 1,
+                started_at: context.now,
             });
         }
     }
 
-    pub(super) fn hand_over(
+    pub(super) fn tick_handover(
         &mut self,
         context: &FailoverContext<'_>,
-        handing: &Handover,
+        handover: &Handover,
         actions: &mut Vec<FailoverAction>,
     ) {
         let now = context.now;
@@ -62,109 +70,128 @@
             return;
         };
         if self.primary_death(now).is_some() {
-            self.give_up(actions);
+            self.abandon_primary(actions);
             return;
         }
-        let to = &handing.to;
-        self.ask(
+        let target_id = &handover.target_id;
+        self.send_command(
             now,
-            &primary.id,
-            self.timing.primary_poll_interval,
+            &primary.server_id,
+            self.config.primary_poll_interval,
             ServerCommand::Status,
             actions,
         );
-        let pausing = self.pause_others(context, &primary.id, handing, actions);
-        self.ask(now, to, ASK_COMING_S, ServerCommand::Status, actions);
-        if pausing.complete
-            && self.has_caught_up(to, &pausing)
-            && self.covers_lost(context, &primary.id, to)
+        let progress = self.pause_bystanders(context, &primary.server_id, handover, actions);
+        self.send_command(
+            now,
+            target_id,
+            TARGET_QUERY_INTERVAL_S,
+            ServerCommand::Status,
+            actions,
+        );
+        if progress.complete
+            && self.has_caught_up(target_id, &progress)
+            && self.has_writes_of_departed(context, &primary.server_id, target_id)
         {
-            let above = self.highest_led().max(primary.primary_term);
-            self.phase = Phase::Proposing(PromotionTarget {
-                to: to.clone(),
-                above,
-                planned: true,
-            });
-            actions.push(FailoverAction::ProposePrimary {
-                server_id: to.clone(),
-                after_term: above,
-            });
-        } else if now - handing.since > LONGEST_S {
-            log::info!("event=handing_given_up to={to}");
-            self.retry = now + RETRY_S;
+            self.propose_target(
+                PromotionTarget {
+                    server_id: target_id.clone(),
+                    after_term: self.highest_log_term().max(primary.primary_term),
+                    planned: true,
+                },
+                actions,
+            );
+        } else if now - handover.started_at > HANDOVER_TIMEOUT_S {
+            log::info!("event=handover_timed_out to={target_id}");
+            self.retry_at = now + RETRY_BACKOFF_S;
             self.phase = Phase::Steady;
         }
     }
 
-    /// Pauses all copies but the primary and the coming one.
-    fn pause_others(
+    /// Pauses all replicas but the target.
+    fn pause_bystanders(
         &mut self,
         context: &FailoverContext<'_>,
-        primary: &str,
-        handing: &Handover,
+        primary_id: &str,
+        handover: &Handover,
         actions: &mut Vec<FailoverAction>,
-    ) -> Pausing {
-        let mut pausing = Pausing {
+    ) -> PauseProgress {
+        let mut progress = PauseProgress {
             complete: true,
             furthest: (0, 0),
-            answered: f64::NEG_INFINITY,
+            last_answered_at: f64::NEG_INFINITY,
         };
-        for member in context
-            .members
-            .iter()
-            .filter(|m| m.id != primary && m.id != handing.to)
-        {
-            let seen = self.observed(&member.id);
-            match seen.paused {
-                Some((at, position)) if at == handing.primary_term => {
-                    pausing.furthest = pausing.furthest.max(position);
-                    pausing.answered = pausing.answered.max(seen.answered);
-                    if seen.pause_confirmed.is_none() {
-                        pausing.complete = false;
-                        self.ask(
+        let bystanders = context
+            .members_except(Some(primary_id))
+            .filter(|member| member.id != handover.target_id);
+        for member in bystanders {
+            let observation = self.observed(&member.id);
+            match observation.paused {
+                Some(pause) if pause.term == handover.pause_term => {
+                    progress.furthest = progress.furthest.max(pause.position);
+                    progress.last_answered_at =
+                        progress.last_answered_at.max(observation.answered_at);
+                    if observation.pause_confirmed_at.is_none() {
+                        progress.complete = false;
+                        self.send_command(
                             context.now,
                             &member.id,
-                            CONFIRM_AGAIN_S,
+                            CONFIRM_INTERVAL_S,
                             ServerCommand::Status,
                             actions,
                         );
                     }
                 }
                 _ => {
-                    pausing.complete &= self.is_represented(context, &member.id);
-                    let primary_term = self
-                        .primary
-                        .as_ref()
-                        .map_or(0, |primary| primary.primary_term);
-                    // The primary before this one may not know yet that it is none, and can't be paused.
-                    let deposed =
-                        seen.leads() && seen.row.is_some_and(|row| row.primary_term < primary_term);
-                    let statement = if deposed {
-                        ServerCommand::StepDown(primary_term)
-                    } else {
-                        ServerCommand::Pause(handing.primary_term)
-                    };
-                    self.ask(context.now, &member.id, PAUSE_AGAIN_S, statement, actions);
+                    progress.complete &= self.is_represented(context, &member.id);
+                    let command = self.bystander_command(&member.id, handover.pause_term);
+                    self.send_command(context.now, &member.id, PAUSE_INTERVAL_S, command, actions);
                 }
             }
         }
-        pausing
+        progress
+    }
+
+    /// The command that has a server receive nothing more while the target takes over. A former
+    /// primary that doesn't know yet that it was replaced can't be paused, and steps down first.
+    fn bystander_command(&self, server_id: &str, pause_term: u64) -> ServerCommand {
+        let observation = self.observed(server_id);
+        let primary_term = self.current_primary_term();
+        if observation.claims_primary() && observation.is_deposed_by(primary_term) {
+            ServerCommand::StepDown(primary_term)
+        } else {
+            ServerCommand::Pause(pause_term)
+        }
     }
 
-    /// The coming primary has all that the paused ones have, by a row that was asked for after they were paused.
-    fn has_caught_up(&self, to: &str, pausing: &Pausing) -> bool {
-        let seen = self.observed(to);
-        seen.failing.is_none()
-            && seen
-                .row
-                .is_some_and(|r| !r.is_primary && r.received >= pausing.furthest)
-            && (seen.row_asked > pausing.answered || pausing.furthest == (0, 0))
+    /// Whether the target has all that the paused replicas have, by a status that was queried
+    /// after they were paused.
+    fn has_caught_up(&self, target_id: &str, progress: &PauseProgress) -> bool {
+        let observation = self.observed(target_id);
+        observation.failing_since.is_none()
+            && observation
+                .status
+                .is_some_and(|status| !status.is_primary && status.received >= progress.furthest)
+            && (observation.status_queried_at > progress.last_answered_at
+                || progress.furthest == (0, 0))
     }
 
-    /// Whoever is gone may have had commits that only the primary has as well: the coming one must have them.
-    fn covers_lost(&self, context: &FailoverContext<'_>, primary: &str, to: &str) -> bool {
-        let received = self.observed(to).row.map_or((0, 0), |r| r.received);
-        let mut lost = context.lost.iter().filter(|(id, _)| *id != primary);
-        lost.all(|(_, since)| self.covered(*since, received))
+    /// Whether the target has all that departed servers had. They may have had writes that no
+    /// server has now but the primary.
+    fn has_writes_of_departed(
+        &self,
+        context: &FailoverContext<'_>,
+        primary_id: &str,
+        target_id: &str,
+    ) -> bool {
+        let received = self
+            .observed(target_id)
+            .status
+            .map_or((0, 0), |status| status.received);
+        context
+            .departed
+            .iter()
+            .filter(|departed| departed.id != primary_id)
+            .all(|departed| self.is_covered(departed.inactive_since, received))
     }
 }
--- a/crates/core/control/src/failover/interface.rs
+++ b/crates/core/control/src/failover/interface.rs
@@ -1,151 +1,191 @@
-//! What is handed in and out of a failover: servers as they are seen from outside, questions, answers and actions.
+//! What goes into and comes out of a [`Failover`](super::Failover): its settings, the members and
+//! leadership that it goes by, the commands that it sends to servers, and their outcomes.
 
-/// A position in a service's log: term and number.
+use crate::members::DepartedMember;
+use crate::state::PrimaryRecord;
+
+/// A position in a service's log: primary term and number within it, compared in that order.
 pub type Position = (u64, u64);
 
-/// What a server tells of itself.
+/// The status that a server reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// It sees itself as the primary.
+    /// The server sees itself as the primary.
     pub is_primary: bool,
-    /// The term of its log.
+    /// The primary term of its log.
     pub primary_term: u64,
-    /// How far its log goes.
+    /// The end of its log.
     pub received: Position,
-    /// The highest term that it has heard of.
+    /// The highest primary term that it has seen, in its log or in a command.
     pub highest_term: u64,
 }
 
-/// What a server is asked.
+/// A command to a server. The commands and their answers are described in the users' wire page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerCommand {
-    /// How it stands.
+    /// Report the status; changes nothing.
     Status,
-    /// To receive nothing until a promote.
+    /// Receive nothing more of the log until a promotion or [`ServerCommand::Resume`]; from then
+    /// on the server holds this primary term.
     Pause(u64),
-    /// To receive again.
+    /// Receive the log again.
     Resume,
-    /// To follow, if its term is lower.
+    /// Become a replica if the own primary term is below this one.
     StepDown(u64),
 }
 
-/// What came of it.
+/// What came of a command to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandOutcome {
-    /// The answer, to what was asked at that second.
+    /// The server answered with its status.
     Status {
+        /// The command that it answered.
         command: ServerCommand,
+        /// Its status.
         status: ServerStatus,
+        /// When the command was sent, in seconds of this machine's clock.
         sent_at: f64,
     },
-    /// It answered, but not with a row.
+    /// The server answered, but without a status.
     Busy,
     /// No answer in time, or the connection broke.
     TimedOut,
-    /// Nobody listens at its address, or somebody else does.
+    /// Nothing listens at the server's address, or another server does.
     Refused,
-    /// It was not sent: this machine may no longer act.
+    /// The command was not sent, since this machine may no longer act as the leader.
     NotSent,
 }
 
-/// Spans, in seconds.
+/// The settings of failover; all spans in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct FailoverConfig {
-    /// Between two questions to a primary.
+    /// Between two status queries to a primary.
     pub primary_poll_interval: f64,
-    /// Between two questions to a replica.
+    /// Between two status queries to a replica.
     pub replica_poll_interval: f64,
-    /// A primary of which nobody had an answer for so long counts as dead.
+    /// A primary that has answered nobody for this long counts as dead.
     pub primary_timeout: f64,
-    /// What a server is given for its answer.
+    /// How long an answer to a command is awaited.
     pub query_timeout: f64,
-    /// Heartbeats come this often.
+    /// Between two heartbeats of a server.
     pub heartbeat_interval: f64,
-    /// A draining server is used for no longer than this from when it said so.
+    /// How long a draining server may be used, from when it first reported that it drains.
     pub drain_timeout: f64,
 }
 
-/// What a server looks like from outside.
+/// A member of the service, as far as failover needs to know it.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerCandidate {
+    /// The member's server id.
     pub id: String,
+    /// Since when it has been draining.
     pub draining_since: Option<f64>,
-    pub heard: f64,
+    /// When any control machine or router last saw it alive.
+    pub last_seen: f64,
 }
 
-/// What a step goes by.
+/// Everything outside the service's own state that a step depends on.
 pub(crate) struct FailoverContext<'a> {
+    /// The current second of this machine's clock.
     pub now: f64,
     /// The members of the service.
     pub members: &'a [ServerCandidate],
-    /// Those that left or fell silent a while ago, and from when on they took part in nothing.
-    pub lost: &'a [(String, f64)],
-    /// The primary that was agreed on last: it leads this term or a later one. Just this one, once no router can use
-    /// another any more.
-    pub record: Option<(&'a str, u64)>,
-    /// Whether the second server has taken the place of the first one, at its address and with its log.
+    /// Former members that left or timed out a while ago.
+    pub departed: &'a [DepartedMember],
+    /// The primary that the control machines committed last. Its term is a lower bound until the
+    /// change is complete, that is, until no router can use another server any more.
+    pub recorded_primary: Option<&'a PrimaryRecord>,
+    /// Whether the second server has replaced the first one at its address, and so has its log.
     pub succeeds: &'a dyn Fn(&str, &str) -> bool,
-    /// Whether these are two ids at one address of the service: one log.
+    /// Whether two ids of the service stand for one address, and so for one log.
     pub same_address: &'a dyn Fn(&str, &str) -> bool,
-    /// Whether all routers know of all that was told up to this number.
-    pub all_know: &'a dyn Fn(u64) -> bool,
-    /// Since when this machine leads.
-    pub since: f64,
-    /// Nothing may be changed before this: leases and calls of former leaders.
+    /// Whether every router that holds a lease has acknowledged the updates up to this number.
+    pub all_acknowledged: &'a dyn Fn(u64) -> bool,
+    /// Since when this machine has been the leader.
+    pub leading_since: f64,
+    /// Until then leases and platform requests of former leaders may be in force, and nothing may
+    /// be changed; infinite while the members may not all be known.
     pub not_before: f64,
-    /// How many replicas must have a commit before it is acknowledged.
-    pub sync: u32,
+    /// How many replicas have a write before it is acknowledged to the client.
+    pub sync_replicas: u32,
 }
 
 impl FailoverContext<'_> {
+    /// The member with this id.
+    fn member(&self, server_id: &str) -> Option<&ServerCandidate> {
+        self.members.iter().find(|member| member.id == server_id)
+    }
+
     /// Whether this server is a member of the service.
-    pub(super) fn is_member(&self, id: &str) -> bool {
-        self.members.iter().any(|m| m.id == id)
+    pub(super) fn is_member(&self, server_id: &str) -> bool {
+        self.member(server_id).is_some()
+    }
+
+    /// Since when this member has been draining.
+    pub(super) fn draining_since(&self, server_id: &str) -> Option<f64> {
+        self.member(server_id)
+            .and_then(|member| member.draining_since)
+    }
+
+    /// Whether a member has replaced this server at its address, and so has its log.
+    pub(super) fn has_successor(&self, server_id: &str) -> bool {
+        self.members
+            .iter()
+            .any(|member| (self.succeeds)(server_id, &member.id))
     }
 
-    /// The member that has taken the place of this server, with its log.
-    pub(super) fn successor(&self, id: &str) -> Option<&ServerCandidate> {
+    /// All members but this one.
+    pub(super) fn members_except<'c>(
+        &'c self,
+        excluded_id: Option<&'c str>,
+    ) -> impl Iterator<Item = &'c ServerCandidate> {
         self.members
             .iter()
-            .find(|member| (self.succeeds)(id, &member.id))
+            .filter(move |member| Some(member.id.as_str()) != excluded_id)
     }
 
-    /// Whether this server, which leads that term, is the primary that was agreed on last, under whatever id.
-    pub(super) fn is_of_record(&self, id: &str, primary_term: u64) -> bool {
-        self.record.is_some_and(|(of_record, above)| {
-            primary_term >= above && (of_record == id || (self.succeeds)(of_record, id))
+    /// Whether this primary is the recorded one: itself or its successor at the address, at the
+    /// recorded term or a later one.
+    pub(super) fn is_recorded(&self, server_id: &str, primary_term: u64) -> bool {
+        self.recorded_primary.is_some_and(|record| {
+            primary_term >= record.min_term
+                && (record.server_id == server_id || (self.succeeds)(&record.server_id, server_id))
         })
     }
 
-    /// Since when this member drains.
-    pub(super) fn draining_since(&self, id: &str) -> Option<f64> {
-        self.members
-            .iter()
-            .find(|m| m.id == id)
-            .and_then(|m| m.draining_since)
+    /// Whether a primary is recorded, and it isn't exactly this one.
+    pub(super) fn records_another(&self, server_id: &str, primary_term: u64) -> bool {
+        self.recorded_primary
+            .is_some_and(|record| record.server_id != server_id || record.min_term != primary_term)
     }
 }
 
-/// What is to be done.
+/// What a step of the failover asks its owner to do.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum FailoverAction {
-    Query(String, ServerCommand),
-    ProposePrimary {
+    /// Send a command to a server, and report the outcome with
+    /// [`Failover::command_completed`](super::Failover::command_completed).
+    SendCommand {
         server_id: String,
-        after_term: u64,
+        command: ServerCommand,
     },
-    /// The change to this primary is complete.
+    /// Have the control machines commit that this server is to be the primary of a term above
+    /// `after_term`, and call [`Failover::proposal_decided`](super::Failover::proposal_decided).
+    ProposePrimary { server_id: String, after_term: u64 },
+    /// Have the control machines commit that the change to this primary is complete.
     RecordComplete {
         server_id: String,
         primary_term: u64,
     },
-    Promote {
-        server_id: String,
-    },
-    /// The grant of this service is now this.
+    /// Request the platform to promote this server, and report the outcome with
+    /// [`Failover::promotion_completed`](super::Failover::promotion_completed).
+    Promote { server_id: String },
+    /// Publish the grant of the service, and call
+    /// [`Failover::grant_announced`](super::Failover::grant_announced).
     Grant {
         server_id: String,
         primary_term: u64,
+        /// The grant is taken back: routers must not use the server any more.
         revoking: bool,
     },
 }
--- a/crates/core/control/src/failover/observation.rs
+++ b/crates/core/control/src/failover/observation.rs
@@ -1,217 +1,251 @@
-//! What was observed of each server: the questions that are sent and the answers that came.
+//! What was observed of each server: the commands that were sent to it, and its answers.
 
-use super::*;
+use super::polling::PositionSample;
+use super::{CommandOutcome, Failover, FailoverAction, Position, ServerCommand, ServerStatus};
 
 /// How many positions of the primary are kept.
-const MAX_TRAIL: usize = 32;
+const PRIMARY_POSITIONS_KEPT: usize = 32;
+
+/// A pause of a replica.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Pause {
+    /// The primary term at which it is paused.
+    pub(super) term: u64,
+    /// The end of its log.
+    pub(super) position: Position,
+}
 
 /// What was observed of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Observation {
-    /// The last status that it answered.
-    pub(super) row: Option<ServerStatus>,
-    /// When the question to that row was sent.
-    pub(super) row_asked: f64,
-    /// When it last answered anything.
-    pub(super) answered: f64,
-    /// When it last answered any router, as far as routers have told.
-    pub(super) served: f64,
-    /// Since when it doesn't answer.
-    pub(super) failing: Option<f64>,
-    /// Its address refused the last question.
+    /// The last status that it reported.
+    pub(super) status: Option<ServerStatus>,
+    /// When the command was sent that was answered with that status.
+    pub(super) status_queried_at: f64,
+    /// When it last answered this machine, with or without a status.
+    pub(super) answered_at: f64,
+    /// When it last answered any router, as far as routers have reported.
+    pub(super) answered_router_at: f64,
+    /// Since when it hasn't answered this machine.
+    pub(super) failing_since: Option<f64>,
+    /// Its address refused the last command.
     pub(super) refused: bool,
-    /// When it was last asked.
-    pub(super) asked: f64,
-    /// Its answer is awaited.
-    pub(super) waiting: bool,
-    /// Paused at this term, with its log as it was then.
-    pub(super) paused: Option<(u64, Position)>,
-    /// It was asked to pause at this term, and may have, whatever came back.
-    pub(super) pausing: Option<u64>,
-    /// Its row shows the term at which it is paused.
-    pub(super) shows: bool,
-    /// It answered last without a row.
+    /// When the last command was sent to it.
+    pub(super) commanded_at: f64,
+    /// The answer to that command is awaited.
+    pub(super) awaiting_answer: bool,
+    /// It is paused.
+    pub(super) paused: Option<Pause>,
+    /// A pause at this term was sent, and may have taken effect whatever came back.
+    pub(super) pause_requested_term: Option<u64>,
+    /// Its status reports the term at which it is paused. Not all servers do.
+    reports_pause_term: bool,
+    /// It answered the last command without a status.
     pub(super) busy: bool,
-    /// A status that was asked for at that second, after the answer to the pause, showed it paused still.
-    pub(super) pause_confirmed: Option<f64>,
-    /// It was asked to receive again, and its answer showed that it holds this term.
-    pub(super) resumed: Option<u64>,
+    /// When the query was sent that, after the answer to the pause, showed it still paused.
+    pub(super) pause_confirmed_at: Option<f64>,
+    /// It was resumed, and its answer showed that it holds this term.
+    pub(super) resumed_term: Option<u64>,
 }
 
 impl Observation {
-    /// It answers, and sees itself as the primary.
-    pub(super) fn leads(&self) -> bool {
-        self.failing.is_none() && self.row.is_some_and(|r| r.is_primary)
+    /// The server is reachable and sees itself as the primary.
+    pub(super) fn claims_primary(&self) -> bool {
+        self.failing_since.is_none() && self.status.is_some_and(|status| status.is_primary)
     }
 
-    /// It answered a question that was sent at that second with a status.
-    fn record_row(&mut self, now: f64, statement: ServerCommand, row: ServerStatus, asked: f64) {
+    /// The server answered a command that was sent at `sent_at` with a status.
+    fn record_status(
+        &mut self,
+        now: f64,
+        command: ServerCommand,
+        status: ServerStatus,
+        sent_at: f64,
+    ) {
         self.record_answer(now);
-        self.row = Some(row);
-        self.row_asked = asked;
+        self.status = Some(status);
+        self.status_queried_at = sent_at;
         self.busy = false;
-        match statement {
-            // A primary can't be paused, and says that it leads.
-            ServerCommand::Pause(_) if row.is_primary => (self.paused, self.pausing) = (None, None),
-            ServerCommand::Pause(primary_term) => {
-                self.paused = Some((primary_term, row.received));
-                self.pause_confirmed = None;
-                self.shows = row.highest_term >= primary_term;
+        match command {
+            // A primary can't be paused, and reports that it is primary.
+            ServerCommand::Pause(_) if status.is_primary => self.clear_pause(),
+            ServerCommand::Pause(term) => {
+                self.begin_pause(term, status.received);
+                self.reports_pause_term = status.highest_term >= term;
             }
             ServerCommand::Resume => {
-                (self.paused, self.pausing) = (None, None);
-                self.resumed = Some(row.highest_term);
+                self.clear_pause();
+                self.resumed_term = Some(status.highest_term);
+            }
+            ServerCommand::Status | ServerCommand::StepDown(_) => {
+                self.update_pause(status, sent_at);
             }
-            ServerCommand::Status | ServerCommand::StepDown(_) => self.record_status(row, asked),
         }
     }
 
-    /// Whether it is paused, by a status that says the term it holds.
-    fn record_status(&mut self, row: ServerStatus, asked: f64) {
-        match (self.pausing, self.paused) {
-            // The answer to the pause was lost, or it came from another try.
-            (Some(primary_term), None) if !row.is_primary && row.highest_term >= primary_term => {
-                self.paused = Some((primary_term, row.received));
-                self.pause_confirmed = None;
-            }
-            // It restarted, or was resumed by somebody else.
-            (_, Some((primary_term, _))) if self.shows && row.highest_term < primary_term => {
-                (self.paused, self.pausing) = (None, None);
+    /// Concludes from the term that a status reports whether the server is paused.
+    fn update_pause(&mut self, status: ServerStatus, sent_at: f64) {
+        let lost_pause = |term: u64| self.reports_pause_term && status.highest_term < term;
+        match (self.pause_requested_term, self.paused) {
+            // The answer to the pause was lost, or another attempt paused it.
+            (Some(term), None) if !status.is_primary && status.highest_term >= term => {
+                self.begin_pause(term, status.received);
             }
-            (Some(primary_term), None) if self.shows && row.highest_term < primary_term => {
-                self.pausing = None
-            }
-            // Where its log stands now is what counts: a late `RESUME` may have let it go on for a moment.
-            (_, Some((primary_term, _))) if !row.is_primary => {
-                self.paused = Some((primary_term, row.received));
-                self.pause_confirmed = Some(asked);
+            // It restarted, or was resumed by another leader.
+            (_, Some(pause)) if lost_pause(pause.term) => self.clear_pause(),
+            (Some(term), None) if lost_pause(term) => self.pause_requested_term = None,
+            // The position of now counts: a late `RESUME` may have let it go on for a moment.
+            (_, Some(pause)) if !status.is_primary => {
+                self.paused = Some(Pause {
+                    term: pause.term,
+                    position: status.received,
+                });
+                self.pause_confirmed_at = Some(sent_at);
             }
             _ => {}
         }
     }
 
+    fn begin_pause(&mut self, term: u64, position: Position) {
+        self.paused = Some(Pause { term, position });
+        self.pause_confirmed_at = None;
+    }
+
+    fn clear_pause(&mut self) {
+        self.paused = None;
+        self.pause_requested_term = None;
+    }
+
     fn record_answer(&mut self, now: f64) {
-        self.answered = now;
-        self.failing = None;
+        self.answered_at = now;
+        self.failing_since = None;
         self.refused = false;
     }
 
-    /// It didn't answer. Whoever restarted receives again; of whoever is silent it isn't known.
+    /// The server didn't answer. One that refuses connections has ended or restarted, and isn't
+    /// paused any more; one that times out may still be.
     fn record_failure(&mut self, now: f64, refused: bool) {
         self.paused = None;
         self.busy = false;
         if refused {
-            self.pausing = None;
+            self.pause_requested_term = None;
         }
-        self.failing.get_or_insert(now);
+        self.failing_since.get_or_insert(now);
         self.refused = refused;
     }
 }
 
 impl Failover {
-    /// A router had an answer of this server at that second.
-    pub fn evidence(&mut self, id: &str, at: f64) {
-        if self.primary.as_ref().is_some_and(|p| p.id == id) {
-            self.evidence = self.evidence.max(at);
+    /// A router reported that this server answered it at that second.
+    pub fn health_reported(&mut self, server_id: &str, answered_at: f64) {
+        if self.is_primary(server_id) {
+            self.primary_reported_at = self.primary_reported_at.max(answered_at);
         }
-        if let Some(seen) = self.seen.get_mut(id) {
-            seen.served = seen.served.max(at);
+        if let Some(observation) = self.observations.get_mut(server_id) {
+            observation.answered_router_at = observation.answered_router_at.max(answered_at);
         }
     }
 
-    /// What a question came to.
-    pub fn asked(&mut self, now: f64, id: &str, asked: CommandOutcome) {
-        let seen = self.seen.entry(id.to_owned()).or_default();
-        seen.waiting = false;
-        match asked {
+    /// A command of [`FailoverAction::SendCommand`] has ended.
+    pub fn command_completed(&mut self, now: f64, server_id: &str, outcome: CommandOutcome) {
+        let observation = self.observations.entry(server_id.to_owned()).or_default();
+        observation.awaiting_answer = false;
+        match outcome {
             CommandOutcome::Status {
-                command: statement,
-                status: row,
-                sent_at: asked,
+                command,
+                status,
+                sent_at,
             } => {
-                seen.record_row(now, statement, row, asked);
-                self.record_position(id, row, asked);
+                observation.record_status(now, command, status, sent_at);
+                self.record_primary_position(server_id, status, sent_at);
             }
             CommandOutcome::Busy => {
-                seen.record_answer(now);
-                seen.busy = true;
+                observation.record_answer(now);
+                observation.busy = true;
             }
-            CommandOutcome::TimedOut => seen.record_failure(now, false),
-            CommandOutcome::Refused => seen.record_failure(now, true),
+            CommandOutcome::TimedOut => observation.record_failure(now, false),
+            CommandOutcome::Refused => observation.record_failure(now, true),
             CommandOutcome::NotSent => {}
         }
     }
 
-    /// Keeps the position of the primary, if the row is its.
-    fn record_position(&mut self, id: &str, row: ServerStatus, asked: f64) {
-        if !row.is_primary
-            || self
-                .primary
-                .as_ref()
-                .is_none_or(|p| p.id != id || p.primary_term != row.primary_term)
-        {
+    /// Records the position that a status reports, if it is the primary's.
+    fn record_primary_position(&mut self, server_id: &str, status: ServerStatus, sent_at: f64) {
+        let is_current = self.primary.as_ref().is_some_and(|primary| {
+            primary.server_id == server_id && primary.primary_term == status.primary_term
+        });
+        if !status.is_primary || !is_current {
             return;
         }
-        self.trail.push((asked, row.received));
-        if self.trail.len() > MAX_TRAIL {
-            self.trail.remove(0);
+        self.primary_positions.push(PositionSample {
+            queried_at: sent_at,
+            position: status.received,
+        });
+        if self.primary_positions.len() > PRIMARY_POSITIONS_KEPT {
+            self.primary_positions.remove(0);
         }
     }
 
-    /// Asks a server, unless its answer is awaited or it was asked less than `every` seconds ago.
-    pub(super) fn ask(
+    /// Sends a command to a server, unless an answer of it is awaited or the last command was sent
+    /// less than `interval` seconds ago.
+    pub(super) fn send_command(
         &mut self,
         now: f64,
-        id: &str,
-        every: f64,
-        statement: ServerCommand,
+        server_id: &str,
+        interval: f64,
+        command: ServerCommand,
         actions: &mut Vec<FailoverAction>,
     ) {
-        let seen = self.seen.entry(id.to_owned()).or_default();
-        if seen.waiting || now - seen.asked < every {
+        let observation = self.observations.entry(server_id.to_owned()).or_default();
+        if observation.awaiting_answer || now - observation.commanded_at < interval {
             return;
         }
-        seen.waiting = true;
-        seen.asked = now;
-        if let ServerCommand::Pause(primary_term) = statement {
-            seen.pausing = Some(primary_term);
-            seen.resumed = None;
+        observation.awaiting_answer = true;
+        observation.commanded_at = now;
+        if let ServerCommand::Pause(term) = command {
+            observation.pause_requested_term = Some(term);
+            observation.resumed_term = None;
         }
-        actions.push(FailoverAction::Query(id.to_owned(), statement));
+        actions.push(FailoverAction::SendCommand {
+            server_id: server_id.to_owned(),
+            command,
+        });
     }
 
     /// What was observed of this server.
-    pub(super) fn observed(&self, id: &str) -> Observation {
-        self.seen.get(id).copied().unwrap_or_default()
+    pub(super) fn observed(&self, server_id: &str) -> Observation {
+        self.observations
+            .get(server_id)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// The highest term that anybody holds.
-    pub(super) fn highest_term(&self) -> u64 {
-        let rows = self.seen.values().filter_map(|s| s.row);
-        let held = rows
-            .map(|r| r.primary_term.max(r.highest_term))
-            .max()
-            .unwrap_or(0);
-        held.max(self.primary.as_ref().map_or(0, |p| p.primary_term))
+    fn statuses(&self) -> impl Iterator<Item = ServerStatus> + '_ {
+        self.observations
+            .values()
+            .filter_map(|observation| observation.status)
     }
 
-    /// The highest term that anybody led. Pauses raise the term that a server holds, not the one of its log.
-    pub(super) fn highest_led(&self) -> u64 {
-        let rows = self
-            .seen
-            .values()
-            .filter_map(|s| s.row)
-            .map(|r| r.primary_term);
-        rows.max()
-            .unwrap_or(0)
-            .max(self.primary.as_ref().map_or(0, |p| p.primary_term))
+    /// The highest primary term that any server holds, be it by a pause.
+    pub(super) fn highest_held_term(&self) -> u64 {
+        self.statuses()
+            .map(|status| status.primary_term.max(status.highest_term))
+            .fold(self.current_primary_term(), u64::max)
+    }
+
+    /// The highest primary term in the log of any server. A pause raises the term that a server
+    /// holds, and leaves that of its log.
+    pub(super) fn highest_log_term(&self) -> u64 {
+        self.statuses()
+            .map(|status| status.primary_term)
+            .fold(self.current_primary_term(), u64::max)
     }
 
-    /// Whether the primary is known to have had no more than this when it was asked after that second: whoever was gone
-    /// by then has nothing that a copy with this position lacks.
-    pub(super) fn covered(&self, since: f64, position: Position) -> bool {
-        self.trail
+    /// Whether the primary, queried after the second `since`, had no more than this position: a
+    /// server that was down by then has nothing that a replica with this position lacks.
+    pub(super) fn is_covered(&self, since: f64, position: Position) -> bool {
+        self.primary_positions
             .iter()
-            .any(|(asked, at)| *asked > since && *at <= position)
+            .any(|sample| sample.queried_at > since && sample.position <= position)
     }
 }
--- a/crates/core/control/src/failover/polling.rs
+++ b/crates/core/control/src/failover/polling.rs
@@ -1,44 +1,57 @@
-//! How a service's failover shares the leader with many others: spans that grow with their number, steps that come late, and
-//! evidence that routers tell only where it is wanted.
+//! How the failovers of many services share the leader's time: their polling slows down with the
+//! number of services, late steps don't count as time-outs, and routers report on the health of
+//! servers only where that is wanted.
 
-use super::*;
+use super::{Failover, FailoverConfig, FailoverContext, Phase, Position};
 
-/// A pause between two steps that is longer than this, in seconds, is no silence of the servers: nobody was asked.
-const LATE: f64 = 0.1;
-/// A late step counts for so many seconds.
-const LATE_COUNTS: f64 = 1.0;
+/// If two steps are further apart than this, servers were not queried in between, and their
+/// silence proves nothing.
+const LATE_STEP_S: f64 = 0.1;
+/// For how long a late step extends the primary time-out.
+const LATE_STEP_EFFECT_S: f64 = 1.0;
 
-/// Which server of a service says nothing.
+/// A position of the primary.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct PositionSample {
+    /// When the query was sent that the primary answered with this position.
+    pub(super) queried_at: f64,
+    pub(super) position: Position,
+}
+
+/// The role of a server of the service that doesn't answer; the greater one matters more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Unheard {
-    /// One of its replicas only.
+pub(crate) enum UnresponsiveRole {
     Replica,
-    /// The primary in use.
+    /// The primary that routers use.
     Primary,
 }
 
-/// How regularly the steps come.
+/// How regularly this failover is stepped.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Pace {
-    began: f64,
-    stepped: Option<f64>,
-    /// The longest pause between two steps of late, and when it ended.
-    longest: f64,
-    ended: f64,
+pub(super) struct PollingDelay {
+    first_step_at: f64,
+    last_step_at: Option<f64>,
+    /// The longest recent time between two steps, and when the later of them was.
+    longest_gap: f64,
+    longest_gap_ended_at: f64,
 }
 
-impl Pace {
-    /// A step begins: by how much a silence is longer because of steps that came late.
-    fn step(&mut self, now: f64) -> f64 {
-        if self.stepped.is_none() {
-            self.began = now;
+impl PollingDelay {
+    /// A step begins; returns by how many seconds late steps extend the primary time-out.
+    fn begin_step(&mut self, now: f64) -> f64 {
+        if self.last_step_at.is_none() {
+            self.first_step_at = now;
         }
-        let pause = self.stepped.replace(now).map_or(0.0, |last| now - last);
-        if pause >= self.longest || now - self.ended > LATE_COUNTS {
-            (self.longest, self.ended) = (pause, now);
+        let gap = self
+            .last_step_at
+            .replace(now)
+            .map_or(0.0, |last| now - last);
+        if gap >= self.longest_gap || now - self.longest_gap_ended_at > LATE_STEP_EFFECT_S {
+            self.longest_gap = gap;
+            self.longest_gap_ended_at = now;
         }
-        if self.longest > LATE {
-            self.longest
+        if self.longest_gap > LATE_STEP_S {
+            self.longest_gap
         } else {
             0.0
         }
@@ -46,57 +59,57 @@
 }
 
 impl Failover {
-    /// Since when this machine leads and this service has been stepped: its servers were asked from then on.
-    pub(super) fn asked_since(&self, context: &FailoverContext<'_>) -> f64 {
-        context.since.max(self.pace.began)
-    }
-
-    /// The next step goes by these spans. What wasn't heard while steps came late is nobody's silence.
-    pub fn pace(&mut self, now: f64, timing: FailoverConfig) {
-        let late = self.pace.step(now);
-        self.timing = FailoverConfig {
-            primary_timeout: timing.primary_timeout + late,
-            ..timing
+    /// A step begins that goes by this configuration.
+    pub fn begin_step(&mut self, now: f64, config: FailoverConfig) {
+        let delay = self.polling_delay.begin_step(now);
+        self.config = FailoverConfig {
+            primary_timeout: config.primary_timeout + delay,
+            ..config
         };
     }
 
-    /// Whether a primary is in use and merely watched.
-    pub fn is_watching(&self) -> bool {
-        self.phase == Phase::Steady
+    /// Since when this machine has been the leader and has polled this service.
+    pub(super) fn polling_since(&self, context: &FailoverContext<'_>) -> f64 {
+        context.leading_since.max(self.polling_delay.first_step_at)
     }
 
-    /// If routers are to tell what they saw of this service's servers: how much that matters, and for how long nobody had an
-    /// answer of the one that is silent.
-    pub fn unheard(&self, now: f64) -> Option<(Unheard, f64)> {
-        let primary = self
-            .unheard_primary(now)
-            .map(|seconds| (Unheard::Primary, seconds));
-        primary.or_else(|| Some((Unheard::Replica, self.unheard_replica(now)?)))
-    }
-
-    /// A replica that says nothing here may go on, and hold alone what its primary acknowledged: routers know.
-    fn unheard_replica(&self, now: f64) -> Option<f64> {
-        let primary = self.primary.as_ref().map(|primary| &primary.id);
-        let silent = self
-            .seen
-            .iter()
-            .filter(|(id, seen)| Some(*id) != primary && seen.failing.is_some() && !seen.refused);
-        silent
-            .map(|(_, seen)| now - seen.answered.max(seen.served))
-            .reduce(f64::max)
+    /// If routers are to report on this service's servers: the role of the one that doesn't
+    /// answer, and for how many seconds it has answered nobody.
+    pub fn unresponsive(&self, now: f64) -> Option<(UnresponsiveRole, f64)> {
+        if let Some(seconds) = self.primary_unresponsive_for(now) {
+            return Some((UnresponsiveRole::Primary, seconds));
+        }
+        let seconds = self.replica_unresponsive_for(now)?;
+        Some((UnresponsiveRole::Replica, seconds))
     }
 
-    /// If this machine had no answer of the primary in use for so long that it matters: for how long nobody had one.
-    fn unheard_primary(&self, now: f64) -> Option<f64> {
+    /// If this machine has had no answer of the primary in use for half the time-out: for how
+    /// many seconds nobody has had one.
+    fn primary_unresponsive_for(&self, now: f64) -> Option<f64> {
         if !matches!(self.phase, Phase::Steady | Phase::Handover(_)) {
             return None;
         }
         let primary = self.primary.as_ref()?;
-        let answered = self
-            .seen
-            .get(&primary.id)
-            .map_or(f64::NEG_INFINITY, |s| s.answered);
-        let unheard = now - answered.max(self.evidence);
-        (now - answered > 0.5 * self.timing.primary_timeout).then_some(unheard)
+        let answered_at = self
+            .observations
+            .get(&primary.server_id)
+            .map_or(f64::NEG_INFINITY, |observation| observation.answered_at);
+        let unanswered = now - answered_at.max(self.primary_reported_at);
+        (now - answered_at > 0.5 * self.config.primary_timeout).then_some(unanswered)
+    }
+
+    /// For how many seconds a replica that this machine can't reach has answered nobody, the
+    /// longest of all. Such a replica may go on, and be the only one with what the primary
+    /// acknowledged; routers can tell.
+    fn replica_unresponsive_for(&self, now: f64) -> Option<f64> {
+        self.observations
+            .iter()
+            .filter(|(id, observation)| {
+                !self.is_primary(id) && observation.failing_since.is_some() && !observation.refused
+            })
+            .map(|(_, observation)| {
+                now - observation.answered_at.max(observation.answered_router_at)
+            })
+            .reduce(f64::max)
     }
 }
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -1,146 +1,168 @@
-//! The choice is agreed on, and the platform is asked to promote it.
+//! The phases [`Phase::Proposing`] and [`Phase::Promoting`]: the control machines commit the
+//! promotion target, and the platform is requested to promote it.
 
-use super::steady::DRAIN_MARGIN_S;
-use super::*;
+use super::{
+    Failover, FailoverAction, FailoverContext, Phase, Primary, PromotionAttempt, PromotionTarget,
+    Revocation, ServerCommand,
+};
+use crate::promotion::PromotionOutcome;
 
-/// Between two questions to the server that is promoted, in seconds.
-const ASK_PROMOTED_S: f64 = 0.025;
-/// Between two questions or orders to the others, in seconds.
-const ASK_OTHERS_S: f64 = 0.1;
-/// The platform is asked again after this, in seconds.
-const POST_AGAIN_S: f64 = 1.0;
-/// So much later, where it said that it will do it.
+/// Between two queries to the target.
+const TARGET_QUERY_INTERVAL_S: f64 = 0.025;
+/// Between two commands to each of the other servers.
+const OTHERS_COMMAND_INTERVAL_S: f64 = 0.1;
+/// Between two requests to the platform.
+const REQUEST_INTERVAL_S: f64 = 1.0;
+/// By how much the next request is later if the platform has accepted the last.
 const ACCEPTED_DELAY_S: f64 = 1.0;
-/// So much sooner, where it had too much to do or failed.
+/// By how much it is sooner if the platform was overloaded or failed.
 const FAILED_ADVANCE_S: f64 = 0.8;
-/// A planned change that the platform refused is tried again after this, in seconds.
-const RETRY_S: f64 = 1.0;
+/// Between a promotion that the platform refused and the next planned one.
+const RETRY_BACKOFF_S: f64 = 1.0;
 
 impl Failover {
-    /// What was to be agreed on holds, or doesn't.
-    pub fn agreed(&mut self, now: f64, holds: bool) -> Option<FailoverAction> {
-        let Phase::Proposing(choice) = &self.phase else {
+    /// The proposal of the target was committed, or came to nothing. Returns what is to be done.
+    pub fn proposal_decided(&mut self, now: f64, committed: bool) -> Option<FailoverAction> {
+        let Phase::Proposing(target) = &self.phase else {
             return None;
         };
-        if !holds {
+        if !committed {
             self.phase = Phase::Discovering;
             return None;
         }
-        let choice = choice.clone();
-        let action = FailoverAction::Promote {
-            server_id: choice.to.clone(),
-        };
-        self.pending.sent(now, &choice.to);
+        let target = target.clone();
+        let server_id = target.server_id.clone();
+        self.pending_promotion.sent(now, &server_id);
         self.phase = Phase::Promoting(PromotionAttempt {
-            choice,
-            posted: now,
-            since: now,
+            target,
+            backoff_from: now,
+            started_at: now,
         });
-        Some(action)
+        Some(FailoverAction::Promote { server_id })
     }
 
-    /// How a call to promote this server has ended.
-    pub fn promoted(&mut self, now: f64, id: &str, outcome: PromotionOutcome) {
-        if !self.pending.ended(now, id, outcome) {
+    /// A request to the platform to promote this server has ended.
+    pub fn promotion_completed(&mut self, now: f64, server_id: &str, outcome: PromotionOutcome) {
+        if !self.pending_promotion.ended(now, server_id, outcome) {
             return;
         }
-        let Phase::Promoting(PromotionAttempt { choice, posted, .. }) = &mut self.phase else {
+        let Phase::Promoting(PromotionAttempt {
+            target,
+            backoff_from,
+            ..
+        }) = &mut self.phase
+        else {
             return;
         };
         match outcome {
+            // The target isn't running: another is chosen.
             PromotionOutcome::Refused => {
-                // It is not running, says the platform: choose again.
-                self.retry = now + RETRY_S;
-                self.phase = match choice.planned {
-                    true => Phase::Discovering,
-                    false => Phase::Revoking {
-                        primary_term: choice.above + 1,
-                    },
+                self.retry_at = now + RETRY_BACKOFF_S;
+                self.phase = if target.planned {
+                    Phase::Discovering
+                } else {
+                    Phase::Revoking {
+                        pause_term: target.after_term + 1,
+                    }
                 };
             }
-            PromotionOutcome::Accepted => *posted = now + ACCEPTED_DELAY_S,
-            PromotionOutcome::Rejected => *posted = now,
-            // Too many calls, or the platform is in trouble: again soon.
+            PromotionOutcome::Accepted => *backoff_from = now + ACCEPTED_DELAY_S,
+            PromotionOutcome::Rejected => *backoff_from = now,
             PromotionOutcome::RateLimited
             | PromotionOutcome::NotSent
-            | PromotionOutcome::Unknown => {
-                *posted = now - FAILED_ADVANCE_S;
-            }
+            | PromotionOutcome::Unknown => *backoff_from = now - FAILED_ADVANCE_S,
         }
     }
 
-    pub(super) fn promote(
+    pub(super) fn tick_promoting(
         &mut self,
         context: &FailoverContext<'_>,
-        promotion: PromotionAttempt,
+        attempt: PromotionAttempt,
         actions: &mut Vec<FailoverAction>,
     ) {
         let now = context.now;
-        let choice = &promotion.choice;
-        let to = &choice.to;
-        self.ask(now, to, ASK_PROMOTED_S, ServerCommand::Status, actions);
-        let seen = self.observed(to);
-        if let Some(row) = seen
-            .row
-            .filter(|r| seen.leads() && r.primary_term > choice.above)
-        {
+        let target = &attempt.target;
+        let target_id = &target.server_id;
+        self.send_command(
+            now,
+            target_id,
+            TARGET_QUERY_INTERVAL_S,
+            ServerCommand::Status,
+            actions,
+        );
+        let observation = self.observed(target_id);
+        let status = observation.status.filter(|status| {
+            observation.claims_primary() && status.primary_term > target.after_term
+        });
+        if let Some(status) = status {
             log::info!(
-                "event=promoted id={to} term={} after_s={:.3}",
-                row.primary_term,
-                now - promotion.since
+                "event=primary_promoted id={target_id} term={} after_s={:.3}",
+                status.primary_term,
+                now - attempt.started_at
             );
-            self.conclude_promotion(context, choice, row.primary_term, actions);
+            self.conclude_promotion(context, target, status.primary_term, actions);
             return;
         }
-        if choice.planned {
+        if target.planned {
             self.revoke_at_drain_end(context, actions);
         }
-        self.hold_others(context, choice, actions);
-        let silent = seen.failing.is_some() && now - seen.answered > self.timing.primary_timeout;
-        if silent || !context.is_member(to) {
-            log::info!("event=promoted_is_silent id={to}");
-            self.give_up(actions);
-        } else if now - promotion.posted > POST_AGAIN_S {
-            self.pending.sent(now, to);
-            actions.push(FailoverAction::Promote {
-                server_id: to.clone(),
-            });
-            self.phase = Phase::Promoting(PromotionAttempt {
-                posted: now,
-                ..promotion
-            });
+        self.fence_others(context, target, actions);
+        let is_silent = observation.failing_since.is_some()
+            && now - observation.answered_at > self.config.primary_timeout;
+        if is_silent || !context.is_member(target_id) {
+            log::info!("event=promotion_target_lost id={target_id}");
+            self.abandon_primary(actions);
+        } else if now - attempt.backoff_from > REQUEST_INTERVAL_S {
+            self.retry_promotion(now, attempt, actions);
         }
     }
 
-    /// The choice leads this term.
+    /// Requests the platform once more to promote the target.
+    fn retry_promotion(
+        &mut self,
+        now: f64,
+        attempt: PromotionAttempt,
+        actions: &mut Vec<FailoverAction>,
+    ) {
+        let server_id = attempt.target.server_id.clone();
+        self.pending_promotion.sent(now, &server_id);
+        actions.push(FailoverAction::Promote { server_id });
+        self.phase = Phase::Promoting(PromotionAttempt {
+            backoff_from: now,
+            ..attempt
+        });
+    }
+
+    /// The target is primary of this term.
     fn conclude_promotion(
         &mut self,
         context: &FailoverContext<'_>,
-        choice: &PromotionTarget,
+        target: &PromotionTarget,
         primary_term: u64,
         actions: &mut Vec<FailoverAction>,
     ) {
         let promoted = Primary {
-            id: choice.to.clone(),
+            server_id: target.server_id.clone(),
             primary_term,
         };
-        if choice.planned {
-            self.revoke(actions);
-            let old = self.primary.clone().unwrap_or_default();
-            self.ask(
+        if target.planned {
+            self.revoke_grant(actions);
+            let old_primary = self.primary.clone().unwrap_or_default();
+            self.send_command(
                 context.now,
-                &old.id,
+                &old_primary.server_id,
                 0.0,
                 ServerCommand::StepDown(primary_term),
                 actions,
             );
             self.phase = Phase::Completing(promoted);
-        } else if self.given_back(context) {
-            self.use_primary(context.now, promoted, actions);
+        } else if self.is_revoked(context) {
+            self.grant_primary(context.now, promoted, actions);
         }
     }
 
-    /// If the platform has not done it by the end of the drain, nothing new may reach the old primary any more.
+    /// If the target isn't primary when the old primary's drain is about to end, nothing new may
+    /// reach the old one any more.
     fn revoke_at_drain_end(
         &mut self,
         context: &FailoverContext<'_>,
@@ -149,43 +171,47 @@
         if self.revocation != Revocation::None {
             return;
         }
-        let Some(Primary { id, .. }) = self.primary.clone() else {
+        let Some(Primary { server_id, .. }) = self.primary.clone() else {
             return;
         };
-        let limit = self.timing.drain_timeout - DRAIN_MARGIN_S;
         if context
-            .draining_since(&id)
-            .is_some_and(|since| context.now - since > limit)
+            .draining_since(&server_id)
+            .is_some_and(|since| self.is_drain_ending(context.now, since))
         {
-            log::info!("event=primary_leaves_unreplaced id={id}");
-            self.revoke(actions);
+            log::info!("event=primary_drained_unreplaced id={server_id}");
+            self.revoke_grant(actions);
         }
     }
 
-    /// Nobody else may acknowledge anything now that the new one would lack: not the old primary if it is back, nor those
-    /// that come back or are new.
-    fn hold_others(
+    /// Keeps all other servers from acknowledging anything that the target would lack: an old
+    /// primary that is back, and replicas that are back or new.
+    fn fence_others(
         &mut self,
         context: &FailoverContext<'_>,
-        choice: &PromotionTarget,
+        target: &PromotionTarget,
         actions: &mut Vec<FailoverAction>,
     ) {
-        let old = self.primary.clone().map(|p| p.id);
-        let primary_term = self.highest_term();
-        for member in context.members.iter().filter(|m| m.id != choice.to) {
-            let seen = self.observed(&member.id);
-            let statement = if Some(&member.id) == old.as_ref() {
-                let primary_term = seen.row.map_or(choice.above, |r| r.primary_term) + 1;
-                match seen.leads() && !choice.planned {
-                    true => ServerCommand::StepDown(primary_term),
-                    false => ServerCommand::Status,
-                }
-            } else if seen.paused.is_none() && !seen.leads() && !seen.busy {
-                ServerCommand::Pause(primary_term + 1)
+        let pause_term = self.highest_held_term() + 1;
+        for member in context.members_except(Some(&target.server_id)) {
+            let observation = self.observed(&member.id);
+            let command = if self.is_primary(&member.id) {
+                // In a planned promotion it serves until the target is primary.
+                observation
+                    .step_down_command()
+                    .filter(|_| !target.planned)
+                    .unwrap_or(ServerCommand::Status)
+            } else if observation.paused.is_none() {
+                observation.pause_command(pause_term)
             } else {
                 ServerCommand::Status
             };
-            self.ask(context.now, &member.id, ASK_OTHERS_S, statement, actions);
+            self.send_command(
+                context.now,
+                &member.id,
+                OTHERS_COMMAND_INTERVAL_S,
+                command,
+                actions,
+            );
         }
     }
 }
--- a/crates/core/control/src/failover/promotion_target.rs
+++ b/crates/core/control/src/failover/promotion_target.rs
@@ -1,122 +1,202 @@
-//! Which copy is promoted: the furthest one, once it is known to have every commit.
+//! Which server is promoted: the one that is furthest ahead, once it is known to have every write
+//! that was acknowledged.
 
-use super::*;
+use super::{
+    Failover, FailoverAction, FailoverContext, Phase, Position, PromotionTarget, ServerCandidate,
+};
+use std::cmp::Reverse;
 
-/// A copy that can't be asked may still have received for so long after it was missed, in seconds.
+/// A server that can't be reached may have received the log for this long after its last answer.
 const FAILING_GRACE_S: f64 = 0.5;
-/// A copy that went so long before this machine led was followed by others since, in seconds.
-const LONG_GONE_S: f64 = 5.0;
+/// A server that departed this long before this machine led was outlived by others that have
+/// followed the primary since.
+const LONG_DEPARTED_S: f64 = 5.0;
+
+/// A server that could be promoted.
+pub(super) struct RankedCandidate<'a> {
+    pub(super) server_id: &'a str,
+    pub(super) position: Position,
+}
+
+/// What decides between candidates at the same position; the greatest is preferred.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Preference<'a> {
+    /// The platform hasn't just refused to promote it.
+    not_refused: bool,
+    /// It is the recorded primary: a former leader may have requested its promotion, and a second
+    /// request for the same server does no harm.
+    is_recorded: bool,
+    not_draining: bool,
+    lowest_id: Reverse<&'a str>,
+}
 
 impl Failover {
-    /// Who is furthest of those that could lead.
-    pub(super) fn best<'a>(
+    /// The server that is furthest ahead, of those that answer and are `eligible`.
+    pub(super) fn furthest_candidate<'a>(
         &self,
         context: &'a FailoverContext<'_>,
-        fit: impl Fn(&ServerCandidate) -> bool,
-    ) -> Option<(&'a str, Position)> {
-        let fit = context.members.iter().filter(|m| fit(m));
-        let with = fit.filter_map(|m| {
-            let seen = self.seen.get(&m.id)?;
-            let row = seen.row.filter(|_| seen.failing.is_none())?;
-            Some((m, seen.paused.map_or(row.received, |p| p.1)))
-        });
-        // A leader before may have asked the platform for the one of record: a second call for the same does no harm.
-        let rank = |m: &ServerCandidate| {
-            let of_record = context.record.is_some_and(|r| r.0 == m.id);
-            (
-                !self.pending.is_refused(context.now, &m.id),
-                of_record,
-                m.draining_since.is_none(),
-            )
-        };
-        let best = with.max_by(|(a, x), (b, y)| (x, rank(a), &b.id).cmp(&(y, rank(b), &a.id)));
-        best.map(|(m, at)| (m.id.as_str(), at))
+        eligible: impl Fn(&ServerCandidate) -> bool,
+    ) -> Option<RankedCandidate<'a>> {
+        context
+            .members
+            .iter()
+            .filter(|member| eligible(member))
+            .filter_map(|member| Some((self.candidate_position(&member.id)?, member)))
+            .max_by_key(|&(position, member)| (position, self.preference(context, member)))
+            .map(|(position, member)| RankedCandidate {
+                server_id: &member.id,
+                position,
+            })
     }
 
-    /// Chooses among the paused copies, if one of them is known to have all commits.
-    pub(super) fn choose(
+    /// The end of a server's log, if it answers.
+    fn candidate_position(&self, server_id: &str) -> Option<Position> {
+        let observation = self.observations.get(server_id)?;
+        let status = observation
+            .status
+            .filter(|_| observation.failing_since.is_none())?;
+        let paused_position = observation.paused.map(|pause| pause.position);
+        Some(paused_position.unwrap_or(status.received))
+    }
+
+    fn preference<'a>(
+        &self,
+        context: &FailoverContext<'_>,
+        member: &'a ServerCandidate,
+    ) -> Preference<'a> {
+        Preference {
+            not_refused: !self.pending_promotion.is_refused(context.now, &member.id),
+            is_recorded: context
+                .recorded_primary
+                .is_some_and(|record| record.server_id == member.id),
+            not_draining: member.draining_since.is_none(),
+            lowest_id: Reverse(&member.id),
+        }
+    }
+
+    /// Proposes the furthest of the paused replicas, if it is known to have all acknowledged
+    /// writes.
+    pub(super) fn choose_target(
         &mut self,
         context: &FailoverContext<'_>,
-        old: Option<&str>,
-        primary_term: u64,
+        old_primary_id: Option<&str>,
+        pause_term: u64,
         actions: &mut Vec<FailoverAction>,
     ) {
-        let best = self.best(context, |m| {
-            Some(m.id.as_str()) != old && self.observed(&m.id).paused.is_some()
+        let furthest = self.furthest_candidate(context, |member| {
+            Some(member.id.as_str()) != old_primary_id && self.observed(&member.id).paused.is_some()
         });
-        let Some((to, at)) = best else { return };
-        if context.sync > 0 && self.spare_copies(context, old, at) < 0 {
+        let Some(RankedCandidate {
+            server_id,
+            position,
+        }) = furthest
+        else {
+            return;
+        };
+        if context.sync_replicas > 0 && self.spare_replicas(context, old_primary_id, position) < 0 {
             return;
         }
-        if !self.pending.permits(context.now, to) {
+        if !self.pending_promotion.permits(context.now, server_id) {
             return;
         }
-        let (to, above) = (
-            to.to_owned(),
-            self.highest_led().min(primary_term.saturating_sub(1)),
-        );
+        let after_term = self.highest_log_term().min(pause_term.saturating_sub(1));
         log::info!(
-            "event=primary_chosen to={to} position={}.{} above={above}",
-            at.0,
-            at.1
+            "event=primary_chosen to={server_id} position={}.{} above={after_term}",
+            position.0,
+            position.1
         );
-        self.phase = Phase::Proposing(PromotionTarget {
-            to: to.clone(),
-            above,
-            planned: false,
-        });
+        self.propose_target(
+            PromotionTarget {
+                server_id: server_id.to_owned(),
+                after_term,
+                planned: false,
+            },
+            actions,
+        );
+    }
+
+    /// Enters [`Phase::Proposing`] with this target.
+    pub(super) fn propose_target(
+        &mut self,
+        target: PromotionTarget,
+        actions: &mut Vec<FailoverAction>,
+    ) {
         actions.push(FailoverAction::ProposePrimary {
-            server_id: to,
-            after_term: above,
+            server_id: target.server_id.clone(),
+            after_term: target.after_term,
         });
+        self.phase = Phase::Proposing(target);
     }
 
-    /// Whether another server at the address of this one is paused: whoever answers there has the log, whichever of them was
-    /// heard of last.
-    pub(super) fn is_represented(&self, context: &FailoverContext<'_>, id: &str) -> bool {
-        let there = context
+    /// Whether another id at the address of this server is paused. Whichever process answers
+    /// there has the log, no matter which of the ids sent the last heartbeat.
+    pub(super) fn is_represented(&self, context: &FailoverContext<'_>, server_id: &str) -> bool {
+        context
             .members
             .iter()
-            .filter(|member| (context.same_address)(id, &member.id));
-        there
-            .into_iter()
+            .filter(|member| (context.same_address)(server_id, &member.id))
             .any(|member| self.observed(&member.id).paused.is_some())
     }
 
-    /// How many more copies could be out of reach without a commit being lost, if the copy at this position is chosen;
-    /// below zero a commit may be lost.
+    /// How many more replicas could be out of reach without an acknowledged write being lost, if
+    /// the replica at this position is promoted; below zero, one may be lost.
     ///
-    /// A commit is acknowledged once it is at so many replicas besides the primary: if no more than these can't be
-    /// asked, whoever else is furthest has all. Of the others it must be known that they had nothing that this one
-    /// lacks, as the primary had no more when they were gone already, or once nothing was acknowledged any more. Whoever answers
-    /// routers isn't gone, though it doesn't answer here.
-    fn spare_copies(&self, context: &FailoverContext<'_>, old: Option<&str>, at: Position) -> i64 {
-        let mut spare = i64::from(context.sync) - i64::from(old.is_some());
-        for member in context
-            .members
-            .iter()
-            .filter(|m| Some(m.id.as_str()) != old)
-        {
-            let seen = self.observed(&member.id);
-            if seen.paused.is_none() && !self.is_represented(context, &member.id) {
-                let gone = seen.failing.unwrap_or(context.now).max(seen.served) + FAILING_GRACE_S;
-                spare -= i64::from(!self.covered(self.settled_by(gone), at));
-            }
-        }
-        for (_, since) in context
-            .lost
+    /// A write is acknowledged once `sync_replicas` replicas have it besides the primary. If no
+    /// more servers than that are out of reach, the furthest of the others has every such write.
+    /// A server out of reach doesn't count if it is known that it had nothing which the chosen one
+    /// lacks: the primary had no more when that server was already down, or after nothing was
+    /// acknowledged any more. A server that answers routers isn't down, though it doesn't answer
+    /// this machine.
+    fn spare_replicas(
+        &self,
+        context: &FailoverContext<'_>,
+        old_primary_id: Option<&str>,
+        position: Position,
+    ) -> i64 {
+        let unreachable = context
+            .members_except(old_primary_id)
+            .filter(|member| self.may_have_more(context, member, position))
+            .count();
+        let departed = context
+            .departed
             .iter()
-            .filter(|(id, _)| Some(id.as_str()) != old)
-        {
-            let long_gone = self.trail.is_empty() && *since < context.since - LONG_GONE_S;
-            spare -= i64::from(!self.covered(self.settled_by(*since), at) && !long_gone);
+            .filter(|departed| Some(departed.id.as_str()) != old_primary_id)
+            .filter(|departed| {
+                let long_departed = self.primary_positions.is_empty()
+                    && departed.inactive_since < context.leading_since - LONG_DEPARTED_S;
+                !self.is_covered(self.unchanged_since(departed.inactive_since), position)
+                    && !long_departed
+            })
+            .count();
+        i64::from(context.sync_replicas)
+            - i64::from(old_primary_id.is_some())
+            - unreachable as i64
+            - departed as i64
+    }
+
+    /// Whether this member isn't paused and may have acknowledged writes beyond this position.
+    fn may_have_more(
+        &self,
+        context: &FailoverContext<'_>,
+        member: &ServerCandidate,
+        position: Position,
+    ) -> bool {
+        let observation = self.observed(&member.id);
+        if observation.paused.is_some() || self.is_represented(context, &member.id) {
+            return false;
         }
-        spare
+        let down_since = observation
+            .failing_since
+            .unwrap_or(context.now)
+            .max(observation.answered_router_at)
+            + FAILING_GRACE_S;
+        !self.is_covered(self.unchanged_since(down_since), position)
     }
 
-    /// When a copy that is gone from that second on could add nothing any more: then, or once all routers had let go of the
-    /// primary, as none of them acknowledges anything from there on.
-    fn settled_by(&self, gone: f64) -> f64 {
-        self.given_since.map_or(gone, |given| gone.min(given))
+    /// From when on a server that is down since then had no new acknowledged writes: since it is
+    /// down, or since the revocation, after which no router gets an acknowledgement.
+    fn unchanged_since(&self, down_since: f64) -> f64 {
+        self.revoked_since
+            .map_or(down_since, |revoked_since| down_since.min(revoked_since))
     }
 }
--- a/crates/core/control/src/failover/revocation.rs
+++ b/crates/core/control/src/failover/revocation.rs
@@ -1,82 +1,90 @@
-//! The grant of the service: given to a primary, taken back, and returned by all routers.
+//! The grant of a service's primary: how it is given to routers and taken back from them.
+//!
+//! A router may use a primary only under a lease that covers the grant. Taking a grant back is
+//! therefore complete once every router has acknowledged the revocation, or holds no lease.
 
-use super::*;
+use super::{Failover, FailoverAction, FailoverContext, Phase, Primary};
 
-/// Whether the grant of the primary was taken back.
+/// How far the revocation of the primary's grant has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Revocation {
-    /// It stands, or there is none yet.
+    /// The grant stands, or none was given yet.
     None,
-    /// It was taken back just now; the number of the news isn't known yet.
+    /// The revocation was decided on, and has no update number yet.
     Unannounced,
-    /// It was taken back with news of this number.
+    /// The revocation is part of the update with this number.
     Announced(u64),
 }
 
 impl Failover {
-    /// The grant was told to the routers under this number.
-    pub fn told(&mut self, number: u64) {
+    /// The grant of the last [`FailoverAction::Grant`] is part of the update with this number.
+    pub fn grant_announced(&mut self, update_number: u64) {
         if self.revocation == Revocation::Unannounced {
-            self.revocation = Revocation::Announced(number);
+            self.revocation = Revocation::Announced(update_number);
         }
     }
 
-    /// Grants this primary to the routers.
-    pub(super) fn use_primary(
+    /// Lets routers use this primary, and enters [`Phase::Steady`].
+    pub(super) fn grant_primary(
         &mut self,
         now: f64,
         primary: Primary,
         actions: &mut Vec<FailoverAction>,
     ) {
         if self.primary.as_ref() != Some(&primary) {
-            self.trail.clear();
+            self.primary_positions.clear();
         }
-        for seen in self.seen.values_mut() {
-            seen.paused = None;
+        // Where the logs of paused replicas ended under another primary decides nothing any more.
+        for observation in self.observations.values_mut() {
+            observation.paused = None;
         }
-        if let Some(seen) = self.seen.get_mut(&primary.id) {
-            seen.pausing = None;
+        if let Some(observation) = self.observations.get_mut(&primary.server_id) {
+            observation.pause_requested_term = None;
         }
         actions.push(FailoverAction::Grant {
-            server_id: primary.id.clone(),
+            server_id: primary.server_id.clone(),
             primary_term: primary.primary_term,
             revoking: false,
         });
         self.primary = Some(primary);
         self.revocation = Revocation::None;
-        self.evidence = now;
+        // The time-out begins now, as routers have had no occasion to report on it.
+        self.primary_reported_at = now;
         self.phase = Phase::Steady;
     }
 
-    /// Takes the grant back, unless that was done.
-    pub(super) fn revoke(&mut self, actions: &mut Vec<FailoverAction>) {
+    /// Takes the grant back, unless that was done already.
+    pub(super) fn revoke_grant(&mut self, actions: &mut Vec<FailoverAction>) {
         if self.revocation != Revocation::None {
             return;
         }
         self.revocation = Revocation::Unannounced;
-        let Primary { id, primary_term } = self.primary.clone().unwrap_or_default();
+        let Primary {
+            server_id,
+            primary_term,
+        } = self.primary.clone().unwrap_or_default();
         actions.push(FailoverAction::Grant {
-            server_id: id,
+            server_id,
             primary_term,
             revoking: true,
         });
     }
 
-    /// Gives the primary up: another is to be promoted.
-    pub(super) fn give_up(&mut self, actions: &mut Vec<FailoverAction>) {
-        let primary_term = self.highest_term() + 1;
-        self.revoke(actions);
-        self.given_since = None;
-        self.phase = Phase::Revoking { primary_term };
+    /// Takes the grant back and enters [`Phase::Revoking`]: another server is to be promoted.
+    pub(super) fn abandon_primary(&mut self, actions: &mut Vec<FailoverAction>) {
+        let pause_term = self.highest_held_term() + 1;
+        self.revoke_grant(actions);
+        self.revoked_since = None;
+        self.phase = Phase::Revoking { pause_term };
     }
 
-    /// Whether the grant, if there was one, is given back by all.
-    pub(super) fn given_back(&self, context: &FailoverContext<'_>) -> bool {
-        let known = match self.revocation {
+    /// Whether no router can use the primary any more.
+    pub(super) fn is_revoked(&self, context: &FailoverContext<'_>) -> bool {
+        let acknowledged = match self.revocation {
             Revocation::None => self.primary.is_none(),
             Revocation::Unannounced => false,
-            Revocation::Announced(number) => (context.all_know)(number),
+            Revocation::Announced(update_number) => (context.all_acknowledged)(update_number),
         };
-        known && context.now >= context.not_before
+        acknowledged && context.now >= context.not_before
     }
 }
--- a/crates/core/control/src/failover/revoking.rs
+++ b/crates/core/control/src/failover/revoking.rs
@@ -1,198 +1,231 @@
-//! The primary is given up: its grant ends, and the other copies are paused and asked how far they got.
+//! The phase [`Phase::Revoking`](super::Phase::Revoking): the primary is given up. Its grant is
+//! being revoked, and all other replicas are paused and queried for how far their logs go, until
+//! one of them can be promoted or a primary turns up that may be used.
 
-use super::*;
+use super::{
+    Failover, FailoverAction, FailoverContext, Observation, Phase, Primary, ServerCandidate,
+    ServerCommand,
+};
 
-/// Between two questions to the primary that was given up, in seconds.
-const ASK_PRIMARY_S: f64 = 0.1;
-/// Between two pauses of a copy, in seconds.
-const PAUSE_AGAIN_S: f64 = 0.05;
-/// Between two questions to a copy that was paused, until one confirms it, in seconds.
-const CONFIRM_AGAIN_S: f64 = 0.02;
-/// A primary is back if it answered no longer ago than this, in seconds.
-const BACK_ANSWERED_S: f64 = 0.3;
-/// The same, from when it was asked.
-const BACK_ASKED_S: f64 = 0.5;
-/// How old the row of a copy that was the primary may be, in seconds.
-const FRESH_ROW_S: f64 = 1.0;
-/// A copy that has not answered for so long may be left out, in seconds.
-const EXCUSED_S: f64 = 0.5;
+/// Between two queries to the primary that was given up.
+const PRIMARY_QUERY_INTERVAL_S: f64 = 0.1;
+/// Between two attempts to pause a replica.
+const PAUSE_INTERVAL_S: f64 = 0.05;
+/// Between two queries to a paused replica, until one confirms the pause.
+const CONFIRM_INTERVAL_S: f64 = 0.02;
+/// A primary is back if its last answer is no older than this.
+const RETURNED_ANSWER_MAX_AGE_S: f64 = 0.3;
+/// The same for the time at which that answer's query was sent.
+const RETURNED_QUERY_MAX_AGE_S: f64 = 0.5;
+/// The status by which a former primary counts as a replica is no older than this.
+const STATUS_MAX_AGE_S: f64 = 1.0;
+/// A replica that hasn't answered for this long may be left out.
+const UNREACHABLE_EXCUSED_AFTER_S: f64 = 0.5;
 
-/// How far the pausing of the copies has come.
-struct Pausing {
-    /// All are paused that can be asked.
+/// How far the pausing of the replicas has come.
+struct PauseProgress {
+    /// All that must be paused are, and none has received anything since the revocation.
     complete: bool,
-    /// Another term has come up meanwhile, and below it nobody pauses.
+    /// A server holds the pause term or a higher one, at which it can't be paused.
     outrun: bool,
 }
 
 impl Failover {
-    pub(super) fn close(
+    pub(super) fn tick_revoking(
         &mut self,
         context: &FailoverContext<'_>,
-        primary_term: u64,
+        pause_term: u64,
         actions: &mut Vec<FailoverAction>,
     ) {
-        if self.take_back(context, actions) {
+        if self.reinstate_primary(context, actions) {
             return;
         }
-        let primary = self.primary.as_ref().map(|p| p.id.clone());
-        // Once it has given up the lead it is a copy like the others, and so is whoever has its log now.
-        let copy = |id: &String| {
-            self.is_replica(id, context.now)
-                || context.successor(id).is_some()
-                || self.is_to_follow(context, id)
-        };
-        let old = primary.filter(|id| !copy(id));
-        // Whoever was promoted before may lead by now.
-        let found = self
-            .found(context)
-            .filter(|found| Some(&found.id) != old.as_ref());
-        let given_back = self.given_back(context);
-        if let Some(found) = found
-            && given_back
+        let old_primary_id = self.unreplaced_primary(context);
+        let old_primary_id = old_primary_id.as_deref();
+        let is_revoked = self.is_revoked(context);
+        // A server that was promoted before may be primary by now.
+        if let Some(found) = self.find_primary(context)
+            && Some(found.server_id.as_str()) != old_primary_id
+            && is_revoked
         {
             log::info!(
                 "event=primary_found id={} term={}",
-                found.id,
+                found.server_id,
                 found.primary_term
             );
-            self.use_primary(context.now, found, actions);
+            self.grant_primary(context.now, found, actions);
             return;
         }
-        self.given_since = if given_back {
-            self.given_since.or(Some(context.now))
+        self.revoked_since = if is_revoked {
+            self.revoked_since.or(Some(context.now))
         } else {
             None
         };
-        let pausing = self.pause_copies(context, old.as_deref(), primary_term, given_back, actions);
-        if pausing.outrun {
+        let progress = self.pause_replicas(context, old_primary_id, pause_term, actions);
+        if progress.outrun {
             self.phase = Phase::Revoking {
-                primary_term: self.highest_term() + 1,
+                pause_term: self.highest_held_term() + 1,
             };
-        } else if pausing.complete && given_back {
-            self.choose(context, old.as_deref(), primary_term, actions);
+        } else if progress.complete && is_revoked {
+            self.choose_target(context, old_primary_id, pause_term, actions);
         }
     }
 
-    /// The primary may be back with all that it had: it is used again then.
-    fn take_back(
+    /// Uses the primary again if it is back, with all that it had. Returns whether it is.
+    fn reinstate_primary(
         &mut self,
         context: &FailoverContext<'_>,
         actions: &mut Vec<FailoverAction>,
     ) -> bool {
-        let now = context.now;
         let Some(primary) = self.primary.clone() else {
             return false;
         };
-        if context.is_member(&primary.id) {
-            self.ask(
-                now,
-                &primary.id,
-                ASK_PRIMARY_S,
+        if context.is_member(&primary.server_id) {
+            self.send_command(
+                context.now,
+                &primary.server_id,
+                PRIMARY_QUERY_INTERVAL_S,
                 ServerCommand::Status,
                 actions,
             );
         }
-        let seen = self.observed(&primary.id);
-        let answers = seen.failing.is_none() && now - seen.answered < BACK_ANSWERED_S;
-        let back = answers && seen.row_asked > now - BACK_ASKED_S;
-        let leads = seen
-            .row
-            .is_some_and(|r| r.is_primary && r.primary_term == primary.primary_term);
-        let of_record = context
-            .record
-            .is_none_or(|(id, above)| id == primary.id && primary.primary_term >= above);
-        let draining = context.draining_since(&primary.id).is_some();
-        if !back || !leads || !of_record || draining || self.highest_led() > primary.primary_term {
+        if !self.is_primary_back(context, &primary) {
             return false;
         }
-        log::info!("event=primary_back id={}", primary.id);
-        self.use_primary(now, primary, actions);
+        log::info!("event=primary_back id={}", primary.server_id);
+        self.grant_primary(context.now, primary, actions);
         true
     }
 
-    /// The primary is back, but another one was agreed on meanwhile, and may have been promoted: it is told to follow, and is a
-    /// copy with all that it acknowledged.
-    fn is_to_follow(&self, context: &FailoverContext<'_>, id: &str) -> bool {
-        let seen = self.observed(id);
-        let back = seen.leads() && seen.row_asked > context.now - FRESH_ROW_S;
-        let agreed_on_another = context.record.is_some_and(|(of_record, _)| of_record != id);
-        back && agreed_on_another && context.is_member(id) && context.draining_since(id).is_none()
+    /// Whether the primary answers again as what it was, and nothing speaks against using it.
+    fn is_primary_back(&self, context: &FailoverContext<'_>, primary: &Primary) -> bool {
+        let observation = self.observed(&primary.server_id);
+        let answers = observation.failing_since.is_none()
+            && context.now - observation.answered_at < RETURNED_ANSWER_MAX_AGE_S
+            && observation.status_queried_at > context.now - RETURNED_QUERY_MAX_AGE_S;
+        let is_primary = observation
+            .status
+            .is_some_and(|status| status.is_primary && status.primary_term == primary.primary_term);
+        let no_other_recorded = context.recorded_primary.is_none_or(|record| {
+            record.server_id == primary.server_id && primary.primary_term >= record.min_term
+        });
+        let draining = context.draining_since(&primary.server_id).is_some();
+        answers
+            && is_primary
+            && no_other_recorded
+            && !draining
+            && self.highest_log_term() <= primary.primary_term
+    }
+
+    /// The old primary, unless it is to be paused and may be chosen like any replica.
+    fn unreplaced_primary(&self, context: &FailoverContext<'_>) -> Option<String> {
+        let id = &self.primary.as_ref()?.server_id;
+        let counts_as_replica = self.is_replica(id, context.now)
+            || context.has_successor(id)
+            || self.must_step_down(context, id);
+        (!counts_as_replica).then(|| id.clone())
+    }
+
+    /// Whether the old primary is back, but another server was committed as primary meanwhile and
+    /// may have been promoted: it is made a replica, and counts as one.
+    fn must_step_down(&self, context: &FailoverContext<'_>, server_id: &str) -> bool {
+        let observation = self.observed(server_id);
+        let is_back = observation.claims_primary()
+            && observation.status_queried_at > context.now - STATUS_MAX_AGE_S;
+        let records_other_server = context
+            .recorded_primary
+            .is_some_and(|record| record.server_id != server_id);
+        is_back
+            && records_other_server
+            && context.is_member(server_id)
+            && context.draining_since(server_id).is_none()
     }
 
-    fn is_replica(&self, id: &str, now: f64) -> bool {
-        let seen = self.observed(id);
-        seen.failing.is_none()
-            && seen.row_asked > now - FRESH_ROW_S
-            && seen.row.is_some_and(|r| !r.is_primary)
+    fn is_replica(&self, server_id: &str, now: f64) -> bool {
+        let observation = self.observed(server_id);
+        observation.failing_since.is_none()
+            && observation.status_queried_at > now - STATUS_MAX_AGE_S
+            && observation.status.is_some_and(|status| !status.is_primary)
     }
 
-    /// Pauses all copies but the old primary.
-    fn pause_copies(
+    /// Pauses all replicas, that is, all servers but the old primary.
+    fn pause_replicas(
         &mut self,
         context: &FailoverContext<'_>,
-        old: Option<&str>,
-        primary_term: u64,
-        given_back: bool,
+        old_primary_id: Option<&str>,
+        pause_term: u64,
         actions: &mut Vec<FailoverAction>,
-    ) -> Pausing {
-        let now = context.now;
-        let mut pausing = Pausing {
+    ) -> PauseProgress {
+        let is_revoked = self.revoked_since.is_some();
+        let mut progress = PauseProgress {
             complete: true,
             outrun: false,
         };
-        for member in context
-            .members
-            .iter()
-            .filter(|m| Some(m.id.as_str()) != old)
-        {
-            let seen = self.observed(&member.id);
-            if seen.paused.is_some_and(|(at, _)| at >= primary_term) {
-                // What the old primary acknowledged to any router before it let go must be at those who are asked.
-                let confirmed = given_back && seen.pause_confirmed > self.given_since;
-                pausing.complete &= confirmed;
-                let every = if given_back && !confirmed {
-                    CONFIRM_AGAIN_S
-                } else {
-                    self.timing.primary_poll_interval
-                };
-                self.ask(now, &member.id, every, ServerCommand::Status, actions);
+        for member in context.members_except(old_primary_id) {
+            let observation = self.observed(&member.id);
+            if observation
+                .paused
+                .is_some_and(|pause| pause.term >= pause_term)
+            {
+                progress.complete &= self.confirm_pause(context.now, member, is_revoked, actions);
                 continue;
             }
-            let excused = is_excused(context, member, &seen) || self.is_final(&seen);
-            pausing.complete &= excused || self.is_represented(context, &member.id);
-            pausing.outrun |= seen.failing.is_none()
-                && seen
-                    .row
-                    .is_some_and(|r| r.primary_term.max(r.highest_term) >= primary_term);
-            let statement = match seen.leads() {
-                // A primary can't be paused: once nobody uses it, it becomes a replica.
-                true if given_back => {
-                    ServerCommand::StepDown(seen.row.map_or(primary_term, |r| r.primary_term + 1))
-                }
-                true => ServerCommand::Status,
-                false if seen.busy => ServerCommand::Status,
-                false => ServerCommand::Pause(primary_term),
-            };
-            self.ask(now, &member.id, PAUSE_AGAIN_S, statement, actions);
+            progress.complete &= is_excused(context, member, &observation)
+                || self.is_primary_position_final(&observation)
+                || self.is_represented(context, &member.id);
+            progress.outrun |= observation.failing_since.is_none()
+                && observation.status.is_some_and(|status| {
+                    status.primary_term.max(status.highest_term) >= pause_term
+                });
+            // A primary can't be paused; while routers may use it, it isn't stepped down either.
+            let step_down = observation.step_down_command().filter(|_| is_revoked);
+            let command = step_down.unwrap_or_else(|| observation.pause_command(pause_term));
+            self.send_command(context.now, &member.id, PAUSE_INTERVAL_S, command, actions);
         }
-        pausing
+        progress
     }
-}
 
-impl Failover {
-    /// Whether this copy, which doesn't answer, may be left out as the primary has told where its log stood when routers had let go of
-    /// it: whoever is chosen must have all of that.
-    fn is_final(&self, seen: &Observation) -> bool {
-        let told_since = |given: f64| self.trail.iter().any(|(asked, _)| *asked > given);
-        seen.failing.is_some() && self.given_since.is_some_and(told_since)
+    /// Queries a paused replica. Returns whether it is known to have been paused still when the
+    /// revocation was complete: it then has what the old primary acknowledged to any router.
+    fn confirm_pause(
+        &mut self,
+        now: f64,
+        member: &ServerCandidate,
+        is_revoked: bool,
+        actions: &mut Vec<FailoverAction>,
+    ) -> bool {
+        let is_confirmed =
+            is_revoked && self.observed(&member.id).pause_confirmed_at > self.revoked_since;
+        let interval = if is_revoked && !is_confirmed {
+            CONFIRM_INTERVAL_S
+        } else {
+            self.config.primary_poll_interval
+        };
+        self.send_command(now, &member.id, interval, ServerCommand::Status, actions);
+        is_confirmed
+    }
+
+    /// Whether this replica, which doesn't answer, may be left out since the primary reported its
+    /// position after the revocation: whichever replica is chosen must have all of that.
+    fn is_primary_position_final(&self, observation: &Observation) -> bool {
+        observation.failing_since.is_some()
+            && self.revoked_since.is_some_and(|revoked_since| {
+                self.primary_positions
+                    .iter()
+                    .any(|sample| sample.queried_at > revoked_since)
+            })
     }
 }
 
-/// A replica that can't be asked may be left out once it has been gone for a while and the primary went on without it.
-fn is_excused(context: &FailoverContext<'_>, member: &ServerCandidate, seen: &Observation) -> bool {
-    let Some(since) = seen.failing else {
-        return false;
-    };
-    member.heard < since + EXCUSED_S && context.now - since > EXCUSED_S
+/// Whether a replica that can't be reached may be left out, as it has been down for a while and
+/// the primary went on without it.
+fn is_excused(
+    context: &FailoverContext<'_>,
+    member: &ServerCandidate,
+    observation: &Observation,
+) -> bool {
+    observation.failing_since.is_some_and(|failing_since| {
+        member.last_seen < failing_since + UNREACHABLE_EXCUSED_AFTER_S
+            && context.now - failing_since > UNREACHABLE_EXCUSED_AFTER_S
+    })
 }
--- a/crates/core/control/src/failover/steady.rs
+++ b/crates/core/control/src/failover/steady.rs
@@ -1,143 +1,180 @@
-//! A primary is in use: its health is watched, and its replicas follow it.
+//! The phase [`Phase::Steady`](super::Phase::Steady): routers use a primary, whose health is
+//! watched, and its replicas are kept following it.
 
-use super::*;
+use super::{
+    Failover, FailoverAction, FailoverContext, Phase, Primary, ServerCommand, ServerStatus,
+};
 
-/// Between two orders to a server that doesn't follow, in seconds.
-const ORDER_AGAIN_S: f64 = 0.1;
-/// That a change is complete is told again after this, in seconds.
-const SETTLE_AGAIN_S: f64 = 1.0;
-/// A draining primary is given up so long before its time is over, in seconds.
-pub(super) const DRAIN_MARGIN_S: f64 = 0.7;
+/// Between two commands to a replica that doesn't follow.
+const REPLICA_COMMAND_INTERVAL_S: f64 = 0.1;
+/// Between two proposals that record the completed change.
+const RECORD_INTERVAL_S: f64 = 1.0;
+/// A draining primary is given up this long before its drain time-out.
+const DRAIN_MARGIN_S: f64 = 0.7;
 
 /// Why a primary counts as dead.
-pub(super) struct Death {
+pub(super) struct PrimaryDeath {
     /// Its address refuses connections.
     refused: bool,
-    /// For how long nobody had an answer.
+    /// For how long it has answered nobody.
     silent_s: f64,
 }
 
+/// A command, and the seconds between two of the kind.
+struct ScheduledCommand {
+    command: ServerCommand,
+    interval: f64,
+}
+
 impl Failover {
-    pub(super) fn watch(
+    pub(super) fn tick_steady(
         &mut self,
         context: &FailoverContext<'_>,
         actions: &mut Vec<FailoverAction>,
     ) {
-        let now = context.now;
         let Some(primary) = self.primary.clone() else {
             self.phase = Phase::Discovering;
             return;
         };
-        self.ask(
-            now,
-            &primary.id,
-            self.timing.primary_poll_interval,
-            ServerCommand::Status,
-            actions,
-        );
-        for member in context.members.iter().filter(|m| m.id != primary.id) {
-            let (statement, every) = self.for_replica(&member.id, primary.primary_term);
-            self.ask(now, &member.id, every, statement, actions);
-        }
-        if let Some(row) = self.changed_itself(&primary) {
+        self.poll_servers(context, &primary, actions);
+        if let Some(status) = self.status_of_changed_primary(&primary) {
             log::info!(
                 "event=primary_changed_itself id={} term={}",
-                primary.id,
-                row.primary_term
+                primary.server_id,
+                status.primary_term
             );
-            self.revoke(actions);
+            self.revoke_grant(actions);
             self.phase = Phase::Discovering;
             return;
         }
-        self.settle_record(context, &primary, actions);
-        if let Some(Death { refused, silent_s }) = self.primary_death(now) {
+        self.record_completed_change(context, &primary, actions);
+        if let Some(PrimaryDeath { refused, silent_s }) = self.primary_death(context.now) {
             log::info!(
                 "event=primary_dead id={} refused={refused} silent_s={silent_s:.2}",
-                primary.id
+                primary.server_id
             );
-            self.give_up(actions);
-        } else if let Some(since) = context.draining_since(&primary.id) {
-            self.replace_draining(context, &primary.id, since, actions);
+            self.abandon_primary(actions);
+        } else if let Some(draining_since) = context.draining_since(&primary.server_id) {
+            self.replace_draining(context, &primary.server_id, draining_since, actions);
+        }
+    }
+
+    /// Queries the primary and its replicas, and has replicas follow that don't.
+    fn poll_servers(
+        &mut self,
+        context: &FailoverContext<'_>,
+        primary: &Primary,
+        actions: &mut Vec<FailoverAction>,
+    ) {
+        self.send_command(
+            context.now,
+            &primary.server_id,
+            self.config.primary_poll_interval,
+            ServerCommand::Status,
+            actions,
+        );
+        for member in context.members_except(Some(&primary.server_id)) {
+            let ScheduledCommand { command, interval } =
+                self.replica_command(&member.id, primary.primary_term);
+            self.send_command(context.now, &member.id, interval, command, actions);
         }
     }
 
-    /// What is sent to a replica of a primary of this term, and how often.
-    fn for_replica(&self, id: &str, primary_term: u64) -> (ServerCommand, f64) {
-        let seen = self.observed(id);
-        let deposed = seen
-            .row
-            .is_some_and(|r| r.is_primary && r.primary_term < primary_term);
-        // Who holds a term above the primary's was paused, by us or by a leader before us.
-        let known = seen
-            .resumed
+    /// What is sent to a replica of a primary of this term.
+    fn replica_command(&self, server_id: &str, primary_term: u64) -> ScheduledCommand {
+        let observation = self.observed(server_id);
+        // A server that holds a term above the primary's was paused, by this leader or a former.
+        let unpaused_term = observation
+            .resumed_term
             .map_or(primary_term, |held| held.max(primary_term));
-        let paused = seen.pausing.is_some()
-            || seen
-                .row
-                .is_some_and(|r| !r.is_primary && r.highest_term > known);
-        if deposed {
-            (ServerCommand::StepDown(primary_term), ORDER_AGAIN_S)
-        } else if paused {
-            let statement = if seen.busy {
-                ServerCommand::Status
-            } else {
-                ServerCommand::Resume
+        let is_paused = observation.pause_requested_term.is_some()
+            || observation
+                .status
+                .is_some_and(|status| !status.is_primary && status.highest_term > unpaused_term);
+        let command = if observation.is_deposed_by(primary_term) {
+            ServerCommand::StepDown(primary_term)
+        } else if !is_paused {
+            return ScheduledCommand {
+                command: ServerCommand::Status,
+                interval: self.config.replica_poll_interval,
             };
-            (statement, ORDER_AGAIN_S)
+        } else if observation.busy {
+            ServerCommand::Status
         } else {
-            (ServerCommand::Status, self.timing.replica_poll_interval)
+            ServerCommand::Resume
+        };
+        ScheduledCommand {
+            command,
+            interval: REPLICA_COMMAND_INTERVAL_S,
         }
     }
 
-    /// The row by which the primary no longer leads its term, if it is newer than what routers heard.
-    fn changed_itself(&self, primary: &Primary) -> Option<ServerStatus> {
-        let seen = self.observed(&primary.id);
-        let row = seen
-            .row
-            .filter(|r| !r.is_primary || r.primary_term != primary.primary_term)?;
-        (seen.failing.is_none() && seen.row_asked > self.evidence).then_some(row)
+    /// The status by which the primary is none any more in its term, unless routers have had
+    /// answers of it since.
+    fn status_of_changed_primary(&self, primary: &Primary) -> Option<ServerStatus> {
+        let observation = self.observed(&primary.server_id);
+        let status = observation
+            .status
+            .filter(|status| !status.is_primary || status.primary_term != primary.primary_term)?;
+        let is_newest = observation.failing_since.is_none()
+            && observation.status_queried_at > self.primary_reported_at;
+        is_newest.then_some(status)
     }
 
-    /// Has it agreed on that the change to this primary is complete, unless that is on record.
-    fn settle_record(
+    /// Proposes that the change to this primary is complete, unless it is recorded as such.
+    fn record_completed_change(
         &mut self,
         context: &FailoverContext<'_>,
         primary: &Primary,
         actions: &mut Vec<FailoverAction>,
     ) {
-        let open = context
-            .record
-            .is_some_and(|record| record != (primary.id.as_str(), primary.primary_term));
-        if open && context.now > self.settle {
-            self.settle = context.now + SETTLE_AGAIN_S;
+        if context.records_another(&primary.server_id, primary.primary_term)
+            && context.now > self.record_retry_at
+        {
+            self.record_retry_at = context.now + RECORD_INTERVAL_S;
             actions.push(FailoverAction::RecordComplete {
-                server_id: primary.id.clone(),
+                server_id: primary.server_id.clone(),
                 primary_term: primary.primary_term,
             });
         }
     }
 
-    /// Whether the primary counts as dead: it refuses connections, or neither we nor any router had an answer.
-    pub(super) fn primary_death(&self, now: f64) -> Option<Death> {
-        let seen = self.observed(self.primary.as_ref().map_or("", |p| p.id.as_str()));
-        let silent_s = now - seen.answered.max(self.evidence);
-        let refused = seen.refused && seen.failing.is_some_and(|f| f > self.evidence);
-        (refused || silent_s > self.timing.primary_timeout).then_some(Death { refused, silent_s })
+    /// Whether the primary counts as dead: it refuses connections, or has answered neither this
+    /// machine nor any router within the time-out.
+    pub(super) fn primary_death(&self, now: f64) -> Option<PrimaryDeath> {
+        let primary_id = self
+            .primary
+            .as_ref()
+            .map_or("", |primary| primary.server_id.as_str());
+        let observation = self.observed(primary_id);
+        let silent_s = now - observation.answered_at.max(self.primary_reported_at);
+        // A router may have had an answer after this machine was refused, by a restarted server.
+        let refused = observation.refused
+            && observation
+                .failing_since
+                .is_some_and(|since| since > self.primary_reported_at);
+        (refused || silent_s > self.config.primary_timeout)
+            .then_some(PrimaryDeath { refused, silent_s })
     }
 
-    /// The primary drains since that second: another takes its place, in time.
+    /// Begins to replace a primary that has been draining since that second.
     fn replace_draining(
         &mut self,
         context: &FailoverContext<'_>,
-        id: &str,
-        since: f64,
+        primary_id: &str,
+        draining_since: f64,
         actions: &mut Vec<FailoverAction>,
     ) {
-        if context.now - since > self.timing.drain_timeout - DRAIN_MARGIN_S {
-            log::info!("event=primary_leaves_unreplaced id={id}");
-            self.give_up(actions);
-        } else if context.now > self.retry && context.now >= context.not_before {
-            self.begin_handing(context, actions);
+        if self.is_drain_ending(context.now, draining_since) {
+            log::info!("event=primary_drained_unreplaced id={primary_id}");
+            self.abandon_primary(actions);
+        } else if context.now > self.retry_at && context.now >= context.not_before {
+            self.begin_handover(context, actions);
         }
     }
+
+    /// Whether a server that has been draining since that second is about to end.
+    pub(super) fn is_drain_ending(&self, now: f64, draining_since: f64) -> bool {
+        now - draining_since > self.config.drain_timeout - DRAIN_MARGIN_S
+    }
 }
--- a/crates/core/control/src/members.rs
+++ b/crates/core/control/src/members.rs
@@ -63,6 +63,15 @@
     }
 }
 
+/// A server that left or timed out, as long as it is remembered.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct DepartedMember {
+    /// Its id.
+    pub id: String,
+    /// From then on it received nothing and acknowledged nothing, in seconds.
+    pub inactive_since: f64,
+}
+
 /// All servers by id.
 #[derive(Clone, Debug, Default)]
 pub struct MemberRegistry {
@@ -325,7 +334,7 @@
 
     /// Those of a service that left or fell silent, as far as they are remembered, and from when on they took part in
     /// nothing: whoever lives sends beats.
-    pub(crate) fn departed_of(&self, service: &str, heartbeat: f64) -> Vec<(String, f64)> {
+    pub(crate) fn departed_of(&self, service: &str, heartbeat: f64) -> Vec<DepartedMember> {
         let gone = self
             .named(service)
             .filter(|m| m.info.departed && !self.is_succeeded(m));
@@ -335,7 +344,11 @@
             _ => HEARTBEATS * heartbeat,
         };
         let since = |m: &Member| m.last_seen + goes_on(m);
-        gone.map(|m| (m.info.id.clone(), since(m))).collect()
+        gone.map(|m| DepartedMember {
+            id: m.info.id.clone(),
+            inactive_since: since(m),
+        })
+        .collect()
     }
 
     /// Whether the second server has taken the place of the first one: whoever is new at the address of a server of its
--- a/crates/core/control/src/tests/members.rs
+++ b/crates/core/control/src/tests/members.rs
@@ -1,7 +1,7 @@
 //! Beats that come late or twice, leavers, silence; and the routers' leases one by one.
 
 use crate::leases::Leases;
-use crate::members::{Heartbeat, MemberPhase, MemberRegistry};
+use crate::members::{DepartedMember, Heartbeat, MemberPhase, MemberRegistry};
 
 fn beat(version: u64, phase: MemberPhase) -> Heartbeat {
     let text = |t: &str| t.to_owned();
@@ -15,6 +15,13 @@
     }
 }
 
+fn departed(id: &str, inactive_since: f64) -> DepartedMember {
+    DepartedMember {
+        id: id.to_owned(),
+        inactive_since,
+    }
+}
+
 fn draining(members: &MemberRegistry) -> Option<bool> {
     members.get("a").map(|m| m.info.draining)
 }
@@ -65,7 +72,7 @@
             .is_none()
     );
     assert!(members.get("a").is_none() && members.services().is_empty());
-    assert_eq!(members.departed_of("s", 1.2), [("a".to_owned(), 1.1)]);
+    assert_eq!(members.departed_of("s", 1.2), [departed("a", 1.1)]);
     // What another machine tells late does not either.
     let mut news = members.all().next().unwrap().info.clone();
     (news.departed, news.call_seq) = (false, 12);
@@ -104,10 +111,7 @@
     );
     let ended = members.refused(19.1, "a", 5).expect("it is news");
     assert!(ended.departed && members.get("a").is_none());
-    assert_eq!(
-        members.departed_of("s", 1.2),
-        [("a".to_owned(), 19.1 + 0.1)]
-    );
+    assert_eq!(members.departed_of("s", 1.2), [departed("a", 19.1 + 0.1)]);
     assert!(members.refused(19.2, "a", 5).is_none());
     // Others that can't be reached have not ended.
     members.heartbeat(20.0, "b", &beat(1, MemberPhase::Ready), 6);
@@ -151,7 +155,7 @@
     assert!(!members.expire(4.7, 4.8, 2));
     assert!(members.expire(4.9, 4.8, 2) && !members.expire(5.0, 4.8, 2));
     assert!(members.get("a").is_none());
-    assert_eq!(members.departed_of("s", 1.2), [("a".to_owned(), 2.4)]);
+    assert_eq!(members.departed_of("s", 1.2), [departed("a", 2.4)]);
     assert!(
         members
             .heartbeat(5.1, "a", &beat(1, MemberPhase::Ready), 3)
@@ -184,15 +188,15 @@
     assert!(
         members.succeeds("a", "c") && !members.succeeds("b", "c") && !members.succeeds("c", "a")
     );
-    assert_eq!(members.departed_of("s", 1.2), [("b".to_owned(), 2.4)]);
+    assert_eq!(members.departed_of("s", 1.2), [departed("b", 2.4)]);
     // The third at that address is the last one; of those before it none is counted besides.
     members.expire(11.0, 4.8, 4);
     assert_eq!(
         members.departed_of("s", 1.2),
-        [("b".to_owned(), 2.4), ("c".to_owned(), 8.4)]
+        [departed("b", 2.4), departed("c", 8.4)]
     );
     members.heartbeat(12.0, "d", &at(1, "10.0.0.1:1"), 5);
-    assert_eq!(members.departed_of("s", 1.2), [("b".to_owned(), 2.4)]);
+    assert_eq!(members.departed_of("s", 1.2), [departed("b", 2.4)]);
     // One that is heard again itself is there.
     members.heartbeat(13.0, "a", &at(2, "10.0.0.1:1"), 6);
     assert!(!members.succeeds("a", "d") && members.succeeds("d", "a"));
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -3,6 +3,7 @@
 
 use crate::failover::{Failover, FailoverAction, FailoverContext, ServerCandidate};
 use crate::promotion::{PendingPromotion, PromotionOutcome};
+use crate::state::PrimaryRecord;
 use crate::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
 use badgerstream_line_protocol::Verdict;
 
@@ -92,7 +93,7 @@
         let candidate = |id: &str| ServerCandidate {
             id: id.to_owned(),
             draining_since: None,
-            heard: 0.0,
+            last_seen: 0.0,
         };
         let members = ["a", "b", "c"].map(candidate).to_vec();
         Alone {
@@ -109,21 +110,29 @@
         row: impl Fn(&str, ServerCommand) -> Option<ServerStatus>,
     ) -> Vec<FailoverAction> {
         self.now += 0.1;
+        let record = PrimaryRecord {
+            server_id: record.0.to_owned(),
+            min_term: record.1,
+        };
         let acts = self.failover.tick(&FailoverContext {
             now: self.now,
             members: &self.members,
-            lost: &[],
-            record: Some(record),
+            departed: &[],
+            recorded_primary: Some(&record),
             succeeds: &|_, _| false,
             same_address: &|_, _| false,
-            all_know: &|_| true,
-            since: 0.0,
+            all_acknowledged: &|_| true,
+            leading_since: 0.0,
             not_before: 0.0,
-            sync: 1,
+            sync_replicas: 1,
         });
-        self.failover.told(1);
+        self.failover.grant_announced(1);
         for act in &acts {
-            let FailoverAction::Query(id, statement) = act else {
+            let FailoverAction::SendCommand {
+                server_id: id,
+                command: statement,
+            } = act
+            else {
                 continue;
             };
             let asked = match row(id, *statement) {
@@ -134,7 +143,7 @@
                 },
                 None => CommandOutcome::Refused,
             };
-            self.failover.asked(self.now, id, asked);
+            self.failover.command_completed(self.now, id, asked);
         }
         acts
     }
@@ -162,7 +171,10 @@
             _ => Some(row(false, 2, 7)),
         });
         terms.extend(acts.iter().filter_map(|act| match act {
-            FailoverAction::Query(_, ServerCommand::StepDown(primary_term)) => Some(*primary_term),
+            FailoverAction::SendCommand {
+                command: ServerCommand::StepDown(primary_term),
+                ..
+            } => Some(*primary_term),
             _ => None,
         }));
     }
@@ -199,14 +211,14 @@
     }
     let to = agreed.unwrap_or_default();
     let other = if to == "b" { "c" } else { "b" };
-    alone.failover.agreed(alone.now, true);
+    alone.failover.proposal_decided(alone.now, true);
     alone
         .failover
-        .promoted(alone.now, other, PromotionOutcome::Refused);
+        .promotion_completed(alone.now, other, PromotionOutcome::Refused);
     assert_eq!(alone.failover.phase(), "promoting");
     alone
         .failover
-        .promoted(alone.now, &to, PromotionOutcome::Refused);
+        .promotion_completed(alone.now, &to, PromotionOutcome::Refused);
     assert_eq!(alone.failover.phase(), "closing");
 }
 
@@ -229,21 +241,25 @@
         if alone.failover.phase() == "handing" {
             told.extend(
                 acts.into_iter()
-                    .filter(|act| matches!(act, FailoverAction::Query(id, _) if id == "b")),
+                    .filter(|act| matches!(act, FailoverAction::SendCommand { server_id, .. } if server_id == "b")),
             );
         }
     }
     assert!(
-        told.contains(&FailoverAction::Query(
-            "b".to_owned(),
-            ServerCommand::StepDown(2)
-        )),
+        told.contains(&FailoverAction::SendCommand {
+            server_id: "b".to_owned(),
+            command: ServerCommand::StepDown(2)
+        }),
         "{told:?}"
     );
     assert!(
-        !told
-            .iter()
-            .any(|act| matches!(act, FailoverAction::Query(_, ServerCommand::Pause(_)))),
+        !told.iter().any(|act| matches!(
+            act,
+            FailoverAction::SendCommand {
+                command: ServerCommand::Pause(_),
+                ..
+            }
+        )),
         "{told:?}"
     );
 }
