--- a/crates/core/control/src/tests/members.rs
+++ b/crates/core/control/src/tests/members.rs
@@ -1,17 +1,25 @@
-//! Beats that come late or twice, leavers, silence; and the routers' leases one by one.
+//! The member registry: late and repeated heartbeats, departures, time-outs, restarts and servers
+//! that share an address; and the leases of routers by themselves.
 
 use crate::leases::Leases;
 use crate::members::{DepartedMember, Heartbeat, MemberPhase, MemberRegistry};
+use crate::message::MemberInfo;
 
-fn beat(version: u64, phase: MemberPhase) -> Heartbeat {
-    let text = |t: &str| t.to_owned();
+const MEMBER_TIMEOUT_S: f64 = 4.8;
+const HEARTBEAT_INTERVAL_S: f64 = 1.2;
+
+fn heartbeat(call_seq: u64, phase: MemberPhase) -> Heartbeat {
+    heartbeat_at("10.0.0.1:1", call_seq, phase)
+}
+
+fn heartbeat_at(endpoint: &str, call_seq: u64, phase: MemberPhase) -> Heartbeat {
     Heartbeat {
-        service: text("s"),
-        endpoint: text("10.0.0.1:1"),
-        zone: text("z"),
+        service: "s".to_owned(),
+        endpoint: endpoint.to_owned(),
+        zone: "z".to_owned(),
         slots: 4,
         phase,
-        call_seq: version,
+        call_seq,
     }
 }
 
@@ -22,230 +30,254 @@
     }
 }
 
+fn departed_of_service(members: &MemberRegistry) -> Vec<DepartedMember> {
+    members.departed_of("s", HEARTBEAT_INTERVAL_S)
+}
+
 fn draining(members: &MemberRegistry) -> Option<bool> {
-    members.get("a").map(|m| m.info.draining)
+    members.get("a").map(|member| member.info.draining)
+}
+
+/// All orders of the numbers below `count`.
+fn permutations(count: usize) -> Vec<Vec<usize>> {
+    let mut orders = vec![vec![]];
+    for _ in 0..count {
+        let extended = |order: Vec<usize>| {
+            (0..count)
+                .filter(|next| !order.contains(next))
+                .map(|next| [&order[..], &[next]].concat())
+                .collect::<Vec<_>>()
+        };
+        orders = orders.into_iter().flat_map(extended).collect();
+    }
+    orders
 }
 
 #[test]
-fn every_order_of_beats_ends_alike() {
-    let calls = [
+fn heartbeats_in_any_order_end_in_the_same_state() {
+    let heartbeats = [
         (1, MemberPhase::Ready),
         (2, MemberPhase::Ready),
         (3, MemberPhase::Draining),
         (3, MemberPhase::Draining),
     ];
-    let mut orders = vec![vec![]];
-    for _ in 0..4 {
-        let longer = |o: Vec<usize>| {
-            (0..4)
-                .filter(|i| !o.contains(i))
-                .map(|i| [&o[..], &[i]].concat())
-                .collect::<Vec<_>>()
-        };
-        orders = orders.into_iter().flat_map(longer).collect();
-    }
+    let orders = permutations(heartbeats.len());
     assert_eq!(orders.len(), 24);
     for order in orders {
         let mut members = MemberRegistry::default();
-        let mut newest = 0;
-        for (at, one) in order.iter().enumerate() {
-            let (version, phase) = calls[*one];
-            let told = members.heartbeat(at as f64, "a", &beat(version, phase), 7);
-            assert_eq!(told.is_some(), version > newest, "{order:?}");
-            newest = newest.max(version);
+        let mut newest_seq = 0;
+        for (second, index) in order.iter().enumerate() {
+            let (call_seq, phase) = heartbeats[*index];
+            let update = members.heartbeat(second as f64, "a", &heartbeat(call_seq, phase), 7);
+            assert_eq!(update.is_some(), call_seq > newest_seq, "{order:?}");
+            newest_seq = newest_seq.max(call_seq);
         }
         assert_eq!(draining(&members), Some(true), "{order:?}");
-        let first = order.iter().position(|i| *i >= 2).unwrap();
-        assert_eq!(members.get("a").unwrap().draining_since, Some(first as f64));
+        let first_draining = order.iter().position(|index| *index >= 2).unwrap();
+        assert_eq!(
+            members.get("a").unwrap().draining_since,
+            Some(first_draining as f64)
+        );
     }
 }
 
 #[test]
-fn a_late_beat_brings_nobody_back() {
+fn late_heartbeat_does_not_revive_departed_server() {
     let mut members = MemberRegistry::default();
-    members.heartbeat(0.0, "a", &beat(1, MemberPhase::Draining), 1);
-    assert!(members.depart(1.0, "a", 2).is_some_and(|n| n.departed));
+    members.heartbeat(0.0, "a", &heartbeat(1, MemberPhase::Draining), 1);
+    assert!(
+        members
+            .depart(1.0, "a", 2)
+            .is_some_and(|update| update.departed)
+    );
     assert!(members.depart(1.1, "a", 2).is_none());
     assert!(
         members
-            .heartbeat(2.0, "a", &beat(9, MemberPhase::Ready), 3)
+            .heartbeat(2.0, "a", &heartbeat(9, MemberPhase::Ready), 3)
             .is_none()
     );
     assert!(members.get("a").is_none() && members.services().is_empty());
-    assert_eq!(members.departed_of("s", 1.2), [departed("a", 1.1)]);
-    // What another machine tells late does not either.
-    let mut news = members.all().next().unwrap().info.clone();
-    (news.departed, news.call_seq) = (false, 12);
-    assert!(!members.merge(3.0, news, 4));
-    members.expire(70.0, 4.8, 5);
+    assert_eq!(departed_of_service(&members), [departed("a", 1.1)]);
+    // Nor does a late update of another control machine.
+    let late = MemberInfo {
+        departed: false,
+        call_seq: 12,
+        ..members.all().next().unwrap().info.clone()
+    };
+    assert!(!members.merge(3.0, late, 4));
+    members.expire(70.0, MEMBER_TIMEOUT_S, 5);
     assert_eq!(members.all().count(), 0);
 }
 
-/// A server that leaves without having drained serves on: it is there, draining, until nobody listens at its address any more.
+/// A server that departs without having drained goes on serving: it is a draining member until
+/// nothing listens at its address any more.
 #[test]
-fn who_departs_first_drains_from_then_on() {
+fn undrained_departure_counts_as_draining_until_the_server_ends() {
     let mut members = MemberRegistry::default();
-    members.heartbeat(0.0, "a", &beat(1, MemberPhase::Ready), 1);
-    let news = members.depart(1.0, "a", 2).expect("it is news");
+    members.heartbeat(0.0, "a", &heartbeat(1, MemberPhase::Ready), 1);
+    let departure = members.depart(1.0, "a", 2).expect("a change");
     assert!(
-        news.draining
-            && !news.departed
+        departure.draining
+            && !departure.departed
             && members
                 .get("a")
-                .is_some_and(|m| m.draining_since == Some(1.0))
+                .is_some_and(|member| member.draining_since == Some(1.0))
     );
-    // The call is sent again, a beat comes late, and what another machine has is older.
+    // A repeated departure and a late heartbeat change nothing.
     assert!(members.depart(1.1, "a", 2).is_none());
     assert!(
         members
-            .heartbeat(1.2, "a", &beat(9, MemberPhase::Ready), 3)
+            .heartbeat(1.2, "a", &heartbeat(9, MemberPhase::Ready), 3)
             .is_none()
     );
     assert_eq!(draining(&members), Some(true));
-    // It need not send beats to be there, for longer than it goes on.
-    assert!(!members.expire(19.0, 4.8, 4));
+    // Without heartbeats it stays a member for longer than it runs.
+    assert!(!members.expire(19.0, MEMBER_TIMEOUT_S, 4));
     assert_eq!(
         members.to_persist()[0].call_seq,
-        news.call_seq,
-        "nor does a beat count in the next life"
+        departure.call_seq,
+        "heartbeats don't count after a restart either"
     );
-    let ended = members.refused(19.1, "a", 5).expect("it is news");
-    assert!(ended.departed && members.get("a").is_none());
-    assert_eq!(members.departed_of("s", 1.2), [departed("a", 19.1 + 0.1)]);
+    let end = members.refused(19.1, "a", 5).expect("a change");
+    assert!(end.departed && members.get("a").is_none());
+    assert_eq!(departed_of_service(&members), [departed("a", 19.1 + 0.1)]);
     assert!(members.refused(19.2, "a", 5).is_none());
-    // Others that can't be reached have not ended.
-    members.heartbeat(20.0, "b", &beat(1, MemberPhase::Ready), 6);
+    // A refused connection to a server that hasn't departed is no end.
+    members.heartbeat(20.0, "b", &heartbeat(1, MemberPhase::Ready), 6);
     assert!(members.refused(20.1, "b", 6).is_none());
 }
 
-/// What is kept for the next life: of who drains that it does, so that a beat from before can't bring it back; of others nothing
-/// that keeps a beat from counting.
+/// Of a draining server its call number is persisted, so that no older heartbeat revives it; of
+/// other servers nothing that would keep a heartbeat from counting.
 #[test]
-fn who_drains_does_so_in_the_next_life() {
+fn draining_is_restored_by_the_next_process_incarnation() {
     let mut members = MemberRegistry::default();
-    members.heartbeat(0.0, "a", &beat(8, MemberPhase::Draining), 1);
-    members.heartbeat(0.0, "b", &beat(5, MemberPhase::Ready), 1);
-    let mut next = MemberRegistry::default();
-    next.restore(100.0, members.to_persist(), 3.0);
+    members.heartbeat(0.0, "a", &heartbeat(8, MemberPhase::Draining), 1);
+    members.heartbeat(0.0, "b", &heartbeat(5, MemberPhase::Ready), 1);
+    let mut restored = MemberRegistry::default();
+    restored.restore(100.0, members.to_persist(), 3.0);
     assert!(
-        next.heartbeat(100.1, "a", &beat(7, MemberPhase::Ready), 1)
+        restored
+            .heartbeat(100.1, "a", &heartbeat(7, MemberPhase::Ready), 1)
             .is_none()
     );
-    assert_eq!(draining(&next), Some(true));
+    assert_eq!(draining(&restored), Some(true));
     assert_eq!(
-        next.get("a").unwrap().draining_since,
+        restored.get("a").unwrap().draining_since,
         Some(97.0),
         "for how long isn't known"
     );
     assert!(
-        next.heartbeat(100.2, "a", &beat(9, MemberPhase::Draining), 1)
+        restored
+            .heartbeat(100.2, "a", &heartbeat(9, MemberPhase::Draining), 1)
             .is_some()
     );
     assert!(
-        next.heartbeat(100.2, "b", &beat(1, MemberPhase::Ready), 1)
+        restored
+            .heartbeat(100.2, "b", &heartbeat(1, MemberPhase::Ready), 1)
             .is_some()
     );
-    assert_eq!(next.get("b").unwrap().draining_since, None);
+    assert_eq!(restored.get("b").unwrap().draining_since, None);
 }
 
 #[test]
-fn whoever_is_silent_is_forgotten_until_it_beats() {
+fn silent_server_times_out_until_its_next_heartbeat() {
     let mut members = MemberRegistry::default();
-    members.heartbeat(0.0, "a", &beat(1, MemberPhase::Ready), 1);
-    assert!(!members.expire(4.7, 4.8, 2));
-    assert!(members.expire(4.9, 4.8, 2) && !members.expire(5.0, 4.8, 2));
+    members.heartbeat(0.0, "a", &heartbeat(1, MemberPhase::Ready), 1);
+    assert!(!members.expire(4.7, MEMBER_TIMEOUT_S, 2));
+    assert!(members.expire(4.9, MEMBER_TIMEOUT_S, 2) && !members.expire(5.0, MEMBER_TIMEOUT_S, 2));
     assert!(members.get("a").is_none());
-    assert_eq!(members.departed_of("s", 1.2), [departed("a", 2.4)]);
+    assert_eq!(departed_of_service(&members), [departed("a", 2.4)]);
     assert!(
         members
-            .heartbeat(5.1, "a", &beat(1, MemberPhase::Ready), 3)
+            .heartbeat(5.1, "a", &heartbeat(1, MemberPhase::Ready), 3)
             .is_none(),
-        "one that comes twice is no sign of life"
+        "a repeated heartbeat is no sign of life"
     );
     assert!(
         members
-            .heartbeat(5.2, "a", &beat(2, MemberPhase::Ready), 3)
+            .heartbeat(5.2, "a", &heartbeat(2, MemberPhase::Ready), 3)
             .is_some()
     );
     assert_eq!(members.get("a").unwrap().changed_in_update, 3);
-    assert!(members.departed_of("s", 1.2).is_empty());
+    assert!(departed_of_service(&members).is_empty());
 }
 
-/// Whoever is new at the address of another one of its service has its log: that one is lost no longer, whichever is known to
-/// be gone, until it is heard again itself.
+/// A new server at the address of another one of its service has that one's log: the other doesn't
+/// count as departed any more, until it is seen itself again.
 #[test]
-fn who_comes_at_an_address_has_the_log_of_who_was_there() {
-    let at = |version, endpoint: &str| Heartbeat {
-        endpoint: endpoint.to_owned(),
-        ..beat(version, MemberPhase::Ready)
-    };
+fn new_server_at_an_address_succeeds_the_one_before() {
+    let ready_at = |endpoint: &str, call_seq| heartbeat_at(endpoint, call_seq, MemberPhase::Ready);
     let mut members = MemberRegistry::default();
-    members.heartbeat(0.0, "a", &at(1, "10.0.0.1:1"), 1);
-    members.heartbeat(0.0, "b", &at(1, "10.0.0.2:1"), 1);
-    members.expire(5.0, 4.8, 2);
-    assert_eq!(members.departed_of("s", 1.2).len(), 2);
-    members.heartbeat(6.0, "c", &at(1, "10.0.0.1:1"), 3);
+    members.heartbeat(0.0, "a", &ready_at("10.0.0.1:1", 1), 1);
+    members.heartbeat(0.0, "b", &ready_at("10.0.0.2:1", 1), 1);
+    members.expire(5.0, MEMBER_TIMEOUT_S, 2);
+    assert_eq!(departed_of_service(&members).len(), 2);
+    members.heartbeat(6.0, "c", &ready_at("10.0.0.1:1", 1), 3);
     assert!(
         members.succeeds("a", "c") && !members.succeeds("b", "c") && !members.succeeds("c", "a")
     );
-    assert_eq!(members.departed_of("s", 1.2), [departed("b", 2.4)]);
-    // The third at that address is the last one; of those before it none is counted besides.
-    members.expire(11.0, 4.8, 4);
+    assert_eq!(departed_of_service(&members), [departed("b", 2.4)]);
+    // Of several departed servers at one address only the last counts.
+    members.expire(11.0, MEMBER_TIMEOUT_S, 4);
     assert_eq!(
-        members.departed_of("s", 1.2),
+        departed_of_service(&members),
         [departed("b", 2.4), departed("c", 8.4)]
     );
-    members.heartbeat(12.0, "d", &at(1, "10.0.0.1:1"), 5);
-    assert_eq!(members.departed_of("s", 1.2), [departed("b", 2.4)]);
-    // One that is heard again itself is there.
-    members.heartbeat(13.0, "a", &at(2, "10.0.0.1:1"), 6);
+    members.heartbeat(12.0, "d", &ready_at("10.0.0.1:1", 1), 5);
+    assert_eq!(departed_of_service(&members), [departed("b", 2.4)]);
+    // A server that is seen itself again is succeeded no more.
+    members.heartbeat(13.0, "a", &ready_at("10.0.0.1:1", 2), 6);
     assert!(!members.succeeds("a", "d") && members.succeeds("d", "a"));
-    // Another service's server at an address says nothing of who was there.
-    let other = Heartbeat {
+    // A server of another service at the address doesn't have the log.
+    let other_service = Heartbeat {
         service: "t".to_owned(),
-        ..at(1, "10.0.0.2:1")
+        ..ready_at("10.0.0.2:1", 1)
     };
-    members.heartbeat(14.0, "e", &other, 7);
+    members.heartbeat(14.0, "e", &other_service, 7);
     assert!(!members.succeeds("b", "e"));
 }
 
 #[test]
-fn a_lease_ends_when_it_is_known_or_over() {
-    let mut sessions = Leases::new(1.0);
+fn answering_server_does_not_time_out_without_heartbeats() {
+    let mut members = MemberRegistry::default();
+    members.heartbeat(0.0, "a", &heartbeat(1, MemberPhase::Ready), 1);
+    members.seen_alive(4.0, "a");
+    assert!(!members.expire(5.0, MEMBER_TIMEOUT_S, 2));
+    assert!(members.get("a").is_some());
     assert!(
-        !sessions.all_acknowledged(0.9, 5),
-        "leases of the leader before may still run"
+        members.expire(9.0, MEMBER_TIMEOUT_S, 3),
+        "it does once it doesn't answer either"
     );
-    assert!(sessions.all_acknowledged(1.0, 5));
-    sessions.renew(1.0, "r", 1, 4, 1.0);
+    members.seen_alive(9.1, "a");
     assert!(
-        !sessions.all_acknowledged(1.5, 5)
-            && sessions.all_acknowledged(1.5, 4)
-            && sessions.active(1.5) == 1
-    );
-    sessions.renew(1.2, "r", 1, 5, 1.0);
-    assert!(sessions.all_acknowledged(1.5, 5));
-    // A call that was overtaken takes nothing back, and prolongs as well.
-    sessions.renew(1.6, "r", 1, 3, 1.0);
-    assert!(sessions.all_acknowledged(1.7, 5) && sessions.active(2.5) == 1);
-    // In a new life it knows nothing yet.
-    sessions.renew(2.0, "r", 2, 0, 1.0);
-    assert!(!sessions.all_acknowledged(2.9, 5) && sessions.all_acknowledged(3.0, 5));
-    sessions.expire(100.0);
-    assert_eq!(sessions.active(0.0), 0);
+        members.get("a").is_none(),
+        "only a heartbeat revives a departed server"
+    );
 }
 
 #[test]
-fn whoever_answers_is_not_forgotten_though_its_beats_go_elsewhere() {
-    let mut members = MemberRegistry::default();
-    members.heartbeat(0.0, "a", &beat(1, MemberPhase::Ready), 1);
-    members.seen_alive(4.0, "a");
-    assert!(!members.expire(5.0, 4.8, 2));
-    assert!(members.get("a").is_some());
+fn lease_blocks_revocation_until_acknowledged_or_expired() {
+    let mut leases = Leases::new(1.0);
     assert!(
-        members.expire(9.0, 4.8, 3),
-        "it is, once it is silent as well"
+        !leases.all_acknowledged(0.9, 5),
+        "leases of the former leader may still run"
     );
-    members.seen_alive(9.1, "a");
-    assert!(members.get("a").is_none(), "only a beat brings it back");
+    assert!(leases.all_acknowledged(1.0, 5));
+    leases.renew(1.0, "r", 1, 4, 1.0);
+    assert!(
+        !leases.all_acknowledged(1.5, 5)
+            && leases.all_acknowledged(1.5, 4)
+            && leases.active(1.5) == 1
+    );
+    leases.renew(1.2, "r", 1, 5, 1.0);
+    assert!(leases.all_acknowledged(1.5, 5));
+    // A request that was overtaken takes no acknowledgement back, and prolongs the lease.
+    leases.renew(1.6, "r", 1, 3, 1.0);
+    assert!(leases.all_acknowledged(1.7, 5) && leases.active(2.5) == 1);
+    // A new incarnation of the router has acknowledged nothing yet.
+    leases.renew(2.0, "r", 2, 0, 1.0);
+    assert!(!leases.all_acknowledged(2.9, 5) && leases.all_acknowledged(3.0, 5));
+    leases.expire(100.0);
+    assert_eq!(leases.active(0.0), 0);
 }
