--- a/crates/core/control/src/tests/fleet.rs
+++ b/crates/core/control/src/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! One leading control machine beside many routers and many services, in a time that the test moves: what it says to whom is
-//! counted, and any of it can be held up.
+//! One leading control machine beside many routers and many services, in a time that the test moves:
+//! what it sends to whom is counted, and any of it can be delayed.
 
 use crate::controller::ControlConfig;
 use crate::controller::{ControlRequest, Controller, Output};
@@ -13,17 +13,20 @@
 
 /// Between two ticks, in seconds, unless a test says otherwise.
 pub const TICK: f64 = 0.02;
-const RENEW: f64 = 0.3;
-const HEARTBEAT: f64 = 1.2;
+/// Between two lease requests of a router.
+const LEASE_REQUEST_INTERVAL_S: f64 = 0.3;
+/// Between two heartbeats of a server.
+const HEARTBEAT_INTERVAL_S: f64 = 1.2;
+const SERVERS_PER_SERVICE: usize = 3;
 
-/// As the program sets them by default, with heartbeats of 1.2 s.
+/// The program's default settings, with heartbeats of 1.2 s.
 pub fn timing() -> ControlConfig {
-    let service = FailoverConfig {
+    let failover = FailoverConfig {
         primary_poll_interval: 0.2,
         replica_poll_interval: 1.0,
         primary_timeout: 0.6,
         query_timeout: 0.6,
-        heartbeat_interval: HEARTBEAT,
+        heartbeat_interval: HEARTBEAT_INTERVAL_S,
         drain_timeout: 7.0,
     };
     ControlConfig {
@@ -34,312 +37,334 @@
         duty_handover_delay: 0.0,
         request_timeout: 0.9,
         member_timeout: 4.8,
-        failover: service,
+        failover,
     }
 }
 
-/// A router as far as its session goes.
+/// A router, as far as its session with the leader goes.
 #[derive(Default)]
 pub struct Router {
-    pub known: (Term, u64),
-    pub epoch: u64,
+    /// The last update that it has applied.
+    pub watermark: (Term, u64),
+    pub config_epoch: u64,
     config_text: Vec<u8>,
     pub lease_until: f64,
     pub grants: HashMap<String, PrimaryGrant>,
     pub members: BTreeSet<String>,
-    /// It takes news from then on: its link is slow.
-    pub reads_from: f64,
-    /// It neither takes news nor renews.
+    /// It reads updates from this second on: its link is slow.
+    pub reads_updates_from: f64,
+    /// It neither reads updates nor requests leases.
     pub silent: bool,
-    /// News that it hasn't taken yet.
-    pub unread: Vec<Rc<RouterMessage>>,
-    renewed: f64,
-    /// Answers of control, newest last.
-    pub answers: Vec<RouterMessage>,
-    /// What it could tell of primaries; it tells what is wanted.
-    pub evidence: Vec<HealthReport>,
-    pub evidence_wanted: Vec<String>,
+    /// Updates that it hasn't read yet.
+    pub unread_updates: Vec<Rc<RouterMessage>>,
+    lease_requested_at: f64,
+    /// Responses to its lease requests, the newest last.
+    pub responses: Vec<RouterMessage>,
+    /// What it could report of servers; it reports what is wanted.
+    pub health_reports: Vec<HealthReport>,
+    pub health_reports_wanted: Vec<String>,
 }
 
-/// All that a tick and the renewals behind it led to.
+/// What the leader put out in a tick, and in response to the lease requests after it.
 #[derive(Default)]
-pub struct Said {
-    pub news: Vec<(usize, Rc<RouterMessage>)>,
-    pub questions: Vec<(String, ServerCommand)>,
+pub struct TickOutputs {
+    /// The updates, with the router that each went to.
+    pub updates: Vec<(usize, Rc<RouterMessage>)>,
+    /// The commands, with the server that each went to.
+    pub commands: Vec<(String, ServerCommand)>,
+    /// How many requests went to the platform.
     pub promotions: usize,
 }
 
-/// The machine and all round it.
+/// The machine with all its routers and servers.
 pub struct Fleet {
     pub now: f64,
     pub controller: Controller,
     pub routers: Vec<Router>,
-    /// Servers by id, with their service; the first of each service leads.
+    /// Services by server id; the first server of each service is its primary.
     servers: BTreeMap<String, String>,
-    /// These answer nothing.
-    pub dark: BTreeSet<String>,
-    /// Calls to the platform so far; none is answered.
-    pub promoted: usize,
-    calls: u64,
-    beaten: f64,
+    /// These servers answer no command.
+    pub unresponsive_servers: BTreeSet<String>,
+    /// How many requests went to the platform so far; none is answered.
+    pub promotion_requests: usize,
+    request_count: u64,
+    heartbeats_sent_at: f64,
 }
 
 impl Fleet {
-    /// It leads, and all servers have sent a beat.
+    /// A machine that leads, and has a heartbeat of all servers.
     pub fn new(routers: usize, services: usize) -> Fleet {
-        let record = HardState {
+        let hard_state = HardState {
             state: Rc::new(State::founding(vec![1])),
             ..HardState::default()
         };
-        let server = |n: usize| (format!("server-{n}"), format!("service-{:04}", n / 3));
+        let me = Voter {
+            node: 1,
+            incarnation: FOUNDING_INCARNATION,
+        };
+        let server = |n: usize| {
+            let service = format!("service-{:04}", n / SERVERS_PER_SERVICE);
+            (format!("server-{n}"), service)
+        };
         let mut fleet = Fleet {
             now: 0.0,
-            controller: Controller::new(
-                Voter {
-                    node: 1,
-                    incarnation: FOUNDING_INCARNATION,
-                },
-                record,
-                0.0,
-                7,
-                timing(),
-            ),
+            controller: Controller::new(me, hard_state, 0.0, 7, timing()),
             routers: (0..routers).map(|_| Router::default()).collect(),
-            servers: (0..3 * services).map(server).collect(),
-            dark: BTreeSet::new(),
-            promoted: 0,
-            calls: 0,
-            beaten: f64::NEG_INFINITY,
+            servers: (0..SERVERS_PER_SERVICE * services).map(server).collect(),
+            unresponsive_servers: BTreeSet::new(),
+            promotion_requests: 0,
+            request_count: 0,
+            heartbeats_sent_at: f64::NEG_INFINITY,
         };
         while !fleet.controller.is_leader() {
             fleet.now += TICK;
             let out = fleet.controller.tick(fleet.now);
             fleet.perform(out);
         }
-        fleet.beat_all();
+        fleet.send_heartbeats();
         fleet
     }
 
-    fn beat_all(&mut self) {
-        self.beaten = self.now;
+    fn send_heartbeats(&mut self) {
+        self.heartbeats_sent_at = self.now;
         for id in self.servers.keys().cloned().collect::<Vec<_>>() {
-            self.beat(&id, MemberPhase::Ready);
+            self.heartbeat(&id, MemberPhase::Ready);
         }
     }
 
-    /// A server says how it is; what control does with that.
-    pub fn beat(&mut self, id: &str, phase: MemberPhase) -> Vec<Output> {
-        self.calls += 1;
-        let beat = Heartbeat {
+    /// A server sends a heartbeat; returns what the machine puts out.
+    pub fn heartbeat(&mut self, id: &str, phase: MemberPhase) -> Vec<Output> {
+        self.request_count += 1;
+        let heartbeat = Heartbeat {
             service: self.servers[id].clone(),
             endpoint: "10.0.0.9:5432".to_owned(),
             zone: "a".to_owned(),
             slots: 4,
             phase,
-            call_seq: self.calls,
+            call_seq: self.request_count,
+        };
+        let request = ControlRequest::Heartbeat {
+            server_id: id.to_owned(),
+            heartbeat,
         };
-        self.controller.handle_request(
-            self.now,
-            self.calls,
-            ControlRequest::Heartbeat {
-                server_id: id.to_owned(),
-                heartbeat: beat,
-            },
-        )
+        self.controller
+            .handle_request(self.now, self.request_count, request)
     }
 
-    /// A configuration is sent; one machine alone agrees on it at once.
-    pub fn configure(&mut self, epoch: u64, body: &[u8]) -> Said {
-        self.calls += 1;
-        let call = ControlRequest::ReplaceConfig {
+    /// An operator replaces the configuration; a single machine commits it at once.
+    pub fn configure(&mut self, epoch: u64, body: &[u8]) -> TickOutputs {
+        self.request_count += 1;
+        let request = ControlRequest::ReplaceConfig {
             base_epoch: self.controller.config().0,
             epoch,
             body: body.into(),
         };
-        let out = self.controller.handle_request(self.now, self.calls, call);
+        let out = self
+            .controller
+            .handle_request(self.now, self.request_count, request);
         self.perform(out)
     }
 
-    fn leads(id: &str) -> bool {
+    fn is_primary(id: &str) -> bool {
         id.trim_start_matches("server-")
             .parse::<usize>()
-            .is_ok_and(|n| n % 3 == 0)
+            .is_ok_and(|n| n % SERVERS_PER_SERVICE == 0)
     }
 
-    fn perform(&mut self, out: Vec<Output>) -> Said {
-        let mut said = Said::default();
-        let mut waiting = VecDeque::from(out);
-        while let Some(one) = waiting.pop_front() {
-            match one {
-                Output::Persist => waiting.extend(self.controller.persisted(self.now)),
-                Output::SendUpdate(session, news) => {
+    fn perform(&mut self, out: Vec<Output>) -> TickOutputs {
+        let mut performed = TickOutputs::default();
+        let mut pending = VecDeque::from(out);
+        while let Some(output) = pending.pop_front() {
+            match output {
+                Output::Persist => pending.extend(self.controller.persisted(self.now)),
+                Output::SendUpdate(session, update) => {
                     let router = session as usize - 1;
-                    self.routers[router].unread.push(news.clone());
-                    said.news.push((router, news));
+                    self.routers[router].unread_updates.push(update.clone());
+                    performed.updates.push((router, update));
                 }
-                Output::SendToRouter(session, answer) => {
-                    self.routers[session as usize - 1].take(&answer)
+                Output::SendToRouter(session, response) => {
+                    self.routers[session as usize - 1].apply(&response);
                 }
                 Output::SendCommand {
-                    server_id: id,
-                    command: statement,
-                    ..
-                } => said.questions.push((id, statement)),
+                    server_id, command, ..
+                } => performed.commands.push((server_id, command)),
                 Output::Promote { .. } => {
-                    said.promotions += 1;
-                    self.promoted += 1;
+                    performed.promotions += 1;
+                    self.promotion_requests += 1;
                 }
-                Output::PersistMembers(then) => waiting.extend(then),
+                Output::PersistMembers(then) => pending.extend(then),
                 Output::SendToPeer(..) | Output::Respond(..) => {}
             }
         }
-        said
+        performed
     }
 
-    /// A tick after so many seconds, the answers of servers, and what routers say.
-    pub fn tick_after(&mut self, seconds: f64) -> Said {
+    /// A tick after this time, the answers of servers, and the lease requests of routers.
+    pub fn tick_after(&mut self, seconds: f64) -> TickOutputs {
         self.now += seconds;
-        if self.now - self.beaten >= HEARTBEAT {
-            self.beat_all();
+        if self.now - self.heartbeats_sent_at >= HEARTBEAT_INTERVAL_S {
+            self.send_heartbeats();
         }
         let out = self.controller.tick(self.now);
-        let said = self.perform(out);
-        for (id, statement) in &said.questions {
-            let (service, leader) = (self.servers[id].clone(), Self::leads(id));
-            let row = ServerStatus {
-                is_primary: leader,
-                primary_term: 1,
-                received: (1, 5),
-                highest_term: 1,
-            };
-            let answer = match self.dark.contains(id) {
-                true => CommandOutcome::TimedOut,
-                false => CommandOutcome::Status {
-                    command: *statement,
-                    status: row,
-                    sent_at: self.now,
-                },
-            };
-            self.controller
-                .command_completed(self.now, &service, id, answer);
+        let performed = self.perform(out);
+        for (id, command) in &performed.commands {
+            self.answer_command(id, *command);
         }
         for router in 0..self.routers.len() {
-            self.read(router);
+            self.step_router(router);
         }
-        said
+        performed
     }
 
-    pub fn tick(&mut self) -> Said {
+    pub fn tick(&mut self) -> TickOutputs {
         self.tick_after(TICK)
     }
 
-    /// The router takes what has come, and renews if that or the time calls for it.
-    fn read(&mut self, router: usize) {
-        let it = &mut self.routers[router];
-        if it.silent {
+    fn answer_command(&mut self, id: &str, command: ServerCommand) {
+        let outcome = if self.unresponsive_servers.contains(id) {
+            CommandOutcome::TimedOut
+        } else {
+            CommandOutcome::Status {
+                command,
+                status: ServerStatus {
+                    is_primary: Self::is_primary(id),
+                    primary_term: 1,
+                    received: (1, 5),
+                    highest_term: 1,
+                },
+                sent_at: self.now,
+            }
+        };
+        let service = self.servers[id].clone();
+        self.controller
+            .command_completed(self.now, &service, id, outcome);
+    }
+
+    /// The router reads its updates, and requests its lease if that or the time calls for it.
+    fn step_router(&mut self, index: usize) {
+        let router = &mut self.routers[index];
+        if router.silent {
             return;
         }
-        let mut due = self.now - it.renewed >= RENEW;
-        if self.now >= it.reads_from {
-            for news in std::mem::take(&mut it.unread) {
-                it.take(&news);
-                due = true;
+        let mut is_due = self.now - router.lease_requested_at >= LEASE_REQUEST_INTERVAL_S;
+        if self.now >= router.reads_updates_from {
+            for update in std::mem::take(&mut router.unread_updates) {
+                router.apply(&update);
+                is_due = true;
             }
         }
-        if due {
-            self.renew(router);
+        if is_due {
+            self.request_lease(index);
         }
     }
 
-    /// The router asks for its lease.
-    pub fn renew(&mut self, router: usize) {
-        let it = &mut self.routers[router];
-        it.renewed = self.now;
-        let evidence = it
-            .evidence
+    /// The router requests its lease.
+    pub fn request_lease(&mut self, index: usize) {
+        let router = &mut self.routers[index];
+        router.lease_requested_at = self.now;
+        let health_reports = router
+            .health_reports
             .iter()
-            .filter(|seen| it.evidence_wanted.contains(&seen.service));
-        let call = LeaseRequest {
-            router: format!("router-{router}"),
+            .filter(|report| router.health_reports_wanted.contains(&report.service))
+            .cloned()
+            .collect();
+        let request = LeaseRequest {
+            router: format!("router-{index}"),
             process_incarnation: 1,
             sent_at: self.now,
-            update_watermark: it.known,
-            config_epoch: it.epoch,
-            health_reports: evidence.cloned().collect(),
+            update_watermark: router.watermark,
+            config_epoch: router.config_epoch,
+            health_reports,
         };
+        let session = index as u64 + 1;
         let out = self
             .controller
-            .handle_lease_request(self.now, router as u64 + 1, call);
-        let said = self.perform(out);
-        assert!(said.news.is_empty(), "an answer brings no news with it");
+            .handle_lease_request(self.now, session, request);
+        let performed = self.perform(out);
+        assert!(
+            performed.updates.is_empty(),
+            "a response brings no update with it"
+        );
     }
 
-    /// Ticks until this is so, for so many seconds at most; what was said meanwhile.
-    pub fn until(&mut self, seconds: f64, what: &str, so: impl Fn(&Fleet) -> bool) -> Said {
+    /// Ticks until the condition holds, for this time at most; returns all that was put out.
+    pub fn run_until(
+        &mut self,
+        seconds: f64,
+        what: &str,
+        condition: impl Fn(&Fleet) -> bool,
+    ) -> TickOutputs {
         let end = self.now + seconds;
-        let mut all = Said::default();
-        while !so(self) {
+        let mut all = TickOutputs::default();
+        while !condition(self) {
             assert!(self.now < end, "{what} within {seconds} s");
-            let said = self.tick();
-            all.news.extend(said.news);
-            all.questions.extend(said.questions);
-            all.promotions += said.promotions;
+            let performed = self.tick();
+            all.updates.extend(performed.updates);
+            all.commands.extend(performed.commands);
+            all.promotions += performed.promotions;
         }
         all
     }
 
-    /// Routers that hold a lease and know of so many primaries.
-    pub fn served(&self, services: usize) -> usize {
-        let serves = |r: &&Router| {
-            self.now < r.lease_until
-                && r.grants.values().filter(|g| !g.revoking).count() == services
-        };
-        self.routers.iter().filter(serves).count()
+    /// How many routers hold a lease and may use the primaries of so many services.
+    pub fn routers_serving(&self, services: usize) -> usize {
+        self.routers
+            .iter()
+            .filter(|router| {
+                let usable = router.grants.values().filter(|grant| !grant.revoking);
+                self.now < router.lease_until && usable.count() == services
+            })
+            .count()
     }
 }
 
 impl Router {
-    /// It can make nothing of its configuration any more.
+    /// It can't use its configuration any more.
     pub fn forget_config(&mut self) {
-        (self.epoch, self.config_text) = (0, Vec::new());
+        self.config_epoch = 0;
+        self.config_text.clear();
     }
 
-    pub fn take(&mut self, news: &RouterMessage) {
+    /// The router applies an update, or the response to a lease request.
+    pub fn apply(&mut self, message: &RouterMessage) {
         let RouterMessage::Update {
-            update_watermark: known,
-            request_sent_at: sent,
-            lease_duration: lease,
-            is_snapshot: whole,
+            update_watermark,
+            request_sent_at,
+            lease_duration,
+            is_snapshot,
             grants,
             members,
             config,
-            health_reports_wanted: evidence_wanted,
+            health_reports_wanted,
             ..
-        } = news
+        } = message
         else {
             return;
         };
-        self.evidence_wanted.clone_from(evidence_wanted);
-        if *whole {
+        self.health_reports_wanted.clone_from(health_reports_wanted);
+        if *is_snapshot {
             self.grants.clear();
             self.members.clear();
             self.lease_until = f64::NEG_INFINITY;
         }
-        self.grants
-            .extend(grants.iter().map(|g| (g.service.clone(), g.clone())));
-        self.members.extend(members.iter().map(|m| m.id.clone()));
+        for grant in grants {
+            self.grants.insert(grant.service.clone(), grant.clone());
+        }
+        self.members
+            .extend(members.iter().map(|member| member.id.clone()));
         if let Some(text) = config
             .as_ref()
-            .and_then(|news| news.resolve(&self.config_text))
+            .and_then(|update| update.resolve(&self.config_text))
         {
-            self.epoch = text.len() as u64;
+            // The tests take a configuration's length for its epoch.
+            self.config_epoch = text.len() as u64;
             self.config_text = text.to_vec();
         }
-        self.known = self.known.max(*known);
-        if let Some(sent) = sent {
-            self.answers.push(news.clone());
-            if *lease > 0.0 {
-                self.lease_until = self.lease_until.max(sent + lease);
+        self.watermark = self.watermark.max(*update_watermark);
+        if let Some(sent_at) = request_sent_at {
+            self.responses.push(message.clone());
+            if *lease_duration > 0.0 {
+                self.lease_until = self.lease_until.max(sent_at + lease_duration);
             }
         }
     }
--- a/crates/core/control/src/tests/storm.rs
+++ b/crates/core/control/src/tests/storm.rs
@@ -22,13 +22,13 @@
 fn an_answer_carries_the_lease_and_no_news() {
     let mut fleet = Fleet::new(1, 20);
     fleet.configure(1, b"x");
-    fleet.until(5.0, "primaries", |f| f.served(20) == 1);
+    fleet.run_until(5.0, "primaries", |f| f.routers_serving(20) == 1);
     for _ in 0..50 {
         fleet.tick();
     }
     let it = &fleet.routers[0];
-    assert!(it.answers.len() > 2 && it.answers.iter().any(is_lease));
-    for answer in &it.answers {
+    assert!(it.responses.len() > 2 && it.responses.iter().any(is_lease));
+    for answer in &it.responses {
         let RouterMessage::Update {
             grants,
             members,
@@ -47,19 +47,21 @@
 #[test]
 fn the_first_lease_comes_once_the_whole_is_known() {
     let mut fleet = Fleet::new(1, 2);
-    fleet.routers[0].reads_from = fleet.now + 1.0;
+    fleet.routers[0].reads_updates_from = fleet.now + 1.0;
     for _ in 0..45 {
         fleet.tick();
     }
-    assert!(fleet.routers[0].answers.len() > 1 && !fleet.routers[0].answers.iter().any(is_lease));
-    fleet.until(1.0, "a lease", |f| f.served(2) == 1);
+    assert!(
+        fleet.routers[0].responses.len() > 1 && !fleet.routers[0].responses.iter().any(is_lease)
+    );
+    fleet.run_until(1.0, "a lease", |f| f.routers_serving(2) == 1);
 }
 
 /// A new leader's first moment: five hundred routers ask at once. Each is told once, in turn, and all share what they are told.
 #[test]
 fn a_crowd_is_told_in_turns_and_shares_what_it_is_told() {
     let mut fleet = Fleet::new(530, 20);
-    fleet.until(2.0, "primaries", |f| {
+    fleet.run_until(2.0, "primaries", |f| {
         f.controller
             .primaries()
             .iter()
@@ -69,23 +71,23 @@
     for router in 0..530 {
         fleet.controller.session_closed(router as u64 + 1);
         fleet.routers[router] = Default::default();
-        fleet.renew(router);
+        fleet.request_lease(router);
     }
     let (mut told, mut shared) = (Vec::new(), HashSet::new());
     for _ in 0..530usize.div_ceil(MAX_SESSIONS_PER_TICK) {
         let said = fleet.tick();
         assert!(
-            said.news.len() <= MAX_SESSIONS_PER_TICK,
+            said.updates.len() <= MAX_SESSIONS_PER_TICK,
             "{} in one tick",
-            said.news.len()
+            said.updates.len()
         );
-        told.extend(said.news.iter().map(|(router, _)| *router));
-        shared.extend(said.news.iter().map(|(_, news)| Rc::as_ptr(news)));
+        told.extend(said.updates.iter().map(|(router, _)| *router));
+        shared.extend(said.updates.iter().map(|(_, news)| Rc::as_ptr(news)));
     }
     told.sort_unstable();
     assert_eq!(told, (0..530).collect::<Vec<_>>(), "each is told once");
     assert!(shared.len() <= 2, "{} different wholes", shared.len());
-    fleet.until(0.1, "leases", |f| f.served(20) == 530);
+    fleet.run_until(0.1, "leases", |f| f.routers_serving(20) == 530);
 }
 
 /// A router that takes no news for three seconds, while a hundred things change, is told at most its last news again after a
@@ -93,8 +95,8 @@
 #[test]
 fn a_slow_router_has_one_news_under_way() {
     let mut fleet = Fleet::new(2, 5);
-    fleet.until(2.0, "primaries", |f| f.served(5) == 2);
-    fleet.routers[0].reads_from = fleet.now + 3.0;
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(5) == 2);
+    fleet.routers[0].reads_updates_from = fleet.now + 3.0;
     let mut told = [0, 0];
     for change in 0..150 {
         let phase = if change % 2 == 0 {
@@ -102,8 +104,8 @@
         } else {
             MemberPhase::Ready
         };
-        fleet.beat("server-1", phase);
-        for (router, _) in fleet.tick().news {
+        fleet.heartbeat("server-1", phase);
+        for (router, _) in fleet.tick().updates {
             told[router] += 1;
         }
         assert!(
@@ -113,23 +115,25 @@
     }
     assert!(told[1] > 100, "the other was told each change: {told:?}");
     assert!((1..=3).contains(&told[0]), "{told:?}");
-    let last = fleet.routers[1].known;
-    fleet.until(1.0, "the rest", |f| f.routers[0].known >= last);
+    let last = fleet.routers[1].watermark;
+    fleet.run_until(1.0, "the rest", |f| f.routers[0].watermark >= last);
 }
 
 /// A session whose configuration is under way gets its leases meanwhile, and the configuration only once.
 #[test]
 fn leases_go_on_while_a_configuration_is_under_way() {
     let mut fleet = Fleet::new(1, 2);
-    fleet.until(2.0, "primaries", |f| f.served(2) == 1);
-    fleet.routers[0].reads_from = fleet.now + 0.8;
-    fleet.routers[0].answers.clear();
-    let mut told = fleet.configure(1, &[b'x'; 9]).news.len();
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(2) == 1);
+    fleet.routers[0].reads_updates_from = fleet.now + 0.8;
+    fleet.routers[0].responses.clear();
+    let mut told = fleet.configure(1, &[b'x'; 9]).updates.len();
     for _ in 0..39 {
-        told += fleet.tick().news.len();
+        told += fleet.tick().updates.len();
     }
     assert_eq!(told, 1);
-    assert!(fleet.routers[0].answers.len() >= 2 && fleet.routers[0].answers.iter().all(is_lease));
+    assert!(
+        fleet.routers[0].responses.len() >= 2 && fleet.routers[0].responses.iter().all(is_lease)
+    );
 }
 
 /// A text of so many bytes, whose length these tests take for its epoch.
@@ -162,10 +166,10 @@
     fleet.configure(5000, &text(5000));
     let first = configs(
         &fleet
-            .until(3.0, "the first", |f| {
-                f.routers.iter().all(|r| r.epoch == 5000)
+            .run_until(3.0, "the first", |f| {
+                f.routers.iter().all(|r| r.config_epoch == 5000)
             })
-            .news,
+            .updates,
     );
     assert!(
         first.len() == 30
@@ -175,16 +179,16 @@
     );
     // One has lost what it had.
     fleet.routers[7].forget_config();
-    fleet.until(0.5, "it says so", |f| f.routers[7].epoch == 5000);
+    fleet.run_until(0.5, "it says so", |f| f.routers[7].config_epoch == 5000);
     let mut bytes = 0;
     for epoch in 5001..5004 {
-        let mut said = fleet.configure(epoch, &text(epoch)).news;
+        let mut said = fleet.configure(epoch, &text(epoch)).updates;
         said.extend(
             fleet
-                .until(3.0, "the next", |f| {
-                    f.routers.iter().all(|r| r.epoch == epoch)
+                .run_until(3.0, "the next", |f| {
+                    f.routers.iter().all(|r| r.config_epoch == epoch)
                 })
-                .news,
+                .updates,
         );
         let told = configs(&said);
         assert_eq!(told.len(), 30, "each is told once");
@@ -209,16 +213,23 @@
 #[test]
 fn a_lease_that_is_renewed_proves_nothing_of_news_under_way() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.until(2.0, "primaries", |f| f.served(1) == 1);
-    fleet.routers[0].reads_from = fleet.now + 2.0;
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(1) == 1);
+    fleet.routers[0].reads_updates_from = fleet.now + 2.0;
     // The primary dies: its grant is taken back, and nobody is chosen before the router knows.
-    fleet.dark.insert("server-0".to_owned());
+    fleet.unresponsive_servers.insert("server-0".to_owned());
     let mut promotions = 0;
-    while fleet.now < fleet.routers[0].reads_from - TICK {
+    while fleet.now < fleet.routers[0].reads_updates_from - TICK {
         promotions += fleet.tick().promotions;
     }
-    assert!(!fleet.routers[0].unread.is_empty() && promotions == 0);
-    assert!(fleet.routers[0].answers.iter().rev().take(2).all(is_lease));
+    assert!(!fleet.routers[0].unread_updates.is_empty() && promotions == 0);
+    assert!(
+        fleet.routers[0]
+            .responses
+            .iter()
+            .rev()
+            .take(2)
+            .all(is_lease)
+    );
 }
 
 /// A router that could hold no lease any more when a primary was replaced gets none before it knows of that, though its session
@@ -226,32 +237,32 @@
 #[test]
 fn a_lease_that_ran_out_is_given_again_to_whom_knows_all_grants() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.until(2.0, "primaries", |f| f.served(1) == 2);
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(1) == 2);
     // One router says nothing and takes nothing for a while; it is told of a member before the grant is taken back.
     fleet.routers[0].silent = true;
-    fleet.beat("server-1", MemberPhase::Draining);
+    fleet.heartbeat("server-1", MemberPhase::Draining);
     for _ in 0..20 {
         fleet.tick();
     }
-    fleet.dark.insert("server-0".to_owned());
-    fleet.until(5.0, "the primary is given up", |f| f.promoted > 0);
+    fleet.unresponsive_servers.insert("server-0".to_owned());
+    fleet.run_until(5.0, "the primary is given up", |f| f.promotion_requests > 0);
     assert!(fleet.now > fleet.routers[0].lease_until);
-    let before = fleet.routers[0].unread.remove(0);
-    let later = std::mem::take(&mut fleet.routers[0].unread);
-    fleet.routers[0].take(&before);
+    let before = fleet.routers[0].unread_updates.remove(0);
+    let later = std::mem::take(&mut fleet.routers[0].unread_updates);
+    fleet.routers[0].apply(&before);
     fleet.routers[0].silent = false;
-    fleet.renew(0);
+    fleet.request_lease(0);
     let it = &fleet.routers[0];
     assert!(
         !it.grants["service-0000"].revoking,
         "it knows the grant as it was"
     );
     assert!(
-        it.answers.last().is_some_and(|answer| !is_lease(answer)) && it.lease_until < fleet.now
+        it.responses.last().is_some_and(|answer| !is_lease(answer)) && it.lease_until < fleet.now
     );
     // Told the rest, it gets one.
-    fleet.routers[0].unread = later;
-    fleet.until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
+    fleet.routers[0].unread_updates = later;
+    fleet.run_until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
     assert!(fleet.routers[0].grants["service-0000"].revoking);
 }
 
@@ -263,13 +274,13 @@
     for tick in [TICK, 0.2] {
         let mut fleet = Fleet::new(1, SERVICES);
         let began = fleet.now;
-        while fleet.served(SERVICES) == 0 {
+        while fleet.routers_serving(SERVICES) == 0 {
             let said = fleet.tick_after(tick);
             // The last service that had its turn asks all of its servers.
             assert!(
-                said.questions.len() <= MAX_COMMANDS_PER_TICK + 2,
+                said.commands.len() <= MAX_COMMANDS_PER_TICK + 2,
                 "{} questions",
-                said.questions.len()
+                said.commands.len()
             );
             let given_up = fleet
                 .controller
@@ -295,11 +306,11 @@
 #[test]
 fn many_services_are_asked_seldom() {
     let mut fleet = Fleet::new(1, 400);
-    fleet.until(3.0, "primaries", |f| f.served(400) == 1);
+    fleet.run_until(3.0, "primaries", |f| f.routers_serving(400) == 1);
     let mut questions = 0;
     for _ in 0..(5.0 / TICK) as usize {
-        questions += fleet.tick().questions.len();
-        assert_eq!(fleet.served(400), 1);
+        questions += fleet.tick().commands.len();
+        assert_eq!(fleet.routers_serving(400), 1);
     }
     // Each primary each 0.4 s at its turn, each replica each 7 s; with replicas as often as with few services it would be 7,500.
     assert!(
@@ -313,16 +324,16 @@
 fn few_services_wait_for_no_turn() {
     let services = MAX_SERVICES_PER_TICK / 4;
     let mut fleet = Fleet::new(1, services);
-    let asked: usize = (0..10).map(|_| fleet.tick().questions.len()).sum();
+    let asked: usize = (0..10).map(|_| fleet.tick().commands.len()).sum();
     assert!(asked >= 3 * services, "{asked}");
-    fleet.until(0.5, "primaries", |f| f.served(services) == 1);
+    fleet.run_until(0.5, "primaries", |f| f.routers_serving(services) == 1);
 }
 
 /// A leader that didn't run for two seconds asked nobody meanwhile: no primary is dead for that.
 #[test]
 fn a_late_leader_takes_nobody_for_dead() {
     let mut fleet = Fleet::new(1, 10);
-    fleet.until(2.0, "primaries", |f| f.served(10) == 1);
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(10) == 1);
     fleet.tick_after(2.0);
     for _ in 0..10 {
         fleet.tick();
@@ -338,9 +349,9 @@
     for _ in 0..60 {
         fleet.tick();
     }
-    fleet.dark.insert("server-0".to_owned());
+    fleet.unresponsive_servers.insert("server-0".to_owned());
     let began = fleet.now;
-    fleet.until(0.8, "one is given up", |f| {
+    fleet.run_until(0.8, "one is given up", |f| {
         f.controller.primaries()[0].1 != "steady"
     });
     assert!(fleet.now - began > 0.4);
@@ -350,27 +361,27 @@
 #[test]
 fn evidence_is_asked_for_where_it_is_wanted() {
     let mut fleet = Fleet::new(1, 3);
-    fleet.until(2.0, "primaries", |f| f.served(3) == 1);
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(3) == 1);
     let seen = |n: usize| HealthReport {
         service: format!("service-000{n}"),
         server_id: format!("server-{}", 3 * n),
         answered_seconds_ago: 0.01,
     };
-    fleet.routers[0].evidence = vec![seen(0), seen(1), seen(2)];
+    fleet.routers[0].health_reports = vec![seen(0), seen(1), seen(2)];
     for _ in 0..50 {
         fleet.tick();
-        assert!(fleet.routers[0].evidence_wanted.is_empty());
+        assert!(fleet.routers[0].health_reports_wanted.is_empty());
     }
-    fleet.dark.insert("server-3".to_owned());
-    fleet.until(0.5, "it is asked about", |f| {
-        f.routers[0].evidence_wanted == ["service-0001"]
+    fleet.unresponsive_servers.insert("server-3".to_owned());
+    fleet.run_until(0.5, "it is asked about", |f| {
+        f.routers[0].health_reports_wanted == ["service-0001"]
     });
     for _ in 0..150 {
         fleet.tick();
         assert_eq!(fleet.controller.primaries()[1].1, "steady");
     }
-    fleet.routers[0].evidence.clear();
-    fleet.until(1.0, "it is given up", |f| {
+    fleet.routers[0].health_reports.clear();
+    fleet.run_until(1.0, "it is given up", |f| {
         f.controller.primaries()[1].1 != "steady"
     });
 }
@@ -380,10 +391,10 @@
 fn an_answer_asks_about_so_many_primaries_at_most() {
     let services = 2 * MAX_HEALTH_REPORT_SERVICES;
     let mut fleet = Fleet::new(1, services);
-    fleet.until(3.0, "primaries", |f| f.served(services) == 1);
-    fleet.dark = (0..services).map(|n| format!("server-{}", 3 * n)).collect();
-    fleet.until(1.0, "they are asked about", |f| {
-        f.routers[0].evidence_wanted.len() == MAX_HEALTH_REPORT_SERVICES
+    fleet.run_until(3.0, "primaries", |f| f.routers_serving(services) == 1);
+    fleet.unresponsive_servers = (0..services).map(|n| format!("server-{}", 3 * n)).collect();
+    fleet.run_until(1.0, "they are asked about", |f| {
+        f.routers[0].health_reports_wanted.len() == MAX_HEALTH_REPORT_SERVICES
     });
 }
 
