--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -37,7 +37,7 @@
 #[cfg(test)]
 pub(crate) use failover_driver::{MAX_COMMANDS_PER_TICK, MAX_HEALTH_REPORT_SERVICES};
 use heartbeat_batch::HeartbeatBatch;
-pub use interface::{ControlConfig, ControlRequest, ControlResponse, Output};
+pub use interface::{ControlConfig, ControlRequest, ControlResponse, FailoverStatus, Output};
 use leadership::Leadership;
 use member_replication::MemberReplication;
 use requests::{ForwardedRequests, QueuedRequest};
@@ -160,9 +160,8 @@
         &self.members
     }
 
-    /// For logs and operators: each service with its phase and its newest grant. Empty unless this
-    /// machine leads.
-    pub fn primaries(&self) -> Vec<(String, &'static str, PrimaryGrant)> {
+    /// The primaries of all services, for logs and operators. Empty unless this machine leads.
+    pub fn primaries(&self) -> Vec<FailoverStatus> {
         let Some(lead) = &self.leadership else {
             return Vec::new();
         };
@@ -176,8 +175,10 @@
             .iter()
             .map(|(service, failover)| {
                 let grant = lead.grants.get(service).cloned();
-                let grant = grant.unwrap_or_else(|| no_grant(service));
-                (service.clone(), failover.phase(), grant)
+                FailoverStatus {
+                    phase: failover.phase(),
+                    grant: grant.unwrap_or_else(|| no_grant(service)),
+                }
             })
             .collect()
     }
--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -90,15 +90,16 @@
         server_id: &str,
         outcome: PromotionOutcome,
     ) {
-        if let Some(failover) = self
-            .leadership
-            .as_mut()
-            .and_then(|lead| lead.failovers.get_mut(service))
-        {
+        if let Some(failover) = self.failover_mut(service) {
             failover.promotion_completed(now, server_id, outcome);
         }
     }
 
+    /// The failover of a service, while this machine leads.
+    pub(super) fn failover_mut(&mut self, service: &str) -> Option<&mut Failover> {
+        self.leadership.as_mut()?.failovers.get_mut(service)
+    }
+
     /// Creates the failovers of services that have members for the first time.
     pub(super) fn add_new_services(&mut self) {
         let config = self.config.failover;
@@ -219,12 +220,9 @@
                     server_id,
                     primary_term,
                 } => self.propose_completion(now, service, server_id, primary_term, out),
-                FailoverAction::Promote { server_id } => out.push(Output::Promote {
-                    service: service.to_owned(),
-                    server_id,
-                    fencing_token: self.fencing_token(),
-                    deadline: self.consensus.authority_until(),
-                }),
+                FailoverAction::Promote { server_id } => {
+                    out.push(self.promotion_request(service, server_id));
+                }
                 FailoverAction::Grant {
                     server_id,
                     primary_term,
@@ -264,6 +262,15 @@
         });
     }
 
+    fn promotion_request(&self, service: &str, server_id: String) -> Output {
+        Output::Promote {
+            service: service.to_owned(),
+            server_id,
+            fencing_token: self.fencing_token(),
+            deadline: self.consensus.authority_until(),
+        }
+    }
+
     /// Proposes the promotion target before all that waits: a service has no primary meanwhile.
     fn propose_primary(
         &mut self,
--- a/crates/core/control/src/controller/interface.rs
+++ b/crates/core/control/src/controller/interface.rs
@@ -4,7 +4,7 @@
 use crate::consensus::Recipient;
 use crate::failover::{FailoverConfig, ServerCommand};
 use crate::members::Heartbeat;
-use crate::message::{PeerMessage, RouterMessage};
+use crate::message::{PeerMessage, PrimaryGrant, RouterMessage};
 use std::rc::Rc;
 
 /// The settings of a control machine; all spans in seconds.
@@ -90,6 +90,15 @@
     }
 }
 
+/// Where the failover of a service stands, for logs and operators.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FailoverStatus {
+    /// The phase of the failover, in the words of the users' pages (`Failover::phase`).
+    pub phase: &'static str,
+    /// The newest grant; without a server, and revoking, before the first.
+    pub grant: PrimaryGrant,
+}
+
 /// What the driver of a [`Controller`](super::Controller) is to do. Outputs are carried out in the
 /// order in which they come.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/core/control/src/controller/proposals.rs
+++ b/crates/core/control/src/controller/proposals.rs
@@ -156,27 +156,8 @@
     }
 
     fn evaluate(&self, proposal: &Proposal) -> Evaluation {
-        let authority_until = self.consensus.authority_until();
         match proposal {
-            Proposal::Config(ConfigRequest::Read) => Evaluation::Respond(ControlResponse::until(
-                authority_until,
-                200,
-                self.committed.config.clone(),
-            )),
-            Proposal::Config(ConfigRequest::Replace {
-                base_epoch,
-                epoch,
-                body,
-            }) => match self.committed.check_replace(*base_epoch, *epoch, body) {
-                ReplaceVerdict::Apply => {
-                    Evaluation::Propose(self.committed.config_change(*epoch, body))
-                }
-                verdict => Evaluation::Respond(rejection(
-                    verdict,
-                    self.committed.config_epoch,
-                    authority_until,
-                )),
-            },
+            Proposal::Config(request) => self.evaluate_config_request(request),
             Proposal::PromotePrimary {
                 service,
                 server_id,
@@ -202,6 +183,28 @@
         }
     }
 
+    fn evaluate_config_request(&self, request: &ConfigRequest) -> Evaluation {
+        let authority_until = self.consensus.authority_until();
+        let committed = &self.committed;
+        match request {
+            ConfigRequest::Read => Evaluation::Respond(ControlResponse::until(
+                authority_until,
+                200,
+                committed.config.clone(),
+            )),
+            ConfigRequest::Replace {
+                base_epoch,
+                epoch,
+                body,
+            } => match committed.check_replace(*base_epoch, *epoch, body) {
+                ReplaceVerdict::Apply => Evaluation::Propose(committed.config_change(*epoch, body)),
+                verdict => {
+                    Evaluation::Respond(rejection(verdict, committed.config_epoch, authority_until))
+                }
+            },
+        }
+    }
+
     fn propose(
         &mut self,
         now: f64,
@@ -242,11 +245,7 @@
                 respond(&pending.requester, response, out);
             }
             Proposal::PromotePrimary { service, .. } => {
-                if let Some(failover) = self
-                    .leadership
-                    .as_mut()
-                    .and_then(|lead| lead.failovers.get_mut(&service))
-                {
+                if let Some(failover) = self.failover_mut(&service) {
                     failover.proposal_decided(now, false);
                 }
             }
@@ -269,11 +268,7 @@
                 respond(&pending.requester, response, out);
             }
             Proposal::PromotePrimary { service, .. } => {
-                if let Some(failover) = self
-                    .leadership
-                    .as_mut()
-                    .and_then(|lead| lead.failovers.get_mut(&service))
-                {
+                if let Some(failover) = self.failover_mut(&service) {
                     let action = failover.proposal_decided(now, true);
                     self.perform_actions(now, &service, action, out);
                 }
--- a/crates/core/control/src/controller/requests.rs
+++ b/crates/core/control/src/controller/requests.rs
@@ -4,6 +4,7 @@
 use super::proposals::{ConfigRequest, PendingProposal, Proposal, Requester, respond};
 use super::{ControlRequest, ControlResponse, Controller, Output};
 use crate::consensus::Recipient;
+use crate::members::Heartbeat;
 use crate::message::{LeaderRequest, MemberInfo, PeerMessage, RequestId};
 use crate::state::ConfigPayload;
 use crate::voter_set::Voter;
@@ -111,16 +112,7 @@
             ControlRequest::Heartbeat {
                 server_id,
                 heartbeat,
-            } => {
-                let update_number = self.next_update_number();
-                let update = self
-                    .members
-                    .heartbeat(now, &server_id, &heartbeat, update_number);
-                self.update_due |= update.is_some()
-                    && update_number > 0
-                    && self.members.is_changed_in(&server_id, update_number);
-                self.acknowledge_member(now, request_id, &server_id, update, &mut out);
-            }
+            } => self.handle_heartbeat(now, request_id, &server_id, &heartbeat, &mut out),
             ControlRequest::Depart { server_id } => {
                 self.handle_departure(now, request_id, &server_id, &mut out);
             }
@@ -143,6 +135,24 @@
         out
     }
 
+    fn handle_heartbeat(
+        &mut self,
+        now: f64,
+        request_id: u64,
+        server_id: &str,
+        heartbeat: &Heartbeat,
+        out: &mut Vec<Output>,
+    ) {
+        let update_number = self.next_update_number();
+        let update = self
+            .members
+            .heartbeat(now, server_id, heartbeat, update_number);
+        self.update_due |= update.is_some()
+            && update_number > 0
+            && self.members.is_changed_in(server_id, update_number);
+        self.acknowledge_member(now, request_id, server_id, update, out);
+    }
+
     fn handle_departure(
         &mut self,
         now: f64,
--- a/crates/core/control/src/controller/router_updates.rs
+++ b/crates/core/control/src/controller/router_updates.rs
@@ -348,11 +348,7 @@
     fn record_health_reports(&mut self, now: f64, reports: &[HealthReport]) {
         for report in reports {
             let answered_at = now - report.answered_seconds_ago;
-            if let Some(failover) = self
-                .leadership
-                .as_mut()
-                .and_then(|lead| lead.failovers.get_mut(&report.service))
-            {
+            if let Some(failover) = self.failover_mut(&report.service) {
                 failover.health_reported(&report.server_id, answered_at);
             }
             // A server that answers a router is there, though control may not reach it.
--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -21,22 +21,26 @@
 //!
 //! # Phases
 //!
-//! ```text
-//!                        ┌── found ──────────────────────────────┐
-//! Discovering ── missing ┴─> Revoking ── chosen ─┐               v
-//!      ^                        ^                v            Steady
-//!      │ changed itself         │ dead      Proposing            │ draining
-//!      └── Steady ──────────────┘                v               v
-//!                                            Promoting <──── Handover
-//!                        Steady <── Completing <─┘ (planned)
-//! ```
+//! - `Discovering`: to `Steady` when a usable primary is found, to `Revoking` when none turns up
+//!   in time.
+//! - `Steady`: to `Revoking` when the primary is dead or its drain ends, to `Handover` when it
+//!   drains, to `Discovering` when it reports that it isn't primary any more.
+//! - `Revoking`: to `Steady` when the primary is back or another is found, to `Proposing` when a
+//!   replica is chosen.
+//! - `Handover`: to `Proposing` when the target has caught up, to `Steady` when it hasn't in time,
+//!   to `Revoking` when the primary dies.
+//! - `Proposing`: to `Promoting` when the target is committed, to `Discovering` when it isn't.
+//! - `Promoting`: when the target is primary, to `Steady`, or to `Completing` if the promotion is
+//!   planned; when the platform refuses, to `Revoking`, or to `Discovering` if it is planned; to
+//!   `Revoking` when the target is lost.
+//! - `Completing`: to `Steady` when all routers have given up the old primary.
 //!
 //! Each phase has its module, with the method that [`Failover::tick`] calls in that phase.
 
 mod completing;
 mod discovering;
 mod fencing;
-mod handing_over;
+mod handover;
 mod interface;
 mod observation;
 mod polling;
--- a/crates/core/control/src/failover/handing_over.rs
+++ b/crates/core/control/src/failover/handover.rs
@@ -73,39 +73,49 @@
             self.abandon_primary(actions);
             return;
         }
+        let progress = self.prepare_servers(context, &primary.server_id, handover, actions);
         let target_id = &handover.target_id;
+        if progress.complete
+            && self.has_caught_up(target_id, &progress)
+            && self.has_writes_of_departed(context, &primary.server_id, target_id)
+        {
+            let target = PromotionTarget {
+                server_id: target_id.clone(),
+                after_term: self.highest_log_term().max(primary.primary_term),
+                planned: true,
+            };
+            self.propose_target(target, actions);
+        } else if now - handover.started_at > HANDOVER_TIMEOUT_S {
+            log::info!("event=handover_timed_out to={target_id}");
+            self.retry_at = now + RETRY_BACKOFF_S;
+            self.phase = Phase::Steady;
+        }
+    }
+
+    /// Queries the primary and the target, and pauses the others.
+    fn prepare_servers(
+        &mut self,
+        context: &FailoverContext<'_>,
+        primary_id: &str,
+        handover: &Handover,
+        actions: &mut Vec<FailoverAction>,
+    ) -> PauseProgress {
         self.send_command(
-            now,
-            &primary.server_id,
+            context.now,
+            primary_id,
             self.config.primary_poll_interval,
             ServerCommand::Status,
             actions,
         );
-        let progress = self.pause_bystanders(context, &primary.server_id, handover, actions);
+        let progress = self.pause_bystanders(context, primary_id, handover, actions);
         self.send_command(
-            now,
-            target_id,
+            context.now,
+            &handover.target_id,
             TARGET_QUERY_INTERVAL_S,
             ServerCommand::Status,
             actions,
         );
-        if progress.complete
-            && self.has_caught_up(target_id, &progress)
-            && self.has_writes_of_departed(context, &primary.server_id, target_id)
-        {
-            self.propose_target(
-                PromotionTarget {
-                    server_id: target_id.clone(),
-                    after_term: self.highest_log_term().max(primary.primary_term),
-                    planned: true,
-                },
-                actions,
-            );
-        } else if now - handover.started_at > HANDOVER_TIMEOUT_S {
-            log::info!("event=handover_timed_out to={target_id}");
-            self.retry_at = now + RETRY_BACKOFF_S;
-            self.phase = Phase::Steady;
-        }
+        progress
     }
 
     /// Pauses all replicas but the target.
--- a/crates/core/control/src/lib.rs
+++ b/crates/core/control/src/lib.rs
@@ -23,7 +23,8 @@
     StatePayload,
 };
 pub use controller::{
-    ControlConfig, ControlRequest, ControlResponse, Controller, Output, PRIMARY_CHANGES_KEPT,
+    ControlConfig, ControlRequest, ControlResponse, Controller, FailoverStatus, Output,
+    PRIMARY_CHANGES_KEPT,
 };
 pub use digest::Digest;
 pub use failover::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
--- a/crates/core/control/src/members.rs
+++ b/crates/core/control/src/members.rs
@@ -150,8 +150,8 @@
 }
 
 impl MemberRegistry {
-    /// Takes a heartbeat. Returns what it reports, if it is newer than what was known. `update_number`
-    /// is that of the update to routers which will announce a change; 0 if this machine doesn't lead.
+    /// Takes a heartbeat. Returns what it reports, if it is newer than what was known. A change
+    /// will be announced to routers in the update `update_number`; 0 if this machine doesn't lead.
     pub fn heartbeat(
         &mut self,
         now: f64,
--- a/crates/core/control/src/tests/fleet.rs
+++ b/crates/core/control/src/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! One leading control machine beside many routers and many services, in a time that the test moves:
-//! what it sends to whom is counted, and any of it can be delayed.
+//! One leading control machine beside many routers and many services, in a time that the test
+//! moves: what it sends to whom is counted, and any of it can be delayed.
 
 use crate::controller::ControlConfig;
 use crate::controller::{ControlRequest, Controller, Output};
--- a/crates/core/control/src/tests/storm.rs
+++ b/crates/core/control/src/tests/storm.rs
@@ -65,7 +65,7 @@
         f.controller
             .primaries()
             .iter()
-            .all(|(_, phase, _)| *phase == "steady")
+            .all(|primary| primary.phase == "steady")
     });
     // All connections break: every router is a new one.
     for router in 0..530 {
@@ -286,7 +286,7 @@
                 .controller
                 .primaries()
                 .into_iter()
-                .find(|(_, phase, _)| *phase == "closing");
+                .find(|primary| primary.phase == "closing");
             assert_eq!(
                 given_up,
                 None,
@@ -342,7 +342,7 @@
         .controller
         .primaries()
         .iter()
-        .filter(|(_, phase, _)| *phase == "steady")
+        .filter(|primary| primary.phase == "steady")
         .count();
     assert_eq!(steady, 10);
     // A silence of their own counts as before, once the leader is punctual again.
@@ -352,7 +352,7 @@
     fleet.unresponsive_servers.insert("server-0".to_owned());
     let began = fleet.now;
     fleet.run_until(0.8, "one is given up", |f| {
-        f.controller.primaries()[0].1 != "steady"
+        f.controller.primaries()[0].phase != "steady"
     });
     assert!(fleet.now - began > 0.4);
 }
@@ -378,11 +378,11 @@
     });
     for _ in 0..150 {
         fleet.tick();
-        assert_eq!(fleet.controller.primaries()[1].1, "steady");
+        assert_eq!(fleet.controller.primaries()[1].phase, "steady");
     }
     fleet.routers[0].health_reports.clear();
     fleet.run_until(1.0, "it is given up", |f| {
-        f.controller.primaries()[1].1 != "steady"
+        f.controller.primaries()[1].phase != "steady"
     });
 }
 
--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -18,7 +18,7 @@
 use async_io::{Async, Timer};
 use badgerstream_control::{
     ControlConfig, ControlRequest, ControlResponse, Controller, FOUNDING_INCARNATION,
-    FailoverConfig, Heartbeat, MemberInfo, MemberPhase, NodeId, Output, PrimaryGrant, Recipient,
+    FailoverConfig, FailoverStatus, Heartbeat, MemberInfo, MemberPhase, NodeId, Output, Recipient,
     RouterMessage, Voter,
 };
 use badgerstream_control_api::call::{self, Operation, Reply};
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -41,8 +41,8 @@
         let consensus = controller.consensus();
         let record = consensus.hard_state();
         let mut primaries = BTreeMap::new();
-        for (_, phase, _) in controller.primaries() {
-            *primaries.entry(phase).or_default() += 1;
+        for primary in controller.primaries() {
+            *primaries.entry(primary.phase).or_default() += 1;
         }
         let mut servers = BTreeMap::from([("ready", 0), ("draining", 0)]);
         for member in controller
@@ -77,8 +77,8 @@
     pub(super) fn status(&self) -> Status {
         let controller = self.controller.borrow();
         let node = |n: &NodeId| Ipv4Addr::from(*n).to_string();
-        let primary = |(service, phase, grant): (String, &str, PrimaryGrant)| PrimaryStatus {
-            service,
+        let primary = |FailoverStatus { phase, grant }| PrimaryStatus {
+            service: grant.service,
             phase: phase.to_owned(),
             id: grant.server_id,
             term: grant.primary_term,
--- a/crates/testing/simulation/src/machine.rs
+++ b/crates/testing/simulation/src/machine.rs
@@ -261,7 +261,7 @@
         controller
             .primaries()
             .first()
-            .map_or("unknown", |primary| primary.1)
+            .map_or("unknown", |primary| primary.phase)
     }
 
     /// A call to this control machine; its answer is found in `replies` under this number.
