--- /dev/null
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -0,0 +1,375 @@
+//! Failover, the leader's singleton role: steps the failover of each service, and carries out the
+//! actions that come of it. What a step decides is in [`crate::failover`].
+
+use super::proposals::{PendingProposal, Proposal, Requester};
+use super::service_scheduler::scaled_config;
+use super::{Controller, Output, PRIMARY_CHANGES_KEPT};
+use crate::failover::{
+    CommandOutcome, Failover, FailoverAction, FailoverConfig, FailoverContext, ServerCandidate,
+    ServerCommand, UnresponsiveRole,
+};
+use crate::members::Member;
+use crate::message::PrimaryGrant;
+use crate::promotion::PromotionOutcome;
+use std::collections::{BTreeMap, HashMap};
+
+/// How many commands go to servers in one tick, at most. Services that had no turn for that have
+/// theirs in the next tick.
+pub(crate) const MAX_COMMANDS_PER_TICK: usize = 64;
+/// On how many services routers are to report at a time, at most.
+pub(crate) const MAX_HEALTH_REPORT_SERVICES: usize = 32;
+/// How long a proposal of a failover may wait.
+const PROPOSAL_TIMEOUT_S: f64 = 2.0;
+/// How many replicas have each write, unless the configuration says so.
+const DEFAULT_SYNC_REPLICAS: u32 = 1;
+
+impl Controller {
+    /// Sets how many replicas of each service have a write before it is acknowledged. The driver
+    /// calls this with each configuration that it has read.
+    pub fn set_sync_replicas(&mut self, sync_replicas: HashMap<String, u32>) {
+        if let Some(lead) = &mut self.leadership {
+            lead.sync_replicas = sync_replicas;
+        }
+    }
+
+    /// Whether this machine leads with this fencing token. What was begun under another one
+    /// counts no more.
+    pub fn leads_with(&self, fencing_token: u64) -> bool {
+        self.leadership
+            .as_ref()
+            .is_some_and(|lead| lead.fencing_token == fencing_token)
+    }
+
+    /// Whether this machine leads with this fencing token and knows that no other machine does:
+    /// to be checked just before anything is sent that a former leader must not send.
+    pub fn may_act_with(&self, now: f64, fencing_token: u64) -> bool {
+        self.leads_with(fencing_token) && self.may_act(now)
+    }
+
+    /// A command of [`Output::SendCommand`] has ended.
+    pub fn command_completed(
+        &mut self,
+        now: f64,
+        service: &str,
+        server_id: &str,
+        outcome: CommandOutcome,
+    ) {
+        match outcome {
+            CommandOutcome::Status { .. } | CommandOutcome::Busy => {
+                self.members.seen_alive(now, server_id);
+            }
+            CommandOutcome::Refused => self.server_refused(now, server_id),
+            CommandOutcome::TimedOut | CommandOutcome::NotSent => {}
+        }
+        let Some(lead) = &mut self.leadership else {
+            return;
+        };
+        let Some(failover) = lead.failovers.get_mut(service) else {
+            return;
+        };
+        failover.command_completed(now, server_id, outcome);
+        if !failover.is_steady() {
+            lead.scheduler.server_answered(service);
+        }
+    }
+
+    /// Nothing listens at the address of this server: one that was leaving has ended.
+    fn server_refused(&mut self, now: f64, server_id: &str) {
+        let update_number = self.next_update_number();
+        if let Some(departed) = self.members.refused(now, server_id, update_number) {
+            self.update_due |= update_number > 0;
+            self.heartbeat_batch.add(departed);
+        }
+    }
+
+    /// A request of [`Output::Promote`] has ended.
+    pub fn promotion_completed(
+        &mut self,
+        now: f64,
+        service: &str,
+        server_id: &str,
+        outcome: PromotionOutcome,
+    ) {
+        if let Some(failover) = self.failover_mut(service) {
+            failover.promotion_completed(now, server_id, outcome);
+        }
+    }
+
+    /// The failover of a service, while this machine leads.
+    pub(super) fn failover_mut(&mut self, service: &str) -> Option<&mut Failover> {
+        self.leadership.as_mut()?.failovers.get_mut(service)
+    }
+
+    /// Creates the failovers of services that have members for the first time.
+    pub(super) fn add_new_services(&mut self) {
+        let config = self.config.failover;
+        let Some(lead) = &mut self.leadership else {
+            return;
+        };
+        let change_count = Some(self.members.change_count());
+        if lead.services_added_at_change == change_count {
+            return;
+        }
+        lead.services_added_at_change = change_count;
+        for service in self.members.services() {
+            lead.failovers
+                .entry(service)
+                .or_insert_with(|| Failover::new(config));
+        }
+    }
+
+    /// Steps the failovers that have their turn in this tick.
+    pub(super) fn step_failovers(&mut self, now: f64, out: &mut Vec<Output>) {
+        let Some(lead) = &mut self.leadership else {
+            return;
+        };
+        let config = scaled_config(self.config.failover, lead.failovers.len());
+        let answered = lead.scheduler.take_answered();
+        let turns = lead.scheduler.next_turns(&lead.failovers);
+        let command_budget = lead.scheduler.budget(MAX_COMMANDS_PER_TICK);
+        let outputs_before = out.len();
+        for service in answered {
+            self.step_failover(now, &service, config, out);
+        }
+        for service in turns {
+            if count_commands(&out[outputs_before..]) >= command_budget {
+                break;
+            }
+            self.step_failover(now, &service, config, out);
+            if let Some(lead) = &mut self.leadership {
+                lead.scheduler.turn_done(service);
+            }
+        }
+        if let Some(lead) = &mut self.leadership {
+            let services = services_to_report_on(now, &lead.failovers);
+            lead.updates.want_health_reports(services);
+        }
+    }
+
+    fn step_failover(
+        &mut self,
+        now: f64,
+        service: &str,
+        config: FailoverConfig,
+        out: &mut Vec<Output>,
+    ) {
+        let members: Vec<ServerCandidate> =
+            self.members.of_service(service).map(candidate).collect();
+        let not_before = self.failover_not_before();
+        let Some(lead) = &mut self.leadership else {
+            return;
+        };
+        let Some(failover) = lead.failovers.get_mut(service) else {
+            return;
+        };
+        failover.begin_step(now, config);
+        let departed = self
+            .members
+            .departed_of(service, self.config.failover.heartbeat_interval);
+        let leases = &lead.leases;
+        let actions = failover.tick(&FailoverContext {
+            now,
+            members: &members,
+            departed: &departed,
+            recorded_primary: self.committed.primaries.get(service),
+            succeeds: &|old, new| self.members.succeeds(old, new),
+            same_address: &|one, other| self.members.share_an_address(one, other),
+            all_acknowledged: &|number| leases.all_acknowledged(now, number),
+            leading_since: lead.since,
+            not_before,
+            sync_replicas: lead
+                .sync_replicas
+                .get(service)
+                .copied()
+                .unwrap_or(DEFAULT_SYNC_REPLICAS),
+        });
+        self.perform_actions(now, service, actions, out);
+    }
+
+    /// When failovers may begin to change anything. Until then grants and platform requests of
+    /// former leaders may be in force, and what they knew of members may not be known here.
+    fn failover_not_before(&self) -> f64 {
+        match &self.leadership {
+            Some(lead) if self.knows_former_members() => {
+                let former_requests_until =
+                    lead.leases.former_leases_until() + self.config.platform_call_timeout;
+                former_requests_until.max(lead.since + self.config.duty_handover_delay)
+            }
+            _ => f64::INFINITY,
+        }
+    }
+
+    /// Carries out what the failover of a service decided.
+    pub(super) fn perform_actions(
+        &mut self,
+        now: f64,
+        service: &str,
+        actions: impl IntoIterator<Item = FailoverAction>,
+        out: &mut Vec<Output>,
+    ) {
+        for action in actions {
+            match action {
+                FailoverAction::SendCommand { server_id, command } => {
+                    self.send_command(now, service, server_id, command, out);
+                }
+                FailoverAction::ProposePrimary {
+                    server_id,
+                    after_term,
+                } => self.propose_primary(now, service, server_id, after_term, out),
+                FailoverAction::RecordComplete {
+                    server_id,
+                    primary_term,
+                } => self.propose_completion(now, service, server_id, primary_term, out),
+                FailoverAction::Promote { server_id } => {
+                    out.push(self.promotion_request(service, server_id));
+                }
+                FailoverAction::Grant {
+                    server_id,
+                    primary_term,
+                    revoking,
+                } => self.publish_grant(
+                    now,
+                    PrimaryGrant {
+                        service: service.to_owned(),
+                        server_id,
+                        primary_term,
+                        revoking,
+                    },
+                ),
+            }
+        }
+    }
+
+    fn send_command(
+        &mut self,
+        now: f64,
+        service: &str,
+        server_id: String,
+        command: ServerCommand,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(member) = self.members.get(&server_id) else {
+            // The failover awaits an outcome, and no address is known to send the command to.
+            self.command_completed(now, service, &server_id, CommandOutcome::TimedOut);
+            return;
+        };
+        out.push(Output::SendCommand {
+            endpoint: member.info.endpoint.clone(),
+            server_id,
+            service: service.to_owned(),
+            command,
+            fencing_token: self.fencing_token(),
+        });
+    }
+
+    fn promotion_request(&self, service: &str, server_id: String) -> Output {
+        Output::Promote {
+            service: service.to_owned(),
+            server_id,
+            fencing_token: self.fencing_token(),
+            deadline: self.consensus.authority_until(),
+        }
+    }
+
+    /// Proposes the promotion target before all that waits: a service has no primary meanwhile.
+    fn propose_primary(
+        &mut self,
+        now: f64,
+        service: &str,
+        server_id: String,
+        after_term: u64,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(lead) = &mut self.leadership {
+            lead.proposals.push_front(PendingProposal {
+                requester: Requester::Failover,
+                deadline: now + PROPOSAL_TIMEOUT_S,
+                proposal: Proposal::PromotePrimary {
+                    service: service.to_owned(),
+                    server_id,
+                    after_term,
+                },
+            });
+        }
+        self.propose_next(now, out);
+    }
+
+    fn propose_completion(
+        &mut self,
+        now: f64,
+        service: &str,
+        server_id: String,
+        primary_term: u64,
+        out: &mut Vec<Output>,
+    ) {
+        if let Some(lead) = &mut self.leadership {
+            lead.proposals.push_back(PendingProposal {
+                requester: Requester::Failover,
+                deadline: now + PROPOSAL_TIMEOUT_S,
+                proposal: Proposal::RecordPrimary {
+                    service: service.to_owned(),
+                    server_id,
+                    primary_term,
+                },
+            });
+        }
+        self.propose_next(now, out);
+    }
+
+    /// Gives the grant a place in the updates to routers. They are sent with the next tick.
+    fn publish_grant(&mut self, now: f64, grant: PrimaryGrant) {
+        let Some(lead) = &mut self.leadership else {
+            return;
+        };
+        log::info!(
+            "event=grant service={} id={} term={} closing={}",
+            grant.service,
+            grant.server_id,
+            grant.primary_term,
+            grant.revoking
+        );
+        let update_number = lead.updates.begin_update();
+        lead.leases.grant_changed(update_number);
+        if let Some(failover) = lead.failovers.get_mut(&grant.service) {
+            failover.grant_announced(update_number);
+        }
+        if let Some(outage_s) = lead.grants.replace(now, grant, update_number)
+            && self.primary_changes.len() < PRIMARY_CHANGES_KEPT
+        {
+            self.primary_changes.push(outage_s);
+        }
+        self.update_due = true;
+    }
+}
+
+fn count_commands(outputs: &[Output]) -> usize {
+    outputs
+        .iter()
+        .filter(|output| matches!(output, Output::SendCommand { .. }))
+        .count()
+}
+
+/// The services that routers are to report on: those whose primary has answered nobody for the
+/// longest, then those with a replica that doesn't answer.
+fn services_to_report_on(now: f64, failovers: &BTreeMap<String, Failover>) -> Vec<String> {
+    let mut unresponsive: Vec<((UnresponsiveRole, f64), &String)> = failovers
+        .iter()
+        .filter_map(|(service, failover)| Some((failover.unresponsive(now)?, service)))
+        .collect();
+    unresponsive.sort_by(|((role, seconds), _), ((other_role, other_seconds), _)| {
+        other_role.cmp(role).then(other_seconds.total_cmp(seconds))
+    });
+    unresponsive
+        .into_iter()
+        .take(MAX_HEALTH_REPORT_SERVICES)
+        .map(|(_, service)| service.clone())
+        .collect()
+}
+
+fn candidate(member: &Member) -> ServerCandidate {
+    ServerCandidate {
+        id: member.info.id.clone(),
+        draining_since: member.draining_since,
+        last_seen: member.last_seen,
+    }
+}
--- /dev/null
+++ b/crates/core/control/src/failover/revoking.rs
@@ -0,0 +1,231 @@
+//! The phase [`Phase::Revoking`](super::Phase::Revoking): the primary is given up. Its grant is
+//! being revoked, and all other replicas are paused and queried for how far their logs go, until
+//! one of them can be promoted or a primary turns up that may be used.
+
+use super::{
+    Failover, FailoverAction, FailoverContext, Observation, Phase, Primary, ServerCandidate,
+    ServerCommand,
+};
+
+/// Between two queries to the primary that was given up.
+const PRIMARY_QUERY_INTERVAL_S: f64 = 0.1;
+/// Between two attempts to pause a replica.
+const PAUSE_INTERVAL_S: f64 = 0.05;
+/// Between two queries to a paused replica, until one confirms the pause.
+const CONFIRM_INTERVAL_S: f64 = 0.02;
+/// A primary is back if its last answer is no older than this.
+const RETURNED_ANSWER_MAX_AGE_S: f64 = 0.3;
+/// The same for the time at which that answer's query was sent.
+const RETURNED_QUERY_MAX_AGE_S: f64 = 0.5;
+/// The status by which a former primary counts as a replica is no older than this.
+const STATUS_MAX_AGE_S: f64 = 1.0;
+/// A replica that hasn't answered for this long may be left out.
+const UNREACHABLE_EXCUSED_AFTER_S: f64 = 0.5;
+
+/// How far the pausing of the replicas has come.
+struct PauseProgress {
+    /// All that must be paused are, and none has received anything since the revocation.
+    complete: bool,
+    /// A server holds the pause term or a higher one, at which it can't be paused.
+    outrun: bool,
+}
+
+impl Failover {
+    pub(super) fn tick_revoking(
+        &mut self,
+        context: &FailoverContext<'_>,
+        pause_term: u64,
+        actions: &mut Vec<FailoverAction>,
+    ) {
+        if self.reinstate_primary(context, actions) {
+            return;
+        }
+        let old_primary_id = self.unreplaced_primary(context);
+        let old_primary_id = old_primary_id.as_deref();
+        let is_revoked = self.is_revoked(context);
+        // A server that was promoted before may be primary by now.
+        if let Some(found) = self.find_primary(context)
+            && Some(found.server_id.as_str()) != old_primary_id
+            && is_revoked
+        {
+            log::info!(
+                "event=primary_found id={} term={}",
+                found.server_id,
+                found.primary_term
+            );
+            self.grant_primary(context.now, found, actions);
+            return;
+        }
+        self.revoked_since = if is_revoked {
+            self.revoked_since.or(Some(context.now))
+        } else {
+            None
+        };
+        let progress = self.pause_replicas(context, old_primary_id, pause_term, actions);
+        if progress.outrun {
+            self.phase = Phase::Revoking {
+                pause_term: self.highest_held_term() + 1,
+            };
+        } else if progress.complete && is_revoked {
+            self.choose_target(context, old_primary_id, pause_term, actions);
+        }
+    }
+
+    /// Uses the primary again if it is back, with all that it had. Returns whether it is.
+    fn reinstate_primary(
+        &mut self,
+        context: &FailoverContext<'_>,
+        actions: &mut Vec<FailoverAction>,
+    ) -> bool {
+        let Some(primary) = self.primary.clone() else {
+            return false;
+        };
+        if context.is_member(&primary.server_id) {
+            self.send_command(
+                context.now,
+                &primary.server_id,
+                PRIMARY_QUERY_INTERVAL_S,
+                ServerCommand::Status,
+                actions,
+            );
+        }
+        if !self.is_primary_back(context, &primary) {
+            return false;
+        }
+        log::info!("event=primary_back id={}", primary.server_id);
+        self.grant_primary(context.now, primary, actions);
+        true
+    }
+
+    /// Whether the primary answers again as what it was, and nothing speaks against using it.
+    fn is_primary_back(&self, context: &FailoverContext<'_>, primary: &Primary) -> bool {
+        let observation = self.observed(&primary.server_id);
+        let answers = observation.failing_since.is_none()
+            && context.now - observation.answered_at < RETURNED_ANSWER_MAX_AGE_S
+            && observation.status_queried_at > context.now - RETURNED_QUERY_MAX_AGE_S;
+        let is_primary = observation
+            .status
+            .is_some_and(|status| status.is_primary && status.primary_term == primary.primary_term);
+        let no_other_recorded = context.recorded_primary.is_none_or(|record| {
+            record.server_id == primary.server_id && primary.primary_term >= record.min_term
+        });
+        let draining = context.draining_since(&primary.server_id).is_some();
+        answers
+            && is_primary
+            && no_other_recorded
+            && !draining
+            && self.highest_log_term() <= primary.primary_term
+    }
+
+    /// The old primary, unless it is to be paused and may be chosen like any replica.
+    fn unreplaced_primary(&self, context: &FailoverContext<'_>) -> Option<String> {
+        let id = &self.primary.as_ref()?.server_id;
+        let counts_as_replica = self.is_replica(id, context.now)
+            || context.has_successor(id)
+            || self.must_step_down(context, id);
+        (!counts_as_replica).then(|| id.clone())
+    }
+
+    /// Whether the old primary is back, but another server was committed as primary meanwhile and
+    /// may have been promoted: it is made a replica, and counts as one.
+    fn must_step_down(&self, context: &FailoverContext<'_>, server_id: &str) -> bool {
+        let observation = self.observed(server_id);
+        let is_back = observation.claims_primary()
+            && observation.status_queried_at > context.now - STATUS_MAX_AGE_S;
+        let records_other_server = context
+            .recorded_primary
+            .is_some_and(|record| record.server_id != server_id);
+        is_back
+            && records_other_server
+            && context.is_member(server_id)
+            && context.draining_since(server_id).is_none()
+    }
+
+    fn is_replica(&self, server_id: &str, now: f64) -> bool {
+        let observation = self.observed(server_id);
+        observation.failing_since.is_none()
+            && observation.status_queried_at > now - STATUS_MAX_AGE_S
+            && observation.status.is_some_and(|status| !status.is_primary)
+    }
+
+    /// Pauses all replicas, that is, all servers but the old primary.
+    fn pause_replicas(
+        &mut self,
+        context: &FailoverContext<'_>,
+        old_primary_id: Option<&str>,
+        pause_term: u64,
+        actions: &mut Vec<FailoverAction>,
+    ) -> PauseProgress {
+        let is_revoked = self.revoked_since.is_some();
+        let mut progress = PauseProgress {
+            complete: true,
+            outrun: false,
+        };
+        for member in context.members_except(old_primary_id) {
+            let observation = self.observed(&member.id);
+            if observation
+                .paused
+                .is_some_and(|pause| pause.term >= pause_term)
+            {
+                progress.complete &= self.confirm_pause(context.now, member, is_revoked, actions);
+                continue;
+            }
+            progress.complete &= is_excused(context, member, &observation)
+                || self.is_primary_position_final(&observation)
+                || self.is_represented(context, &member.id);
+            progress.outrun |= observation.failing_since.is_none()
+                && observation.status.is_some_and(|status| {
+                    status.primary_term.max(status.highest_term) >= pause_term
+                });
+            // A primary can't be paused; while routers may use it, it isn't stepped down either.
+            let step_down = observation.step_down_command().filter(|_| is_revoked);
+            let command = step_down.unwrap_or_else(|| observation.pause_command(pause_term));
+            self.send_command(context.now, &member.id, PAUSE_INTERVAL_S, command, actions);
+        }
+        progress
+    }
+
+    /// Queries a paused replica. Returns whether it is known to have been paused still when the
+    /// revocation was complete: it then has what the old primary acknowledged to any router.
+    fn confirm_pause(
+        &mut self,
+        now: f64,
+        member: &ServerCandidate,
+        is_revoked: bool,
+        actions: &mut Vec<FailoverAction>,
+    ) -> bool {
+        let is_confirmed =
+            is_revoked && self.observed(&member.id).pause_confirmed_at > self.revoked_since;
+        let interval = if is_revoked && !is_confirmed {
+            CONFIRM_INTERVAL_S
+        } else {
+            self.config.primary_poll_interval
+        };
+        self.send_command(now, &member.id, interval, ServerCommand::Status, actions);
+        is_confirmed
+    }
+
+    /// Whether this replica, which doesn't answer, may be left out since the primary reported its
+    /// position after the revocation: whichever replica is chosen must have all of that.
+    fn is_primary_position_final(&self, observation: &Observation) -> bool {
+        observation.failing_since.is_some()
+            && self.revoked_since.is_some_and(|revoked_since| {
+                self.primary_positions
+                    .iter()
+                    .any(|sample| sample.queried_at > revoked_since)
+            })
+    }
+}
+
+/// Whether a replica that can't be reached may be left out, as it has been down for a while and
+/// the primary went on without it.
+fn is_excused(
+    context: &FailoverContext<'_>,
+    member: &ServerCandidate,
+    observation: &Observation,
+) -> bool {
+    observation.failing_since.is_some_and(|failing_since| {
+        member.last_seen < failing_since + UNREACHABLE_EXCUSED_AFTER_S
+            && context.now - failing_since > UNREACHABLE_EXCUSED_AFTER_S
+    })
+}
--- a/crates/core/control/src/tests/load.rs
+++ b/crates/core/control/src/tests/load.rs
@@ -4,7 +4,8 @@
 use super::common::{founder, founding_hard_state};
 use super::fleet::{Fleet, TICK, timing};
 use crate::controller::{
-    ControlRequest, EVIDENCE_WANTED, Output, QUESTIONS_A_TICK, SERVICES_A_TICK, SESSIONS_A_TICK,
+    ControlRequest, MAX_COMMANDS_PER_TICK, MAX_HEALTH_REPORT_SERVICES, MAX_SERVICES_PER_TICK,
+    MAX_SESSIONS_PER_TICK, Output,
 };
 use crate::{
     ConfigUpdate, ConsensusMessage, Controller, HealthReport, Heartbeat, MemberPhase, PeerMessage,
@@ -29,13 +30,13 @@
 fn lease_response_carries_no_changes() {
     let mut fleet = Fleet::new(1, 20);
     fleet.configure(1, b"x");
-    fleet.until(5.0, "primaries", |f| f.served(20) == 1);
+    fleet.run_until(5.0, "primaries", |f| f.routers_serving(20) == 1);
     for _ in 0..50 {
         fleet.tick();
     }
     let router = &fleet.routers[0];
-    assert!(router.answers.len() > 2 && router.answers.iter().any(gives_lease));
-    for answer in &router.answers {
+    assert!(router.responses.len() > 2 && router.responses.iter().any(gives_lease));
+    for answer in &router.responses {
         let RouterMessage::Update {
             grants,
             members,
@@ -55,14 +56,14 @@
 #[test]
 fn first_lease_needs_an_acknowledged_snapshot() {
     let mut fleet = Fleet::new(1, 2);
-    fleet.routers[0].reads_from = fleet.now + 1.0;
+    fleet.routers[0].reads_updates_from = fleet.now + 1.0;
     for _ in 0..45 {
         fleet.tick();
     }
     assert!(
-        fleet.routers[0].answers.len() > 1 && !fleet.routers[0].answers.iter().any(gives_lease)
+        fleet.routers[0].responses.len() > 1 && !fleet.routers[0].responses.iter().any(gives_lease)
     );
-    fleet.until(1.0, "a lease", |f| f.served(2) == 1);
+    fleet.run_until(1.0, "a lease", |f| f.routers_serving(2) == 1);
 }
 
 /// Five hundred routers connect at once. Each gets one snapshot, a bounded number per tick, and all
@@ -70,33 +71,33 @@
 #[test]
 fn snapshots_for_many_routers_are_paced_and_shared() {
     let mut fleet = Fleet::new(530, 20);
-    fleet.until(2.0, "primaries", |f| {
+    fleet.run_until(2.0, "primaries", |f| {
         f.controller
             .primaries()
             .iter()
-            .all(|(_, phase, _)| *phase == "steady")
+            .all(|primary| primary.phase == "steady")
     });
     // All connections break, and every router starts without any state.
     for router in 0..530 {
         fleet.controller.session_closed(router as u64 + 1);
         fleet.routers[router] = Default::default();
-        fleet.renew(router);
+        fleet.request_lease(router);
     }
     let (mut sent, mut shared) = (Vec::new(), HashSet::new());
-    for _ in 0..530usize.div_ceil(SESSIONS_A_TICK) {
+    for _ in 0..530usize.div_ceil(MAX_SESSIONS_PER_TICK) {
         let outcome = fleet.tick();
         assert!(
-            outcome.news.len() <= SESSIONS_A_TICK,
+            outcome.updates.len() <= MAX_SESSIONS_PER_TICK,
             "{} in one tick",
-            outcome.news.len()
+            outcome.updates.len()
         );
-        sent.extend(outcome.news.iter().map(|(router, _)| *router));
-        shared.extend(outcome.news.iter().map(|(_, update)| Rc::as_ptr(update)));
+        sent.extend(outcome.updates.iter().map(|(router, _)| *router));
+        shared.extend(outcome.updates.iter().map(|(_, update)| Rc::as_ptr(update)));
     }
     sent.sort_unstable();
     assert_eq!(sent, (0..530).collect::<Vec<_>>(), "each gets it once");
     assert!(shared.len() <= 2, "{} different snapshots", shared.len());
-    fleet.until(0.1, "leases", |f| f.served(20) == 530);
+    fleet.run_until(0.1, "leases", |f| f.routers_serving(20) == 530);
 }
 
 /// A router reads no updates for three seconds, while a hundred things change: it is sent its last
@@ -105,8 +106,8 @@
 #[test]
 fn slow_router_has_one_update_in_flight() {
     let mut fleet = Fleet::new(2, 5);
-    fleet.until(2.0, "primaries", |f| f.served(5) == 2);
-    fleet.routers[0].reads_from = fleet.now + 3.0;
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(5) == 2);
+    fleet.routers[0].reads_updates_from = fleet.now + 3.0;
     let mut sent = [0, 0];
     for change in 0..150 {
         let phase = if change % 2 == 0 {
@@ -114,8 +115,8 @@
         } else {
             MemberPhase::Ready
         };
-        fleet.beat("server-1", phase);
-        for (router, _) in fleet.tick().news {
+        fleet.heartbeat("server-1", phase);
+        for (router, _) in fleet.tick().updates {
             sent[router] += 1;
         }
         assert!(
@@ -125,24 +126,24 @@
     }
     assert!(sent[1] > 100, "the other router gets each change: {sent:?}");
     assert!((1..=3).contains(&sent[0]), "{sent:?}");
-    let last = fleet.routers[1].known;
-    fleet.until(1.0, "the rest", |f| f.routers[0].known >= last);
+    let last = fleet.routers[1].watermark;
+    fleet.run_until(1.0, "the rest", |f| f.routers[0].watermark >= last);
 }
 
 /// A router gets leases while a configuration is in flight to it, and the configuration only once.
 #[test]
 fn leases_are_renewed_while_a_configuration_is_in_flight() {
     let mut fleet = Fleet::new(1, 2);
-    fleet.until(2.0, "primaries", |f| f.served(2) == 1);
-    fleet.routers[0].reads_from = fleet.now + 0.8;
-    fleet.routers[0].answers.clear();
-    let mut sent = fleet.configure(1, &[b'x'; 9]).news.len();
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(2) == 1);
+    fleet.routers[0].reads_updates_from = fleet.now + 0.8;
+    fleet.routers[0].responses.clear();
+    let mut sent = fleet.configure(1, &[b'x'; 9]).updates.len();
     for _ in 0..39 {
-        sent += fleet.tick().news.len();
+        sent += fleet.tick().updates.len();
     }
     assert_eq!(sent, 1);
     assert!(
-        fleet.routers[0].answers.len() >= 2 && fleet.routers[0].answers.iter().all(gives_lease)
+        fleet.routers[0].responses.len() >= 2 && fleet.routers[0].responses.iter().all(gives_lease)
     );
 }
 
@@ -176,10 +177,10 @@
     fleet.configure(5000, &text(5000));
     let first = configs(
         &fleet
-            .until(3.0, "the first", |f| {
-                f.routers.iter().all(|r| r.epoch == 5000)
+            .run_until(3.0, "the first", |f| {
+                f.routers.iter().all(|r| r.config_epoch == 5000)
             })
-            .news,
+            .updates,
     );
     assert!(
         first.len() == 30
@@ -189,16 +190,16 @@
     );
     // One router loses its configuration.
     fleet.routers[7].forget_config();
-    fleet.until(0.5, "it says so", |f| f.routers[7].epoch == 5000);
+    fleet.run_until(0.5, "it says so", |f| f.routers[7].config_epoch == 5000);
     let mut bytes = 0;
     for epoch in 5001..5004 {
-        let mut updates = fleet.configure(epoch, &text(epoch)).news;
+        let mut updates = fleet.configure(epoch, &text(epoch)).updates;
         updates.extend(
             fleet
-                .until(3.0, "the next", |f| {
-                    f.routers.iter().all(|r| r.epoch == epoch)
+                .run_until(3.0, "the next", |f| {
+                    f.routers.iter().all(|r| r.config_epoch == epoch)
                 })
-                .news,
+                .updates,
         );
         let sent = configs(&updates);
         assert_eq!(sent.len(), 30, "each gets it once");
@@ -224,18 +225,18 @@
 #[test]
 fn renewed_lease_does_not_acknowledge_updates_in_flight() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.until(2.0, "primaries", |f| f.served(1) == 1);
-    fleet.routers[0].reads_from = fleet.now + 2.0;
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(1) == 1);
+    fleet.routers[0].reads_updates_from = fleet.now + 2.0;
     // The primary fails: its grant is revoked, and no server is promoted before the router knows.
-    fleet.dark.insert("server-0".to_owned());
+    fleet.unresponsive_servers.insert("server-0".to_owned());
     let mut promotions = 0;
-    while fleet.now < fleet.routers[0].reads_from - TICK {
+    while fleet.now < fleet.routers[0].reads_updates_from - TICK {
         promotions += fleet.tick().promotions;
     }
-    assert!(!fleet.routers[0].unread.is_empty() && promotions == 0);
+    assert!(!fleet.routers[0].unread_updates.is_empty() && promotions == 0);
     assert!(
         fleet.routers[0]
-            .answers
+            .responses
             .iter()
             .rev()
             .take(2)
@@ -248,22 +249,22 @@
 #[test]
 fn expired_lease_is_renewed_only_with_all_grants_known() {
     let mut fleet = Fleet::new(2, 1);
-    fleet.until(2.0, "primaries", |f| f.served(1) == 2);
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(1) == 2);
     // One router neither sends nor reads for a while; an update of a member is sent to it before
     // the revocation.
     fleet.routers[0].silent = true;
-    fleet.beat("server-1", MemberPhase::Draining);
+    fleet.heartbeat("server-1", MemberPhase::Draining);
     for _ in 0..20 {
         fleet.tick();
     }
-    fleet.dark.insert("server-0".to_owned());
-    fleet.until(5.0, "the primary is given up", |f| f.promoted > 0);
+    fleet.unresponsive_servers.insert("server-0".to_owned());
+    fleet.run_until(5.0, "the primary is given up", |f| f.promotion_requests > 0);
     assert!(fleet.now > fleet.routers[0].lease_until);
-    let before = fleet.routers[0].unread.remove(0);
-    let later = std::mem::take(&mut fleet.routers[0].unread);
-    fleet.routers[0].take(&before);
+    let before = fleet.routers[0].unread_updates.remove(0);
+    let later = std::mem::take(&mut fleet.routers[0].unread_updates);
+    fleet.routers[0].apply(&before);
     fleet.routers[0].silent = false;
-    fleet.renew(0);
+    fleet.request_lease(0);
     let router = &fleet.routers[0];
     assert!(
         !router.grants["service-0000"].revoking,
@@ -271,14 +272,14 @@
     );
     assert!(
         router
-            .answers
+            .responses
             .last()
             .is_some_and(|answer| !gives_lease(answer))
             && router.lease_until < fleet.now
     );
     // With the rest of the updates it gets one.
-    fleet.routers[0].unread = later;
-    fleet.until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
+    fleet.routers[0].unread_updates = later;
+    fleet.run_until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
     assert!(fleet.routers[0].grants["service-0000"].revoking);
 }
 
@@ -291,19 +292,19 @@
     for tick in [TICK, 0.2] {
         let mut fleet = Fleet::new(1, SERVICES);
         let started_at = fleet.now;
-        while fleet.served(SERVICES) == 0 {
+        while fleet.routers_serving(SERVICES) == 0 {
             let outcome = fleet.tick_after(tick);
             // The last service of a tick queries all of its servers, even beyond the bound.
             assert!(
-                outcome.questions.len() <= QUESTIONS_A_TICK + 2,
+                outcome.commands.len() <= MAX_COMMANDS_PER_TICK + 2,
                 "{} questions",
-                outcome.questions.len()
+                outcome.commands.len()
             );
             let given_up = fleet
                 .controller
                 .primaries()
                 .into_iter()
-                .find(|(_, phase, _)| *phase == "closing");
+                .find(|primary| primary.phase == "closing");
             assert_eq!(
                 given_up,
                 None,
@@ -324,28 +325,28 @@
 #[test]
 fn query_interval_grows_with_the_number_of_services() {
     let mut fleet = Fleet::new(1, 400);
-    fleet.until(3.0, "primaries", |f| f.served(400) == 1);
-    let mut questions = 0;
+    fleet.run_until(3.0, "primaries", |f| f.routers_serving(400) == 1);
+    let mut commands = 0;
     for _ in 0..(5.0 / TICK) as usize {
-        questions += fleet.tick().questions.len();
-        assert_eq!(fleet.served(400), 1);
+        commands += fleet.tick().commands.len();
+        assert_eq!(fleet.routers_serving(400), 1);
     }
     // Each primary every 0.4 s, each replica every 7 s. With the interval of few services it would
     // be 7,500.
     assert!(
-        (5_000..6_500).contains(&questions),
-        "{questions} in five seconds"
+        (5_000..6_500).contains(&commands),
+        "{commands} in five seconds"
     );
 }
 
 /// With few services, every tick handles all of them.
 #[test]
 fn few_services_are_all_handled_in_every_tick() {
-    let services = SERVICES_A_TICK / 4;
+    let services = MAX_SERVICES_PER_TICK / 4;
     let mut fleet = Fleet::new(1, services);
-    let asked: usize = (0..10).map(|_| fleet.tick().questions.len()).sum();
+    let asked: usize = (0..10).map(|_| fleet.tick().commands.len()).sum();
     assert!(asked >= 3 * services, "{asked}");
-    fleet.until(0.5, "primaries", |f| f.served(services) == 1);
+    fleet.run_until(0.5, "primaries", |f| f.routers_serving(services) == 1);
 }
 
 /// A leader that was suspended for two seconds sent no queries meanwhile, so no primary times
@@ -353,7 +354,7 @@
 #[test]
 fn late_tick_does_not_time_out_primaries() {
     let mut fleet = Fleet::new(1, 10);
-    fleet.until(2.0, "primaries", |f| f.served(10) == 1);
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(10) == 1);
     fleet.tick_after(2.0);
     for _ in 0..10 {
         fleet.tick();
@@ -362,17 +363,17 @@
         .controller
         .primaries()
         .iter()
-        .filter(|(_, phase, _)| *phase == "steady")
+        .filter(|primary| primary.phase == "steady")
         .count();
     assert_eq!(steady, 10);
     // Once ticks are punctual again, primaries time out as before.
     for _ in 0..60 {
         fleet.tick();
     }
-    fleet.dark.insert("server-0".to_owned());
+    fleet.unresponsive_servers.insert("server-0".to_owned());
     let started_at = fleet.now;
-    fleet.until(0.8, "one times out", |f| {
-        f.controller.primaries()[0].1 != "steady"
+    fleet.run_until(0.8, "one times out", |f| {
+        f.controller.primaries()[0].phase != "steady"
     });
     assert!(fleet.now - started_at > 0.4);
 }
@@ -382,40 +383,40 @@
 #[test]
 fn health_reports_are_requested_for_silent_primaries() {
     let mut fleet = Fleet::new(1, 3);
-    fleet.until(2.0, "primaries", |f| f.served(3) == 1);
+    fleet.run_until(2.0, "primaries", |f| f.routers_serving(3) == 1);
     let seen = |n: usize| HealthReport {
         service: format!("service-000{n}"),
         server_id: format!("server-{}", 3 * n),
         answered_seconds_ago: 0.01,
     };
-    fleet.routers[0].evidence = vec![seen(0), seen(1), seen(2)];
+    fleet.routers[0].health_reports = vec![seen(0), seen(1), seen(2)];
     for _ in 0..50 {
         fleet.tick();
-        assert!(fleet.routers[0].evidence_wanted.is_empty());
+        assert!(fleet.routers[0].health_reports_wanted.is_empty());
     }
-    fleet.dark.insert("server-3".to_owned());
-    fleet.until(0.5, "a report is requested", |f| {
-        f.routers[0].evidence_wanted == ["service-0001"]
+    fleet.unresponsive_servers.insert("server-3".to_owned());
+    fleet.run_until(0.5, "a report is requested", |f| {
+        f.routers[0].health_reports_wanted == ["service-0001"]
     });
     for _ in 0..150 {
         fleet.tick();
-        assert_eq!(fleet.controller.primaries()[1].1, "steady");
+        assert_eq!(fleet.controller.primaries()[1].phase, "steady");
     }
-    fleet.routers[0].evidence.clear();
-    fleet.until(1.0, "it times out", |f| {
-        f.controller.primaries()[1].1 != "steady"
+    fleet.routers[0].health_reports.clear();
+    fleet.run_until(1.0, "it times out", |f| {
+        f.controller.primaries()[1].phase != "steady"
     });
 }
 
 /// However many primaries are silent, a response requests a bounded number of health reports.
 #[test]
 fn number_of_requested_health_reports_is_bounded() {
-    let services = 2 * EVIDENCE_WANTED;
+    let services = 2 * MAX_HEALTH_REPORT_SERVICES;
     let mut fleet = Fleet::new(1, services);
-    fleet.until(3.0, "primaries", |f| f.served(services) == 1);
-    fleet.dark = (0..services).map(|n| format!("server-{}", 3 * n)).collect();
-    fleet.until(1.0, "reports are requested", |f| {
-        f.routers[0].evidence_wanted.len() == EVIDENCE_WANTED
+    fleet.run_until(3.0, "primaries", |f| f.routers_serving(services) == 1);
+    fleet.unresponsive_servers = (0..services).map(|n| format!("server-{}", 3 * n)).collect();
+    fleet.run_until(1.0, "reports are requested", |f| {
+        f.routers[0].health_reports_wanted.len() == MAX_HEALTH_REPORT_SERVICES
     });
 }
 
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -3,6 +3,7 @@
 
 use crate::failover::{Failover, FailoverAction, FailoverContext, ServerCandidate};
 use crate::promotion::{PendingPromotion, PromotionOutcome};
+use crate::state::PrimaryRecord;
 use crate::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
 use badgerstream_line_protocol::Verdict;
 
@@ -93,7 +94,7 @@
         let candidate = |id: &str| ServerCandidate {
             id: id.to_owned(),
             draining_since: None,
-            heard: 0.0,
+            last_seen: 0.0,
         };
         let members = ["a", "b", "c"].map(candidate).to_vec();
         FailoverHarness {
@@ -111,21 +112,29 @@
         status: impl Fn(&str, ServerCommand) -> Option<ServerStatus>,
     ) -> Vec<FailoverAction> {
         self.now += 0.1;
+        let record = PrimaryRecord {
+            server_id: record.0.to_owned(),
+            min_term: record.1,
+        };
         let actions = self.failover.tick(&FailoverContext {
             now: self.now,
             members: &self.members,
-            lost: &[],
-            record: Some(record),
+            departed: &[],
+            recorded_primary: Some(&record),
             succeeds: &|_, _| false,
             same_address: &|_, _| false,
-            all_know: &|_| true,
-            since: 0.0,
+            all_acknowledged: &|_| true,
+            leading_since: 0.0,
             not_before: 0.0,
-            sync: 1,
+            sync_replicas: 1,
         });
-        self.failover.told(1);
+        self.failover.grant_announced(1);
         for action in &actions {
-            let FailoverAction::Query(id, command) = action else {
+            let FailoverAction::SendCommand {
+                server_id: id,
+                command,
+            } = action
+            else {
                 continue;
             };
             let outcome = match status(id, *command) {
@@ -136,7 +145,7 @@
                 },
                 None => CommandOutcome::Refused,
             };
-            self.failover.asked(self.now, id, outcome);
+            self.failover.command_completed(self.now, id, outcome);
         }
         actions
     }
@@ -167,7 +176,10 @@
             _ => Some(status(false, 2, 7)),
         });
         terms.extend(actions.iter().filter_map(|action| match action {
-            FailoverAction::Query(_, ServerCommand::StepDown(primary_term)) => Some(*primary_term),
+            FailoverAction::SendCommand {
+                command: ServerCommand::StepDown(primary_term),
+                ..
+            } => Some(*primary_term),
             _ => None,
         }));
     }
@@ -204,14 +216,14 @@
     }
     let to = proposed.unwrap_or_default();
     let other = if to == "b" { "c" } else { "b" };
-    harness.failover.agreed(harness.now, true);
+    harness.failover.proposal_decided(harness.now, true);
     harness
         .failover
-        .promoted(harness.now, other, PromotionOutcome::Refused);
+        .promotion_completed(harness.now, other, PromotionOutcome::Refused);
     assert_eq!(harness.failover.phase(), "promoting");
     harness
         .failover
-        .promoted(harness.now, &to, PromotionOutcome::Refused);
+        .promotion_completed(harness.now, &to, PromotionOutcome::Refused);
     assert_eq!(harness.failover.phase(), "closing");
 }
 
@@ -236,21 +248,25 @@
             commands.extend(
                 actions
                     .into_iter()
-                    .filter(|action| matches!(action, FailoverAction::Query(id, _) if id == "b")),
+                    .filter(|action| matches!(action, FailoverAction::SendCommand { server_id, .. } if server_id == "b")),
             );
         }
     }
     assert!(
-        commands.contains(&FailoverAction::Query(
-            "b".to_owned(),
-            ServerCommand::StepDown(2)
-        )),
+        commands.contains(&FailoverAction::SendCommand {
+            server_id: "b".to_owned(),
+            command: ServerCommand::StepDown(2)
+        }),
         "{commands:?}"
     );
     assert!(
-        !commands
-            .iter()
-            .any(|action| matches!(action, FailoverAction::Query(_, ServerCommand::Pause(_)))),
+        !commands.iter().any(|action| matches!(
+            action,
+            FailoverAction::SendCommand {
+                command: ServerCommand::Pause(_),
+                ..
+            }
+        )),
         "{commands:?}"
     );
 }
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -4,7 +4,7 @@
 use super::ControlNode;
 use crate::clock;
 use crate::counters::ControlCounts;
-use badgerstream_control::{Consensus, MemberInfo, NodeId, PrimaryGrant};
+use badgerstream_control::{Consensus, FailoverStatus, MemberInfo, NodeId};
 use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -50,8 +50,8 @@
         let consensus = controller.consensus();
         let hard_state = consensus.hard_state();
         let mut primaries_by_phase = BTreeMap::new();
-        for (_, phase, _) in controller.primaries() {
-            *primaries_by_phase.entry(phase).or_default() += 1;
+        for primary in controller.primaries() {
+            *primaries_by_phase.entry(primary.phase).or_default() += 1;
         }
         let mut servers_by_phase = BTreeMap::from([("ready", 0), ("draining", 0)]);
         let present = controller
@@ -102,7 +102,7 @@
             primaries: controller
                 .primaries()
                 .into_iter()
-                .map(|(service, phase, grant)| primary_status(service, phase, grant))
+                .map(primary_status)
                 .collect(),
             members: controller
                 .members()
@@ -128,9 +128,9 @@
     }
 }
 
-fn primary_status(service: String, phase: &str, grant: PrimaryGrant) -> PrimaryStatus {
+fn primary_status(FailoverStatus { phase, grant }: FailoverStatus) -> PrimaryStatus {
     PrimaryStatus {
-        service,
+        service: grant.service,
         phase: phase.to_owned(),
         id: grant.server_id,
         term: grant.primary_term,
