--- a/crates/core/control/src/consensus/mod.rs
+++ b/crates/core/control/src/consensus/mod.rs
@@ -13,7 +13,7 @@
 //! - `AppendEntries`, log: [`ConsensusMessage::AppendRequest`] (Paxos 2a), with a snapshot, or the
 //!   delta to a known state.
 //! - commit index: the version of the state that a quorum has accepted under the leader's term.
-//! - PreVote (thesis, 9.6): the same, [`ConsensusMessage::PreVoteRequest`].
+//! - pre-vote (thesis, 9.6): the same, [`ConsensusMessage::PreVoteRequest`].
 //! - check quorum, leader lease (thesis, 6.2 and 6.4.1): [`Consensus::authority_until`], from the
 //!   answers to heartbeats.
 //! - joint consensus (thesis, 4.3): the same, one voter at a time; see [`crate::voter_set`].
--- a/crates/core/control/src/consensus/progress.rs
+++ b/crates/core/control/src/consensus/progress.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::Digest;
 
-/// What a leader knows of another machine, as in etcd's and TiKV's raft.
+/// What a leader knows of another machine, named as in etcd's and `TiKV`'s raft.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
     /// When the leader began to send to it.
--- a/crates/core/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -85,7 +85,7 @@
 
 impl PendingPromotion {
     /// Records that a call for `server` is about to be sent.
-    pub fn record_sent(&mut self, now: f64, server: &str) {
+    pub(crate) fn record_sent(&mut self, now: f64, server: &str) {
         if self.server != server {
             let refusals = std::mem::take(&mut self.refusals);
             *self = PendingPromotion {
@@ -99,7 +99,12 @@
     }
 
     /// Records the outcome of a call for `server`; false if no call for it is pending.
-    pub fn record_outcome(&mut self, now: f64, server: &str, outcome: PromotionOutcome) -> bool {
+    pub(crate) fn record_outcome(
+        &mut self,
+        now: f64,
+        server: &str,
+        outcome: PromotionOutcome,
+    ) -> bool {
         if self.server != server || self.in_flight == 0 {
             return false;
         }
@@ -121,7 +126,7 @@
     }
 
     /// Whether the platform refused to promote `server` a moment ago.
-    pub fn is_refused(&self, now: f64, server: &str) -> bool {
+    pub(crate) fn is_refused(&self, now: f64, server: &str) -> bool {
         self.refusals
             .get(server)
             .is_some_and(|refused_at| now < refused_at + REFUSAL_BACKOFF_S)
@@ -129,7 +134,7 @@
 
     /// Whether a call for `server` may be sent now: no earlier call for another server can take
     /// effect after it.
-    pub fn permits(&self, now: f64, server: &str) -> bool {
+    pub(crate) fn permits(&self, now: f64, server: &str) -> bool {
         !self.is_refused(now, server) && (self.server == server || !self.may_take_effect(now))
     }
 }
--- a/crates/core/control/src/tests/common.rs
+++ b/crates/core/control/src/tests/common.rs
@@ -7,13 +7,13 @@
 use std::rc::Rc;
 
 /// The time-outs that the pooler sets by default.
-pub const CONSENSUS_CONFIG: ConsensusConfig = ConsensusConfig {
+pub(super) const CONSENSUS_CONFIG: ConsensusConfig = ConsensusConfig {
     election_timeout: 0.6,
     contact_timeout: 1.0,
 };
 
 /// The voter `node` of a system that started for the first time.
-pub fn founder(node: NodeId) -> Voter {
+pub(super) fn founder(node: NodeId) -> Voter {
     Voter {
         node,
         incarnation: FOUNDING_INCARNATION,
@@ -21,7 +21,7 @@
 }
 
 /// The hard state of an empty disk, with `nodes` as the founding voters.
-pub fn founding_hard_state(nodes: &[NodeId]) -> HardState {
+pub(super) fn founding_hard_state(nodes: &[NodeId]) -> HardState {
     HardState {
         state: Rc::new(State::founding(nodes.to_vec())),
         ..HardState::default()
@@ -29,12 +29,12 @@
 }
 
 /// The term of `leader` with this counter.
-pub fn term(counter: u64, leader: NodeId) -> Term {
+pub(super) fn term(counter: u64, leader: NodeId) -> Term {
     (0..counter).fold(Term::default(), |term, _| term.next_for(leader))
 }
 
 /// What a machine reports of its disk when that holds `hard_state`.
-pub fn state_id(hard_state: &HardState) -> StateId {
+pub(super) fn state_id(hard_state: &HardState) -> StateId {
     StateId {
         accepted_term: hard_state.accepted_term,
         version: hard_state.state.version,
@@ -43,7 +43,7 @@
 }
 
 /// Milliseconds for a randomized test; `ARBTEST_BUDGET_MS` gives longer hunts more.
-pub fn arbtest_budget_ms() -> u64 {
+pub(super) fn arbtest_budget_ms() -> u64 {
     std::env::var("ARBTEST_BUDGET_MS")
         .ok()
         .and_then(|value| value.parse().ok())
--- a/crates/core/control/src/tests/network.rs
+++ b/crates/core/control/src/tests/network.rs
@@ -18,20 +18,20 @@
 
 /// A control machine.
 #[derive(Clone)]
-pub struct Machine {
-    pub consensus: Consensus,
+pub(super) struct Machine {
+    pub(super) consensus: Consensus,
     /// What is on its disk.
-    pub disk: HardState,
-    pub incarnation: u64,
-    pub is_running: bool,
+    pub(super) disk: HardState,
+    pub(super) incarnation: u64,
+    pub(super) is_running: bool,
     /// Writes to its disk fail.
-    pub disk_full: bool,
+    pub(super) disk_full: bool,
     /// What its clock shows more than `Network::now`, in seconds.
-    pub clock_offset: f64,
+    pub(super) clock_offset: f64,
 }
 
 impl Machine {
-    pub fn voter(&self) -> Voter {
+    pub(super) fn voter(&self) -> Voter {
         self.consensus.me()
     }
 
@@ -42,43 +42,43 @@
 
 /// A message in flight.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Envelope {
-    pub from: Voter,
-    pub to: Recipient,
-    pub message: ConsensusMessage,
+pub(super) struct Envelope {
+    pub(super) from: Voter,
+    pub(super) to: Recipient,
+    pub(super) message: ConsensusMessage,
 }
 
 impl Envelope {
     /// Whether it is from this machine or to it.
-    pub fn involves(&self, node: NodeId) -> bool {
+    pub(super) fn involves(&self, node: NodeId) -> bool {
         self.from.node == node || self.to.node() == node
     }
 }
 
 /// What was committed under a version of the state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CommittedState {
-    pub digest: Digest,
-    pub config_epoch: u64,
+pub(super) struct CommittedState {
+    pub(super) digest: Digest,
+    pub(super) config_epoch: u64,
 }
 
 /// A machine that was elected, and when.
 #[derive(Clone, Copy, Debug)]
-pub struct Election {
-    pub at: f64,
-    pub leader: NodeId,
+pub(super) struct Election {
+    pub(super) at: f64,
+    pub(super) leader: NodeId,
 }
 
 /// The machines and the messages between them.
 #[derive(Clone)]
-pub struct Network {
-    pub machines: BTreeMap<NodeId, Machine>,
+pub(super) struct Network {
+    pub(super) machines: BTreeMap<NodeId, Machine>,
     /// In the order in which they were sent.
-    pub in_flight: Vec<Envelope>,
-    pub now: f64,
+    pub(super) in_flight: Vec<Envelope>,
+    pub(super) now: f64,
     /// By version.
-    pub committed: BTreeMap<u64, CommittedState>,
-    pub elections: Vec<Election>,
+    pub(super) committed: BTreeMap<u64, CommittedState>,
+    pub(super) elections: Vec<Election>,
     proposals: u64,
     /// What happened, for the messages of failing tests.
     trace: Vec<String>,
@@ -89,7 +89,7 @@
 
 impl Network {
     /// Machines 1 to 3, which start for the first time.
-    pub fn new(seed: u64) -> Network {
+    pub(super) fn new(seed: u64) -> Network {
         let mut network = Network {
             machines: BTreeMap::new(),
             in_flight: Vec::new(),
@@ -129,7 +129,7 @@
     }
 
     /// Starts a machine with an empty disk, which asks to join.
-    pub fn add_empty_machine(&mut self, node: NodeId) {
+    pub(super) fn add_empty_machine(&mut self, node: NodeId) {
         self.last_incarnation += 1;
         self.add_machine(Voter {
             node,
@@ -137,24 +137,24 @@
         });
     }
 
-    pub fn machine_mut(&mut self, node: NodeId) -> &mut Machine {
+    pub(super) fn machine_mut(&mut self, node: NodeId) -> &mut Machine {
         self.machines.get_mut(&node).expect("the machine exists")
     }
 
     /// Stops a machine's process; what is in flight stays so.
-    pub fn stop(&mut self, node: NodeId) {
+    pub(super) fn stop(&mut self, node: NodeId) {
         self.machine_mut(node).is_running = false;
     }
 
     /// Restarts a machine's process with what is on its disk.
-    pub fn restart(&mut self, node: NodeId) {
+    pub(super) fn restart(&mut self, node: NodeId) {
         let now = self.now;
         self.trace(|| format!("{now:.3} {node} restarts"));
         self.start_process(node);
     }
 
     /// Restarts a machine's process with an empty disk.
-    pub fn restart_with_empty_disk(&mut self, node: NodeId) {
+    pub(super) fn restart_with_empty_disk(&mut self, node: NodeId) {
         let now = self.now;
         self.trace(|| format!("{now:.3} {node} restarts with an empty disk"));
         self.last_incarnation += 1;
@@ -166,7 +166,7 @@
     }
 
     /// Restarts all machines, the one at `lost_disk` with an empty disk.
-    pub fn restart_all(&mut self, lost_disk: NodeId) {
+    pub(super) fn restart_all(&mut self, lost_disk: NodeId) {
         for node in self.machines.keys().copied().collect::<Vec<_>>() {
             if node == lost_disk {
                 self.restart_with_empty_disk(node);
@@ -192,14 +192,14 @@
     }
 
     /// Begins the shutdown of a machine.
-    pub fn resign(&mut self, node: NodeId) {
+    pub(super) fn resign(&mut self, node: NodeId) {
         let mut outputs = Vec::new();
         self.machine_mut(node).consensus.resign(&mut outputs);
         self.perform(node, outputs);
     }
 
     /// Carries out what a machine's consensus asks for.
-    pub fn perform(&mut self, node: NodeId, outputs: Vec<ConsensusOutput>) {
+    pub(super) fn perform(&mut self, node: NodeId, outputs: Vec<ConsensusOutput>) {
         let mut pending = VecDeque::from(outputs);
         while let Some(output) = pending.pop_front() {
             let now = self.now;
@@ -288,7 +288,7 @@
     }
 
     /// At most one machine may act as the leader.
-    pub fn check_single_leader(&self) {
+    pub(super) fn check_single_leader(&self) {
         let acting: Vec<NodeId> = self
             .machines
             .iter()
@@ -309,18 +309,18 @@
         }
     }
 
-    pub fn trace_text(&self) -> String {
+    pub(super) fn trace_text(&self) -> String {
         self.trace.join("\n")
     }
 
     /// Ends the trace, for tests of so many steps that it would take too long.
-    pub fn disable_trace(&mut self) {
+    pub(super) fn disable_trace(&mut self) {
         self.is_tracing = false;
         self.trace.clear();
     }
 
     /// Reopens the disk of a machine after a failed write, if it is no longer full.
-    pub fn reopen_disk(&mut self, node: NodeId) {
+    pub(super) fn reopen_disk(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.machine_mut(node);
         if machine.consensus.disk_failed() && !machine.disk_full {
@@ -329,7 +329,7 @@
         }
     }
 
-    pub fn tick(&mut self, node: NodeId) {
+    pub(super) fn tick(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.machine_mut(node);
         if machine.is_running {
@@ -339,20 +339,20 @@
         }
     }
 
-    pub fn tick_all(&mut self) {
+    pub(super) fn tick_all(&mut self) {
         for node in self.machines.keys().copied().collect::<Vec<_>>() {
             self.tick(node);
         }
     }
 
     /// Lets the message at `index` arrive.
-    pub fn deliver(&mut self, index: usize) {
+    pub(super) fn deliver(&mut self, index: usize) {
         let envelope = self.in_flight.remove(index);
         self.arrive(envelope);
     }
 
     /// Lets a copy of the message at `index` arrive, which stays in flight.
-    pub fn deliver_copy(&mut self, index: usize) {
+    pub(super) fn deliver_copy(&mut self, index: usize) {
         let envelope = self.in_flight[index].clone();
         self.arrive(envelope);
     }
@@ -381,7 +381,7 @@
 
     /// Lets everything in flight arrive in order, also what is sent meanwhile, except what
     /// `is_lost` drops.
-    pub fn deliver_all(&mut self, is_lost: impl Fn(&Envelope) -> bool) {
+    pub(super) fn deliver_all(&mut self, is_lost: impl Fn(&Envelope) -> bool) {
         while let Some(envelope) = self.in_flight.first() {
             if is_lost(envelope) {
                 self.in_flight.remove(0);
@@ -393,7 +393,7 @@
 
     /// The leader `node` proposes a configuration of an epoch that nobody else uses. False if it
     /// may not act.
-    pub fn propose(&mut self, node: NodeId) -> bool {
+    pub(super) fn propose(&mut self, node: NodeId) -> bool {
         let now = self.now;
         self.proposals += 1;
         let epoch = self.proposals * 10 + u64::from(node);
@@ -414,12 +414,12 @@
     }
 
     /// Lets so many seconds pass in which everything arrives in order.
-    pub fn run(&mut self, seconds: f64) {
+    pub(super) fn run(&mut self, seconds: f64) {
         self.run_with_loss(seconds, |_| false);
     }
 
     /// The same, except that messages for which `is_lost` is true are lost.
-    pub fn run_with_loss(&mut self, seconds: f64, is_lost: impl Fn(&Envelope) -> bool) {
+    pub(super) fn run_with_loss(&mut self, seconds: f64, is_lost: impl Fn(&Envelope) -> bool) {
         let until = self.now + seconds;
         while self.now < until {
             self.now += TICK_INTERVAL_S;
@@ -429,7 +429,7 @@
     }
 
     /// The machine that may act as the leader.
-    pub fn leader(&self) -> Option<NodeId> {
+    pub(super) fn leader(&self) -> Option<NodeId> {
         self.machines
             .iter()
             .find(|(_, machine)| machine.may_act(self.now))
@@ -441,7 +441,7 @@
     }
 
     /// Addresses of the voters as the leader has them.
-    pub fn voters(&self) -> Vec<NodeId> {
+    pub(super) fn voters(&self) -> Vec<NodeId> {
         self.leader_machine()
             .map(|leader| leader.consensus.voters().iter().map(|v| v.node).collect())
             .unwrap_or_default()
@@ -449,7 +449,7 @@
 
     /// Whether every running machine is a voter, in the incarnation of its disk, as the leader has
     /// it.
-    pub fn all_are_voters(&self) -> bool {
+    pub(super) fn all_are_voters(&self) -> bool {
         let Some(leader) = self.leader_machine() else {
             return false;
         };
@@ -461,13 +461,13 @@
     }
 
     /// Whether a change of the voter set is under way at the leader.
-    pub fn is_joint(&self) -> bool {
+    pub(super) fn is_joint(&self) -> bool {
         self.leader_machine()
             .is_some_and(|leader| leader.consensus.hard_state().state.voters.is_joint())
     }
 
     /// The highest term that any machine voted for.
-    pub fn highest_voted_term(&self) -> Term {
+    pub(super) fn highest_voted_term(&self) -> Term {
         self.machines
             .values()
             .map(|machine| machine.disk.voted_term)
@@ -476,7 +476,7 @@
     }
 
     /// The version of the newest committed state; 0 if none is.
-    pub fn newest_committed(&self) -> u64 {
+    pub(super) fn newest_committed(&self) -> u64 {
         self.committed.keys().max().copied().unwrap_or(0)
     }
 }
