--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -142,7 +142,7 @@
 
 impl Failover {
     /// The failover of a service of which nothing is known yet.
-    pub fn new(config: FailoverConfig) -> Failover {
+    pub(crate) fn new(config: FailoverConfig) -> Failover {
         Failover {
             config,
             phase: Phase::Discovering,
@@ -165,7 +165,7 @@
     /// therefore older than the names in the code: `finding` is [`Phase::Discovering`], `closing`
     /// [`Phase::Revoking`], `handing` [`Phase::Handover`], `agreeing` [`Phase::Proposing`], and
     /// `switching` [`Phase::Completing`].
-    pub fn phase(&self) -> &'static str {
+    pub(crate) fn phase(&self) -> &'static str {
         match self.phase {
             Phase::Discovering => "finding",
             Phase::Steady => "steady",
@@ -178,12 +178,12 @@
     }
 
     /// Whether a primary is in use and no change is under way.
-    pub fn is_steady(&self) -> bool {
+    pub(crate) fn is_steady(&self) -> bool {
         self.phase == Phase::Steady
     }
 
     /// Whether exactly this primary is in use and no change is under way.
-    pub fn is_steady_with(&self, server_id: &str, primary_term: u64) -> bool {
+    pub(crate) fn is_steady_with(&self, server_id: &str, primary_term: u64) -> bool {
         self.is_steady()
             && self.primary.as_ref().is_some_and(|primary| {
                 primary.server_id == server_id && primary.primary_term == primary_term
@@ -191,7 +191,7 @@
     }
 
     /// Advances the failover to the second `context.now`, and returns what is to be done.
-    pub fn tick(&mut self, context: &FailoverContext<'_>) -> Vec<FailoverAction> {
+    pub(crate) fn tick(&mut self, context: &FailoverContext<'_>) -> Vec<FailoverAction> {
         let mut actions = Vec::new();
         self.forget_former_members(context);
         match self.phase.clone() {
--- a/crates/core/control/src/failover/observation.rs
+++ b/crates/core/control/src/failover/observation.rs
@@ -137,7 +137,7 @@
 
 impl Failover {
     /// A router reported that this server answered it at that second.
-    pub fn health_reported(&mut self, server_id: &str, answered_at: f64) {
+    pub(crate) fn health_reported(&mut self, server_id: &str, answered_at: f64) {
         if self.is_primary(server_id) {
             self.primary_reported_at = self.primary_reported_at.max(answered_at);
         }
@@ -147,7 +147,7 @@
     }
 
     /// A command of [`FailoverAction::SendCommand`] has ended.
-    pub fn command_completed(&mut self, now: f64, server_id: &str, outcome: CommandOutcome) {
+    pub(crate) fn command_completed(&mut self, now: f64, server_id: &str, outcome: CommandOutcome) {
         let observation = self.observations.entry(server_id.to_owned()).or_default();
         observation.awaiting_answer = false;
         match outcome {
--- a/crates/core/control/src/failover/polling.rs
+++ b/crates/core/control/src/failover/polling.rs
@@ -60,7 +60,7 @@
 
 impl Failover {
     /// A step begins that goes by this configuration.
-    pub fn begin_step(&mut self, now: f64, config: FailoverConfig) {
+    pub(crate) fn begin_step(&mut self, now: f64, config: FailoverConfig) {
         let delay = self.polling_delay.begin_step(now);
         self.config = FailoverConfig {
             primary_timeout: config.primary_timeout + delay,
@@ -75,7 +75,7 @@
 
     /// If routers are to report on this service's servers: the role of the one that doesn't
     /// answer, and for how many seconds it has answered nobody.
-    pub fn unresponsive(&self, now: f64) -> Option<(UnresponsiveRole, f64)> {
+    pub(crate) fn unresponsive(&self, now: f64) -> Option<(UnresponsiveRole, f64)> {
         if let Some(seconds) = self.primary_unresponsive_for(now) {
             return Some((UnresponsiveRole::Primary, seconds));
         }
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -22,7 +22,7 @@
 
 impl Failover {
     /// The proposal of the target was committed, or came to nothing. Returns what is to be done.
-    pub fn proposal_decided(&mut self, now: f64, committed: bool) -> Option<FailoverAction> {
+    pub(crate) fn proposal_decided(&mut self, now: f64, committed: bool) -> Option<FailoverAction> {
         let Phase::Proposing(target) = &self.phase else {
             return None;
         };
@@ -42,7 +42,12 @@
     }
 
     /// A request to the platform to promote this server has ended.
-    pub fn promotion_completed(&mut self, now: f64, server_id: &str, outcome: PromotionOutcome) {
+    pub(crate) fn promotion_completed(
+        &mut self,
+        now: f64,
+        server_id: &str,
+        outcome: PromotionOutcome,
+    ) {
         if !self
             .pending_promotion
             .record_outcome(now, server_id, outcome)
--- a/crates/core/control/src/failover/revocation.rs
+++ b/crates/core/control/src/failover/revocation.rs
@@ -18,7 +18,7 @@
 
 impl Failover {
     /// The grant of the last [`FailoverAction::Grant`] is part of the update with this number.
-    pub fn grant_announced(&mut self, update_number: u64) {
+    pub(crate) fn grant_announced(&mut self, update_number: u64) {
         if self.revocation == Revocation::Unannounced {
             self.revocation = Revocation::Announced(update_number);
         }
--- a/crates/core/control/src/lib.rs
+++ b/crates/core/control/src/lib.rs
@@ -38,7 +38,7 @@
     PRIMARY_CHANGES_KEPT,
 };
 pub use digest::Digest;
-pub use failover::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
+pub use failover::{CommandOutcome, FailoverConfig, Position, ServerCommand, ServerStatus};
 pub use leases::Leases;
 pub use members::{Heartbeat, Member, MemberPhase, MemberRegistry};
 pub use message::{
--- a/crates/core/control/src/tests/fleet.rs
+++ b/crates/core/control/src/tests/fleet.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Between two ticks, in seconds, unless a test says otherwise.
-pub const TICK: f64 = 0.02;
+pub(crate) const TICK: f64 = 0.02;
 /// Between two lease requests of a router.
 const LEASE_REQUEST_INTERVAL_S: f64 = 0.3;
 /// Between two heartbeats of a server.
@@ -20,7 +20,7 @@
 const SERVERS_PER_SERVICE: usize = 3;
 
 /// The program's default settings, with heartbeats of 1.2 s.
-pub fn timing() -> ControlConfig {
+pub(crate) fn timing() -> ControlConfig {
     let failover = FailoverConfig {
         primary_poll_interval: 0.2,
         replica_poll_interval: 1.0,
@@ -43,7 +43,7 @@
 
 /// A router, as far as its session with the leader goes.
 #[derive(Default)]
-pub struct Router {
+pub(crate) struct Router {
     /// The last update that it has applied.
     pub watermark: (Term, u64),
     pub config_epoch: u64,
@@ -67,7 +67,7 @@
 
 /// What the leader put out in a tick, and in response to the lease requests after it.
 #[derive(Default)]
-pub struct TickOutputs {
+pub(crate) struct TickOutputs {
     /// The updates, with the router that each went to.
     pub updates: Vec<(usize, Rc<RouterMessage>)>,
     /// The commands, with the server that each went to.
@@ -77,7 +77,7 @@
 }
 
 /// The machine with all its routers and servers.
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub now: f64,
     pub controller: Controller,
     pub routers: Vec<Router>,
@@ -93,7 +93,7 @@
 
 impl Fleet {
     /// A machine that leads, and has a heartbeat of all servers.
-    pub fn new(routers: usize, services: usize) -> Fleet {
+    pub(crate) fn new(routers: usize, services: usize) -> Fleet {
         let hard_state = HardState {
             state: Rc::new(State::founding(vec![1])),
             ..HardState::default()
@@ -133,7 +133,7 @@
     }
 
     /// A server sends a heartbeat; returns what the machine puts out.
-    pub fn heartbeat(&mut self, id: &str, phase: MemberPhase) -> Vec<Output> {
+    pub(crate) fn heartbeat(&mut self, id: &str, phase: MemberPhase) -> Vec<Output> {
         self.request_count += 1;
         let heartbeat = Heartbeat {
             service: self.servers[id].clone(),
@@ -152,7 +152,7 @@
     }
 
     /// An operator replaces the configuration; a single machine commits it at once.
-    pub fn configure(&mut self, epoch: u64, body: &[u8]) -> TickOutputs {
+    pub(crate) fn configure(&mut self, epoch: u64, body: &[u8]) -> TickOutputs {
         self.request_count += 1;
         let request = ControlRequest::ReplaceConfig {
             base_epoch: self.controller.config().0,
@@ -200,7 +200,7 @@
     }
 
     /// A tick after this time, the answers of servers, and the lease requests of routers.
-    pub fn tick_after(&mut self, seconds: f64) -> TickOutputs {
+    pub(crate) fn tick_after(&mut self, seconds: f64) -> TickOutputs {
         self.now += seconds;
         if self.now - self.heartbeats_sent_at >= HEARTBEAT_INTERVAL_S {
             self.send_heartbeats();
@@ -216,7 +216,7 @@
         performed
     }
 
-    pub fn tick(&mut self) -> TickOutputs {
+    pub(crate) fn tick(&mut self) -> TickOutputs {
         self.tick_after(TICK)
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// The router requests its lease.
-    pub fn request_lease(&mut self, index: usize) {
+    pub(crate) fn request_lease(&mut self, index: usize) {
         let router = &mut self.routers[index];
         router.lease_requested_at = self.now;
         let health_reports = router
@@ -288,7 +288,7 @@
     }
 
     /// Ticks until the condition holds, for this time at most; returns all that was put out.
-    pub fn run_until(
+    pub(crate) fn run_until(
         &mut self,
         seconds: f64,
         what: &str,
@@ -307,7 +307,7 @@
     }
 
     /// How many routers hold a lease and may use the primaries of so many services.
-    pub fn routers_serving(&self, services: usize) -> usize {
+    pub(crate) fn routers_serving(&self, services: usize) -> usize {
         self.routers
             .iter()
             .filter(|router| {
@@ -320,13 +320,13 @@
 
 impl Router {
     /// It can't use its configuration any more.
-    pub fn forget_config(&mut self) {
+    pub(crate) fn forget_config(&mut self) {
         self.config_epoch = 0;
         self.config_text.clear();
     }
 
     /// The router applies an update, or the response to a lease request.
-    pub fn apply(&mut self, message: &RouterMessage) {
+    pub(crate) fn apply(&mut self, message: &RouterMessage) {
         let RouterMessage::Update {
             update_watermark,
             request_sent_at,
