--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct PromotionAttempt {
     target: PromotionTarget,
-    /// The next request follows [`promoting::REQUEST_INTERVAL_S`] after this second. That is when
+    /// The next request follows `promoting::REQUEST_INTERVAL_S` after this second. That is when
     /// the last request was sent, moved by the platform's answer.
     backoff_from: f64,
     /// When the first request was sent.
--- a/crates/core/control/src/failover/handover.rs
+++ b/crates/core/control/src/failover/handover.rs
@@ -1,4 +1,4 @@
-//! The phase [`Phase::Handover`](super::Phase::Handover): the primary drains, and another server
+//! The phase [`Phase::Handover`]: the primary drains, and another server
 //! is made ready to take its place while it serves.
 
 use super::{
--- a/crates/core/control/src/failover/revoking.rs
+++ b/crates/core/control/src/failover/revoking.rs
@@ -1,4 +1,4 @@
-//! The phase [`Phase::Revoking`](super::Phase::Revoking): the primary is given up. Its grant is
+//! The phase [`Phase::Revoking`]: the primary is given up. Its grant is
 //! being revoked, and all other replicas are paused and queried for how far their logs go, until
 //! one of them can be promoted or a primary turns up that may be used.
 
--- a/crates/core/control/src/failover/steady.rs
+++ b/crates/core/control/src/failover/steady.rs
@@ -1,4 +1,4 @@
-//! The phase [`Phase::Steady`](super::Phase::Steady): routers use a primary, whose health is
+//! The phase [`Phase::Steady`]: routers use a primary, whose health is
 //! watched, and its replicas are kept following it.
 
 use super::{
