--- a/crates/runtime/pooler/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a try at one address may take, with what it is sent on to.
-pub const LIMIT: Duration = Duration::from_secs(3);
+pub(super) const LIMIT: Duration = Duration::from_secs(3);
 
 /// How many redirects (307) a call follows.
 const MAX_REDIRECTS: u32 = 2;
--- a/crates/runtime/pooler/src/edge/client.rs
+++ b/crates/runtime/pooler/src/edge/client.rs
@@ -39,7 +39,7 @@
 const DEFAULT_MAX_CONNS: u32 = 16;
 
 /// Serves a client until it ends.
-pub async fn serve(edge: &Rc<Edge>, stream: Async<TcpStream>, handle: Rc<SessionHandle>) {
+pub(super) async fn serve(edge: &Rc<Edge>, stream: Async<TcpStream>, handle: Rc<SessionHandle>) {
     if net::options(&stream, USER_TIMEOUT_MS).is_err() {
         return;
     }
--- a/crates/runtime/pooler/src/edge/gate.rs
+++ b/crates/runtime/pooler/src/edge/gate.rs
@@ -9,7 +9,7 @@
 use std::task::{Poll, Waker};
 
 /// Lets in so many at once.
-pub struct Gate {
+pub(super) struct Gate {
     queue: RefCell<Queue>,
     /// Those who wait; none instead of a waker once let in.
     waiting: RefCell<HashMap<Place, Option<Waker>>>,
@@ -17,7 +17,7 @@
 
 impl Gate {
     /// Lets in this many at once.
-    pub fn new(limit: usize) -> Rc<Self> {
+    pub(super) fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             queue: RefCell::new(Queue::new(limit)),
             waiting: RefCell::default(),
@@ -25,39 +25,39 @@
     }
 
     /// Changes how many are let in.
-    pub fn set_limit(&self, limit: usize) {
+    pub(super) fn set_limit(&self, limit: usize) {
         self.queue.borrow_mut().set_limit(limit);
         self.admit();
     }
 
     /// How many are in.
-    pub fn busy(&self) -> usize {
+    pub(super) fn busy(&self) -> usize {
         self.queue.borrow().busy()
     }
 
     /// How many wait.
-    pub fn waiting(&self) -> usize {
+    pub(super) fn waiting(&self) -> usize {
         self.queue.borrow().waiting()
     }
 
     /// Whoever comes now must wait.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.queue.borrow().is_full()
     }
 
     /// How many are let in at once.
-    pub fn limit(&self) -> usize {
+    pub(super) fn limit(&self) -> usize {
         self.queue.borrow().limit()
     }
 
     /// How many would be let in before one of this rank who comes now with this latest start.
-    pub fn ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
+    pub(super) fn ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
         self.queue.borrow().ahead(rank, latest_start, now)
     }
 
     /// Waits to be let in, by rank (0 first) and arrival; once `latest_start` is past, after those who can still be in
     /// time.
-    pub async fn enter(self: &Rc<Self>, rank: u32, latest_start: f64) -> Permit {
+    pub(super) async fn enter(self: &Rc<Self>, rank: u32, latest_start: f64) -> Permit {
         let Some(place) = self.queue.borrow_mut().enter(rank, latest_start) else {
             return Permit(self.clone());
         };
@@ -98,7 +98,7 @@
 }
 
 /// The right to be in, given back when dropped.
-pub struct Permit(Rc<Gate>);
+pub(super) struct Permit(Rc<Gate>);
 
 impl Drop for Permit {
     fn drop(&mut self) {
--- a/crates/runtime/pooler/src/edge/link.rs
+++ b/crates/runtime/pooler/src/edge/link.rs
@@ -8,14 +8,14 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// How long a connection may take to open, in seconds.
-pub const OPEN_S: f64 = 1.0;
+pub(super) const OPEN_S: f64 = 1.0;
 /// A server that acknowledges no byte for so long is given up, in milliseconds.
-pub const USER_TIMEOUT_MS: u32 = 1800;
+pub(super) const USER_TIMEOUT_MS: u32 = 1800;
 /// An answer longer than this is passed on in parts, in bytes.
-pub const PART: usize = 256 * 1024;
+pub(super) const PART: usize = 256 * 1024;
 
 /// A connection to a server, and what it holds.
-pub struct Link {
+pub(super) struct Link {
     stream: Async<TcpStream>,
     lines: LineBuffer,
     /// What it holds for sure.
@@ -26,7 +26,7 @@
 
 /// Why no connection was had; nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OpenError {
+pub(super) enum OpenError {
     /// No answer, or a connection refused or broken.
     Unreachable,
     /// Another server is at the address.
@@ -39,7 +39,7 @@
 
 impl Link {
     /// Opens a connection to the server of this id, within `OPEN_S`; also where its log stands.
-    pub async fn open(
+    pub(super) async fn open(
         endpoint: SocketAddr,
         service: &str,
         who: &str,
@@ -91,7 +91,7 @@
     }
 
     /// The far end has closed it, or has said what nobody asked: of no more use.
-    pub fn is_spent(&mut self, scratch: &Scratch) -> bool {
+    pub(super) fn is_spent(&mut self, scratch: &Scratch) -> bool {
         !self.lines.is_empty()
             || !matches!(
                 net::read_now(&self.stream, scratch, &mut self.lines),
@@ -100,13 +100,13 @@
     }
 
     /// Sends lines.
-    pub async fn send(&self, bytes: &[u8]) -> Result<(), WriteError> {
+    pub(super) async fn send(&self, bytes: &[u8]) -> Result<(), WriteError> {
         net::write(&self.stream, bytes).await
     }
 
     /// Waits for the rest of an answer. None if it has grown past `PART`: pass `answer.raw` on, clear it, and call
     /// again. An error: the connection has broken off or speaks another language.
-    pub async fn answer(
+    pub(super) async fn answer(
         &mut self,
         answer: &mut Answer,
         scratch: &Scratch,
@@ -126,12 +126,12 @@
     }
 
     /// Nothing is left of an earlier answer.
-    pub fn is_clean(&self) -> bool {
+    pub(super) fn is_clean(&self) -> bool {
         self.lines.is_empty()
     }
 
     /// Gives memory back before it rests.
-    pub fn rest(&mut self) {
+    pub(super) fn rest(&mut self) {
         self.lines.shrink();
         self.idle_since = clock::now();
     }
--- a/crates/runtime/pooler/src/edge/place.rs
+++ b/crates/runtime/pooler/src/edge/place.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// When a client is told to come back if no server is to be had, in seconds.
-pub const RETRY_AFTER_S: f64 = 0.2;
+pub(super) const RETRY_AFTER_S: f64 = 0.2;
 /// A route that allows fewer tries than this is given as many.
 const MIN_TRIES: u32 = 2;
 /// Tries beyond those that a route allows.
--- a/crates/runtime/pooler/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -17,7 +17,7 @@
 enum Command {
     /// Runs this machine's part of the system, until SIGTERM.
     Serve {
-        /// The settings file; the variable BADGERSTREAM_BOOT names it otherwise.
+        /// The settings file; the variable `BADGERSTREAM_BOOT` names it otherwise.
         #[arg(long, env = "BADGERSTREAM_BOOT")]
         settings: PathBuf,
         /// Answers `GET /metrics` with this machine's figures on this port of its address; without
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of this machine in the text format of OpenMetrics, for a monitoring system that
+//! The metrics of this machine in the text format of `OpenMetrics`, for a monitoring system that
 //! fetches them over HTTP.
 //!
 //! Counters and histograms are kept by the parts in [`crate::counters`]; all else is read from the
--- a/crates/runtime/pooler/src/tests/server_commands.rs
+++ b/crates/runtime/pooler/src/tests/server_commands.rs
@@ -330,7 +330,7 @@
         assert!(
             matches!(outcome, CommandOutcome::Status { .. }),
             "{outcome:?}"
-        )
+        );
     };
     let sending = async {
         run(
