--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -322,7 +322,7 @@
             return;
         };
         log::info!(
-            "event=grant service={} id={} term={} closing={}",
+            "event=grant service={} server={} term={} revoking={}",
             grant.service,
             grant.server_id,
             grant.primary_term,
--- a/crates/core/control/src/controller/leadership.rs
+++ b/crates/core/control/src/controller/leadership.rs
@@ -96,7 +96,7 @@
         let fencing_token = self.consensus.leader_term().map_or(0, |term| term.0);
         self.committed = self.consensus.hard_state().state.clone();
         log::info!(
-            "event=leader_elected fence={fencing_token} epoch={}",
+            "event=leader_elected term={fencing_token} epoch={}",
             self.committed.config_epoch
         );
         // The former leader could act for the last time before now, and granted leases then that
--- a/crates/core/control/src/controller/requests.rs
+++ b/crates/core/control/src/controller/requests.rs
@@ -170,7 +170,7 @@
         let update_number = self.next_update_number();
         let update = self.members.depart(now, server_id, update_number);
         if update.as_ref().is_some_and(|member| !member.departed) {
-            log::info!("event=departed_undrained id={server_id}");
+            log::info!("event=departed_undrained server={server_id}");
         }
         self.update_due |= update.is_some() && update_number > 0;
         self.acknowledge_member(now, request_id, server_id, update, out);
--- a/crates/core/control/src/failover/handover.rs
+++ b/crates/core/control/src/failover/handover.rs
@@ -48,7 +48,7 @@
         if let Some(candidate) = furthest {
             let target_id = candidate.server_id.to_owned();
             log::info!(
-                "event=handover_started id={} to={target_id}",
+                "event=handover_started server={} target={target_id}",
                 primary.server_id
             );
             self.phase = Phase::Handover(Handover {
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -104,7 +104,7 @@
         });
         if let Some(status) = status {
             log::info!(
-                "event=primary_promoted id={target_id} term={} after_s={:.3}",
+                "event=primary_promoted server={target_id} term={} after_s={:.3}",
                 status.primary_term,
                 now - attempt.started_at
             );
@@ -118,7 +118,7 @@
         let is_silent = observation.failing_since.is_some()
             && now - observation.answered_at > self.config.primary_timeout;
         if is_silent || !context.is_member(target_id) {
-            log::info!("event=promotion_target_lost id={target_id}");
+            log::info!("event=promotion_target_lost server={target_id}");
             self.abandon_primary(actions);
         } else if now - attempt.backoff_from > REQUEST_INTERVAL_S {
             self.retry_promotion(now, attempt, actions);
@@ -186,7 +186,7 @@
             .draining_since(&server_id)
             .is_some_and(|since| self.is_drain_ending(context.now, since))
         {
-            log::info!("event=primary_drained_unreplaced id={server_id}");
+            log::info!("event=primary_drained_unreplaced server={server_id}");
             self.revoke_grant(actions);
         }
     }
--- a/crates/core/control/src/failover/promotion_target.rs
+++ b/crates/core/control/src/failover/promotion_target.rs
@@ -101,7 +101,7 @@
         }
         let after_term = self.highest_log_term().min(pause_term.saturating_sub(1));
         log::info!(
-            "event=primary_chosen to={server_id} position={}.{} above={after_term}",
+            "event=primary_chosen server={server_id} position={}.{} after_term={after_term}",
             position.0,
             position.1
         );
--- a/crates/core/control/src/failover/revoking.rs
+++ b/crates/core/control/src/failover/revoking.rs
@@ -49,7 +49,7 @@
             && is_revoked
         {
             log::info!(
-                "event=primary_found id={} term={}",
+                "event=primary_found server={} term={}",
                 found.server_id,
                 found.primary_term
             );
@@ -92,7 +92,7 @@
         if !self.is_primary_back(context, &primary) {
             return false;
         }
-        log::info!("event=primary_back id={}", primary.server_id);
+        log::info!("event=primary_back server={}", primary.server_id);
         self.grant_primary(context.now, primary, actions);
         true
     }
--- a/crates/core/control/src/failover/steady.rs
+++ b/crates/core/control/src/failover/steady.rs
@@ -39,7 +39,7 @@
         self.poll_servers(context, &primary, actions);
         if let Some(status) = self.status_of_changed_primary(&primary) {
             log::info!(
-                "event=primary_changed_itself id={} term={}",
+                "event=primary_changed_itself server={} term={}",
                 primary.server_id,
                 status.primary_term
             );
@@ -50,7 +50,7 @@
         self.record_completed_change(context, &primary, actions);
         if let Some(PrimaryDeath { refused, silent_s }) = self.primary_death(context.now) {
             log::info!(
-                "event=primary_dead id={} refused={refused} silent_s={silent_s:.2}",
+                "event=primary_dead server={} refused={refused} silent_s={silent_s:.2}",
                 primary.server_id
             );
             self.abandon_primary(actions);
@@ -166,7 +166,7 @@
         actions: &mut Vec<FailoverAction>,
     ) {
         if self.is_drain_ending(context.now, draining_since) {
-            log::info!("event=primary_drained_unreplaced id={primary_id}");
+            log::info!("event=primary_drained_unreplaced server={primary_id}");
             self.abandon_primary(actions);
         } else if context.now > self.retry_at && context.now >= context.not_before {
             self.begin_handover(context, actions);
