--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -3,7 +3,7 @@
 //!
 //! The controller decides and has no side effects; the driver passes it what happens and executes
 //! the outputs that it returns (`outputs`). What happens comes from the timer in
-//! [`ControlNode::run`], from other control machines (`peers`), from routers (`router_sessions`),
+//! `ControlNode::run`, from other control machines (`peers`), from routers (`router_sessions`),
 //! from servers and operators over HTTP (`requests`), and as outcomes of commands to servers
 //! (`commands`) and calls to the platform (`platform`). `persistence` writes the hard state,
 //! `status` reads for operators and metrics.
