--- a/crates/core/pooling/src/choice.rs
+++ b/crates/core/pooling/src/choice.rs
@@ -1,6 +1,6 @@
 //! Where a statement that opens a connection's work may go: the primary, or a replica under a proof.
 
-use crate::freshness::History;
+use crate::freshness::PositionHistory;
 use crate::session::Session;
 use badgerstream_line_protocol::Position;
 
@@ -26,7 +26,7 @@
 
 /// Where it may go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Choice {
+pub enum Destination {
     /// The primary, under the lease.
     Primary,
     /// A replica whose log has this position; the primary if none has.
@@ -41,24 +41,29 @@
     /// Whether it reads or writes.
     pub access: Access,
     /// When its first byte, or that of its transaction, arrived.
-    pub arrived: f64,
+    pub arrived_at: f64,
     /// The primary is unknown, full or slow.
-    pub primary_slow: bool,
+    pub avoid_primary: bool,
 }
 
 /// The choice of the design: writes and fresh reads go to the primary, a marked session reads there, other reads
 /// take a replica that is proven fresh enough.
-pub fn choose(input: &ChoiceInput, session: &Session, history: &History, now: f64) -> Choice {
+pub fn choose(
+    input: &ChoiceInput,
+    session: &Session,
+    history: &PositionHistory,
+    now: f64,
+) -> Destination {
     let (staleness, owed) = match (input.access, input.consistency) {
-        (Access::Write, _) | (_, Consistency::Strong) => return Choice::Primary,
+        (Access::Write, _) | (_, Consistency::Strong) => return Destination::Primary,
         (_, Consistency::Bounded(s)) => (s, None),
-        (_, Consistency::ReadYourWrites(s)) => (s, session.written),
+        (_, Consistency::ReadYourWrites(s)) => (s, session.last_write),
     };
-    if session.mark.marked(now) && !input.primary_slow {
-        return Choice::Primary;
+    if session.primary_affinity.marked(now) && !input.avoid_primary {
+        return Destination::Primary;
     }
-    match history.proof(input.arrived - staleness) {
-        Some(proof) => Choice::Replica(owed.map_or(proof, |owed| owed.max(proof))),
-        None => Choice::Primary,
+    match history.proof(input.arrived_at - staleness) {
+        Some(proof) => Destination::Replica(owed.map_or(proof, |owed| owed.max(proof))),
+        None => Destination::Primary,
     }
 }
--- a/crates/core/pooling/src/connection.rs
+++ b/crates/core/pooling/src/connection.rs
@@ -45,9 +45,9 @@
     /// It holds exactly its values.
     Same,
     /// Some values are to be set.
-    Sets,
+    ValuesMissing,
     /// It holds what is not the session's: it must be reset.
-    Reset,
+    ResetNeeded,
 }
 
 /// The session state that a connection is known to hold.
@@ -63,7 +63,7 @@
     /// How far it is from these values.
     pub fn distance(&self, values: &Values) -> Distance {
         if self.uncertain {
-            Distance::Reset
+            Distance::ResetNeeded
         } else if self.values == *values {
             Distance::Same
         } else if self
@@ -71,9 +71,9 @@
             .iter()
             .all(|(name, _)| values.get(name).is_some())
         {
-            Distance::Sets
+            Distance::ValuesMissing
         } else {
-            Distance::Reset
+            Distance::ResetNeeded
         }
     }
 
@@ -81,9 +81,9 @@
     /// transaction, where it began with the session's own values, none of them is a reset.
     pub fn changes(&self, values: &Values, shape: Option<&Shape>) -> Vec<StateChange> {
         let mut changes = Vec::new();
-        let known = shape.is_none_or(|s| self.number(s).is_some());
-        let reset =
-            self.distance(values) == Distance::Reset || !known && self.shapes.len() >= MAX_SHAPES;
+        let known = shape.is_none_or(|s| self.prepared_number(s).is_some());
+        let reset = self.distance(values) == Distance::ResetNeeded
+            || !known && self.shapes.len() >= MAX_SHAPES;
         if reset {
             changes.push(StateChange::Reset);
         }
@@ -105,7 +105,7 @@
     }
 
     /// The server has acknowledged this change.
-    pub fn acknowledged(&mut self, change: &StateChange) {
+    pub fn record_acknowledged(&mut self, change: &StateChange) {
         match change {
             StateChange::Reset => {
                 self.values.clear();
@@ -126,7 +126,7 @@
     }
 
     /// The number in our name for this shape.
-    pub fn number(&self, shape: &Shape) -> Option<u32> {
+    pub fn prepared_number(&self, shape: &Shape) -> Option<u32> {
         self.shapes
             .iter()
             .find(|(s, _)| s == shape)
--- a/crates/core/pooling/src/freshness.rs
+++ b/crates/core/pooling/src/freshness.rs
@@ -11,14 +11,14 @@
 /// For one service: "the log of the primary was at this position when asked then, under a valid lease". Such a
 /// position covers every commit that was acknowledged before that second.
 #[derive(Debug, Default)]
-pub struct History {
+pub struct PositionHistory {
     /// Both the seconds and the positions rise.
     samples: VecDeque<(f64, Position)>,
 }
 
-impl History {
+impl PositionHistory {
     /// Takes a sample: asked at this second, when the lease was valid, the primary answered this position.
-    pub fn sample(&mut self, asked: f64, position: Position) {
+    pub fn record(&mut self, asked: f64, position: Position) {
         // One that was asked no earlier, at a position no later, proves all that this one does.
         let after = self.samples.partition_point(|(t, _)| *t < asked);
         if self.samples.get(after).is_some_and(|(_, p)| *p <= position) {
@@ -49,7 +49,7 @@
     }
 
     /// When the newest sample was asked.
-    pub fn newest(&self) -> Option<f64> {
+    pub fn newest_query_at(&self) -> Option<f64> {
         self.samples.back().map(|(t, _)| *t)
     }
 }
--- a/crates/core/pooling/src/latency.rs
+++ b/crates/core/pooling/src/latency.rs
@@ -36,7 +36,7 @@
     }
 
     /// How many times as long a statement takes for us as for the server; 1 while that isn't known, 8 at most.
-    pub fn stretch(&self) -> f64 {
+    pub fn network_stretch(&self) -> f64 {
         match (self.mean, self.round_trip) {
             (Some(mean), Some(round_trip)) => (mean / (mean - round_trip).max(mean / 8.0)).max(1.0),
             _ => 1.0,
@@ -62,19 +62,22 @@
 }
 
 /// After so many seconds without a refusal the trouble counts as over.
-pub const CALM_S: f64 = 1.0;
+pub const REFUSAL_STREAK_GAP_S: f64 = 1.0;
 
 /// For how long statements of a service have been refused: what has lasted so long is likely to last as long again.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Refusals {
+pub struct RefusalStreak {
     since: f64,
     last: Option<f64>,
 }
 
-impl Refusals {
+impl RefusalStreak {
     /// One is refused that would have to wait so many seconds: in how many it is to come back.
-    pub fn refused(&mut self, now: f64, wait: f64) -> f64 {
-        if self.last.is_none_or(|last| now - last > CALM_S) {
+    pub fn record_refusal(&mut self, now: f64, wait: f64) -> f64 {
+        if self
+            .last
+            .is_none_or(|last| now - last > REFUSAL_STREAK_GAP_S)
+        {
             self.since = now;
         }
         self.last = Some(now);
--- a/crates/core/pooling/src/lib.rs
+++ b/crates/core/pooling/src/lib.rs
@@ -3,12 +3,12 @@
 
 pub mod choice;
 pub mod connection;
+pub mod connection_quota;
 pub mod freshness;
 pub mod health;
 pub mod latency;
 pub mod queue;
 pub mod session;
-pub mod share;
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/pooling/src/queue.rs
+++ b/crates/core/pooling/src/queue.rs
@@ -5,7 +5,7 @@
 
 /// The place of a waiter in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct QueueEntry {
     rank: u32,
     arrival: u64,
 }
@@ -15,11 +15,11 @@
 #[derive(Debug)]
 pub struct Queue {
     limit: usize,
-    busy: usize,
+    admitted: usize,
     arrivals: u64,
     /// Those who may still be in time, with their latest start. Who has missed it is found out when its turn comes.
-    waiting: BTreeMap<Place, f64>,
-    late: BTreeSet<Place>,
+    waiting: BTreeMap<QueueEntry, f64>,
+    past_latest_start: BTreeSet<QueueEntry>,
 }
 
 impl Queue {
@@ -27,10 +27,10 @@
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
-            busy: 0,
+            admitted: 0,
             arrivals: 0,
             waiting: BTreeMap::new(),
-            late: BTreeSet::new(),
+            past_latest_start: BTreeSet::new(),
         }
     }
 
@@ -45,13 +45,16 @@
     }
 
     /// Goes in at once, or gets a place; who is admitted by `latest_start` is in time.
-    pub fn enter(&mut self, rank: u32, latest_start: f64) -> Option<Place> {
-        if self.busy < self.limit && self.waiting.is_empty() && self.late.is_empty() {
-            self.busy += 1;
+    pub fn enter(&mut self, rank: u32, latest_start: f64) -> Option<QueueEntry> {
+        if self.admitted < self.limit
+            && self.waiting.is_empty()
+            && self.past_latest_start.is_empty()
+        {
+            self.admitted += 1;
             return None;
         }
         self.arrivals += 1;
-        let place = Place {
+        let place = QueueEntry {
             rank,
             arrival: self.arrivals,
         };
@@ -60,41 +63,41 @@
     }
 
     /// How many wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len() + self.late.len()
+    pub fn waiting_count(&self) -> usize {
+        self.waiting.len() + self.past_latest_start.len()
     }
 
     /// One that was let in leaves.
-    pub fn leave(&mut self) {
-        self.busy -= 1;
+    pub fn release(&mut self) {
+        self.admitted -= 1;
     }
 
     /// The next of those who wait is let in now, if there is room.
-    pub fn admit(&mut self, now: f64) -> Option<Place> {
-        if self.busy >= self.limit {
+    pub fn admit_next(&mut self, now: f64) -> Option<QueueEntry> {
+        if self.admitted >= self.limit {
             return None;
         }
         // Each is found late once at most, so that this costs no more than the waiting itself.
         while let Some((place, latest_start)) = self.waiting.pop_first() {
             if latest_start >= now {
-                self.busy += 1;
+                self.admitted += 1;
                 return Some(place);
             }
-            self.late.insert(place);
+            self.past_latest_start.insert(place);
         }
-        let place = self.late.pop_first()?;
-        self.busy += 1;
+        let place = self.past_latest_start.pop_first()?;
+        self.admitted += 1;
         Some(place)
     }
 
     /// One who waits gives up; false if it had been let in already.
-    pub fn cancel(&mut self, place: Place) -> bool {
-        self.waiting.remove(&place).is_some() || self.late.remove(&place)
+    pub fn cancel(&mut self, place: QueueEntry) -> bool {
+        self.waiting.remove(&place).is_some() || self.past_latest_start.remove(&place)
     }
 
     /// How many would be admitted before one of this rank who came at this second with this latest start. Who has missed
     /// its own is among those before only for others who have.
-    pub fn ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
+    pub fn entries_ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
         let in_time = self
             .waiting
             .iter()
@@ -109,18 +112,18 @@
             .map(|(place, _)| place);
         in_time.count()
             + missed
-                .chain(&self.late)
+                .chain(&self.past_latest_start)
                 .filter(|place| place.rank <= rank)
                 .count()
     }
 
     /// Whoever comes now must wait.
     pub fn is_full(&self) -> bool {
-        self.busy >= self.limit
+        self.admitted >= self.limit
     }
 
     /// How many are in.
-    pub fn busy(&self) -> usize {
-        self.busy
+    pub fn admitted(&self) -> usize {
+        self.admitted
     }
 }
--- a/crates/core/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -92,11 +92,11 @@
     /// Inside of one.
     Open {
         /// It was begun as one that only reads.
-        fetch: bool,
+        read_only: bool,
         /// When its `BEGIN` arrived: its reads must be as fresh as that.
-        arrived: f64,
+        arrived_at: f64,
         /// A write was sent in it.
-        wrote: bool,
+        has_written: bool,
     },
     /// It failed; nothing of it is kept, its end rolls back.
     Failed,
@@ -122,9 +122,9 @@
     /// Where it stands in its transaction.
     pub transaction: Transaction,
     /// Where the log stood after its last write.
-    pub written: Option<Position>,
+    pub last_write: Option<Position>,
     /// Its last send to a primary.
-    pub mark: Mark,
+    pub primary_affinity: Mark,
 }
 
 impl Session {
@@ -173,7 +173,7 @@
     }
 
     /// Forgets a prepared name.
-    pub fn release(&mut self, name: &str) -> Result<(), SessionError> {
+    pub fn deallocate(&mut self, name: &str) -> Result<(), SessionError> {
         let at = self
             .prepared
             .iter()
@@ -184,7 +184,7 @@
     }
 
     /// A write of this session was acknowledged with the log here.
-    pub fn wrote(&mut self, position: Option<Position>) {
-        self.written = self.written.max(position);
+    pub fn record_write(&mut self, position: Option<Position>) {
+        self.last_write = self.last_write.max(position);
     }
 }
--- a/crates/core/pooling/src/tests/conns.rs
+++ b/crates/core/pooling/src/tests/conns.rs
@@ -47,7 +47,7 @@
                 }
                 2 => {
                     let known = session.shape(name).is_some();
-                    assert_eq!(session.release(name).is_ok(), known);
+                    assert_eq!(session.deallocate(name).is_ok(), known);
                 }
                 _ => {
                     let (conn, held) = &mut conns[u.choose_index(2)?];
@@ -56,11 +56,11 @@
                     let changes = conn.changes(&session.values, shape.as_ref());
                     assert_eq!(
                         changes.contains(&StateChange::Reset),
-                        before == Distance::Reset
+                        before == Distance::ResetNeeded
                     );
                     for change in &changes {
                         held.run(&change.text());
-                        conn.acknowledged(change);
+                        conn.record_acknowledged(change);
                     }
                     assert_eq!(conn.distance(&session.values), Distance::Same);
                     assert!(conn.changes(&session.values, shape.as_ref()).is_empty());
@@ -71,7 +71,7 @@
                         .collect();
                     assert_eq!(held.values, expected);
                     if let Some(shape) = shape {
-                        let ours = format!("p{}", conn.number(&shape).unwrap());
+                        let ours = format!("p{}", conn.prepared_number(&shape).unwrap());
                         assert_eq!(held.prepared[&ours], (shape.kind, shape.text.to_string()));
                     }
                     if u.ratio(1, 8)? {
@@ -94,8 +94,8 @@
     session.set("b", "2").unwrap();
     let mut conn = ConnectionState::default();
     let changes = conn.changes(&session.values, None);
-    conn.acknowledged(&changes[0]);
-    assert_eq!(conn.distance(&session.values), Distance::Sets);
+    conn.record_acknowledged(&changes[0]);
+    assert_eq!(conn.distance(&session.values), Distance::ValuesMissing);
     assert_eq!(conn.changes(&session.values, None), changes[1..]);
 }
 
@@ -108,9 +108,9 @@
         session.prepare("s", Kind::Fetch, &format!("q{i}")).unwrap();
         for change in conn.changes(&session.values, session.shape("s")) {
             resets += usize::from(change == StateChange::Reset);
-            conn.acknowledged(&change);
+            conn.record_acknowledged(&change);
         }
-        assert!(conn.number(session.shape("s").unwrap()).is_some());
+        assert!(conn.prepared_number(session.shape("s").unwrap()).is_some());
     }
     assert_eq!(resets, 3);
 }
--- a/crates/core/pooling/src/tests/freshness.rs
+++ b/crates/core/pooling/src/tests/freshness.rs
@@ -1,4 +1,4 @@
-use crate::freshness::{History, MAX_SAMPLES};
+use crate::freshness::{MAX_SAMPLES, PositionHistory};
 use arbtest::arbtest;
 use badgerstream_line_protocol::Position;
 
@@ -17,13 +17,13 @@
             commits.push(t);
         }
         let log = |t: f64| commits.iter().filter(|c| **c < t).count() as u64;
-        let mut history = History::default();
+        let mut history = PositionHistory::default();
         let mut samples = Vec::new();
         for _ in 0..u.int_in_range(0..=120)? {
             let asked = f64::from(u.int_in_range(0..=6000u32)?) / 1000.0;
             // The position is that of the moment at which the server answered.
             let answered = asked + f64::from(u.int_in_range(0..=500u32)?) / 1000.0;
-            history.sample(asked, at(log(answered)));
+            history.record(asked, at(log(answered)));
             samples.push((asked, log(answered)));
         }
         for _ in 0..10 {
@@ -42,38 +42,38 @@
 
 #[test]
 fn the_earliest_sample_inside_the_bound_is_the_proof() {
-    let mut history = History::default();
+    let mut history = PositionHistory::default();
     for i in 0..100u64 {
-        history.sample(i as f64 / 10.0, at(i));
+        history.record(i as f64 / 10.0, at(i));
     }
     // What is older than the bound on samples is forgotten, never made up.
     assert_eq!(history.proof(0.0), Some(at(100 - MAX_SAMPLES as u64)));
     assert_eq!(history.proof(5.0), Some(at(50)));
     assert_eq!(history.proof(5.01), Some(at(51)));
     assert_eq!(history.proof(9.91), None);
-    assert_eq!(history.newest(), Some(9.9));
+    assert_eq!(history.newest_query_at(), Some(9.9));
 }
 
 #[test]
 fn samples_close_together_take_one_place() {
-    let mut history = History::default();
+    let mut history = PositionHistory::default();
     for i in 0..1000u64 {
-        history.sample(1.0 + i as f64 / 1000.0, at(i));
+        history.record(1.0 + i as f64 / 1000.0, at(i));
     }
     assert!(history.proof(1.0).is_some());
     assert!(history.proof(1.94).is_some());
     // A quiet log keeps the youngest second at the one position.
-    let mut quiet = History::default();
-    quiet.sample(1.0, at(7));
-    quiet.sample(1.01, at(7));
+    let mut quiet = PositionHistory::default();
+    quiet.record(1.0, at(7));
+    quiet.record(1.01, at(7));
     assert_eq!(quiet.proof(1.01), Some(at(7)));
 }
 
 #[test]
 fn a_new_term_comes_after_the_old_one() {
-    let mut history = History::default();
-    history.sample(1.0, at(900));
-    history.sample(2.0, Position { term: 4, number: 3 });
+    let mut history = PositionHistory::default();
+    history.record(1.0, at(900));
+    history.record(2.0, Position { term: 4, number: 3 });
     assert_eq!(history.proof(0.5), Some(at(900)));
     assert_eq!(history.proof(1.5), Some(Position { term: 4, number: 3 }));
 }
--- a/crates/core/pooling/src/tests/queues.rs
+++ b/crates/core/pooling/src/tests/queues.rs
@@ -1,6 +1,6 @@
-use crate::latency::{Latency, Refusals};
-use crate::queue::{Place, Queue};
-use crate::share::{Share, in_flight};
+use crate::connection_quota::{ConnectionQuota, in_flight_limit};
+use crate::latency::{Latency, RefusalStreak};
+use crate::queue::{Queue, QueueEntry};
 use arbtest::arbtest;
 
 #[test]
@@ -10,13 +10,13 @@
     let low = queue.enter(2, 9.0).unwrap();
     let high = queue.enter(0, 9.0).unwrap();
     let later = queue.enter(0, 9.0).unwrap();
-    assert_eq!(queue.admit(1.0), None);
-    queue.leave();
-    assert_eq!(queue.admit(1.0), Some(high));
+    assert_eq!(queue.admit_next(1.0), None);
+    queue.release();
+    assert_eq!(queue.admit_next(1.0), Some(high));
     assert!(queue.cancel(later));
     assert!(!queue.cancel(high));
-    queue.leave();
-    assert_eq!(queue.admit(1.0), Some(low));
+    queue.release();
+    assert_eq!(queue.admit_next(1.0), Some(low));
 }
 
 #[test]
@@ -32,11 +32,11 @@
                         u.int_in_range(0..=2)?,
                         now + f64::from(u.int_in_range(-2..=4)?),
                     );
-                    let ahead = queue.ahead(rank, latest_start, now);
+                    let ahead = queue.entries_ahead(rank, latest_start, now);
                     match queue.enter(rank, latest_start) {
                         None => inside += 1,
                         Some(place) => {
-                            let before = |&&(p, a): &&(Place, f64)| {
+                            let before = |&&(p, a): &&(QueueEntry, f64)| {
                                 (a < now, p) < (latest_start < now, place)
                             };
                             assert_eq!(ahead, waiting.iter().filter(before).count());
@@ -46,7 +46,7 @@
                 }
                 3 => now += 1.0,
                 1 if inside > 0 => {
-                    queue.leave();
+                    queue.release();
                     inside -= 1;
                 }
                 2 if !waiting.is_empty() => {
@@ -55,7 +55,7 @@
                 }
                 _ => {}
             }
-            while let Some(place) = queue.admit(now) {
+            while let Some(place) = queue.admit_next(now) {
                 // Whoever missed its latest start comes after all who have not; then rank and arrival.
                 let next = waiting
                     .iter()
@@ -65,7 +65,7 @@
                 waiting.retain(|(p, _)| *p != place);
                 inside += 1;
             }
-            assert_eq!(queue.busy(), inside);
+            assert_eq!(queue.admitted(), inside);
             assert!(inside <= limit && (inside == limit || waiting.is_empty()));
         }
         Ok(())
@@ -74,20 +74,29 @@
 
 #[test]
 fn a_share_of_the_connections_is_kept_to() {
-    let mut share = Share::new(68, 14);
-    assert_eq!((share.plain(), share.limit(0.0)), (4, 4));
-    share.set(68, 9);
-    share.refused(1.0);
-    assert_eq!((share.limit(1.0), share.limit(6.0)), (3, 6));
+    let mut connection_quota = ConnectionQuota::new(68, 14);
+    assert_eq!(
+        (connection_quota.base_limit(), connection_quota.limit(0.0)),
+        (4, 4)
+    );
+    connection_quota.update(68, 9);
+    connection_quota.record_refusal(1.0);
+    assert_eq!(
+        (connection_quota.limit(1.0), connection_quota.limit(6.0)),
+        (3, 6)
+    );
     // All shares together stay below what the server takes, wherever that leaves two for each.
     for routers in 1..=30 {
-        share.set(80, routers);
-        assert!(share.limit(6.0) * routers < 80);
+        connection_quota.update(80, routers);
+        assert!(connection_quota.limit(6.0) * routers < 80);
     }
-    share.set(4, 14);
-    assert_eq!((share.plain(), share.limit(6.0)), (2, 2));
-    share.set(1, 14);
-    assert_eq!(share.limit(6.0), 2);
+    connection_quota.update(4, 14);
+    assert_eq!(
+        (connection_quota.base_limit(), connection_quota.limit(6.0)),
+        (2, 2)
+    );
+    connection_quota.update(1, 14);
+    assert_eq!(connection_quota.limit(6.0), 2);
 }
 
 #[test]
@@ -99,17 +108,17 @@
     // Before its latest start is past it is ahead of those of lower rank; afterwards it is behind them.
     assert_eq!(
         (
-            queue.ahead(1, 9.0, 0.5),
-            queue.ahead(1, 9.0, 2.0),
-            queue.ahead(2, 9.0, 2.0)
+            queue.entries_ahead(1, 9.0, 0.5),
+            queue.entries_ahead(1, 9.0, 2.0),
+            queue.entries_ahead(2, 9.0, 2.0)
         ),
         (1, 0, 1)
     );
-    assert_eq!(queue.ahead(0, 1.0, 2.0), 2);
-    queue.leave();
-    assert_eq!(queue.admit(2.0), Some(low));
-    queue.leave();
-    assert_eq!(queue.admit(2.0), Some(missed));
+    assert_eq!(queue.entries_ahead(0, 1.0, 2.0), 2);
+    queue.release();
+    assert_eq!(queue.admit_next(2.0), Some(low));
+    queue.release();
+    assert_eq!(queue.admit_next(2.0), Some(missed));
     assert!(!queue.cancel(missed));
 }
 
@@ -125,23 +134,23 @@
         (1, 9),
         (0, 0),
     ]
-    .map(|(s, r)| in_flight(s, r, 1.0));
+    .map(|(s, r)| in_flight_limit(s, r, 1.0));
     assert_eq!(limits, [2, 3, 4, 2, 3, 4, 2, 2]);
     // Where the way is long, more are on it; never more than the server has slots.
     assert_eq!(
-        [1.0, 2.0, 3.0, 8.0].map(|stretch| in_flight(7, 9, stretch)),
+        [1.0, 2.0, 3.0, 8.0].map(|stretch| in_flight_limit(7, 9, stretch)),
         [2, 4, 5, 7]
     );
     let mut latency = Latency::default();
-    assert_eq!(latency.stretch(), 1.0);
+    assert_eq!(latency.network_stretch(), 1.0);
     latency.record_answer(0.034);
     latency.record_round_trip(0.026);
-    assert!((latency.stretch() - 4.25).abs() < 1e-6);
+    assert!((latency.network_stretch() - 4.25).abs() < 1e-6);
     // The shortest way counts, and a longer one only slowly.
     latency.record_round_trip(0.017);
-    assert!((latency.stretch() - 2.0).abs() < 1e-6);
+    assert!((latency.network_stretch() - 2.0).abs() < 1e-6);
     latency.record_round_trip(0.033);
-    assert!(latency.stretch() < 2.2);
+    assert!(latency.network_stretch() < 2.2);
 }
 
 #[test]
@@ -171,7 +180,7 @@
 
 #[test]
 fn who_is_refused_comes_back_the_later_the_longer_it_lasts() {
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusalStreak::default();
     let backs = [
         (5.0, 0.2),
         (5.5, 0.2),
@@ -179,7 +188,7 @@
         (6.5, 3.0),
         (7.75, 0.25),
     ];
-    let backs = backs.map(|(now, wait)| refusals.refused(now, wait));
+    let backs = backs.map(|(now, wait)| refusals.record_refusal(now, wait));
     // After a second of calm it begins anew.
     assert_eq!(backs, [0.2, 0.5, 1.25, 3.0, 0.25]);
 }
--- a/crates/runtime/pooler/src/edge/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -4,17 +4,17 @@
 mod connection;
 mod dispatch;
 mod handshake;
-mod input;
-mod placing;
+mod next_request;
+mod placement;
 mod response;
-mod single;
+mod single_statement;
 mod statement;
 mod transaction;
 
 use super::net;
-use super::place::RouteTerms;
+use super::placement::RouteTerms;
 use super::pool::Checkout;
-use super::{Edge, SessionHandle};
+use super::{DataPlane, SessionHandle};
 use crate::clock;
 use async_io::Async;
 use badgerstream_line_protocol::Request;
@@ -30,7 +30,7 @@
 const USER_TIMEOUT_MS: u32 = 10_000;
 /// The part of its deadline after which a statement that no server was offered is given back to its client: what is
 /// held longer is as good as lost there.
-const HOLD_FRACTION: f64 = 0.45;
+const PLACEMENT_DEADLINE_FRACTION: f64 = 0.45;
 /// The first pause after a primary's refusal, in seconds; it doubles with each attempt.
 const BACKOFF_S: f64 = 0.02;
 /// How often the pause doubles.
@@ -39,7 +39,11 @@
 const DEFAULT_MAX_CONNS: u32 = 16;
 
 /// Serves a client until it ends.
-pub(super) async fn serve(edge: &Rc<Edge>, stream: Async<TcpStream>, handle: Rc<SessionHandle>) {
+pub(super) async fn serve(
+    data_plane: &Rc<DataPlane>,
+    stream: Async<TcpStream>,
+    handle: Rc<SessionHandle>,
+) {
     if net::options(&stream, USER_TIMEOUT_MS).is_err() {
         return;
     }
@@ -47,11 +51,11 @@
         stream,
         lines: RefCell::default(),
     };
-    let Some(database) = handshake(edge, &client).await else {
+    let Some(database) = handshake(data_plane, &client).await else {
         return;
     };
     let mut session = ClientSession {
-        edge: edge.clone(),
+        data_plane: data_plane.clone(),
         database,
         client,
         session: Session::default(),
@@ -69,7 +73,7 @@
 
 /// A session at work.
 struct ClientSession {
-    edge: Rc<Edge>,
+    data_plane: Rc<DataPlane>,
     database: Rc<str>,
     client: ClientConnection,
     session: Session,
@@ -89,13 +93,13 @@
             let Some(line) = self.next_request().await else {
                 return;
             };
-            let working = ActiveStatement::new(&self.edge);
-            let arrived = clock::now();
+            let working = ActiveStatement::new(&self.data_plane);
+            let arrived_at = clock::now();
             let response = match Request::parse(&line) {
                 Ok(Request::Query { id, text }) => {
                     // On the heap while it lasts: a resting session keeps no room for it.
-                    let response = Box::pin(self.query(id, text, arrived)).await;
-                    self.edge.counts.ended(text, response.end());
+                    let response = Box::pin(self.query(id, text, arrived_at)).await;
+                    self.data_plane.counts.ended(text, response.end());
                     response
                 }
                 Ok(Request::Bye) => return,
@@ -133,35 +137,39 @@
                     .write(format!("COMPLETE -\r\nIDLE {state} -\r\n").as_bytes())
                     .await
             }
-            Response::ClientGone => false,
+            Response::ClientDisconnected => false,
         }
     }
 
     /// The terms of the session's database, as they stand now.
     fn route_terms(&self) -> Option<RouteTerms> {
-        let config = self.edge.shared.view.borrow().config.clone()?;
+        let config = self.data_plane.shared_view.view.borrow().config.clone()?;
         let route = config.route(&self.database)?;
         let max_conns = config
             .services
             .iter()
             .find(|s| s.name == route.service)
             .map_or(DEFAULT_MAX_CONNS, |s| s.max_conns);
-        Some(RouteTerms::of(route, max_conns as usize))
+        Some(RouteTerms::from_route(route, max_conns as usize))
     }
 }
 
 /// Counts what is in work.
-struct ActiveStatement(Rc<Edge>);
+struct ActiveStatement(Rc<DataPlane>);
 
 impl ActiveStatement {
-    fn new(edge: &Rc<Edge>) -> Self {
-        edge.working.set(edge.working.get() + 1);
-        Self(edge.clone())
+    fn new(data_plane: &Rc<DataPlane>) -> Self {
+        data_plane
+            .active_statements
+            .set(data_plane.active_statements.get() + 1);
+        Self(data_plane.clone())
     }
 }
 
 impl Drop for ActiveStatement {
     fn drop(&mut self) {
-        self.0.working.set(self.0.working.get() - 1);
+        self.0
+            .active_statements
+            .set(self.0.active_statements.get() - 1);
     }
 }
--- a/crates/runtime/pooler/src/edge/client/connection.rs
+++ b/crates/runtime/pooler/src/data_plane/client/connection.rs
@@ -1,7 +1,7 @@
 //! A client's connection: lines in, answers out.
 
 use crate::clock;
-use crate::edge::{Edge, net};
+use crate::data_plane::{DataPlane, net};
 use async_io::Async;
 use badgerstream_line_protocol::LineBuffer;
 use std::cell::RefCell;
@@ -29,12 +29,16 @@
     }
 
     /// Whether something came.
-    pub(super) async fn read(&self, edge: &Edge) -> bool {
+    pub(super) async fn read(&self, data_plane: &DataPlane) -> bool {
         loop {
             if self.stream.readable().await.is_err() {
                 return false;
             }
-            match net::read_now(&self.stream, &edge.scratch, &mut self.lines.borrow_mut()) {
+            match net::read_now(
+                &self.stream,
+                &data_plane.scratch,
+                &mut self.lines.borrow_mut(),
+            ) {
                 Ok(None) => {}
                 Ok(Some(n)) => return n > 0,
                 Err(_) => return false,
@@ -43,8 +47,8 @@
     }
 
     /// Waits until the client has gone; none then. Whoever asks on meanwhile is there.
-    pub(super) async fn until_closed<T>(&self, edge: &Edge) -> Option<T> {
-        if self.lines.borrow().is_empty() && !self.read(edge).await {
+    pub(super) async fn until_closed<T>(&self, data_plane: &DataPlane) -> Option<T> {
+        if self.lines.borrow().is_empty() && !self.read(data_plane).await {
             return None;
         }
         pending().await
--- a/crates/runtime/pooler/src/edge/client/dispatch.rs
+++ b/crates/runtime/pooler/src/data_plane/client/dispatch.rs
@@ -3,17 +3,17 @@
 use super::ClientSession;
 use super::response::{Response, error, retry_later};
 use super::statement::Statement;
-use crate::edge::SessionEnd;
-use crate::edge::place::RETRY_AFTER_S;
+use crate::data_plane::DrainStage;
+use crate::data_plane::placement::RETRY_AFTER_S;
 use badgerstream_line_protocol::{Code, Kind, State, Text};
 use badgerstream_pooling::session::{SessionError, Transaction};
 
 /// Why what arrives too late isn't run.
-const ENDING: &str = "the router ends";
+const DRAINING_REASON: &str = "the router ends";
 
 impl ClientSession {
     /// Answers a statement.
-    pub(super) async fn query(&mut self, id: &str, text: &str, arrived: f64) -> Response {
+    pub(super) async fn query(&mut self, id: &str, text: &str, arrived_at: f64) -> Response {
         let parsed = match Text::parse(text) {
             Ok(parsed) => parsed,
             Err(e) => return self.malformed(&e.to_string()),
@@ -25,14 +25,14 @@
         let (kind, execute) = match parsed {
             Text::Set { name, value } => {
                 let set = self.session.set(name, value);
-                return self.acknowledge(set);
+                return self.session_update_response(set);
             }
             Text::Prepare { name, kind, shape } => {
                 let prepared = self.session.prepare(name, kind, shape);
-                return self.acknowledge(prepared);
+                return self.session_update_response(prepared);
             }
             Text::Release { name } => {
-                return match self.session.release(name) {
+                return match self.session.deallocate(name) {
                     Ok(()) => Response::Done,
                     Err(_) => self.unknown_shape(name),
                 };
@@ -42,9 +42,9 @@
             }
             Text::Begin { fetch } => {
                 self.session.transaction = Transaction::Open {
-                    fetch,
-                    arrived,
-                    wrote: false,
+                    read_only: fetch,
+                    arrived_at,
+                    has_written: false,
                 };
                 return Response::Done;
             }
@@ -55,11 +55,11 @@
                 self.roll_back();
                 return Response::Done;
             }
-            Text::Commit if self.ends() => {
+            Text::Commit if self.is_draining() => {
                 self.roll_back();
-                return error(Code::Aborted, ENDING, State::Idle);
+                return error(Code::Aborted, DRAINING_REASON, State::Idle);
             }
-            Text::Commit => return self.commit(id, text, arrived).await,
+            Text::Commit => return self.commit(id, text, arrived_at).await,
             Text::Fetch => (Kind::Fetch, None),
             Text::Put => (Kind::Put, None),
             Text::Execute { name, rest } => {
@@ -69,8 +69,8 @@
                 (shape.kind, Some((shape, rest)))
             }
         };
-        if self.ends() {
-            return self.refuse_at_the_end();
+        if self.is_draining() {
+            return self.reject_while_draining();
         }
         let execute = execute.as_ref().map(|(shape, rest)| (shape, *rest));
         let statement = Statement {
@@ -78,7 +78,7 @@
             text,
             kind,
             execute,
-            arrived,
+            arrived_at,
         };
         if transaction == Transaction::None {
             self.run_single(&statement).await
@@ -88,16 +88,16 @@
     }
 
     /// Whether the router ends so soon that what arrives now may not be sent to a server.
-    fn ends(&self) -> bool {
-        self.handle.end.get() >= SessionEnd::Unplaced
+    fn is_draining(&self) -> bool {
+        self.handle.drain_stage.get() >= DrainStage::RejectUnplaced
     }
 
-    fn refuse_at_the_end(&mut self) -> Response {
+    fn reject_while_draining(&mut self) -> Response {
         if self.session.transaction == Transaction::None {
             return retry_later(RETRY_AFTER_S, State::Idle);
         }
         self.fail_transaction();
-        error(Code::Aborted, ENDING, State::Failed)
+        error(Code::Aborted, DRAINING_REASON, State::Failed)
     }
 
     /// A failed transaction takes nothing but its end.
@@ -120,7 +120,7 @@
     }
 
     /// Answers once the session has taken a value or a prepared name, or can't.
-    fn acknowledge(&mut self, taken: Result<(), SessionError>) -> Response {
+    fn session_update_response(&mut self, taken: Result<(), SessionError>) -> Response {
         match taken {
             Ok(()) => Response::Done,
             Err(e) => self.malformed(&e.to_string()),
--- a/crates/runtime/pooler/src/edge/client/handshake.rs
+++ b/crates/runtime/pooler/src/data_plane/client/handshake.rs
@@ -3,8 +3,8 @@
 use super::connection::ClientConnection;
 use super::response::retry_after_ms;
 use crate::clock;
-use crate::edge::place::RETRY_AFTER_S;
-use crate::edge::{Edge, net};
+use crate::data_plane::placement::RETRY_AFTER_S;
+use crate::data_plane::{DataPlane, net};
 use badgerstream_line_protocol::Request;
 use std::rc::Rc;
 
@@ -14,13 +14,16 @@
 const CONFIG_WAIT_S: f64 = 1.5;
 
 /// The database that the client connects to, once it has its answer; none if it was refused or has gone.
-pub(super) async fn handshake(edge: &Rc<Edge>, client: &ClientConnection) -> Option<Rc<str>> {
+pub(super) async fn handshake(
+    data_plane: &Rc<DataPlane>,
+    client: &ClientConnection,
+) -> Option<Rc<str>> {
     let line = net::until(clock::now() + HANDSHAKE_TIMEOUT_S, async {
         loop {
             if let Some(line) = client.next_line().ok()? {
                 return Some(line);
             }
-            if !client.read(edge).await {
+            if !client.read(data_plane).await {
                 return None;
             }
         }
@@ -34,8 +37,8 @@
     };
     let until = clock::now() + CONFIG_WAIT_S;
     loop {
-        let generation = edge.shared.changed.generation();
-        let config = edge.shared.view.borrow().config.clone();
+        let generation = data_plane.shared_view.changed.generation();
+        let config = data_plane.shared_view.view.borrow().config.clone();
         match config {
             Some(config) if config.route(database).is_some() => {
                 let answered = client.write(b"IDLE I -\r\n").await;
@@ -48,9 +51,12 @@
                 return None;
             }
             None => {
-                if net::until(until, edge.shared.changed.notified_since(generation))
-                    .await
-                    .is_none()
+                if net::until(
+                    until,
+                    data_plane.shared_view.changed.notified_since(generation),
+                )
+                .await
+                .is_none()
                 {
                     let line = format!("ERROR RETRY {}\r\n", retry_after_ms(RETRY_AFTER_S));
                     client.write(line.as_bytes()).await;
--- a/crates/runtime/pooler/src/edge/client/input.rs
+++ b/crates/runtime/pooler/src/data_plane/client/next_request.rs
@@ -2,7 +2,7 @@
 
 use super::ClientSession;
 use crate::clock;
-use crate::edge::{SessionEnd, net};
+use crate::data_plane::{DrainStage, net};
 use badgerstream_pooling::session::Transaction;
 use futures_lite::future::or;
 
@@ -54,14 +54,14 @@
     async fn next_input(&self) -> Input {
         let read = or(
             async {
-                if self.client.read(&self.edge).await {
+                if self.client.read(&self.data_plane).await {
                     Input::Bytes
                 } else {
                     Input::Closed
                 }
             },
             async {
-                self.handle.reached(SessionEnd::AtRest).await;
+                self.handle.reached(DrainStage::CloseIdle).await;
                 Input::Closing
             },
         );
@@ -69,7 +69,7 @@
             return read.await;
         }
         let idle_ms = {
-            let view = self.edge.shared.view.borrow();
+            let view = self.data_plane.shared_view.view.borrow();
             view.config
                 .as_ref()
                 .map_or(DEFAULT_TRANSACTION_IDLE_MS, |c| c.limits.txn_idle_ms)
@@ -84,7 +84,7 @@
     async fn last_request(&self) -> Option<Vec<u8>> {
         let arrived = net::read_now(
             &self.client.stream,
-            &self.edge.scratch,
+            &self.data_plane.scratch,
             &mut self.client.lines.borrow_mut(),
         );
         if matches!(arrived, Ok(Some(n)) if n > 0)
--- a/crates/runtime/pooler/src/edge/client/response.rs
+++ b/crates/runtime/pooler/src/data_plane/client/response.rs
@@ -16,7 +16,7 @@
     /// Our own success.
     Done,
     /// Not at all: the client has closed its connection.
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl Response {
@@ -29,7 +29,7 @@
             },
             Self::Error(code, ..) => StatementEnd::Error(*code),
             Self::Done => StatementEnd::Complete,
-            Self::ClientGone => StatementEnd::ClientGone,
+            Self::ClientDisconnected => StatementEnd::ClientGone,
         }
     }
 }
--- a/crates/runtime/pooler/src/edge/client/single.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -1,13 +1,13 @@
 //! A statement outside a transaction: tried at one server after the other until one answers.
 
 use super::ClientSession;
-use super::HOLD_FRACTION;
-use super::placing::NoPlacement;
+use super::PLACEMENT_DEADLINE_FRACTION;
+use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
 use super::statement::Statement;
 use crate::clock;
-use crate::edge::place::{Placement, PlacementRequest, RETRY_AFTER_S};
-use crate::edge::pool::ExchangeError;
+use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S};
+use crate::data_plane::pool::ExchangeError;
 use crate::view::Server;
 use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State, Verdict};
 use badgerstream_pooling::choice::Access;
@@ -16,37 +16,37 @@
 use std::future::pending;
 
 /// How often a read is asked again since its answer most likely is lost.
-const MAX_REISSUES: usize = 2;
+const MAX_HEDGED_READS: usize = 2;
 /// How often a read is tried that a server fails to run.
 const MAX_FAILED_READS: u32 = 2;
 /// The shortest wait before a read is asked elsewhere, in seconds.
-const MIN_FIRST_TRY_S: f64 = 0.15;
+const MIN_FIRST_ATTEMPT_S: f64 = 0.15;
 /// After the first try, a place is waited for at least this long, in seconds.
-const MIN_PLACE_WAIT_S: f64 = 0.05;
+const MIN_PLACEMENT_WAIT_S: f64 = 0.05;
 
 /// A statement on its way through the servers that are tried for it.
 struct Attempts<'a> {
     statement: &'a Statement<'a>,
     request: PlacementRequest<'a>,
-    reads: bool,
+    is_read: bool,
     deadline: f64,
     /// Until when the first server is waited for.
-    give_up: f64,
+    give_up_at: f64,
     /// Servers that were tried in vain.
-    tried: Vec<String>,
-    reissues: usize,
+    tried_servers: Vec<String>,
+    hedged_reads: usize,
     /// A connection that was had while the last answer was awaited.
-    next: Option<Placement>,
+    hedged_placement: Option<Placement>,
 }
 
 impl Attempts<'_> {
     /// Until when a place is waited for.
     fn place_limit(&self, attempt: u32) -> f64 {
         match attempt {
-            0 => self.give_up,
+            0 => self.give_up_at,
             _ => self
-                .give_up
-                .max(clock::now() + MIN_PLACE_WAIT_S)
+                .give_up_at
+                .max(clock::now() + MIN_PLACEMENT_WAIT_S)
                 .min(self.deadline),
         }
     }
@@ -54,14 +54,14 @@
     /// Until when an answer is waited for. A read is asked again as soon as its answer most likely is lost; elsewhere
     /// also if a replica is silent.
     fn answer_limit(&self, now: f64, primary: bool, attempt: u32) -> f64 {
-        if !self.reads || primary || attempt > 0 {
+        if !self.is_read || primary || attempt > 0 {
             return self.deadline;
         }
         let terms = self.request.terms;
-        let first_try = (terms.target / 2.0)
-            .max(MIN_FIRST_TRY_S)
-            .min(terms.deadline / 3.0);
-        (now + first_try).min(self.deadline)
+        let first_attempt = (terms.target_s / 2.0)
+            .max(MIN_FIRST_ATTEMPT_S)
+            .min(terms.deadline_s / 3.0);
+        (now + first_attempt).min(self.deadline)
     }
 }
 
@@ -70,7 +70,7 @@
     /// The client is answered.
     Done(Response),
     /// Another server is to be tried than the one of this id.
-    TryNext(String),
+    Retry(String),
     /// The connection doesn't know the statement: nothing more is tried.
     NotPrepared,
 }
@@ -90,31 +90,31 @@
         let Some(terms) = self.route_terms() else {
             return error(Code::NoDb, &*self.database, State::Idle);
         };
-        let reads = statement.kind == Kind::Fetch;
-        let arrived = statement.arrived;
+        let is_read = statement.kind == Kind::Fetch;
+        let arrived_at = statement.arrived_at;
         let request = PlacementRequest {
             terms: &terms,
-            access: if reads { Access::Read } else { Access::Write },
-            arrived,
-            waiting_since: arrived,
+            access: if is_read { Access::Read } else { Access::Write },
+            arrived_at,
+            waiting_since: arrived_at,
             shape: statement.execute.map(|(shape, _)| shape),
             takes_slot: true,
         };
         let mut attempts = Attempts {
             statement,
             request,
-            reads,
-            deadline: arrived + terms.deadline,
-            give_up: arrived + terms.deadline * HOLD_FRACTION,
-            tried: Vec::new(),
-            reissues: 0,
-            next: None,
+            is_read,
+            deadline: arrived_at + terms.deadline_s,
+            give_up_at: arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION,
+            tried_servers: Vec::new(),
+            hedged_reads: 0,
+            hedged_placement: None,
         };
         let mut retry_after = RETRY_AFTER_S;
-        for attempt in 0..terms.attempts() {
+        for attempt in 0..terms.max_attempts() {
             let placement = match self.next_placement(&mut attempts, attempt).await {
                 Ok(placement) => placement,
-                Err(NoPlacement::ClientGone) => return Response::ClientGone,
+                Err(NoPlacement::ClientDisconnected) => return Response::ClientDisconnected,
                 Err(NoPlacement::RetryAfter(wait)) => {
                     retry_after = wait;
                     break;
@@ -122,7 +122,7 @@
             };
             match self.attempt(&mut attempts, placement, attempt).await {
                 Attempt::Done(response) => return response,
-                Attempt::TryNext(server) => attempts.tried.push(server),
+                Attempt::Retry(server) => attempts.tried_servers.push(server),
                 Attempt::NotPrepared => break,
             }
         }
@@ -134,11 +134,12 @@
         attempts: &mut Attempts<'_>,
         attempt: u32,
     ) -> Result<Placement, NoPlacement> {
-        if let Some(placement) = attempts.next.take() {
+        if let Some(placement) = attempts.hedged_placement.take() {
             return Ok(placement);
         }
         let limit = attempts.place_limit(attempt);
-        self.place(&attempts.request, &attempts.tried, limit).await
+        self.place(&attempts.request, &attempts.tried_servers, limit)
+            .await
     }
 
     /// Sends the statement to one server and waits for its answer.
@@ -157,11 +158,13 @@
         };
         let now = clock::now();
         if primary {
-            self.session.mark.touch(now);
+            self.session.primary_affinity.touch(now);
         }
-        let term = self.edge.granted_term(&placement.checkout.pool.server, now);
+        let term = self
+            .data_plane
+            .granted_term(&placement.checkout.pool.server, now);
         let limit = attempts.answer_limit(now, primary, attempt);
-        let target = attempts.request.terms.target;
+        let target = attempts.request.terms.target_s;
         let mut answer = Answer::default();
         let forwarded = Cell::new(false);
         let client = &self.client;
@@ -169,13 +172,14 @@
             forwarded.set(true);
             client.write(part).await
         };
-        let asked = placement
-            .checkout
-            .ask_patiently(&line, &mut answer, target, limit, &pass);
-        let mut outcome = self.handle.before_cut_off(asked).await;
+        let asked =
+            placement
+                .checkout
+                .exchange_until_overdue(&line, &mut answer, target, limit, &pass);
+        let mut outcome = self.handle.until_final_answer(asked).await;
         if outcome == Err(ExchangeError::Overdue) {
-            let waited = self.wait_or_reissue(attempts, &mut placement, &mut answer, &pass);
-            outcome = self.handle.before_cut_off(waited).await;
+            let waited = self.wait_or_hedge(attempts, &mut placement, &mut answer, &pass);
+            outcome = self.handle.until_final_answer(waited).await;
         }
         let exchange = Exchange {
             answer,
@@ -192,7 +196,7 @@
     }
 
     /// Waits on for an answer that is overdue; a read is asked again if another connection is had before.
-    async fn wait_or_reissue(
+    async fn wait_or_hedge(
         &self,
         attempts: &mut Attempts<'_>,
         placement: &mut Placement,
@@ -200,16 +204,16 @@
         pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
         // It holds its place here no longer, since it most likely holds none there. Its answer is still welcome.
-        placement.checkout.leave();
-        let may_reissue = attempts.reads && attempts.reissues < MAX_REISSUES;
-        let reissue = async {
-            if !may_reissue {
+        placement.checkout.release_slot();
+        let may_hedge = attempts.is_read && attempts.hedged_reads < MAX_HEDGED_READS;
+        let hedge = async {
+            if !may_hedge {
                 return pending().await;
             }
-            let place = self.edge.place(
+            let place = self.data_plane.place(
                 &attempts.request,
                 &self.session,
-                &attempts.tried,
+                &attempts.tried_servers,
                 attempts.deadline,
             );
             match place.await {
@@ -220,15 +224,15 @@
         let wait = async {
             Ok(placement
                 .checkout
-                .wait(answer, attempts.deadline, &pass)
+                .await_answer(answer, attempts.deadline, &pass)
                 .await)
         };
-        let first = or(wait, reissue).await;
+        let first = or(wait, hedge).await;
         match first {
             Ok(outcome) => outcome,
             Err(other) => {
-                attempts.next = Some(other);
-                attempts.reissues += 1;
+                attempts.hedged_placement = Some(other);
+                attempts.hedged_reads += 1;
                 Err(ExchangeError::Overdue)
             }
         }
@@ -247,11 +251,11 @@
         let server = pool.server.id.clone();
         match outcome.error {
             None => {
-                if !attempts.reads && !self.is_granted_still(&pool.server, exchange.term) {
+                if !attempts.is_read && !self.is_granted_still(&pool.server, exchange.term) {
                     return Attempt::Done(error(Code::InDoubt, "the primary changes", State::Idle));
                 }
-                if !attempts.reads {
-                    self.session.wrote(outcome.position);
+                if !attempts.is_read {
+                    self.session.record_write(outcome.position);
                 }
                 Attempt::Done(self.forward(exchange.answer.raw, outcome))
             }
@@ -268,10 +272,10 @@
                 if primary {
                     self.back_off(attempt).await;
                 }
-                Attempt::TryNext(server)
+                Attempt::Retry(server)
             }
-            Some(Code::Failed) if attempts.reads && attempt < MAX_FAILED_READS => {
-                Attempt::TryNext(server)
+            Some(Code::Failed) if attempts.is_read && attempt < MAX_FAILED_READS => {
+                Attempt::Retry(server)
             }
             Some(_) => Attempt::Done(self.forward(exchange.answer.raw, outcome)),
         }
@@ -287,10 +291,12 @@
     ) -> Attempt {
         let server = placement.checkout.pool.server.id.clone();
         match failure {
-            ExchangeError::ClientGone => return Attempt::Done(Response::ClientGone),
-            _ if exchange.forwarded => return Attempt::Done(Response::ClientGone),
+            ExchangeError::ClientDisconnected => {
+                return Attempt::Done(Response::ClientDisconnected);
+            }
+            _ if exchange.forwarded => return Attempt::Done(Response::ClientDisconnected),
             ExchangeError::Unsent => {}
-            _ if !attempts.reads && failure.verdict() == Verdict::MayHaveRun => {
+            _ if !attempts.is_read && failure.verdict() == Verdict::MayHaveRun => {
                 log::info!("event=in_doubt server={server} database={}", self.database);
                 return Attempt::Done(error(Code::InDoubt, "no clear answer", State::Idle));
             }
@@ -301,19 +307,19 @@
                     self.database
                 );
             }
-            ExchangeError::Silent => {
+            ExchangeError::TimedOut => {
                 if clock::now() >= attempts.deadline {
                     return Attempt::Done(error(Code::Timeout, "no answer", State::Idle));
                 }
             }
         }
-        Attempt::TryNext(server)
+        Attempt::Retry(server)
     }
 
     /// Whether the grant under which a write was sent is in force when its answer comes. Once it was given back another server
     /// may have been chosen by what was acknowledged until then: a later success may be cut back, and is told to nobody.
     pub(super) fn is_granted_still(&self, server: &Server, term: Option<u64>) -> bool {
-        term.is_some() && self.edge.granted_term(server, clock::now()) == term
+        term.is_some() && self.data_plane.granted_term(server, clock::now()) == term
     }
 
     /// A server's answer outside a transaction: should it say another state, that ends with its connection.
--- a/crates/runtime/pooler/src/edge/client/statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/statement.rs
@@ -1,6 +1,6 @@
 //! A statement that runs at a server, and its line there.
 
-use crate::edge::pool::Checkout;
+use crate::data_plane::pool::Checkout;
 use badgerstream_line_protocol::Kind;
 use badgerstream_pooling::session::Shape;
 
@@ -13,7 +13,7 @@
     pub(super) kind: Kind,
     /// What follows our name for the shape, where it runs a prepared one.
     pub(super) execute: Option<(&'a Shape, &'a str)>,
-    pub(super) arrived: f64,
+    pub(super) arrived_at: f64,
 }
 
 impl Statement<'_> {
@@ -23,7 +23,7 @@
             match self.execute {
                 None => format!("QUERY {} {waitpos}{}\r\n", self.id, self.text),
                 Some((shape, rest)) => {
-                    let number = out.number(shape)?;
+                    let number = out.prepared_number(shape)?;
                     let blank = if rest.is_empty() { "" } else { " " };
                     format!(
                         "QUERY {} {waitpos}EXECUTE p{number}{blank}{rest}\r\n",
--- a/crates/runtime/pooler/src/edge/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -1,12 +1,12 @@
 //! A transaction: begun at a server with its first statement, held there, and given up.
 
-use super::placing::NoPlacement;
+use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
 use super::statement::Statement;
-use super::{ClientSession, HOLD_FRACTION};
+use super::{ClientSession, PLACEMENT_DEADLINE_FRACTION};
 use crate::clock;
-use crate::edge::place::{Placement, PlacementRequest, RETRY_AFTER_S, RouteTerms};
-use crate::edge::pool::{Checkout, ExchangeError};
+use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S, RouteTerms};
+use crate::data_plane::pool::{Checkout, ExchangeError};
 use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State};
 use badgerstream_pooling::choice::Access;
 use badgerstream_pooling::session::{Shape, Transaction};
@@ -20,15 +20,15 @@
     /// Begins the open transaction at a server, if it isn't; what to answer the client if that can't be.
     pub(super) async fn begin_at_server(
         &mut self,
-        arrived: f64,
+        arrived_at: f64,
         shape: Option<&Shape>,
     ) -> Result<(), Response> {
         if self.checkout.is_some() {
             return Ok(());
         }
         let Transaction::Open {
-            fetch,
-            arrived: began,
+            read_only,
+            arrived_at: began,
             ..
         } = self.session.transaction
         else {
@@ -38,21 +38,25 @@
             self.fail_transaction();
             return Err(error(Code::Aborted, "the database is gone", State::Failed));
         };
-        let give_up = arrived + terms.deadline * HOLD_FRACTION;
+        let give_up_at = arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION;
         let request = PlacementRequest {
             terms: &terms,
-            access: if fetch { Access::Read } else { Access::Write },
-            arrived: began,
-            waiting_since: arrived,
+            access: if read_only {
+                Access::Read
+            } else {
+                Access::Write
+            },
+            arrived_at: began,
+            waiting_since: arrived_at,
             shape,
             takes_slot: false,
         };
-        let mut tried = Vec::new();
+        let mut tried_servers = Vec::new();
         let mut retry_after = RETRY_AFTER_S;
-        for attempt in 0..terms.attempts() {
-            let placement = match self.place(&request, &tried, give_up).await {
+        for attempt in 0..terms.max_attempts() {
+            let placement = match self.place(&request, &tried_servers, give_up_at).await {
                 Ok(placement) => placement,
-                Err(NoPlacement::ClientGone) => return Err(Response::ClientGone),
+                Err(NoPlacement::ClientDisconnected) => return Err(Response::ClientDisconnected),
                 Err(NoPlacement::RetryAfter(wait)) => {
                     retry_after = wait;
                     break;
@@ -60,17 +64,22 @@
             };
             let pool = placement.checkout.pool.clone();
             let Some(mut checkout) = self
-                .begin_on(placement, fetch, &terms, arrived, attempt)
+                .begin_on(placement, read_only, &terms, arrived_at, attempt)
                 .await
             else {
-                tried.push(pool.server.id.clone());
+                tried_servers.push(pool.server.id.clone());
                 continue;
             };
-            let admission =
-                request.admission(&pool, give_up.max(clock::now() + MIN_ADMISSION_WAIT_S));
-            let entered = checkout.enter_first(&admission);
-            if self.handle.before_refusal(admission.give_up, entered).await != Some(true) {
-                retry_after = pool.wait(&admission, clock::now());
+            let admission_terms =
+                request.admission_terms(&pool, give_up_at.max(clock::now() + MIN_ADMISSION_WAIT_S));
+            let entered = checkout.acquire_first_slot(&admission_terms);
+            if self
+                .handle
+                .until_rejection(admission_terms.give_up_at, entered)
+                .await
+                != Some(true)
+            {
+                retry_after = pool.estimated_wait(&admission_terms, clock::now());
                 checkout.roll_back();
                 break;
             }
@@ -89,28 +98,28 @@
     async fn begin_on(
         &mut self,
         mut placement: Placement,
-        fetch: bool,
+        read_only: bool,
         terms: &RouteTerms,
-        arrived: f64,
+        arrived_at: f64,
         attempt: u32,
     ) -> Option<Checkout> {
         let primary = placement.proof.is_none();
-        let line = match (placement.proof, fetch) {
+        let line = match (placement.proof, read_only) {
             (Some(proof), _) => format!("QUERY - WAITPOS {proof} BEGIN FETCH\r\n"),
             (None, true) => "QUERY - BEGIN FETCH\r\n".to_owned(),
             (None, false) => "QUERY - BEGIN\r\n".to_owned(),
         };
         if primary {
-            self.session.mark.touch(clock::now());
+            self.session.primary_affinity.touch(clock::now());
         }
-        let limit = (clock::now() + BEGIN_TIMEOUT_S).min(arrived + terms.deadline);
+        let limit = (clock::now() + BEGIN_TIMEOUT_S).min(arrived_at + terms.deadline_s);
         let mut answer = Answer::default();
         let discard = async |_: &[u8]| true;
         // Nothing has run in it yet: it may be begun once more as soon as its answer most likely is lost.
-        let begun = placement.checkout.ask_patiently(
+        let begun = placement.checkout.exchange_until_overdue(
             line.as_bytes(),
             &mut answer,
-            terms.target,
+            terms.target_s,
             limit,
             discard,
         );
@@ -131,27 +140,32 @@
     /// Runs a statement inside a transaction.
     pub(super) async fn run_in_transaction(&mut self, statement: &Statement<'_>) -> Response {
         let shape = statement.execute.map(|(shape, _)| shape);
-        if let Err(response) = self.begin_at_server(statement.arrived, shape).await {
+        if let Err(response) = self.begin_at_server(statement.arrived_at, shape).await {
             return response;
         }
         let (Some(checkout), Some(terms)) = (&mut self.checkout, &self.terms) else {
-            return Response::ClientGone;
+            return Response::ClientDisconnected;
         };
-        let (target, deadline) = (terms.target, statement.arrived + terms.deadline);
-        let Transaction::Open { fetch, wrote, .. } = &mut self.session.transaction else {
-            return Response::ClientGone;
+        let (target, deadline) = (terms.target_s, statement.arrived_at + terms.deadline_s);
+        let Transaction::Open {
+            read_only,
+            has_written,
+            ..
+        } = &mut self.session.transaction
+        else {
+            return Response::ClientDisconnected;
         };
         // What was begun elsewhere than where the grant is now can't be kept.
-        let usable = *fetch
+        let usable = *read_only
             || !self
-                .edge
+                .data_plane
                 .is_granted_elsewhere(&terms.service, &checkout.pool.server);
         let ready = usable
             && self
                 .handle
-                .before_refusal(deadline, async {
+                .until_rejection(deadline, async {
                     checkout.prepare(&self.session.values, shape).await?;
-                    checkout.enter().await;
+                    checkout.acquire_slot().await;
                     Ok::<(), ()>(())
                 })
                 .await
@@ -165,16 +179,16 @@
             self.fail_transaction();
             return error(Code::Aborted, "the transaction was lost", State::Failed);
         };
-        if !*fetch {
-            self.session.mark.touch(clock::now());
+        if !*read_only {
+            self.session.primary_affinity.touch(clock::now());
         }
-        *wrote |= statement.kind == Kind::Put;
+        *has_written |= statement.kind == Kind::Put;
         let mut answer = Answer::default();
         let client = &self.client;
         let pass = async |part: &[u8]| client.write(part).await;
-        let asked = checkout.ask_patiently(&line, &mut answer, target, deadline, pass);
-        let outcome = self.handle.before_cut_off(asked).await;
-        checkout.leave();
+        let asked = checkout.exchange_until_overdue(&line, &mut answer, target, deadline, pass);
+        let outcome = self.handle.until_final_answer(asked).await;
+        checkout.release_slot();
         self.conclude_in_transaction(answer.raw, outcome)
     }
 
@@ -196,7 +210,7 @@
                 }
                 Response::Forward(raw)
             }
-            Err(ExchangeError::ClientGone) => Response::ClientGone,
+            Err(ExchangeError::ClientDisconnected) => Response::ClientDisconnected,
             Err(_) => {
                 // Closing its connection rolls back, so that its client may begin anew at once, also where it is but
                 // the answer that most likely is lost.
--- a/crates/runtime/pooler/src/edge/place.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -1,12 +1,12 @@
 //! Where a statement goes that needs a connection: the choice, the waiting for it, and the lease just before use.
 
-use super::Edge;
+use super::DataPlane;
 use super::net;
-use super::pool::{Admission, Checkout, CheckoutError, Pool};
+use super::pool::{AdmissionTerms, Checkout, CheckoutError, Pool};
 use crate::clock;
 use badgerstream_line_protocol::Position;
 use badgerstream_pooler_config::config::{Mode, Route};
-use badgerstream_pooling::choice::{Access, Choice, ChoiceInput, Consistency, choose};
+use badgerstream_pooling::choice::{Access, ChoiceInput, Consistency, Destination, choose};
 use badgerstream_pooling::session::{Session, Shape};
 use futures_lite::future::or;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 /// When a client is told to come back if no server is to be had, in seconds.
 pub(super) const RETRY_AFTER_S: f64 = 0.2;
 /// A route that allows fewer tries than this is given as many.
-const MIN_TRIES: u32 = 2;
+const MIN_ATTEMPTS: u32 = 2;
 /// Tries beyond those that a route allows.
-const EXTRA_TRIES: u32 = 2;
+const EXTRA_ATTEMPTS: u32 = 2;
 /// A primary that is in a pause is looked at again after this, in seconds.
-const LOOK_AGAIN_S: f64 = 0.05;
+const PRIMARY_RECHECK_INTERVAL_S: f64 = 0.05;
 
 /// What a route asks of its statements, as it stood when the statement or its transaction came.
 #[derive(Debug, Clone)]
@@ -28,20 +28,20 @@
     /// How consistent reads must be.
     pub consistency: Consistency,
     /// The most that a statement may take, in seconds.
-    pub deadline: f64,
+    pub deadline_s: f64,
     /// The time in which an operation should be answered, in seconds.
-    pub target: f64,
+    pub target_s: f64,
     /// 0 goes first.
     pub rank: u32,
     /// How often an operation may be tried.
-    pub tries: u32,
+    pub configured_attempts: u32,
     /// How many connections a server of the service takes.
     pub max_conns: usize,
 }
 
 impl RouteTerms {
     /// Those of a route.
-    pub fn of(route: &Route, max_conns: usize) -> Self {
+    pub fn from_route(route: &Route, max_conns: usize) -> Self {
         let staleness = route.staleness_ms.map(|ms| ms as f64 / 1000.0);
         let consistency = match (route.mode, staleness) {
             (Mode::Leader, _) | (_, None) => Consistency::Strong,
@@ -51,22 +51,22 @@
         Self {
             service: route.service.as_str().into(),
             consistency,
-            deadline: route.deadline_ms as f64 / 1000.0,
-            target: route.target_ms as f64 / 1000.0,
+            deadline_s: route.deadline_ms as f64 / 1000.0,
+            target_s: route.target_ms as f64 / 1000.0,
             rank: route.rank,
-            tries: route.tries,
+            configured_attempts: route.tries,
             max_conns,
         }
     }
 
     /// How often a statement is sent at most.
-    pub fn attempts(&self) -> u32 {
-        self.tries.max(MIN_TRIES) + EXTRA_TRIES
+    pub fn max_attempts(&self) -> u32 {
+        self.configured_attempts.max(MIN_ATTEMPTS) + EXTRA_ATTEMPTS
     }
 
     /// The retry delay of a client, which is no longer than a statement may take.
     pub fn bound_retry_after(&self, wait: f64) -> f64 {
-        wait.min(self.deadline.max(RETRY_AFTER_S))
+        wait.min(self.deadline_s.max(RETRY_AFTER_S))
     }
 }
 
@@ -77,7 +77,7 @@
     /// It reads or writes.
     pub access: Access,
     /// When its first byte, or that of its transaction, arrived.
-    pub arrived: f64,
+    pub arrived_at: f64,
     /// When the statement arrived that waits now: its target counts from there.
     pub waiting_since: f64,
     /// The shape that the connection must know.
@@ -88,12 +88,12 @@
 
 impl PlacementRequest<'_> {
     /// How it waits at this server, until this second at most.
-    pub fn admission(&self, pool: &Pool, give_up: f64) -> Admission {
-        let latest_start = self.waiting_since + self.terms.target - pool.latency().mean();
-        Admission {
+    pub fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
+        let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean();
+        AdmissionTerms {
             rank: self.terms.rank.saturating_add(1),
             latest_start,
-            give_up,
+            give_up_at,
         }
     }
 }
@@ -107,26 +107,28 @@
 }
 
 /// Who is to be asked.
-enum Target {
+enum PlacementTarget {
     Primary(Rc<Pool>),
     Replica(Rc<Pool>, Position),
     /// Nobody before this second, or before the view changes.
-    Nobody(f64),
+    RetryAt(f64),
 }
 
-impl Edge {
+impl DataPlane {
     /// Waits for a connection to a server that may serve this, until this second at most; if there is none, or it
-    /// is plain that there will be none by then: in how many seconds to come back. Servers that were `tried` in vain
+    /// is plain that there will be none by then: in how many seconds to come back. Servers that were `tried_servers` in vain
     /// come last.
     pub async fn place(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
         session: &Session,
-        tried: &[String],
-        give_up: f64,
+        tried_servers: &[String],
+        give_up_at: f64,
     ) -> Result<Placement, f64> {
         let began = clock::now();
-        let placed = self.place_or_wait(request, session, tried, give_up).await;
+        let placed = self
+            .wait_for_placement(request, session, tried_servers, give_up_at)
+            .await;
         if let Ok(placement) = &placed {
             self.counts
                 .placed(placement.proof.is_none(), clock::now() - began);
@@ -134,49 +136,56 @@
         placed.map_err(|wait| {
             self.counts.unplaced();
             let service = &*request.terms.service;
-            self.with_freshness(service, |f| f.refusals.refused(clock::now(), wait))
+            self.update_freshness(service, |f| f.refusals.record_refusal(clock::now(), wait))
         })
     }
 
-    async fn place_or_wait(
+    async fn wait_for_placement(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
         session: &Session,
-        tried: &[String],
-        give_up: f64,
+        tried_servers: &[String],
+        give_up_at: f64,
     ) -> Result<Placement, f64> {
         loop {
             let now = clock::now();
-            if now >= give_up {
+            if now >= give_up_at {
                 return Err(RETRY_AFTER_S);
             }
-            let generation = self.shared.changed.generation();
-            let (pool, proof) = match self.pick(request, session, tried, now) {
-                Target::Primary(pool) => (pool, None),
-                Target::Replica(pool, proof) => (pool, Some(proof)),
-                Target::Nobody(at) => {
+            let generation = self.shared_view.changed.generation();
+            let (pool, proof) = match self.pick(request, session, tried_servers, now) {
+                PlacementTarget::Primary(pool) => (pool, None),
+                PlacementTarget::Replica(pool, proof) => (pool, Some(proof)),
+                PlacementTarget::RetryAt(at) => {
                     net::until(
-                        at.min(give_up),
-                        self.shared.changed.notified_since(generation),
+                        at.min(give_up_at),
+                        self.shared_view.changed.notified_since(generation),
                     )
                     .await;
                     continue;
                 }
             };
-            let admission = request.admission(&pool, give_up);
+            let admission_terms = request.admission_terms(&pool, give_up_at);
             let (values, shape) = (&session.values, request.shape);
             let take = async {
                 Some(
-                    Checkout::take(self, &pool, &admission, values, shape, request.takes_slot)
-                        .await,
+                    Checkout::acquire(
+                        self,
+                        &pool,
+                        &admission_terms,
+                        values,
+                        shape,
+                        request.takes_slot,
+                    )
+                    .await,
                 )
             };
             let invalid = async {
                 self.until_invalid(&pool, proof.is_none(), generation).await;
                 None
             };
-            match net::until(give_up, or(take, invalid)).await {
-                None => return Err(pool.wait(&admission, clock::now())),
+            match net::until(give_up_at, or(take, invalid)).await {
+                None => return Err(pool.estimated_wait(&admission_terms, clock::now())),
                 Some(Some(Err(CheckoutError::Busy(wait)))) => return Err(wait),
                 Some(Some(Ok(checkout))) => {
                     // The lease is looked at once more: time has passed.
@@ -193,8 +202,8 @@
     /// concern it.
     async fn until_invalid(&self, pool: &Pool, primary: bool, mut generation: u64) {
         loop {
-            self.shared.changed.notified_since(generation).await;
-            generation = self.shared.changed.generation();
+            self.shared_view.changed.notified_since(generation).await;
+            generation = self.shared_view.changed.generation();
             if !self.is_still_valid(pool, primary) {
                 return;
             }
@@ -202,7 +211,7 @@
     }
 
     fn is_still_valid(&self, pool: &Pool, primary: bool) -> bool {
-        let view = self.shared.view.borrow();
+        let view = self.shared_view.view.borrow();
         if primary {
             view.primary(&pool.server.service, clock::now())
                 .is_some_and(|g| g.server_id == pool.server.id)
@@ -217,10 +226,10 @@
         &self,
         request: &PlacementRequest<'_>,
         session: &Session,
-        tried: &[String],
+        tried_servers: &[String],
         now: f64,
-    ) -> Target {
-        let view = self.shared.view.borrow();
+    ) -> PlacementTarget {
+        let view = self.shared_view.view.borrow();
         let service = &*request.terms.service;
         let max_conns = request.terms.max_conns;
         let primary = view
@@ -233,14 +242,14 @@
         let input = ChoiceInput {
             consistency: request.terms.consistency,
             access: request.access,
-            arrived: request.arrived,
-            primary_slow: slow
-                || tried
+            arrived_at: request.arrived_at,
+            avoid_primary: slow
+                || tried_servers
                     .iter()
                     .any(|t| primary.as_ref().is_some_and(|p| p.server.id == *t)),
         };
-        if let Choice::Replica(proof) =
-            self.with_freshness(service, |f| choose(&input, session, &f.history, now))
+        if let Destination::Replica(proof) =
+            self.update_freshness(service, |f| choose(&input, session, &f.history, now))
         {
             let leads = view.grants.get(service).map(|g| &g.server_id);
             let mut replicas: Vec<_> = view
@@ -250,22 +259,22 @@
                     s.service == service
                         && !s.draining
                         && Some(&s.id) != leads
-                        && !tried.contains(&s.id)
+                        && !tried_servers.contains(&s.id)
                 })
                 .map(|s| self.pool(s, max_conns))
-                .filter(|p| p.health().is_up(now) && p.health().may_have(proof, now))
+                .filter(|p| p.health().is_up(now) && p.health().may_have_position(proof, now))
                 .collect();
             replicas.sort_by(|a, b| a.server.id.cmp(&b.server.id));
             if let Some(at) =
-                self.with_freshness(service, |f| f.rotation.next(replicas.len(), |_| true))
+                self.update_freshness(service, |f| f.rotation.next(replicas.len(), |_| true))
             {
-                return Target::Replica(replicas.swap_remove(at), proof);
+                return PlacementTarget::Replica(replicas.swap_remove(at), proof);
             }
         }
         match primary {
-            Some(primary) if primary.health().is_up(now) => Target::Primary(primary),
+            Some(primary) if primary.health().is_up(now) => PlacementTarget::Primary(primary),
             // Short pauses are looked at again; a change of the view is heard at once.
-            _ => Target::Nobody(now + LOOK_AGAIN_S),
+            _ => PlacementTarget::RetryAt(now + PRIMARY_RECHECK_INTERVAL_S),
         }
     }
 }
--- a/crates/runtime/pooler/src/edge/pool/acquire.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/acquire.rs
@@ -3,36 +3,36 @@
 use super::health::Unanswered;
 use super::{CheckoutError, Pool};
 use crate::clock;
-use crate::edge::Edge;
-use crate::edge::link::{Link, OpenError};
-use crate::edge::net::sleep_until;
+use crate::data_plane::DataPlane;
+use crate::data_plane::net::sleep_until;
+use crate::data_plane::server_connection::{OpenError, ServerConnection};
 use badgerstream_pooling::session::Values;
 use std::rc::Rc;
 
 /// The first pause after a server's refusal of a connection, in seconds; it doubles with each.
-const FULL_PAUSE_S: f64 = 0.05;
+const CONNECTION_LIMIT_BACKOFF_S: f64 = 0.05;
 /// The longest pause, in seconds.
-const MAX_FULL_PAUSE_S: f64 = 8.0 * FULL_PAUSE_S;
+const MAX_CONNECTION_LIMIT_BACKOFF_S: f64 = 8.0 * CONNECTION_LIMIT_BACKOFF_S;
 
 impl Pool {
     /// The idle connection that is nearest to these values, or a new one.
-    pub(super) async fn acquire(
+    pub(super) async fn acquire_connection(
         self: &Rc<Self>,
-        edge: &Edge,
+        data_plane: &DataPlane,
         values: &Values,
-    ) -> Result<Link, CheckoutError> {
-        let mut pause = FULL_PAUSE_S;
+    ) -> Result<ServerConnection, CheckoutError> {
+        let mut pause = CONNECTION_LIMIT_BACKOFF_S;
         loop {
-            if let Some(link) = self.take_idle(values, &edge.scratch) {
-                return Ok(link);
+            if let Some(connection) = self.take_idle(values, &data_plane.scratch) {
+                return Ok(connection);
             }
-            match self.open(edge).await {
-                Ok(link) => return Ok(link),
+            match self.open(data_plane).await {
+                Ok(connection) => return Ok(connection),
                 Err(OpenError::Full) => {
                     let now = clock::now();
                     self.mark_full(now);
                     sleep_until(now + pause).await;
-                    pause = (pause * 2.0).min(MAX_FULL_PAUSE_S);
+                    pause = (pause * 2.0).min(MAX_CONNECTION_LIMIT_BACKOFF_S);
                 }
                 Err(error) => {
                     self.mark_unreachable();
@@ -46,31 +46,32 @@
         }
     }
 
-    async fn open(self: &Rc<Self>, edge: &Edge) -> Result<Link, OpenError> {
+    async fn open(self: &Rc<Self>, data_plane: &DataPlane) -> Result<ServerConnection, OpenError> {
         let server = &self.server;
-        let router = &edge.limits.name;
+        let router = &data_plane.limits.name;
         let opening = Unanswered::new(self, clock::now(), false);
-        let opened = Link::open(
+        let opened = ServerConnection::open(
             server.endpoint,
             &server.service,
             router,
             &server.id,
-            &edge.scratch,
+            &data_plane.scratch,
         )
         .await;
         drop(opening);
-        let (link, position) = opened?;
+        let (connection, position) = opened?;
         self.mark_answered(position);
         log::debug!("event=server_connection server={}", server.id);
-        Ok(link)
+        Ok(connection)
     }
 
     /// The server takes no more connections: fewer are used for a while.
     fn mark_full(&self, now: f64) {
-        let mut share = self.share.get();
-        share.refused(now);
-        self.share.set(share);
-        self.conns.set_limit(share.limit(now));
+        let mut connection_quota = self.connection_quota.get();
+        connection_quota.record_refusal(now);
+        self.connection_quota.set(connection_quota);
+        self.connection_admission
+            .set_limit(connection_quota.limit(now));
         log::debug!("event=connection_limit server={}", self.server.id);
     }
 }
--- a/crates/runtime/pooler/src/edge/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -1,18 +1,18 @@
 //! A connection in use by one client: taken from the pool, and given back as it may be left.
 
 use super::health::Unanswered;
-use super::{Admission, CheckoutError, Pool};
+use super::{AdmissionTerms, CheckoutError, Pool};
 use crate::clock;
-use crate::edge::Edge;
-use crate::edge::gate::Permit;
-use crate::edge::link::Link;
-use crate::edge::net;
+use crate::data_plane::DataPlane;
+use crate::data_plane::admission::Permit;
+use crate::data_plane::net;
+use crate::data_plane::server_connection::ServerConnection;
 use badgerstream_line_protocol::Answer;
 use badgerstream_pooling::session::{Shape, Values};
 use std::rc::Rc;
 
 /// How long the statements of the router itself may take, in seconds.
-pub(super) const OWN_STATEMENT_S: f64 = 1.0;
+pub(super) const INTERNAL_STATEMENT_TIMEOUT_S: f64 = 1.0;
 
 /// Whether the connection of a `Checkout` may be used by the next.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,17 +28,17 @@
 /// A connection in use by one client, with its places at the server. Dropping it leaves the connection as it may be
 /// left.
 pub struct Checkout {
-    pub(super) edge: Rc<Edge>,
+    pub(super) data_plane: Rc<DataPlane>,
     /// The server's pool.
     pub pool: Rc<Pool>,
-    pub(super) link: Option<Link>,
-    pub(super) conn: Option<Permit>,
-    pub(super) slot: Option<Permit>,
+    pub(super) connection: Option<ServerConnection>,
+    pub(super) connection_permit: Option<Permit>,
+    pub(super) slot_permit: Option<Permit>,
     pub(super) reuse: Reuse,
     /// The router changed values or shapes inside the transaction that is open.
-    pub(super) changed_inside: bool,
+    pub(super) changed_in_transaction: bool,
     /// The changes inside the transaction last if what was asked last succeeds.
-    pub(super) keeps: bool,
+    pub(super) commits: bool,
     pub(super) unanswered: Option<Unanswered>,
     /// What was asked last takes a slot of the server, so that its answer tells the latency.
     pub(super) takes_slot: bool,
@@ -47,25 +47,27 @@
 impl Checkout {
     /// Waits for a connection, makes it hold exactly these values and know this shape, and waits for a place to work if
     /// what comes next `takes_slot` of the server. Our own statements take none.
-    pub async fn take(
-        edge: &Rc<Edge>,
+    pub async fn acquire(
+        data_plane: &Rc<DataPlane>,
         pool: &Rc<Pool>,
-        admission: &Admission,
+        admission_terms: &AdmissionTerms,
         values: &Values,
         shape: Option<&Shape>,
         takes_slot: bool,
     ) -> Result<Self, CheckoutError> {
-        let conn = pool.enter(&pool.conns, admission).await?;
-        let link = pool.acquire(edge, values).await?;
+        let conn = pool
+            .admit(&pool.connection_admission, admission_terms)
+            .await?;
+        let connection = pool.acquire_connection(data_plane, values).await?;
         let mut checkout = Self {
-            edge: edge.clone(),
+            data_plane: data_plane.clone(),
             pool: pool.clone(),
-            link: Some(link),
-            conn: Some(conn),
-            slot: None,
+            connection: Some(connection),
+            connection_permit: Some(conn),
+            slot_permit: None,
             reuse: Reuse::Clean,
-            changed_inside: false,
-            keeps: false,
+            changed_in_transaction: false,
+            commits: false,
             unanswered: None,
             takes_slot: false,
         };
@@ -74,39 +76,45 @@
             .await
             .map_err(|()| CheckoutError::Unreachable)?;
         if takes_slot {
-            checkout.slot = Some(pool.enter(&pool.slots, admission).await?);
+            checkout.slot_permit = Some(pool.admit(&pool.slot_admission, admission_terms).await?);
         }
         Ok(checkout)
     }
 
     /// The number in our name for this shape, on this connection.
-    pub fn number(&self, shape: &Shape) -> Option<u32> {
-        self.link.as_ref().and_then(|l| l.held.number(shape))
+    pub fn prepared_number(&self, shape: &Shape) -> Option<u32> {
+        self.connection
+            .as_ref()
+            .and_then(|l| l.state.prepared_number(shape))
     }
 
     /// Waits for a place to work with what has only just begun, by its rank and latest start; false if none is had in time.
-    pub async fn enter_first(&mut self, admission: &Admission) -> bool {
+    pub async fn acquire_first_slot(&mut self, admission_terms: &AdmissionTerms) -> bool {
         let pool = self.pool.clone();
-        let entered = net::until(admission.give_up, pool.enter(&pool.slots, admission)).await;
-        self.slot = entered.and_then(Result::ok);
-        self.slot.is_some()
+        let entered = net::until(
+            admission_terms.give_up_at,
+            pool.admit(&pool.slot_admission, admission_terms),
+        )
+        .await;
+        self.slot_permit = entered.and_then(Result::ok);
+        self.slot_permit.is_some()
     }
 
     /// Waits for a place to work, if it has none. Whoever has begun keeps others waiting: it goes first.
-    pub async fn enter(&mut self) {
-        if self.slot.is_none() {
-            self.slot = Some(self.pool.slots.enter(0, f64::INFINITY).await);
+    pub async fn acquire_slot(&mut self) {
+        if self.slot_permit.is_none() {
+            self.slot_permit = Some(self.pool.slot_admission.acquire(0, f64::INFINITY).await);
         }
     }
 
     /// Gives the place to work back.
-    pub fn leave(&mut self) {
-        self.slot = None;
+    pub fn release_slot(&mut self) {
+        self.slot_permit = None;
     }
 
     /// What is asked next is a `COMMIT`: own changes inside the transaction then last.
-    pub fn keep_changes(&mut self) {
-        self.keeps = true;
+    pub fn expect_commit(&mut self) {
+        self.commits = true;
     }
 
     /// Rolls an open transaction back, apart, so that the connection is of use again.
@@ -115,12 +123,12 @@
             // What comes next on it isn't the answer to our `ABORT`: closing it rolls back, too.
             return;
         }
-        let edge = self.edge.clone();
-        self.slot = None;
+        let data_plane = self.data_plane.clone();
+        self.slot_permit = None;
         let work = async move {
-            let at = clock::now() + OWN_STATEMENT_S;
+            let at = clock::now() + INTERNAL_STATEMENT_TIMEOUT_S;
             let _ = self
-                .ask(
+                .exchange(
                     b"QUERY - ABORT\r\n",
                     &mut Answer::default(),
                     at,
@@ -128,17 +136,19 @@
                 )
                 .await;
         };
-        edge.tasks.spawn(work).detach();
+        data_plane.tasks.spawn(work).detach();
     }
 }
 
 impl Drop for Checkout {
     fn drop(&mut self) {
-        let Some(link) = self.link.take() else { return };
+        let Some(connection) = self.connection.take() else {
+            return;
+        };
         match self.reuse {
-            Reuse::Clean => self.pool.put_idle(link),
+            Reuse::Clean => self.pool.put_idle(connection),
             Reuse::Closed => {}
-            Reuse::Pending => self.drain(link),
+            Reuse::Pending => self.drain(connection),
         }
     }
 }
--- a/crates/runtime/pooler/src/edge/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -4,11 +4,11 @@
 use super::checkout::{Checkout, Reuse};
 use super::health::Unanswered;
 use crate::clock;
-use crate::edge::net;
+use crate::data_plane::net;
 use badgerstream_line_protocol::{Answer, Code, Outcome, State, Verdict};
 
 /// Between two looks at an answer that is late, in seconds.
-const LOOK_S: f64 = 0.05;
+const OVERDUE_CHECK_INTERVAL_S: f64 = 0.05;
 
 /// Why a statement has no outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,11 +18,11 @@
     /// It was sent, in part at least, and the connection broke off.
     Broken,
     /// It was sent, and there is no answer yet.
-    Silent,
+    TimedOut,
     /// It was sent and the answer is overdue, while what was sent later is answered: lost, most likely.
     Overdue,
     /// A part of its answer was passed on to a client who has gone.
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl ExchangeError {
@@ -31,9 +31,9 @@
         match self {
             ExchangeError::Unsent => Verdict::NotRun,
             ExchangeError::Broken
-            | ExchangeError::Silent
+            | ExchangeError::TimedOut
             | ExchangeError::Overdue
-            | ExchangeError::ClientGone => Verdict::MayHaveRun,
+            | ExchangeError::ClientDisconnected => Verdict::MayHaveRun,
         }
     }
 }
@@ -41,26 +41,26 @@
 impl Checkout {
     /// Sends a statement and waits for its outcome until this second. `answer` then holds what is to be passed on;
     /// long answers are passed on in parts by `pass`, which tells whether the client is still there.
-    pub async fn ask(
+    pub async fn exchange(
         &mut self,
         line: &[u8],
         answer: &mut Answer,
         at: f64,
         pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
-        let Some(link) = &mut self.link else {
+        let Some(connection) = &mut self.connection else {
             return Err(ExchangeError::Unsent);
         };
-        let sent = clock::now();
+        let sent_at = clock::now();
         // Under the lease at this moment no other primary exists, so its log has all that was acknowledged.
-        let leased = self.edge.is_leased(&self.pool.server, sent);
+        let leased = self.data_plane.is_leased(&self.pool.server, sent_at);
         if self.reuse == Reuse::Clean {
             self.reuse = Reuse::Pending;
         }
-        match net::until(at, link.send(line)).await {
+        match net::until(at, connection.send(line)).await {
             Some(Ok(())) => {}
             other => {
-                self.link = None;
+                self.connection = None;
                 self.pool.mark_failing();
                 return Err(if matches!(other, Some(Err(e)) if e.nothing_written) {
                     ExchangeError::Unsent
@@ -71,12 +71,12 @@
         }
         // What is our own takes no slot there: it tells nothing of the latency.
         self.takes_slot = !line.starts_with(b"QUERY - ");
-        self.unanswered = Some(Unanswered::new(&self.pool, sent, leased));
-        self.wait(answer, at, pass).await
+        self.unanswered = Some(Unanswered::new(&self.pool, sent_at, leased));
+        self.await_answer(answer, at, pass).await
     }
 
     /// As `ask`; `Overdue` as soon as the answer of a statement with this target (seconds) most likely is lost.
-    pub async fn ask_patiently(
+    pub async fn exchange_until_overdue(
         &mut self,
         line: &[u8],
         answer: &mut Answer,
@@ -86,8 +86,8 @@
     ) -> Result<Outcome, ExchangeError> {
         let look = |now: f64, pool: &Pool| (now + pool.latency().overdue_after(target)).min(at);
         let first = look(clock::now(), &self.pool);
-        let mut outcome = self.ask(line, answer, first, &pass).await;
-        while outcome == Err(ExchangeError::Silent) {
+        let mut outcome = self.exchange(line, answer, first, &pass).await;
+        while outcome == Err(ExchangeError::TimedOut) {
             let now = clock::now();
             if now >= at {
                 break;
@@ -96,37 +96,37 @@
                 return Err(ExchangeError::Overdue);
             }
             // Until others are answered nothing tells this one from them.
-            let next = look(now, &self.pool).min(now + LOOK_S);
-            outcome = self.wait(answer, next, &pass).await;
+            let next = look(now, &self.pool).min(now + OVERDUE_CHECK_INTERVAL_S);
+            outcome = self.await_answer(answer, next, &pass).await;
         }
         outcome
     }
 
     /// Waits on, until this second, for the outcome of what was asked and is `Silent`.
-    pub async fn wait(
+    pub async fn await_answer(
         &mut self,
         answer: &mut Answer,
         at: f64,
         pass: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
-        let Some(link) = &mut self.link else {
+        let Some(connection) = &mut self.connection else {
             return Err(ExchangeError::Broken);
         };
         loop {
-            match net::until(at, link.answer(answer, &self.edge.scratch)).await {
-                None => return Err(ExchangeError::Silent),
+            match net::until(at, connection.read_answer(answer, &self.data_plane.scratch)).await {
+                None => return Err(ExchangeError::TimedOut),
                 Some(Err(())) => {
-                    self.link = None;
+                    self.connection = None;
                     self.unanswered = None;
                     self.pool.mark_failing();
                     return Err(ExchangeError::Broken);
                 }
                 Some(Ok(None)) => {
                     if let Some(asked) = &mut self.unanswered {
-                        asked.partly = true;
+                        asked.partially_forwarded = true;
                     }
                     if !pass(&answer.raw).await {
-                        return Err(ExchangeError::ClientGone);
+                        return Err(ExchangeError::ClientDisconnected);
                     }
                     answer.raw.clear();
                 }
@@ -144,29 +144,34 @@
         let idle = outcome.state == State::Idle;
         if let Some(asked) = self.unanswered.take() {
             if self.takes_slot {
-                self.pool.record_answer(asked.sent);
+                self.pool.record_answer(asked.sent_at);
             } else {
-                self.pool.record_round_trip(asked.sent);
+                self.pool.record_round_trip(asked.sent_at);
             }
-            if asked.leased && idle {
-                self.edge
-                    .sample(&self.pool.server, asked.sent, outcome.position);
+            if asked.under_lease && idle {
+                self.data_plane.record_answer_position(
+                    &self.pool.server,
+                    asked.sent_at,
+                    outcome.position,
+                );
             }
         }
-        let Some(link) = &mut self.link else { return };
-        let clean = idle && link.is_clean() && outcome.error != Some(Code::Unknown);
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
+        let clean = idle && connection.is_clean() && outcome.error != Some(Code::Unknown);
         self.reuse = if clean { Reuse::Clean } else { Reuse::Closed };
-        let kept = self.keeps && outcome.error.is_none();
-        if idle && std::mem::take(&mut self.changed_inside) && !kept {
+        let kept = self.commits && outcome.error.is_none();
+        if idle && std::mem::take(&mut self.changed_in_transaction) && !kept {
             // Nobody has said whether an end that rolls back takes values back, too.
-            link.held.mark_uncertain();
+            connection.state.mark_uncertain();
         }
     }
 
     /// The server has answered what was sent after this statement, so that its answer may be lost.
     pub fn is_overtaken(&self) -> bool {
-        self.unanswered
-            .as_ref()
-            .is_some_and(|u| !u.partly && self.pool.last_answered.get() > u.sent)
+        self.unanswered.as_ref().is_some_and(|u| {
+            !u.partially_forwarded && self.pool.newest_answered_sent_at.get() > u.sent_at
+        })
     }
 }
--- a/crates/runtime/pooler/src/edge/link.rs
+++ b/crates/runtime/pooler/src/data_plane/server_connection.rs
@@ -8,18 +8,18 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// How long a connection may take to open, in seconds.
-pub(super) const OPEN_S: f64 = 1.0;
+pub(super) const OPEN_TIMEOUT_S: f64 = 1.0;
 /// A server that acknowledges no byte for so long is given up, in milliseconds.
 pub(super) const USER_TIMEOUT_MS: u32 = 1800;
 /// An answer longer than this is passed on in parts, in bytes.
-pub(super) const PART: usize = 256 * 1024;
+pub(super) const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// A connection to a server, and what it holds.
-pub(super) struct Link {
+pub(super) struct ServerConnection {
     stream: Async<TcpStream>,
     lines: LineBuffer,
     /// What it holds for sure.
-    pub held: ConnectionState,
+    pub state: ConnectionState,
     /// Since when it rests, in seconds of the steady clock.
     pub idle_since: f64,
 }
@@ -37,8 +37,8 @@
     Refused,
 }
 
-impl Link {
-    /// Opens a connection to the server of this id, within `OPEN_S`; also where its log stands.
+impl ServerConnection {
+    /// Opens a connection to the server of this id, within `OPEN_TIMEOUT_S`; also where its log stands.
     pub(super) async fn open(
         endpoint: SocketAddr,
         service: &str,
@@ -46,7 +46,7 @@
         id: &str,
         scratch: &Scratch,
     ) -> Result<(Self, Option<Position>), OpenError> {
-        let opened = net::until(clock::now() + OPEN_S, async {
+        let opened = net::until(clock::now() + OPEN_TIMEOUT_S, async {
             let stream = net::connect(endpoint, USER_TIMEOUT_MS)
                 .await
                 .map_err(|_| OpenError::Unreachable)?;
@@ -72,13 +72,13 @@
                         }) => return Err(OpenError::Full),
                         _ => return Err(OpenError::Refused),
                     };
-                    let link = Self {
+                    let connection = Self {
                         stream,
                         lines,
-                        held: ConnectionState::default(),
+                        state: ConnectionState::default(),
                         idle_since: 0.0,
                     };
-                    return Ok((link, position));
+                    return Ok((connection, position));
                 }
                 match net::read(&stream, scratch, &mut lines).await {
                     Ok(n) if n > 0 => {}
@@ -91,7 +91,7 @@
     }
 
     /// The far end has closed it, or has said what nobody asked: of no more use.
-    pub(super) fn is_spent(&mut self, scratch: &Scratch) -> bool {
+    pub(super) fn is_unusable(&mut self, scratch: &Scratch) -> bool {
         !self.lines.is_empty()
             || !matches!(
                 net::read_now(&self.stream, scratch, &mut self.lines),
@@ -104,9 +104,9 @@
         net::write(&self.stream, bytes).await
     }
 
-    /// Waits for the rest of an answer. None if it has grown past `PART`: pass `answer.raw` on, clear it, and call
+    /// Waits for the rest of an answer. None if it has grown past `MAX_BUFFERED_ANSWER_BYTES`: pass `answer.raw` on, clear it, and call
     /// again. An error: the connection has broken off or speaks another language.
-    pub(super) async fn answer(
+    pub(super) async fn read_answer(
         &mut self,
         answer: &mut Answer,
         scratch: &Scratch,
@@ -115,7 +115,7 @@
             if let Some(outcome) = answer.take(&mut self.lines).map_err(drop)? {
                 return Ok(Some(outcome));
             }
-            if answer.raw.len() >= PART {
+            if answer.raw.len() >= MAX_BUFFERED_ANSWER_BYTES {
                 return Ok(None);
             }
             match net::read(&self.stream, scratch, &mut self.lines).await {
@@ -131,7 +131,7 @@
     }
 
     /// Gives memory back before it rests.
-    pub(super) fn rest(&mut self) {
+    pub(super) fn prepare_for_idle(&mut self) {
         self.lines.shrink();
         self.idle_since = clock::now();
     }
--- a/crates/runtime/pooler/src/lib.rs
+++ b/crates/runtime/pooler/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - a control machine: [`control`] drives the decisions of `badgerstream-control`, with
 //!   [`server_commands`] to database servers and [`members_file`] on its disk;
-//! - a router: [`edge`], the data plane, and [`leader_session`], which writes what the data plane
+//! - a router: [`data_plane`] and [`leader_session`], which writes what the data plane
 //!   reads in [`view`].
 //!
 //! Both use [`frames`] between our processes, [`http`], [`exchange`], [`net`], [`notify`],
@@ -18,7 +18,7 @@
 pub mod clock;
 pub mod control;
 pub mod counters;
-pub mod edge;
+pub mod data_plane;
 pub mod exchange;
 pub mod frames;
 pub mod http;
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -11,7 +11,7 @@
 
 use crate::clock;
 use crate::control::ControlNode;
-use crate::edge::Edge;
+use crate::data_plane::DataPlane;
 use crate::http::{self, Handler};
 use crate::view::SharedView;
 use async_executor::LocalExecutor;
@@ -101,7 +101,7 @@
 /// What the metrics of a router are read from.
 pub struct RouterSource {
     /// Its data plane.
-    pub edge: Rc<Edge>,
+    pub data_plane: Rc<DataPlane>,
     /// What it knows.
     pub shared: SharedView,
 }
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -1,16 +1,16 @@
 //! The metrics of a router.
 
 use super::{Exposition, Labels, RouterSource};
-use crate::edge::Edge;
+use crate::data_plane::DataPlane;
 use crate::view::SharedView;
 
 /// Adds the metrics of the data plane and of the view.
 pub(super) fn add(exposition: &mut Exposition, router: &RouterSource, now: f64) {
-    add_statements(exposition, &router.edge);
-    add_pools(exposition, &router.edge);
+    add_statements(exposition, &router.data_plane);
+    add_pools(exposition, &router.data_plane);
     add_view(exposition, &router.shared, now);
     let ages = router
-        .edge
+        .data_plane
         .proof_ages(now)
         .into_iter()
         .map(|(service, age)| (service_label(&service), age));
@@ -55,8 +55,8 @@
     );
 }
 
-fn add_statements(exposition: &mut Exposition, edge: &Edge) {
-    let counts = edge.counts();
+fn add_statements(exposition: &mut Exposition, data_plane: &DataPlane) {
+    let counts = data_plane.counts();
     let ended = counts.all_ended().map(|(kind, end, count)| {
         let labels = vec![("statement", kind.to_owned()), ("end", end.to_owned())];
         (labels, count)
@@ -82,17 +82,17 @@
     exposition.gauge(
         "router_clients",
         "Clients that are connected",
-        edge.clients() as f64,
+        data_plane.client_count() as f64,
     );
     exposition.gauge(
         "router_open_work",
         "Statements in work, and sessions inside a transaction",
-        edge.open() as f64,
+        data_plane.open_work() as f64,
     );
 }
 
-fn add_pools(exposition: &mut Exposition, edge: &Edge) {
-    let pools = edge.pool_figures();
+fn add_pools(exposition: &mut Exposition, data_plane: &DataPlane) {
+    let pools = data_plane.pool_usage();
     let connections = pools.iter().flat_map(|pool| {
         [("idle", pool.idle), ("in_use", pool.in_use)].map(|(state, count)| {
             let mut labels = service_label(&pool.service);
--- a/crates/runtime/pooler/src/process.rs
+++ b/crates/runtime/pooler/src/process.rs
@@ -11,7 +11,7 @@
 
 use crate::clock;
 use crate::control::{ControlNode, StartError};
-use crate::edge::{Edge, EdgeLimits, Evidence};
+use crate::data_plane::{DataPlane, DataPlaneLimits, ServerHealth};
 use crate::leader_session::{LeaderSession, LeaderSessionConfig};
 use crate::metrics::{MetricsServer, RouterSource};
 use crate::view::SharedView;
@@ -64,7 +64,7 @@
 
 /// The router of a machine.
 struct Router {
-    edge: Rc<Edge>,
+    data_plane: Rc<DataPlane>,
     session: Rc<LeaderSession>,
 }
 
@@ -162,20 +162,20 @@
     shared: &SharedView,
     process_incarnation: u64,
 ) -> Router {
-    let limits = EdgeLimits {
+    let limits = DataPlaneLimits {
         file_limit: settings.limits.file_limit as usize,
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         seed: process_incarnation,
         grace_s: settings.bounds.grace_s,
     };
-    let edge = Edge::start(tasks, shared.clone(), front, limits);
-    let observed = edge.clone();
+    let data_plane = DataPlane::start(tasks, shared.clone(), front, limits);
+    let observed = data_plane.clone();
     let health_reports = move |services: &[String], now: f64| {
         observed
-            .evidence(services, now)
+            .server_health(services, now)
             .into_iter()
-            .map(|evidence| health_report(evidence, now))
+            .map(|server_health| health_report(server_health, now))
             .collect()
     };
     let config = LeaderSessionConfig {
@@ -191,19 +191,22 @@
     let session = LeaderSession::new(config, shared.clone(), health_reports);
     session.add_seeds(&settings.seeds);
     tasks.spawn(session.clone().run()).detach();
-    Router { edge, session }
+    Router {
+        data_plane,
+        session,
+    }
 }
 
 /// What the data plane saw of a server, as the leader is told.
-fn health_report(evidence: Evidence, now: f64) -> HealthReport {
-    let answered_seconds_ago = if evidence.last_answer > 0.0 {
-        now - evidence.last_answer
+fn health_report(server_health: ServerHealth, now: f64) -> HealthReport {
+    let answered_seconds_ago = if server_health.last_answer_at > 0.0 {
+        now - server_health.last_answer_at
     } else {
         NEVER_ANSWERED_S
     };
     HealthReport {
-        service: evidence.service,
-        server_id: evidence.id,
+        service: server_health.service,
+        server_id: server_health.server_id,
         answered_seconds_ago,
     }
 }
@@ -211,7 +214,7 @@
 fn metrics_server(parts: &Parts, shared: &SharedView) -> MetricsServer {
     MetricsServer {
         router: parts.router.as_ref().map(|router| RouterSource {
-            edge: router.edge.clone(),
+            data_plane: router.data_plane.clone(),
             shared: shared.clone(),
         }),
         control: parts.control.clone(),
--- a/crates/runtime/pooler/src/process/shutdown.rs
+++ b/crates/runtime/pooler/src/process/shutdown.rs
@@ -40,7 +40,10 @@
 
 /// Statements and HTTP requests that are not answered yet.
 fn in_flight(parts: &Parts) -> usize {
-    let statements = parts.router.as_ref().map_or(0, |router| router.edge.open());
+    let statements = parts
+        .router
+        .as_ref()
+        .map_or(0, |router| router.data_plane.open_work());
     let requests = parts
         .control
         .as_ref()
--- a/crates/runtime/pooler/src/tests/edge.rs
+++ b/crates/runtime/pooler/src/tests/data_plane.rs
@@ -1,7 +1,7 @@
 //! The data plane between scripted servers and plain clients on loopback, all on one thread. Nothing sleeps: every
 //! wait is for something that is said.
 
-use super::{Edge, EdgeLimits, SessionEnd, client};
+use super::{DataPlane, DataPlaneLimits, DrainStage, client};
 use crate::clock;
 use crate::view::{ExpiringGrant, Grant, Server, SharedView};
 use async_executor::LocalExecutor;
@@ -177,7 +177,7 @@
             }
             let words: Vec<&str> = text.splitn(3, ' ').collect();
             let writes = words[0] == "PUT" || shape.is_some_and(|s| s.starts_with("PUT"));
-            let reads = words[0] == "FETCH" || words[0] == "EXECUTE" && !writes;
+            let is_read = words[0] == "FETCH" || words[0] == "EXECUTE" && !writes;
             let mut stamp = "-".to_owned();
             let mut row = String::new();
             match words[0] {
@@ -207,7 +207,7 @@
                     }
                     stamp = format!("s.{id}");
                 }
-                _ if reads => {
+                _ if is_read => {
                     stamp = format!("s.{id}");
                     row = format!("ROW r.{id}\r\n");
                 }
@@ -293,7 +293,7 @@
 /// Two replicas and a primary, and a router before them.
 struct Rig {
     shared: SharedView,
-    edge: Rc<Edge>,
+    data_plane: Rc<DataPlane>,
     front: SocketAddr,
     primary: Rc<Fake>,
     replicas: [Rc<Fake>; 2],
@@ -339,20 +339,20 @@
         let free = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let front = free.local_addr().unwrap();
         drop(free);
-        let limits = EdgeLimits {
+        let limits = DataPlaneLimits {
             file_limit: 1000,
             name: "edge-1".into(),
             zone: "a".into(),
             seed: 7,
             grace_s: 0.2,
         };
-        let edge = Edge::start(tasks, shared.clone(), front, limits);
+        let data_plane = DataPlane::start(tasks, shared.clone(), front, limits);
         let mut fakes = fakes.into_iter().map(|(fake, _)| fake);
         let primary = fakes.next().unwrap();
         let replicas = [fakes.next().unwrap(), fakes.next().unwrap()];
         Self {
             shared,
-            edge,
+            data_plane,
             front,
             primary,
             replicas,
@@ -479,8 +479,11 @@
 #[test]
 fn a_transaction_that_reads_goes_to_a_replica_as_a_whole() {
     play(async |rig| {
-        rig.edge
-            .samples("db", clock::now() + 1.0, Position { term: 3, number: 2 });
+        rig.data_plane.record_confirmed_position(
+            "db",
+            clock::now() + 1.0,
+            Position { term: 3, number: 2 },
+        );
         rig.replicas.iter().for_each(|r| r.log.set(2));
         let mut a = Client::open(rig.front, "house").await;
         assert_eq!(a.ask("a1", "BEGIN FETCH").await, "COMPLETE -|IDLE T -");
@@ -503,8 +506,11 @@
 #[test]
 fn in_house_reads_owe_the_sessions_writes() {
     play(async |rig| {
-        rig.edge
-            .samples("db", clock::now() + 1.0, Position { term: 3, number: 2 });
+        rig.data_plane.record_confirmed_position(
+            "db",
+            clock::now() + 1.0,
+            Position { term: 3, number: 2 },
+        );
         rig.replicas.iter().for_each(|r| r.log.set(9));
         let mut a = Client::open(rig.front, "house").await;
         rig.primary.log.set(6);
@@ -555,12 +561,15 @@
         let mut a = Client::open(rig.front, "lead").await;
         a.ask("a1", "BEGIN").await;
         a.ask("a2", "PUT x 1").await;
-        assert_eq!(rig.edge.open(), 1);
+        assert_eq!(rig.data_plane.open_work(), 1);
         drop(a);
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
         let mut b = Client::open(rig.front, "lead").await;
         assert_eq!(b.ask("b1", "PUT x 2").await, "COMPLETE s.b1|IDLE I 3.1");
-        assert_eq!((rig.edge.open(), rig.edge.clients()), (0, 1));
+        assert_eq!(
+            (rig.data_plane.open_work(), rig.data_plane.client_count()),
+            (0, 1)
+        );
     });
 }
 
@@ -766,7 +775,10 @@
         );
         assert_eq!(a.line().await, None);
         rig.primary.sees(|p| p.rolled_back.get() == 1).await;
-        assert_eq!((rig.edge.open(), rig.primary.writes.get()), (0, 0));
+        assert_eq!(
+            (rig.data_plane.open_work(), rig.primary.writes.get()),
+            (0, 0)
+        );
     });
 }
 
@@ -774,7 +786,7 @@
 fn at_the_end_every_request_that_was_taken_is_answered() {
     play(async |rig| {
         rig.configure(|text| text.replace("\"max_conns\":1", "\"max_conns\":90"));
-        rig.edge.routers.set(1);
+        rig.data_plane.router_count.set(1);
         let mut held = Client::open(rig.front, "lead").await;
         let mut begun = Client::open(rig.front, "lead").await;
         let mut inside = Client::open(rig.front, "lead").await;
@@ -825,32 +837,35 @@
 #[test]
 fn a_session_ends_in_stages() {
     for grace in [3.0, 6.0] {
-        assert_eq!(SessionEnd::at(0.3 * grace, grace, true), SessionEnd::None);
         assert_eq!(
-            SessionEnd::at(0.49 * grace, grace, true),
-            SessionEnd::None,
+            DrainStage::at(0.3 * grace, grace, true),
+            DrainStage::Serving
+        );
+        assert_eq!(
+            DrainStage::at(0.49 * grace, grace, true),
+            DrainStage::Serving,
             "half of it is a transaction's"
         );
         assert_eq!(
-            SessionEnd::at(0.51 * grace, grace, true),
-            SessionEnd::Unplaced
+            DrainStage::at(0.51 * grace, grace, true),
+            DrainStage::RejectUnplaced
         );
         assert_eq!(
-            SessionEnd::at(grace * 5.0 / 6.0, grace, true),
-            SessionEnd::Unplaced
+            DrainStage::at(grace * 5.0 / 6.0, grace, true),
+            DrainStage::RejectUnplaced
         );
         assert_eq!(
-            SessionEnd::at(0.87 * grace, grace, false),
-            SessionEnd::InFlight
+            DrainStage::at(0.87 * grace, grace, false),
+            DrainStage::AnswerInFlight
         );
     }
     assert_eq!(
-        SessionEnd::at(1.9, 6.0, false),
-        SessionEnd::None,
+        DrainStage::at(1.9, 6.0, false),
+        DrainStage::Serving,
         "some connections still come"
     );
-    assert_eq!(SessionEnd::at(2.1, 6.0, false), SessionEnd::AtRest);
-    assert_eq!(SessionEnd::at(2.1, 6.0, true), SessionEnd::None);
+    assert_eq!(DrainStage::at(2.1, 6.0, false), DrainStage::CloseIdle);
+    assert_eq!(DrainStage::at(2.1, 6.0, true), DrainStage::Serving);
 }
 
 /// A statement that is read when its answer may not be waited for any more isn't run.
@@ -863,11 +878,11 @@
         a.ask("a1", "BEGIN").await;
         a.ask("a2", "PUT x 1").await;
         c.ask("c1", "BEGIN").await;
-        rig.edge
+        rig.data_plane
             .sessions
             .borrow()
             .values()
-            .for_each(|s| s.end.set(SessionEnd::Unplaced));
+            .for_each(|s| s.drain_stage.set(DrainStage::RejectUnplaced));
         assert_eq!(
             a.ask("a3", "COMMIT").await,
             "ERROR ABORTED the router ends|IDLE I -"
@@ -908,24 +923,28 @@
         let services = ["db".to_owned()];
         let mut a = Client::open(rig.front, "lead").await;
         a.ask("a1", "FETCH x").await;
-        let well = rig.edge.evidence(&services, clock::now());
+        let well = rig.data_plane.server_health(&services, clock::now());
         assert_eq!(
-            (well.len(), well[0].id.as_str(), well[0].failing_since),
+            (
+                well.len(),
+                well[0].server_id.as_str(),
+                well[0].failing_since
+            ),
             (1, "i-0", None)
         );
-        assert!(well[0].last_answer > 0.0);
+        assert!(well[0].last_answer_at > 0.0);
         assert!(
-            rig.edge
-                .evidence(&["other".to_owned()], clock::now())
+            rig.data_plane
+                .server_health(&["other".to_owned()], clock::now())
                 .is_empty()
         );
         let mut b = Client::open(rig.front, "bounded").await;
         b.ask("b1", "FETCH x").await;
-        let told = rig.edge.evidence(&services, clock::now());
+        let told = rig.data_plane.server_health(&services, clock::now());
         let mut answered: Vec<&str> = told
             .iter()
-            .filter(|seen| seen.last_answer > 0.0)
-            .map(|seen| seen.id.as_str())
+            .filter(|seen| seen.last_answer_at > 0.0)
+            .map(|seen| seen.server_id.as_str())
             .collect();
         answered.sort_unstable();
         assert_eq!((answered.len(), answered[0]), (2, "i-0"));
@@ -938,10 +957,10 @@
         let now = clock::now();
         let primary = |now: f64| {
             let seen = rig
-                .edge
-                .evidence(&services, now)
+                .data_plane
+                .server_health(&services, now)
                 .into_iter()
-                .find(|seen| seen.id == "i-0");
+                .find(|seen| seen.server_id == "i-0");
             seen.expect("it was asked").failing_since
         };
         assert_eq!(primary(now), None);
@@ -958,7 +977,7 @@
         let stream = Async::<TcpStream>::connect(listener.local_addr().unwrap())
             .await
             .unwrap();
-        let size = std::mem::size_of_val(&client::serve(&rig.edge, stream, Rc::default()));
+        let size = std::mem::size_of_val(&client::serve(&rig.data_plane, stream, Rc::default()));
         assert!(size < 2048, "{size} bytes");
     });
 }
@@ -1033,7 +1052,10 @@
             .iter()
             .filter(|t| t.starts_with("PUT"))
             .count();
-        assert_eq!((puts, rig.primary.writes.get(), rig.edge.open()), (6, 6, 6));
+        assert_eq!(
+            (puts, rig.primary.writes.get(), rig.data_plane.open_work()),
+            (6, 6, 6)
+        );
         assert!(clock::now() - began < 30.0);
     });
 }
@@ -1096,7 +1118,7 @@
         assert_eq!(c.ask("c4", "ABORT").await, "COMPLETE -|IDLE I -");
         assert_eq!(rig.primary.writes.get(), 2);
         // With fewer routers its part is larger.
-        rig.edge.routers.set(1);
+        rig.data_plane.router_count.set(1);
         rig.configure(impatient);
         let mut d = Client::open(rig.front, "lead").await;
         assert!(d.ask("d1", "FETCH x").await.starts_with("ROW"));
@@ -1191,7 +1213,7 @@
         );
         let metrics = crate::metrics::MetricsServer {
             router: Some(crate::metrics::RouterSource {
-                edge: rig.edge.clone(),
+                data_plane: rig.data_plane.clone(),
                 shared: rig.shared.clone(),
             }),
             control: None,
