--- a/crates/core/pooling/src/connection_quota.rs
+++ b/crates/core/pooling/src/connection_quota.rs
@@ -1,42 +1,51 @@
-//! How many connections to a server one of many routers may have.
+//! How much of a server one of many routers may use: connections, and statements in flight.
+//!
+//! The pool of a server owns its quota; the number of routers comes from the leading control
+//! machine.
 
-/// After a server has turned a connection away, so long only half of the share is used, in seconds: what others left
-/// behind there is dropped within that time.
+/// For how long only half of the quota is used after a server refused a connection, in seconds.
+/// Servers drop within that time the connections that others left behind.
 pub const REFUSAL_PENALTY_S: f64 = 3.0;
-/// Connections of a server that are not divided: control asks it, and a router that has just come isn't counted yet.
-const RESERVED_CONNS: usize = 6;
-
-/// How many statements one of so many routers has in work at a server of so many slots at once. Twice its plain share,
-/// since clients don't spread evenly over routers, and two at least; what is more only waits at the server, where it
-/// can't be ranked. `stretch` is how much longer a statement takes for the router than for the server, because of the
-/// way there and back: so many more are on their way.
-pub fn in_flight_limit(slots: usize, routers: usize, stretch: f64) -> usize {
-    let connection_quota = 2.0 * slots as f64 * stretch / routers.max(1) as f64;
-    (connection_quota.ceil() as usize).min(slots).max(2)
+/// Connections of a server that are not divided: control queries it, and a router that has just
+/// started isn't counted yet.
+const RESERVED_CONNECTIONS: usize = 6;
+/// The least connections and statements in flight of a router at a server.
+const MIN_PER_ROUTER: usize = 2;
+
+/// How many statements one of `routers` routers has in flight at a server of `slots` slots.
+///
+/// Twice its equal share, since clients don't spread evenly over routers, and two at least; what is
+/// beyond that would only wait at the server, where it can't be ranked. `network_stretch` is how
+/// many times as long a statement takes for the router as for the server: as many more are on
+/// their way.
+pub fn in_flight_limit(slots: usize, routers: usize, network_stretch: f64) -> usize {
+    let share = 2.0 * slots as f64 * network_stretch / routers.max(1) as f64;
+    (share.ceil() as usize).min(slots).max(MIN_PER_ROUTER)
 }
 
-/// A router's share of a server's connections. The shares of all together stay below what the server takes: one over
-/// it and openings, each of which costs the server a slot for a while, push each other out.
+/// A router's quota of a server's connections. The quotas of all together stay below what the
+/// server takes: above it, connections being opened, each of which costs the server a slot for a
+/// while, would push each other out.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionQuota {
-    max_conns: usize,
+    max_connections: usize,
     routers: usize,
     penalty_until: f64,
 }
 
 impl ConnectionQuota {
-    /// Of this many connections, among this many routers.
-    pub fn new(max_conns: usize, routers: usize) -> Self {
+    /// A quota of `max_connections`, which are divided among `routers` routers.
+    pub fn new(max_connections: usize, routers: usize) -> Self {
         Self {
-            max_conns,
+            max_connections,
             routers: routers.max(1),
             penalty_until: 0.0,
         }
     }
 
-    /// Another number of connections or routers.
-    pub fn update(&mut self, max_conns: usize, routers: usize) {
-        self.max_conns = max_conns;
+    /// Changes the number of connections and of routers; a penalty stays.
+    pub fn update(&mut self, max_connections: usize, routers: usize) {
+        self.max_connections = max_connections;
         self.routers = routers.max(1);
     }
 
@@ -45,16 +54,16 @@
         self.penalty_until = now + REFUSAL_PENALTY_S;
     }
 
-    /// The plain share, of what is left besides control's connections.
+    /// The router's part of the connections that aren't reserved.
     pub fn base_limit(&self) -> usize {
-        (self.max_conns.saturating_sub(RESERVED_CONNS) / self.routers)
-            .clamp(2, self.max_conns.max(2))
+        (self.max_connections.saturating_sub(RESERVED_CONNECTIONS) / self.routers)
+            .clamp(MIN_PER_ROUTER, self.max_connections.max(MIN_PER_ROUTER))
     }
 
-    /// How many may be open now.
+    /// How many connections may be open now.
     pub fn limit(&self, now: f64) -> usize {
         if now < self.penalty_until {
-            (self.base_limit() / 2).max(2)
+            (self.base_limit() / 2).max(MIN_PER_ROUTER)
         } else {
             self.base_limit()
         }
--- a/crates/core/pooling/src/queue.rs
+++ b/crates/core/pooling/src/queue.rs
@@ -1,29 +1,36 @@
-//! A priority queue for the places at a server: a bounded number is admitted at once; of the others first those that can
-//! still be in time, by rank and arrival.
+//! A priority queue for admission at a server.
+//!
+//! A bounded number is admitted at once. Of those that wait, first come all that can still meet
+//! their latency target, by rank and arrival; then those that no longer can, since a late answer is
+//! worth a fraction of one in time. The admission queues of the data plane own one each and wake
+//! the tasks; nothing here waits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The place of a waiter in the queue.
+/// Identifies who waits in a [`Queue`], in order of admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueEntry {
+    /// 0 goes first.
     rank: u32,
+    /// Counts up.
     arrival: u64,
 }
 
-/// Admits so many at once, the others by rank (0 first) and arrival; whoever has missed its latest start comes after all
-/// who have not, since what comes late is worth a fraction.
+/// Admits up to a limit, and queues the others.
 #[derive(Debug)]
 pub struct Queue {
     limit: usize,
     admitted: usize,
     arrivals: u64,
-    /// Those who may still be in time, with their latest start. Who has missed it is found out when its turn comes.
+    /// Those not known to be late, with the second by which they must be admitted to be in time.
+    /// That one has missed it is noticed only when it is next.
     waiting: BTreeMap<QueueEntry, f64>,
+    /// Those found to have missed their latest start.
     past_latest_start: BTreeSet<QueueEntry>,
 }
 
 impl Queue {
-    /// Lets in this many at once.
+    /// A queue that admits `limit` at once.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -34,32 +41,30 @@
         }
     }
 
-    /// Changes how many are let in; those let in by it are taken by `admit`.
+    /// Changes the limit. Call [`Queue::admit_next`] afterwards for those that it now admits.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// How many are let in at once.
+    /// How many are admitted at once.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Goes in at once, or gets a place; who is admitted by `latest_start` is in time.
+    /// Admits at once (`None`), or returns an entry to wait with. `latest_start` is the second by
+    /// which admission is in time.
     pub fn enter(&mut self, rank: u32, latest_start: f64) -> Option<QueueEntry> {
-        if self.admitted < self.limit
-            && self.waiting.is_empty()
-            && self.past_latest_start.is_empty()
-        {
+        if !self.is_full() && self.waiting_count() == 0 {
             self.admitted += 1;
             return None;
         }
         self.arrivals += 1;
-        let place = QueueEntry {
+        let entry = QueueEntry {
             rank,
             arrival: self.arrivals,
         };
-        self.waiting.insert(place, latest_start);
-        Some(place)
+        self.waiting.insert(entry, latest_start);
+        Some(entry)
     }
 
     /// How many wait.
@@ -67,62 +72,63 @@
         self.waiting.len() + self.past_latest_start.len()
     }
 
-    /// One that was let in leaves.
+    /// One that was admitted is done. Call [`Queue::admit_next`] afterwards.
     pub fn release(&mut self) {
         self.admitted -= 1;
     }
 
-    /// The next of those who wait is let in now, if there is room.
+    /// Admits the next of those that wait, if there is capacity.
     pub fn admit_next(&mut self, now: f64) -> Option<QueueEntry> {
-        if self.admitted >= self.limit {
+        if self.is_full() {
             return None;
         }
-        // Each is found late once at most, so that this costs no more than the waiting itself.
-        while let Some((place, latest_start)) = self.waiting.pop_first() {
+        // An entry moves to the late ones once at most, so this costs no more than queueing did.
+        while let Some((entry, latest_start)) = self.waiting.pop_first() {
             if latest_start >= now {
                 self.admitted += 1;
-                return Some(place);
+                return Some(entry);
             }
-            self.past_latest_start.insert(place);
+            self.past_latest_start.insert(entry);
         }
-        let place = self.past_latest_start.pop_first()?;
+        let entry = self.past_latest_start.pop_first()?;
         self.admitted += 1;
-        Some(place)
+        Some(entry)
     }
 
-    /// One who waits gives up; false if it had been let in already.
-    pub fn cancel(&mut self, place: QueueEntry) -> bool {
-        self.waiting.remove(&place).is_some() || self.past_latest_start.remove(&place)
+    /// One that waits gives up; false if it had been admitted already.
+    pub fn cancel(&mut self, entry: QueueEntry) -> bool {
+        self.waiting.remove(&entry).is_some() || self.past_latest_start.remove(&entry)
     }
 
-    /// How many would be admitted before one of this rank who came at this second with this latest start. Who has missed
-    /// its own is among those before only for others who have.
+    /// How many would be admitted before one of this rank that arrived now. Those that have missed
+    /// their latest start are ahead only of others that have.
     pub fn entries_ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
-        let in_time = self
+        let is_late = latest_start < now;
+        let in_time_ahead = self
             .waiting
             .iter()
-            .filter(|(place, a)| **a >= now && (latest_start < now || place.rank <= rank));
-        if latest_start >= now {
-            return in_time.count();
+            .filter(|(entry, start)| **start >= now && (is_late || entry.rank <= rank))
+            .count();
+        if !is_late {
+            return in_time_ahead;
         }
-        let missed = self
+        let late_ahead = self
             .waiting
             .iter()
-            .filter(|(_, a)| **a < now)
-            .map(|(place, _)| place);
-        in_time.count()
-            + missed
-                .chain(&self.past_latest_start)
-                .filter(|place| place.rank <= rank)
-                .count()
+            .filter(|(_, start)| **start < now)
+            .map(|(entry, _)| entry)
+            .chain(&self.past_latest_start)
+            .filter(|entry| entry.rank <= rank)
+            .count();
+        in_time_ahead + late_ahead
     }
 
-    /// Whoever comes now must wait.
+    /// Whether whoever arrives now must wait.
     pub fn is_full(&self) -> bool {
         self.admitted >= self.limit
     }
 
-    /// How many are in.
+    /// How many are admitted and not yet released.
     pub fn admitted(&self) -> usize {
         self.admitted
     }
--- a/crates/core/pooling/src/tests/choices.rs
+++ b/crates/core/pooling/src/tests/choices.rs
@@ -1,3 +1,5 @@
+//! The destination of a statement by consistency, proof, affinity and health.
+
 use crate::choice::{Access, ChoiceInput, Consistency, Destination, choose};
 use crate::freshness::PositionHistory;
 use crate::health::{Health, LAG_BACKOFF_S, MIN_BACKOFF_S};
@@ -6,11 +8,11 @@
 use badgerstream_routing::MARK_S;
 use badgerstream_routing::Rotation;
 
-fn at(number: u64) -> Position {
+fn position(number: u64) -> Position {
     Position { term: 3, number }
 }
 
-fn ask(consistency: Consistency, access: Access, arrived: f64) -> ChoiceInput {
+fn input(consistency: Consistency, access: Access, arrived: f64) -> ChoiceInput {
     ChoiceInput {
         consistency,
         access,
@@ -21,31 +23,31 @@
 
 fn history() -> PositionHistory {
     let mut history = PositionHistory::default();
-    history.record(9.0, at(50));
-    history.record(9.5, at(60));
+    history.record(9.0, position(50));
+    history.record(9.5, position(60));
     history
 }
 
 #[test]
-fn writes_and_fresh_reads_go_to_the_primary() {
+fn writes_and_strong_reads_go_to_the_primary() {
     let session = Session::default();
     for consistency in [
         Consistency::Strong,
         Consistency::Bounded(1.5),
         Consistency::ReadYourWrites(2.5),
     ] {
-        let ask = ask(consistency, Access::Write, 10.0);
+        let input = input(consistency, Access::Write, 10.0);
         assert_eq!(
-            choose(&ask, &session, &history(), 10.0),
+            choose(&input, &session, &history(), 10.0),
             Destination::Primary
         );
     }
-    let mut fresh = ask(Consistency::Strong, Access::Read, 10.0);
+    let mut fresh = input(Consistency::Strong, Access::Read, 10.0);
     assert_eq!(
         choose(&fresh, &session, &history(), 10.0),
         Destination::Primary
     );
-    // Also when it is slow: nobody else can prove that it has any commit.
+    // Also when it is to be avoided: no replica can prove that it has every commit.
     fresh.avoid_primary = true;
     assert_eq!(
         choose(&fresh, &session, &history(), 10.0),
@@ -54,64 +56,64 @@
 }
 
 #[test]
-fn bounded_reads_take_the_smallest_proof_inside_their_bound() {
+fn bounded_reads_require_the_smallest_proof_within_their_staleness() {
     let session = Session::default();
     let read = |s, arrived| {
         choose(
-            &ask(Consistency::Bounded(s), Access::Read, arrived),
+            &input(Consistency::Bounded(s), Access::Read, arrived),
             &session,
             &history(),
             arrived,
         )
     };
-    assert_eq!(read(1.5, 10.0), Destination::Replica(at(50)));
-    assert_eq!(read(0.7, 10.0), Destination::Replica(at(60)));
-    // No proof is as young as this one needs.
+    assert_eq!(read(1.5, 10.0), Destination::Replica(position(50)));
+    assert_eq!(read(0.7, 10.0), Destination::Replica(position(60)));
+    // No sample is young enough for this staleness.
     assert_eq!(read(0.4, 10.0), Destination::Primary);
 }
 
 #[test]
-fn a_session_that_touched_the_primary_reads_there_for_a_while() {
+fn session_with_primary_affinity_reads_at_the_primary() {
     let mut session = Session::default();
     session.primary_affinity.touch(7.5);
-    let mut read = ask(Consistency::ReadYourWrites(5.0), Access::Read, 10.0);
+    let mut read = input(Consistency::ReadYourWrites(5.0), Access::Read, 10.0);
     assert_eq!(
         choose(&read, &session, &history(), 10.0),
         Destination::Primary
     );
     assert_eq!(
         choose(&read, &session, &history(), 7.5 + MARK_S),
-        Destination::Replica(at(50))
+        Destination::Replica(position(50))
     );
-    // A full or slow primary is left for a replica that is known past the session's write.
-    session.record_write(Some(at(70)));
+    // A saturated primary is avoided for a replica that has the write of the session.
+    session.record_write(Some(position(70)));
     read.avoid_primary = true;
     assert_eq!(
         choose(&read, &session, &history(), 10.0),
-        Destination::Replica(at(70))
+        Destination::Replica(position(70))
     );
 }
 
 #[test]
-fn only_in_house_reads_owe_their_own_writes() {
+fn only_read_your_writes_requires_the_sessions_own_writes() {
     let mut session = Session::default();
-    session.record_write(Some(at(70)));
-    session.record_write(Some(at(65)));
+    session.record_write(Some(position(70)));
+    session.record_write(Some(position(65)));
     session.record_write(None);
-    let own = ask(Consistency::ReadYourWrites(2.5), Access::Read, 10.0);
-    let bounded = ask(Consistency::Bounded(2.5), Access::Read, 10.0);
+    let own = input(Consistency::ReadYourWrites(2.5), Access::Read, 10.0);
+    let bounded = input(Consistency::Bounded(2.5), Access::Read, 10.0);
     assert_eq!(
         choose(&own, &session, &history(), 10.0),
-        Destination::Replica(at(70))
+        Destination::Replica(position(70))
     );
     assert_eq!(
         choose(&bounded, &session, &history(), 10.0),
-        Destination::Replica(at(50))
+        Destination::Replica(position(50))
     );
 }
 
 #[test]
-fn the_counter_takes_each_in_turn_and_wraps() {
+fn rotation_is_round_robin_across_counter_overflow() {
     let mut rotation = Rotation {
         next: usize::MAX - 1,
     };
@@ -123,15 +125,15 @@
 }
 
 #[test]
-fn a_replica_that_lags_or_fails_is_left_for_a_moment() {
+fn lagging_or_failing_replica_is_avoided_during_its_backoff() {
     let mut health = Health::default();
-    assert!(health.may_have_position(at(5), 1.0) && health.is_up(1.0));
-    health.record_lag(1.0, at(5));
-    assert!(!health.may_have_position(at(6), 1.0));
-    assert!(health.may_have_position(at(4), 1.0));
-    assert!(health.may_have_position(at(6), 1.0 + LAG_BACKOFF_S));
-    health.record_answer(Some(at(6)));
-    assert!(health.may_have_position(at(6), 1.0));
+    assert!(health.may_have_position(position(5), 1.0) && health.is_up(1.0));
+    health.record_lag(1.0, position(5));
+    assert!(!health.may_have_position(position(6), 1.0));
+    assert!(health.may_have_position(position(4), 1.0));
+    assert!(health.may_have_position(position(6), 1.0 + LAG_BACKOFF_S));
+    health.record_answer(Some(position(6)));
+    assert!(health.may_have_position(position(6), 1.0));
 
     health.record_failure(2.0);
     health.record_failure(2.0);
--- a/crates/core/pooling/src/tests/conns.rs
+++ b/crates/core/pooling/src/tests/connection_state.rs
@@ -1,4 +1,4 @@
-//! Sessions of several clients on one pooled connection, played against a server that only does what it is told.
+//! Sessions of several clients on pooled connections, against a server that records what it holds.
 
 use crate::connection::{ConnectionState, Distance, StateChange};
 use crate::session::{MAX_NAMES, Session, SessionError};
@@ -6,14 +6,14 @@
 use badgerstream_line_protocol::{Kind, Text};
 use std::collections::BTreeMap;
 
-/// What the server's end of a connection really holds, by the texts that it got.
+/// What a connection holds at the server, by the statements that it received.
 #[derive(Default)]
-struct Held {
+struct ServerState {
     values: BTreeMap<String, String>,
     prepared: BTreeMap<String, (Kind, String)>,
 }
 
-impl Held {
+impl ServerState {
     fn run(&mut self, text: &str) {
         if text == "RESET" {
             *self = Self::default();
@@ -30,10 +30,11 @@
 }
 
 #[test]
-fn every_statement_meets_its_own_clients_values_and_shape() {
+fn every_statement_runs_with_its_sessions_values_and_shape() {
     arbtest(|u| {
         let mut sessions: Vec<Session> = (0..3).map(|_| Session::default()).collect();
-        let mut conns: Vec<(ConnectionState, Held)> = (0..2).map(|_| Default::default()).collect();
+        let mut connections: Vec<(ConnectionState, ServerState)> =
+            (0..2).map(|_| Default::default()).collect();
         for _ in 0..u.int_in_range(1..=40)? {
             let session = &mut sessions[u.choose_index(3)?];
             let name = *u.choose(&["a", "b", "c"])?;
@@ -50,35 +51,39 @@
                     assert_eq!(session.deallocate(name).is_ok(), known);
                 }
                 _ => {
-                    let (conn, held) = &mut conns[u.choose_index(2)?];
+                    let (connection, server) = &mut connections[u.choose_index(2)?];
                     let shape = session.shape(name).cloned();
-                    let before = conn.distance(&session.values);
-                    let changes = conn.changes(&session.values, shape.as_ref());
+                    let before = connection.distance(&session.values);
+                    let changes = connection.changes(&session.values, shape.as_ref());
                     assert_eq!(
                         changes.contains(&StateChange::Reset),
                         before == Distance::ResetNeeded
                     );
                     for change in &changes {
-                        held.run(&change.text());
-                        conn.record_acknowledged(change);
+                        server.run(&change.text());
+                        connection.record_acknowledged(change);
                     }
-                    assert_eq!(conn.distance(&session.values), Distance::Same);
-                    assert!(conn.changes(&session.values, shape.as_ref()).is_empty());
+                    assert_eq!(connection.distance(&session.values), Distance::Same);
+                    assert!(
+                        connection
+                            .changes(&session.values, shape.as_ref())
+                            .is_empty()
+                    );
                     let expected: BTreeMap<String, String> = session
                         .values
                         .iter()
                         .map(|(n, v)| (n.into(), v.into()))
                         .collect();
-                    assert_eq!(held.values, expected);
+                    assert_eq!(server.values, expected);
                     if let Some(shape) = shape {
-                        let ours = format!("p{}", conn.prepared_number(&shape).unwrap());
-                        assert_eq!(held.prepared[&ours], (shape.kind, shape.text.to_string()));
+                        let ours = format!("p{}", connection.prepared_number(&shape).unwrap());
+                        assert_eq!(server.prepared[&ours], (shape.kind, shape.text.to_string()));
                     }
                     if u.ratio(1, 8)? {
-                        // A rolled back transaction may have taken anything back.
-                        held.values.clear();
-                        held.prepared.clear();
-                        conn.mark_uncertain();
+                        // A rollback may have undone any of the changes.
+                        server.values.clear();
+                        server.prepared.clear();
+                        connection.mark_uncertain();
                     }
                 }
             }
@@ -88,35 +93,42 @@
 }
 
 #[test]
-fn what_is_not_acknowledged_is_not_held() {
+fn unacknowledged_change_is_sent_again() {
     let mut session = Session::default();
     session.set("a", "1").unwrap();
     session.set("b", "2").unwrap();
-    let mut conn = ConnectionState::default();
-    let changes = conn.changes(&session.values, None);
-    conn.record_acknowledged(&changes[0]);
-    assert_eq!(conn.distance(&session.values), Distance::ValuesMissing);
-    assert_eq!(conn.changes(&session.values, None), changes[1..]);
+    let mut connection = ConnectionState::default();
+    let changes = connection.changes(&session.values, None);
+    connection.record_acknowledged(&changes[0]);
+    assert_eq!(
+        connection.distance(&session.values),
+        Distance::ValuesMissing
+    );
+    assert_eq!(connection.changes(&session.values, None), changes[1..]);
 }
 
 #[test]
-fn many_shapes_reset_the_connection_rather_than_fill_it() {
-    let mut conn = ConnectionState::default();
+fn connection_with_too_many_shapes_is_reset() {
+    let mut connection = ConnectionState::default();
     let mut resets = 0;
     for i in 0..400 {
         let mut session = Session::default();
         session.prepare("s", Kind::Fetch, &format!("q{i}")).unwrap();
-        for change in conn.changes(&session.values, session.shape("s")) {
+        for change in connection.changes(&session.values, session.shape("s")) {
             resets += usize::from(change == StateChange::Reset);
-            conn.record_acknowledged(&change);
+            connection.record_acknowledged(&change);
         }
-        assert!(conn.prepared_number(session.shape("s").unwrap()).is_some());
+        assert!(
+            connection
+                .prepared_number(session.shape("s").unwrap())
+                .is_some()
+        );
     }
     assert_eq!(resets, 3);
 }
 
 #[test]
-fn a_session_has_bounds() {
+fn session_rejects_names_beyond_its_bounds() {
     let mut session = Session::default();
     for i in 0..MAX_NAMES {
         session.set(&format!("n{i}"), "v").unwrap();
--- a/crates/core/pooling/src/tests/mod.rs
+++ b/crates/core/pooling/src/tests/mod.rs
@@ -1,4 +1,4 @@
 mod choices;
-mod conns;
+mod connection_state;
 mod freshness;
-mod queues;
+mod queue_and_limits;
--- a/crates/core/pooling/src/tests/queues.rs
+++ b/crates/core/pooling/src/tests/queue_and_limits.rs
@@ -1,10 +1,12 @@
+//! Admission by rank and latest start, and the limits, latencies and delays around it.
+
 use crate::connection_quota::{ConnectionQuota, in_flight_limit};
 use crate::latency::{Latency, RefusalStreak};
 use crate::queue::{Queue, QueueEntry};
 use arbtest::arbtest;
 
 #[test]
-fn so_many_at_once_and_the_others_by_rank_and_arrival() {
+fn admits_up_to_limit_then_by_rank_and_arrival() {
     let mut queue = Queue::new(1);
     assert_eq!(queue.enter(5, 9.0), None);
     let low = queue.enter(2, 9.0).unwrap();
@@ -20,7 +22,7 @@
 }
 
 #[test]
-fn never_more_than_its_limit_and_nobody_is_forgotten() {
+fn never_exceeds_limit_and_forgets_no_entry() {
     arbtest(|u| {
         let limit = u.int_in_range(1..=4)?;
         let mut queue = Queue::new(limit);
@@ -35,12 +37,12 @@
                     let ahead = queue.entries_ahead(rank, latest_start, now);
                     match queue.enter(rank, latest_start) {
                         None => inside += 1,
-                        Some(place) => {
+                        Some(entry) => {
                             let before = |&&(p, a): &&(QueueEntry, f64)| {
-                                (a < now, p) < (latest_start < now, place)
+                                (a < now, p) < (latest_start < now, entry)
                             };
                             assert_eq!(ahead, waiting.iter().filter(before).count());
-                            waiting.push((place, latest_start));
+                            waiting.push((entry, latest_start));
                         }
                     }
                 }
@@ -50,19 +52,19 @@
                     inside -= 1;
                 }
                 2 if !waiting.is_empty() => {
-                    let (place, _) = waiting.remove(u.choose_index(waiting.len())?);
-                    assert!(queue.cancel(place));
+                    let (entry, _) = waiting.remove(u.choose_index(waiting.len())?);
+                    assert!(queue.cancel(entry));
                 }
                 _ => {}
             }
-            while let Some(place) = queue.admit_next(now) {
-                // Whoever missed its latest start comes after all who have not; then rank and arrival.
+            while let Some(entry) = queue.admit_next(now) {
+                // Entries past their latest start come last; then rank and arrival decide.
                 let next = waiting
                     .iter()
                     .copied()
                     .min_by_key(|(p, latest_start)| (*latest_start < now, *p));
-                assert_eq!(next.map(|(p, _)| p), Some(place));
-                waiting.retain(|(p, _)| *p != place);
+                assert_eq!(next.map(|(p, _)| p), Some(entry));
+                waiting.retain(|(p, _)| *p != entry);
                 inside += 1;
             }
             assert_eq!(queue.admitted(), inside);
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn a_share_of_the_connections_is_kept_to() {
+fn connection_quota_divides_connections_among_routers() {
     let mut connection_quota = ConnectionQuota::new(68, 14);
     assert_eq!(
         (connection_quota.base_limit(), connection_quota.limit(0.0)),
@@ -85,7 +87,7 @@
         (connection_quota.limit(1.0), connection_quota.limit(6.0)),
         (3, 6)
     );
-    // All shares together stay below what the server takes, wherever that leaves two for each.
+    // All quotas together stay below what the server takes, wherever that leaves two for each.
     for routers in 1..=30 {
         connection_quota.update(80, routers);
         assert!(connection_quota.limit(6.0) * routers < 80);
@@ -100,12 +102,12 @@
 }
 
 #[test]
-fn who_can_not_make_its_aim_any_more_comes_after_all_who_can() {
+fn entry_past_its_latest_start_comes_after_those_in_time() {
     let mut queue = Queue::new(1);
     assert_eq!(queue.enter(0, 9.0), None);
     let missed = queue.enter(0, 1.0).unwrap();
     let low = queue.enter(2, 9.0).unwrap();
-    // Before its latest start is past it is ahead of those of lower rank; afterwards it is behind them.
+    // Until its latest start it is ahead of those of lower rank; afterwards it is behind them.
     assert_eq!(
         (
             queue.entries_ahead(1, 9.0, 0.5),
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn in_flight_is_twice_the_plain_share_and_two_at_least() {
+fn in_flight_limit_is_twice_the_equal_share_and_at_least_two() {
     let limits = [
         (4, 9),
         (4, 3),
@@ -136,7 +138,7 @@
     ]
     .map(|(s, r)| in_flight_limit(s, r, 1.0));
     assert_eq!(limits, [2, 3, 4, 2, 3, 4, 2, 2]);
-    // Where the way is long, more are on it; never more than the server has slots.
+    // Across a slow network more are in flight, but never more than the server has slots.
     assert_eq!(
         [1.0, 2.0, 3.0, 8.0].map(|stretch| in_flight_limit(7, 9, stretch)),
         [2, 4, 5, 7]
@@ -146,7 +148,7 @@
     latency.record_answer(0.034);
     latency.record_round_trip(0.026);
     assert!((latency.network_stretch() - 4.25).abs() < 1e-6);
-    // The shortest way counts, and a longer one only slowly.
+    // The shortest round trip counts at once, a longer one only slowly.
     latency.record_round_trip(0.017);
     assert!((latency.network_stretch() - 2.0).abs() < 1e-6);
     latency.record_round_trip(0.033);
@@ -154,7 +156,7 @@
 }
 
 #[test]
-fn an_answer_is_overdue_by_the_pace_and_never_before_a_quarter_of_its_aim() {
+fn overdue_threshold_follows_latency_and_is_at_least_a_quarter_of_target() {
     let mut latency = Latency::default();
     assert_eq!(
         (
@@ -171,7 +173,7 @@
         (latency.mean() - 0.02).abs() < 1e-6 && (latency.overdue_after(0.12) - 0.08).abs() < 1e-3
     );
     assert!((latency.queue_wait(9, 2) - 0.1).abs() < 1e-6);
-    // A server that turns slow is waited for.
+    // The threshold rises when a server becomes slow.
     for _ in 0..12 {
         latency.record_answer(0.12);
     }
@@ -179,16 +181,16 @@
 }
 
 #[test]
-fn who_is_refused_comes_back_the_later_the_longer_it_lasts() {
+fn retry_delay_grows_with_the_refusal_streak() {
     let mut refusals = RefusalStreak::default();
-    let backs = [
+    let retry_delays = [
         (5.0, 0.2),
         (5.5, 0.2),
         (6.25, 0.2),
         (6.5, 3.0),
         (7.75, 0.25),
     ];
-    let backs = backs.map(|(now, wait)| refusals.record_refusal(now, wait));
-    // After a second of calm it begins anew.
-    assert_eq!(backs, [0.2, 0.5, 1.25, 3.0, 0.25]);
+    let retry_delays = retry_delays.map(|(now, wait)| refusals.record_refusal(now, wait));
+    // After a gap of a second a new streak begins.
+    assert_eq!(retry_delays, [0.2, 0.5, 1.25, 3.0, 0.25]);
 }
