--- a/crates/runtime/pooler/src/data_plane/admission.rs
+++ b/crates/runtime/pooler/src/data_plane/admission.rs
@@ -1,4 +1,7 @@
-//! Waiting for a share of a server.
+//! Admission at a server: tasks wait for one of a bounded number of permits, by rank and arrival.
+//!
+//! Each pool owns two queues, one for connections and one for slots. The order is decided by
+//! [`badgerstream_pooling::queue`]; this module parks and wakes the tasks.
 
 use crate::clock;
 use badgerstream_pooling::queue::{Queue, QueueEntry};
@@ -8,29 +11,52 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// Lets in so many at once.
+/// By which rank, and until when, a statement waits to be admitted.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct AdmissionTerms {
+    /// 0 goes first.
+    pub rank: u32,
+    /// Admitted by this second, the statement can still meet the latency target of its route.
+    pub latest_start: f64,
+    /// The statement waits no longer than until this second.
+    pub give_up_at: f64,
+}
+
+/// Where a waiting task stands.
+enum Waiter {
+    /// It is woken by this once admitted.
+    Waiting(Waker),
+    /// It is admitted, and has not run since.
+    Admitted,
+}
+
+/// A queue for a bounded number of permits.
 pub(super) struct AdmissionQueue {
     queue: RefCell<Queue>,
-    /// Those who wait; none instead of a waker once let in.
-    wakers: RefCell<HashMap<QueueEntry, Option<Waker>>>,
+    waiters: RefCell<HashMap<QueueEntry, Waiter>>,
 }
 
 impl AdmissionQueue {
-    /// Lets in this many at once.
+    /// A queue that admits `limit` at once.
     pub(super) fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             queue: RefCell::new(Queue::new(limit)),
-            wakers: RefCell::default(),
+            waiters: RefCell::default(),
         })
     }
 
-    /// Changes how many are let in.
+    /// Changes the limit, and admits those that it now allows.
     pub(super) fn set_limit(&self, limit: usize) {
         self.queue.borrow_mut().set_limit(limit);
         self.admit_waiting();
     }
 
-    /// How many are in.
+    /// How many permits there are at once.
+    pub(super) fn limit(&self) -> usize {
+        self.queue.borrow().limit()
+    }
+
+    /// How many permits are held.
     pub(super) fn admitted(&self) -> usize {
         self.queue.borrow().admitted()
     }
@@ -40,38 +66,33 @@
         self.queue.borrow().waiting_count()
     }
 
-    /// Whoever comes now must wait.
+    /// Whether whoever comes now must wait.
     pub(super) fn is_full(&self) -> bool {
         self.queue.borrow().is_full()
     }
 
-    /// How many are let in at once.
-    pub(super) fn limit(&self) -> usize {
-        self.queue.borrow().limit()
-    }
-
-    /// How many would be let in before one of this rank who comes now with this latest start.
+    /// How many would be admitted before one of this rank that came now.
     pub(super) fn entries_ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
         self.queue.borrow().entries_ahead(rank, latest_start, now)
     }
 
-    /// Waits to be let in, by rank (0 first) and arrival; once `latest_start` is past, after those who can still be in
-    /// time.
+    /// Waits for a permit, by rank (0 first) and arrival; once `latest_start` (seconds) is past,
+    /// after those that can still be in time. Dropping the future leaves the queue.
     pub(super) async fn acquire(self: &Rc<Self>, rank: u32, latest_start: f64) -> Permit {
-        let Some(place) = self.queue.borrow_mut().enter(rank, latest_start) else {
+        let Some(entry) = self.queue.borrow_mut().enter(rank, latest_start) else {
             return Permit(self.clone());
         };
-        let _ticket = Ticket {
+        let _cancel_guard = CancelGuard {
             admission_queue: self.clone(),
-            place,
+            entry,
         };
         poll_fn(|cx| {
-            let mut waiting = self.wakers.borrow_mut();
-            if let Some(None) = waiting.get(&place) {
-                waiting.remove(&place);
+            let mut waiters = self.waiters.borrow_mut();
+            if let Some(Waiter::Admitted) = waiters.get(&entry) {
+                waiters.remove(&entry);
                 return Poll::Ready(());
             }
-            waiting.insert(place, Some(cx.waker().clone()));
+            waiters.insert(entry, Waiter::Waiting(cx.waker().clone()));
             Poll::Pending
         })
         .await;
@@ -86,18 +107,18 @@
     fn admit_waiting(&self) {
         let now = clock::now();
         loop {
-            let Some(place) = self.queue.borrow_mut().admit_next(now) else {
+            let Some(entry) = self.queue.borrow_mut().admit_next(now) else {
                 return;
             };
-            let waker = self.wakers.borrow_mut().insert(place, None).flatten();
-            if let Some(waker) = waker {
+            let waiter = self.waiters.borrow_mut().insert(entry, Waiter::Admitted);
+            if let Some(Waiter::Waiting(waker)) = waiter {
                 waker.wake();
             }
         }
     }
 }
 
-/// The right to be in, given back when dropped.
+/// The right to use what the queue bounds; given back when dropped.
 pub(super) struct Permit(Rc<AdmissionQueue>);
 
 impl Drop for Permit {
@@ -106,22 +127,23 @@
     }
 }
 
-/// One who waits and may give up.
-struct Ticket {
+/// Takes a waiting task out of the queue when its future is dropped.
+struct CancelGuard {
     admission_queue: Rc<AdmissionQueue>,
-    place: QueueEntry,
+    entry: QueueEntry,
 }
 
-impl Drop for Ticket {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        let waits = self.admission_queue.queue.borrow_mut().cancel(self.place);
-        let let_in = self
+        let was_waiting = self.admission_queue.queue.borrow_mut().cancel(self.entry);
+        let waiter = self
             .admission_queue
-            .wakers
+            .waiters
             .borrow_mut()
-            .remove(&self.place)
-            .is_some_and(|w| w.is_none());
-        if !waits && let_in {
+            .remove(&self.entry);
+        // Admitted, but dropped before it ran: the permit goes to the next. A task that has run
+        // removed its waiter, and holds the permit.
+        if !was_waiting && matches!(waiter, Some(Waiter::Admitted)) {
             self.admission_queue.release();
         }
     }
--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -1,4 +1,16 @@
 //! A client's session, from its first byte to its end.
+//!
+//! The listener starts one task a client, which runs [`serve`]:
+//!
+//! - [`handshake`]: the database that the client names;
+//! - `next_request`: the next line, the client's end, an idle transaction, or shutdown;
+//! - `dispatch`: what each statement asks for;
+//! - `single_statement`, `transaction`, `commit`: statements that run at a server, in the words of
+//!   `statement`, on a connection that `placement` got;
+//! - `response`, `connection`: what the client is sent, and its socket.
+//!
+//! The task owns the session and, inside a transaction, the checkout of the connection. A write that
+//! may have run is never sent again.
 
 mod commit;
 mod connection;
@@ -11,11 +23,13 @@
 mod statement;
 mod transaction;
 
-use super::net;
+use super::DataPlane;
+use super::drain::SessionHandle;
+use super::maintenance::max_connections;
 use super::placement::RouteTerms;
 use super::pool::Checkout;
-use super::{DataPlane, SessionHandle};
 use crate::clock;
+use crate::net;
 use async_io::Async;
 use badgerstream_line_protocol::Request;
 use badgerstream_pooling::session::{Session, Transaction};
@@ -26,19 +40,20 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// A client that acknowledges no byte for so long is gone, in milliseconds.
+/// After how many milliseconds without acknowledgement of a byte a client's connection breaks
+/// (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT_MS: u32 = 10_000;
-/// The part of its deadline after which a statement that no server was offered is given back to its client: what is
-/// held longer is as good as lost there.
+/// The fraction of its deadline after which a statement without a placement is rejected, so that its
+/// client has time left to try elsewhere.
 const PLACEMENT_DEADLINE_FRACTION: f64 = 0.45;
-/// The first pause after a primary's refusal, in seconds; it doubles with each attempt.
+/// The first backoff after a primary refused a statement, in seconds; it doubles with each attempt.
 const BACKOFF_S: f64 = 0.02;
-/// How often the pause doubles.
+/// How often the backoff doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The connections of a server while the configuration doesn't name its service.
-const DEFAULT_MAX_CONNS: u32 = 16;
+/// How many connections a server takes while the configuration doesn't name its service.
+const DEFAULT_MAX_CONNECTIONS: usize = 16;
 
-/// Serves a client until it ends.
+/// Serves a client until its session ends.
 pub(super) async fn serve(
     data_plane: &Rc<DataPlane>,
     stream: Async<TcpStream>,
@@ -71,58 +86,58 @@
     }
 }
 
-/// A session at work.
+/// A client's session and all that serves it.
 struct ClientSession {
     data_plane: Rc<DataPlane>,
     database: Rc<str>,
     client: ClientConnection,
     session: Session,
     handle: Rc<SessionHandle>,
-    /// The route's terms that bind the open transaction.
+    /// The terms of the route, as they were when the open transaction began at a server.
     terms: Option<RouteTerms>,
-    /// The connection of the open transaction, once it was begun at a server.
+    /// The connection of the open transaction, once it has begun at a server.
     checkout: Option<Checkout>,
-    /// The client knows that its transaction has failed.
+    /// Whether the client was told that its transaction has failed.
     failure_reported: bool,
 }
 
 impl ClientSession {
-    /// Answers one statement after the other until the session ends.
+    /// Answers one request after the other until the session ends.
     async fn run(&mut self) {
         loop {
             let Some(line) = self.next_request().await else {
                 return;
             };
-            let working = ActiveStatement::new(&self.data_plane);
+            let active_statement = ActiveStatement::new(&self.data_plane);
             let arrived_at = clock::now();
             let response = match Request::parse(&line) {
                 Ok(Request::Query { id, text }) => {
-                    // On the heap while it lasts: a resting session keeps no room for it.
+                    // On the heap while it runs: the future of an idle session stays small.
                     let response = Box::pin(self.query(id, text, arrived_at)).await;
                     self.data_plane.counts.ended(text, response.end());
                     response
                 }
                 Ok(Request::Bye) => return,
                 Ok(Request::Connect { .. }) => self.malformed("connected already"),
-                Err(e) => self.malformed(&e.to_string()),
+                Err(error) => self.malformed(&error.to_string()),
             };
             drop(line);
             self.handle
                 .in_transaction
                 .set(self.session.transaction != Transaction::None);
             let sent = self.respond(response).await;
-            drop(working);
+            drop(active_statement);
             if !sent {
                 return;
             }
         }
     }
 
-    /// Sends the answer to a statement; false if the session is over.
+    /// Sends the response to a request; false if the session is over.
     async fn respond(&self, response: Response) -> bool {
         match response {
             Response::Forward(raw) => self.client.write(&raw).await,
-            Response::Error(code, text, state) => {
+            Response::Error { code, text, state } => {
                 let blank = if text.is_empty() { "" } else { " " };
                 let line = format!(
                     "ERROR {}{blank}{text}\r\nIDLE {} -\r\n",
@@ -141,20 +156,17 @@
         }
     }
 
-    /// The terms of the session's database, as they stand now.
+    /// The terms of the route of the session's database, as configured now.
     fn route_terms(&self) -> Option<RouteTerms> {
         let config = self.data_plane.shared_view.view.borrow().config.clone()?;
         let route = config.route(&self.database)?;
-        let max_conns = config
-            .services
-            .iter()
-            .find(|s| s.name == route.service)
-            .map_or(DEFAULT_MAX_CONNS, |s| s.max_conns);
-        Some(RouteTerms::from_route(route, max_conns as usize))
+        let max_connections =
+            max_connections(&config, &route.service).unwrap_or(DEFAULT_MAX_CONNECTIONS);
+        Some(RouteTerms::from_route(route, max_connections))
     }
 }
 
-/// Counts what is in work.
+/// Counts a statement as active for as long as it lives.
 struct ActiveStatement(Rc<DataPlane>);
 
 impl ActiveStatement {
--- a/crates/runtime/pooler/src/data_plane/client/commit.rs
+++ b/crates/runtime/pooler/src/data_plane/client/commit.rs
@@ -7,18 +7,29 @@
 use badgerstream_line_protocol::{Answer, Code, Outcome, State};
 use badgerstream_pooling::session::Transaction;
 
-fn aborted(why: &str) -> Response {
-    error(Code::Aborted, why, State::Idle)
+/// A commit that was sent.
+struct SentCommit {
+    /// The connection that it was sent on.
+    checkout: Checkout,
+    /// The primary term of the grant under which it was sent; none of a read-only transaction at a
+    /// replica.
+    granted_term: Option<u64>,
+    /// Whether the transaction has written.
+    has_written: bool,
+}
+
+fn aborted(reason: &str) -> Response {
+    error(Code::Aborted, reason, State::Idle)
 }
 
 impl ClientSession {
     /// Commits the open transaction.
     pub(super) async fn commit(&mut self, id: &str, text: &str, arrived_at: f64) -> Response {
         if let Err(response) = self.begin_at_server(arrived_at, None).await {
-            // The client has asked for the end, and has it.
+            // The client has asked for the end of the transaction, and it has ended.
             self.finish_transaction();
             return match response {
-                Response::Error(code, text, _) => error(code, text, State::Idle),
+                Response::Error { code, text, .. } => error(code, text, State::Idle),
                 response => response,
             };
         }
@@ -39,35 +50,37 @@
         }
         let line = format!("QUERY {id} {text}\r\n");
         let mut answer = Answer::default();
-        let term = self
+        let granted_term = self
             .data_plane
             .granted_term(&checkout.pool.server, clock::now());
         checkout.expect_commit();
-        let pass = async |_: &[u8]| true;
-        let asked = checkout.exchange_until_overdue(
-            line.as_bytes(),
-            &mut answer,
-            terms.target_s,
-            deadline,
-            pass,
-        );
-        let mut outcome = self.handle.until_final_answer(asked).await;
+        // Nothing of the answer may reach the client before it is judged.
+        let discard = async |_: &[u8]| true;
+        let (line, target_s) = (line.as_bytes(), terms.target_s);
+        let exchange =
+            checkout.exchange_until_overdue(line, &mut answer, target_s, deadline, discard);
+        let mut outcome = self.handle.until_final_answer(exchange).await;
         if outcome == Err(ExchangeError::Overdue) && has_written {
             checkout.release_slot();
-            let waited = checkout.await_answer(&mut answer, deadline, pass);
+            let waited = checkout.await_answer(&mut answer, deadline, discard);
             outcome = self.handle.until_final_answer(waited).await;
         }
-        self.conclude_commit(&checkout, term, answer.raw, has_written, outcome)
+        let commit = SentCommit {
+            checkout,
+            granted_term,
+            has_written,
+        };
+        self.conclude_commit(&commit, answer.raw, outcome)
     }
 
-    /// Waits until the commit may be sent; false if it may not.
+    /// Waits until the commit may be sent; false if it must not be.
     async fn ready_to_commit(
         &mut self,
         checkout: &mut Checkout,
         service: &str,
         has_written: bool,
     ) -> bool {
-        // Values that were set since are its client's wherever it runs.
+        // Values that the client has set since its last statement are part of the commit.
         if checkout.prepare(&self.session.values, None).await.is_err() {
             return false;
         }
@@ -78,7 +91,7 @@
         self.session.primary_affinity.touch(clock::now());
         let server = &checkout.pool.server;
         loop {
-            // A write is kept only under the lease; a lease that has run out may be renewed in time.
+            // Writes are durable only under the lease. One that has ended may be renewed in time.
             let generation = self.data_plane.shared_view.changed.generation();
             if self.data_plane.is_leased(server, clock::now()) {
                 return true;
@@ -94,19 +107,18 @@
         }
     }
 
-    /// The commit was sent: what the client may know of it.
+    /// The commit was sent: what the client may know of its outcome.
     fn conclude_commit(
         &mut self,
-        checkout: &Checkout,
-        term: Option<u64>,
+        commit: &SentCommit,
         raw: Vec<u8>,
-        has_written: bool,
         outcome: Result<Outcome, ExchangeError>,
     ) -> Response {
+        let server = &commit.checkout.pool.server;
         match outcome {
             Ok(outcome) => {
-                if outcome.error.is_none() && has_written {
-                    if !self.is_granted_still(&checkout.pool.server, term) {
+                if outcome.error.is_none() && commit.has_written {
+                    if !self.is_granted_still(server, commit.granted_term) {
                         return error(Code::InDoubt, "the primary changes", State::Idle);
                     }
                     self.session.record_write(outcome.position);
@@ -114,11 +126,11 @@
                 self.forward(raw, &outcome)
             }
             Err(ExchangeError::Unsent) => aborted("the server was lost"),
-            // Nothing was written, so nothing is kept.
-            Err(_) if !has_written => aborted("the server was lost"),
+            // Nothing was written, so there is no doubt about anything.
+            Err(_) if !commit.has_written => aborted("the server was lost"),
             Err(_) => {
-                let server = &checkout.pool.server.id;
-                log::info!("event=in_doubt server={server} database={}", self.database);
+                let (server_id, database) = (&server.id, &self.database);
+                log::info!("event=in_doubt server={server_id} database={database}");
                 error(Code::InDoubt, "no clear answer to COMMIT", State::Idle)
             }
         }
--- a/crates/runtime/pooler/src/data_plane/client/connection.rs
+++ b/crates/runtime/pooler/src/data_plane/client/connection.rs
@@ -1,24 +1,25 @@
-//! A client's connection: lines in, answers out.
+//! A client's connection: lines in, responses out.
 
 use crate::clock;
-use crate::data_plane::{DataPlane, net};
+use crate::data_plane::DataPlane;
+use crate::net;
 use async_io::Async;
-use badgerstream_line_protocol::LineBuffer;
+use badgerstream_line_protocol::{LineBuffer, LineError};
 use std::cell::RefCell;
 use std::future::pending;
 use std::net::TcpStream;
 
-/// A client that takes no byte for so long is gone, in seconds.
+/// After how many seconds a client that takes no bytes counts as disconnected.
 const WRITE_TIMEOUT_S: f64 = 10.0;
 
-/// The client's connection.
+/// The connection of a client.
 pub(super) struct ClientConnection {
     pub(super) stream: Async<TcpStream>,
     pub(super) lines: RefCell<LineBuffer>,
 }
 
 impl ClientConnection {
-    /// Whether all of it was taken.
+    /// Writes all bytes; false if the client has disconnected or takes none.
     pub(super) async fn write(&self, bytes: &[u8]) -> bool {
         let written = net::until(
             clock::now() + WRITE_TIMEOUT_S,
@@ -28,17 +29,14 @@
         matches!(written, Some(Ok(())))
     }
 
-    /// Whether something came.
+    /// Waits for bytes; false if the client has disconnected.
     pub(super) async fn read(&self, data_plane: &DataPlane) -> bool {
         loop {
             if self.stream.readable().await.is_err() {
                 return false;
             }
-            match net::read_now(
-                &self.stream,
-                &data_plane.scratch,
-                &mut self.lines.borrow_mut(),
-            ) {
+            let mut lines = self.lines.borrow_mut();
+            match net::read_now(&self.stream, &data_plane.scratch, &mut lines) {
                 Ok(None) => {}
                 Ok(Some(n)) => return n > 0,
                 Err(_) => return false,
@@ -46,7 +44,8 @@
         }
     }
 
-    /// Waits until the client has gone; none then. Whoever asks on meanwhile is there.
+    /// Waits until the client has disconnected; returns none then. A client that sends more
+    /// meanwhile is still connected.
     pub(super) async fn until_closed<T>(&self, data_plane: &DataPlane) -> Option<T> {
         if self.lines.borrow().is_empty() && !self.read(data_plane).await {
             return None;
@@ -54,12 +53,9 @@
         pending().await
     }
 
-    /// The next line; none if the stream can't be read on.
-    pub(super) fn next_line(&self) -> Result<Option<Vec<u8>>, ()> {
-        self.lines
-            .borrow_mut()
-            .next()
-            .map(|l| l.map(<[u8]>::to_vec))
-            .map_err(drop)
+    /// The next complete line among the bytes that were read; none if there is none yet.
+    pub(super) fn next_line(&self) -> Result<Option<Vec<u8>>, LineError> {
+        let mut lines = self.lines.borrow_mut();
+        Ok(lines.next()?.map(<[u8]>::to_vec))
     }
 }
--- a/crates/runtime/pooler/src/data_plane/client/dispatch.rs
+++ b/crates/runtime/pooler/src/data_plane/client/dispatch.rs
@@ -1,106 +1,130 @@
-//! What each statement asks for: answered here, or run at a server.
+//! What each statement asks for: answered by the router, or run at a server.
 
 use super::ClientSession;
 use super::response::{Response, error, retry_later};
-use super::statement::Statement;
-use crate::data_plane::DrainStage;
+use super::statement::{Execution, Statement};
+use crate::data_plane::drain::DrainStage;
 use crate::data_plane::placement::RETRY_AFTER_S;
 use badgerstream_line_protocol::{Code, Kind, State, Text};
 use badgerstream_pooling::session::{SessionError, Transaction};
 
-/// Why what arrives too late isn't run.
+/// What a client is told of a transaction that shutdown rejects.
 const DRAINING_REASON: &str = "the router ends";
 
+/// What is rejected while the router drains.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Rejected {
+    /// A statement, inside a transaction or outside.
+    Statement,
+    /// The end of a transaction.
+    Commit,
+}
+
 impl ClientSession {
-    /// Answers a statement.
+    /// Answers a statement of the client.
     pub(super) async fn query(&mut self, id: &str, text: &str, arrived_at: f64) -> Response {
         let parsed = match Text::parse(text) {
             Ok(parsed) => parsed,
-            Err(e) => return self.malformed(&e.to_string()),
+            Err(error) => return self.malformed(&error.to_string()),
         };
         let transaction = self.session.transaction;
         if transaction == Transaction::Failed {
             return self.in_failed_transaction(&parsed);
         }
-        let (kind, execute) = match parsed {
+        let statement = |kind, execution| Statement {
+            id,
+            text,
+            kind,
+            execution,
+            arrived_at,
+        };
+        match parsed {
             Text::Set { name, value } => {
                 let set = self.session.set(name, value);
-                return self.session_update_response(set);
+                self.session_update_response(set)
             }
             Text::Prepare { name, kind, shape } => {
                 let prepared = self.session.prepare(name, kind, shape);
-                return self.session_update_response(prepared);
-            }
-            Text::Release { name } => {
-                return match self.session.deallocate(name) {
-                    Ok(()) => Response::Done,
-                    Err(_) => self.unknown_shape(name),
-                };
+                self.session_update_response(prepared)
             }
+            Text::Release { name } => match self.session.deallocate(name) {
+                Ok(()) => Response::Done,
+                Err(_) => self.unknown_shape(name),
+            },
             Text::Begin { .. } if transaction != Transaction::None => {
-                return self.malformed("inside a transaction");
-            }
-            Text::Begin { fetch } => {
-                self.session.transaction = Transaction::Open {
-                    read_only: fetch,
-                    arrived_at,
-                    has_written: false,
-                };
-                return Response::Done;
+                self.malformed("inside a transaction")
             }
+            Text::Begin { fetch } => self.begin(fetch, arrived_at),
             Text::Abort | Text::Commit if transaction == Transaction::None => {
-                return self.malformed("outside a transaction");
+                self.malformed("outside a transaction")
             }
             Text::Abort => {
                 self.roll_back();
-                return Response::Done;
-            }
-            Text::Commit if self.is_draining() => {
-                self.roll_back();
-                return error(Code::Aborted, DRAINING_REASON, State::Idle);
+                Response::Done
             }
-            Text::Commit => return self.commit(id, text, arrived_at).await,
-            Text::Fetch => (Kind::Fetch, None),
-            Text::Put => (Kind::Put, None),
+            Text::Commit if self.is_draining() => self.reject_while_draining(Rejected::Commit),
+            Text::Commit => self.commit(id, text, arrived_at).await,
+            Text::Fetch => self.run_at_server(&statement(Kind::Fetch, None)).await,
+            Text::Put => self.run_at_server(&statement(Kind::Put, None)).await,
             Text::Execute { name, rest } => {
                 let Some(shape) = self.session.shape(name).cloned() else {
                     return self.unknown_shape(name);
                 };
-                (shape.kind, Some((shape, rest)))
+                let execution = Execution {
+                    shape: &shape,
+                    parameters: rest,
+                };
+                self.run_at_server(&statement(shape.kind, Some(execution)))
+                    .await
             }
-        };
-        if self.is_draining() {
-            return self.reject_while_draining();
         }
-        let execute = execute.as_ref().map(|(shape, rest)| (shape, *rest));
-        let statement = Statement {
-            id,
-            text,
-            kind,
-            execute,
+    }
+
+    /// Opens a transaction. A server learns of it only with the first statement.
+    fn begin(&mut self, read_only: bool, arrived_at: f64) -> Response {
+        self.session.transaction = Transaction::Open {
+            read_only,
             arrived_at,
+            has_written: false,
         };
-        if transaction == Transaction::None {
-            self.run_single(&statement).await
+        Response::Done
+    }
+
+    /// Runs a statement at a server.
+    async fn run_at_server(&mut self, statement: &Statement<'_>) -> Response {
+        if self.is_draining() {
+            return self.reject_while_draining(Rejected::Statement);
+        }
+        if self.session.transaction == Transaction::None {
+            self.run_single(statement).await
         } else {
-            self.run_in_transaction(&statement).await
+            self.run_in_transaction(statement).await
         }
     }
 
-    /// Whether the router ends so soon that what arrives now may not be sent to a server.
+    /// Whether shutdown has come so far that what arrives now may not be sent to a server.
     fn is_draining(&self) -> bool {
         self.handle.drain_stage.get() >= DrainStage::RejectUnplaced
     }
 
-    fn reject_while_draining(&mut self) -> Response {
+    /// Rejects what may not be sent to a server any more, and gives up the transaction.
+    fn reject_while_draining(&mut self, rejected: Rejected) -> Response {
         if self.session.transaction == Transaction::None {
             return retry_later(RETRY_AFTER_S, State::Idle);
         }
-        self.fail_transaction();
-        error(Code::Aborted, DRAINING_REASON, State::Failed)
+        match rejected {
+            Rejected::Commit => {
+                self.roll_back();
+                error(Code::Aborted, DRAINING_REASON, State::Idle)
+            }
+            Rejected::Statement => {
+                self.fail_transaction();
+                error(Code::Aborted, DRAINING_REASON, State::Failed)
+            }
+        }
     }
 
-    /// A failed transaction takes nothing but its end.
+    /// A failed transaction accepts nothing but its end.
     fn in_failed_transaction(&mut self, parsed: &Text<'_>) -> Response {
         match parsed {
             Text::Commit => {
@@ -119,27 +143,29 @@
         }
     }
 
-    /// Answers once the session has taken a value or a prepared name, or can't.
-    fn session_update_response(&mut self, taken: Result<(), SessionError>) -> Response {
-        match taken {
+    /// The response to a change of the session's values or prepared statements.
+    fn session_update_response(&mut self, updated: Result<(), SessionError>) -> Response {
+        match updated {
             Ok(()) => Response::Done,
-            Err(e) => self.malformed(&e.to_string()),
+            Err(error) => self.malformed(&error.to_string()),
         }
     }
 
-    /// The statement can't be understood here; an open transaction fails.
-    pub(super) fn malformed(&mut self, why: &str) -> Response {
-        if let Transaction::Open { .. } = self.session.transaction {
-            self.fail_transaction();
-        }
-        error(Code::Malformed, why, self.session.transaction.state())
+    /// The request can't be understood here; an open transaction fails.
+    pub(super) fn malformed(&mut self, reason: &str) -> Response {
+        self.fail_open_transaction();
+        error(Code::Malformed, reason, self.session.transaction.state())
     }
 
-    /// The prepared name isn't known; an open transaction fails.
+    /// There is no prepared statement of this name; an open transaction fails.
     fn unknown_shape(&mut self, name: &str) -> Response {
+        self.fail_open_transaction();
+        error(Code::Unknown, name, self.session.transaction.state())
+    }
+
+    fn fail_open_transaction(&mut self) {
         if let Transaction::Open { .. } = self.session.transaction {
             self.fail_transaction();
         }
-        error(Code::Unknown, name, self.session.transaction.state())
     }
 }
--- a/crates/runtime/pooler/src/data_plane/client/next_request.rs
+++ b/crates/runtime/pooler/src/data_plane/client/next_request.rs
@@ -1,28 +1,31 @@
-//! Waiting for a client's next line, its end, or the end of an idle transaction.
+//! The next request of a client, or the end of its session: the client disconnects, its transaction
+//! is idle for too long, or the router shuts down.
 
 use super::ClientSession;
 use crate::clock;
-use crate::data_plane::{DrainStage, net};
+use crate::data_plane::drain::DrainStage;
+use crate::net;
 use badgerstream_pooling::session::Transaction;
 use futures_lite::future::or;
 
-/// How long a transaction may rest before there is a configuration that says so, in milliseconds.
+/// How long a transaction may be idle (`txn_idle_ms`) before the first configuration, in
+/// milliseconds.
 const DEFAULT_TRANSACTION_IDLE_MS: u64 = 3000;
 
-/// What ends the wait for a client.
+/// What ends the wait for a client's bytes.
 enum Input {
     /// Bytes have arrived.
     Bytes,
-    /// The client has closed its connection.
-    Closed,
-    /// The transaction has rested for too long.
-    TransactionIdle,
-    /// The router closes the session.
-    Closing,
+    /// The client has disconnected.
+    Disconnected,
+    /// The transaction has been idle for too long.
+    TransactionIdleTimeout,
+    /// Shutdown closes the session.
+    Draining,
 }
 
 impl ClientSession {
-    /// The next line of the client; none when the session ends.
+    /// The next line of the client; none when its session ends.
     pub(super) async fn next_request(&mut self) -> Option<Vec<u8>> {
         if let Some(line) = self.client.next_line().ok()? {
             return Some(line);
@@ -39,14 +42,14 @@
                         return Some(line);
                     }
                 }
-                Input::Closed => return None,
-                // Its client hears of it when it asks again.
-                Input::TransactionIdle => {
-                    log::debug!("event=transaction_idle database={}", self.database);
+                Input::Disconnected => return None,
+                // The client is told in the response to its next statement.
+                Input::TransactionIdleTimeout => {
+                    log::debug!("event=transaction_idle_timeout database={}", self.database);
                     self.fail_transaction();
                     self.failure_reported = false;
                 }
-                Input::Closing => return self.last_request().await,
+                Input::Draining => return self.last_request().await,
             }
         }
     }
@@ -57,12 +60,12 @@
                 if self.client.read(&self.data_plane).await {
                     Input::Bytes
                 } else {
-                    Input::Closed
+                    Input::Disconnected
                 }
             },
             async {
                 self.handle.reached(DrainStage::CloseIdle).await;
-                Input::Closing
+                Input::Draining
             },
         );
         if self.checkout.is_none() {
@@ -74,13 +77,13 @@
                 .as_ref()
                 .map_or(DEFAULT_TRANSACTION_IDLE_MS, |c| c.limits.txn_idle_ms)
         };
-        let limit = clock::now() + idle_ms as f64 / 1000.0;
-        net::until(limit, read)
+        let idle_until = clock::now() + idle_ms as f64 / 1000.0;
+        net::until(idle_until, read)
             .await
-            .unwrap_or(Input::TransactionIdle)
+            .unwrap_or(Input::TransactionIdleTimeout)
     }
 
-    /// The router closes the session: what has arrived meanwhile is still answered.
+    /// Shutdown closes the session: a request that has arrived meanwhile is still answered.
     async fn last_request(&self) -> Option<Vec<u8>> {
         let arrived = net::read_now(
             &self.client.stream,
--- a/crates/runtime/pooler/src/data_plane/client/response.rs
+++ b/crates/runtime/pooler/src/data_plane/client/response.rs
@@ -1,33 +1,40 @@
-//! The answer that a client gets to its statement.
+//! The response of a client's statement.
 
 use crate::counters::StatementEnd;
 use badgerstream_line_protocol::{Code, State};
 use badgerstream_pooling::latency::MIN_RETRY_AFTER_S;
 
-/// No client is told to come back later than this, in seconds.
+/// The longest retry delay that a client is given, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 2.0;
 
-/// How the client is answered.
+/// How a client's statement is answered.
 pub(super) enum Response {
-    /// The server's answer, untouched.
+    /// With the server's answer, unchanged.
     Forward(Vec<u8>),
-    /// An error, and the state after it.
-    Error(Code, String, State),
-    /// Our own success.
+    /// With an error of the router.
+    Error {
+        /// Its code.
+        code: Code,
+        /// What follows the code; may be empty.
+        text: String,
+        /// The state of the session afterwards.
+        state: State,
+    },
+    /// With a success of the router.
     Done,
-    /// Not at all: the client has closed its connection.
+    /// Not at all: the client has disconnected.
     ClientDisconnected,
 }
 
 impl Response {
-    /// How the statement ended for its client.
+    /// How the statement ended, for the counters.
     pub(super) fn end(&self) -> StatementEnd {
         match self {
             Self::Forward(raw) => match raw.strip_prefix(b"ERROR ") {
-                Some(rest) => StatementEnd::Error(Code::parse(first_word(rest))),
+                Some(error) => StatementEnd::Error(Code::parse(first_word(error))),
                 None => StatementEnd::Complete,
             },
-            Self::Error(code, ..) => StatementEnd::Error(*code),
+            Self::Error { code, .. } => StatementEnd::Error(*code),
             Self::Done => StatementEnd::Complete,
             Self::ClientDisconnected => StatementEnd::ClientGone,
         }
@@ -42,15 +49,25 @@
     std::str::from_utf8(&line[..end]).unwrap_or_default()
 }
 
+/// An error of the router.
 pub(super) fn error(code: Code, text: impl Into<String>, state: State) -> Response {
-    Response::Error(code, text.into(), state)
+    Response::Error {
+        code,
+        text: text.into(),
+        state,
+    }
 }
 
-/// Nothing has run: come back in so many seconds.
-pub(super) fn retry_later(wait: f64, state: State) -> Response {
-    error(Code::Retry, retry_after_ms(wait).to_string(), state)
+/// `RETRY`: nothing has run, and the client should try again after this many seconds.
+pub(super) fn retry_later(retry_after_s: f64, state: State) -> Response {
+    error(
+        Code::Retry,
+        retry_after_ms(retry_after_s).to_string(),
+        state,
+    )
 }
 
-pub(super) fn retry_after_ms(wait: f64) -> u32 {
-    (wait.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S) * 1000.0).round() as u32
+/// A retry delay within its bounds, as `RETRY` carries it.
+pub(super) fn retry_after_ms(retry_after_s: f64) -> u32 {
+    (retry_after_s.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S) * 1000.0).round() as u32
 }
--- a/crates/runtime/pooler/src/data_plane/client/single_statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -1,12 +1,14 @@
-//! A statement outside a transaction: tried at one server after the other until one answers.
+//! A statement outside a transaction: sent to one server after the other until one answers.
+//!
+//! Reads are retried and hedged. A write is retried only after a server has said, or it is certain,
+//! that it has not run; otherwise it is reported as in doubt.
 
-use super::ClientSession;
-use super::PLACEMENT_DEADLINE_FRACTION;
 use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
 use super::statement::Statement;
+use super::{ClientSession, PLACEMENT_DEADLINE_FRACTION};
 use crate::clock;
-use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S};
+use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S, RouteTerms};
 use crate::data_plane::pool::ExchangeError;
 use crate::view::Server;
 use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State, Verdict};
@@ -15,73 +17,97 @@
 use std::cell::Cell;
 use std::future::pending;
 
-/// How often a read is asked again since its answer most likely is lost.
+/// How often a read is hedged: sent again while its answer is most likely lost.
 const MAX_HEDGED_READS: usize = 2;
-/// How often a read is tried that a server fails to run.
+/// How many attempts at a read may fail at a server before the client is told.
 const MAX_FAILED_READS: u32 = 2;
-/// The shortest wait before a read is asked elsewhere, in seconds.
+/// The shortest time that a replica has to answer a read at the first attempt, in seconds.
 const MIN_FIRST_ATTEMPT_S: f64 = 0.15;
-/// After the first try, a place is waited for at least this long, in seconds.
+/// The shortest time to wait for a placement after the first attempt, in seconds.
 const MIN_PLACEMENT_WAIT_S: f64 = 0.05;
 
-/// A statement on its way through the servers that are tried for it.
+/// A statement and its attempts.
 struct Attempts<'a> {
     statement: &'a Statement<'a>,
     request: PlacementRequest<'a>,
     is_read: bool,
+    /// When the client must have a response, in seconds.
     deadline: f64,
-    /// Until when the first server is waited for.
-    give_up_at: f64,
-    /// Servers that were tried in vain.
+    /// Until when the first placement is waited for, in seconds.
+    first_placement_until: f64,
+    /// Ids of servers that were tried in vain.
     tried_servers: Vec<String>,
     hedged_reads: usize,
-    /// A connection that was had while the last answer was awaited.
+    /// A connection for the next attempt, which was placed while the last answer was awaited.
     hedged_placement: Option<Placement>,
 }
 
-impl Attempts<'_> {
-    /// Until when a place is waited for.
-    fn place_limit(&self, attempt: u32) -> f64 {
+impl<'a> Attempts<'a> {
+    fn new(statement: &'a Statement<'a>, terms: &'a RouteTerms) -> Self {
+        let is_read = statement.kind == Kind::Fetch;
+        let arrived_at = statement.arrived_at;
+        Self {
+            statement,
+            request: PlacementRequest {
+                terms,
+                access: if is_read { Access::Read } else { Access::Write },
+                arrived_at,
+                waiting_since: arrived_at,
+                shape: statement.shape(),
+                takes_slot: true,
+            },
+            is_read,
+            deadline: arrived_at + terms.deadline_s,
+            first_placement_until: arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION,
+            tried_servers: Vec::new(),
+            hedged_reads: 0,
+            hedged_placement: None,
+        }
+    }
+
+    /// Until when a placement is waited for, in seconds.
+    fn placement_until(&self, attempt: u32) -> f64 {
         match attempt {
-            0 => self.give_up_at,
+            0 => self.first_placement_until,
             _ => self
-                .give_up_at
+                .first_placement_until
                 .max(clock::now() + MIN_PLACEMENT_WAIT_S)
                 .min(self.deadline),
         }
     }
 
-    /// Until when an answer is waited for. A read is asked again as soon as its answer most likely is lost; elsewhere
-    /// also if a replica is silent.
-    fn answer_limit(&self, now: f64, primary: bool, attempt: u32) -> f64 {
-        if !self.is_read || primary || attempt > 0 {
+    /// Until when an answer is waited for, in seconds. At the first attempt a silent replica is
+    /// given up early, so that there is time for a retry elsewhere.
+    fn answer_until(&self, now: f64, at_primary: bool, attempt: u32) -> f64 {
+        if !self.is_read || at_primary || attempt > 0 {
             return self.deadline;
         }
         let terms = self.request.terms;
-        let first_attempt = (terms.target_s / 2.0)
+        let first_attempt_s = (terms.target_s / 2.0)
             .max(MIN_FIRST_ATTEMPT_S)
             .min(terms.deadline_s / 3.0);
-        (now + first_attempt).min(self.deadline)
+        (now + first_attempt_s).min(self.deadline)
     }
 }
 
-/// What an attempt at one server came to.
+/// What becomes of a statement after an attempt.
 enum Attempt {
     /// The client is answered.
     Done(Response),
-    /// Another server is to be tried than the one of this id.
+    /// Another server is tried than the one of this id.
     Retry(String),
-    /// The connection doesn't know the statement: nothing more is tried.
+    /// The connection doesn't know the prepared statement: there is no further attempt.
     NotPrepared,
 }
 
-/// An exchange with a server that has come to an end.
+/// A statement that was sent, and what came of it.
 struct Exchange {
     answer: Answer,
-    /// A part of the answer has been passed on to the client.
-    forwarded: bool,
-    /// The term of the grant under which the statement was sent; none at a replica.
-    term: Option<u64>,
+    /// A part of the answer has been forwarded to the client.
+    is_partially_forwarded: bool,
+    /// The primary term of the grant under which it was sent; none at a replica.
+    granted_term: Option<u64>,
+    outcome: Result<Outcome, ExchangeError>,
 }
 
 impl ClientSession {
@@ -90,43 +116,24 @@
         let Some(terms) = self.route_terms() else {
             return error(Code::NoDb, &*self.database, State::Idle);
         };
-        let is_read = statement.kind == Kind::Fetch;
-        let arrived_at = statement.arrived_at;
-        let request = PlacementRequest {
-            terms: &terms,
-            access: if is_read { Access::Read } else { Access::Write },
-            arrived_at,
-            waiting_since: arrived_at,
-            shape: statement.execute.map(|(shape, _)| shape),
-            takes_slot: true,
-        };
-        let mut attempts = Attempts {
-            statement,
-            request,
-            is_read,
-            deadline: arrived_at + terms.deadline_s,
-            give_up_at: arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION,
-            tried_servers: Vec::new(),
-            hedged_reads: 0,
-            hedged_placement: None,
-        };
-        let mut retry_after = RETRY_AFTER_S;
+        let mut attempts = Attempts::new(statement, &terms);
+        let mut retry_after_s = RETRY_AFTER_S;
         for attempt in 0..terms.max_attempts() {
             let placement = match self.next_placement(&mut attempts, attempt).await {
                 Ok(placement) => placement,
                 Err(NoPlacement::ClientDisconnected) => return Response::ClientDisconnected,
-                Err(NoPlacement::RetryAfter(wait)) => {
-                    retry_after = wait;
+                Err(NoPlacement::RetryAfter(seconds)) => {
+                    retry_after_s = seconds;
                     break;
                 }
             };
             match self.attempt(&mut attempts, placement, attempt).await {
                 Attempt::Done(response) => return response,
-                Attempt::Retry(server) => attempts.tried_servers.push(server),
+                Attempt::Retry(server_id) => attempts.tried_servers.push(server_id),
                 Attempt::NotPrepared => break,
             }
         }
-        retry_later(terms.bound_retry_after(retry_after), State::Idle)
+        retry_later(terms.bound_retry_after(retry_after_s), State::Idle)
     }
 
     async fn next_placement(
@@ -137,73 +144,91 @@
         if let Some(placement) = attempts.hedged_placement.take() {
             return Ok(placement);
         }
-        let limit = attempts.place_limit(attempt);
-        self.place(&attempts.request, &attempts.tried_servers, limit)
+        let until = attempts.placement_until(attempt);
+        self.place(&attempts.request, &attempts.tried_servers, until)
             .await
     }
 
-    /// Sends the statement to one server and waits for its answer.
+    /// Sends the statement to one server, and decides by its answer.
     async fn attempt(
         &mut self,
         attempts: &mut Attempts<'_>,
         mut placement: Placement,
         attempt: u32,
     ) -> Attempt {
-        let primary = placement.proof.is_none();
         let waitpos = placement
             .proof
-            .map_or(String::new(), |p| format!("WAITPOS {p} "));
+            .map_or(String::new(), |proof| format!("WAITPOS {proof} "));
         let Some(line) = attempts.statement.line(&placement.checkout, &waitpos) else {
             return Attempt::NotPrepared;
         };
+        let exchange = self
+            .exchange(attempts, &mut placement, &line, attempt)
+            .await;
+        match exchange.outcome {
+            Ok(outcome) => {
+                self.conclude_answer(attempts, placement, attempt, exchange, &outcome)
+                    .await
+            }
+            Err(failure) => self.conclude_failure(attempts, &placement, &exchange, failure),
+        }
+    }
+
+    /// Sends the statement to one server and waits for its answer.
+    async fn exchange(
+        &mut self,
+        attempts: &mut Attempts<'_>,
+        placement: &mut Placement,
+        line: &[u8],
+        attempt: u32,
+    ) -> Exchange {
+        let at_primary = placement.proof.is_none();
         let now = clock::now();
-        if primary {
+        if at_primary {
             self.session.primary_affinity.touch(now);
         }
-        let term = self
+        let granted_term = self
             .data_plane
             .granted_term(&placement.checkout.pool.server, now);
-        let limit = attempts.answer_limit(now, primary, attempt);
-        let target = attempts.request.terms.target_s;
+        let give_up_at = attempts.answer_until(now, at_primary, attempt);
+        let target_s = attempts.request.terms.target_s;
         let mut answer = Answer::default();
-        let forwarded = Cell::new(false);
+        let is_partially_forwarded = Cell::new(false);
         let client = &self.client;
-        let pass = async |part: &[u8]| {
-            forwarded.set(true);
+        let forward = async |part: &[u8]| {
+            is_partially_forwarded.set(true);
             client.write(part).await
         };
-        let asked =
-            placement
-                .checkout
-                .exchange_until_overdue(&line, &mut answer, target, limit, &pass);
-        let mut outcome = self.handle.until_final_answer(asked).await;
+        let exchange = placement.checkout.exchange_until_overdue(
+            line,
+            &mut answer,
+            target_s,
+            give_up_at,
+            &forward,
+        );
+        let mut outcome = self.handle.until_final_answer(exchange).await;
         if outcome == Err(ExchangeError::Overdue) {
-            let waited = self.wait_or_hedge(attempts, &mut placement, &mut answer, &pass);
+            let waited = self.wait_or_hedge(attempts, placement, &mut answer, &forward);
             outcome = self.handle.until_final_answer(waited).await;
         }
-        let exchange = Exchange {
+        Exchange {
             answer,
-            forwarded: forwarded.get(),
-            term,
-        };
-        match outcome {
-            Ok(outcome) => {
-                self.conclude_answer(attempts, placement, attempt, exchange, &outcome)
-                    .await
-            }
-            Err(failure) => self.conclude_failure(attempts, &placement, &exchange, failure),
+            is_partially_forwarded: is_partially_forwarded.get(),
+            granted_term,
+            outcome,
         }
     }
 
-    /// Waits on for an answer that is overdue; a read is asked again if another connection is had before.
+    /// Waits on for an answer that is overdue. Ends with `Overdue` if a read can be hedged: another
+    /// connection was placed before the answer came.
     async fn wait_or_hedge(
         &self,
         attempts: &mut Attempts<'_>,
         placement: &mut Placement,
         answer: &mut Answer,
-        pass: impl AsyncFn(&[u8]) -> bool,
+        forward: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
-        // It holds its place here no longer, since it most likely holds none there. Its answer is still welcome.
+        // It most likely takes no slot at the server any more. Its answer is still used if it comes.
         placement.checkout.release_slot();
         let may_hedge = attempts.is_read && attempts.hedged_reads < MAX_HEDGED_READS;
         let hedge = async {
@@ -217,21 +242,21 @@
                 attempts.deadline,
             );
             match place.await {
-                Ok(other) => Err(other),
+                Ok(hedged) => Err(hedged),
                 Err(_) => pending().await,
             }
         };
         let wait = async {
             Ok(placement
                 .checkout
-                .await_answer(answer, attempts.deadline, &pass)
+                .await_answer(answer, attempts.deadline, &forward)
                 .await)
         };
         let first = or(wait, hedge).await;
         match first {
             Ok(outcome) => outcome,
-            Err(other) => {
-                attempts.hedged_placement = Some(other);
+            Err(hedged) => {
+                attempts.hedged_placement = Some(hedged);
                 attempts.hedged_reads += 1;
                 Err(ExchangeError::Overdue)
             }
@@ -248,10 +273,11 @@
         outcome: &Outcome,
     ) -> Attempt {
         let pool = placement.checkout.pool.clone();
-        let server = pool.server.id.clone();
+        let server_id = pool.server.id.clone();
         match outcome.error {
             None => {
-                if !attempts.is_read && !self.is_granted_still(&pool.server, exchange.term) {
+                if !attempts.is_read && !self.is_granted_still(&pool.server, exchange.granted_term)
+                {
                     return Attempt::Done(error(Code::InDoubt, "the primary changes", State::Idle));
                 }
                 if !attempts.is_read {
@@ -259,29 +285,33 @@
                 }
                 Attempt::Done(self.forward(exchange.answer.raw, outcome))
             }
-            Some(_) if exchange.forwarded => {
+            Some(_) if exchange.is_partially_forwarded => {
                 Attempt::Done(self.forward(exchange.answer.raw, outcome))
             }
             Some(code) if code.verdict() == Verdict::NotRun => {
                 if let (Code::Lagging, Some(proof)) = (code, placement.proof) {
                     pool.mark_lagging(proof);
                 }
-                log::debug!("event=not_run server={server} code={}", code.word());
-                let primary = placement.proof.is_none();
+                log::debug!(
+                    "event=statement_not_run server={server_id} code={}",
+                    code.word()
+                );
+                let at_primary = placement.proof.is_none();
+                // Not kept during the backoff.
                 drop(placement);
-                if primary {
+                if at_primary {
                     self.back_off(attempt).await;
                 }
-                Attempt::Retry(server)
+                Attempt::Retry(server_id)
             }
             Some(Code::Failed) if attempts.is_read && attempt < MAX_FAILED_READS => {
-                Attempt::Retry(server)
+                Attempt::Retry(server_id)
             }
             Some(_) => Attempt::Done(self.forward(exchange.answer.raw, outcome)),
         }
     }
 
-    /// There is no clear answer.
+    /// There is no complete answer.
     fn conclude_failure(
         &self,
         attempts: &Attempts<'_>,
@@ -289,23 +319,24 @@
         exchange: &Exchange,
         failure: ExchangeError,
     ) -> Attempt {
-        let server = placement.checkout.pool.server.id.clone();
+        let server_id = placement.checkout.pool.server.id.clone();
+        let database = &self.database;
         match failure {
             ExchangeError::ClientDisconnected => {
                 return Attempt::Done(Response::ClientDisconnected);
             }
-            _ if exchange.forwarded => return Attempt::Done(Response::ClientDisconnected),
+            // Half an answer can't be taken back: the client sees its connection close.
+            _ if exchange.is_partially_forwarded => {
+                return Attempt::Done(Response::ClientDisconnected);
+            }
             ExchangeError::Unsent => {}
             _ if !attempts.is_read && failure.verdict() == Verdict::MayHaveRun => {
-                log::info!("event=in_doubt server={server} database={}", self.database);
+                log::info!("event=in_doubt server={server_id} database={database}");
                 return Attempt::Done(error(Code::InDoubt, "no clear answer", State::Idle));
             }
             ExchangeError::Broken => {}
             ExchangeError::Overdue => {
-                log::debug!(
-                    "event=asked_again server={server} database={}",
-                    self.database
-                );
+                log::debug!("event=answer_overdue server={server_id} database={database}");
             }
             ExchangeError::TimedOut => {
                 if clock::now() >= attempts.deadline {
@@ -313,21 +344,23 @@
                 }
             }
         }
-        Attempt::Retry(server)
+        Attempt::Retry(server_id)
     }
 
-    /// Whether the grant under which a write was sent is in force when its answer comes. Once it was given back another server
-    /// may have been chosen by what was acknowledged until then: a later success may be cut back, and is told to nobody.
-    pub(super) fn is_granted_still(&self, server: &Server, term: Option<u64>) -> bool {
-        term.is_some() && self.data_plane.granted_term(server, clock::now()) == term
+    /// Whether the grant under which a write was sent is still in force when its answer comes. Once
+    /// it was given back, the next primary may have been chosen without this write, so a success
+    /// that comes later must not be acknowledged to the client.
+    pub(super) fn is_granted_still(&self, server: &Server, granted_term: Option<u64>) -> bool {
+        granted_term.is_some() && self.data_plane.granted_term(server, clock::now()) == granted_term
     }
 
-    /// A server's answer outside a transaction: should it say another state, that ends with its connection.
+    /// The server's answer as the response. Should it leave the server's session in a transaction,
+    /// that ends with its connection: the client is told that it is idle.
     pub(super) fn forward(&self, mut raw: Vec<u8>, outcome: &Outcome) -> Response {
         if outcome.state != State::Idle
-            && let Some(at) = raw.windows(7).rposition(|w| w.starts_with(b"\nIDLE "))
+            && let Some(newline) = raw.windows(7).rposition(|w| w.starts_with(b"\nIDLE "))
         {
-            raw.truncate(at + 1);
+            raw.truncate(newline + 1);
             raw.extend_from_slice(b"IDLE I -\r\n");
         }
         Response::Forward(raw)
--- a/crates/runtime/pooler/src/data_plane/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -1,23 +1,25 @@
-//! A transaction: begun at a server with its first statement, held there, and given up.
+//! A transaction: begun at a server with its first statement, and run on the same connection to its
+//! end.
 
 use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
 use super::statement::Statement;
 use super::{ClientSession, PLACEMENT_DEADLINE_FRACTION};
 use crate::clock;
-use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S, RouteTerms};
-use crate::data_plane::pool::{Checkout, ExchangeError};
+use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S};
+use crate::data_plane::pool::{Checkout, ExchangeError, PrepareFailed};
 use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State};
 use badgerstream_pooling::choice::Access;
-use badgerstream_pooling::session::{Shape, Transaction};
+use badgerstream_pooling::session::{Shape, Transaction, Values};
 
-/// Beginning a transaction may take so long at one server, in seconds.
+/// How long beginning a transaction may take at one server, in seconds.
 const BEGIN_TIMEOUT_S: f64 = 0.5;
-/// A transaction that was begun waits at least this long for a place to work, in seconds.
+/// The shortest time that a transaction which has begun waits for its first slot, in seconds.
 const MIN_ADMISSION_WAIT_S: f64 = 0.05;
 
 impl ClientSession {
-    /// Begins the open transaction at a server, if it isn't; what to answer the client if that can't be.
+    /// Begins the open transaction at a server, unless it has begun. `arrived_at` is when the
+    /// statement arrived that needs it. On failure, the response to that statement.
     pub(super) async fn begin_at_server(
         &mut self,
         arrived_at: f64,
@@ -28,7 +30,7 @@
         }
         let Transaction::Open {
             read_only,
-            arrived_at: began,
+            arrived_at: begin_arrived_at,
             ..
         } = self.session.transaction
         else {
@@ -38,7 +40,6 @@
             self.fail_transaction();
             return Err(error(Code::Aborted, "the database is gone", State::Failed));
         };
-        let give_up_at = arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION;
         let request = PlacementRequest {
             terms: &terms,
             access: if read_only {
@@ -46,81 +47,83 @@
             } else {
                 Access::Write
             },
-            arrived_at: began,
+            arrived_at: begin_arrived_at,
             waiting_since: arrived_at,
             shape,
             takes_slot: false,
         };
+        match self.begin_with_retries(&request).await {
+            Ok(checkout) => {
+                self.checkout = Some(checkout);
+                self.terms = Some(terms);
+                Ok(())
+            }
+            Err(NoPlacement::ClientDisconnected) => Err(Response::ClientDisconnected),
+            Err(NoPlacement::RetryAfter(seconds)) => {
+                self.fail_transaction();
+                Err(retry_later(terms.bound_retry_after(seconds), State::Failed))
+            }
+        }
+    }
+
+    /// Begins the open transaction at one server after the other until one has begun it, and waits
+    /// for its first slot there.
+    async fn begin_with_retries(
+        &mut self,
+        request: &PlacementRequest<'_>,
+    ) -> Result<Checkout, NoPlacement> {
+        let terms = request.terms;
+        let give_up_at = request.waiting_since + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION;
         let mut tried_servers = Vec::new();
-        let mut retry_after = RETRY_AFTER_S;
         for attempt in 0..terms.max_attempts() {
-            let placement = match self.place(&request, &tried_servers, give_up_at).await {
-                Ok(placement) => placement,
-                Err(NoPlacement::ClientDisconnected) => return Err(Response::ClientDisconnected),
-                Err(NoPlacement::RetryAfter(wait)) => {
-                    retry_after = wait;
-                    break;
-                }
-            };
+            let placement = self.place(request, &tried_servers, give_up_at).await?;
             let pool = placement.checkout.pool.clone();
-            let Some(mut checkout) = self
-                .begin_on(placement, read_only, &terms, arrived_at, attempt)
-                .await
-            else {
+            let Some(mut checkout) = self.begin_on(placement, request, attempt).await else {
                 tried_servers.push(pool.server.id.clone());
                 continue;
             };
             let admission_terms =
                 request.admission_terms(&pool, give_up_at.max(clock::now() + MIN_ADMISSION_WAIT_S));
-            let entered = checkout.acquire_first_slot(&admission_terms);
-            if self
+            let admitted = checkout.acquire_first_slot(&admission_terms);
+            let admitted = self
                 .handle
-                .until_rejection(admission_terms.give_up_at, entered)
-                .await
-                != Some(true)
-            {
-                retry_after = pool.estimated_wait(&admission_terms, clock::now());
-                checkout.roll_back();
-                break;
+                .until_rejection(admission_terms.give_up_at, admitted);
+            if admitted.await == Some(true) {
+                return Ok(checkout);
             }
-            self.checkout = Some(checkout);
-            self.terms = Some(terms);
-            return Ok(());
+            let wait_s = pool.estimated_wait(&admission_terms, clock::now());
+            checkout.roll_back();
+            return Err(NoPlacement::RetryAfter(wait_s));
         }
-        self.fail_transaction();
-        Err(retry_later(
-            terms.bound_retry_after(retry_after),
-            State::Failed,
-        ))
+        Err(NoPlacement::RetryAfter(RETRY_AFTER_S))
     }
 
-    /// Begins the open transaction on this connection; none if another is to be tried.
+    /// Begins the open transaction on this connection; none if another server is to be tried.
     async fn begin_on(
         &mut self,
         mut placement: Placement,
-        read_only: bool,
-        terms: &RouteTerms,
-        arrived_at: f64,
+        request: &PlacementRequest<'_>,
         attempt: u32,
     ) -> Option<Checkout> {
-        let primary = placement.proof.is_none();
-        let line = match (placement.proof, read_only) {
+        let at_primary = placement.proof.is_none();
+        let line = match (placement.proof, request.access) {
             (Some(proof), _) => format!("QUERY - WAITPOS {proof} BEGIN FETCH\r\n"),
-            (None, true) => "QUERY - BEGIN FETCH\r\n".to_owned(),
-            (None, false) => "QUERY - BEGIN\r\n".to_owned(),
+            (None, Access::Read) => "QUERY - BEGIN FETCH\r\n".to_owned(),
+            (None, Access::Write) => "QUERY - BEGIN\r\n".to_owned(),
         };
-        if primary {
+        if at_primary {
             self.session.primary_affinity.touch(clock::now());
         }
-        let limit = (clock::now() + BEGIN_TIMEOUT_S).min(arrived_at + terms.deadline_s);
+        let deadline = request.waiting_since + request.terms.deadline_s;
+        let give_up_at = (clock::now() + BEGIN_TIMEOUT_S).min(deadline);
         let mut answer = Answer::default();
         let discard = async |_: &[u8]| true;
-        // Nothing has run in it yet: it may be begun once more as soon as its answer most likely is lost.
+        // Nothing has run in the transaction, so it may begin elsewhere once the answer is overdue.
         let begun = placement.checkout.exchange_until_overdue(
             line.as_bytes(),
             &mut answer,
-            terms.target_s,
-            limit,
+            request.terms.target_s,
+            give_up_at,
             discard,
         );
         let outcome = begun.await.ok()?;
@@ -130,8 +133,9 @@
         if let (Some(Code::Lagging), Some(proof)) = (outcome.error, placement.proof) {
             placement.checkout.pool.mark_lagging(proof);
         }
+        // Not kept during the backoff.
         drop(placement);
-        if primary {
+        if at_primary {
             self.back_off(attempt).await;
         }
         None
@@ -139,14 +143,14 @@
 
     /// Runs a statement inside a transaction.
     pub(super) async fn run_in_transaction(&mut self, statement: &Statement<'_>) -> Response {
-        let shape = statement.execute.map(|(shape, _)| shape);
+        let shape = statement.shape();
         if let Err(response) = self.begin_at_server(statement.arrived_at, shape).await {
             return response;
         }
         let (Some(checkout), Some(terms)) = (&mut self.checkout, &self.terms) else {
             return Response::ClientDisconnected;
         };
-        let (target, deadline) = (terms.target_s, statement.arrived_at + terms.deadline_s);
+        let (target_s, deadline) = (terms.target_s, statement.arrived_at + terms.deadline_s);
         let Transaction::Open {
             read_only,
             has_written,
@@ -155,26 +159,16 @@
         else {
             return Response::ClientDisconnected;
         };
-        // What was begun elsewhere than where the grant is now can't be kept.
-        let usable = *read_only
+        // A transaction that began under a grant which has changed since can't commit.
+        let is_usable = *read_only
             || !self
                 .data_plane
                 .is_granted_elsewhere(&terms.service, &checkout.pool.server);
-        let ready = usable
-            && self
-                .handle
-                .until_rejection(deadline, async {
-                    checkout.prepare(&self.session.values, shape).await?;
-                    checkout.acquire_slot().await;
-                    Ok::<(), ()>(())
-                })
-                .await
-                == Some(Ok(()));
-        let line = if ready {
-            statement.line(checkout, "")
-        } else {
-            None
+        let is_ready = is_usable && {
+            let ready = prepare_and_admit(checkout, &self.session.values, shape);
+            self.handle.until_rejection(deadline, ready).await == Some(Ok(()))
         };
+        let line = is_ready.then(|| statement.line(checkout, "")).flatten();
         let Some(line) = line else {
             self.fail_transaction();
             return error(Code::Aborted, "the transaction was lost", State::Failed);
@@ -185,9 +179,10 @@
         *has_written |= statement.kind == Kind::Put;
         let mut answer = Answer::default();
         let client = &self.client;
-        let pass = async |part: &[u8]| client.write(part).await;
-        let asked = checkout.exchange_until_overdue(&line, &mut answer, target, deadline, pass);
-        let outcome = self.handle.until_final_answer(asked).await;
+        let forward = async |part: &[u8]| client.write(part).await;
+        let exchange =
+            checkout.exchange_until_overdue(&line, &mut answer, target_s, deadline, forward);
+        let outcome = self.handle.until_final_answer(exchange).await;
         checkout.release_slot();
         self.conclude_in_transaction(answer.raw, outcome)
     }
@@ -212,8 +207,8 @@
             }
             Err(ExchangeError::ClientDisconnected) => Response::ClientDisconnected,
             Err(_) => {
-                // Closing its connection rolls back, so that its client may begin anew at once, also where it is but
-                // the answer that most likely is lost.
+                // Closing the connection rolls back, even where only the answer was lost, so the
+                // client may begin again at once.
                 self.checkout = None;
                 self.fail_transaction();
                 error(Code::Aborted, "the server was lost", State::Failed)
@@ -221,7 +216,7 @@
         }
     }
 
-    /// The open transaction fails: nothing of it is kept.
+    /// The open transaction fails: it is rolled back, and accepts nothing but its end.
     pub(super) fn fail_transaction(&mut self) {
         if let Some(checkout) = self.checkout.take() {
             checkout.roll_back();
@@ -230,7 +225,7 @@
         self.failure_reported = true;
     }
 
-    /// Ends the transaction and keeps nothing of it.
+    /// Ends the transaction, and rolls it back.
     pub(super) fn roll_back(&mut self) {
         if let Some(checkout) = self.checkout.take() {
             checkout.roll_back();
@@ -238,10 +233,21 @@
         self.finish_transaction();
     }
 
-    /// The transaction is over.
+    /// The transaction has ended.
     pub(super) fn finish_transaction(&mut self) {
         self.session.transaction = Transaction::None;
         self.terms = None;
         self.failure_reported = true;
     }
 }
+
+/// Brings the connection of a transaction to the session's state, and waits for a slot.
+async fn prepare_and_admit(
+    checkout: &mut Checkout,
+    values: &Values,
+    shape: Option<&Shape>,
+) -> Result<(), PrepareFailed> {
+    checkout.prepare(values, shape).await?;
+    checkout.acquire_slot().await;
+    Ok(())
+}
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -1,9 +1,14 @@
-//! Where a statement goes that needs a connection: the choice, the waiting for it, and the lease just before use.
+//! Placement of a statement: the choice of a server, the wait for a connection to it, and the check
+//! of the lease just before use.
+//!
+//! The client sessions call [`DataPlane::place`]. Nothing is sent for the statement here.
 
 use super::DataPlane;
-use super::net;
-use super::pool::{AdmissionTerms, Checkout, CheckoutError, Pool};
+use super::admission::AdmissionTerms;
+use super::pool::{Checkout, CheckoutError, Pool};
 use crate::clock;
+use crate::net;
+use crate::view::View;
 use badgerstream_line_protocol::Position;
 use badgerstream_pooler_config::config::{Mode, Route};
 use badgerstream_pooling::choice::{Access, ChoiceInput, Consistency, Destination, choose};
@@ -11,42 +16,43 @@
 use futures_lite::future::or;
 use std::rc::Rc;
 
-/// When a client is told to come back if no server is to be had, in seconds.
+/// The retry delay of a client for whom there is no server, in seconds.
 pub(super) const RETRY_AFTER_S: f64 = 0.2;
-/// A route that allows fewer tries than this is given as many.
+/// A route that allows fewer attempts than this is given as many.
 const MIN_ATTEMPTS: u32 = 2;
-/// Tries beyond those that a route allows.
+/// Attempts beyond those that a route allows.
 const EXTRA_ATTEMPTS: u32 = 2;
-/// A primary that is in a pause is looked at again after this, in seconds.
+/// After how many seconds a primary that is unknown or in a backoff is checked again.
 const PRIMARY_RECHECK_INTERVAL_S: f64 = 0.05;
 
-/// What a route asks of its statements, as it stood when the statement or its transaction came.
+/// How a route wants its statements handled, as configured when the statement or its transaction
+/// arrived.
 #[derive(Debug, Clone)]
 pub struct RouteTerms {
     /// The service that holds the database.
     pub service: Rc<str>,
-    /// How consistent reads must be.
+    /// The consistency of reads.
     pub consistency: Consistency,
     /// The most that a statement may take, in seconds.
     pub deadline_s: f64,
-    /// The time in which an operation should be answered, in seconds.
+    /// The latency target of a statement, in seconds.
     pub target_s: f64,
     /// 0 goes first.
     pub rank: u32,
-    /// How often an operation may be tried.
+    /// The attempts that the route allows (`tries`).
     pub configured_attempts: u32,
     /// How many connections a server of the service takes.
-    pub max_conns: usize,
+    pub max_connections: usize,
 }
 
 impl RouteTerms {
-    /// Those of a route.
-    pub fn from_route(route: &Route, max_conns: usize) -> Self {
-        let staleness = route.staleness_ms.map(|ms| ms as f64 / 1000.0);
-        let consistency = match (route.mode, staleness) {
+    /// The terms of a route.
+    pub fn from_route(route: &Route, max_connections: usize) -> Self {
+        let staleness_s = route.staleness_ms.map(|ms| ms as f64 / 1000.0);
+        let consistency = match (route.mode, staleness_s) {
             (Mode::Leader, _) | (_, None) => Consistency::Strong,
-            (Mode::BoundedStaleness, Some(s)) => Consistency::Bounded(s),
-            (Mode::InHouse, Some(s)) => Consistency::ReadYourWrites(s),
+            (Mode::BoundedStaleness, Some(staleness_s)) => Consistency::Bounded(staleness_s),
+            (Mode::InHouse, Some(staleness_s)) => Consistency::ReadYourWrites(staleness_s),
         };
         Self {
             service: route.service.as_str().into(),
@@ -55,42 +61,43 @@
             target_s: route.target_ms as f64 / 1000.0,
             rank: route.rank,
             configured_attempts: route.tries,
-            max_conns,
+            max_connections,
         }
     }
 
-    /// How often a statement is sent at most.
+    /// How many attempts a statement has at most.
     pub fn max_attempts(&self) -> u32 {
         self.configured_attempts.max(MIN_ATTEMPTS) + EXTRA_ATTEMPTS
     }
 
-    /// The retry delay of a client, which is no longer than a statement may take.
-    pub fn bound_retry_after(&self, wait: f64) -> f64 {
-        wait.min(self.deadline_s.max(RETRY_AFTER_S))
+    /// A retry delay in seconds, bounded by how long a statement may take.
+    pub fn bound_retry_after(&self, retry_after_s: f64) -> f64 {
+        retry_after_s.min(self.deadline_s.max(RETRY_AFTER_S))
     }
 }
 
 /// What needs a connection.
 pub struct PlacementRequest<'a> {
-    /// Its route's terms.
+    /// The terms of its route.
     pub terms: &'a RouteTerms,
-    /// It reads or writes.
+    /// Whether it reads or writes.
     pub access: Access,
-    /// When its first byte, or that of its transaction, arrived.
+    /// When its first byte, or that of its transaction, arrived, in seconds.
     pub arrived_at: f64,
-    /// When the statement arrived that waits now: its target counts from there.
+    /// When the statement arrived that waits now, in seconds: its latency target counts from there.
     pub waiting_since: f64,
-    /// The shape that the connection must know.
+    /// The prepared statement that the connection must know.
     pub shape: Option<&'a Shape>,
-    /// It takes a slot of the server, as all but a `BEGIN`.
+    /// Whether it takes a slot of the server, as everything but `BEGIN` does.
     pub takes_slot: bool,
 }
 
 impl PlacementRequest<'_> {
-    /// How it waits at this server, until this second at most.
+    /// How it waits for admission at this server, until `give_up_at` at most.
     pub fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
         let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean();
         AdmissionTerms {
+            // Rank 0 is kept for what has begun already.
             rank: self.terms.rank.saturating_add(1),
             latest_start,
             give_up_at,
@@ -102,41 +109,55 @@
 pub struct Placement {
     /// The connection.
     pub checkout: Checkout,
-    /// What must be asked of the replica; none at the primary.
+    /// The position that `WAITPOS` must demand of the replica; none at the primary.
     pub proof: Option<Position>,
 }
 
-/// Who is to be asked.
+/// There is no connection in time; nothing has run.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Unplaced {
+    /// After how many seconds the client should try again.
+    pub retry_after_s: f64,
+}
+
+/// The server that a statement waits for.
 enum PlacementTarget {
     Primary(Rc<Pool>),
     Replica(Rc<Pool>, Position),
-    /// Nobody before this second, or before the view changes.
+    /// None until this second, or until the view changes.
     RetryAt(f64),
 }
 
 impl DataPlane {
-    /// Waits for a connection to a server that may serve this, until this second at most; if there is none, or it
-    /// is plain that there will be none by then: in how many seconds to come back. Servers that were `tried_servers` in vain
-    /// come last.
+    /// Waits for a connection to a server that may serve this, until `give_up_at` (seconds) at
+    /// most. `tried_servers` were tried in vain and are used only if there is no other.
+    ///
+    /// # Errors
+    /// [`Unplaced`] if there is no connection by then, or as soon as it is certain that there will
+    /// be none.
     pub async fn place(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
         session: &Session,
         tried_servers: &[String],
         give_up_at: f64,
-    ) -> Result<Placement, f64> {
-        let began = clock::now();
+    ) -> Result<Placement, Unplaced> {
+        let began_at = clock::now();
         let placed = self
             .wait_for_placement(request, session, tried_servers, give_up_at)
             .await;
         if let Ok(placement) = &placed {
             self.counts
-                .placed(placement.proof.is_none(), clock::now() - began);
+                .placed(placement.proof.is_none(), clock::now() - began_at);
         }
-        placed.map_err(|wait| {
+        placed.map_err(|unplaced| {
             self.counts.unplaced();
-            let service = &*request.terms.service;
-            self.update_freshness(service, |f| f.refusals.record_refusal(clock::now(), wait))
+            let retry_after_s = self.update_service(&request.terms.service, |state| {
+                state
+                    .refusals
+                    .record_refusal(clock::now(), unplaced.retry_after_s)
+            });
+            Unplaced { retry_after_s }
         })
     }
 
@@ -146,49 +167,47 @@
         session: &Session,
         tried_servers: &[String],
         give_up_at: f64,
-    ) -> Result<Placement, f64> {
+    ) -> Result<Placement, Unplaced> {
         loop {
             let now = clock::now();
             if now >= give_up_at {
-                return Err(RETRY_AFTER_S);
+                return Err(Unplaced {
+                    retry_after_s: RETRY_AFTER_S,
+                });
             }
             let generation = self.shared_view.changed.generation();
-            let (pool, proof) = match self.pick(request, session, tried_servers, now) {
+            let (pool, proof) = match self.choose_target(request, session, tried_servers, now) {
                 PlacementTarget::Primary(pool) => (pool, None),
                 PlacementTarget::Replica(pool, proof) => (pool, Some(proof)),
                 PlacementTarget::RetryAt(at) => {
-                    net::until(
-                        at.min(give_up_at),
-                        self.shared_view.changed.notified_since(generation),
-                    )
-                    .await;
+                    let changed = self.shared_view.changed.notified_since(generation);
+                    net::until(at.min(give_up_at), changed).await;
                     continue;
                 }
             };
-            let admission_terms = request.admission_terms(&pool, give_up_at);
-            let (values, shape) = (&session.values, request.shape);
-            let take = async {
+            let terms = request.admission_terms(&pool, give_up_at);
+            let acquire = async {
+                let (values, shape) = (&session.values, request.shape);
                 Some(
-                    Checkout::acquire(
-                        self,
-                        &pool,
-                        &admission_terms,
-                        values,
-                        shape,
-                        request.takes_slot,
-                    )
-                    .await,
+                    Checkout::acquire(self, &pool, &terms, values, shape, request.takes_slot).await,
                 )
             };
             let invalid = async {
                 self.until_invalid(&pool, proof.is_none(), generation).await;
                 None
             };
-            match net::until(give_up_at, or(take, invalid)).await {
-                None => return Err(pool.estimated_wait(&admission_terms, clock::now())),
-                Some(Some(Err(CheckoutError::Busy(wait)))) => return Err(wait),
+            match net::until(give_up_at, or(acquire, invalid)).await {
+                None => {
+                    let retry_after_s = pool.estimated_wait(&terms, clock::now());
+                    return Err(Unplaced { retry_after_s });
+                }
+                Some(Some(Err(CheckoutError::Busy { wait_s }))) => {
+                    return Err(Unplaced {
+                        retry_after_s: wait_s,
+                    });
+                }
                 Some(Some(Ok(checkout))) => {
-                    // The lease is looked at once more: time has passed.
+                    // Time has passed: the lease may have ended meanwhile.
                     if proof.is_some() || self.is_leased(&pool.server, clock::now()) {
                         return Ok(Placement { checkout, proof });
                     }
@@ -198,31 +217,32 @@
         }
     }
 
-    /// Waits until this server is no longer the right one. The place in its queue is kept through news that doesn't
-    /// concern it.
-    async fn until_invalid(&self, pool: &Pool, primary: bool, mut generation: u64) {
+    /// Waits until this server is no longer valid for what waits there. Other changes of the view
+    /// don't cost a statement its position in the queue.
+    async fn until_invalid(&self, pool: &Pool, is_primary: bool, mut generation: u64) {
         loop {
             self.shared_view.changed.notified_since(generation).await;
             generation = self.shared_view.changed.generation();
-            if !self.is_still_valid(pool, primary) {
+            if !self.is_still_valid(pool, is_primary) {
                 return;
             }
         }
     }
 
-    fn is_still_valid(&self, pool: &Pool, primary: bool) -> bool {
+    fn is_still_valid(&self, pool: &Pool, is_primary: bool) -> bool {
         let view = self.shared_view.view.borrow();
-        if primary {
+        if is_primary {
             view.primary(&pool.server.service, clock::now())
-                .is_some_and(|g| g.server_id == pool.server.id)
+                .is_some_and(|grant| grant.server_id == pool.server.id)
         } else {
             view.servers
                 .get(&pool.server.id)
-                .is_some_and(|s| !s.draining && s.endpoint == pool.server.endpoint)
+                .is_some_and(|server| !server.draining && server.endpoint == pool.server.endpoint)
         }
     }
 
-    fn pick(
+    /// The server for this, as things are now.
+    fn choose_target(
         &self,
         request: &PlacementRequest<'_>,
         session: &Session,
@@ -231,50 +251,65 @@
     ) -> PlacementTarget {
         let view = self.shared_view.view.borrow();
         let service = &*request.terms.service;
-        let max_conns = request.terms.max_conns;
         let primary = view
             .primary(service, now)
-            .and_then(|g| view.servers.get(&g.server_id))
-            .map(|s| self.pool(s, max_conns));
-        let slow = primary
-            .as_ref()
-            .is_none_or(|p| p.is_full() || !p.health().is_up(now));
+            .and_then(|grant| view.servers.get(&grant.server_id))
+            .map(|server| self.pool(server, request.terms.max_connections));
+        let avoid_primary = primary.as_ref().is_none_or(|pool| {
+            pool.is_full() || !pool.health().is_up(now) || tried_servers.contains(&pool.server.id)
+        });
         let input = ChoiceInput {
             consistency: request.terms.consistency,
             access: request.access,
             arrived_at: request.arrived_at,
-            avoid_primary: slow
-                || tried_servers
-                    .iter()
-                    .any(|t| primary.as_ref().is_some_and(|p| p.server.id == *t)),
+            avoid_primary,
         };
-        if let Destination::Replica(proof) =
-            self.update_freshness(service, |f| choose(&input, session, &f.history, now))
+        let destination = self.update_service(service, |state| {
+            choose(&input, session, &state.history, now)
+        });
+        if let Destination::Replica(proof) = destination
+            && let Some(pool) = self.next_replica(&view, request, proof, tried_servers, now)
         {
-            let leads = view.grants.get(service).map(|g| &g.server_id);
-            let mut replicas: Vec<_> = view
-                .servers
-                .values()
-                .filter(|s| {
-                    s.service == service
-                        && !s.draining
-                        && Some(&s.id) != leads
-                        && !tried_servers.contains(&s.id)
-                })
-                .map(|s| self.pool(s, max_conns))
-                .filter(|p| p.health().is_up(now) && p.health().may_have_position(proof, now))
-                .collect();
-            replicas.sort_by(|a, b| a.server.id.cmp(&b.server.id));
-            if let Some(at) =
-                self.update_freshness(service, |f| f.rotation.next(replicas.len(), |_| true))
-            {
-                return PlacementTarget::Replica(replicas.swap_remove(at), proof);
-            }
+            return PlacementTarget::Replica(pool, proof);
         }
         match primary {
-            Some(primary) if primary.health().is_up(now) => PlacementTarget::Primary(primary),
-            // Short pauses are looked at again; a change of the view is heard at once.
+            Some(pool) if pool.health().is_up(now) => PlacementTarget::Primary(pool),
+            // The end of a backoff is polled for; a change of the view wakes the statement at once.
             _ => PlacementTarget::RetryAt(now + PRIMARY_RECHECK_INTERVAL_S),
         }
     }
+
+    /// The next replica in rotation that is up and may have this position.
+    fn next_replica(
+        &self,
+        view: &View,
+        request: &PlacementRequest<'_>,
+        proof: Position,
+        tried_servers: &[String],
+        now: f64,
+    ) -> Option<Rc<Pool>> {
+        let service = &*request.terms.service;
+        let primary_id = view.grants.get(service).map(|grant| &grant.server_id);
+        let mut replicas: Vec<_> = view
+            .servers
+            .values()
+            .filter(|server| {
+                server.service == service
+                    && !server.draining
+                    && Some(&server.id) != primary_id
+                    && !tried_servers.contains(&server.id)
+            })
+            .map(|server| self.pool(server, request.terms.max_connections))
+            .filter(|pool| {
+                let health = pool.health();
+                health.is_up(now) && health.may_have_position(proof, now)
+            })
+            .collect();
+        // The rotation counts through a fixed order, and that of the map is none.
+        replicas.sort_by(|a, b| a.server.id.cmp(&b.server.id));
+        let index = self.update_service(service, |state| {
+            state.rotation.next(replicas.len(), |_| true)
+        })?;
+        Some(replicas.swap_remove(index))
+    }
 }
--- a/crates/runtime/pooler/src/data_plane/pool/acquire.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/acquire.rs
@@ -1,27 +1,28 @@
 //! A connection for a checkout: an idle one, or a new one.
 
-use super::health::Unanswered;
+use super::health::UnansweredStatement;
 use super::{CheckoutError, Pool};
 use crate::clock;
 use crate::data_plane::DataPlane;
-use crate::data_plane::net::sleep_until;
-use crate::data_plane::server_connection::{OpenError, ServerConnection};
+use crate::data_plane::server_connection::{OpenError, ServerAddress, ServerConnection};
+use crate::net::sleep_until;
 use badgerstream_pooling::session::Values;
 use std::rc::Rc;
 
-/// The first pause after a server's refusal of a connection, in seconds; it doubles with each.
+/// The first backoff after a server refused a connection for having too many, in seconds; it
+/// doubles with each refusal.
 const CONNECTION_LIMIT_BACKOFF_S: f64 = 0.05;
-/// The longest pause, in seconds.
+/// The longest backoff, in seconds.
 const MAX_CONNECTION_LIMIT_BACKOFF_S: f64 = 8.0 * CONNECTION_LIMIT_BACKOFF_S;
 
 impl Pool {
-    /// The idle connection that is nearest to these values, or a new one.
+    /// The idle connection whose state is nearest to these values, or a new one.
     pub(super) async fn acquire_connection(
         self: &Rc<Self>,
         data_plane: &DataPlane,
         values: &Values,
     ) -> Result<ServerConnection, CheckoutError> {
-        let mut pause = CONNECTION_LIMIT_BACKOFF_S;
+        let mut backoff = CONNECTION_LIMIT_BACKOFF_S;
         loop {
             if let Some(connection) = self.take_idle(values, &data_plane.scratch) {
                 return Ok(connection);
@@ -31,13 +32,13 @@
                 Err(OpenError::Full) => {
                     let now = clock::now();
                     self.mark_full(now);
-                    sleep_until(now + pause).await;
-                    pause = (pause * 2.0).min(MAX_CONNECTION_LIMIT_BACKOFF_S);
+                    sleep_until(now + backoff).await;
+                    backoff = (backoff * 2.0).min(MAX_CONNECTION_LIMIT_BACKOFF_S);
                 }
                 Err(error) => {
                     self.mark_unreachable();
                     log::debug!(
-                        "event=no_connection server={} error={error:?}",
+                        "event=server_connection_failed server={} error={error:?}",
                         self.server.id
                     );
                     return Err(CheckoutError::Unreachable);
@@ -47,31 +48,27 @@
     }
 
     async fn open(self: &Rc<Self>, data_plane: &DataPlane) -> Result<ServerConnection, OpenError> {
-        let server = &self.server;
-        let router = &data_plane.limits.name;
-        let opening = Unanswered::new(self, clock::now(), false);
-        let opened = ServerConnection::open(
-            server.endpoint,
-            &server.service,
-            router,
-            &server.id,
-            &data_plane.scratch,
-        )
-        .await;
-        drop(opening);
-        let (connection, position) = opened?;
-        self.mark_answered(position);
-        log::debug!("event=server_connection server={}", server.id);
-        Ok(connection)
+        let address = ServerAddress {
+            endpoint: self.server.endpoint,
+            service: &self.server.service,
+            server_id: &self.server.id,
+        };
+        let unanswered = UnansweredStatement::new(self, clock::now(), false);
+        let opened =
+            ServerConnection::open(&address, &data_plane.limits.name, &data_plane.scratch).await;
+        drop(unanswered);
+        let opened = opened?;
+        self.mark_answered(opened.position);
+        log::debug!("event=server_connection_opened server={}", self.server.id);
+        Ok(opened.connection)
     }
 
-    /// The server takes no more connections: fewer are used for a while.
+    /// The server takes no more connections: the quota is reduced for a while.
     fn mark_full(&self, now: f64) {
-        let mut connection_quota = self.connection_quota.get();
-        connection_quota.record_refusal(now);
-        self.connection_quota.set(connection_quota);
-        self.connection_admission
-            .set_limit(connection_quota.limit(now));
-        log::debug!("event=connection_limit server={}", self.server.id);
+        let mut quota = self.connection_quota.get();
+        quota.record_refusal(now);
+        self.connection_quota.set(quota);
+        self.connection_admission.set_limit(quota.limit(now));
+        log::debug!("event=connection_limit_reached server={}", self.server.id);
     }
 }
--- a/crates/runtime/pooler/src/data_plane/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -1,69 +1,72 @@
-//! A connection in use by one client: taken from the pool, and given back as it may be left.
+//! A connection in use by one client: taken from the pool, and returned as its state allows.
 
-use super::health::Unanswered;
-use super::{AdmissionTerms, CheckoutError, Pool};
+use super::health::UnansweredStatement;
+use super::{CheckoutError, Pool};
 use crate::clock;
 use crate::data_plane::DataPlane;
-use crate::data_plane::admission::Permit;
-use crate::data_plane::net;
+use crate::data_plane::admission::{AdmissionTerms, Permit};
 use crate::data_plane::server_connection::ServerConnection;
+use crate::net;
 use badgerstream_line_protocol::Answer;
 use badgerstream_pooling::session::{Shape, Values};
 use std::rc::Rc;
 
-/// How long the statements of the router itself may take, in seconds.
+/// How long statements of the router itself may take, in seconds.
 pub(super) const INTERNAL_STATEMENT_TIMEOUT_S: f64 = 1.0;
+/// The rank of what has begun already, and keeps others waiting until it ends.
+const RANK_OF_BEGUN: u32 = 0;
 
-/// Whether the connection of a `Checkout` may be used by the next.
+/// What becomes of a connection when its [`Checkout`] is dropped.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Reuse {
-    /// As it was taken: for the next.
+    /// It is idle, and returned to the pool.
     Clean,
-    /// A statement outside a transaction is unanswered: nobody may have it until the answer is in.
+    /// A statement outside a transaction is unanswered: it is returned once the answer is in.
     Pending,
-    /// Closed: a transaction is open, or nobody knows what it holds.
+    /// A transaction is open, or its state is unknown: it is closed, which rolls back.
     Closed,
 }
 
-/// A connection in use by one client, with its places at the server. Dropping it leaves the connection as it may be
-/// left.
+/// A connection in use by one client, with its permits.
 pub struct Checkout {
     pub(super) data_plane: Rc<DataPlane>,
     /// The server's pool.
     pub pool: Rc<Pool>,
+    /// None once it broke.
     pub(super) connection: Option<ServerConnection>,
     pub(super) connection_permit: Option<Permit>,
     pub(super) slot_permit: Option<Permit>,
     pub(super) reuse: Reuse,
-    /// The router changed values or shapes inside the transaction that is open.
+    /// The router changed values or prepared statements inside the transaction that is open.
     pub(super) changed_in_transaction: bool,
-    /// The changes inside the transaction last if what was asked last succeeds.
+    /// The last statement is a `COMMIT`: if it succeeds, changes inside the transaction persist.
     pub(super) commits: bool,
-    pub(super) unanswered: Option<Unanswered>,
-    /// What was asked last takes a slot of the server, so that its answer tells the latency.
+    pub(super) unanswered: Option<UnansweredStatement>,
+    /// The last statement takes a slot of the server, so that its answer shows the latency.
     pub(super) takes_slot: bool,
 }
 
 impl Checkout {
-    /// Waits for a connection, makes it hold exactly these values and know this shape, and waits for a place to work if
-    /// what comes next `takes_slot` of the server. Our own statements take none.
+    /// Waits for a connection, brings it to these values and this shape, and waits for a slot if
+    /// what comes next takes one. The router's own statements take none.
+    ///
+    /// # Errors
+    /// [`CheckoutError`]; nothing of the client has been sent.
     pub async fn acquire(
         data_plane: &Rc<DataPlane>,
         pool: &Rc<Pool>,
-        admission_terms: &AdmissionTerms,
+        terms: &AdmissionTerms,
         values: &Values,
         shape: Option<&Shape>,
         takes_slot: bool,
     ) -> Result<Self, CheckoutError> {
-        let conn = pool
-            .admit(&pool.connection_admission, admission_terms)
-            .await?;
+        let connection_permit = pool.admit(&pool.connection_admission, terms).await?;
         let connection = pool.acquire_connection(data_plane, values).await?;
         let mut checkout = Self {
             data_plane: data_plane.clone(),
             pool: pool.clone(),
             connection: Some(connection),
-            connection_permit: Some(conn),
+            connection_permit: Some(connection_permit),
             slot_permit: None,
             reuse: Reuse::Clean,
             changed_in_transaction: false,
@@ -74,69 +77,69 @@
         checkout
             .prepare(values, shape)
             .await
-            .map_err(|()| CheckoutError::Unreachable)?;
+            .map_err(|_| CheckoutError::Unreachable)?;
         if takes_slot {
-            checkout.slot_permit = Some(pool.admit(&pool.slot_admission, admission_terms).await?);
+            checkout.slot_permit = Some(pool.admit(&pool.slot_admission, terms).await?);
         }
         Ok(checkout)
     }
 
-    /// The number in our name for this shape, on this connection.
+    /// The number in the router's name for this shape, on this connection.
     pub fn prepared_number(&self, shape: &Shape) -> Option<u32> {
         self.connection
             .as_ref()
-            .and_then(|l| l.state.prepared_number(shape))
+            .and_then(|connection| connection.state.prepared_number(shape))
     }
 
-    /// Waits for a place to work with what has only just begun, by its rank and latest start; false if none is had in time.
-    pub async fn acquire_first_slot(&mut self, admission_terms: &AdmissionTerms) -> bool {
+    /// Waits for the first slot of a transaction, by its rank and latest start. False if there is
+    /// none in time.
+    pub async fn acquire_first_slot(&mut self, terms: &AdmissionTerms) -> bool {
         let pool = self.pool.clone();
-        let entered = net::until(
-            admission_terms.give_up_at,
-            pool.admit(&pool.slot_admission, admission_terms),
-        )
-        .await;
-        self.slot_permit = entered.and_then(Result::ok);
+        let admitted = net::until(terms.give_up_at, pool.admit(&pool.slot_admission, terms)).await;
+        self.slot_permit = admitted.and_then(Result::ok);
         self.slot_permit.is_some()
     }
 
-    /// Waits for a place to work, if it has none. Whoever has begun keeps others waiting: it goes first.
+    /// Waits for a slot, unless it has one. It goes first: what has begun keeps others waiting.
     pub async fn acquire_slot(&mut self) {
         if self.slot_permit.is_none() {
-            self.slot_permit = Some(self.pool.slot_admission.acquire(0, f64::INFINITY).await);
+            let queue = &self.pool.slot_admission;
+            self.slot_permit = Some(queue.acquire(RANK_OF_BEGUN, f64::INFINITY).await);
         }
     }
 
-    /// Gives the place to work back.
+    /// Gives the slot back.
     pub fn release_slot(&mut self) {
         self.slot_permit = None;
     }
 
-    /// What is asked next is a `COMMIT`: own changes inside the transaction then last.
+    /// The next statement is a `COMMIT`: with its success, changes inside the transaction persist.
     pub fn expect_commit(&mut self) {
         self.commits = true;
     }
 
-    /// Rolls an open transaction back, apart, so that the connection is of use again.
+    /// Rolls an open transaction back in a task of its own, so that the connection can be reused.
     pub fn roll_back(mut self) {
         if self.unanswered.is_some() {
-            // What comes next on it isn't the answer to our `ABORT`: closing it rolls back, too.
+            // The next answer on it isn't that of our `ABORT`. Closing it rolls back, too.
             return;
         }
         let data_plane = self.data_plane.clone();
         self.slot_permit = None;
-        let work = async move {
-            let at = clock::now() + INTERNAL_STATEMENT_TIMEOUT_S;
+        let abort = async move {
+            let give_up_at = clock::now() + INTERNAL_STATEMENT_TIMEOUT_S;
+            let discard = async |_: &[u8]| true;
+            // Without success the connection isn't clean, and is closed with the checkout.
             let _ = self
                 .exchange(
                     b"QUERY - ABORT\r\n",
                     &mut Answer::default(),
-                    at,
-                    async |_: &[u8]| true,
+                    give_up_at,
+                    discard,
                 )
                 .await;
         };
-        data_plane.tasks.spawn(work).detach();
+        data_plane.tasks.spawn(abort).detach();
     }
 }
 
--- a/crates/runtime/pooler/src/data_plane/pool/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/drain.rs
@@ -1,52 +1,52 @@
-//! The answer of a statement that nobody waits for any more: read to its end, so that its connection is of use again.
+//! The answer of a statement that nobody waits for any more: read to its end, so that the
+//! connection can be reused.
 
 use super::Pool;
 use super::checkout::Checkout;
 use crate::clock;
-use crate::data_plane::net::{self, Scratch};
-use crate::data_plane::server_connection::ServerConnection;
+use crate::data_plane::server_connection::{AnswerLost, ServerConnection};
+use crate::net::{self, Scratch};
 use badgerstream_line_protocol::{Answer, Outcome, State};
 
-/// An answer that nobody waits for any more is awaited for so long, in seconds.
+/// For how long an abandoned answer is awaited, in seconds.
 const DRAIN_TIMEOUT_S: f64 = 3.0;
-/// An answer that is overdue and that nobody waits for any more is awaited for so long, in seconds.
+/// For how long an abandoned answer is awaited that is overdue already, in seconds.
 const OVERDUE_DRAIN_TIMEOUT_S: f64 = 0.5;
 
 impl Checkout {
-    /// Reads the pending answer in a task of its own. The server works on it still: its place is taken until it answers,
-    /// and breaking it off would waste what it did. If the answer is overdue it has most likely been given, and the place
-    /// is free.
+    /// Reads the pending answer in a task of its own. The server still works on it: its slot is
+    /// taken until it answers, and closing the connection would waste that work. If the answer is
+    /// overdue, the server has most likely answered, and the slot is free.
     pub(super) fn drain(&mut self, mut connection: ServerConnection) {
-        let overdue = self.is_overtaken();
-        let longest = if overdue {
+        let is_overdue = self.is_overtaken();
+        let timeout = if is_overdue {
             OVERDUE_DRAIN_TIMEOUT_S
         } else {
             DRAIN_TIMEOUT_S
         };
         let (data_plane, pool) = (self.data_plane.clone(), self.pool.clone());
-        let slot = self.slot_permit.take().filter(|_| !overdue);
+        let slot_permit = self.slot_permit.take().filter(|_| !is_overdue);
         let unanswered = self.unanswered.take();
         let sent_at = unanswered
             .as_ref()
             .filter(|_| self.takes_slot)
-            .map(|u| u.sent_at);
-        let permits = (self.connection_permit.take(), slot, unanswered);
+            .map(|unanswered| unanswered.sent_at);
+        let held_until_drained = (self.connection_permit.take(), slot_permit, unanswered);
         let tasks = data_plane.tasks.clone();
-        let work = async move {
-            let limit = clock::now() + longest;
-            if let Some(Ok(outcome)) =
-                net::until(limit, discard_answer(&mut connection, &data_plane.scratch)).await
-            {
+        let drain = async move {
+            let give_up_at = clock::now() + timeout;
+            let discarded = discard_answer(&mut connection, &data_plane.scratch);
+            if let Some(Ok(outcome)) = net::until(give_up_at, discarded).await {
                 pool.conclude_drain(connection, &outcome, sent_at);
             }
-            drop(permits);
+            drop(held_until_drained);
         };
-        tasks.spawn(work).detach();
+        tasks.spawn(drain).detach();
     }
 }
 
 impl Pool {
-    /// An answer has come after all.
+    /// The answer has come. `sent_at` is when its statement was sent, if it took a slot.
     fn conclude_drain(
         &self,
         connection: ServerConnection,
@@ -55,7 +55,7 @@
     ) {
         self.mark_answered(outcome.position);
         if let Some(sent_at) = sent_at {
-            // It was not lost but slow, as others are then.
+            // It was not lost but slow, and so may be others.
             self.record_answer(sent_at);
         }
         if outcome.state == State::Idle && outcome.error.is_none() && connection.is_clean() {
@@ -67,7 +67,7 @@
 async fn discard_answer(
     connection: &mut ServerConnection,
     scratch: &Scratch,
-) -> Result<Outcome, ()> {
+) -> Result<Outcome, AnswerLost> {
     loop {
         let mut answer = Answer::default();
         if let Some(outcome) = connection.read_answer(&mut answer, scratch).await? {
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -2,26 +2,27 @@
 
 use super::Pool;
 use super::checkout::{Checkout, Reuse};
-use super::health::Unanswered;
+use super::health::UnansweredStatement;
 use crate::clock;
-use crate::data_plane::net;
+use crate::net;
 use badgerstream_line_protocol::{Answer, Code, Outcome, State, Verdict};
 
-/// Between two looks at an answer that is late, in seconds.
+/// Between two checks whether an answer that is late has been overtaken, in seconds.
 const OVERDUE_CHECK_INTERVAL_S: f64 = 0.05;
 
 /// Why a statement has no outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing of it was sent.
+    /// No byte of it was sent.
     Unsent,
-    /// It was sent, in part at least, and the connection broke off.
+    /// It was sent, at least in part, and the connection broke.
     Broken,
-    /// It was sent, and there is no answer yet.
+    /// It was sent, and there is no answer in time.
     TimedOut,
-    /// It was sent and the answer is overdue, while what was sent later is answered: lost, most likely.
+    /// It was sent, and its answer is most likely lost: overdue, while statements sent later are
+    /// answered.
     Overdue,
-    /// A part of its answer was passed on to a client who has gone.
+    /// A part of its answer was forwarded to a client that has disconnected.
     ClientDisconnected,
 }
 
@@ -29,103 +30,108 @@
     /// Whether the statement may have run.
     pub fn verdict(self) -> Verdict {
         match self {
-            ExchangeError::Unsent => Verdict::NotRun,
-            ExchangeError::Broken
-            | ExchangeError::TimedOut
-            | ExchangeError::Overdue
-            | ExchangeError::ClientDisconnected => Verdict::MayHaveRun,
+            Self::Unsent => Verdict::NotRun,
+            Self::Broken | Self::TimedOut | Self::Overdue | Self::ClientDisconnected => {
+                Verdict::MayHaveRun
+            }
         }
     }
 }
 
 impl Checkout {
-    /// Sends a statement and waits for its outcome until this second. `answer` then holds what is to be passed on;
-    /// long answers are passed on in parts by `pass`, which tells whether the client is still there.
+    /// Sends a statement and waits for its outcome until `give_up_at` (seconds). `answer` then
+    /// holds what is to be forwarded; of a long answer, earlier parts are given to `forward`, which
+    /// returns whether the client is still connected.
     pub async fn exchange(
         &mut self,
         line: &[u8],
         answer: &mut Answer,
-        at: f64,
-        pass: impl AsyncFn(&[u8]) -> bool,
+        give_up_at: f64,
+        forward: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
         let Some(connection) = &mut self.connection else {
             return Err(ExchangeError::Unsent);
         };
         let sent_at = clock::now();
-        // Under the lease at this moment no other primary exists, so its log has all that was acknowledged.
-        let leased = self.data_plane.is_leased(&self.pool.server, sent_at);
+        // Under the lease there is no other primary at this moment, so its log has every commit
+        // that was acknowledged: the answer's position is a freshness proof.
+        let under_lease = self.data_plane.is_leased(&self.pool.server, sent_at);
         if self.reuse == Reuse::Clean {
             self.reuse = Reuse::Pending;
         }
-        match net::until(at, connection.send(line)).await {
+        match net::until(give_up_at, connection.send(line)).await {
             Some(Ok(())) => {}
-            other => {
+            failed => {
                 self.connection = None;
                 self.pool.mark_failing();
-                return Err(if matches!(other, Some(Err(e)) if e.nothing_written) {
+                let is_unsent = matches!(failed, Some(Err(error)) if error.nothing_written);
+                return Err(if is_unsent {
                     ExchangeError::Unsent
                 } else {
                     ExchangeError::Broken
                 });
             }
         }
-        // What is our own takes no slot there: it tells nothing of the latency.
+        // The router's own statements take no slot: their answers say nothing of the latency.
         self.takes_slot = !line.starts_with(b"QUERY - ");
-        self.unanswered = Some(Unanswered::new(&self.pool, sent_at, leased));
-        self.await_answer(answer, at, pass).await
+        self.unanswered = Some(UnansweredStatement::new(&self.pool, sent_at, under_lease));
+        self.await_answer(answer, give_up_at, forward).await
     }
 
-    /// As `ask`; `Overdue` as soon as the answer of a statement with this target (seconds) most likely is lost.
+    /// As [`Checkout::exchange`], but fails with [`ExchangeError::Overdue`] as soon as the answer of
+    /// a statement with this latency target (seconds) is most likely lost.
     pub async fn exchange_until_overdue(
         &mut self,
         line: &[u8],
         answer: &mut Answer,
-        target: f64,
-        at: f64,
-        pass: impl AsyncFn(&[u8]) -> bool,
+        target_s: f64,
+        give_up_at: f64,
+        forward: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
-        let look = |now: f64, pool: &Pool| (now + pool.latency().overdue_after(target)).min(at);
-        let first = look(clock::now(), &self.pool);
-        let mut outcome = self.exchange(line, answer, first, &pass).await;
+        let overdue_at =
+            |now: f64, pool: &Pool| (now + pool.latency().overdue_after(target_s)).min(give_up_at);
+        let first_check = overdue_at(clock::now(), &self.pool);
+        let mut outcome = self.exchange(line, answer, first_check, &forward).await;
         while outcome == Err(ExchangeError::TimedOut) {
             let now = clock::now();
-            if now >= at {
+            if now >= give_up_at {
                 break;
             }
             if self.is_overtaken() {
                 return Err(ExchangeError::Overdue);
             }
-            // Until others are answered nothing tells this one from them.
-            let next = look(now, &self.pool).min(now + OVERDUE_CHECK_INTERVAL_S);
-            outcome = self.await_answer(answer, next, &pass).await;
+            // Until others are answered, the server may just be slow.
+            let next_check = overdue_at(now, &self.pool).min(now + OVERDUE_CHECK_INTERVAL_S);
+            outcome = self.await_answer(answer, next_check, &forward).await;
         }
         outcome
     }
 
-    /// Waits on, until this second, for the outcome of what was asked and is `Silent`.
+    /// Waits on, until `give_up_at` (seconds), for the answer of what was sent and has timed out.
     pub async fn await_answer(
         &mut self,
         answer: &mut Answer,
-        at: f64,
-        pass: impl AsyncFn(&[u8]) -> bool,
+        give_up_at: f64,
+        forward: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<Outcome, ExchangeError> {
         let Some(connection) = &mut self.connection else {
             return Err(ExchangeError::Broken);
         };
         loop {
-            match net::until(at, connection.read_answer(answer, &self.data_plane.scratch)).await {
+            let read = connection.read_answer(answer, &self.data_plane.scratch);
+            match net::until(give_up_at, read).await {
                 None => return Err(ExchangeError::TimedOut),
-                Some(Err(())) => {
+                Some(Err(_)) => {
                     self.connection = None;
                     self.unanswered = None;
                     self.pool.mark_failing();
                     return Err(ExchangeError::Broken);
                 }
                 Some(Ok(None)) => {
-                    if let Some(asked) = &mut self.unanswered {
-                        asked.partially_forwarded = true;
+                    if let Some(unanswered) = &mut self.unanswered {
+                        unanswered.partially_forwarded = true;
                     }
-                    if !pass(&answer.raw).await {
+                    if !forward(&answer.raw).await {
                         return Err(ExchangeError::ClientDisconnected);
                     }
                     answer.raw.clear();
@@ -138,20 +144,21 @@
         }
     }
 
-    /// The answer is in: what it tells of the server, and whether the connection may be used by the next.
+    /// The answer is in: records what it says of the server, and decides whether the connection can
+    /// be reused.
     fn conclude(&mut self, outcome: &Outcome) {
         self.pool.mark_answered(outcome.position);
-        let idle = outcome.state == State::Idle;
-        if let Some(asked) = self.unanswered.take() {
+        let is_idle = outcome.state == State::Idle;
+        if let Some(unanswered) = self.unanswered.take() {
             if self.takes_slot {
-                self.pool.record_answer(asked.sent_at);
+                self.pool.record_answer(unanswered.sent_at);
             } else {
-                self.pool.record_round_trip(asked.sent_at);
+                self.pool.record_round_trip(unanswered.sent_at);
             }
-            if asked.under_lease && idle {
+            if unanswered.under_lease && is_idle {
                 self.data_plane.record_answer_position(
                     &self.pool.server,
-                    asked.sent_at,
+                    unanswered.sent_at,
                     outcome.position,
                 );
             }
@@ -159,19 +166,26 @@
         let Some(connection) = &mut self.connection else {
             return;
         };
-        let clean = idle && connection.is_clean() && outcome.error != Some(Code::Unknown);
-        self.reuse = if clean { Reuse::Clean } else { Reuse::Closed };
-        let kept = self.commits && outcome.error.is_none();
-        if idle && std::mem::take(&mut self.changed_in_transaction) && !kept {
-            // Nobody has said whether an end that rolls back takes values back, too.
+        // After `UNKNOWN` the server doesn't hold what the connection's state says.
+        let is_clean = is_idle && connection.is_clean() && outcome.error != Some(Code::Unknown);
+        self.reuse = if is_clean {
+            Reuse::Clean
+        } else {
+            Reuse::Closed
+        };
+        let is_committed = self.commits && outcome.error.is_none();
+        if is_idle && std::mem::take(&mut self.changed_in_transaction) && !is_committed {
+            // The protocol leaves open whether a rollback undoes `SET` and `PREPARE`, too.
             connection.state.mark_uncertain();
         }
     }
 
-    /// The server has answered what was sent after this statement, so that its answer may be lost.
+    /// Whether the server has answered what was sent after this statement, so that its answer is
+    /// most likely lost.
     pub fn is_overtaken(&self) -> bool {
-        self.unanswered.as_ref().is_some_and(|u| {
-            !u.partially_forwarded && self.pool.newest_answered_sent_at.get() > u.sent_at
+        self.unanswered.as_ref().is_some_and(|unanswered| {
+            !unanswered.partially_forwarded
+                && self.pool.newest_answered_sent_at.get() > unanswered.sent_at
         })
     }
 }
--- a/crates/runtime/pooler/src/data_plane/pool/health.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/health.rs
@@ -1,4 +1,4 @@
-//! What the answers of a server told of it: whether it is up, how fast it is, how long it fails.
+//! What the answers of a server say of it: whether it is up, how fast it is, since when it fails.
 
 use super::Pool;
 use crate::clock;
@@ -7,28 +7,28 @@
 use badgerstream_pooling::latency::Latency;
 use std::rc::Rc;
 
-/// A statement unanswered for so long counts as a sign that the server is gone, in seconds.
+/// After how many seconds without an answer to a statement the server counts as failing.
 const UNANSWERED_FAILING_AFTER_S: f64 = 0.3;
 
 impl Pool {
-    /// How fast it answers.
+    /// How fast the server answers.
     pub fn latency(&self) -> Latency {
         self.latency.get()
     }
 
-    /// How it stands.
+    /// The health of the server.
     pub fn health(&self) -> Health {
         self.health.get()
     }
 
-    /// It lacks this position.
+    /// The server lacks this position.
     pub fn mark_lagging(&self, position: Position) {
         let mut health = self.health.get();
         health.record_lag(clock::now(), position);
         self.health.set(health);
     }
 
-    /// It could not be reached: it is left alone for a moment.
+    /// The server could not be reached: a backoff begins.
     pub(super) fn mark_unreachable(&self) {
         let mut health = self.health.get();
         health.record_failure(clock::now());
@@ -36,7 +36,8 @@
         self.mark_failing();
     }
 
-    /// A connection broke off. That may be the connection's trouble alone: the next is opened at once, and tells.
+    /// A connection broke. That may be a fault of this connection only, so no backoff begins: the
+    /// next connection shows whether the server can be reached.
     pub(super) fn mark_failing(&self) {
         let now = clock::now();
         if self.failing_since.get().is_none() {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// It answered something.
+    /// The server answered something.
     pub(super) fn mark_answered(&self, position: Option<Position>) {
         let mut health = self.health.get();
         health.record_answer(position);
@@ -53,73 +54,79 @@
         self.failing_since.set(None);
     }
 
-    /// It answered a statement that was sent at this second.
+    /// The server answered a statement that was sent at this second.
     pub(super) fn record_answer(&self, sent_at: f64) {
         let mut latency = self.latency.get();
         latency.record_answer(clock::now() - sent_at);
         self.latency.set(latency);
-        self.set_in_flight();
+        self.update_in_flight_limit();
         self.newest_answered_sent_at
             .set(self.newest_answered_sent_at.get().max(sent_at));
     }
 
-    /// It answered what takes no slot and was sent at this second.
+    /// The server answered a statement that takes no slot and was sent at this second.
     pub(super) fn record_round_trip(&self, sent_at: f64) {
         let mut latency = self.latency.get();
         latency.record_round_trip(clock::now() - sent_at);
         self.latency.set(latency);
     }
 
-    /// When it last answered; 0 for never.
+    /// When the server last answered, in seconds of the monotonic clock; 0 for never.
     pub fn last_answer_at(&self) -> f64 {
         self.last_answer_at.get()
     }
 
-    /// Since when it fails to answer; none while it does answer, or nothing is asked.
+    /// Since when the server doesn't answer, in seconds of the monotonic clock; none while it does,
+    /// or nothing is sent.
     pub fn failing_since(&self, now: f64) -> Option<f64> {
-        let last = self.last_answer_at.get();
-        let oldest = self
+        let last_answer_at = self.last_answer_at.get();
+        let oldest_unanswered = self
             .unanswered_sent_at
             .borrow()
             .iter()
             .copied()
-            .filter(|t| *t > last)
+            .filter(|sent_at| *sent_at > last_answer_at)
             .reduce(f64::min);
-        let silent = oldest.filter(|t| now - t > UNANSWERED_FAILING_AFTER_S);
-        match (silent, self.failing_since.get()) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+        let unanswered_since =
+            oldest_unanswered.filter(|sent_at| now - sent_at > UNANSWERED_FAILING_AFTER_S);
+        match (unanswered_since, self.failing_since.get()) {
+            (Some(unanswered), Some(failing)) => Some(unanswered.min(failing)),
+            (unanswered, failing) => unanswered.or(failing),
         }
     }
 }
 
-/// A statement without answer, for as long as it is.
-pub(super) struct Unanswered {
-    pub(super) pool: Rc<Pool>,
+/// A statement that was sent and not answered. The pool counts it for as long as this lives.
+pub(super) struct UnansweredStatement {
+    pool: Rc<Pool>,
+    /// When it was sent, in seconds.
     pub(super) sent_at: f64,
     /// The lease was valid then.
     pub(super) under_lease: bool,
-    /// A part of its answer has been passed on.
+    /// A part of its answer has been forwarded.
     pub(super) partially_forwarded: bool,
 }
 
-impl Unanswered {
-    pub(super) fn new(pool: &Rc<Pool>, sent_at: f64, leased: bool) -> Self {
+impl UnansweredStatement {
+    pub(super) fn new(pool: &Rc<Pool>, sent_at: f64, under_lease: bool) -> Self {
         pool.unanswered_sent_at.borrow_mut().push(sent_at);
         Self {
             pool: pool.clone(),
             sent_at,
-            under_lease: leased,
+            under_lease,
             partially_forwarded: false,
         }
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredStatement {
     fn drop(&mut self) {
-        let mut all = self.pool.unanswered_sent_at.borrow_mut();
-        if let Some(at) = all.iter().position(|t| *t == self.sent_at) {
-            all.swap_remove(at);
+        let mut unanswered = self.pool.unanswered_sent_at.borrow_mut();
+        if let Some(index) = unanswered
+            .iter()
+            .position(|sent_at| *sent_at == self.sent_at)
+        {
+            unanswered.swap_remove(index);
         }
     }
 }
--- a/crates/runtime/pooler/src/data_plane/pool/idle.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/idle.rs
@@ -1,62 +1,57 @@
-//! Idle connections: kept for the next client, and closed when they rest for too long or are too many.
+//! Idle connections: kept for the next client, and closed when they were idle for long or exceed
+//! the quota.
 
 use super::Pool;
 use crate::clock;
-use crate::data_plane::net;
 use crate::data_plane::server_connection::ServerConnection;
+use crate::net::Scratch;
 use badgerstream_pooling::session::Values;
 
-/// A connection that rests for so long is closed, in seconds.
+/// After how many seconds an idle connection is closed.
 const IDLE_TIMEOUT_S: f64 = 30.0;
 
 impl Pool {
-    /// Closes connections that have rested for long.
+    /// Closes connections that were idle for long or exceed the quota, and applies the quota.
     pub fn sweep(&self, now: f64) {
-        let old: Vec<ServerConnection> = {
+        let limit = self.connection_quota.get().limit(now);
+        let closed: Vec<ServerConnection> = {
             let mut idle = self.idle.borrow_mut();
-            let limit = self.connection_quota.get().limit(now);
-            let mut over =
+            let mut excess =
                 (idle.len() + self.connection_admission.admitted()).saturating_sub(limit);
-            // Those that have rested longest stand first.
-            let spare = |l: &mut ServerConnection| {
-                let go = over > 0 || now - l.idle_since > IDLE_TIMEOUT_S;
-                over = over.saturating_sub(1);
-                go
+            // Those that have been idle for longest come first.
+            let is_closed = |connection: &mut ServerConnection| {
+                let is_closed = excess > 0 || now - connection.idle_since > IDLE_TIMEOUT_S;
+                excess = excess.saturating_sub(1);
+                is_closed
             };
-            idle.extract_if(.., spare).collect()
+            idle.extract_if(.., is_closed).collect()
         };
-        drop(old);
-        self.connection_admission
-            .set_limit(self.connection_quota.get().limit(now));
+        drop(closed);
+        self.connection_admission.set_limit(limit);
     }
 
-    /// The idle connection that is nearest to these values and still stands.
-    pub(super) fn take_idle(
-        &self,
-        values: &Values,
-        scratch: &net::Scratch,
-    ) -> Option<ServerConnection> {
+    /// The usable idle connection whose state is nearest to these values.
+    pub(super) fn take_idle(&self, values: &Values, scratch: &Scratch) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         loop {
-            // The one used last among equals: the others may then rest until they are closed.
-            let (at, _) = idle
+            // Of equals the one used last, so that the others become old enough to be closed.
+            let (index, _) = idle
                 .iter()
                 .enumerate()
                 .rev()
-                .min_by_key(|(_, l)| l.state.distance(values))?;
-            let mut connection = idle.swap_remove(at);
+                .min_by_key(|(_, connection)| connection.state.distance(values))?;
+            let mut connection = idle.swap_remove(index);
             if !connection.is_unusable(scratch) {
                 return Some(connection);
             }
         }
     }
 
+    /// Keeps a connection for the next client, or closes it if the quota has shrunk.
     pub(super) fn put_idle(&self, mut connection: ServerConnection) {
-        // The share may have shrunk meanwhile.
         let mut idle = self.idle.borrow_mut();
-        if idle.len() + self.connection_admission.admitted()
-            <= self.connection_quota.get().limit(clock::now()).max(1)
-        {
+        let limit = self.connection_quota.get().limit(clock::now()).max(1);
+        if idle.len() + self.connection_admission.admitted() <= limit {
             connection.prepare_for_idle();
             idle.push(connection);
         }
--- a/crates/runtime/pooler/src/data_plane/server_connection.rs
+++ b/crates/runtime/pooler/src/data_plane/server_connection.rs
@@ -1,33 +1,54 @@
-//! A connection to a server.
+//! A connection to a database server: the handshake, and lines out and answers in.
+//!
+//! The pool of the server owns it while it is idle, a checkout while a client uses it. It knows
+//! what session state it holds, and decides nothing.
 
-use super::net::{self, Scratch, WriteError};
 use crate::clock;
+use crate::net::{self, Scratch, WriteError};
 use async_io::Async;
 use badgerstream_line_protocol::{Answer, Code, LineBuffer, Outcome, Position, Reply, State};
 use badgerstream_pooling::connection::ConnectionState;
 use std::net::{SocketAddr, TcpStream};
+use thiserror::Error;
 
-/// How long a connection may take to open, in seconds.
+/// How long opening a connection may take, with the handshake, in seconds.
 pub(super) const OPEN_TIMEOUT_S: f64 = 1.0;
-/// A server that acknowledges no byte for so long is given up, in milliseconds.
+/// After how many milliseconds without acknowledgement of a byte a connection breaks
+/// (`TCP_USER_TIMEOUT`).
 pub(super) const USER_TIMEOUT_MS: u32 = 1800;
-/// An answer longer than this is passed on in parts, in bytes.
+/// An answer longer than this is forwarded in parts, in bytes.
 pub(super) const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
-/// A connection to a server, and what it holds.
+/// A connection to a server.
 pub(super) struct ServerConnection {
     stream: Async<TcpStream>,
     lines: LineBuffer,
-    /// What it holds for sure.
-    pub state: ConnectionState,
-    /// Since when it rests, in seconds of the steady clock.
-    pub idle_since: f64,
+    /// The session state that it holds.
+    pub(super) state: ConnectionState,
+    /// Since when it is idle, in seconds of the monotonic clock.
+    pub(super) idle_since: f64,
 }
 
-/// Why no connection was had; nothing has run.
+/// The server that a connection is opened to.
+pub(super) struct ServerAddress<'a> {
+    /// Where it listens.
+    pub(super) endpoint: SocketAddr,
+    /// Its service.
+    pub(super) service: &'a str,
+    /// Its id.
+    pub(super) server_id: &'a str,
+}
+
+/// A connection that was opened, and the server's position if it said so.
+pub(super) struct Opened {
+    pub(super) connection: ServerConnection,
+    pub(super) position: Option<Position>,
+}
+
+/// Why a connection could not be opened; nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OpenError {
-    /// No answer, or a connection refused or broken.
+    /// No answer in time, or the connection was refused or broke.
     Unreachable,
     /// Another server is at the address.
     WrongNode,
@@ -37,60 +58,62 @@
     Refused,
 }
 
+/// The connection broke while an answer was awaited, or what came is no answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("the connection to the server broke before the end of an answer")]
+pub(super) struct AnswerLost;
+
 impl ServerConnection {
-    /// Opens a connection to the server of this id, within `OPEN_TIMEOUT_S`; also where its log stands.
+    /// Opens a connection to this server, within [`OPEN_TIMEOUT_S`]. `router` is the name that the
+    /// server is given in `CONNECT`.
     pub(super) async fn open(
-        endpoint: SocketAddr,
-        service: &str,
-        who: &str,
-        id: &str,
+        address: &ServerAddress<'_>,
+        router: &str,
         scratch: &Scratch,
-    ) -> Result<(Self, Option<Position>), OpenError> {
-        let opened = net::until(clock::now() + OPEN_TIMEOUT_S, async {
-            let stream = net::connect(endpoint, USER_TIMEOUT_MS)
-                .await
-                .map_err(|_| OpenError::Unreachable)?;
-            let hello = format!("CONNECT {service} {who} {id}\r\n");
-            net::write(&stream, hello.as_bytes())
-                .await
-                .map_err(|_| OpenError::Unreachable)?;
-            let mut lines = LineBuffer::default();
-            loop {
-                if let Some(line) = lines.next().map_err(|_| OpenError::Refused)? {
-                    let position = match Reply::parse(line) {
-                        Some(Reply::Idle {
-                            state: State::Idle,
-                            position,
-                        }) => position,
-                        Some(Reply::Error {
-                            code: Code::WrongNode,
-                            ..
-                        }) => return Err(OpenError::WrongNode),
-                        Some(Reply::Error {
-                            code: Code::ConnLimit,
-                            ..
-                        }) => return Err(OpenError::Full),
-                        _ => return Err(OpenError::Refused),
-                    };
-                    let connection = Self {
-                        stream,
-                        lines,
-                        state: ConnectionState::default(),
-                        idle_since: 0.0,
-                    };
-                    return Ok((connection, position));
-                }
-                match net::read(&stream, scratch, &mut lines).await {
-                    Ok(n) if n > 0 => {}
-                    // It took the connection and let go of it: it has too many, or it ends.
-                    _ => return Err(OpenError::Full),
-                }
+    ) -> Result<Opened, OpenError> {
+        let handshake = Self::handshake(address, router, scratch);
+        net::until(clock::now() + OPEN_TIMEOUT_S, handshake)
+            .await
+            .unwrap_or(Err(OpenError::Unreachable))
+    }
+
+    async fn handshake(
+        address: &ServerAddress<'_>,
+        router: &str,
+        scratch: &Scratch,
+    ) -> Result<Opened, OpenError> {
+        let stream = net::connect(address.endpoint, USER_TIMEOUT_MS)
+            .await
+            .map_err(|_| OpenError::Unreachable)?;
+        let (service, server_id) = (address.service, address.server_id);
+        let connect = format!("CONNECT {service} {router} {server_id}\r\n");
+        net::write(&stream, connect.as_bytes())
+            .await
+            .map_err(|_| OpenError::Unreachable)?;
+        let mut lines = LineBuffer::default();
+        let position = loop {
+            if let Some(line) = lines.next().map_err(|_| OpenError::Refused)? {
+                break greeting_position(line)?;
+            }
+            match net::read(&stream, scratch, &mut lines).await {
+                Ok(n) if n > 0 => {}
+                // It accepted the connection and closed it: it has too many, or it shuts down.
+                _ => return Err(OpenError::Full),
             }
-        });
-        opened.await.unwrap_or(Err(OpenError::Unreachable))
+        };
+        let connection = Self {
+            stream,
+            lines,
+            state: ConnectionState::default(),
+            idle_since: 0.0,
+        };
+        Ok(Opened {
+            connection,
+            position,
+        })
     }
 
-    /// The far end has closed it, or has said what nobody asked: of no more use.
+    /// Whether the server has closed it, or sent what nothing asked for: it is of no more use.
     pub(super) fn is_unusable(&mut self, scratch: &Scratch) -> bool {
         !self.lines.is_empty()
             || !matches!(
@@ -99,20 +122,20 @@
             )
     }
 
-    /// Sends lines.
+    /// Sends complete lines.
     pub(super) async fn send(&self, bytes: &[u8]) -> Result<(), WriteError> {
         net::write(&self.stream, bytes).await
     }
 
-    /// Waits for the rest of an answer. None if it has grown past `MAX_BUFFERED_ANSWER_BYTES`: pass `answer.raw` on, clear it, and call
-    /// again. An error: the connection has broken off or speaks another language.
+    /// Waits for the rest of an answer. None once it is longer than
+    /// [`MAX_BUFFERED_ANSWER_BYTES`]: forward `answer.raw`, clear it, and call again.
     pub(super) async fn read_answer(
         &mut self,
         answer: &mut Answer,
         scratch: &Scratch,
-    ) -> Result<Option<Outcome>, ()> {
+    ) -> Result<Option<Outcome>, AnswerLost> {
         loop {
-            if let Some(outcome) = answer.take(&mut self.lines).map_err(drop)? {
+            if let Some(outcome) = answer.take(&mut self.lines).map_err(|_| AnswerLost)? {
                 return Ok(Some(outcome));
             }
             if answer.raw.len() >= MAX_BUFFERED_ANSWER_BYTES {
@@ -120,19 +143,38 @@
             }
             match net::read(&self.stream, scratch, &mut self.lines).await {
                 Ok(n) if n > 0 => {}
-                _ => return Err(()),
+                _ => return Err(AnswerLost),
             }
         }
     }
 
-    /// Nothing is left of an earlier answer.
+    /// Whether nothing is left of an earlier answer.
     pub(super) fn is_clean(&self) -> bool {
         self.lines.is_empty()
     }
 
-    /// Gives memory back before it rests.
+    /// Frees buffers before it becomes idle.
     pub(super) fn prepare_for_idle(&mut self) {
         self.lines.shrink();
         self.idle_since = clock::now();
     }
 }
+
+/// The position that a server's answer to `CONNECT` carries.
+fn greeting_position(line: &[u8]) -> Result<Option<Position>, OpenError> {
+    match Reply::parse(line) {
+        Some(Reply::Idle {
+            state: State::Idle,
+            position,
+        }) => Ok(position),
+        Some(Reply::Error {
+            code: Code::WrongNode,
+            ..
+        }) => Err(OpenError::WrongNode),
+        Some(Reply::Error {
+            code: Code::ConnLimit,
+            ..
+        }) => Err(OpenError::Full),
+        _ => Err(OpenError::Refused),
+    }
+}
--- /dev/null
+++ b/crates/runtime/pooler/src/data_plane/service_state.rs
@@ -0,0 +1,87 @@
+//! What the data plane remembers of each service: freshness proofs, the rotation over replicas, and
+//! the streak of refusals.
+
+use super::DataPlane;
+use crate::view::Server;
+use badgerstream_line_protocol::Position;
+use badgerstream_pooling::freshness::PositionHistory;
+use badgerstream_pooling::latency::RefusalStreak;
+use badgerstream_routing::Rotation;
+
+/// The state of one service.
+#[derive(Default)]
+pub(super) struct ServiceState {
+    /// Positions that its primary answered under the lease.
+    pub(super) history: PositionHistory,
+    /// Which replica is next.
+    pub(super) rotation: Rotation,
+    /// Statements without a placement.
+    pub(super) refusals: RefusalStreak,
+}
+
+/// The age of a service's newest freshness proof.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ProofAge {
+    /// The service.
+    pub service: String,
+    /// How long ago its primary was queried, in seconds.
+    pub age_s: f64,
+}
+
+impl DataPlane {
+    /// Records a position of the primary that control knows: it covers every commit acknowledged
+    /// before `covers_from`, in seconds of the monotonic clock.
+    pub fn record_confirmed_position(&self, service: &str, covers_from: f64, position: Position) {
+        self.update_service(service, |state| state.history.record(covers_from, position));
+    }
+
+    /// Records what a server answered that was queried at `queried_at` under the lease.
+    pub(super) fn record_answer_position(
+        &self,
+        server: &Server,
+        queried_at: f64,
+        position: Option<Position>,
+    ) {
+        if let Some(position) = position {
+            self.update_service(&server.service, |state| {
+                state.history.record(queried_at, position);
+            });
+        }
+    }
+
+    /// The age of the newest freshness proof of each service that has one.
+    pub fn proof_ages(&self, now: f64) -> Vec<ProofAge> {
+        let services = self.services.borrow();
+        services
+            .iter()
+            .filter_map(|(service, state)| {
+                Some(ProofAge {
+                    service: service.clone(),
+                    age_s: now - state.history.newest_query_at()?,
+                })
+            })
+            .collect()
+    }
+
+    /// Reads or changes the state of a service, which is created at its first use.
+    pub(super) fn update_service<T>(
+        &self,
+        service: &str,
+        update: impl FnOnce(&mut ServiceState) -> T,
+    ) -> T {
+        let mut services = self.services.borrow_mut();
+        // Looked up first: on the path of every statement nothing is allocated for the key.
+        if let Some(state) = services.get_mut(service) {
+            return update(state);
+        }
+        // A random first replica, so that routers which start together don't all use the same.
+        let rotation = Rotation {
+            next: self.random.borrow_mut().usize(..),
+        };
+        let state = services.entry(service.to_owned()).or_insert(ServiceState {
+            rotation,
+            ..ServiceState::default()
+        });
+        update(state)
+    }
+}
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -13,7 +13,7 @@
         .data_plane
         .proof_ages(now)
         .into_iter()
-        .map(|(service, age)| (service_label(&service), age));
+        .map(|proof| (service_label(&proof.service), proof.age_s));
     exposition.gauges(
         "router_proof_age_seconds",
         "Age of the newest position that a service's primary answered",
--- a/crates/runtime/pooler/src/process.rs
+++ b/crates/runtime/pooler/src/process.rs
@@ -165,7 +165,6 @@
     let limits = DataPlaneLimits {
         file_limit: settings.limits.file_limit as usize,
         name: settings.node_name.clone(),
-        zone: settings.zone.clone(),
         seed: process_incarnation,
         grace_s: settings.bounds.grace_s,
     };
--- a/crates/runtime/pooler/src/tests/data_plane.rs
+++ b/crates/runtime/pooler/src/tests/data_plane.rs
@@ -1,7 +1,8 @@
 //! The data plane between scripted servers and plain clients on loopback, all on one thread. Nothing sleeps: every
 //! wait is for something that is said.
 
-use super::{DataPlane, DataPlaneLimits, DrainStage, client};
+use super::drain::DrainStage;
+use super::{DataPlane, DataPlaneLimits, client};
 use crate::clock;
 use crate::view::{ExpiringGrant, Grant, Server, SharedView};
 use async_executor::LocalExecutor;
@@ -342,7 +343,6 @@
         let limits = DataPlaneLimits {
             file_limit: 1000,
             name: "edge-1".into(),
-            zone: "a".into(),
             seed: 7,
             grace_s: 0.2,
         };
