--- a/crates/runtime/pooler/src/data_plane/mod.rs
+++ b/crates/runtime/pooler/src/data_plane/mod.rs
@@ -220,5 +220,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/data_plane.rs"]
+#[path = "../tests/data_plane/mod.rs"]
 mod tests;
