--- a/crates/runtime/pooler/src/cli.rs
+++ b/crates/runtime/pooler/src/cli.rs
@@ -1,4 +1,10 @@
-//! The operators' commands: they check files, and ask any control machine over HTTP.
+//! The operators' commands.
+//!
+//! `main` parses a [`Command`] and calls [`run`]. Commands check files ([`settings`], [`config`]) or
+//! call any control machine over HTTP ([`client`]) and print what it says ([`status`], [`output`],
+//! [`table`]). They hold no state and run in a process of their own, never beside the system's.
+//!
+//! The doc comments on commands and their fields are the texts of `--help`.
 
 mod client;
 mod config;
@@ -7,18 +13,18 @@
 mod output;
 mod settings;
 mod status;
-mod text;
+mod table;
 
 use clap::{Args, Subcommand};
-pub use client::Client;
-pub use error::CliError;
-use output::{print, show};
+pub use client::{Client, CurrentConfig};
+pub use error::{AttemptError, CliError, FailedAttempts};
+use output::{print, print_value};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The variable that tells the control addresses.
-pub const CONTROL: &str = "BADGERSTREAM_CONTROL";
+/// The environment variable with the addresses of control machines.
+pub const CONTROL_VARIABLE: &str = "BADGERSTREAM_CONTROL";
 
 /// What operators can ask for.
 #[derive(Debug, Clone, Subcommand)]
@@ -35,11 +41,11 @@
     #[command(subcommand)]
     Config(ConfigCommand),
     /// Prints which machine leads, the version in force, the primaries and how many servers there are.
-    Status(Asking),
+    Status(CallArguments),
     /// Prints the database servers that are there.
-    Members(Asking),
+    Members(CallArguments),
     /// Prints the primary of each service.
-    Primaries(Asking),
+    Primaries(CallArguments),
 }
 
 /// What operators can do with the configuration.
@@ -54,7 +60,7 @@
         json: bool,
     },
     /// Prints the configuration in force, as it was sent.
-    Get(Asking),
+    Get(CallArguments),
     /// Checks a configuration and puts it in force.
     Put {
         /// The configuration, JSON; `-` is the standard input.
@@ -64,7 +70,7 @@
         base: Option<u64>,
         /// Whom to ask, and how to print.
         #[command(flatten)]
-        asking: Asking,
+        arguments: CallArguments,
     },
     /// Prints what a configuration would change, against the one in force.
     Diff {
@@ -72,53 +78,58 @@
         file: PathBuf,
         /// Whom to ask, and how to print.
         #[command(flatten)]
-        asking: Asking,
+        arguments: CallArguments,
     },
 }
 
 /// Whom to ask, and how to print.
 #[derive(Debug, Clone, Args)]
-pub struct Asking {
+pub struct CallArguments {
     /// Control addresses, joined by commas or told one by one; the next is asked where one fails.
-    #[arg(long, env = CONTROL, value_name = "ADDR", value_delimiter = ',', required = true)]
-    pub at: Vec<SocketAddr>,
+    #[arg(long = "at", env = CONTROL_VARIABLE, value_name = "ADDR", value_delimiter = ',', required = true)]
+    pub addresses: Vec<SocketAddr>,
     /// Prints JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// Carries a command out and writes what it found to `out`; where it writes JSON, a file that is wrong is told
-/// there too.
+/// Runs a command and writes its result to `out`. As JSON, that a file is invalid is a result, too.
+///
+/// # Errors
+/// [`CliError`] if the command failed, a file is invalid, or `out` can't be written.
 pub fn run(command: Command, out: &mut impl Write) -> Result<(), CliError> {
     match command {
         Command::Check { file, json } => settings::check(&file, json, out),
         Command::Config(ConfigCommand::Check { file, json }) => config::check(&file, json, out),
-        Command::Config(ConfigCommand::Get(asking)) => {
-            let (_, mut body) = Client::new(&asking.at)
-                .config()?
-                .ok_or(CliError::NoConfig)?;
-            if body.last() != Some(&b'\n') {
-                body.push(b'\n');
+        Command::Config(ConfigCommand::Get(arguments)) => {
+            let current = Client::new(&arguments.addresses).config()?;
+            let mut text = current.ok_or(CliError::NoConfig)?.text;
+            if text.last() != Some(&b'\n') {
+                text.push(b'\n');
             }
-            print(out, &body)
+            print(out, &text)
         }
-        Command::Config(ConfigCommand::Put { file, base, asking }) => {
-            config::put(&file, base, &asking, out)
+        Command::Config(ConfigCommand::Put {
+            file,
+            base,
+            arguments,
+        }) => config::put(&file, base, &arguments, out),
+        Command::Config(ConfigCommand::Diff { file, arguments }) => {
+            config::diff(&file, &arguments, out)
         }
-        Command::Config(ConfigCommand::Diff { file, asking }) => config::diff(&file, &asking, out),
-        Command::Status(asking) => {
-            let status = Client::new(&asking.at).status()?;
-            show(out, asking.json, &status, status::overview)
+        Command::Status(arguments) => {
+            let status = Client::new(&arguments.addresses).status()?;
+            print_value(out, arguments.json, &status, status::overview)
         }
-        Command::Members(asking) => {
-            let status = Client::new(&asking.at).status()?;
-            show(out, asking.json, &status.members, |_| {
+        Command::Members(arguments) => {
+            let status = Client::new(&arguments.addresses).status()?;
+            print_value(out, arguments.json, &status.members, |_| {
                 status::members(&status)
             })
         }
-        Command::Primaries(asking) => {
-            let status = Client::new(&asking.at).status()?;
-            show(out, asking.json, &status.primaries, |_| {
+        Command::Primaries(arguments) => {
+            let status = Client::new(&arguments.addresses).status()?;
+            print_value(out, arguments.json, &status.primaries, |_| {
                 status::primaries(&status)
             })
         }
--- a/crates/runtime/pooler/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -1,228 +1,310 @@
-//! Calls to control machines, one connection a call, each address within a time limit.
+//! Calls to control machines: one connection a call, each address within a time limit.
 
-use super::{CliError, text};
+use super::error::{AttemptError, CliError, FailedAttempts};
+use super::table::without_control_chars;
 use badgerstream_control_api::call::{BASE_VERSION, Call, Read, Replace};
 use badgerstream_control_api::status::{ReadStatus, Status};
-use badgerstream_http_codec::{Response, Responses, request};
+use badgerstream_http_codec::{HttpError, Response, Responses, request};
 use badgerstream_pooler_config::config::Config;
 use nanoserde::DeJson;
-use std::io::{ErrorKind, Read as _, Write as _};
+use std::io::{self, ErrorKind, Read as _, Write as _};
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a try at one address may take, with what it is sent on to.
-pub(super) const LIMIT: Duration = Duration::from_secs(3);
-
-/// How many redirects (307) a call follows.
+/// How long an attempt at one address may take, with its redirects.
+pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How many redirects (307) an attempt follows.
 const MAX_REDIRECTS: u32 = 2;
-
-/// The most bytes that an answer may have.
+/// The most bytes of an answer.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// The most characters of an answer that an error shows.
+const MAX_REASON_CHARS: usize = 300;
+/// Size of the read buffer, in bytes.
+const READ_SIZE: usize = 16 << 10;
 
-/// What the error of an answer is carried in, where it isn't plain text.
+/// An error as JSON bodies carry it.
 #[derive(DeJson)]
-struct Reason {
+struct ErrorBody {
     error: String,
 }
 
-/// Calls control machines: the next address where one fails, from the one that last answered on.
+/// The configuration in force.
+pub struct CurrentConfig {
+    /// The configuration.
+    pub config: Config,
+    /// Its text, as the operator sent it.
+    pub text: Vec<u8>,
+}
+
+/// A call, whichever machine it goes to.
+#[derive(Clone, Copy)]
+struct HttpCall<'a> {
+    method: &'a str,
+    path: &'a str,
+    headers: &'a [(&'a str, &'a str)],
+    body: &'a [u8],
+}
+
+impl<'a> HttpCall<'a> {
+    fn without_body(method: &'a str, path: &'a str) -> Self {
+        Self {
+            method,
+            path,
+            headers: &[],
+            body: b"",
+        }
+    }
+}
+
+/// An answer, and the machine that gave it.
+struct Answer {
+    address: SocketAddr,
+    response: Response,
+}
+
+/// Calls control machines: the next address where one fails, beginning with the last that answered.
 pub struct Client {
-    at: Vec<SocketAddr>,
-    limit: Duration,
-    /// Whether anybody may have got the last call.
-    sent: bool,
+    addresses: Vec<SocketAddr>,
+    timeout: Duration,
+    /// Whether a machine may have received the last call.
+    may_be_received: bool,
 }
 
 impl Client {
     /// For these addresses, each with the usual time limit.
-    pub fn new(at: &[SocketAddr]) -> Client {
-        Client::within(at, LIMIT)
+    pub fn new(addresses: &[SocketAddr]) -> Client {
+        Client::with_timeout(addresses, ATTEMPT_TIMEOUT)
     }
 
     /// For these addresses, each with this time limit.
-    pub fn within(at: &[SocketAddr], limit: Duration) -> Client {
+    pub fn with_timeout(addresses: &[SocketAddr], timeout: Duration) -> Client {
         Client {
-            at: at.to_vec(),
-            limit,
-            sent: false,
+            addresses: addresses.to_vec(),
+            timeout,
+            may_be_received: false,
         }
     }
 
-    /// The configuration in force, read and as it was sent; none if there is none yet.
-    pub fn config(&mut self) -> Result<Option<(Config, Vec<u8>)>, CliError> {
-        let (at, answer) = self.call(Read::METHOD, Read::PATH, &[], b"")?;
-        match answer.status {
+    /// The configuration in force; none before the first.
+    ///
+    /// # Errors
+    /// [`CliError`] without an answer, or if it is a rejection or can't be read.
+    pub fn config(&mut self) -> Result<Option<CurrentConfig>, CliError> {
+        let Answer { address, response } =
+            self.call(&HttpCall::without_body(Read::METHOD, Read::PATH))?;
+        match response.status {
             404 => Ok(None),
             200 => {
                 let config =
-                    Config::read(&answer.body).map_err(|e| CliError::Answer(at, e.to_string()))?;
-                Ok(Some((config, answer.body)))
+                    Config::read(&response.body).map_err(|error| CliError::InvalidAnswer {
+                        address,
+                        reason: error.to_string(),
+                    })?;
+                Ok(Some(CurrentConfig {
+                    config,
+                    text: response.body,
+                }))
             }
-            status => Err(CliError::Refused(at, status, why(&answer))),
+            _ => Err(rejected(address, &response)),
         }
     }
 
-    /// Puts this configuration in force, on top of version `base`.
-    pub fn replace(&mut self, base: u64, body: &[u8]) -> Result<(), CliError> {
+    /// Puts a configuration in force, in place of that of epoch `base`.
+    ///
+    /// # Errors
+    /// [`CliError::OutcomeUnknown`] if it may have been applied without an answer; otherwise it has
+    /// not been.
+    pub fn replace(&mut self, base: u64, text: &[u8]) -> Result<(), CliError> {
         let base_version = base.to_string();
-        // That it was taken may be told to nobody: the same bytes are answered 200 again, at any address.
-        let sent = self.call(
-            Replace::METHOD,
-            Replace::PATH,
-            &[(BASE_VERSION, &base_version)],
-            body,
-        );
-        match sent {
-            Ok((_, answer)) if answer.status == 200 => Ok(()),
-            Ok((at, answer)) => Err(CliError::Refused(at, answer.status, why(&answer))),
-            Err(CliError::NoAnswer(tries)) if self.sent => Err(CliError::Unsettled(tries, base)),
-            Err(e) => Err(e),
+        // Safe to send to the next address without an answer: the same bytes get 200 again.
+        let answer = self.call(&HttpCall {
+            method: Replace::METHOD,
+            path: Replace::PATH,
+            headers: &[(BASE_VERSION, &base_version)],
+            body: text,
+        });
+        match answer {
+            Ok(answer) if answer.response.status == 200 => Ok(()),
+            Ok(answer) => Err(rejected(answer.address, &answer.response)),
+            Err(CliError::NoAnswer(attempts)) if self.may_be_received => {
+                Err(CliError::OutcomeUnknown { attempts, base })
+            }
+            Err(error) => Err(error),
         }
     }
 
-    /// How the machine that leads sees the system; where it can't be asked, how another one does.
+    /// The state of the system as the leader sees it; if the leader can't be reached, as the
+    /// machine that answered does.
+    ///
+    /// # Errors
+    /// [`CliError`] without an answer, or if it is a rejection or can't be read.
     pub fn status(&mut self) -> Result<Status, CliError> {
-        let (at, answer) = self.call(ReadStatus::METHOD, ReadStatus::PATH, &[], b"")?;
-        let status = read_status(at, &answer)?;
+        let call = HttpCall::without_body(ReadStatus::METHOD, ReadStatus::PATH);
+        let answer = self.call(&call)?;
+        let status = read_status(&answer)?;
         if status.leads {
             return Ok(status);
         }
-        // The port is the same on all machines.
-        let Some(leader) = status
+        let leader = status
             .leader
             .as_ref()
-            .and_then(|l| l.parse::<IpAddr>().ok())
-        else {
+            .and_then(|leader| leader.parse::<IpAddr>().ok());
+        let Some(leader) = leader else {
             return Ok(status);
         };
-        let leader = SocketAddr::new(leader, at.port());
-        let asked = Client::within(&[leader], self.limit).call(
-            ReadStatus::METHOD,
-            ReadStatus::PATH,
-            &[],
-            b"",
-        );
-        let of_leader = asked.and_then(|(at, answer)| read_status(at, &answer));
-        Ok(of_leader
+        // All control machines use the same port.
+        let leader = SocketAddr::new(leader, answer.address.port());
+        let status_of_leader = Client::with_timeout(&[leader], self.timeout)
+            .call(&call)
+            .and_then(|answer| read_status(&answer));
+        Ok(status_of_leader
             .ok()
             .filter(|status| status.leads)
             .unwrap_or(status))
     }
 
-    /// The first answer that settles the call, and whose it is.
-    fn call(
-        &mut self,
-        method: &str,
-        path: &str,
-        headers: &[(&str, &str)],
-        body: &[u8],
-    ) -> Result<(SocketAddr, Response), CliError> {
-        let mut tries: Vec<String> = Vec::new();
-        self.sent = false;
-        for place in 0..self.at.len() {
-            let first = self.at[place];
-            match self.follow(first, method, path, headers, body) {
-                Ok((at, answer)) if settles(answer.status) => {
-                    self.at.rotate_left(place);
-                    return Ok((at, answer));
+    /// The first answer that another machine wouldn't better.
+    fn call(&mut self, call: &HttpCall<'_>) -> Result<Answer, CliError> {
+        let mut attempts = FailedAttempts::default();
+        self.may_be_received = false;
+        for index in 0..self.addresses.len() {
+            match self.attempt(self.addresses[index], call) {
+                Ok(answer) if is_final(answer.response.status) => {
+                    self.addresses.rotate_left(index);
+                    return Ok(answer);
                 }
-                Ok((at, answer)) => tries.push(format!("{at}: {} {}", answer.status, why(&answer))),
-                Err(what) => tries.push(what),
+                Ok(answer) => attempts.0.push(AttemptError::Status {
+                    address: answer.address,
+                    status: answer.response.status,
+                    reason: reason(&answer.response),
+                }),
+                Err(error) => attempts.0.push(error),
             }
         }
-        Err(CliError::NoAnswer(tries.join("; ")))
+        Err(CliError::NoAnswer(attempts))
     }
 
-    /// The answer of this address, or of the one that it sends the call on to.
-    fn follow(
-        &mut self,
-        first: SocketAddr,
-        method: &str,
-        path: &str,
-        headers: &[(&str, &str)],
-        body: &[u8],
-    ) -> Result<(SocketAddr, Response), String> {
-        let until = Instant::now() + self.limit;
-        let (mut at, mut path) = (first, path.to_owned());
-        for redirects in 0.. {
-            let asked = connect(at, until).and_then(|stream| {
-                self.sent = true;
-                exchange(stream, at, until, method, &path, headers, body)
-            });
-            let answer = asked.map_err(|e| {
-                let what = match e.kind() {
-                    // What the socket says when its time runs out.
-                    ErrorKind::WouldBlock | ErrorKind::TimedOut => {
-                        format!("no answer within {} s", self.limit.as_secs_f64())
-                    }
-                    ErrorKind::ConnectionRefused => "nobody listens there".to_owned(),
-                    _ => text::clean(&e.to_string()),
-                };
-                format!("{at}: {what}")
-            })?;
-            if answer.status != 307 {
-                return Ok((at, answer));
+    /// The answer of this address, or of the one that it redirects to.
+    fn attempt(&mut self, first: SocketAddr, call: &HttpCall<'_>) -> Result<Answer, AttemptError> {
+        let deadline = Instant::now() + self.timeout;
+        let mut address = first;
+        let mut path = call.path.to_owned();
+        let mut redirects = 0;
+        loop {
+            let call = HttpCall {
+                path: &path,
+                ..*call
+            };
+            let response = connect(address, deadline)
+                .and_then(|stream| {
+                    self.may_be_received = true;
+                    exchange(stream, address, deadline, &call)
+                })
+                .map_err(|error| self.attempt_error(address, error))?;
+            if response.status != 307 {
+                return Ok(Answer { address, response });
             }
             if redirects == MAX_REDIRECTS {
-                return Err(format!("{first}: sent on more than {MAX_REDIRECTS} times"));
+                return Err(AttemptError::TooManyRedirects {
+                    address: first,
+                    limit: MAX_REDIRECTS,
+                });
             }
-            let location = answer.header("Location").unwrap_or_default();
-            let next = target(location, at).ok_or_else(|| {
-                format!(
-                    "{at}: sent on to {:?}, which is no address",
-                    text::clean(location)
-                )
+            redirects += 1;
+            let location = response.header("Location").unwrap_or_default();
+            let target = redirect_target(location, address).ok_or_else(|| {
+                AttemptError::InvalidRedirect {
+                    address,
+                    location: without_control_chars(location),
+                }
             })?;
-            (at, path) = next;
+            address = target.address;
+            path = target.path;
+        }
+    }
+
+    fn attempt_error(&self, address: SocketAddr, error: io::Error) -> AttemptError {
+        match error.kind() {
+            // What a socket reports when its time limit passes, by system.
+            ErrorKind::WouldBlock | ErrorKind::TimedOut => AttemptError::TimedOut {
+                address,
+                timeout_s: self.timeout.as_secs_f64(),
+            },
+            ErrorKind::ConnectionRefused => AttemptError::ConnectionRefused { address },
+            _ => AttemptError::Connection { address, error },
         }
-        Err(format!("{first}: sent on without end"))
     }
 }
 
-/// Whether the answer ends the call; after others another address may fare better.
-fn settles(status: u16) -> bool {
+/// Whether the answer ends the call; after others another machine may do better.
+fn is_final(status: u16) -> bool {
     !matches!(status, 408 | 429 | 500..)
 }
 
-/// Where a `Location` leads, from this address.
-fn target(location: &str, from: SocketAddr) -> Option<(SocketAddr, String)> {
+/// Where a redirect leads.
+struct RedirectTarget {
+    address: SocketAddr,
+    path: String,
+}
+
+/// Where a `Location` leads, seen from this address.
+fn redirect_target(location: &str, from: SocketAddr) -> Option<RedirectTarget> {
     if location.starts_with('/') {
-        return Some((from, location.to_owned()));
+        return Some(RedirectTarget {
+            address: from,
+            path: location.to_owned(),
+        });
+    }
+    let without_scheme = location.strip_prefix("http://")?;
+    let host_end = without_scheme.find('/').unwrap_or(without_scheme.len());
+    let (host, path) = without_scheme.split_at(host_end);
+    let path = if path.is_empty() { "/" } else { path };
+    Some(RedirectTarget {
+        address: host.parse().ok()?,
+        path: path.to_owned(),
+    })
+}
+
+fn rejected(address: SocketAddr, response: &Response) -> CliError {
+    CliError::Rejected {
+        address,
+        status: response.status,
+        reason: reason(response),
     }
-    let rest = location.strip_prefix("http://")?;
-    let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-    Some((
-        host.parse().ok()?,
-        if path.is_empty() {
-            "/".to_owned()
-        } else {
-            path.to_owned()
-        },
-    ))
 }
 
 /// What an answer says besides its status, in one line.
-fn why(answer: &Response) -> String {
-    let text = String::from_utf8_lossy(&answer.body);
+fn reason(response: &Response) -> String {
+    let text = String::from_utf8_lossy(&response.body);
     let reason = match DeJson::deserialize_json(text.trim()) {
-        Ok(Reason { error }) if text.starts_with('{') => error,
+        Ok(ErrorBody { error }) if text.starts_with('{') => error,
         _ => text.trim().to_owned(),
     };
-    match reason.is_empty() {
-        true => "no reason told".to_owned(),
-        false => text::clean(&reason).chars().take(300).collect(),
+    if reason.is_empty() {
+        return "no reason told".to_owned();
     }
+    without_control_chars(&reason)
+        .chars()
+        .take(MAX_REASON_CHARS)
+        .collect()
 }
 
-fn read_status(at: SocketAddr, answer: &Response) -> Result<Status, CliError> {
-    match answer.status {
-        200 => Status::read(&answer.body).map_err(|e| CliError::Answer(at, e.to_string())),
-        status => Err(CliError::Refused(at, status, why(answer))),
+fn read_status(answer: &Answer) -> Result<Status, CliError> {
+    match answer.response.status {
+        200 => Status::read(&answer.response.body).map_err(|error| CliError::InvalidAnswer {
+            address: answer.address,
+            reason: error.to_string(),
+        }),
+        _ => Err(rejected(answer.address, &answer.response)),
     }
 }
 
-fn remaining(until: Instant) -> std::io::Result<Duration> {
-    let remaining = until.saturating_duration_since(Instant::now());
+/// The time until the deadline.
+///
+/// # Errors
+/// [`ErrorKind::TimedOut`] if it has passed: a socket takes no time limit of zero.
+fn remaining(deadline: Instant) -> io::Result<Duration> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
     if remaining.is_zero() {
         Err(ErrorKind::TimedOut.into())
     } else {
@@ -230,8 +312,8 @@
     }
 }
 
-fn connect(at: SocketAddr, until: Instant) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&at, remaining(until)?)?;
+fn connect(address: SocketAddr, deadline: Instant) -> io::Result<TcpStream> {
+    let stream = TcpStream::connect_timeout(&address, remaining(deadline)?)?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
@@ -239,47 +321,57 @@
 /// One request on a connection of its own, and its answer.
 fn exchange(
     mut stream: TcpStream,
-    at: SocketAddr,
-    until: Instant,
-    method: &str,
-    path: &str,
-    headers: &[(&str, &str)],
-    body: &[u8],
-) -> std::io::Result<Response> {
-    let mut headers = headers.to_vec();
+    address: SocketAddr,
+    deadline: Instant,
+    call: &HttpCall<'_>,
+) -> io::Result<Response> {
+    let mut headers = call.headers.to_vec();
     headers.push(("Connection", "close"));
-    let mut rest = &request(method, path, &at.to_string(), &headers, body)[..];
-    let invalid = |e: badgerstream_http_codec::HttpError| {
-        std::io::Error::new(ErrorKind::InvalidData, e.to_string())
-    };
-    let mut answered = Responses::new(MAX_ANSWER_BYTES);
-    let mut bytes = vec![0; 16 << 10];
-    while !rest.is_empty() {
-        stream.set_write_timeout(Some(remaining(until)?))?;
-        match stream.write(rest) {
-            Ok(count) => rest = &rest[count..],
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            // Who refuses a body may have answered before its end: that answer is still to be read.
-            Err(e) if matches!(e.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => {
+    let host = address.to_string();
+    let bytes = request(call.method, call.path, &host, &headers, call.body);
+    send(&mut stream, deadline, &bytes)?;
+    receive(&mut stream, deadline)
+}
+
+fn send(stream: &mut TcpStream, deadline: Instant, bytes: &[u8]) -> io::Result<()> {
+    let mut unsent = bytes;
+    while !unsent.is_empty() {
+        stream.set_write_timeout(Some(remaining(deadline)?))?;
+        match stream.write(unsent) {
+            Ok(count) => unsent = &unsent[count..],
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            // A machine that rejects a body may have answered before its end: the answer counts.
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::BrokenPipe | ErrorKind::ConnectionReset
+                ) =>
+            {
                 break;
             }
-            Err(e) => return Err(e),
+            Err(error) => return Err(error),
         }
     }
+    Ok(())
+}
+
+fn receive(stream: &mut TcpStream, deadline: Instant) -> io::Result<Response> {
+    let invalid = |error: HttpError| io::Error::new(ErrorKind::InvalidData, error.to_string());
+    let mut responses = Responses::new(MAX_ANSWER_BYTES);
+    let mut bytes = vec![0; READ_SIZE];
     loop {
-        if let Some(answer) = answered.next().map_err(invalid)? {
-            return Ok(answer);
+        if let Some(response) = responses.next().map_err(invalid)? {
+            return Ok(response);
         }
-        stream.set_read_timeout(Some(remaining(until)?))?;
+        stream.set_read_timeout(Some(remaining(deadline)?))?;
         match stream.read(&mut bytes) {
             Ok(0) => {
-                let closed =
-                    std::io::Error::new(ErrorKind::UnexpectedEof, "closed without an answer");
-                return answered.finish().map_err(invalid)?.ok_or(closed);
+                let closed = io::Error::new(ErrorKind::UnexpectedEof, "closed without an answer");
+                return responses.finish().map_err(invalid)?.ok_or(closed);
             }
-            Ok(count) => answered.feed(&bytes[..count]),
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
+            Ok(count) => responses.feed(&bytes[..count]),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
 }
--- a/crates/runtime/pooler/src/cli/config.rs
+++ b/crates/runtime/pooler/src/cli/config.rs
@@ -1,8 +1,9 @@
-//! `config`: a configuration is checked, put in force, and compared with the one in force.
+//! `config`: checks a configuration, puts it in force, and compares it with the one in force.
 
 use super::files::{name, read};
-use super::output::{print, show};
-use super::{Asking, CliError, Client, text};
+use super::output::{print, print_value};
+use super::table::without_control_chars;
+use super::{CallArguments, CliError, Client, CurrentConfig};
 use badgerstream_pooler_config::JsonError;
 use badgerstream_pooler_config::config::{self, Config, ConfigError};
 use nanoserde::SerJson;
@@ -18,33 +19,43 @@
     epoch: Option<u64>,
     routes: Option<usize>,
     services: Option<usize>,
-    /// Fields that are kept and have no effect, by where they stand.
+    /// Paths of fields that are stored and have no effect.
     without_effect: Vec<String>,
     error: Option<String>,
 }
 
-/// Reads a configuration; an error tells the line and column where it breaks off.
-fn read_config(file: &Path) -> Result<(Vec<u8>, Result<Config, CliError>), CliError> {
-    let body = read(file)?;
-    let config = Config::read(&body).map_err(|e| CliError::Wrong(name(file), locate(&e, &body)));
-    Ok((body, config))
+/// A configuration file that was read.
+struct ConfigFile {
+    text: Vec<u8>,
+    /// [`CliError::InvalidFile`] if the text is no valid configuration.
+    config: Result<Config, CliError>,
 }
 
-/// An error with the line and column where a configuration breaks off.
-fn locate(error: &ConfigError, body: &[u8]) -> String {
-    let ConfigError::Unreadable(JsonError::Syntax(at, what)) = error else {
+/// Reads a configuration file.
+fn read_config(file: &Path) -> Result<ConfigFile, CliError> {
+    let text = read(file)?;
+    let config = Config::read(&text).map_err(|error| CliError::InvalidFile {
+        file: name(file),
+        reason: with_line_and_column(&error, &text),
+    });
+    Ok(ConfigFile { text, config })
+}
+
+/// The text of an error, with line and column if the configuration's syntax is wrong.
+fn with_line_and_column(error: &ConfigError, text: &[u8]) -> String {
+    let ConfigError::Unreadable(JsonError::Syntax(offset, reason)) = error else {
         return error.to_string();
     };
-    let before = &body[..(*at).min(body.len())];
+    let before = &text[..(*offset).min(text.len())];
     let line = before.iter().filter(|b| **b == b'\n').count() + 1;
     let column = before.iter().rev().take_while(|b| **b != b'\n').count() + 1;
-    format!("can't be read: line {line}, column {column}: {what}")
+    format!("can't be read: line {line}, column {column}: {reason}")
 }
 
 /// Checks a configuration and prints the verdict.
 pub(super) fn check(file: &Path, json: bool, out: &mut impl Write) -> Result<(), CliError> {
-    let (body, config) = read_config(file)?;
-    let without_effect = config::without_effect(&body).unwrap_or_default();
+    let ConfigFile { text, config } = read_config(file)?;
+    let without_effect = config::without_effect(&text).unwrap_or_default();
     if json {
         let config_ref = config.as_ref();
         let verdict = ConfigVerdict {
@@ -68,11 +79,11 @@
         name(file),
         config.epoch
     );
-    for place in without_effect {
+    for path in without_effect {
         text += &format!(
             "{}: note: {} is kept and has no effect\n",
             name(file),
-            text::clean(&place)
+            without_control_chars(&path)
         );
     }
     print(out, text.as_bytes())
@@ -83,7 +94,7 @@
 struct PutVerdict {
     epoch: u64,
     base: u64,
-    /// Whether it was in force before this call.
+    /// Whether it was in force before this command.
     was_in_force: bool,
 }
 
@@ -91,67 +102,81 @@
 pub(super) fn put(
     file: &Path,
     base: Option<u64>,
-    asking: &Asking,
+    arguments: &CallArguments,
     out: &mut impl Write,
 ) -> Result<(), CliError> {
-    let (body, config) = read_config(file)?;
+    let ConfigFile { text, config } = read_config(file)?;
     let epoch = config?.epoch;
-    let mut client = Client::new(&asking.at);
+    let mut client = Client::new(&arguments.addresses);
     let (base, was_in_force) = match base {
         Some(base) => (base, false),
         None => match client.config()? {
-            Some((current, text)) => (current.epoch, text == body),
+            Some(current) => (current.config.epoch, current.text == text),
             None => (0, false),
         },
     };
     if !was_in_force {
-        client.replace(base, &body)?;
+        client.replace(base, &text)?;
     }
-    show(
+    print_value(
         out,
-        asking.json,
+        arguments.json,
         &PutVerdict {
             epoch,
             base,
             was_in_force,
         },
-        |_| match was_in_force {
-            true => format!("version {epoch} is in force already\n"),
-            false => format!("version {epoch} is taken; it builds on {base}\n"),
+        |_| {
+            if was_in_force {
+                format!("version {epoch} is in force already\n")
+            } else {
+                format!("version {epoch} is taken; it builds on {base}\n")
+            }
         },
     )
 }
 
 /// What `config diff --json` prints.
 #[derive(SerJson)]
-struct Difference {
+struct ConfigDiff {
     from: u64,
     to: u64,
     changes: Vec<String>,
 }
 
 /// Prints what a configuration would change.
-pub(super) fn diff(file: &Path, asking: &Asking, out: &mut impl Write) -> Result<(), CliError> {
-    let (_, config) = read_config(file)?;
-    let config = config?;
-    let current = match Client::new(&asking.at).config()? {
-        Some((current, _)) => current,
-        None => Config::read(br#"{"epoch":0,"routes":[],"backends":[]}"#)
-            .map_err(|e| CliError::Wrong("the empty configuration".to_owned(), e.to_string()))?,
+pub(super) fn diff(
+    file: &Path,
+    arguments: &CallArguments,
+    out: &mut impl Write,
+) -> Result<(), CliError> {
+    let config = read_config(file)?.config?;
+    let current = match Client::new(&arguments.addresses).config()? {
+        Some(CurrentConfig { config, .. }) => config,
+        None => empty_config()?,
     };
-    let found = Difference {
+    let diff = ConfigDiff {
         from: current.epoch,
         to: config.epoch,
         changes: config::diff(&current, &config),
     };
-    show(out, asking.json, &found, |found| {
-        if found.changes.is_empty() {
-            return format!("no difference to version {}\n", found.from);
+    print_value(out, arguments.json, &diff, |diff| {
+        if diff.changes.is_empty() {
+            return format!("no difference to version {}\n", diff.from);
         }
-        found
-            .changes
+        diff.changes
             .iter()
-            .map(|line| text::clean(line) + "\n")
+            .map(|line| without_control_chars(line) + "\n")
             .collect()
     })
 }
+
+/// What a first configuration is compared with.
+fn empty_config() -> Result<Config, CliError> {
+    Config::read(br#"{"epoch":0,"routes":[],"backends":[]}"#).map_err(|error| {
+        CliError::InvalidFile {
+            file: "the empty configuration".to_owned(),
+            reason: error.to_string(),
+        }
+    })
+}
--- a/crates/runtime/pooler/src/cli/files.rs
+++ b/crates/runtime/pooler/src/cli/files.rs
@@ -4,22 +4,28 @@
 use std::io::{self, Read};
 use std::path::Path;
 
-/// The name of a file in messages; `-` is the standard input.
+/// What stands for the standard input in place of a file.
+const STANDARD_INPUT: &str = "-";
+
+/// The name of a file in messages.
 pub(super) fn name(file: &Path) -> String {
-    if file == Path::new("-") {
+    if file == Path::new(STANDARD_INPUT) {
         "standard input".to_owned()
     } else {
         file.display().to_string()
     }
 }
 
-/// Reads a file whole; `-` is the standard input.
+/// Reads all of a file, or of the standard input.
 pub(super) fn read(file: &Path) -> Result<Vec<u8>, CliError> {
-    let mut bytes = Vec::new();
-    let done = match file == Path::new("-") {
-        true => io::stdin().read_to_end(&mut bytes).map(drop),
-        false => std::fs::read(file).map(|read| bytes = read),
+    let bytes = if file == Path::new(STANDARD_INPUT) {
+        let mut bytes = Vec::new();
+        io::stdin().read_to_end(&mut bytes).map(|_| bytes)
+    } else {
+        std::fs::read(file)
     };
-    done.map(|()| bytes)
-        .map_err(|e| CliError::File(name(file), e))
+    bytes.map_err(|error| CliError::ReadFile {
+        file: name(file),
+        error,
+    })
 }
--- a/crates/runtime/pooler/src/cli/output.rs
+++ b/crates/runtime/pooler/src/cli/output.rs
@@ -1,29 +1,29 @@
-//! Printing what a command found, as JSON or as text.
+//! Printing the result of a command, as JSON or as text.
 
 use super::CliError;
 use nanoserde::SerJson;
 use std::io::{self, Write};
 
-/// Writes bytes out; a reader that has closed its end is no error.
+/// Writes bytes out. That the reader has closed its end is no error.
 pub(super) fn print(out: &mut impl Write, bytes: &[u8]) -> Result<(), CliError> {
     match out.write_all(bytes).and_then(|()| out.flush()) {
-        // Who reads has seen enough, `head` say.
-        Err(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        done => done.map_err(CliError::Output),
+        // The reader, say `head`, needs no more.
+        Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
+        written => written.map_err(CliError::Output),
     }
 }
 
-/// Prints a value as one line of JSON, or as `text` renders it.
-pub(super) fn show<T: SerJson>(
+/// Prints a value as one line of JSON, or as `render` makes it text.
+pub(super) fn print_value<T: SerJson>(
     out: &mut impl Write,
     json: bool,
-    what: &T,
-    text: impl Fn(&T) -> String,
+    value: &T,
+    render: impl Fn(&T) -> String,
 ) -> Result<(), CliError> {
     let text = if json {
-        what.serialize_json() + "\n"
+        value.serialize_json() + "\n"
     } else {
-        text(what)
+        render(value)
     };
     print(out, text.as_bytes())
 }
--- a/crates/runtime/pooler/src/cli/settings.rs
+++ b/crates/runtime/pooler/src/cli/settings.rs
@@ -1,4 +1,4 @@
-//! `check`: whether a settings file is right.
+//! `check`: checks a settings file.
 
 use super::CliError;
 use super::files::{name, read};
@@ -21,37 +21,17 @@
 
 /// Checks a settings file and prints the verdict.
 pub(super) fn check(file: &Path, json: bool, out: &mut impl Write) -> Result<(), CliError> {
-    let bytes = read(file)?;
-    let checked = match String::from_utf8(bytes) {
-        Ok(text) => Settings::read(&text).and_then(check_complete),
-        Err(e) => {
-            let line = e.as_bytes()[..e.utf8_error().valid_up_to()]
-                .iter()
-                .filter(|b| **b == b'\n')
-                .count()
-                + 1;
-            Err(SettingsError::Line(line, "no UTF-8".to_owned()))
-        }
-    };
-    let found = match &checked {
-        Ok(_) | Err(SettingsError::Line(0, _)) => (None, None),
-        Err(SettingsError::Line(line, _)) => (Some(*line), None),
-        Err(SettingsError::Missing(field)) => (None, Some((*field).to_owned())),
-        Err(SettingsError::Wrong(line, field, ..)) => {
-            (Some(*line).filter(|l| *l > 0), Some(field.clone()))
-        }
-    };
+    let checked = read_settings(read(file)?).and_then(check_complete);
     if json {
-        let verdict = SettingsVerdict {
-            file: name(file),
-            valid: checked.is_ok(),
-            line: found.0,
-            field: found.1,
-            error: checked.as_ref().err().map(SettingsError::to_string),
-        };
-        print(out, (verdict.serialize_json() + "\n").as_bytes())?;
+        print(
+            out,
+            (verdict(file, &checked).serialize_json() + "\n").as_bytes(),
+        )?;
     }
-    let settings = checked.map_err(|e| CliError::Wrong(name(file), e.to_string()))?;
+    let settings = checked.map_err(|error| CliError::InvalidFile {
+        file: name(file),
+        reason: error.to_string(),
+    })?;
     if json {
         return Ok(());
     }
@@ -67,7 +47,33 @@
     )
 }
 
-/// What each field alone doesn't show: whether a process can do with the file what it is told to.
+fn read_settings(bytes: Vec<u8>) -> Result<Settings, SettingsError> {
+    let text = String::from_utf8(bytes).map_err(|error| {
+        let valid = &error.as_bytes()[..error.utf8_error().valid_up_to()];
+        let line = valid.iter().filter(|byte| **byte == b'\n').count() + 1;
+        SettingsError::Line(line, "no UTF-8".to_owned())
+    })?;
+    Settings::read(&text)
+}
+
+fn verdict(file: &Path, checked: &Result<Settings, SettingsError>) -> SettingsVerdict {
+    // Line 0 stands for none.
+    let (line, field) = match checked {
+        Ok(_) => (0, None),
+        Err(SettingsError::Line(line, _)) => (*line, None),
+        Err(SettingsError::Missing(field)) => (0, Some((*field).to_owned())),
+        Err(SettingsError::Wrong(line, field, ..)) => (*line, Some(field.clone())),
+    };
+    SettingsVerdict {
+        file: name(file),
+        valid: checked.is_ok(),
+        line: Some(line).filter(|line| *line > 0),
+        field,
+        error: checked.as_ref().err().map(SettingsError::to_string),
+    }
+}
+
+/// Checks what no field shows alone: that a process has all that its roles need.
 fn check_complete(settings: Settings) -> Result<Settings, SettingsError> {
     if settings.control.is_some() && settings.state_dir.is_none() {
         return Err(SettingsError::Missing("state_dir"));
--- a/crates/runtime/pooler/src/cli/status.rs
+++ b/crates/runtime/pooler/src/cli/status.rs
@@ -1,10 +1,9 @@
 //! `status`, `members` and `primaries`: the state of the system as tables.
 
-use super::text::{self, Table};
+use super::table::{Table, without_control_chars};
 use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
-use std::fmt::Write as _;
 
-/// A change's phase in plain words.
+/// The phase of a primary's failover, in plain words.
 fn phase_text(primary: &PrimaryStatus) -> &str {
     match primary.phase.as_str() {
         "finding" => "being looked for",
@@ -24,20 +23,20 @@
     if text.is_empty() { "-" } else { text }
 }
 
-/// What only the leader can tell is missing from a follower's answer: a note that says so, empty for the leader.
+/// A note that a follower doesn't know primaries and routers; empty for the leader.
 fn follower_note(status: &Status) -> String {
-    match status.leads {
-        true => String::new(),
-        false => format!(
-            "{} answered and doesn't lead: primaries and routers aren't known to it\n",
-            text::clean(&status.node)
-        ),
+    if status.leads {
+        return String::new();
     }
+    format!(
+        "{} answered and doesn't lead: primaries and routers aren't known to it\n",
+        without_control_chars(&status.node)
+    )
 }
 
-/// What the machine that answered can't do, one line each; empty if it is well.
-fn trouble_notes(status: &Status) -> String {
-    let node = text::clean(&status.node);
+/// Faults of the machine that answered, one line each; empty if there are none.
+fn fault_notes(status: &Status) -> String {
+    let node = without_control_chars(&status.node);
     let mut notes = String::new();
     if status.out_of_contact {
         let since = match status.out_of_contact_s {
@@ -60,30 +59,35 @@
 /// The state of the system and the primary of each service.
 pub(super) fn overview(status: &Status) -> String {
     let mut pairs = Table::new(&[]);
-    let draining = status.members.iter().filter(|m| m.draining).count();
+    let draining = status
+        .members
+        .iter()
+        .filter(|member| member.draining)
+        .count();
     let version = match status.epoch {
         0 if status.leads => "none yet".to_owned(),
         0 => "not known there".to_owned(),
         epoch => format!("version {epoch}"),
     };
-    pairs.row(&["answered by", &status.node]);
-    pairs.row(&["leader", status.leader.as_deref().map_or("none", or_dash)]);
-    pairs.row(&["voters", or_dash(&status.voters.join(", "))]);
-    pairs.row(&["configuration", &version]);
+    pairs.add_row(&["answered by", &status.node]);
+    pairs.add_row(&["leader", status.leader.as_deref().map_or("none", or_dash)]);
+    pairs.add_row(&["voters", or_dash(&status.voters.join(", "))]);
+    pairs.add_row(&["configuration", &version]);
     if status.leads {
-        pairs.row(&["routers", &status.routers.to_string()]);
+        pairs.add_row(&["routers", &status.routers.to_string()]);
     }
-    pairs.row(&["lease", &format!("{} s", status.lease_s)]);
-    pairs.row(&[
+    pairs.add_row(&["lease", &format!("{} s", status.lease_s)]);
+    pairs.add_row(&[
         "servers",
         &format!("{}, of which {draining} draining", status.members.len()),
     ]);
     let mut text = pairs.text();
-    match status.leads {
-        true => write!(text, "\n{}", primaries(status)).unwrap_or_default(),
-        false => text += &follower_note(status),
+    if status.leads {
+        text += &format!("\n{}", primaries(status));
+    } else {
+        text += &follower_note(status);
     }
-    text + &trouble_notes(status)
+    text + &fault_notes(status)
 }
 
 /// The table of database servers.
@@ -93,63 +97,67 @@
     ]);
     let mut members: Vec<&MemberStatus> = status.members.iter().collect();
     members.sort_by(|a, b| (&a.service, &a.zone, &a.id).cmp(&(&b.service, &b.zone, &b.id)));
-    for m in members {
-        let role = match status.primaries.iter().find(|p| p.service == m.service) {
-            Some(p) if p.id.is_empty() => "-",
-            Some(p) if p.id == m.id => "primary",
+    for member in members {
+        let role = match status
+            .primaries
+            .iter()
+            .find(|primary| primary.service == member.service)
+        {
+            Some(primary) if primary.id.is_empty() => "-",
+            Some(primary) if primary.id == member.id => "primary",
             Some(_) => "replica",
             None => "-",
         };
-        let state = if m.draining { "draining" } else { "ready" };
-        table.row(&[
-            &m.service,
-            &m.id,
-            &m.endpoint,
-            or_dash(&m.zone),
-            &m.slots.to_string(),
+        let state = if member.draining { "draining" } else { "ready" };
+        table.add_row(&[
+            &member.service,
+            &member.id,
+            &member.endpoint,
+            or_dash(&member.zone),
+            &member.slots.to_string(),
             role,
             state,
         ]);
     }
-    match status.members.is_empty() {
-        true => {
-            "no servers are known\n".to_owned() + &follower_note(status) + &trouble_notes(status)
-        }
-        false => table.text() + &follower_note(status) + &trouble_notes(status),
-    }
+    let text = if status.members.is_empty() {
+        "no servers are known\n".to_owned()
+    } else {
+        table.text()
+    };
+    text + &follower_note(status) + &fault_notes(status)
 }
 
 /// The table of primaries.
 pub(super) fn primaries(status: &Status) -> String {
     if status.primaries.is_empty() {
-        return match status.leads {
-            true => "no services are known\n".to_owned(),
-            false => follower_note(status) + &trouble_notes(status),
-        };
+        if status.leads {
+            return "no services are known\n".to_owned();
+        }
+        return follower_note(status) + &fault_notes(status);
     }
     let mut table = Table::new(&["SERVICE", "PRIMARY", "TERM", "ENDPOINT", "ZONE", "STATE"]);
     let mut primaries: Vec<&PrimaryStatus> = status.primaries.iter().collect();
     primaries.sort_by(|a, b| a.service.cmp(&b.service));
-    for p in primaries {
+    for primary in primaries {
         let member = status
             .members
             .iter()
-            .find(|m| m.id == p.id && m.service == p.service);
-        let endpoint = member.map_or("-", |m| or_dash(&m.endpoint));
-        let zone = member.map_or("-", |m| or_dash(&m.zone));
-        let term = if p.id.is_empty() {
+            .find(|member| member.id == primary.id && member.service == primary.service);
+        let endpoint = member.map_or("-", |member| or_dash(&member.endpoint));
+        let zone = member.map_or("-", |member| or_dash(&member.zone));
+        let term = if primary.id.is_empty() {
             "-".to_owned()
         } else {
-            p.term.to_string()
+            primary.term.to_string()
         };
-        table.row(&[
-            &p.service,
-            or_dash(&p.id),
+        table.add_row(&[
+            &primary.service,
+            or_dash(&primary.id),
             &term,
             endpoint,
             zone,
-            phase_text(p),
+            phase_text(primary),
         ]);
     }
-    table.text() + &trouble_notes(status)
+    table.text() + &fault_notes(status)
 }
--- a/crates/runtime/pooler/src/tests/cli.rs
+++ b/crates/runtime/pooler/src/tests/cli.rs
@@ -15,66 +15,66 @@
 const CONFIG: &str = r#"{"epoch":7,"routes":[{"name":"r1","authority":"catalog","path_prefix":"/","mode":"leader",
 "deadline_ms":1000,"backend":"catalog-pg"}],"backends":[{"name":"catalog-pg","sync_replicas":1}],"limits":{}}"#;
 
-/// A control machine that gives these answers in turn, one a connection; it tells the requests that it got.
-struct Machine {
-    at: SocketAddr,
+/// A control machine that gives these answers in turn, one a connection, and records the requests.
+struct ScriptedMachine {
+    address: SocketAddr,
     thread: JoinHandle<Vec<Request>>,
 }
 
-impl Machine {
-    fn new(answers: Vec<Vec<u8>>) -> Machine {
-        Machine::on(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), answers)
+impl ScriptedMachine {
+    fn new(answers: Vec<Vec<u8>>) -> ScriptedMachine {
+        ScriptedMachine::on(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), answers)
     }
 
-    fn on(at: SocketAddr, answers: Vec<Vec<u8>>) -> Machine {
-        let listener = TcpListener::bind(at).unwrap();
-        let at = listener.local_addr().unwrap();
-        let serve = move || {
-            let mut got = Vec::new();
+    fn on(address: SocketAddr, answers: Vec<Vec<u8>>) -> ScriptedMachine {
+        let listener = TcpListener::bind(address).unwrap();
+        let address = listener.local_addr().unwrap();
+        let answer_in_turn = move || {
+            let mut requests = Vec::new();
             for answer in answers {
                 let (mut stream, _) = listener.accept().unwrap();
-                let mut requests = Requests::new(1 << 20);
+                let mut decoder = Requests::new(1 << 20);
                 let mut bytes = [0; 4096];
                 let request = loop {
-                    if let Some(request) = requests.next().unwrap() {
+                    if let Some(request) = decoder.next().unwrap() {
                         break request;
                     }
                     let count = stream.read(&mut bytes).unwrap();
                     assert!(count > 0, "the request breaks off");
-                    requests.feed(&bytes[..count]);
+                    decoder.feed(&bytes[..count]);
                 };
-                got.push(request);
+                requests.push(request);
                 stream.write_all(&answer).unwrap();
             }
-            got
+            requests
         };
-        Machine {
-            at,
-            thread: std::thread::spawn(serve),
+        ScriptedMachine {
+            address,
+            thread: std::thread::spawn(answer_in_turn),
         }
     }
 
-    fn got(self) -> Vec<Request> {
+    fn requests(self) -> Vec<Request> {
         self.thread.join().unwrap()
     }
 }
 
 /// An address at which nobody listens: no other test uses a port that low.
-fn dead() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 9], 1))
 }
 
 /// A file that is removed at the end of its test.
-struct File(PathBuf);
+struct TempFile(PathBuf);
 
-impl File {
-    fn new(name: &str, text: &str) -> File {
+impl TempFile {
+    fn new(name: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!(
             "badgerstream-pooler-cli-{}-{name}",
             std::process::id()
         ));
         std::fs::write(&path, text).unwrap();
-        File(path)
+        TempFile(path)
     }
 
     fn name(&self) -> &str {
@@ -82,23 +82,23 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 #[derive(Parser)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 fn parse(words: &[&str]) -> Result<Command, clap::Error> {
-    Line::try_parse_from([&["badgerstream-pooler"], words].concat()).map(|line| line.command)
+    CommandLine::try_parse_from([&["badgerstream-pooler"], words].concat()).map(|line| line.command)
 }
 
-/// What a command prints, and its error's line.
+/// What a command prints, and the line of its error.
 fn run(words: &[&str]) -> (String, Option<String>) {
     let mut out = Vec::new();
     let ended = cli::run(parse(words).unwrap(), &mut out);
@@ -118,7 +118,7 @@
     response(status, &[], body.as_bytes(), false)
 }
 
-fn sent_on(to: &str) -> Vec<u8> {
+fn redirect(to: &str) -> Vec<u8> {
     response(307, &[("Location", to)], b"", false)
 }
 
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn wrong_usage_is_told_by_clap_with_code_2() {
+fn invalid_usage_exits_with_code_2() {
     for words in [
         &["members", "--at", "nowhere"][..],
         &["config"],
@@ -171,7 +171,7 @@
             "{words:?}"
         );
     }
-    let Ok(Command::Status(asking)) = parse(&[
+    let Ok(Command::Status(arguments)) = parse(&[
         "status",
         "--at",
         "10.0.0.1:80,10.0.0.2:80",
@@ -180,20 +180,20 @@
     ]) else {
         panic!("no status")
     };
-    assert_eq!(asking.at.len(), 3);
+    assert_eq!(arguments.addresses.len(), 3);
 }
 
 #[test]
-fn check_tells_line_and_field() {
+fn settings_check_reports_line_and_field() {
     let right =
         "node_name=core-1\nrole=control\nip=10.1.0.8\nzone=a\nbind_addrs.control=10.1.0.8:8782\n";
-    let file = File::new("no-disk", right);
+    let file = TempFile::new("no-disk", right);
     let (out, error) = run(&["check", file.name(), "--json"]);
-    let told = "\"valid\":false,\"line\":null,\"field\":\"state_dir\",\"error\":\"field state_dir: missing\"}\n";
-    assert!(out.ends_with(told), "{out}");
+    let expected = "\"valid\":false,\"line\":null,\"field\":\"state_dir\",\"error\":\"field state_dir: missing\"}\n";
+    assert!(out.ends_with(expected), "{out}");
     assert!(error.unwrap().ends_with("field state_dir: missing"));
 
-    let file = File::new(
+    let file = TempFile::new(
         "valid",
         &format!("{right}state_dir=/var/lib/badgerstream-pooler\n"),
     );
@@ -206,7 +206,7 @@
         )
     );
 
-    let file = File::new("wrong", &right.replace("zone=a", "zone=a\nport_range=9,3"));
+    let file = TempFile::new("wrong", &right.replace("zone=a", "zone=a\nport_range=9,3"));
     let (out, error) = run(&["check", file.name()]);
     assert_eq!(out, "");
     assert!(
@@ -220,9 +220,9 @@
 }
 
 #[test]
-fn config_check_tells_what_has_no_effect() {
+fn config_check_reports_fields_without_effect() {
     let text = CONFIG.replace(r#""mode""#, r#""split":[{"weight":1}],"mode""#);
-    let file = File::new("without-effect", &text);
+    let file = TempFile::new("without-effect", &text);
     let (out, error) = run(&["config", "check", file.name()]);
     let name = file.name();
     let note = format!("{name}: note: routes[].split is kept and has no effect\n");
@@ -241,8 +241,8 @@
 }
 
 #[test]
-fn config_check_tells_the_place() {
-    let file = File::new("config", CONFIG);
+fn config_check_reports_position_of_error() {
+    let file = TempFile::new("config", CONFIG);
     let (out, error) = run(&["config", "check", file.name()]);
     assert_eq!(
         (out, error),
@@ -252,12 +252,12 @@
         )
     );
 
-    let file = File::new("cut", &CONFIG[..CONFIG.len() - 2]);
+    let file = TempFile::new("cut", &CONFIG[..CONFIG.len() - 2]);
     let (out, error) = run(&["config", "check", file.name(), "--json"]);
     assert!(error.unwrap().contains("line 2, column "));
     assert!(out.contains("\"valid\":false"), "{out}");
 
-    let file = File::new(
+    let file = TempFile::new(
         "no-service",
         &CONFIG.replace("\"backend\":\"catalog-pg\"", "\"backend\":\"x\""),
     );
@@ -269,23 +269,26 @@
     );
 }
 
-/// Scripts read this JSON: it stays as it is, to the byte.
+/// Scripts of operators read this JSON: it must not change by a byte.
 #[test]
-fn the_json_of_the_commands_keeps_its_bytes() {
-    let asked = |word: &str| {
-        let machine = Machine::new(vec![ok(&status().serialize_json())]);
-        let (out, error) = run(&[word, "--json", "--at", &machine.at.to_string()]);
+fn json_output_is_stable() {
+    let printed = |word: &str| {
+        let machine = ScriptedMachine::new(vec![ok(&status().serialize_json())]);
+        let (out, error) = run(&[word, "--json", "--at", &machine.address.to_string()]);
         assert_eq!(error, None);
         out
     };
-    assert_eq!(asked("status"), include_str!("fixtures/status.json"));
-    assert_eq!(asked("members"), include_str!("fixtures/members.json"));
-    assert_eq!(asked("primaries"), include_str!("fixtures/primaries.json"));
+    assert_eq!(printed("status"), include_str!("fixtures/status.json"));
+    assert_eq!(printed("members"), include_str!("fixtures/members.json"));
+    assert_eq!(
+        printed("primaries"),
+        include_str!("fixtures/primaries.json")
+    );
 }
 
-/// A machine that is cut off, can't save or doesn't decide says so, and for how long.
+/// Out of contact, a failed disk, not a voter: each is reported, with its time.
 #[test]
-fn what_a_machine_cannot_do_is_told() {
+fn status_reports_faults_of_the_answering_machine() {
     let cut_off = Status {
         leads: false,
         out_of_contact: true,
@@ -294,11 +297,11 @@
         no_voter: true,
         ..status()
     };
-    let machine = Machine::new(vec![
+    let machine = ScriptedMachine::new(vec![
         ok(&cut_off.serialize_json()),
         ok(&cut_off.serialize_json()),
     ]);
-    let (out, error) = run(&["status", "--at", &machine.at.to_string()]);
+    let (out, error) = run(&["status", "--at", &machine.address.to_string()]);
     assert_eq!(error, None);
     let notes = "core-lima-a-1 has had no contact with most control machines for 12.3 s: what it shows may be old\n\
                  core-lima-a-1 can't save: it takes no part until its disk takes bytes again\n\
@@ -307,18 +310,18 @@
 }
 
 #[test]
-fn get_gives_the_bytes_that_were_sent() {
-    let machine = Machine::new(vec![ok(CONFIG)]);
-    let (out, error) = run(&["config", "get", "--at", &machine.at.to_string()]);
+fn config_get_prints_the_text_as_sent() {
+    let machine = ScriptedMachine::new(vec![ok(CONFIG)]);
+    let (out, error) = run(&["config", "get", "--at", &machine.address.to_string()]);
     assert_eq!((out, error), (format!("{CONFIG}\n"), None));
-    let got = machine.got();
+    let requests = machine.requests();
     assert_eq!(
-        (got[0].method.as_str(), got[0].path.as_str()),
+        (requests[0].method.as_str(), requests[0].path.as_str()),
         ("GET", "/api/Config.Read")
     );
 
-    let machine = Machine::new(vec![reply(404, "there is no configuration yet\n")]);
-    let (out, error) = run(&["config", "get", "--at", &machine.at.to_string()]);
+    let machine = ScriptedMachine::new(vec![reply(404, "there is no configuration yet\n")]);
+    let (out, error) = run(&["config", "get", "--at", &machine.address.to_string()]);
     assert_eq!(
         (out.as_str(), error.as_deref()),
         ("", Some("there is no configuration yet"))
@@ -326,49 +329,56 @@
 }
 
 #[test]
-fn the_next_address_is_asked_where_one_fails() {
-    let busy = Machine::new(vec![reply(503, "no machine leads\n")]);
-    let deaf = Machine::new(vec![Vec::new()]);
-    let well = Machine::new(vec![ok(CONFIG)]);
-    let at = format!("{},{},{},{}", dead(), busy.at, deaf.at, well.at);
-    let (out, error) = run(&["config", "get", "--at", &at]);
+fn next_address_is_called_when_one_fails() {
+    let busy = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
+    let deaf = ScriptedMachine::new(vec![Vec::new()]);
+    let well = ScriptedMachine::new(vec![ok(CONFIG)]);
+    let address = format!(
+        "{},{},{},{}",
+        unused_address(),
+        busy.address,
+        deaf.address,
+        well.address
+    );
+    let (out, error) = run(&["config", "get", "--at", &address]);
     assert_eq!((out, error), (format!("{CONFIG}\n"), None));
 
-    let busy = Machine::new(vec![reply(503, "no machine leads\n")]);
-    let (first, second) = (dead(), busy.at);
+    let busy = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
+    let (first, second) = (unused_address(), busy.address);
     let (_, error) = run(&["config", "get", "--at", &format!("{first},{second}")]);
-    let told = format!("no answer: {first}: nobody listens there; {second}: 503 no machine leads");
-    assert_eq!(error, Some(told));
+    let expected =
+        format!("no answer: {first}: nobody listens there; {second}: 503 no machine leads");
+    assert_eq!(error, Some(expected));
 }
 
 #[test]
-fn a_machine_that_says_nothing_is_given_up() {
-    // Its queue takes the connection, and nobody ever answers.
+fn silent_machine_times_out() {
+    // Its backlog accepts the connection, and nothing ever answers.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let well = Machine::new(vec![ok(CONFIG)]);
-    let at = [silent.local_addr().unwrap(), well.at];
-    let found = Client::within(&at, Duration::from_millis(40))
+    let well = ScriptedMachine::new(vec![ok(CONFIG)]);
+    let address = [silent.local_addr().unwrap(), well.address];
+    let found = Client::with_timeout(&address, Duration::from_millis(40))
         .config()
         .unwrap();
-    assert_eq!(found.map(|(config, _)| config.epoch), Some(7));
-    let none = Client::within(&at[..1], Duration::from_millis(40)).config();
+    assert_eq!(found.map(|current| current.config.epoch), Some(7));
+    let none = Client::with_timeout(&address[..1], Duration::from_millis(40)).config();
     assert!(
-        matches!(none, Err(CliError::NoAnswer(told)) if told.contains("no answer within 0.04 s"))
+        matches!(none, Err(CliError::NoAnswer(attempts)) if attempts.to_string().contains("no answer within 0.04 s"))
     );
 }
 
 #[test]
-fn a_call_is_sent_on_twice() {
-    let last = Machine::new(vec![ok("")]);
-    let second = Machine::new(vec![sent_on(&format!(
+fn redirects_are_followed_twice() {
+    let last = ScriptedMachine::new(vec![ok("")]);
+    let second = ScriptedMachine::new(vec![redirect(&format!(
         "http://{}/api/Config.Replace",
-        last.at
+        last.address
     ))]);
-    let first = Machine::new(vec![sent_on(&format!(
+    let first = ScriptedMachine::new(vec![redirect(&format!(
         "http://{}/api/Config.Replace",
-        second.at
+        second.address
     ))]);
-    let file = File::new("sent-on", CONFIG);
+    let file = TempFile::new("sent-on", CONFIG);
     let (out, error) = run(&[
         "config",
         "put",
@@ -376,74 +386,77 @@
         "--base",
         "5",
         "--at",
-        &first.at.to_string(),
+        &first.address.to_string(),
     ]);
     assert_eq!(
         (out.as_str(), error),
         ("version 7 is taken; it builds on 5\n", None)
     );
-    let got = last.got();
+    let requests = last.requests();
     assert_eq!(
-        (got[0].method.as_str(), got[0].header("X-Base-Version")),
+        (
+            requests[0].method.as_str(),
+            requests[0].header("X-Base-Version")
+        ),
         ("POST", Some("5"))
     );
-    assert_eq!(got[0].body, CONFIG.as_bytes());
+    assert_eq!(requests[0].body, CONFIG.as_bytes());
 
-    let round = Machine::new(vec![sent_on("/a"), sent_on("/b"), sent_on("/c")]);
-    let (_, error) = run(&["config", "get", "--at", &round.at.to_string()]);
+    let redirecting = ScriptedMachine::new(vec![redirect("/a"), redirect("/b"), redirect("/c")]);
+    let (_, error) = run(&["config", "get", "--at", &redirecting.address.to_string()]);
     assert_eq!(
         error,
         Some(format!(
             "no answer: {}: sent on more than 2 times",
-            round.at
+            redirecting.address
         ))
     );
-    assert_eq!(round.got()[2].path, "/b");
+    assert_eq!(redirecting.requests()[2].path, "/b");
 }
 
 #[test]
-fn put_builds_on_what_is_in_force() {
-    let machine = Machine::new(vec![ok(&CONFIG.replace(":7", ":4")), ok("")]);
-    let file = File::new("put", CONFIG);
+fn config_put_reads_its_base_first() {
+    let machine = ScriptedMachine::new(vec![ok(&CONFIG.replace(":7", ":4")), ok("")]);
+    let file = TempFile::new("put", CONFIG);
     let (out, error) = run(&[
         "config",
         "put",
         file.name(),
         "--json",
         "--at",
-        &machine.at.to_string(),
+        &machine.address.to_string(),
     ]);
     assert_eq!(
         (out.as_str(), error),
         ("{\"epoch\":7,\"base\":4,\"was_in_force\":false}\n", None)
     );
-    assert_eq!(machine.got()[1].header("X-Base-Version"), Some("4"));
+    assert_eq!(machine.requests()[1].header("X-Base-Version"), Some("4"));
 
-    let machine = Machine::new(vec![reply(404, ""), ok("")]);
+    let machine = ScriptedMachine::new(vec![reply(404, ""), ok("")]);
     let (out, _) = run(&[
         "config",
         "put",
         file.name(),
         "--at",
-        &machine.at.to_string(),
+        &machine.address.to_string(),
     ]);
     assert_eq!(out, "version 7 is taken; it builds on 0\n");
 
-    let machine = Machine::new(vec![ok(CONFIG)]);
+    let machine = ScriptedMachine::new(vec![ok(CONFIG)]);
     let (out, _) = run(&[
         "config",
         "put",
         file.name(),
         "--at",
-        &machine.at.to_string(),
+        &machine.address.to_string(),
     ]);
     assert_eq!(out, "version 7 is in force already\n");
 }
 
 #[test]
-fn put_tells_what_came_of_it() {
-    let file = File::new("put-ends", CONFIG);
-    let put = |machine: &Machine| {
+fn config_put_reports_its_outcome() {
+    let file = TempFile::new("put-ends", CONFIG);
+    let put = |machine: &ScriptedMachine| {
         run(&[
             "config",
             "put",
@@ -451,30 +464,30 @@
             "--base",
             "4",
             "--at",
-            &machine.at.to_string(),
+            &machine.address.to_string(),
         ])
     };
-    let other = Machine::new(vec![reply(412, "version 6 is in place\n")]);
+    let other = ScriptedMachine::new(vec![reply(412, "version 6 is in place\n")]);
     assert_eq!(
         put(&other).1,
         Some(format!(
             "refused by {} (412): version 6 is in place",
-            other.at
+            other.address
         ))
     );
-    let invalid = Machine::new(vec![reply(400, "{\"error\":\"epoch is not above 7\"}")]);
+    let invalid = ScriptedMachine::new(vec![reply(400, "{\"error\":\"epoch is not above 7\"}")]);
     assert_eq!(
         put(&invalid).1,
         Some(format!(
             "refused by {} (400): epoch is not above 7",
-            invalid.at
+            invalid.address
         ))
     );
-    let unclear = Machine::new(vec![Vec::new()]);
-    let told = put(&unclear).1.unwrap();
+    let unclear = ScriptedMachine::new(vec![Vec::new()]);
+    let expected = put(&unclear).1.unwrap();
     assert!(
-        told.contains("isn't known") && told.contains("--base 4"),
-        "{told}"
+        expected.contains("isn't known") && expected.contains("--base 4"),
+        "{expected}"
     );
 
     let (_, error) = run(&[
@@ -484,29 +497,38 @@
         "--base",
         "4",
         "--at",
-        &dead().to_string(),
+        &unused_address().to_string(),
     ]);
     assert_eq!(
         error,
-        Some(format!("no answer: {}: nobody listens there", dead()))
+        Some(format!(
+            "no answer: {}: nobody listens there",
+            unused_address()
+        ))
     );
 
-    // What is wrong is found before anybody is asked.
-    let file = File::new("put-wrong", &CONFIG.replace("\"leader\"", "\"lead\""));
-    let (_, error) = run(&["config", "put", file.name(), "--at", &dead().to_string()]);
+    // An invalid file is found before any call.
+    let file = TempFile::new("put-wrong", &CONFIG.replace("\"leader\"", "\"lead\""));
+    let (_, error) = run(&[
+        "config",
+        "put",
+        file.name(),
+        "--at",
+        &unused_address().to_string(),
+    ]);
     assert!(error.unwrap().ends_with("mode \"lead\" is unknown"));
 }
 
 #[test]
-fn diff_tells_each_change() {
-    let file = File::new("diff", &CONFIG.replace(":7", ":8").replace("1000", "1500"));
-    let machine = Machine::new(vec![ok(CONFIG)]);
+fn config_diff_lists_each_change() {
+    let file = TempFile::new("diff", &CONFIG.replace(":7", ":8").replace("1000", "1500"));
+    let machine = ScriptedMachine::new(vec![ok(CONFIG)]);
     let (out, _) = run(&[
         "config",
         "diff",
         file.name(),
         "--at",
-        &machine.at.to_string(),
+        &machine.address.to_string(),
     ]);
     assert_eq!(
         out,
@@ -514,40 +536,40 @@
          route=catalog path_prefix=/ change=changed field=deadline_ms from=1000 to=1500\n\
          route=catalog path_prefix=/ change=changed field=target_ms from=1000 to=1500\n"
     );
-    let same = File::new("same", CONFIG);
-    let machine = Machine::new(vec![ok(CONFIG)]);
+    let same = TempFile::new("same", CONFIG);
+    let machine = ScriptedMachine::new(vec![ok(CONFIG)]);
     let (out, _) = run(&[
         "config",
         "diff",
         same.name(),
         "--at",
-        &machine.at.to_string(),
+        &machine.address.to_string(),
     ]);
     assert_eq!(out, "no difference to version 7\n");
-    let machine = Machine::new(vec![reply(404, "")]);
+    let machine = ScriptedMachine::new(vec![reply(404, "")]);
     let (out, _) = run(&[
         "config",
         "diff",
         same.name(),
         "--json",
         "--at",
-        &machine.at.to_string(),
+        &machine.address.to_string(),
     ]);
     assert!(out.contains("service=catalog-pg change=added"), "{out}");
 }
 
 #[test]
-fn status_and_tables() {
+fn status_members_and_primaries_are_printed_as_tables() {
     let machine = || {
-        Machine::new(vec![call::reply(
+        ScriptedMachine::new(vec![call::reply(
             &call::Reply::Done(status()),
             "/api/System.Status",
             false,
         )])
     };
-    let asked = |word: &str| run(&[word, "--at", &machine().at.to_string()]).0;
+    let printed = |word: &str| run(&[word, "--at", &machine().address.to_string()]).0;
     assert_eq!(
-        asked("status"),
+        printed("status"),
         "answered by    core-lima-a-1\n\
          leader         127.0.0.1\n\
          voters         127.0.0.1, 127.0.0.2\n\
@@ -560,39 +582,44 @@
          catalog-pg  db-1     3     10.128.0.9:8080  lima-a  in service\n"
     );
     assert_eq!(
-        asked("members"),
+        printed("members"),
         "SERVICE     SERVER  ENDPOINT         ZONE    SLOTS  ROLE     STATE\n\
          catalog-pg  db-1    10.128.0.9:8080  lima-a  4      primary  ready\n\
          catalog-pg  db-2    10.128.0.9:8080  lima-b  4      replica  draining\n"
     );
-    let (out, _) = run(&["primaries", "--json", "--at", &machine().at.to_string()]);
+    let (out, _) = run(&[
+        "primaries",
+        "--json",
+        "--at",
+        &machine().address.to_string(),
+    ]);
     assert_eq!(
         Vec::<PrimaryStatus>::deserialize_json(&out).unwrap(),
         status().primaries
     );
-    let (out, _) = run(&["status", "--json", "--at", &machine().at.to_string()]);
+    let (out, _) = run(&["status", "--json", "--at", &machine().address.to_string()]);
     assert_eq!(Status::read(out.as_bytes()).unwrap(), status());
 }
 
 #[test]
-fn the_machine_that_leads_is_asked() {
-    let mut seen = status();
-    seen.leads = false;
-    seen.primaries.clear();
-    seen.leader = Some("127.0.0.2".to_owned());
-    let seen_text = seen.serialize_json();
-    let machine = Machine::new(vec![ok(&seen_text)]);
-    let leader = Machine::on(
-        SocketAddr::new(IpAddr::from([127, 0, 0, 2]), machine.at.port()),
+fn status_is_read_from_the_leader() {
+    let mut follower_status = status();
+    follower_status.leads = false;
+    follower_status.primaries.clear();
+    follower_status.leader = Some("127.0.0.2".to_owned());
+    let seen_text = follower_status.serialize_json();
+    let machine = ScriptedMachine::new(vec![ok(&seen_text)]);
+    let leader = ScriptedMachine::on(
+        SocketAddr::new(IpAddr::from([127, 0, 0, 2]), machine.address.port()),
         vec![ok(&status().serialize_json())],
     );
-    let (out, _) = run(&["primaries", "--at", &machine.at.to_string()]);
+    let (out, _) = run(&["primaries", "--at", &machine.address.to_string()]);
     assert!(out.contains("db-1"), "{out}");
-    drop(leader.got());
+    drop(leader.requests());
 
-    // Where it can't be asked, the other's view is told for what it is.
-    let machine = Machine::new(vec![ok(&seen_text)]);
-    let (out, error) = run(&["primaries", "--at", &machine.at.to_string()]);
+    // If the leader can't be reached, the view of the follower is printed, with a note.
+    let machine = ScriptedMachine::new(vec![ok(&seen_text)]);
+    let (out, error) = run(&["primaries", "--at", &machine.address.to_string()]);
     assert_eq!(
         out,
         "core-lima-a-1 answered and doesn't lead: primaries and routers aren't known to it\n"
@@ -601,23 +628,23 @@
 }
 
 #[test]
-fn names_from_elsewhere_steer_no_terminal() {
-    let mut seen = status();
-    seen.members[0].id = "x\u{1b}[2J\n\"y\\".to_owned();
-    let machine = Machine::new(vec![ok(&seen.serialize_json())]);
-    let (out, _) = run(&["members", "--at", &machine.at.to_string()]);
+fn control_characters_are_not_printed() {
+    let mut follower_status = status();
+    follower_status.members[0].id = "x\u{1b}[2J\n\"y\\".to_owned();
+    let machine = ScriptedMachine::new(vec![ok(&follower_status.serialize_json())]);
+    let (out, _) = run(&["members", "--at", &machine.address.to_string()]);
     assert!(
         out.contains("x?[2J?\"y\\") && out.lines().count() == 3,
         "{out}"
     );
     assert_eq!(
-        Status::read(seen.serialize_json().as_bytes()).unwrap(),
-        seen
+        Status::read(follower_status.serialize_json().as_bytes()).unwrap(),
+        follower_status
     );
 }
 
 #[test]
-fn a_status_of_another_version_is_read() {
+fn status_with_unknown_fields_is_read() {
     let found = Status::read(br#"{"node":"n","leads":true,"epoch":1,"newer":[{"x":1}]}"#).unwrap();
     assert_eq!(
         (found.node.as_str(), found.epoch, found.leader),
