--- a/crates/runtime/pooler/src/cli.rs
+++ b/crates/runtime/pooler/src/cli.rs
@@ -1,8 +1,8 @@
 //! The operators' commands.
 //!
-//! `main` parses a [`Command`] and calls [`run`]. Commands check files ([`settings`], [`config`]) or
-//! call any control machine over HTTP ([`client`]) and print what it says ([`status`], [`output`],
-//! [`table`]). They hold no state and run in a process of their own, never beside the system's.
+//! `main` parses a [`Command`] and calls [`run`]. Commands check files (`settings`, `config`) or
+//! call any control machine over HTTP (`client`) and print what it says (`status`, `output`,
+//! `table`). They hold no state and run in a process of their own, never beside the system's.
 //!
 //! The doc comments on commands and their fields are the texts of `--help`.
 
--- a/crates/runtime/pooler/src/data_plane/admission.rs
+++ b/crates/runtime/pooler/src/data_plane/admission.rs
@@ -13,13 +13,13 @@
 
 /// By which rank, and until when, a statement waits to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AdmissionTerms {
+pub(super) struct AdmissionTerms {
     /// 0 goes first.
-    pub rank: u32,
+    pub(super) rank: u32,
     /// Admitted by this second, the statement can still meet the latency target of its route.
-    pub latest_start: f64,
+    pub(super) latest_start: f64,
     /// The statement waits no longer than until this second.
-    pub give_up_at: f64,
+    pub(super) give_up_at: f64,
 }
 
 /// Where a waiting task stands.
--- a/crates/runtime/pooler/src/data_plane/mod.rs
+++ b/crates/runtime/pooler/src/data_plane/mod.rs
@@ -3,24 +3,24 @@
 //!
 //! The way of a statement:
 //!
-//! 1. [`listener`] accepts the client's connection and starts a task that serves its session
-//!    ([`client`]);
+//! 1. `listener` accepts the client's connection and starts a task that serves its session
+//!    (`client`);
 //! 2. `client::dispatch` parses the statement, and answers it if it needs no server;
-//! 3. [`placement`] chooses a server by the route's consistency and the freshness proofs of
-//!    [`service_state`];
-//! 4. [`admission`] queues it for a connection and a slot there, by rank and arrival;
-//! 5. [`pool`] hands out a connection ([`server_connection`]) and brings it to the session's values
+//! 3. `placement` chooses a server by the route's consistency and the freshness proofs of
+//!    `service_state`;
+//! 4. `admission` queues it for a connection and a slot there, by rank and arrival;
+//! 5. `pool` hands out a connection (`server_connection`) and brings it to the session's values
 //!    and prepared statement; the lease is checked once more;
 //! 6. `pool::exchange` sends it and reads the answer; `client::single_statement`, `transaction` and
 //!    `commit` decide whether it is forwarded, retried elsewhere, or reported as in doubt.
 //!
-//! [`maintenance`] sweeps the pools and, after SIGTERM, brings sessions through the stages of
-//! [`drain`].
+//! `maintenance` sweeps the pools and, after SIGTERM, brings sessions through the stages of
+//! `drain`.
 //!
 //! All decisions are those of `badgerstream_pooling`; this module owns the sessions, pools and
 //! service states, and reads the view, which [`crate::leader_session`] writes. It never changes the
-//! view, and never sends anything to a primary without a valid lease. `process` starts it,
-//! `metrics` reads it.
+//! view. Without a valid lease it places nothing at a primary and commits no write. `process`
+//! starts it, `metrics` reads it.
 
 mod admission;
 mod client;
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -28,26 +28,26 @@
 /// How a route wants its statements handled, as configured when the statement or its transaction
 /// arrived.
 #[derive(Debug, Clone)]
-pub struct RouteTerms {
+pub(super) struct RouteTerms {
     /// The service that holds the database.
-    pub service: Rc<str>,
+    pub(super) service: Rc<str>,
     /// The consistency of reads.
-    pub consistency: Consistency,
+    pub(super) consistency: Consistency,
     /// The most that a statement may take, in seconds.
-    pub deadline_s: f64,
+    pub(super) deadline_s: f64,
     /// The latency target of a statement, in seconds.
-    pub target_s: f64,
+    pub(super) target_s: f64,
     /// 0 goes first.
-    pub rank: u32,
+    pub(super) rank: u32,
     /// The attempts that the route allows (`tries`).
-    pub configured_attempts: u32,
+    pub(super) configured_attempts: u32,
     /// How many connections a server of the service takes.
-    pub max_connections: usize,
+    pub(super) max_connections: usize,
 }
 
 impl RouteTerms {
     /// The terms of a route.
-    pub fn from_route(route: &Route, max_connections: usize) -> Self {
+    pub(super) fn from_route(route: &Route, max_connections: usize) -> Self {
         let staleness_s = route.staleness_ms.map(|ms| ms as f64 / 1000.0);
         let consistency = match (route.mode, staleness_s) {
             (Mode::Leader, _) | (_, None) => Consistency::Strong,
@@ -66,35 +66,35 @@
     }
 
     /// How many attempts a statement has at most.
-    pub fn max_attempts(&self) -> u32 {
+    pub(super) fn max_attempts(&self) -> u32 {
         self.configured_attempts.max(MIN_ATTEMPTS) + EXTRA_ATTEMPTS
     }
 
     /// A retry delay in seconds, bounded by how long a statement may take.
-    pub fn bound_retry_after(&self, retry_after_s: f64) -> f64 {
+    pub(super) fn bound_retry_after(&self, retry_after_s: f64) -> f64 {
         retry_after_s.min(self.deadline_s.max(RETRY_AFTER_S))
     }
 }
 
 /// What needs a connection.
-pub struct PlacementRequest<'a> {
+pub(super) struct PlacementRequest<'a> {
     /// The terms of its route.
-    pub terms: &'a RouteTerms,
+    pub(super) terms: &'a RouteTerms,
     /// Whether it reads or writes.
-    pub access: Access,
+    pub(super) access: Access,
     /// When its first byte, or that of its transaction, arrived, in seconds.
-    pub arrived_at: f64,
+    pub(super) arrived_at: f64,
     /// When the statement arrived that waits now, in seconds: its latency target counts from there.
-    pub waiting_since: f64,
+    pub(super) waiting_since: f64,
     /// The prepared statement that the connection must know.
-    pub shape: Option<&'a Shape>,
+    pub(super) shape: Option<&'a Shape>,
     /// Whether it takes a slot of the server, as everything but `BEGIN` does.
-    pub takes_slot: bool,
+    pub(super) takes_slot: bool,
 }
 
 impl PlacementRequest<'_> {
     /// How it waits for admission at this server, until `give_up_at` at most.
-    pub fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
+    pub(super) fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
         let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean();
         AdmissionTerms {
             // Rank 0 is kept for what has begun already.
@@ -106,18 +106,18 @@
 }
 
 /// A connection that the statement may be sent on now.
-pub struct Placement {
+pub(super) struct Placement {
     /// The connection.
-    pub checkout: Checkout,
+    pub(super) checkout: Checkout,
     /// The position that `WAITPOS` must demand of the replica; none at the primary.
-    pub proof: Option<Position>,
+    pub(super) proof: Option<Position>,
 }
 
 /// There is no connection in time; nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Unplaced {
+pub(super) struct Unplaced {
     /// After how many seconds the client should try again.
-    pub retry_after_s: f64,
+    pub(super) retry_after_s: f64,
 }
 
 /// The server that a statement waits for.
@@ -128,6 +128,16 @@
     RetryAt(f64),
 }
 
+/// The wait for admission at the chosen server.
+struct AdmissionWait<'a> {
+    pool: &'a Rc<Pool>,
+    is_primary: bool,
+    /// The generation of the view at the choice.
+    generation: u64,
+    /// Until when it may last, in seconds.
+    give_up_at: f64,
+}
+
 impl DataPlane {
     /// Waits for a connection to a server that may serve this, until `give_up_at` (seconds) at
     /// most. `tried_servers` were tried in vain and are used only if there is no other.
@@ -135,7 +145,7 @@
     /// # Errors
     /// [`Unplaced`] if there is no connection by then, or as soon as it is certain that there will
     /// be none.
-    pub async fn place(
+    pub(super) async fn place(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
         session: &Session,
@@ -185,38 +195,53 @@
                     continue;
                 }
             };
-            let terms = request.admission_terms(&pool, give_up_at);
-            let acquire = async {
-                let (values, shape) = (&session.values, request.shape);
-                Some(
-                    Checkout::acquire(self, &pool, &terms, values, shape, request.takes_slot).await,
-                )
+            let wait = AdmissionWait {
+                pool: &pool,
+                is_primary: proof.is_none(),
+                generation,
+                give_up_at,
             };
-            let invalid = async {
-                self.until_invalid(&pool, proof.is_none(), generation).await;
-                None
-            };
-            match net::until(give_up_at, or(acquire, invalid)).await {
-                None => {
-                    let retry_after_s = pool.estimated_wait(&terms, clock::now());
-                    return Err(Unplaced { retry_after_s });
-                }
-                Some(Some(Err(CheckoutError::Busy { wait_s }))) => {
-                    return Err(Unplaced {
-                        retry_after_s: wait_s,
-                    });
-                }
-                Some(Some(Ok(checkout))) => {
-                    // Time has passed: the lease may have ended meanwhile.
-                    if proof.is_some() || self.is_leased(&pool.server, clock::now()) {
-                        return Ok(Placement { checkout, proof });
-                    }
-                }
-                Some(None | Some(Err(CheckoutError::Unreachable))) => {}
+            let acquired = self.acquire_while_valid(request, session, &wait).await?;
+            // Time has passed: the lease may have ended meanwhile.
+            if let Some(checkout) = acquired
+                && (proof.is_some() || self.is_leased(&pool.server, clock::now()))
+            {
+                return Ok(Placement { checkout, proof });
             }
         }
     }
 
+    /// Waits for a connection to this server. None if the server can't be reached, or is no longer
+    /// valid: another choice is due.
+    async fn acquire_while_valid(
+        self: &Rc<Self>,
+        request: &PlacementRequest<'_>,
+        session: &Session,
+        wait: &AdmissionWait<'_>,
+    ) -> Result<Option<Checkout>, Unplaced> {
+        let pool = wait.pool;
+        let terms = request.admission_terms(pool, wait.give_up_at);
+        let acquire = async {
+            let (values, shape) = (&session.values, request.shape);
+            Some(Checkout::acquire(self, pool, &terms, values, shape, request.takes_slot).await)
+        };
+        let invalid = async {
+            self.until_invalid(pool, wait.is_primary, wait.generation)
+                .await;
+            None
+        };
+        match net::until(wait.give_up_at, or(acquire, invalid)).await {
+            None => Err(Unplaced {
+                retry_after_s: pool.estimated_wait(&terms, clock::now()),
+            }),
+            Some(Some(Err(CheckoutError::Busy { wait_s }))) => Err(Unplaced {
+                retry_after_s: wait_s,
+            }),
+            Some(Some(Ok(checkout))) => Ok(Some(checkout)),
+            Some(None | Some(Err(CheckoutError::Unreachable))) => Ok(None),
+        }
+    }
+
     /// Waits until this server is no longer valid for what waits there. Other changes of the view
     /// don't cost a statement its position in the queue.
     async fn until_invalid(&self, pool: &Pool, is_primary: bool, mut generation: u64) {
--- a/crates/runtime/pooler/src/data_plane/pool.rs
+++ b/crates/runtime/pooler/src/data_plane/pool.rs
@@ -33,9 +33,9 @@
 use std::rc::Rc;
 
 /// The connections to one server. Times are seconds of the monotonic clock.
-pub struct Pool {
+pub(super) struct Pool {
     /// The server.
-    pub server: Server,
+    pub(super) server: Server,
     /// Idle connections, the one used last at the end.
     idle: RefCell<Vec<ServerConnection>>,
     connection_admission: Rc<AdmissionQueue>,
@@ -71,7 +71,7 @@
 
 /// There is no connection; nothing has run.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum CheckoutError {
+pub(super) enum CheckoutError {
     /// The server can't be reached, or another one is at its address.
     Unreachable,
     /// Admission would come too late: in about this many seconds.
@@ -83,7 +83,7 @@
 
 impl Pool {
     /// A pool for this server, which takes `max_connections` of `router_count` routers.
-    pub fn new(server: Server, max_connections: usize, router_count: usize) -> Rc<Self> {
+    pub(super) fn new(server: Server, max_connections: usize, router_count: usize) -> Rc<Self> {
         let quota = ConnectionQuota::new(max_connections, router_count);
         let in_flight = in_flight_limit(server.slots as usize, router_count, 1.0);
         Rc::new(Self {
@@ -103,7 +103,7 @@
     }
 
     /// Its connections and queues.
-    pub fn usage(&self) -> PoolUsage {
+    pub(super) fn usage(&self) -> PoolUsage {
         PoolUsage {
             service: self.server.service.clone(),
             idle: self.idle.borrow().len(),
@@ -115,7 +115,7 @@
     }
 
     /// Changes how many connections the server takes, or of how many routers.
-    pub fn set_quota(&self, max_connections: usize, router_count: usize) {
+    pub(super) fn set_quota(&self, max_connections: usize, router_count: usize) {
         let mut quota = self.connection_quota.get();
         quota.update(max_connections, router_count);
         self.connection_quota.set(quota);
@@ -138,12 +138,12 @@
     }
 
     /// Whether whoever comes now must wait.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.slot_admission.is_full() || self.connection_admission.is_full()
     }
 
     /// The estimated seconds until admission of one that comes now: rather too many than too few.
-    pub fn estimated_wait(&self, terms: &AdmissionTerms, now: f64) -> f64 {
+    pub(super) fn estimated_wait(&self, terms: &AdmissionTerms, now: f64) -> f64 {
         let ahead =
             |queue: &AdmissionQueue| queue.entries_ahead(terms.rank, terms.latest_start, now);
         self.latency.get().queue_wait(
--- a/crates/runtime/pooler/src/data_plane/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -28,10 +28,10 @@
 }
 
 /// A connection in use by one client, with its permits.
-pub struct Checkout {
+pub(in crate::data_plane) struct Checkout {
     pub(super) data_plane: Rc<DataPlane>,
     /// The server's pool.
-    pub pool: Rc<Pool>,
+    pub(in crate::data_plane) pool: Rc<Pool>,
     /// None once it broke.
     pub(super) connection: Option<ServerConnection>,
     pub(super) connection_permit: Option<Permit>,
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// [`CheckoutError`]; nothing of the client has been sent.
-    pub async fn acquire(
+    pub(in crate::data_plane) async fn acquire(
         data_plane: &Rc<DataPlane>,
         pool: &Rc<Pool>,
         terms: &AdmissionTerms,
@@ -85,7 +85,7 @@
     }
 
     /// The number in the router's name for this shape, on this connection.
-    pub fn prepared_number(&self, shape: &Shape) -> Option<u32> {
+    pub(in crate::data_plane) fn prepared_number(&self, shape: &Shape) -> Option<u32> {
         self.connection
             .as_ref()
             .and_then(|connection| connection.state.prepared_number(shape))
@@ -93,7 +93,10 @@
 
     /// Waits for the first slot of a transaction, by its rank and latest start. False if there is
     /// none in time.
-    pub async fn acquire_first_slot(&mut self, terms: &AdmissionTerms) -> bool {
+    pub(in crate::data_plane) async fn acquire_first_slot(
+        &mut self,
+        terms: &AdmissionTerms,
+    ) -> bool {
         let pool = self.pool.clone();
         let admitted = net::until(terms.give_up_at, pool.admit(&pool.slot_admission, terms)).await;
         self.slot_permit = admitted.and_then(Result::ok);
@@ -101,7 +104,7 @@
     }
 
     /// Waits for a slot, unless it has one. It goes first: what has begun keeps others waiting.
-    pub async fn acquire_slot(&mut self) {
+    pub(in crate::data_plane) async fn acquire_slot(&mut self) {
         if self.slot_permit.is_none() {
             let queue = &self.pool.slot_admission;
             self.slot_permit = Some(queue.acquire(RANK_OF_BEGUN, f64::INFINITY).await);
@@ -109,17 +112,17 @@
     }
 
     /// Gives the slot back.
-    pub fn release_slot(&mut self) {
+    pub(in crate::data_plane) fn release_slot(&mut self) {
         self.slot_permit = None;
     }
 
     /// The next statement is a `COMMIT`: with its success, changes inside the transaction persist.
-    pub fn expect_commit(&mut self) {
+    pub(in crate::data_plane) fn expect_commit(&mut self) {
         self.commits = true;
     }
 
     /// Rolls an open transaction back in a task of its own, so that the connection can be reused.
-    pub fn roll_back(mut self) {
+    pub(in crate::data_plane) fn roll_back(mut self) {
         if self.unanswered.is_some() {
             // The next answer on it isn't that of our `ABORT`. Closing it rolls back, too.
             return;
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -12,7 +12,7 @@
 
 /// Why a statement has no outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ExchangeError {
+pub(in crate::data_plane) enum ExchangeError {
     /// No byte of it was sent.
     Unsent,
     /// It was sent, at least in part, and the connection broke.
@@ -28,7 +28,7 @@
 
 impl ExchangeError {
     /// Whether the statement may have run.
-    pub fn verdict(self) -> Verdict {
+    pub(in crate::data_plane) fn verdict(self) -> Verdict {
         match self {
             Self::Unsent => Verdict::NotRun,
             Self::Broken | Self::TimedOut | Self::Overdue | Self::ClientDisconnected => {
@@ -42,7 +42,7 @@
     /// Sends a statement and waits for its outcome until `give_up_at` (seconds). `answer` then
     /// holds what is to be forwarded; of a long answer, earlier parts are given to `forward`, which
     /// returns whether the client is still connected.
-    pub async fn exchange(
+    pub(in crate::data_plane) async fn exchange(
         &mut self,
         line: &[u8],
         answer: &mut Answer,
@@ -80,7 +80,7 @@
 
     /// As [`Checkout::exchange`], but fails with [`ExchangeError::Overdue`] as soon as the answer of
     /// a statement with this latency target (seconds) is most likely lost.
-    pub async fn exchange_until_overdue(
+    pub(in crate::data_plane) async fn exchange_until_overdue(
         &mut self,
         line: &[u8],
         answer: &mut Answer,
@@ -108,7 +108,7 @@
     }
 
     /// Waits on, until `give_up_at` (seconds), for the answer of what was sent and has timed out.
-    pub async fn await_answer(
+    pub(in crate::data_plane) async fn await_answer(
         &mut self,
         answer: &mut Answer,
         give_up_at: f64,
@@ -182,7 +182,7 @@
 
     /// Whether the server has answered what was sent after this statement, so that its answer is
     /// most likely lost.
-    pub fn is_overtaken(&self) -> bool {
+    pub(in crate::data_plane) fn is_overtaken(&self) -> bool {
         self.unanswered.as_ref().is_some_and(|unanswered| {
             !unanswered.partially_forwarded
                 && self.pool.newest_answered_sent_at.get() > unanswered.sent_at
--- a/crates/runtime/pooler/src/data_plane/pool/health.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/health.rs
@@ -12,17 +12,17 @@
 
 impl Pool {
     /// How fast the server answers.
-    pub fn latency(&self) -> Latency {
+    pub(in crate::data_plane) fn latency(&self) -> Latency {
         self.latency.get()
     }
 
     /// The health of the server.
-    pub fn health(&self) -> Health {
+    pub(in crate::data_plane) fn health(&self) -> Health {
         self.health.get()
     }
 
     /// The server lacks this position.
-    pub fn mark_lagging(&self, position: Position) {
+    pub(in crate::data_plane) fn mark_lagging(&self, position: Position) {
         let mut health = self.health.get();
         health.record_lag(clock::now(), position);
         self.health.set(health);
@@ -72,13 +72,13 @@
     }
 
     /// When the server last answered, in seconds of the monotonic clock; 0 for never.
-    pub fn last_answer_at(&self) -> f64 {
+    pub(in crate::data_plane) fn last_answer_at(&self) -> f64 {
         self.last_answer_at.get()
     }
 
     /// Since when the server doesn't answer, in seconds of the monotonic clock; none while it does,
     /// or nothing is sent.
-    pub fn failing_since(&self, now: f64) -> Option<f64> {
+    pub(in crate::data_plane) fn failing_since(&self, now: f64) -> Option<f64> {
         let last_answer_at = self.last_answer_at.get();
         let oldest_unanswered = self
             .unanswered_sent_at
--- a/crates/runtime/pooler/src/data_plane/pool/idle.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/idle.rs
@@ -12,7 +12,7 @@
 
 impl Pool {
     /// Closes connections that were idle for long or exceed the quota, and applies the quota.
-    pub fn sweep(&self, now: f64) {
+    pub(in crate::data_plane) fn sweep(&self, now: f64) {
         let limit = self.connection_quota.get().limit(now);
         let closed: Vec<ServerConnection> = {
             let mut idle = self.idle.borrow_mut();
--- a/crates/runtime/pooler/src/data_plane/pool/prepare.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/prepare.rs
@@ -14,14 +14,14 @@
 /// The connection could not be brought to the session's state, and is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the connection to the server can't be brought to the state of the session")]
-pub struct PrepareFailed;
+pub(in crate::data_plane) struct PrepareFailed;
 
 impl Checkout {
     /// Makes the connection hold exactly these values and know this shape.
     ///
     /// # Errors
     /// [`PrepareFailed`]; the connection is closed then.
-    pub async fn prepare(
+    pub(in crate::data_plane) async fn prepare(
         &mut self,
         values: &Values,
         shape: Option<&Shape>,
