--- a/crates/protocol/control-store/src/backend.rs
+++ b/crates/protocol/control-store/src/file_backend.rs
@@ -6,20 +6,22 @@
 
 use redb::StorageBackend;
 
-/// Plain positioned reads and writes and `fdatasync`: all that counts on our disks. The file's own backend in `redb` would
-/// take locks besides and probe which kinds the system has; our machines grant every lock and heed none.
+/// A file with plain positioned reads and writes and `fdatasync`.
+///
+/// Used in place of `redb`'s own backend, which takes file locks and probes which kinds the system
+/// has: on the users' machines every lock is granted and none is enforced.
 #[derive(Debug)]
-pub(crate) struct Disk {
+pub(crate) struct FileBackend {
     file: File,
 }
 
-impl Disk {
-    pub(crate) fn new(file: File) -> Disk {
-        Disk { file }
+impl FileBackend {
+    pub(crate) fn new(file: File) -> FileBackend {
+        FileBackend { file }
     }
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for FileBackend {
     fn len(&self) -> io::Result<u64> {
         self.file.metadata().map(|metadata| metadata.len())
     }
--- a/crates/protocol/control-store/src/format.rs
+++ b/crates/protocol/control-store/src/format.rs
@@ -1,75 +1,84 @@
-//! The bytes of a row: a version, a checksum, and the body in bincode with integers of fixed width.
+//! The bytes of a row, and their version: a version byte, a CRC-32, and the body in bincode with
+//! little-endian integers of fixed width.
+//!
+//! A release that changes a body raises [`FORMAT_VERSION`]; a row of another version is refused,
+//! never guessed at. `tests/kept_folder.rs` holds the bytes that an earlier release wrote.
 
 use bincode::config::{Configuration, Fixint, LittleEndian};
 use bincode::enc::write::SizeWriter;
 use bincode::{Decode, Encode};
 
 /// The version of the rows that this program writes and reads.
-pub(crate) const VERSION: u8 = 2;
+pub(crate) const FORMAT_VERSION: u8 = 2;
 
-/// The bytes before the body: the version and the checksum.
-const HEADER: usize = 5;
+/// The bytes before the body: one of the version and four of the checksum.
+const HEADER_BYTES: usize = 5;
 
-const LAYOUT: Configuration<LittleEndian, Fixint> = bincode::config::standard()
+const BINCODE_CONFIG: Configuration<LittleEndian, Fixint> = bincode::config::standard()
     .with_little_endian()
     .with_fixed_int_encoding();
 
-/// The row that each ballot rewrites.
+/// The body of the row that each vote rewrites.
 #[derive(Encode, Decode)]
-pub(crate) struct Ballots {
-    pub(crate) promised: u64,
-    pub(crate) accepted: u64,
+pub(crate) struct TermsRow {
+    pub(crate) voted_term: u64,
+    pub(crate) accepted_term: u64,
 }
 
-/// The row that each new value rewrites, as written: the value is borrowed.
+/// The body of the row that each new value rewrites, as written: the value is borrowed.
 #[derive(Encode)]
-pub(crate) struct Value<'a> {
-    pub(crate) identity: u64,
+pub(crate) struct ValueRowRef<'a> {
+    pub(crate) incarnation: u64,
     pub(crate) value: &'a [u8],
 }
 
-/// The row that each new value rewrites, as read back.
+/// The body of the row that each new value rewrites, as read back.
 #[derive(Decode)]
-pub(crate) struct OwnedValue {
-    pub(crate) identity: u64,
+pub(crate) struct ValueRow {
+    pub(crate) incarnation: u64,
     pub(crate) value: Vec<u8>,
 }
 
-/// How many bytes the row takes.
-pub(crate) fn length(body: &impl Encode) -> usize {
-    let mut size = bincode::enc::EncoderImpl::new(SizeWriter::default(), LAYOUT);
-    // Neither integers nor bytes can fail to be encoded, and a count has no end to run over.
-    body.encode(&mut size).expect("plain fields encode");
-    HEADER + size.into_writer().bytes_written
+/// The length of the row with this body, in bytes.
+pub(crate) fn encoded_length(body: &impl Encode) -> usize {
+    let mut encoder = bincode::enc::EncoderImpl::new(SizeWriter::default(), BINCODE_CONFIG);
+    body.encode(&mut encoder)
+        .expect("integers and bytes always encode, and a size writer takes any number of bytes");
+    HEADER_BYTES + encoder.into_writer().bytes_written
 }
 
-/// Fills `row`, which has the row's length.
+/// Fills `row`, which has the [`encoded_length`] of `body`.
 pub(crate) fn encode(body: &impl Encode, row: &mut [u8]) {
-    let (header, rest) = row.split_at_mut(HEADER);
-    bincode::encode_into_slice(body, rest, LAYOUT).expect("the row has the length of its body");
-    header[0] = VERSION;
-    header[1..].copy_from_slice(&checksum(&[VERSION], rest).to_le_bytes());
+    let (header, encoded_body) = row.split_at_mut(HEADER_BYTES);
+    bincode::encode_into_slice(body, &mut *encoded_body, BINCODE_CONFIG)
+        .expect("the row has the length of its body");
+    header[0] = FORMAT_VERSION;
+    header[1..].copy_from_slice(&checksum(&[FORMAT_VERSION], encoded_body).to_le_bytes());
 }
 
-/// Reads a row, or tells what is wrong with it.
+/// Decodes the body of a row.
+///
+/// # Errors
+///
+/// What is wrong with the row.
 pub(crate) fn decode<Body: Decode<()>>(row: &[u8]) -> Result<Body, &'static str> {
-    let Some((header, rest)) = row.split_first_chunk::<HEADER>() else {
+    let Some((header, encoded_body)) = row.split_first_chunk::<HEADER_BYTES>() else {
         return Err("holds a row that is cut short");
     };
-    let [version, sum @ ..] = *header;
-    if checksum(&[version], rest) != u32::from_le_bytes(sum) {
+    let [version, stored_checksum @ ..] = *header;
+    if checksum(&[version], encoded_body) != u32::from_le_bytes(stored_checksum) {
         return Err("holds a row whose checksum is wrong");
     }
-    if version != VERSION {
+    if version != FORMAT_VERSION {
         return Err("holds a row of another version");
     }
-    match bincode::decode_from_slice(rest, LAYOUT) {
-        Ok((body, read)) if read == rest.len() => Ok(body),
+    match bincode::decode_from_slice(encoded_body, BINCODE_CONFIG) {
+        Ok((body, read_bytes)) if read_bytes == encoded_body.len() => Ok(body),
         _ => Err("holds a row that can't be read"),
     }
 }
 
-/// CRC-32 as in IEEE 802.3 (reflected, 0xEDB88320), over both parts one after the other.
+/// The CRC-32 of IEEE 802.3 (reflected polynomial 0xEDB88320) over one part after the other.
 pub(crate) fn checksum(first: &[u8], second: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(first);
--- a/crates/protocol/control-store/tests/kept_folder.rs
+++ b/crates/protocol/control-store/tests/kept_folder.rs
@@ -1,77 +1,82 @@
-//! A folder that an earlier release wrote, held as a fixture: its record is read, and the folder takes further ones.
+//! A directory that an earlier release wrote, held as a fixture: its record is read, and the
+//! directory takes further ones. Old and new machines mix in a rolled release, so neither the
+//! fixture nor what is read from it may change within a format version.
 //!
-//! `fixtures/control.redb.deflate` is the database file, compressed with DEFLATE; `fixtures/value.txt` the value in it, in
-//! hexadecimal: an encoded state of `badgerstream-control`, which means nothing here.
+//! `fixtures/control.redb.deflate` is the database file, compressed with DEFLATE;
+//! `fixtures/value.txt` the value in it, in hexadecimal: an encoded state of
+//! `badgerstream-control`, which means nothing here.
 
-use badgerstream_control_store::{FILE, Fresh, Record, Store};
 use std::fs;
 use std::path::PathBuf;
 
-const PACKED: &[u8] = include_bytes!("fixtures/control.redb.deflate");
-const VALUE: &str = include_str!("fixtures/value.txt");
+use badgerstream_control_store::{DiskState, Record, STORE_FILE_NAME, Store};
+
+const COMPRESSED_FILE: &[u8] = include_bytes!("fixtures/control.redb.deflate");
+const VALUE_HEX: &str = include_str!("fixtures/value.txt");
 
 /// The record in the fixture.
-fn pinned() -> Record {
-    let digits = VALUE.trim();
-    let value = (0..digits.len())
-        .step_by(2)
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits"));
+fn fixture_record() -> Record {
+    let digits = VALUE_HEX.trim();
+    let value = (0..digits.len()).step_by(2).map(|start| {
+        u8::from_str_radix(&digits[start..start + 2], 16).expect("hexadecimal digits")
+    });
     Record {
-        promised: 0x1112_1314_1516_1718,
-        accepted: 0x0102_0304_0506_0708,
+        voted_term: 0x1112_1314_1516_1718,
+        accepted_term: 0x0102_0304_0506_0708,
         value: value.collect(),
-        identity: 0x3132_3334_3536_3738,
+        incarnation: 0x3132_3334_3536_3738,
     }
 }
 
-/// A folder that is removed when the test ends.
-struct Folder(PathBuf);
+/// A directory that is removed when the test ends.
+struct TempDirectory(PathBuf);
 
-impl Folder {
-    /// The fixture unpacked.
-    fn unpacked() -> Folder {
+impl TempDirectory {
+    /// The fixture, decompressed.
+    fn with_fixture() -> TempDirectory {
         let name = format!("store-kept-{}", std::process::id());
-        let folder = Folder(std::env::temp_dir().join(name));
-        fs::create_dir(&folder.0).unwrap();
-        let file = miniz_oxide::inflate::decompress_to_vec(PACKED).expect("a whole file");
-        fs::write(folder.0.join(FILE), file).unwrap();
-        folder
+        let directory = TempDirectory(std::env::temp_dir().join(name));
+        fs::create_dir(&directory.0).unwrap();
+        let file = miniz_oxide::inflate::decompress_to_vec(COMPRESSED_FILE)
+            .expect("the fixture is a complete DEFLATE stream");
+        fs::write(directory.0.join(STORE_FILE_NAME), file).unwrap();
+        directory
     }
 
-    /// The record in it; the store must not take it for new.
+    /// Opens the store; it must not take the disk for new.
     fn open(&self) -> (Store, Record) {
-        let (store, record, fresh) = Store::open(&self.0, 5).unwrap();
-        assert_eq!(fresh, Fresh::Kept);
-        (store, record)
+        let opened = Store::open(&self.0, 5).unwrap();
+        assert_eq!(opened.disk_state, DiskState::Existing);
+        (opened.store, opened.record)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn a_folder_of_an_earlier_release_is_read_and_takes_further_records() {
-    let folder = Folder::unpacked();
-    let (mut store, found) = folder.open();
-    assert_eq!(found, pinned());
+fn directory_of_an_earlier_release_is_read_and_takes_further_records() {
+    let directory = TempDirectory::with_fixture();
+    let (mut store, found) = directory.open();
+    assert_eq!(found, fixture_record());
     let next = Record {
-        promised: found.promised + 2,
-        accepted: found.accepted + 1,
+        voted_term: found.voted_term + 2,
+        accepted_term: found.accepted_term + 1,
         value: b"another value".to_vec(),
         ..found
     };
     store.save(&next).unwrap();
     drop(store);
-    let (mut store, found) = folder.open();
+    let (mut store, found) = directory.open();
     assert_eq!(found, next);
     store
-        .save_ballots(next.promised + 3, next.accepted)
+        .save_terms(next.voted_term + 3, next.accepted_term)
         .unwrap();
     drop(store);
-    let (_, found) = folder.open();
-    let promised = next.promised + 3;
-    assert_eq!(found, Record { promised, ..next });
+    let (_, found) = directory.open();
+    let voted_term = next.voted_term + 3;
+    assert_eq!(found, Record { voted_term, ..next });
 }
--- a/crates/runtime/pooler/src/control/state_store.rs
+++ b/crates/runtime/pooler/src/control/state_store.rs
@@ -5,7 +5,7 @@
 //! is opened anew, as it isn't known what is on the disk by then.
 
 use badgerstream_control::{HardState, NodeId, State, Term};
-use badgerstream_control_store::{Fresh, Record, Store, StoreError};
+use badgerstream_control_store::{Record, Store, StoreError};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use thiserror::Error;
@@ -61,8 +61,8 @@
             folder: folder.clone(),
             error,
         };
-        let (mut store, record, _) =
-            Store::open(&folder, incarnation_if_new).map_err(open_error)?;
+        let opened = Store::open(&folder, incarnation_if_new).map_err(open_error)?;
+        let (mut store, record) = (opened.store, opened.record);
         let is_empty = record.value.is_empty();
         let state = if is_empty {
             State::founding(founders.to_vec())
@@ -79,7 +79,7 @@
         }
         Ok(StateStore {
             store: Some(store),
-            incarnation: record.identity,
+            incarnation: record.incarnation,
             hard_state: hard_state_of(&record, Rc::new(state)),
             folder,
         })
@@ -104,18 +104,18 @@
         let Some(store) = &mut self.store else {
             return Err(StoreError::Closed(self.folder.clone()));
         };
-        let promised = hard_state.voted_term.0;
-        let accepted = hard_state.accepted_term.0;
+        let voted_term = hard_state.voted_term.0;
+        let accepted_term = hard_state.accepted_term.0;
         let stored = &self.hard_state.state;
         let is_stored = Rc::ptr_eq(&hard_state.state, stored) || hard_state.state == *stored;
         let saved = if is_stored {
-            store.save_ballots(promised, accepted)
+            store.save_terms(voted_term, accepted_term)
         } else {
             store.save(&Record {
-                promised,
-                accepted,
+                voted_term,
+                accepted_term,
                 value: hard_state.state.encode(),
-                identity: self.incarnation,
+                incarnation: self.incarnation,
             })
         };
         match saved {
@@ -133,9 +133,10 @@
     /// [`StateStoreError::Reopen`], [`StateStoreError::Emptied`] or
     /// [`StateStoreError::Undecodable`].
     pub(super) fn reopen(&mut self) -> Result<(), StateStoreError> {
-        let (mut store, record, fresh) =
+        let opened =
             Store::open(&self.folder, self.incarnation).map_err(StateStoreError::Reopen)?;
-        if fresh == Fresh::New || record.identity != self.incarnation {
+        let (mut store, record) = (opened.store, opened.record);
+        if opened.disk_state.is_new() || record.incarnation != self.incarnation {
             return Err(StateStoreError::Emptied);
         }
         store.save(&record).map_err(StateStoreError::Reopen)?;
@@ -156,8 +157,8 @@
 /// The hard state of a record whose state is decoded.
 fn hard_state_of(record: &Record, state: Rc<State>) -> HardState {
     HardState {
-        voted_term: Term(record.promised),
-        accepted_term: Term(record.accepted),
+        voted_term: Term(record.voted_term),
+        accepted_term: Term(record.accepted_term),
         state,
     }
 }
--- a/crates/runtime/pooler/src/tests/state_store.rs
+++ b/crates/runtime/pooler/src/tests/state_store.rs
@@ -7,7 +7,7 @@
 use badgerstream_control::{
     AppliedConfig, Digest, HardState, PrimaryRecord, State, Term, Voter, VoterSet,
 };
-use badgerstream_control_store::{FILE, Fresh, Store};
+use badgerstream_control_store::{DiskState, STORE_FILE_NAME, Store};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
     let store = folder.0.join(FOLDER);
     std::fs::create_dir_all(&store).unwrap();
     let file = miniz_oxide::inflate::decompress_to_vec(PACKED).expect("a complete file");
-    std::fs::write(store.join(FILE), file).unwrap();
+    std::fs::write(store.join(STORE_FILE_NAME), file).unwrap();
     folder
 }
 
@@ -101,11 +101,12 @@
         store.save(saved).unwrap();
     }
     drop(store);
-    let (store, found, fresh) = Store::open(&folder.0.join(FOLDER), 5).unwrap();
-    drop(store);
-    assert_eq!(fresh, Fresh::Kept);
+    let opened = Store::open(&folder.0.join(FOLDER), 5).unwrap();
+    drop(opened.store);
+    assert_eq!(opened.disk_state, DiskState::Existing);
+    let found = opened.record;
     assert_eq!(
-        (found.promised, found.accepted, found.identity),
+        (found.voted_term, found.accepted_term, found.incarnation),
         (0x1112_1314_1516_1718, 0x0102_0304_0506_0708, INCARNATION)
     );
     assert_eq!(hex(&found.value), VALUE.trim());
