--- a/crates/core/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -4,7 +4,7 @@
 //! [`PendingPromotion`] belongs to the failover of one service ([`crate::failover`]), on the leader
 //! only. The table of all such calls and what late ones can do is in `docs/design/calls.md`.
 
-use badgerstream_line_protocol::Verdict;
+use badgerstream_line_protocol::ExecutionOutcome;
 use std::collections::BTreeMap;
 
 /// A call without a clear outcome may take effect for so many seconds after it was given up. Its
@@ -51,14 +51,14 @@
     }
 
     /// Whether the platform has run the call.
-    pub fn verdict(self) -> Verdict {
+    pub fn execution_outcome(self) -> ExecutionOutcome {
         match self {
-            PromotionOutcome::Accepted => Verdict::Ran,
+            PromotionOutcome::Accepted => ExecutionOutcome::Ran,
             PromotionOutcome::Refused
             | PromotionOutcome::RateLimited
             | PromotionOutcome::Rejected
-            | PromotionOutcome::NotSent => Verdict::NotRun,
-            PromotionOutcome::Unknown => Verdict::MayHaveRun,
+            | PromotionOutcome::NotSent => ExecutionOutcome::NotRun,
+            PromotionOutcome::Unknown => ExecutionOutcome::MayHaveRun,
         }
     }
 }
@@ -112,7 +112,7 @@
         if outcome == PromotionOutcome::Refused {
             self.refusals.insert(server.to_owned(), now);
         }
-        if outcome.verdict() == Verdict::MayHaveRun {
+        if outcome.execution_outcome() == ExecutionOutcome::MayHaveRun {
             self.late_effect_until = now + LATE_EFFECT_S;
         }
         true
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -5,7 +5,7 @@
 use crate::promotion::{PendingPromotion, PromotionOutcome};
 use crate::state::PrimaryRecord;
 use crate::{CommandOutcome, FailoverConfig, ServerCommand, ServerStatus};
-use badgerstream_line_protocol::Verdict;
+use badgerstream_line_protocol::ExecutionOutcome;
 
 const TIMING: FailoverConfig = FailoverConfig {
     primary_poll_interval: 0.2,
@@ -19,21 +19,21 @@
 // ---- What the outcome of a call to the platform proves.
 
 #[test]
-fn http_status_maps_to_outcome_and_verdict() {
+fn http_status_maps_to_promotion_and_execution_outcome() {
     use PromotionOutcome::{Accepted, NotSent, RateLimited, Refused, Rejected, Unknown};
-    for (status, outcome, verdict) in [
-        (200, Accepted, Verdict::Ran),
-        (409, Refused, Verdict::NotRun),
-        (429, RateLimited, Verdict::NotRun),
-        (400, Rejected, Verdict::NotRun),
-        (408, Unknown, Verdict::MayHaveRun),
-        (500, Unknown, Verdict::MayHaveRun),
-        (503, Unknown, Verdict::MayHaveRun),
+    for (status, outcome, execution_outcome) in [
+        (200, Accepted, ExecutionOutcome::Ran),
+        (409, Refused, ExecutionOutcome::NotRun),
+        (429, RateLimited, ExecutionOutcome::NotRun),
+        (400, Rejected, ExecutionOutcome::NotRun),
+        (408, Unknown, ExecutionOutcome::MayHaveRun),
+        (500, Unknown, ExecutionOutcome::MayHaveRun),
+        (503, Unknown, ExecutionOutcome::MayHaveRun),
     ] {
         assert_eq!(PromotionOutcome::from_status(status), outcome, "{status}");
-        assert_eq!(outcome.verdict(), verdict, "{status}");
+        assert_eq!(outcome.execution_outcome(), execution_outcome, "{status}");
     }
-    assert_eq!(NotSent.verdict(), Verdict::NotRun);
+    assert_eq!(NotSent.execution_outcome(), ExecutionOutcome::NotRun);
 }
 
 #[test]
--- a/crates/core/pooling/src/connection.rs
+++ b/crates/core/pooling/src/connection.rs
@@ -38,7 +38,7 @@
             Self::Reset => "RESET".to_owned(),
             Self::Set { name, value } => format!("SET {name} {value}"),
             Self::Prepare { number, shape } => {
-                format!("PREPARE p{number} {} {}", shape.kind.word(), shape.text)
+                format!("PREPARE p{number} {} {}", shape.kind.as_str(), shape.text)
             }
         }
     }
--- a/crates/core/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -5,7 +5,7 @@
 //! by the router itself; it reaches a server only with the statement that needs it
 //! ([`crate::connection`]).
 
-use badgerstream_line_protocol::{Kind, Position, State};
+use badgerstream_line_protocol::{Position, StatementKind, TransactionState};
 use badgerstream_routing::Mark;
 use thiserror::Error;
 
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Shape {
     /// Whether it reads or writes.
-    pub kind: Kind,
+    pub kind: StatementKind,
     /// What follows the name and the kind in its `PREPARE`.
     pub text: Box<str>,
 }
@@ -106,11 +106,11 @@
 
 impl Transaction {
     /// The state that answers to the client carry.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> TransactionState {
         match self {
-            Self::None => State::Idle,
-            Self::Open { .. } => State::Open,
-            Self::Failed => State::Failed,
+            Self::None => TransactionState::Idle,
+            Self::Open { .. } => TransactionState::Open,
+            Self::Failed => TransactionState::Failed,
         }
     }
 }
@@ -155,7 +155,12 @@
     ///
     /// # Errors
     /// [`SessionError::Full`] beyond the bounds.
-    pub fn prepare(&mut self, name: &str, kind: Kind, text: &str) -> Result<(), SessionError> {
+    pub fn prepare(
+        &mut self,
+        name: &str,
+        kind: StatementKind,
+        text: &str,
+    ) -> Result<(), SessionError> {
         let bytes: usize = self
             .prepared
             .iter()
--- a/crates/core/pooling/src/tests/connection_state.rs
+++ b/crates/core/pooling/src/tests/connection_state.rs
@@ -3,14 +3,14 @@
 use crate::connection::{ConnectionState, Distance, StateChange};
 use crate::session::{MAX_NAMES, Session, SessionError};
 use arbtest::arbtest;
-use badgerstream_line_protocol::{Kind, Text};
+use badgerstream_line_protocol::{ParsedStatement, StatementKind};
 use std::collections::BTreeMap;
 
 /// What a connection holds at the server, by the statements that it received.
 #[derive(Default)]
 struct ServerState {
     values: BTreeMap<String, String>,
-    prepared: BTreeMap<String, (Kind, String)>,
+    prepared: BTreeMap<String, (StatementKind, String)>,
 }
 
 impl ServerState {
@@ -19,9 +19,11 @@
             *self = Self::default();
             return;
         }
-        match Text::parse(text).unwrap() {
-            Text::Set { name, value } => drop(self.values.insert(name.into(), value.into())),
-            Text::Prepare { name, kind, shape } => {
+        match ParsedStatement::parse(text).unwrap() {
+            ParsedStatement::Set { name, value } => {
+                drop(self.values.insert(name.into(), value.into()));
+            }
+            ParsedStatement::Prepare { name, kind, shape } => {
                 drop(self.prepared.insert(name.into(), (kind, shape.into())));
             }
             _ => panic!("{text}"),
@@ -41,7 +43,7 @@
             match u.int_in_range(0..=4)? {
                 0 => session.set(name, u.choose(&["1", "2 2"])?).unwrap(),
                 1 => {
-                    let kind = *u.choose(&[Kind::Fetch, Kind::Put])?;
+                    let kind = *u.choose(&[StatementKind::Fetch, StatementKind::Put])?;
                     session
                         .prepare(name, kind, u.choose(&["q1", "q2", "q3 x"])?)
                         .unwrap();
@@ -113,7 +115,9 @@
     let mut resets = 0;
     for i in 0..400 {
         let mut session = Session::default();
-        session.prepare("s", Kind::Fetch, &format!("q{i}")).unwrap();
+        session
+            .prepare("s", StatementKind::Fetch, &format!("q{i}"))
+            .unwrap();
         for change in connection.changes(&session.values, session.shape("s")) {
             resets += usize::from(change == StateChange::Reset);
             connection.record_acknowledged(&change);
@@ -132,14 +136,16 @@
     let mut session = Session::default();
     for i in 0..MAX_NAMES {
         session.set(&format!("n{i}"), "v").unwrap();
-        session.prepare(&format!("n{i}"), Kind::Put, "q").unwrap();
+        session
+            .prepare(&format!("n{i}"), StatementKind::Put, "q")
+            .unwrap();
     }
     assert_eq!(session.set("more", "v"), Err(SessionError::Full));
     assert_eq!(
-        session.prepare("more", Kind::Put, "q"),
+        session.prepare("more", StatementKind::Put, "q"),
         Err(SessionError::Full)
     );
     // An older name is replaced all the same.
-    assert_eq!(session.prepare("n1", Kind::Fetch, "q2"), Ok(()));
-    assert_eq!(session.shape("n1").unwrap().kind, Kind::Fetch);
+    assert_eq!(session.prepare("n1", StatementKind::Fetch, "q2"), Ok(()));
+    assert_eq!(session.shape("n1").unwrap().kind, StatementKind::Fetch);
 }
--- a/crates/protocol/line-protocol/src/lib.rs
+++ b/crates/protocol/line-protocol/src/lib.rs
@@ -1,19 +1,25 @@
-//! The line protocol of clients and databases, as machines that are fed bytes. No I/O: whoever owns the socket
-//! hands in what arrived, cut anywhere, and takes out whole lines, requests and answers.
+//! The line protocol between clients, routers and servers, as the users' page PROTOCOL gives it.
+//!
+//! No I/O: whoever owns the socket feeds what arrived, split anywhere, and takes out complete
+//! lines, requests and responses. The pooler decodes both ends with it, the testbed's servers too.
+//! Rows and statements are never changed: routers forward them as they came.
 
-mod line;
+mod error_code;
+mod execution_outcome;
+mod line_buffer;
 mod position;
-mod reply;
 mod request;
-mod text;
-mod verdict;
-
-pub use line::{LineBuffer, LineError, MAX_LINE};
-pub use position::Position;
-pub use reply::{Answer, AnswerError, Code, Outcome, Reply, State};
-pub use request::{Request, RequestError};
-pub use text::{Kind, Text, TextError};
-pub use verdict::Verdict;
-
+mod response;
+mod response_reader;
+mod statement;
 #[cfg(test)]
 mod tests;
+
+pub use crate::error_code::ErrorCode;
+pub use crate::execution_outcome::ExecutionOutcome;
+pub use crate::line_buffer::{LineBuffer, LineError, MAX_LINE_BYTES};
+pub use crate::position::{Position, PositionError};
+pub use crate::request::{Request, RequestError};
+pub use crate::response::{ResponseLine, TransactionState};
+pub use crate::response_reader::{ResponseError, ResponseReader, StatementResult};
+pub use crate::statement::{ParsedStatement, StatementError, StatementKind};
--- a/crates/protocol/line-protocol/src/request.rs
+++ b/crates/protocol/line-protocol/src/request.rs
@@ -1,69 +1,73 @@
-//! What a client, or a router at a database, asks.
+//! The requests of a client to a router, and of a router to a server.
 
-use quick_error::quick_error;
+use thiserror::Error;
 
-quick_error! {
-    /// Why a line is no request.
-    #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum RequestError {
-        /// It holds bytes that no request may hold.
-        Bytes {
-            display("not text, or a bare CR or LF in it")
-        }
-        /// The word is none of the wire's, or fields are missing.
-        Form {
-            display("not a request")
-        }
-    }
+/// Why a line is no request.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum RequestError {
+    /// It holds bytes that no request may hold.
+    #[error("not text, or a bare CR or LF in it")]
+    InvalidBytes,
+    /// Its word is none of the protocol's, or fields are missing.
+    #[error("not a request")]
+    InvalidForm,
 }
 
-/// A line asked.
+/// One request, which is one line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request<'a> {
-    /// The beginning of a session.
+    /// `CONNECT`: the beginning of a session.
     Connect {
-        /// The database; a service's name where a router asks a server.
+        /// The database; a service's name where a router connects to a server.
         database: &'a str,
-        /// Any word for the caller.
-        who: &'a str,
+        /// The rest of the line: any words by which the caller is known.
+        caller: &'a str,
     },
-    /// A statement.
+    /// `QUERY`: a statement.
     Query {
-        /// The client's id for it, `-` for the system's own.
+        /// The client's id for it; `-` for the system's own.
         id: &'a str,
-        /// Its text.
+        /// The statement, unparsed.
         text: &'a str,
     },
-    /// The end of a session.
+    /// `BYE`: the end of a session.
     Bye,
 }
 
 impl<'a> Request<'a> {
-    /// Reads a line without its end.
+    /// Parses a line without its CR LF.
+    ///
+    /// # Errors
+    ///
+    /// [`RequestError`].
     pub fn parse(line: &'a [u8]) -> Result<Self, RequestError> {
-        let line = std::str::from_utf8(line).map_err(|_| RequestError::Bytes)?;
-        // A lone LF or CR could be taken for the end of a line by whoever reads the text after us.
+        let line = std::str::from_utf8(line).map_err(|_| RequestError::InvalidBytes)?;
+        // A server might take a lone LF or CR for the end of the line: what follows would run as a
+        // statement of its own.
         if line.contains(['\n', '\r']) {
-            return Err(RequestError::Bytes);
+            return Err(RequestError::InvalidBytes);
         }
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         match word {
-            "CONNECT" => {
-                let (database, who) = rest.split_once(' ').unwrap_or((rest, ""));
-                if database.is_empty() {
-                    Err(RequestError::Form)
-                } else {
-                    Ok(Self::Connect { database, who })
-                }
-            }
-            "QUERY" => match rest.split_once(' ') {
-                Some((id, text)) if !id.is_empty() && !text.is_empty() => {
-                    Ok(Self::Query { id, text })
-                }
-                _ => Err(RequestError::Form),
-            },
+            "CONNECT" => Self::parse_connect(rest),
+            "QUERY" => Self::parse_query(rest),
             "BYE" if rest.is_empty() => Ok(Self::Bye),
-            _ => Err(RequestError::Form),
+            _ => Err(RequestError::InvalidForm),
+        }
+    }
+
+    fn parse_connect(fields: &'a str) -> Result<Self, RequestError> {
+        let (database, caller) = fields.split_once(' ').unwrap_or((fields, ""));
+        if database.is_empty() {
+            return Err(RequestError::InvalidForm);
+        }
+        Ok(Self::Connect { database, caller })
+    }
+
+    fn parse_query(fields: &'a str) -> Result<Self, RequestError> {
+        match fields.split_once(' ') {
+            Some((id, text)) if !id.is_empty() && !text.is_empty() => Ok(Self::Query { id, text }),
+            _ => Err(RequestError::InvalidForm),
         }
     }
 }
--- a/crates/protocol/line-protocol/src/tests/mod.rs
+++ b/crates/protocol/line-protocol/src/tests/mod.rs
@@ -1,4 +1,6 @@
-mod answers;
-mod lines;
+mod execution_outcomes;
+mod line_buffer;
+mod positions;
 mod requests;
-mod verdicts;
+mod responses;
+mod statements;
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -9,7 +9,7 @@
 use badgerstream_control::PromotionOutcome;
 use badgerstream_control_api::promotion;
 use badgerstream_http_codec::ResponseDecoder;
-use badgerstream_line_protocol::Verdict;
+use badgerstream_line_protocol::ExecutionOutcome;
 use futures_lite::{AsyncReadExt, io};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -103,7 +103,9 @@
 fn outcome_of(result: &Result<u16, ExchangeError>) -> PromotionOutcome {
     match result {
         Ok(status) => PromotionOutcome::from_status(*status),
-        Err(error) if error.verdict == Verdict::NotRun => PromotionOutcome::NotSent,
+        Err(error) if error.execution_outcome == ExecutionOutcome::NotRun => {
+            PromotionOutcome::NotSent
+        }
         Err(_) => PromotionOutcome::Unknown,
     }
 }
@@ -116,8 +118,11 @@
         Ok(status) => log::info!(
             "event=promotion_answered service={service} server={server_id} status={status}"
         ),
-        Err(ExchangeError { verdict, error }) => log::info!(
-            "event=promotion_unanswered service={service} server={server_id} verdict={verdict:?} \
+        Err(ExchangeError {
+            execution_outcome,
+            error,
+        }) => log::info!(
+            "event=promotion_unanswered service={service} server={server_id} execution_outcome={execution_outcome:?} \
              error={error}"
         ),
     }
--- a/crates/runtime/pooler/src/counters.rs
+++ b/crates/runtime/pooler/src/counters.rs
@@ -2,7 +2,7 @@
 //! that does the work and read by [`crate::metrics`] when somebody asks. This module knows neither
 //! of them.
 
-use badgerstream_line_protocol::Code;
+use badgerstream_line_protocol::ErrorCode;
 use prometheus_client::metrics::histogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     /// With success.
     Complete,
     /// With this error.
-    Error(Code),
+    Error(ErrorCode),
     /// Its client had closed the connection.
     ClientGone,
 }
@@ -47,7 +47,7 @@
             Self::ClientGone => "client_gone",
             Self::Error(code) => STATEMENT_ENDS
                 .into_iter()
-                .find(|end| *end == code.word())
+                .find(|end| *end == code.as_str())
                 .unwrap_or("other"),
         }
     }
--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -141,13 +141,13 @@
                 let blank = if text.is_empty() { "" } else { " " };
                 let line = format!(
                     "ERROR {}{blank}{text}\r\nIDLE {} -\r\n",
-                    code.word(),
-                    state.letter()
+                    code.as_str(),
+                    state.as_char()
                 );
                 self.client.write(line.as_bytes()).await
             }
             Response::Done => {
-                let state = self.session.transaction.state().letter();
+                let state = self.session.transaction.state().as_char();
                 self.client
                     .write(format!("COMPLETE -\r\nIDLE {state} -\r\n").as_bytes())
                     .await
--- a/crates/runtime/pooler/src/data_plane/client/commit.rs
+++ b/crates/runtime/pooler/src/data_plane/client/commit.rs
@@ -4,7 +4,7 @@
 use super::{ClientSession, PLACEMENT_DEADLINE_FRACTION};
 use crate::clock;
 use crate::data_plane::pool::{Checkout, ExchangeError};
-use badgerstream_line_protocol::{Answer, Code, Outcome, State};
+use badgerstream_line_protocol::{ErrorCode, ResponseReader, StatementResult, TransactionState};
 use badgerstream_pooling::session::Transaction;
 
 /// A commit that was sent.
@@ -19,7 +19,7 @@
 }
 
 fn aborted(reason: &str) -> Response {
-    error(Code::Aborted, reason, State::Idle)
+    error(ErrorCode::Aborted, reason, TransactionState::Idle)
 }
 
 impl ClientSession {
@@ -29,7 +29,7 @@
             // The client has asked for the end of the transaction, and it has ended.
             self.finish_transaction();
             return match response {
-                Response::Error { code, text, .. } => error(code, text, State::Idle),
+                Response::Error { code, text, .. } => error(code, text, TransactionState::Idle),
                 response => response,
             };
         }
@@ -49,7 +49,7 @@
             return aborted("the primary changes");
         }
         let line = format!("QUERY {id} {text}\r\n");
-        let mut answer = Answer::default();
+        let mut answer = ResponseReader::default();
         let granted_term = self
             .data_plane
             .granted_term(&checkout.pool.server, clock::now());
@@ -112,14 +112,18 @@
         &mut self,
         commit: &SentCommit,
         raw: Vec<u8>,
-        outcome: Result<Outcome, ExchangeError>,
+        outcome: Result<StatementResult, ExchangeError>,
     ) -> Response {
         let server = &commit.checkout.pool.server;
         match outcome {
             Ok(outcome) => {
                 if outcome.error.is_none() && commit.has_written {
                     if !self.is_granted_still(server, commit.granted_term) {
-                        return error(Code::InDoubt, "the primary changes", State::Idle);
+                        return error(
+                            ErrorCode::InDoubt,
+                            "the primary changes",
+                            TransactionState::Idle,
+                        );
                     }
                     self.session.record_write(outcome.position);
                 }
@@ -131,7 +135,11 @@
             Err(_) => {
                 let (server_id, database) = (&server.id, &self.database);
                 log::info!("event=in_doubt server={server_id} database={database}");
-                error(Code::InDoubt, "no clear answer to COMMIT", State::Idle)
+                error(
+                    ErrorCode::InDoubt,
+                    "no clear answer to COMMIT",
+                    TransactionState::Idle,
+                )
             }
         }
     }
--- a/crates/runtime/pooler/src/data_plane/client/connection.rs
+++ b/crates/runtime/pooler/src/data_plane/client/connection.rs
@@ -56,6 +56,6 @@
     /// The next complete line among the bytes that were read; none if there is none yet.
     pub(super) fn next_line(&self) -> Result<Option<Vec<u8>>, LineError> {
         let mut lines = self.lines.borrow_mut();
-        Ok(lines.next()?.map(<[u8]>::to_vec))
+        Ok(lines.next_line()?.map(<[u8]>::to_vec))
     }
 }
--- a/crates/runtime/pooler/src/data_plane/client/dispatch.rs
+++ b/crates/runtime/pooler/src/data_plane/client/dispatch.rs
@@ -5,7 +5,7 @@
 use super::statement::{Execution, Statement};
 use crate::data_plane::drain::DrainStage;
 use crate::data_plane::placement::RETRY_AFTER_S;
-use badgerstream_line_protocol::{Code, Kind, State, Text};
+use badgerstream_line_protocol::{ErrorCode, ParsedStatement, StatementKind, TransactionState};
 use badgerstream_pooling::session::{SessionError, Transaction};
 
 /// What a client is told of a transaction that shutdown rejects.
@@ -23,7 +23,7 @@
 impl ClientSession {
     /// Answers a statement of the client.
     pub(super) async fn query(&mut self, id: &str, text: &str, arrived_at: f64) -> Response {
-        let parsed = match Text::parse(text) {
+        let parsed = match ParsedStatement::parse(text) {
             Ok(parsed) => parsed,
             Err(error) => return self.malformed(&error.to_string()),
         };
@@ -39,40 +39,50 @@
             arrived_at,
         };
         match parsed {
-            Text::Set { name, value } => {
+            ParsedStatement::Set { name, value } => {
                 let set = self.session.set(name, value);
                 self.session_update_response(set)
             }
-            Text::Prepare { name, kind, shape } => {
+            ParsedStatement::Prepare { name, kind, shape } => {
                 let prepared = self.session.prepare(name, kind, shape);
                 self.session_update_response(prepared)
             }
-            Text::Release { name } => match self.session.deallocate(name) {
+            ParsedStatement::Release { name } => match self.session.deallocate(name) {
                 Ok(()) => Response::Done,
                 Err(_) => self.unknown_shape(name),
             },
-            Text::Begin { .. } if transaction != Transaction::None => {
+            ParsedStatement::Begin { .. } if transaction != Transaction::None => {
                 self.malformed("inside a transaction")
             }
-            Text::Begin { fetch } => self.begin(fetch, arrived_at),
-            Text::Abort | Text::Commit if transaction == Transaction::None => {
+            ParsedStatement::Begin { read_only } => self.begin(read_only, arrived_at),
+            ParsedStatement::Abort | ParsedStatement::Commit
+                if transaction == Transaction::None =>
+            {
                 self.malformed("outside a transaction")
             }
-            Text::Abort => {
+            ParsedStatement::Abort => {
                 self.roll_back();
                 Response::Done
             }
-            Text::Commit if self.is_draining() => self.reject_while_draining(Rejected::Commit),
-            Text::Commit => self.commit(id, text, arrived_at).await,
-            Text::Fetch => self.run_at_server(&statement(Kind::Fetch, None)).await,
-            Text::Put => self.run_at_server(&statement(Kind::Put, None)).await,
-            Text::Execute { name, rest } => {
+            ParsedStatement::Commit if self.is_draining() => {
+                self.reject_while_draining(Rejected::Commit)
+            }
+            ParsedStatement::Commit => self.commit(id, text, arrived_at).await,
+            ParsedStatement::Fetch => {
+                self.run_at_server(&statement(StatementKind::Fetch, None))
+                    .await
+            }
+            ParsedStatement::Put => {
+                self.run_at_server(&statement(StatementKind::Put, None))
+                    .await
+            }
+            ParsedStatement::Execute { name, arguments } => {
                 let Some(shape) = self.session.shape(name).cloned() else {
                     return self.unknown_shape(name);
                 };
                 let execution = Execution {
                     shape: &shape,
-                    parameters: rest,
+                    parameters: arguments,
                 };
                 self.run_at_server(&statement(shape.kind, Some(execution)))
                     .await
@@ -110,36 +120,52 @@
     /// Rejects what may not be sent to a server any more, and gives up the transaction.
     fn reject_while_draining(&mut self, rejected: Rejected) -> Response {
         if self.session.transaction == Transaction::None {
-            return retry_later(RETRY_AFTER_S, State::Idle);
+            return retry_later(RETRY_AFTER_S, TransactionState::Idle);
         }
         match rejected {
             Rejected::Commit => {
                 self.roll_back();
-                error(Code::Aborted, DRAINING_REASON, State::Idle)
+                error(ErrorCode::Aborted, DRAINING_REASON, TransactionState::Idle)
             }
             Rejected::Statement => {
                 self.fail_transaction();
-                error(Code::Aborted, DRAINING_REASON, State::Failed)
+                error(
+                    ErrorCode::Aborted,
+                    DRAINING_REASON,
+                    TransactionState::Failed,
+                )
             }
         }
     }
 
     /// A failed transaction accepts nothing but its end.
-    fn in_failed_transaction(&mut self, parsed: &Text<'_>) -> Response {
+    fn in_failed_transaction(&mut self, parsed: &ParsedStatement<'_>) -> Response {
         match parsed {
-            Text::Commit => {
+            ParsedStatement::Commit => {
                 self.roll_back();
-                error(Code::Aborted, "the transaction had failed", State::Idle)
+                error(
+                    ErrorCode::Aborted,
+                    "the transaction had failed",
+                    TransactionState::Idle,
+                )
             }
-            Text::Abort => {
+            ParsedStatement::Abort => {
                 self.roll_back();
                 Response::Done
             }
             _ if !self.failure_reported => {
                 self.failure_reported = true;
-                error(Code::Aborted, "the transaction was ended", State::Failed)
+                error(
+                    ErrorCode::Aborted,
+                    "the transaction was ended",
+                    TransactionState::Failed,
+                )
             }
-            _ => error(Code::Malformed, "the transaction has failed", State::Failed),
+            _ => error(
+                ErrorCode::Malformed,
+                "the transaction has failed",
+                TransactionState::Failed,
+            ),
         }
     }
 
@@ -154,13 +180,17 @@
     /// The request can't be understood here; an open transaction fails.
     pub(super) fn malformed(&mut self, reason: &str) -> Response {
         self.fail_open_transaction();
-        error(Code::Malformed, reason, self.session.transaction.state())
+        error(
+            ErrorCode::Malformed,
+            reason,
+            self.session.transaction.state(),
+        )
     }
 
     /// There is no prepared statement of this name; an open transaction fails.
     fn unknown_shape(&mut self, name: &str) -> Response {
         self.fail_open_transaction();
-        error(Code::Unknown, name, self.session.transaction.state())
+        error(ErrorCode::Unknown, name, self.session.transaction.state())
     }
 
     fn fail_open_transaction(&mut self) {
--- a/crates/runtime/pooler/src/data_plane/client/response.rs
+++ b/crates/runtime/pooler/src/data_plane/client/response.rs
@@ -1,7 +1,7 @@
 //! The response of a client's statement.
 
 use crate::counters::StatementEnd;
-use badgerstream_line_protocol::{Code, State};
+use badgerstream_line_protocol::{ErrorCode, TransactionState};
 use badgerstream_pooling::latency::MIN_RETRY_AFTER_S;
 
 /// The longest retry delay that a client is given, in seconds.
@@ -14,11 +14,11 @@
     /// With an error of the router.
     Error {
         /// Its code.
-        code: Code,
+        code: ErrorCode,
         /// What follows the code; may be empty.
         text: String,
         /// The state of the session afterwards.
-        state: State,
+        state: TransactionState,
     },
     /// With a success of the router.
     Done,
@@ -31,7 +31,7 @@
     pub(super) fn end(&self) -> StatementEnd {
         match self {
             Self::Forward(raw) => match raw.strip_prefix(b"ERROR ") {
-                Some(error) => StatementEnd::Error(Code::parse(first_word(error))),
+                Some(error) => StatementEnd::Error(ErrorCode::parse(first_word(error))),
                 None => StatementEnd::Complete,
             },
             Self::Error { code, .. } => StatementEnd::Error(*code),
@@ -50,7 +50,7 @@
 }
 
 /// An error of the router.
-pub(super) fn error(code: Code, text: impl Into<String>, state: State) -> Response {
+pub(super) fn error(code: ErrorCode, text: impl Into<String>, state: TransactionState) -> Response {
     Response::Error {
         code,
         text: text.into(),
@@ -59,9 +59,9 @@
 }
 
 /// `RETRY`: nothing has run, and the client should try again after this many seconds.
-pub(super) fn retry_later(retry_after_s: f64, state: State) -> Response {
+pub(super) fn retry_later(retry_after_s: f64, state: TransactionState) -> Response {
     error(
-        Code::Retry,
+        ErrorCode::Retry,
         retry_after_ms(retry_after_s).to_string(),
         state,
     )
--- a/crates/runtime/pooler/src/data_plane/client/single_statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -11,7 +11,9 @@
 use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S, RouteTerms};
 use crate::data_plane::pool::ExchangeError;
 use crate::view::Server;
-use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State, Verdict};
+use badgerstream_line_protocol::{
+    ErrorCode, ExecutionOutcome, ResponseReader, StatementKind, StatementResult, TransactionState,
+};
 use badgerstream_pooling::choice::Access;
 use futures_lite::future::or;
 use std::cell::Cell;
@@ -44,7 +46,7 @@
 
 impl<'a> Attempts<'a> {
     fn new(statement: &'a Statement<'a>, terms: &'a RouteTerms) -> Self {
-        let is_read = statement.kind == Kind::Fetch;
+        let is_read = statement.kind == StatementKind::Fetch;
         let arrived_at = statement.arrived_at;
         Self {
             statement,
@@ -102,19 +104,19 @@
 
 /// A statement that was sent, and what came of it.
 struct Exchange {
-    answer: Answer,
+    answer: ResponseReader,
     /// A part of the answer has been forwarded to the client.
     is_partially_forwarded: bool,
     /// The primary term of the grant under which it was sent; none at a replica.
     granted_term: Option<u64>,
-    outcome: Result<Outcome, ExchangeError>,
+    outcome: Result<StatementResult, ExchangeError>,
 }
 
 impl ClientSession {
     /// Runs a statement outside a transaction.
     pub(super) async fn run_single(&mut self, statement: &Statement<'_>) -> Response {
         let Some(terms) = self.route_terms() else {
-            return error(Code::NoDb, &*self.database, State::Idle);
+            return error(ErrorCode::NoDb, &*self.database, TransactionState::Idle);
         };
         let mut attempts = Attempts::new(statement, &terms);
         let mut retry_after_s = RETRY_AFTER_S;
@@ -133,7 +135,10 @@
                 Attempt::NotPrepared => break,
             }
         }
-        retry_later(terms.bound_retry_after(retry_after_s), State::Idle)
+        retry_later(
+            terms.bound_retry_after(retry_after_s),
+            TransactionState::Idle,
+        )
     }
 
     async fn next_placement(
@@ -192,7 +197,7 @@
             .granted_term(&placement.checkout.pool.server, now);
         let give_up_at = attempts.answer_until(now, at_primary, attempt);
         let target_s = attempts.request.terms.target_s;
-        let mut answer = Answer::default();
+        let mut answer = ResponseReader::default();
         let is_partially_forwarded = Cell::new(false);
         let client = &self.client;
         let forward = async |part: &[u8]| {
@@ -225,9 +230,9 @@
         &self,
         attempts: &mut Attempts<'_>,
         placement: &mut Placement,
-        answer: &mut Answer,
+        answer: &mut ResponseReader,
         forward: impl AsyncFn(&[u8]) -> bool,
-    ) -> Result<Outcome, ExchangeError> {
+    ) -> Result<StatementResult, ExchangeError> {
         // It most likely takes no slot at the server any more. Its answer is still used if it comes.
         placement.checkout.release_slot();
         let may_hedge = attempts.is_read && attempts.hedged_reads < MAX_HEDGED_READS;
@@ -270,7 +275,7 @@
         placement: Placement,
         attempt: u32,
         exchange: Exchange,
-        outcome: &Outcome,
+        outcome: &StatementResult,
     ) -> Attempt {
         let pool = placement.checkout.pool.clone();
         let server_id = pool.server.id.clone();
@@ -278,7 +283,11 @@
             None => {
                 if !attempts.is_read && !self.is_granted_still(&pool.server, exchange.granted_term)
                 {
-                    return Attempt::Done(error(Code::InDoubt, "the primary changes", State::Idle));
+                    return Attempt::Done(error(
+                        ErrorCode::InDoubt,
+                        "the primary changes",
+                        TransactionState::Idle,
+                    ));
                 }
                 if !attempts.is_read {
                     self.session.record_write(outcome.position);
@@ -288,13 +297,13 @@
             Some(_) if exchange.is_partially_forwarded => {
                 Attempt::Done(self.forward(exchange.answer.raw, outcome))
             }
-            Some(code) if code.verdict() == Verdict::NotRun => {
-                if let (Code::Lagging, Some(proof)) = (code, placement.proof) {
+            Some(code) if code.execution_outcome() == ExecutionOutcome::NotRun => {
+                if let (ErrorCode::Lagging, Some(proof)) = (code, placement.proof) {
                     pool.mark_lagging(proof);
                 }
                 log::debug!(
                     "event=statement_not_run server={server_id} code={}",
-                    code.word()
+                    code.as_str()
                 );
                 let at_primary = placement.proof.is_none();
                 // Not kept during the backoff.
@@ -304,7 +313,7 @@
                 }
                 Attempt::Retry(server_id)
             }
-            Some(Code::Failed) if attempts.is_read && attempt < MAX_FAILED_READS => {
+            Some(ErrorCode::Failed) if attempts.is_read && attempt < MAX_FAILED_READS => {
                 Attempt::Retry(server_id)
             }
             Some(_) => Attempt::Done(self.forward(exchange.answer.raw, outcome)),
@@ -330,9 +339,15 @@
                 return Attempt::Done(Response::ClientDisconnected);
             }
             ExchangeError::Unsent => {}
-            _ if !attempts.is_read && failure.verdict() == Verdict::MayHaveRun => {
+            _ if !attempts.is_read
+                && failure.execution_outcome() == ExecutionOutcome::MayHaveRun =>
+            {
                 log::info!("event=in_doubt server={server_id} database={database}");
-                return Attempt::Done(error(Code::InDoubt, "no clear answer", State::Idle));
+                return Attempt::Done(error(
+                    ErrorCode::InDoubt,
+                    "no clear answer",
+                    TransactionState::Idle,
+                ));
             }
             ExchangeError::Broken => {}
             ExchangeError::Overdue => {
@@ -340,7 +355,11 @@
             }
             ExchangeError::TimedOut => {
                 if clock::now() >= attempts.deadline {
-                    return Attempt::Done(error(Code::Timeout, "no answer", State::Idle));
+                    return Attempt::Done(error(
+                        ErrorCode::Timeout,
+                        "no answer",
+                        TransactionState::Idle,
+                    ));
                 }
             }
         }
@@ -356,8 +375,8 @@
 
     /// The server's answer as the response. Should it leave the server's session in a transaction,
     /// that ends with its connection: the client is told that it is idle.
-    pub(super) fn forward(&self, mut raw: Vec<u8>, outcome: &Outcome) -> Response {
-        if outcome.state != State::Idle
+    pub(super) fn forward(&self, mut raw: Vec<u8>, outcome: &StatementResult) -> Response {
+        if outcome.state != TransactionState::Idle
             && let Some(newline) = raw.windows(7).rposition(|w| w.starts_with(b"\nIDLE "))
         {
             raw.truncate(newline + 1);
--- a/crates/runtime/pooler/src/data_plane/client/statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/statement.rs
@@ -1,7 +1,7 @@
 //! A statement that runs at a server, and its line there.
 
 use crate::data_plane::pool::Checkout;
-use badgerstream_line_protocol::Kind;
+use badgerstream_line_protocol::StatementKind;
 use badgerstream_pooling::session::Shape;
 
 /// A statement of a client that runs at a server.
@@ -12,7 +12,7 @@
     /// Its text, as the client sent it.
     pub(super) text: &'a str,
     /// Whether it reads or writes.
-    pub(super) kind: Kind,
+    pub(super) kind: StatementKind,
     /// The prepared statement that it executes, if it does.
     pub(super) execution: Option<Execution<'a>>,
     /// When it arrived, in seconds.
--- a/crates/runtime/pooler/src/data_plane/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -8,7 +8,9 @@
 use crate::clock;
 use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S};
 use crate::data_plane::pool::{Checkout, ExchangeError, PrepareFailed};
-use badgerstream_line_protocol::{Answer, Code, Kind, Outcome, State};
+use badgerstream_line_protocol::{
+    ErrorCode, ResponseReader, StatementKind, StatementResult, TransactionState,
+};
 use badgerstream_pooling::choice::Access;
 use badgerstream_pooling::session::{Shape, Transaction, Values};
 
@@ -38,7 +40,11 @@
         };
         let Some(terms) = self.route_terms() else {
             self.fail_transaction();
-            return Err(error(Code::Aborted, "the database is gone", State::Failed));
+            return Err(error(
+                ErrorCode::Aborted,
+                "the database is gone",
+                TransactionState::Failed,
+            ));
         };
         let request = PlacementRequest {
             terms: &terms,
@@ -61,7 +67,10 @@
             Err(NoPlacement::ClientDisconnected) => Err(Response::ClientDisconnected),
             Err(NoPlacement::RetryAfter(seconds)) => {
                 self.fail_transaction();
-                Err(retry_later(terms.bound_retry_after(seconds), State::Failed))
+                Err(retry_later(
+                    terms.bound_retry_after(seconds),
+                    TransactionState::Failed,
+                ))
             }
         }
     }
@@ -116,7 +125,7 @@
         }
         let deadline = request.waiting_since + request.terms.deadline_s;
         let give_up_at = (clock::now() + BEGIN_TIMEOUT_S).min(deadline);
-        let mut answer = Answer::default();
+        let mut answer = ResponseReader::default();
         let discard = async |_: &[u8]| true;
         // Nothing has run in the transaction, so it may begin elsewhere once the answer is overdue.
         let begun = placement.checkout.exchange_until_overdue(
@@ -127,10 +136,10 @@
             discard,
         );
         let outcome = begun.await.ok()?;
-        if outcome.error.is_none() && outcome.state == State::Open {
+        if outcome.error.is_none() && outcome.state == TransactionState::Open {
             return Some(placement.checkout);
         }
-        if let (Some(Code::Lagging), Some(proof)) = (outcome.error, placement.proof) {
+        if let (Some(ErrorCode::Lagging), Some(proof)) = (outcome.error, placement.proof) {
             placement.checkout.pool.mark_lagging(proof);
         }
         // Not kept during the backoff.
@@ -171,13 +180,17 @@
         let line = is_ready.then(|| statement.line(checkout, "")).flatten();
         let Some(line) = line else {
             self.fail_transaction();
-            return error(Code::Aborted, "the transaction was lost", State::Failed);
+            return error(
+                ErrorCode::Aborted,
+                "the transaction was lost",
+                TransactionState::Failed,
+            );
         };
         if !*read_only {
             self.session.primary_affinity.touch(clock::now());
         }
-        *has_written |= statement.kind == Kind::Put;
-        let mut answer = Answer::default();
+        *has_written |= statement.kind == StatementKind::Put;
+        let mut answer = ResponseReader::default();
         let client = &self.client;
         let forward = async |part: &[u8]| client.write(part).await;
         let exchange =
@@ -191,14 +204,14 @@
     fn conclude_in_transaction(
         &mut self,
         raw: Vec<u8>,
-        outcome: Result<Outcome, ExchangeError>,
+        outcome: Result<StatementResult, ExchangeError>,
     ) -> Response {
         match outcome {
             Ok(outcome) => {
                 match outcome.state {
-                    State::Open => {}
-                    State::Failed => self.session.transaction = Transaction::Failed,
-                    State::Idle => {
+                    TransactionState::Open => {}
+                    TransactionState::Failed => self.session.transaction = Transaction::Failed,
+                    TransactionState::Idle => {
                         self.checkout = None;
                         self.finish_transaction();
                     }
@@ -211,7 +224,11 @@
                 // client may begin again at once.
                 self.checkout = None;
                 self.fail_transaction();
-                error(Code::Aborted, "the server was lost", State::Failed)
+                error(
+                    ErrorCode::Aborted,
+                    "the server was lost",
+                    TransactionState::Failed,
+                )
             }
         }
     }
--- a/crates/runtime/pooler/src/data_plane/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -7,7 +7,7 @@
 use crate::data_plane::admission::{AdmissionTerms, Permit};
 use crate::data_plane::server_connection::ServerConnection;
 use crate::net;
-use badgerstream_line_protocol::Answer;
+use badgerstream_line_protocol::ResponseReader;
 use badgerstream_pooling::session::{Shape, Values};
 use std::rc::Rc;
 
@@ -133,7 +133,7 @@
             let _ = self
                 .exchange(
                     b"QUERY - ABORT\r\n",
-                    &mut Answer::default(),
+                    &mut ResponseReader::default(),
                     give_up_at,
                     discard,
                 )
--- a/crates/runtime/pooler/src/data_plane/pool/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/drain.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::data_plane::server_connection::{AnswerLost, ServerConnection};
 use crate::net::{self, Scratch};
-use badgerstream_line_protocol::{Answer, Outcome, State};
+use badgerstream_line_protocol::{ResponseReader, StatementResult, TransactionState};
 
 /// For how long an abandoned answer is awaited, in seconds.
 const DRAIN_TIMEOUT_S: f64 = 3.0;
@@ -50,7 +50,7 @@
     fn conclude_drain(
         &self,
         connection: ServerConnection,
-        outcome: &Outcome,
+        outcome: &StatementResult,
         sent_at: Option<f64>,
     ) {
         self.mark_answered(outcome.position);
@@ -58,7 +58,10 @@
             // It was not lost but slow, and so may be others.
             self.record_answer(sent_at);
         }
-        if outcome.state == State::Idle && outcome.error.is_none() && connection.is_clean() {
+        if outcome.state == TransactionState::Idle
+            && outcome.error.is_none()
+            && connection.is_clean()
+        {
             self.put_idle(connection);
         }
     }
@@ -67,9 +70,9 @@
 async fn discard_answer(
     connection: &mut ServerConnection,
     scratch: &Scratch,
-) -> Result<Outcome, AnswerLost> {
+) -> Result<StatementResult, AnswerLost> {
     loop {
-        let mut answer = Answer::default();
+        let mut answer = ResponseReader::default();
         if let Some(outcome) = connection.read_answer(&mut answer, scratch).await? {
             return Ok(outcome);
         }
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -5,7 +5,9 @@
 use super::health::UnansweredStatement;
 use crate::clock;
 use crate::net;
-use badgerstream_line_protocol::{Answer, Code, Outcome, State, Verdict};
+use badgerstream_line_protocol::{
+    ErrorCode, ExecutionOutcome, ResponseReader, StatementResult, TransactionState,
+};
 
 /// Between two checks whether an answer that is late has been overtaken, in seconds.
 const OVERDUE_CHECK_INTERVAL_S: f64 = 0.05;
@@ -28,11 +30,11 @@
 
 impl ExchangeError {
     /// Whether the statement may have run.
-    pub fn verdict(self) -> Verdict {
+    pub fn execution_outcome(self) -> ExecutionOutcome {
         match self {
-            Self::Unsent => Verdict::NotRun,
+            Self::Unsent => ExecutionOutcome::NotRun,
             Self::Broken | Self::TimedOut | Self::Overdue | Self::ClientDisconnected => {
-                Verdict::MayHaveRun
+                ExecutionOutcome::MayHaveRun
             }
         }
     }
@@ -45,10 +47,10 @@
     pub async fn exchange(
         &mut self,
         line: &[u8],
-        answer: &mut Answer,
+        answer: &mut ResponseReader,
         give_up_at: f64,
         forward: impl AsyncFn(&[u8]) -> bool,
-    ) -> Result<Outcome, ExchangeError> {
+    ) -> Result<StatementResult, ExchangeError> {
         let Some(connection) = &mut self.connection else {
             return Err(ExchangeError::Unsent);
         };
@@ -83,11 +85,11 @@
     pub async fn exchange_until_overdue(
         &mut self,
         line: &[u8],
-        answer: &mut Answer,
+        answer: &mut ResponseReader,
         target_s: f64,
         give_up_at: f64,
         forward: impl AsyncFn(&[u8]) -> bool,
-    ) -> Result<Outcome, ExchangeError> {
+    ) -> Result<StatementResult, ExchangeError> {
         let overdue_at =
             |now: f64, pool: &Pool| (now + pool.latency().overdue_after(target_s)).min(give_up_at);
         let first_check = overdue_at(clock::now(), &self.pool);
@@ -110,10 +112,10 @@
     /// Waits on, until `give_up_at` (seconds), for the answer of what was sent and has timed out.
     pub async fn await_answer(
         &mut self,
-        answer: &mut Answer,
+        answer: &mut ResponseReader,
         give_up_at: f64,
         forward: impl AsyncFn(&[u8]) -> bool,
-    ) -> Result<Outcome, ExchangeError> {
+    ) -> Result<StatementResult, ExchangeError> {
         let Some(connection) = &mut self.connection else {
             return Err(ExchangeError::Broken);
         };
@@ -146,9 +148,9 @@
 
     /// The answer is in: records what it says of the server, and decides whether the connection can
     /// be reused.
-    fn conclude(&mut self, outcome: &Outcome) {
+    fn conclude(&mut self, outcome: &StatementResult) {
         self.pool.mark_answered(outcome.position);
-        let is_idle = outcome.state == State::Idle;
+        let is_idle = outcome.state == TransactionState::Idle;
         if let Some(unanswered) = self.unanswered.take() {
             if self.takes_slot {
                 self.pool.record_answer(unanswered.sent_at);
@@ -167,7 +169,8 @@
             return;
         };
         // After `UNKNOWN` the server doesn't hold what the connection's state says.
-        let is_clean = is_idle && connection.is_clean() && outcome.error != Some(Code::Unknown);
+        let is_clean =
+            is_idle && connection.is_clean() && outcome.error != Some(ErrorCode::Unknown);
         self.reuse = if is_clean {
             Reuse::Clean
         } else {
--- a/crates/runtime/pooler/src/data_plane/pool/prepare.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/prepare.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::data_plane::server_connection::ServerConnection;
 use crate::net::{self, Scratch, sleep_until};
-use badgerstream_line_protocol::{Answer, State};
+use badgerstream_line_protocol::{ResponseReader, TransactionState};
 use badgerstream_pooling::connection::StateChange;
 use badgerstream_pooling::session::{Shape, Values};
 use futures_lite::future::or;
@@ -35,9 +35,9 @@
         }
         let in_transaction = self.reuse == Reuse::Closed;
         let expected_state = if in_transaction {
-            State::Open
+            TransactionState::Open
         } else {
-            State::Idle
+            TransactionState::Idle
         };
         // Until all changes are acknowledged, its state is unknown.
         self.reuse = Reuse::Closed;
@@ -72,7 +72,7 @@
 async fn apply(
     connection: &mut ServerConnection,
     changes: &[StateChange],
-    expected_state: State,
+    expected_state: TransactionState,
     scratch: &Scratch,
 ) -> Result<(), PrepareFailed> {
     let lines: String = changes
@@ -84,7 +84,7 @@
         .await
         .map_err(|_| PrepareFailed)?;
     for change in changes {
-        let mut answer = Answer::default();
+        let mut answer = ResponseReader::default();
         let outcome = connection
             .read_answer(&mut answer, scratch)
             .await
--- a/crates/runtime/pooler/src/data_plane/server_connection.rs
+++ b/crates/runtime/pooler/src/data_plane/server_connection.rs
@@ -6,7 +6,10 @@
 use crate::clock;
 use crate::net::{self, Scratch, WriteError};
 use async_io::Async;
-use badgerstream_line_protocol::{Answer, Code, LineBuffer, Outcome, Position, Reply, State};
+use badgerstream_line_protocol::{
+    ErrorCode, LineBuffer, Position, ResponseLine, ResponseReader, StatementResult,
+    TransactionState,
+};
 use badgerstream_pooling::connection::ConnectionState;
 use std::net::{SocketAddr, TcpStream};
 use thiserror::Error;
@@ -92,7 +95,7 @@
             .map_err(|_| OpenError::Unreachable)?;
         let mut lines = LineBuffer::default();
         let position = loop {
-            if let Some(line) = lines.next().map_err(|_| OpenError::Refused)? {
+            if let Some(line) = lines.next_line().map_err(|_| OpenError::Refused)? {
                 break greeting_position(line)?;
             }
             match net::read(&stream, scratch, &mut lines).await {
@@ -131,11 +134,11 @@
     /// [`MAX_BUFFERED_ANSWER_BYTES`]: forward `answer.raw`, clear it, and call again.
     pub(super) async fn read_answer(
         &mut self,
-        answer: &mut Answer,
+        answer: &mut ResponseReader,
         scratch: &Scratch,
-    ) -> Result<Option<Outcome>, AnswerLost> {
+    ) -> Result<Option<StatementResult>, AnswerLost> {
         loop {
-            if let Some(outcome) = answer.take(&mut self.lines).map_err(|_| AnswerLost)? {
+            if let Some(outcome) = answer.read(&mut self.lines).map_err(|_| AnswerLost)? {
                 return Ok(Some(outcome));
             }
             if answer.raw.len() >= MAX_BUFFERED_ANSWER_BYTES {
@@ -162,17 +165,17 @@
 
 /// The position that a server's answer to `CONNECT` carries.
 fn greeting_position(line: &[u8]) -> Result<Option<Position>, OpenError> {
-    match Reply::parse(line) {
-        Some(Reply::Idle {
-            state: State::Idle,
+    match ResponseLine::parse(line) {
+        Some(ResponseLine::Idle {
+            state: TransactionState::Idle,
             position,
         }) => Ok(position),
-        Some(Reply::Error {
-            code: Code::WrongNode,
+        Some(ResponseLine::Error {
+            code: ErrorCode::WrongNode,
             ..
         }) => Err(OpenError::WrongNode),
-        Some(Reply::Error {
-            code: Code::ConnLimit,
+        Some(ResponseLine::Error {
+            code: ErrorCode::ConnLimit,
             ..
         }) => Err(OpenError::Full),
         _ => Err(OpenError::Refused),
--- a/crates/runtime/pooler/src/exchange.rs
+++ b/crates/runtime/pooler/src/exchange.rs
@@ -6,7 +6,7 @@
 
 use crate::net;
 use async_io::Async;
-use badgerstream_line_protocol::Verdict;
+use badgerstream_line_protocol::ExecutionOutcome;
 use std::cell::Cell;
 use std::io::{Error, ErrorKind, Result};
 use std::net::TcpStream;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct ExchangeError {
     /// Whether the request may have run all the same.
-    pub verdict: Verdict,
+    pub execution_outcome: ExecutionOutcome,
     /// What went wrong.
     pub error: Error,
 }
@@ -45,7 +45,7 @@
 }
 
 /// How far an exchange has come.
-pub struct Progress(Cell<Verdict>);
+pub struct Progress(Cell<ExecutionOutcome>);
 
 impl Progress {
     /// Sends the complete request. From its first byte on it may have run.
@@ -54,10 +54,10 @@
     ///
     /// [`ErrorKind::BrokenPipe`] if not all of it could be written.
     pub async fn send(&self, stream: &Async<TcpStream>, request: &[u8]) -> Result<()> {
-        self.0.set(Verdict::MayHaveRun);
+        self.0.set(ExecutionOutcome::MayHaveRun);
         net::write(stream, request).await.map_err(|error| {
             if error.nothing_written {
-                self.0.set(Verdict::NotRun);
+                self.0.set(ExecutionOutcome::NotRun);
             }
             ErrorKind::BrokenPipe.into()
         })
@@ -74,10 +74,10 @@
     timeout_s: f64,
     exchange: impl AsyncFnOnce(&Progress) -> Result<T>,
 ) -> std::result::Result<T, ExchangeError> {
-    let progress = Progress(Cell::new(Verdict::NotRun));
+    let progress = Progress(Cell::new(ExecutionOutcome::NotRun));
     let result = net::with_timeout(timeout_s, exchange(&progress)).await;
     result.map_err(|error| ExchangeError {
-        verdict: progress.0.get(),
+        execution_outcome: progress.0.get(),
         error,
     })
 }
--- a/crates/runtime/pooler/src/server_commands.rs
+++ b/crates/runtime/pooler/src/server_commands.rs
@@ -10,7 +10,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use badgerstream_control::{CommandOutcome, ServerCommand, ServerStatus};
-use badgerstream_line_protocol::{Code, LineBuffer, Position, Reply};
+use badgerstream_line_protocol::{ErrorCode, LineBuffer, Position, ResponseLine};
 use futures_lite::future;
 use std::cell::RefCell;
 use std::io::{Error, ErrorKind, Result};
@@ -197,10 +197,10 @@
     /// What the controller learns of a command that came to no answer.
     fn outcome_of_error(&self, command: FencedCommand, error: &ExchangeError) -> CommandOutcome {
         log::debug!(
-            "event=command_failed server={} command={:?} verdict={:?} error={}",
+            "event=command_failed server={} command={:?} execution_outcome={:?} error={}",
             self.target.server_id,
             command.command,
-            error.verdict,
+            error.execution_outcome,
             error.error
         );
         match error.error.kind() {
@@ -214,7 +214,10 @@
 /// Whether a command that failed on a connection that had been idle is sent once more on a new one.
 fn may_retry(command: FencedCommand, error: &ExchangeError) -> bool {
     let given_up = error.is_authority_lost() || error.error.kind() == ErrorKind::TimedOut;
-    !given_up && error.verdict.permits_retry(command.is_idempotent())
+    !given_up
+        && error
+            .execution_outcome
+            .permits_retry(command.is_idempotent())
 }
 
 struct ServerConnection {
@@ -241,13 +244,15 @@
         net::write(&connection.stream, connect.as_bytes())
             .await
             .map_err(|_| ErrorKind::BrokenPipe)?;
-        match Reply::parse(&connection.read_line().await?) {
-            Some(Reply::Idle { .. }) => Ok(connection),
-            Some(Reply::Error {
-                code: Code::WrongNode,
+        match ResponseLine::parse(&connection.read_line().await?) {
+            Some(ResponseLine::Idle { .. }) => Ok(connection),
+            Some(ResponseLine::Error {
+                code: ErrorCode::WrongNode,
                 ..
             }) => Err(ReplyError::WrongServer.into()),
-            Some(Reply::Error { code, .. }) => Err(ReplyError::Rejected(code.word()).into()),
+            Some(ResponseLine::Error { code, .. }) => {
+                Err(ReplyError::Rejected(code.as_str()).into())
+            }
             _ => Err(ReplyError::Malformed.into()),
         }
     }
@@ -275,18 +280,18 @@
         let mut status = None;
         loop {
             let line = self.read_line().await?;
-            match Reply::parse(&line) {
-                Some(Reply::Row(text)) => status = parse_status(text),
-                Some(Reply::Idle { .. }) => return Ok(status),
-                Some(Reply::Error { code, text }) => {
+            match ResponseLine::parse(&line) {
+                Some(ResponseLine::Row(text)) => status = parse_status(text),
+                Some(ResponseLine::Idle { .. }) => return Ok(status),
+                Some(ResponseLine::Error { code, text }) => {
                     log::debug!(
                         "event=command_rejected server={server_id} command={:?} code={} \
                          text={text}",
                         command.command,
-                        code.word()
+                        code.as_str()
                     );
                 }
-                Some(Reply::Complete(_)) => {}
+                Some(ResponseLine::Complete(_)) => {}
                 None => return Err(ReplyError::Malformed.into()),
             }
         }
@@ -295,7 +300,11 @@
     async fn read_line(&mut self) -> Result<Vec<u8>> {
         let scratch = RefCell::new(vec![0; READ_BYTES]);
         loop {
-            if let Some(line) = self.lines.next().map_err(|e| Error::other(e.to_string()))? {
+            if let Some(line) = self
+                .lines
+                .next_line()
+                .map_err(|e| Error::other(e.to_string()))?
+            {
                 return Ok(line.to_vec());
             }
             if net::read(&self.stream, &scratch, &mut self.lines).await? == 0 {
--- a/crates/runtime/pooler/src/tests/data_plane.rs
+++ b/crates/runtime/pooler/src/tests/data_plane.rs
@@ -111,7 +111,7 @@
         let mut prepared: BTreeMap<String, String> = BTreeMap::new();
         let (mut state, mut puts) = ('I', 0);
         loop {
-            let Some(line) = lines.next().unwrap().map(<[u8]>::to_vec) else {
+            let Some(line) = lines.next_line().unwrap().map(<[u8]>::to_vec) else {
                 let n = stream.read(&mut bytes).await.unwrap_or(0);
                 if n == 0 {
                     if state != 'I' {
@@ -260,7 +260,7 @@
     /// The next line, none at the end.
     async fn line(&mut self) -> Option<String> {
         loop {
-            if let Some(line) = self.lines.next().unwrap() {
+            if let Some(line) = self.lines.next_line().unwrap() {
                 return Some(String::from_utf8(line.to_vec()).unwrap());
             }
             let mut bytes = [0; 512];
--- a/crates/runtime/pooler/src/tests/metrics.rs
+++ b/crates/runtime/pooler/src/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::{Exposition, Labels};
 use crate::counters::{ControlCounts, ResponseCount, StatementCounts, StatementEnd};
-use badgerstream_line_protocol::Code;
+use badgerstream_line_protocol::ErrorCode;
 
 fn lines(text: &str) -> Vec<&str> {
     text.lines().collect()
@@ -40,12 +40,12 @@
     let counts = StatementCounts::default();
     counts.ended("FETCH a", StatementEnd::Complete);
     counts.ended("FETCH b", StatementEnd::Complete);
-    counts.ended("COMMIT", StatementEnd::Error(Code::InDoubt));
+    counts.ended("COMMIT", StatementEnd::Error(ErrorCode::InDoubt));
     counts.ended("PUT a 1", StatementEnd::ClientGone);
     // What clients make up adds no label.
     for text in ["", "fetch a", "DROP TABLE", "\u{1f980}"] {
-        counts.ended(text, StatementEnd::Error(Code::Other));
-        counts.ended(text, StatementEnd::Error(Code::NoDb));
+        counts.ended(text, StatementEnd::Error(ErrorCode::Other));
+        counts.ended(text, StatementEnd::Error(ErrorCode::NoDb));
     }
     let all: Vec<_> = counts.all_ended().collect();
     let expected = [
--- a/crates/runtime/pooler/src/tests/server_commands.rs
+++ b/crates/runtime/pooler/src/tests/server_commands.rs
@@ -78,7 +78,7 @@
         let mut bytes = [0; 256];
         loop {
             let Some(line) = lines
-                .next()
+                .next_line()
                 .unwrap()
                 .map(|l| String::from_utf8(l.to_vec()).unwrap())
             else {
--- a/crates/testing/testbed/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -1,7 +1,7 @@
 //! A small client of the wire.
 
 use async_io::Async;
-use badgerstream_line_protocol::{Answer, LineBuffer, Outcome, Reply};
+use badgerstream_line_protocol::{LineBuffer, ResponseLine, ResponseReader, StatementResult};
 use badgerstream_pooler::net::with_timeout;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::io::{Error, ErrorKind, Result};
@@ -20,7 +20,7 @@
     /// Its lines as they came.
     pub text: String,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: StatementResult,
 }
 
 impl Answered {
@@ -45,9 +45,9 @@
                 .write_all(format!("CONNECT {database} {who}\r\n").as_bytes())
                 .await?;
             loop {
-                if let Some(line) = client.lines.next().map_err(Error::other)? {
-                    return match Reply::parse(line) {
-                        Some(Reply::Idle { .. }) => Ok(()),
+                if let Some(line) = client.lines.next_line().map_err(Error::other)? {
+                    return match ResponseLine::parse(line) {
+                        Some(ResponseLine::Idle { .. }) => Ok(()),
                         _ => Err(Error::other(String::from_utf8_lossy(line).into_owned())),
                     };
                 }
@@ -65,9 +65,9 @@
             self.stream
                 .write_all(format!("QUERY {id} {text}\r\n").as_bytes())
                 .await?;
-            let mut answer = Answer::default();
+            let mut answer = ResponseReader::default();
             loop {
-                if let Some(outcome) = answer.take(&mut self.lines).map_err(Error::other)? {
+                if let Some(outcome) = answer.read(&mut self.lines).map_err(Error::other)? {
                     let text = String::from_utf8_lossy(&answer.raw).into_owned();
                     return Ok(Answered { text, outcome });
                 }
--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -147,7 +147,7 @@
             println!("    {line}");
         }
         if let Some(code) = answered.outcome.error {
-            failed.get_or_insert(format!("{text}: {}", code.word()));
+            failed.get_or_insert(format!("{text}: {}", code.as_str()));
         }
     }
     failed.map_or(Ok(()), Err)
--- a/crates/testing/testbed/src/serve.rs
+++ b/crates/testing/testbed/src/serve.rs
@@ -160,10 +160,10 @@
             return self.health(&id, &mut stream).await;
         }
         let opened = match Request::parse(&first) {
-            Ok(Request::Connect { database, who }) => {
+            Ok(Request::Connect { database, caller }) => {
                 self.world
                     .borrow_mut()
-                    .connect(clock::now(), &id, database, who)
+                    .connect(clock::now(), &id, database, caller)
             }
             _ => Err("ERROR MALFORMED CONNECT comes first\r\n".to_owned()),
         };
@@ -225,7 +225,7 @@
 async fn line(stream: &mut Async<TcpStream>, lines: &mut LineBuffer) -> Option<Vec<u8>> {
     let mut bytes = [0; 1024];
     loop {
-        if let Some(line) = lines.next().ok()? {
+        if let Some(line) = lines.next_line().ok()? {
             return Some(line.to_vec());
         }
         match stream.read(&mut bytes).await {
--- a/crates/testing/testbed/src/world.rs
+++ b/crates/testing/testbed/src/world.rs
@@ -7,7 +7,9 @@
 use crate::ledger::Ledger;
 use crate::replica::{Commit, Replica};
 use badgerstream_control_api::members::{DbRole, Heartbeat, Phase};
-use badgerstream_line_protocol::{Code, Kind, Position, Request, State, Text};
+use badgerstream_line_protocol::{
+    ErrorCode, ParsedStatement, Position, Request, StatementKind, TransactionState,
+};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -122,7 +124,7 @@
 struct Session {
     server: String,
     values: BTreeMap<String, String>,
-    prepared: BTreeMap<String, (Kind, String)>,
+    prepared: BTreeMap<String, (StatementKind, String)>,
     transaction: Option<Transaction>,
     statements: u64,
 }
--- a/crates/testing/testbed/src/world/sessions.rs
+++ b/crates/testing/testbed/src/world/sessions.rs
@@ -1,6 +1,8 @@
 //! Connections to servers: their beginning and end, what they are answered, and the slots that their statements wait for.
 
-use super::{BTreeMap, Code, Conn, Job, Out, Request, Session, State, WAITING, Work, World};
+use super::{
+    BTreeMap, Conn, ErrorCode, Job, Out, Request, Session, TransactionState, WAITING, Work, World,
+};
 
 impl World {
     /// A caller has sent `CONNECT`, as the first line of its connection. An error is to be written, then the connection
@@ -13,20 +15,20 @@
         who: &str,
     ) -> Result<Conn, String> {
         self.step_to(now);
-        let full = |code: Code, text: &str| Err(format!("ERROR {} {text}\r\n", code.word()));
+        let full = |code: ErrorCode, text: &str| Err(format!("ERROR {} {text}\r\n", code.as_str()));
         let Some(server) = self.servers.get_mut(at).filter(|s| s.running) else {
-            return full(Code::WrongNode, "-");
+            return full(ErrorCode::WrongNode, "-");
         };
         let expected = who.split_once(' ').map(|(_, id)| id);
         if server.service != service || expected.is_some_and(|id| id != at) {
-            return full(Code::WrongNode, at);
+            return full(ErrorCode::WrongNode, at);
         }
         if self
             .services
             .get(service)
             .is_some_and(|s| server.conns >= s.spec.max_conns)
         {
-            return full(Code::ConnLimit, at);
+            return full(ErrorCode::ConnLimit, at);
         }
         server.conns += 1;
         self.next += 1;
@@ -55,7 +57,7 @@
                 self.closed(now, conn);
                 self.out.push(Out::Close(conn));
             }
-            _ => self.fail(conn, Code::Malformed, "not a request"),
+            _ => self.fail(conn, ErrorCode::Malformed, "not a request"),
         }
     }
 
@@ -78,13 +80,13 @@
             return String::new();
         };
         let state = match &session.transaction {
-            None => State::Idle,
-            Some(t) if t.failed => State::Failed,
-            Some(_) => State::Open,
+            None => TransactionState::Idle,
+            Some(t) if t.failed => TransactionState::Failed,
+            Some(_) => TransactionState::Open,
         };
         format!(
             "IDLE {} {}\r\n",
-            state.letter(),
+            state.as_char(),
             self.servers[&session.server].copy.applied()
         )
     }
@@ -97,7 +99,7 @@
         }
     }
 
-    pub(super) fn fail(&mut self, conn: Conn, code: Code, text: &str) {
+    pub(super) fn fail(&mut self, conn: Conn, code: ErrorCode, text: &str) {
         if let Some(transaction) = self
             .sessions
             .get_mut(&conn)
@@ -105,7 +107,7 @@
         {
             transaction.failed = true;
         }
-        self.end(conn, &format!("ERROR {} {text}", code.word()));
+        self.end(conn, &format!("ERROR {} {text}", code.as_str()));
     }
 
     pub(super) fn enqueue(&mut self, conn: Conn, id: &str, work: Work) {
@@ -113,7 +115,7 @@
             return;
         };
         if self.servers[&at].waiting.len() >= WAITING {
-            return self.fail(conn, Code::Retry, "20");
+            return self.fail(conn, ErrorCode::Retry, "20");
         }
         self.server(&at).waiting.push_back(Job {
             conn,
--- a/crates/testing/testbed/src/world/statements.rs
+++ b/crates/testing/testbed/src/world/statements.rs
@@ -1,8 +1,8 @@
 //! What servers do with statements.
 
 use super::{
-    Code, Commit, Conn, Job, Kind, Out, Position, Server, Text, Transaction, Unanswered, Work,
-    World,
+    Commit, Conn, ErrorCode, Job, Out, ParsedStatement, Position, Server, StatementKind,
+    Transaction, Unanswered, Work, World,
 };
 
 impl World {
@@ -48,68 +48,70 @@
                 .split_once(' ')
                 .and_then(|(p, rest)| Some((p.parse::<Position>().ok()?, rest)));
             let Some((position, told)) = parsed else {
-                return self.fail(conn, Code::Malformed, "WAITPOS");
+                return self.fail(conn, ErrorCode::Malformed, "WAITPOS");
             };
             (proof, rest) = (Some(position), told);
         }
-        let Ok(statement) = Text::parse(rest) else {
-            return self.fail(conn, Code::Malformed, "unknown statement");
+        let Ok(statement) = ParsedStatement::parse(rest) else {
+            return self.fail(conn, ErrorCode::Malformed, "unknown statement");
         };
         let Some(session) = self.sessions.get_mut(&conn) else {
             return;
         };
         if state == Some(true) {
             match statement {
-                Text::Abort => {
+                ParsedStatement::Abort => {
                     session.transaction = None;
                     return self.end(conn, "COMPLETE -");
                 }
-                Text::Commit => {
+                ParsedStatement::Commit => {
                     session.transaction = None;
                     return self.end(conn, "ERROR ABORTED the transaction had failed");
                 }
-                _ => return self.fail(conn, Code::Malformed, "the transaction has failed"),
+                _ => return self.fail(conn, ErrorCode::Malformed, "the transaction has failed"),
             }
         }
         let reads = matches!(
             statement,
-            Text::Fetch | Text::Begin { .. } | Text::Execute { .. }
+            ParsedStatement::Fetch
+                | ParsedStatement::Begin { .. }
+                | ParsedStatement::Execute { .. }
         );
         if let Some(proof) = proof {
             if !reads {
-                return self.fail(conn, Code::Malformed, "WAITPOS goes before reads");
+                return self.fail(conn, ErrorCode::Malformed, "WAITPOS goes before reads");
             }
             if proof > self.servers[&at].copy.applied() {
-                return self.fail(conn, Code::Lagging, &at);
+                return self.fail(conn, ErrorCode::Lagging, &at);
             }
         }
         let work = match statement {
-            Text::Set { name, value } => {
+            ParsedStatement::Set { name, value } => {
                 session.values.insert(name.to_owned(), value.to_owned());
                 return self.end(conn, "COMPLETE -");
             }
-            Text::Prepare { name, kind, shape } => {
+            ParsedStatement::Prepare { name, kind, shape } => {
                 session
                     .prepared
                     .insert(name.to_owned(), (kind, shape.to_owned()));
                 return self.end(conn, "COMPLETE -");
             }
-            Text::Release { name } => {
+            ParsedStatement::Release { name } => {
                 return match session.prepared.remove(name) {
                     Some(_) => self.end(conn, "COMPLETE -"),
-                    None => self.fail(conn, Code::Unknown, name),
+                    None => self.fail(conn, ErrorCode::Unknown, name),
                 };
             }
-            Text::Begin { fetch } => {
+            ParsedStatement::Begin { read_only } => {
                 if state.is_some() {
-                    return self.fail(conn, Code::Malformed, "already in a transaction");
+                    return self.fail(conn, ErrorCode::Malformed, "already in a transaction");
                 }
                 let server = &self.servers[&at];
-                if !fetch && !server.leads {
-                    return self.fail(conn, Code::ReadOnly, &at);
+                if !read_only && !server.leads {
+                    return self.fail(conn, ErrorCode::ReadOnly, &at);
                 }
                 let transaction = Transaction {
-                    fetch,
+                    fetch: read_only,
                     failed: false,
                     term: server.term,
                     ids: Vec::new(),
@@ -118,24 +120,24 @@
                 session.transaction = Some(transaction);
                 return self.end(conn, "COMPLETE -");
             }
-            Text::Abort | Text::Commit if state.is_none() => {
-                return self.fail(conn, Code::Malformed, "no transaction");
+            ParsedStatement::Abort | ParsedStatement::Commit if state.is_none() => {
+                return self.fail(conn, ErrorCode::Malformed, "no transaction");
             }
-            Text::Abort => {
+            ParsedStatement::Abort => {
                 session.transaction = None;
                 return self.end(conn, "COMPLETE -");
             }
-            Text::Commit => Work::Commit,
-            Text::Fetch => Work::Read {
+            ParsedStatement::Commit => Work::Commit,
+            ParsedStatement::Fetch => Work::Read {
                 thing: rest[6..].to_owned(),
             },
-            Text::Put => put(&rest[4..]),
-            Text::Execute { name, rest } => match session.prepared.get(name) {
-                None => return self.fail(conn, Code::Unknown, name),
-                Some((Kind::Fetch, _)) => Work::Read {
-                    thing: rest.to_owned(),
+            ParsedStatement::Put => put(&rest[4..]),
+            ParsedStatement::Execute { name, arguments } => match session.prepared.get(name) {
+                None => return self.fail(conn, ErrorCode::Unknown, name),
+                Some((StatementKind::Fetch, _)) => Work::Read {
+                    thing: arguments.to_owned(),
                 },
-                Some((Kind::Put, _)) => put(rest),
+                Some((StatementKind::Put, _)) => put(arguments),
             },
         };
         if self.is_read_only(conn, &work) {
@@ -159,7 +161,7 @@
             }
             "PAUSE" | "STEPDOWN" => {
                 let Ok(term) = rest.parse::<u64>() else {
-                    self.fail(conn, Code::Malformed, "no term");
+                    self.fail(conn, ErrorCode::Malformed, "no term");
                     return Some(());
                 };
                 let server = self.server(at);
@@ -203,7 +205,7 @@
         {
             session.transaction = None;
         }
-        self.fail(conn, Code::ReadOnly, at);
+        self.fail(conn, ErrorCode::ReadOnly, at);
     }
 
     /// A statement has had its slot.
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use badgerstream_control_api::status::Status;
-use badgerstream_line_protocol::{Code, Verdict};
+use badgerstream_line_protocol::{ErrorCode, ExecutionOutcome};
 use badgerstream_pooler::clock;
 use badgerstream_pooler::notify::Notify;
 use badgerstream_testbed::children::Children;
@@ -203,8 +203,8 @@
     }
 }
 
-fn is_promise(code: Code) -> bool {
-    code.verdict() == Verdict::NotRun || code == Code::Aborted
+fn is_promise(code: ErrorCode) -> bool {
+    code.execution_outcome() == ExecutionOutcome::NotRun || code == ErrorCode::Aborted
 }
 
 async fn session<'a>(
