--- a/crates/protocol/control-api/src/members.rs
+++ b/crates/protocol/control-api/src/members.rs
@@ -1,36 +1,40 @@
-//! What the database servers call: that they are there ([`Heartbeat`]), and that they go.
+//! What database servers send: heartbeats ([`Heartbeat`]), and that they depart.
 
 #![allow(clippy::question_mark, reason = "code that nanoserde derives")]
 
-use badgerstream_pooler_config::json::{self, JsonError};
-use nanoserde::{DeJson, DeJsonErr, DeJsonState, SerJson, SerJsonState};
 use std::net::SocketAddr;
 use std::str::Chars;
 
-/// The path of a beat, up to the server's id.
-pub const HEARTBEAT: &str = "/api/Members.Heartbeat/";
+use badgerstream_pooler_config::json::{self, JsonError};
+use nanoserde::{DeJson, DeJsonErr, DeJsonState, SerJson, SerJsonState};
+
+use crate::response::ResponseBody;
+
+/// The path of a heartbeat, up to the server's id.
+pub const HEARTBEAT_PATH: &str = "/api/Members.Heartbeat/";
 
-/// The path of the last call of a server, up to its id.
-pub const DEPART: &str = "/api/Members.Depart/";
+/// The path by which a server departs, up to its id.
+pub const DEPART_PATH: &str = "/api/Members.Depart/";
 
-/// The most bytes a server reads of an answer to its beat.
-pub const ANSWER_BYTES: usize = 4096;
+/// The most bytes that a server reads of the response to its heartbeat.
+pub const MAX_HEARTBEAT_RESPONSE_BYTES: usize = 4096;
 
-/// The longest id that is taken, in bytes.
-const ID_BYTES: usize = 128;
+/// The longest id of a server, in bytes.
+const MAX_SERVER_ID_BYTES: usize = 128;
 
-/// How far a server is in its life.
+/// Whether a server takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DeJson, SerJson)]
 pub enum Phase {
-    /// It serves.
+    /// It is in service.
     #[nserde(rename = "ready")]
     Ready,
-    /// It will end `drain_ms` after this was acknowledged, or a little later; nothing new is sent there.
+    /// It ends `drain_ms` after this was acknowledged, or a little later; nothing new is sent to
+    /// it.
     #[nserde(rename = "draining")]
     Draining,
 }
 
-/// What a server takes itself for.
+/// The role that a server reports of itself, in the words of the users' page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DeJson, SerJson)]
 pub enum DbRole {
     /// The primary.
@@ -46,79 +50,87 @@
 pub struct Heartbeat {
     /// The service that the server belongs to.
     pub backend: String,
-    /// Where it is reached, `10.128.0.9:8080` say; see [`Heartbeat::address`].
+    /// Its address, for example `10.128.0.9:8080`; see [`Heartbeat::address`].
     pub endpoint: String,
-    /// The zone it stands in.
+    /// Its zone; empty if it doesn't say.
     #[nserde(default)]
     pub zone: String,
-    /// The version of its software.
+    /// The version of its software; empty if it doesn't say.
     #[nserde(default)]
     pub epoch: String,
-    /// How many statements it runs at a time; 0 if it doesn't tell.
+    /// How many statements it runs at a time; 0 if it doesn't say.
     #[nserde(default, proxy = "Number")]
     pub capacity: u32,
-    /// How far it is in its life.
+    /// Whether it is draining.
     pub phase: Phase,
-    /// How much longer it stays slow from its start, in milliseconds.
+    /// For how much longer it is warming up, in milliseconds.
     #[nserde(default, proxy = "Number")]
     pub cold_left_ms: u64,
-    /// What it takes itself for; none where it doesn't tell.
+    /// Its role; `None` if it doesn't say.
     pub db_role: Option<DbRole>,
-    /// Rises with every call of this server: a call with a lower one is late.
+    /// Rises with every request of this server: one with a lower number is late.
     pub call_seq: u64,
 }
 
 impl Heartbeat {
-    /// Reads the body of a beat.
-    pub fn read(body: &[u8]) -> Result<Heartbeat, JsonError> {
+    /// Parses the body of a heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// [`JsonError`], with the place in the text.
+    pub fn parse(body: &[u8]) -> Result<Heartbeat, JsonError> {
         json::read(body)
     }
 
-    /// The address in `endpoint`, none if it isn't one; [`crate::call::dispatch`] refuses such a beat.
+    /// The address in `endpoint`; `None` if it isn't one, in a heartbeat that
+    /// [`dispatch`](crate::dispatch::dispatch) rejects.
     pub fn address(&self) -> Option<SocketAddr> {
         self.endpoint.parse().ok()
     }
 }
 
-/// What answers a beat.
+/// The body of the response to a heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DeJson, SerJson)]
-pub struct HeartbeatAnswer {
-    /// Where this server's later beats go, as an address with its port, until one fails there; none leaves
-    /// the server its list.
+pub struct HeartbeatResponse {
+    /// The address to which this server is to send its later heartbeats, until one fails there;
+    /// `None` leaves it to the server's list.
     pub beat_endpoint: Option<String>,
 }
 
-impl HeartbeatAnswer {
-    /// The answer's body.
-    pub fn body(&self) -> Vec<u8> {
-        // Written by hand: the derived one tells an absent field as null.
+impl ResponseBody for HeartbeatResponse {
+    fn body(&self) -> Vec<u8> {
+        // Not the derived encoding, which has a null for an absent field.
         match &self.beat_endpoint {
-            Some(at) => format!("{{\"beat_endpoint\":{}}}", at.serialize_json()).into_bytes(),
+            Some(address) => {
+                format!("{{\"beat_endpoint\":{}}}", address.serialize_json()).into_bytes()
+            }
             None => b"{}".to_vec(),
         }
     }
 }
 
-/// The server's id in the path of a beat.
-pub fn heartbeat_id(path: &str) -> Option<&str> {
-    id(path, HEARTBEAT)
+/// The server's id in the path of a heartbeat; `None` if there is no valid one.
+pub fn heartbeat_server_id(path: &str) -> Option<&str> {
+    server_id(path, HEARTBEAT_PATH)
 }
 
-/// The server's id in the path of its last call.
-pub fn depart_id(path: &str) -> Option<&str> {
-    id(path, DEPART)
+/// The server's id in the path of a departure; `None` if there is no valid one.
+pub fn depart_server_id(path: &str) -> Option<&str> {
+    server_id(path, DEPART_PATH)
 }
 
-fn id<'a>(path: &'a str, before: &str) -> Option<&'a str> {
-    let id = path.strip_prefix(before)?;
+fn server_id<'a>(path: &'a str, prefix: &str) -> Option<&'a str> {
+    let id = path.strip_prefix(prefix)?;
     let id = id.split_once('?').map_or(id, |(id, _)| id);
-    let fits = !id.is_empty()
-        && id.len() <= ID_BYTES
-        && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
-    fits.then_some(id)
+    let is_valid = !id.is_empty()
+        && id.len() <= MAX_SERVER_ID_BYTES
+        && id
+            .bytes()
+            .all(|byte| byte.is_ascii_graphic() && byte != b'/');
+    is_valid.then_some(id)
 }
 
-/// A number that may come with a fraction where a whole one is meant; a beat isn't lost for that.
+/// A number that may have a fraction where an integer is meant: no heartbeat is rejected for that.
 #[derive(Debug, Clone, Copy)]
 struct Number(f64);
 
@@ -134,7 +146,7 @@
     }
 }
 
-// Rust's `as` keeps what doesn't fit at the nearest that does.
+// `as` saturates: a number out of range becomes the nearest one in range.
 impl From<&Number> for u32 {
     fn from(number: &Number) -> u32 {
         number.0 as u32
--- a/crates/protocol/control-api/src/status.rs
+++ b/crates/protocol/control-api/src/status.rs
@@ -1,62 +1,61 @@
-//! How a control machine sees the system: the call that operators read it with, and its answer.
+//! The status of the system as one control machine sees it: the request of operators, and its
+//! response.
 
 #![allow(clippy::question_mark, reason = "code that nanoserde derives")]
 
-use crate::call::{Answer, Call, CallError, Operation};
 use badgerstream_http_codec::Request;
 use badgerstream_pooler_config::json::{self, JsonError};
 use nanoserde::{DeJson, SerJson};
 
-/// The operator asks how a control machine sees the system; any of them answers for itself.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadStatus;
+use crate::dispatch::Operation;
+use crate::error::ApiError;
+use crate::request::ApiRequest;
+use crate::response::ResponseBody;
 
-impl ReadStatus {
-    /// Whether the request is this call.
-    pub fn asked(request: &Request) -> bool {
-        let path = request.path.split('?').next().unwrap_or_default();
-        path == ReadStatus::PATH && request.method == ReadStatus::METHOD
-    }
-}
+/// The operator reads the status of a control machine; any of them responds for itself.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReadStatusRequest;
 
-impl<'a> Call<'a> for ReadStatus {
+impl<'a> ApiRequest<'a> for ReadStatusRequest {
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/api/System.Status";
-    type Answer = Status;
+    type Response = Status;
 
-    fn read(_: &'a Request) -> Result<ReadStatus, CallError> {
-        Ok(ReadStatus)
+    fn parse(_: &'a Request) -> Result<ReadStatusRequest, ApiError> {
+        Ok(ReadStatusRequest)
     }
 
-    /// The decisions have no part in it: it is answered where it arrives.
+    /// No operation of the controller: the process that gets the request responds.
     fn operation(self) -> Operation<'a> {
-        Operation::Other
+        Operation::Unknown
     }
 }
 
 /// How a control machine sees the system.
 ///
-/// Only the machine that leads knows the primaries and how many routers hold a lease; the others tell none.
+/// Only the leader knows the primaries and how many routers hold a lease; the others report none.
 #[derive(Debug, Clone, PartialEq, Default, SerJson, DeJson)]
 #[nserde(default, serialize_none_as_null)]
 pub struct Status {
-    /// The name of the machine that answers.
+    /// The name of this machine.
     pub node: String,
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub leads: bool,
-    /// Whether it is out of contact with a majority of the control machines: what it shows may be old.
+    /// Whether it is out of contact with a majority of the control machines: the rest may be old.
     pub out_of_contact: bool,
-    /// For how many seconds it has been; 0 in contact, and below 0 if it never was in this life of its process.
+    /// For how many seconds it has been; 0 in contact, and below 0 if it never was in contact in
+    /// this incarnation of its process.
     pub out_of_contact_s: f64,
-    /// Whether its disk has refused what had to be saved, and it takes no part until the disk takes bytes again.
+    /// Whether its disk has refused what had to be persisted: it takes no part until the disk takes
+    /// bytes again.
     pub disk_failed: bool,
-    /// Whether it isn't one of those that decide.
+    /// Whether it isn't in the voter set.
     pub no_voter: bool,
-    /// The IPv4 address of the machine that leads, as far as is known there.
+    /// The IPv4 address of the leader, as far as this machine knows it.
     pub leader: Option<String>,
-    /// The IPv4 addresses of the machines whose word counts.
+    /// The IPv4 addresses of the voter set.
     pub voters: Vec<String>,
-    /// The version of the configuration in force; 0 before the first.
+    /// The epoch of the configuration in force; 0 before the first.
     pub epoch: u64,
     /// How many routers hold a lease.
     pub routers: u64,
@@ -64,7 +63,7 @@
     pub lease_s: f64,
     /// The primary of each service.
     pub primaries: Vec<PrimaryStatus>,
-    /// The database servers that are there.
+    /// The database servers in service, and those that are draining.
     pub members: Vec<MemberStatus>,
 }
 
@@ -74,13 +73,13 @@
 pub struct PrimaryStatus {
     /// The service.
     pub service: String,
-    /// How far a change of the primary is: `steady` where there is none under way.
+    /// The phase of its failover: `steady` where none is under way.
     pub phase: String,
     /// The primary's id; empty while none is known.
     pub id: String,
-    /// Its term.
+    /// Its primary term.
     pub term: u64,
-    /// Whether routers may use it.
+    /// Whether routers have it granted.
     pub in_use: bool,
 }
 
@@ -98,18 +97,22 @@
     pub zone: String,
     /// How many statements it runs at a time.
     pub slots: u32,
-    /// Whether it is about to end.
+    /// Whether it is draining.
     pub draining: bool,
 }
 
 impl Status {
-    /// Reads the answer's body. Fields that aren't known are passed over.
-    pub fn read(body: &[u8]) -> Result<Status, JsonError> {
+    /// Parses the body of the response. Unknown fields are ignored.
+    ///
+    /// # Errors
+    ///
+    /// [`JsonError`], with the place in the text.
+    pub fn parse(body: &[u8]) -> Result<Status, JsonError> {
         json::read(body)
     }
 }
 
-impl Answer for Status {
+impl ResponseBody for Status {
     fn body(&self) -> Vec<u8> {
         self.serialize_json().into_bytes()
     }
--- a/crates/protocol/control-api/src/tests/mod.rs
+++ b/crates/protocol/control-api/src/tests/mod.rs
@@ -1,2 +1,2 @@
-mod call;
+mod requests;
 mod texts;
--- a/crates/protocol/control-api/src/tests/texts.rs
+++ b/crates/protocol/control-api/src/tests/texts.rs
@@ -1,43 +1,49 @@
-//! What callers, operators and the platform read or write, to the byte: it stays as it is, whatever the code calls it.
+//! What callers, operators and the platform read or write, to the byte: it stays as it is, whatever
+//! the code calls it.
 
-use crate::call::{Answer, Done, Reply, Stored, dispatch, reply};
-use crate::members::{DbRole, Heartbeat, HeartbeatAnswer, Phase};
-use crate::promotion::promotion;
-use crate::status::{MemberStatus, PrimaryStatus, ReadStatus, Status};
 use badgerstream_http_codec::{RequestDecoder, encode_request};
 use badgerstream_pooler_config::config::{Config, Mode, without_effect};
 use badgerstream_pooler_config::settings::Settings;
 use nanoserde::SerJson;
 
+use crate::dispatch::{Operation, dispatch};
+use crate::members::{DbRole, Heartbeat, HeartbeatResponse, Phase};
+use crate::promotion::encode_promotion_request;
+use crate::request::ApiRequest;
+use crate::response::{ApiResponse, ConfigResponse, EmptyResponse, ResponseBody, encode_response};
+use crate::status::{MemberStatus, PrimaryStatus, ReadStatusRequest, Status};
+
 fn text(bytes: Vec<u8>) -> String {
     String::from_utf8(bytes).expect("text")
 }
 
-/// The settings that are read, each with a value that isn't its default.
+/// All settings, each with a value that isn't its default.
 const SETTINGS: &str = include_str!("fixtures/settings.txt");
 
-const LEAST: &str = "node_name=n\nrole=r\nip=10.1.0.8\nzone=z\nprovider.endpoint=10.0.0.1:1\n";
+const REQUIRED_SETTINGS: &str =
+    "node_name=n\nrole=r\nip=10.1.0.8\nzone=z\nprovider.endpoint=10.0.0.1:1\n";
 
-/// Each key of the fixture changes what is read, under this very name.
+/// Each key of the fixture has an effect, under this very name.
 #[test]
-fn every_setting_is_read_under_its_key() {
-    let least = Settings::read(LEAST).expect("the least is valid");
+fn every_setting_is_parsed_under_its_key() {
+    let defaults = Settings::read(REQUIRED_SETTINGS).expect("the required settings are valid");
     for line in SETTINGS.lines() {
         let (key, _) = line.split_once('=').expect(line);
-        let told = Settings::read(&format!("{LEAST}{line}\n")).expect(line);
-        assert_ne!(told, least, "{key} has no effect");
-        let other = Settings::read(&format!("{LEAST}x{line}\n")).expect(line);
-        assert_eq!(other, least, "x{key} has an effect");
+        let changed = Settings::read(&format!("{REQUIRED_SETTINGS}{line}\n")).expect(line);
+        assert_ne!(changed, defaults, "{key} has no effect");
+        let other = Settings::read(&format!("{REQUIRED_SETTINGS}x{line}\n")).expect(line);
+        assert_eq!(other, defaults, "x{key} has an effect");
     }
 }
 
 /// All fields of a configuration, each with a value that isn't its default.
 const CONFIG: &str = r#"{"epoch":7,"routes":[{"name":"r","authority":"a","path_prefix":"/p","mode":"in_house","deadline_ms":1000,"target_ms":500,"rank":2,"backend":"b","tries":3,"staleness_ms":1500}],"backends":[{"name":"b","probe":"/up","max_conns":80,"protocol":"h1","tls":true,"sync_replicas":1}],"limits":{"header_bytes":1,"body_bytes":2,"header_timeout_ms":3,"idle_timeout_ms":4,"txn_idle_ms":5}}"#;
 
-/// Under another name a field has no effect, is told as such, and the configuration is refused or another one.
+/// Under another name a field has no effect and is reported as such; the configuration is rejected
+/// or another one.
 #[test]
-fn every_field_of_a_configuration_is_read_under_its_name() {
-    let whole = Config::read(CONFIG.as_bytes()).expect("valid");
+fn every_field_of_a_configuration_is_parsed_under_its_name() {
+    let config = Config::read(CONFIG.as_bytes()).expect("valid");
     assert_eq!(without_effect(CONFIG.as_bytes()), Ok(Vec::new()));
     let ends: Vec<usize> = CONFIG.match_indices("\":").map(|(at, _)| at).collect();
     assert_eq!(ends.len(), 25);
@@ -45,7 +51,7 @@
         let renamed = format!("{}_x{}", &CONFIG[..end], &CONFIG[end..]);
         assert_ne!(
             Config::read(renamed.as_bytes()).ok().as_ref(),
-            Some(&whole),
+            Some(&config),
             "{renamed}"
         );
         let unknown = without_effect(renamed.as_bytes()).expect("JSON");
@@ -58,16 +64,16 @@
     assert_eq!(modes, ["leader", "bounded_staleness", "in_house"]);
 }
 
-/// The calls of database servers, operators and the platform, as they come.
+/// The requests of database servers, operators and the platform.
 #[test]
-fn calls_are_these_bytes() {
-    let beat = r#"{"backend":"b","endpoint":"10.0.0.9:1","zone":"z","epoch":"v1","capacity":7,"phase":"ready","cold_left_ms":0,"db_role":"leader","call_seq":4}"#;
+fn requests_are_these_bytes() {
+    let heartbeat = r#"{"backend":"b","endpoint":"10.0.0.9:1","zone":"z","epoch":"v1","capacity":7,"phase":"ready","cold_left_ms":0,"db_role":"leader","call_seq":4}"#;
     for (method, path, headers, body, operation) in [
         (
             "POST",
             "/api/Members.Heartbeat/i-1",
             vec![],
-            beat,
+            heartbeat,
             Some("i-1"),
         ),
         ("POST", "/api/Members.Depart/i-1", vec![], "", Some("i-1")),
@@ -95,14 +101,18 @@
         expected += &format!("\r\n{body}");
         let bytes = encode_request(method, path, "h:1", &headers, body.as_bytes());
         assert_eq!(text(bytes.clone()), expected);
-        let mut machine = RequestDecoder::new(1000);
-        machine.feed(&bytes);
-        let read = machine.next_request().unwrap().unwrap();
+        let mut decoder = RequestDecoder::new(1000);
+        decoder.feed(&bytes);
+        let read = decoder.next_request().unwrap().unwrap();
         let found = dispatch(&read).expect(path);
-        let is_other = found == crate::call::Operation::Other;
-        assert_eq!(is_other, operation.is_none(), "{path}");
+        let is_unknown = found == Operation::Unknown;
+        assert_eq!(is_unknown, operation.is_none(), "{path}");
         assert!(format!("{found:?}").contains(operation.unwrap_or_default()));
-        assert_eq!(ReadStatus::asked(&read), operation.is_none(), "{path}");
+        assert_eq!(
+            ReadStatusRequest::matches(&read),
+            operation.is_none(),
+            "{path}"
+        );
     }
     let words = |phase: Phase, role: DbRole| (phase.serialize_json(), role.serialize_json());
     assert_eq!(
@@ -114,22 +124,30 @@
         ("\"draining\"".to_owned(), "\"follower\"".to_owned())
     );
     assert_eq!(
-        Heartbeat::read(beat.as_bytes()).unwrap().serialize_json(),
-        beat
+        Heartbeat::parse(heartbeat.as_bytes())
+            .unwrap()
+            .serialize_json(),
+        heartbeat
     );
     assert_eq!(
-        text(promotion("b", "i-1", "core-1", 12, "10.0.0.1:1")),
+        text(encode_promotion_request(
+            "b",
+            "i-1",
+            "core-1",
+            12,
+            "10.0.0.1:1"
+        )),
         "POST /promotions HTTP/1.1\r\nHost: 10.0.0.1:1\r\nX-Duty-Holder: core-1\r\nX-Fence-Token: 12\r\n\
          Content-Type: application/json\r\nContent-Length: 26\r\n\r\n{\"backend\":\"b\",\"id\":\"i-1\"}"
     );
 }
 
-fn answer<A: Answer>(given: Reply<A>) -> String {
-    text(reply(&given, "/api/Config.Replace", true))
+fn encoded<B: ResponseBody>(response: ApiResponse<B>) -> String {
+    text(encode_response(&response, "/api/Config.Replace", true))
 }
 
 #[test]
-fn answers_are_these_bytes() {
+fn responses_are_these_bytes() {
     let json = |status: &str, body: &str| {
         let length = body.len();
         format!(
@@ -137,50 +155,64 @@
         )
     };
     let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-    let next = HeartbeatAnswer {
+    let next = HeartbeatResponse {
         beat_endpoint: Some("10.0.0.4:1".to_owned()),
     };
-    assert_eq!(answer(Reply::Done(Done)), empty("200 OK"));
     assert_eq!(
-        answer(Reply::Done(HeartbeatAnswer::default())),
+        encoded(ApiResponse::Success(EmptyResponse)),
+        empty("200 OK")
+    );
+    assert_eq!(
+        encoded(ApiResponse::Success(HeartbeatResponse::default())),
         json("200 OK", "{}")
     );
     assert_eq!(
-        answer(Reply::Done(next)),
+        encoded(ApiResponse::Success(next)),
         json("200 OK", r#"{"beat_endpoint":"10.0.0.4:1"}"#)
     );
     assert_eq!(
-        answer(Reply::Done(Stored(b"{ }".to_vec()))),
+        encoded(ApiResponse::Success(ConfigResponse(b"{ }".to_vec()))),
         json("200 OK", "{ }")
     );
     assert_eq!(
-        answer(Reply::<Done>::Elsewhere("10.0.0.4:1".parse().unwrap())),
+        encoded(ApiResponse::<EmptyResponse>::Redirect(
+            "10.0.0.4:1".parse().unwrap()
+        )),
         "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://10.0.0.4:1/api/Config.Replace\r\nContent-Length: 0\r\n\r\n"
     );
     assert_eq!(
-        answer(Reply::<Done>::Invalid("a \"b\"".to_owned())),
+        encoded(ApiResponse::<EmptyResponse>::Invalid("a \"b\"".to_owned())),
         json("400 Bad Request", r#"{"error":"a \"b\""}"#)
     );
-    assert_eq!(answer(Reply::<Done>::Unknown), empty("404 Not Found"));
     assert_eq!(
-        answer(Reply::<Done>::OtherBase(5)),
+        encoded(ApiResponse::<EmptyResponse>::NotFound),
+        empty("404 Not Found")
+    );
+    assert_eq!(
+        encoded(ApiResponse::<EmptyResponse>::BaseEpochMismatch(5)),
         json(
             "412 Precondition Failed",
             r#"{"error":"version 5 is in place"}"#
         )
     );
     assert_eq!(
-        answer(Reply::<Done>::Unsettled("no majority".to_owned())),
+        encoded(ApiResponse::<EmptyResponse>::Unavailable(
+            "no majority".to_owned()
+        )),
         json("503 Service Unavailable", r#"{"error":"no majority"}"#)
     );
     assert_eq!(
-        text(reply(&Reply::Done(Done), "/", false)),
+        text(encode_response(
+            &ApiResponse::Success(EmptyResponse),
+            "/",
+            false
+        )),
         "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     );
 }
 
 #[test]
-fn the_status_is_this_json() {
+fn status_is_this_json() {
     let status = Status {
         node: "core-1".to_owned(),
         leads: true,
--- a/crates/runtime/pooler/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -1,8 +1,10 @@
 //! Calls to control machines, one connection a call, each address within a time limit.
 
 use super::{CliError, text};
-use badgerstream_control_api::call::{BASE_VERSION, Call, Read, Replace};
-use badgerstream_control_api::status::{ReadStatus, Status};
+use badgerstream_control_api::request::{
+    ApiRequest, BASE_VERSION_HEADER, ReadConfigRequest, ReplaceConfigRequest,
+};
+use badgerstream_control_api::status::{ReadStatusRequest, Status};
 use badgerstream_http_codec::{Response, ResponseDecoder, encode_request};
 use badgerstream_pooler_config::config::Config;
 use nanoserde::DeJson;
@@ -50,7 +52,8 @@
 
     /// The configuration in force, read and as it was sent; none if there is none yet.
     pub fn config(&mut self) -> Result<Option<(Config, Vec<u8>)>, CliError> {
-        let (at, answer) = self.call(Read::METHOD, Read::PATH, &[], b"")?;
+        let (at, answer) =
+            self.call(ReadConfigRequest::METHOD, ReadConfigRequest::PATH, &[], b"")?;
         match answer.status {
             404 => Ok(None),
             200 => {
@@ -67,9 +70,9 @@
         let base_version = base.to_string();
         // That it was taken may be told to nobody: the same bytes are answered 200 again, at any address.
         let sent = self.call(
-            Replace::METHOD,
-            Replace::PATH,
-            &[(BASE_VERSION, &base_version)],
+            ReplaceConfigRequest::METHOD,
+            ReplaceConfigRequest::PATH,
+            &[(BASE_VERSION_HEADER, &base_version)],
             body,
         );
         match sent {
@@ -82,7 +85,8 @@
 
     /// How the machine that leads sees the system; where it can't be asked, how another one does.
     pub fn status(&mut self) -> Result<Status, CliError> {
-        let (at, answer) = self.call(ReadStatus::METHOD, ReadStatus::PATH, &[], b"")?;
+        let (at, answer) =
+            self.call(ReadStatusRequest::METHOD, ReadStatusRequest::PATH, &[], b"")?;
         let status = read_status(at, &answer)?;
         if status.leads {
             return Ok(status);
@@ -97,8 +101,8 @@
         };
         let leader = SocketAddr::new(leader, at.port());
         let asked = Client::within(&[leader], self.limit).call(
-            ReadStatus::METHOD,
-            ReadStatus::PATH,
+            ReadStatusRequest::METHOD,
+            ReadStatusRequest::PATH,
             &[],
             b"",
         );
@@ -216,7 +220,7 @@
 
 fn read_status(at: SocketAddr, answer: &Response) -> Result<Status, CliError> {
     match answer.status {
-        200 => Status::read(&answer.body).map_err(|e| CliError::Answer(at, e.to_string())),
+        200 => Status::parse(&answer.body).map_err(|e| CliError::Answer(at, e.to_string())),
         status => Err(CliError::Refused(at, status, why(answer))),
     }
 }
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -73,7 +73,7 @@
             let mut stream = Async::<TcpStream>::connect(platform).await?;
             net::configure(&stream, PLATFORM_CALL_TIMEOUT_S);
             net::reset_on_close(&stream, true);
-            let request = promotion::promotion(
+            let request = promotion::encode_promotion_request(
                 &promotion.service,
                 &promotion.server_id,
                 &self.settings.node_name,
--- a/crates/runtime/pooler/src/control/requests.rs
+++ b/crates/runtime/pooler/src/control/requests.rs
@@ -4,9 +4,11 @@
 use super::ControlNode;
 use crate::{clock, http};
 use badgerstream_control::{ControlRequest, ControlResponse, Heartbeat, MemberPhase};
-use badgerstream_control_api::call::{self, Operation, Reply};
+use badgerstream_control_api::dispatch::{Operation, dispatch};
 use badgerstream_control_api::members;
-use badgerstream_control_api::status::ReadStatus;
+use badgerstream_control_api::request::{ApiRequest, ReplaceConfigRequest};
+use badgerstream_control_api::response::{self, ApiResponse};
+use badgerstream_control_api::status::ReadStatusRequest;
 use badgerstream_http_codec::{Request, encode_response};
 use badgerstream_pooler_config::config::Config;
 use std::rc::Rc;
@@ -14,34 +16,39 @@
 impl http::Handler for ControlNode {
     async fn answer(self: Rc<Self>, request: Request) -> Vec<u8> {
         let keep_alive = request.keep_alive && !self.shutting_down.get();
-        let operation = match call::dispatch(&request) {
+        let operation = match dispatch(&request) {
             Ok(operation) => operation,
             Err(e) => return encode_response(400, &[], format!("{e}\n").as_bytes(), keep_alive),
         };
         let control_request = match operation {
-            Operation::Heartbeat { id, beat } => ControlRequest::Heartbeat {
-                server_id: id,
-                heartbeat: heartbeat_of(beat),
+            Operation::Heartbeat(request) => ControlRequest::Heartbeat {
+                server_id: request.server_id,
+                heartbeat: heartbeat_of(request.heartbeat),
             },
-            Operation::Depart { id } => ControlRequest::Depart { server_id: id },
-            Operation::Replace { base, body } => match Config::read(body) {
-                Ok(config) => ControlRequest::ReplaceConfig {
-                    base_epoch: base.unwrap_or(0),
-                    epoch: config.epoch,
-                    body: body.into(),
-                },
-                Err(e) => {
-                    log::info!("event=config_rejected error={:?}", e.to_string());
-                    self.counts.responded("replace", 400);
-                    return encode_response(400, &[], format!("{e}\n").as_bytes(), keep_alive);
-                }
+            Operation::Depart(request) => ControlRequest::Depart {
+                server_id: request.server_id,
             },
-            Operation::Read => ControlRequest::ReadConfig,
+            Operation::ReplaceConfig(ReplaceConfigRequest { base_epoch, body }) => {
+                match Config::read(body) {
+                    Ok(config) => ControlRequest::ReplaceConfig {
+                        base_epoch: base_epoch.unwrap_or(0),
+                        epoch: config.epoch,
+                        body: body.into(),
+                    },
+                    Err(e) => {
+                        log::info!("event=config_rejected error={:?}", e.to_string());
+                        self.counts.responded("replace", 400);
+                        return encode_response(400, &[], format!("{e}\n").as_bytes(), keep_alive);
+                    }
+                }
+            }
+            Operation::ReadConfig => ControlRequest::ReadConfig,
             Operation::Readiness => return encode_response(200, &[], b"", keep_alive),
-            Operation::Other if ReadStatus::asked(&request) => {
-                return call::reply(&Reply::Done(self.status()), &request.path, keep_alive);
+            Operation::Unknown if ReadStatusRequest::matches(&request) => {
+                let response = ApiResponse::Success(self.status());
+                return response::encode_response(&response, &request.path, keep_alive);
             }
-            Operation::Other => {
+            Operation::Unknown => {
                 return encode_response(404, &[], b"there is no such call\n", keep_alive);
             }
         };
--- a/crates/runtime/pooler/src/tests/cli.rs
+++ b/crates/runtime/pooler/src/tests/cli.rs
@@ -1,7 +1,7 @@
 //! The operators' commands against scripted control machines: threads that listen on loopback.
 
 use crate::cli::{self, CliError, Client, Command};
-use badgerstream_control_api::call;
+use badgerstream_control_api::response;
 use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
 use badgerstream_http_codec::{Request, RequestDecoder, encode_response};
 use clap::Parser;
@@ -539,8 +539,8 @@
 #[test]
 fn status_and_tables() {
     let machine = || {
-        Machine::new(vec![call::reply(
-            &call::Reply::Done(status()),
+        Machine::new(vec![response::encode_response(
+            &response::ApiResponse::Success(status()),
             "/api/System.Status",
             false,
         )])
@@ -571,7 +571,7 @@
         status().primaries
     );
     let (out, _) = run(&["status", "--json", "--at", &machine().at.to_string()]);
-    assert_eq!(Status::read(out.as_bytes()).unwrap(), status());
+    assert_eq!(Status::parse(out.as_bytes()).unwrap(), status());
 }
 
 #[test]
@@ -611,14 +611,14 @@
         "{out}"
     );
     assert_eq!(
-        Status::read(seen.serialize_json().as_bytes()).unwrap(),
+        Status::parse(seen.serialize_json().as_bytes()).unwrap(),
         seen
     );
 }
 
 #[test]
 fn a_status_of_another_version_is_read() {
-    let found = Status::read(br#"{"node":"n","leads":true,"epoch":1,"newer":[{"x":1}]}"#).unwrap();
+    let found = Status::parse(br#"{"node":"n","leads":true,"epoch":1,"newer":[{"x":1}]}"#).unwrap();
     assert_eq!(
         (found.node.as_str(), found.epoch, found.leader),
         ("n", 1, None)
--- a/crates/testing/testbed/src/beats.rs
+++ b/crates/testing/testbed/src/beats.rs
@@ -3,7 +3,9 @@
 use crate::call;
 use crate::serve::Stage;
 use async_io::Timer;
-use badgerstream_control_api::members::{ANSWER_BYTES, DEPART, HEARTBEAT, HeartbeatAnswer, Phase};
+use badgerstream_control_api::members::{
+    DEPART_PATH, HEARTBEAT_PATH, HeartbeatResponse, MAX_HEARTBEAT_RESPONSE_BYTES, Phase,
+};
 use badgerstream_pooler::clock;
 use futures_lite::future;
 use nanoserde::{DeJson, SerJson};
@@ -30,15 +32,15 @@
         };
         let tells = stage.world.borrow().tells(&id);
         let body = beat.serialize_json();
-        let path = format!("{HEARTBEAT}{id}");
+        let path = format!("{HEARTBEAT_PATH}{id}");
         let to =
             told_elsewhere.or_else(|| stage.seeds.get(turn % stage.seeds.len().max(1)).copied());
         let Some(to) = to else { return };
         let answer = call::follow(to, ACKNOWLEDGED, "POST", &path, &[], body.as_bytes()).await;
         let mut pause = stage.heartbeat;
-        let took = answer
-            .ok()
-            .filter(|a| (200..300).contains(&a.status) && a.body.len() <= ANSWER_BYTES);
+        let took = answer.ok().filter(|a| {
+            (200..300).contains(&a.status) && a.body.len() <= MAX_HEARTBEAT_RESPONSE_BYTES
+        });
         let now = clock::now();
         if beat.phase == Phase::Draining {
             draining.get_or_insert(now);
@@ -46,7 +48,7 @@
         match took {
             Some(answer) => {
                 let text = String::from_utf8_lossy(&answer.body).into_owned();
-                let other = HeartbeatAnswer::deserialize_json(&text)
+                let other = HeartbeatResponse::deserialize_json(&text)
                     .ok()
                     .and_then(|a| a.beat_endpoint);
                 told_elsewhere = other.and_then(|at| at.parse().ok()).or(told_elsewhere);
@@ -69,8 +71,15 @@
         let until = ends.min(now + pause);
         changed(&stage, &id, tells, generation, until).await;
         if clock::now() >= ends {
-            let _ =
-                call::follow(to, ACKNOWLEDGED, "POST", &format!("{DEPART}{id}"), &[], b"").await;
+            let _ = call::follow(
+                to,
+                ACKNOWLEDGED,
+                "POST",
+                &format!("{DEPART_PATH}{id}"),
+                &[],
+                b"",
+            )
+            .await;
             // What ends this task is the end of the server: nothing may follow it.
             let (stage, id) = (stage.clone(), id.clone());
             return stage.crash(&id);
--- a/crates/testing/testbed/src/desk.rs
+++ b/crates/testing/testbed/src/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::serve::Stage;
 use async_executor::LocalExecutor;
-use badgerstream_control_api::promotion::PROMOTIONS;
+use badgerstream_control_api::promotion::PROMOTIONS_PATH;
 use badgerstream_http_codec::{Request, encode_response};
 use badgerstream_pooler::clock;
 use badgerstream_pooler::http::{self, Handler};
@@ -28,7 +28,7 @@
 
 impl Platform {
     fn status(&self, request: &Request) -> u16 {
-        if request.method != "POST" || request.path != PROMOTIONS {
+        if request.method != "POST" || request.path != PROMOTIONS_PATH {
             return 404;
         }
         let now = clock::now();
--- a/crates/testing/testbed/src/operator.rs
+++ b/crates/testing/testbed/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::call;
 use crate::history::{Order, Outcome, Read, Try, Version};
 use async_io::Timer;
-use badgerstream_control_api::call::BASE_VERSION;
+use badgerstream_control_api::request::BASE_VERSION_HEADER;
 use badgerstream_pooler::clock;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     /// Sends an order once.
     pub async fn try_order(&self, to: SocketAddr, order: &Order) -> Try {
         let base = order.base.to_string();
-        let headers = [(BASE_VERSION, base.as_str())];
+        let headers = [(BASE_VERSION_HEADER, base.as_str())];
         let body = order.version.body.as_bytes();
         let began = clock::now();
         let sent = call::follow(to, SILENCE_S, "POST", "/api/Config.Replace", &headers, body).await;
--- a/crates/testing/testbed/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -3,7 +3,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use badgerstream_control_api::call::BASE_VERSION;
+use badgerstream_control_api::request::BASE_VERSION_HEADER;
 use badgerstream_control_api::status::Status;
 use badgerstream_http_codec::encode_request;
 use badgerstream_pooler::clock;
@@ -121,7 +121,7 @@
                 let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
                 let status = asked
                     .ok()
-                    .and_then(|answer| Status::read(&answer.body).ok());
+                    .and_then(|answer| Status::parse(&answer.body).ok());
                 if status.is_some_and(|s| s.leads) {
                     return n;
                 }
@@ -348,7 +348,7 @@
 /// The bytes of an order at this address.
 fn bytes_of(at: SocketAddr, order: &Order) -> usize {
     let base = order.base.to_string();
-    let headers = [(BASE_VERSION, base.as_str())];
+    let headers = [(BASE_VERSION_HEADER, base.as_str())];
     let body = order.version.body.as_bytes();
     encode_request(
         "POST",
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -390,7 +390,7 @@
                 let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
                 if asked
                     .ok()
-                    .and_then(|a| Status::read(&a.body).ok())
+                    .and_then(|a| Status::parse(&a.body).ok())
                     .is_some_and(|s| s.leads)
                 {
                     return format!("control-{}", n + 1);
