--- a/crates/protocol/pooler-config/src/tests/settings.rs
+++ b/crates/protocol/pooler-config/src/tests/settings.rs
@@ -1,6 +1,7 @@
-use crate::settings::{Own, Settings, SettingsError};
 use arbtest::arbtest;
 
+use crate::settings::{PortRange, Settings, SettingsError, Tuning};
+
 /// The file on the users' page.
 const PAGE: &str = "node_name=edge-lima-a-1
 role=my-edge
@@ -51,14 +52,19 @@
 provider.duty_per_s=50.0
 ";
 
-const LEAST: &str = "node_name=n\nrole=r\nip=10.1.0.8\nzone=z\n";
+const REQUIRED: &str = "node_name=n\nrole=r\nip=10.1.0.8\nzone=z\n";
+
+const PORT_RANGE: PortRange = PortRange {
+    first: 7440,
+    last: 7455,
+};
 
-fn told(text: &str) -> String {
+fn error_of(text: &str) -> String {
     Settings::read(text).expect_err(text).to_string()
 }
 
 #[test]
-fn the_page_is_read() {
+fn settings_on_the_users_page_are_read() {
     let settings = Settings::read(PAGE).unwrap();
     assert_eq!(
         (settings.node_name.as_str(), settings.role.as_str()),
@@ -78,10 +84,7 @@
         (settings.control, settings.state_dir.as_ref()),
         (None, None)
     );
-    assert_eq!(
-        (settings.port_range, settings.seeds.len()),
-        ((7440, 7455), 3)
-    );
+    assert_eq!((settings.port_range, settings.seeds.len()), (PORT_RANGE, 3));
     assert_eq!((settings.bootstrap, settings.voting), (true, false));
     assert_eq!(
         (
@@ -112,11 +115,11 @@
 }
 
 #[test]
-fn what_is_not_told_is_as_documented() {
-    let settings = Settings::read(LEAST).unwrap();
+fn missing_fields_have_their_documented_defaults() {
+    let settings = Settings::read(REQUIRED).unwrap();
     assert_eq!(
-        settings.own,
-        Own {
+        settings.tuning,
+        Tuning {
             lease_ms: 1500,
             renew_ms: 300,
             suspect_ms: 600
@@ -124,7 +127,7 @@
     );
     assert_eq!(
         (settings.port_range, settings.heartbeat_ms),
-        ((7440, 7455), 1000)
+        (PORT_RANGE, 1000)
     );
     assert_eq!(
         (settings.provider, settings.seeds, settings.serves),
@@ -132,7 +135,7 @@
     );
     // An empty list is one without items.
     let empty = Settings::read(&format!(
-        "{LEAST}seeds=\nserves = edge , coordinator\nprovider.endpoint=\n"
+        "{REQUIRED}seeds=\nserves = edge , coordinator\nprovider.endpoint=\n"
     ))
     .unwrap();
     assert_eq!(
@@ -142,31 +145,32 @@
 }
 
 #[test]
-fn own_settings_are_read_and_checked() {
-    let own = |more: &str| Settings::read(&format!("{LEAST}{more}")).map(|s| s.own);
+fn tuning_is_read_and_checked() {
+    let tuning =
+        |more: &str| Settings::read(&format!("{REQUIRED}{more}")).map(|settings| settings.tuning);
     assert_eq!(
-        own("badgerstream.lease_ms=2000\nbadgerstream.renew_ms=1500")
+        tuning("badgerstream.lease_ms=2000\nbadgerstream.renew_ms=1500")
             .unwrap()
             .renew_ms,
         1500
     );
     assert!(
-        own("badgerstream.renew_ms=1500")
+        tuning("badgerstream.renew_ms=1500")
             .unwrap_err()
             .to_string()
             .contains("line 5: field badgerstream.renew_ms")
     );
     assert!(
-        own("badgerstream.lease_ms=300")
+        tuning("badgerstream.lease_ms=300")
             .unwrap_err()
             .to_string()
             .contains("line 5: field badgerstream.lease_ms")
     );
-    assert!(own("badgerstream.suspect_ms=0").is_err());
+    assert!(tuning("badgerstream.suspect_ms=0").is_err());
 }
 
 #[test]
-fn what_is_wrong_is_told_by_line_and_field() {
+fn invalid_values_are_reported_by_line_and_field() {
     assert_eq!(
         Settings::read("role=r\nip=10.0.0.1\nzone=z"),
         Err(SettingsError::Missing("node_name"))
@@ -213,13 +217,13 @@
             r#"line 17: field limits.cpu_fraction: "0" is not above 0"#,
         ),
     ] {
-        assert_eq!(told(&PAGE.replacen(from, to, 1)), error);
+        assert_eq!(error_of(&PAGE.replacen(from, to, 1)), error);
     }
-    assert!(told(&format!("{LEAST}x=\\u12")).starts_with("line 5: "));
+    assert!(error_of(&format!("{REQUIRED}x=\\u12")).starts_with("line 5: "));
 }
 
 #[test]
-fn whole_numbers_may_be_written_with_a_point_and_names_beyond_ascii() {
+fn integers_may_have_a_point_and_names_may_be_beyond_ascii() {
     let settings = Settings::read(
         "node_name=n\nrole=r\nip=10.1.0.8\nzone=méx\nlimits.mem_mb=260.0\nzones.méx=sur\n",
     )
@@ -235,12 +239,12 @@
 }
 
 #[test]
-fn no_text_makes_it_panic_and_errors_are_one_line() {
-    arbtest(|u| {
+fn no_text_panics_and_errors_are_one_line() {
+    arbtest(|random| {
         let mut lines: Vec<&str> = PAGE.lines().collect();
-        for _ in 0..u.int_in_range(0..=3)? {
-            let at = u.choose_index(lines.len())?;
-            lines[at] = u.arbitrary::<&str>()?;
+        for _ in 0..random.int_in_range(0..=3)? {
+            let index = random.choose_index(lines.len())?;
+            lines[index] = random.arbitrary::<&str>()?;
         }
         if let Err(error) = Settings::read(&lines.join("\n")) {
             assert_eq!(error.to_string().lines().count(), 1);
--- a/crates/runtime/pooler/src/cli/settings.rs
+++ b/crates/runtime/pooler/src/cli/settings.rs
@@ -30,14 +30,17 @@
                 .filter(|b| **b == b'\n')
                 .count()
                 + 1;
-            Err(SettingsError::Line(line, "no UTF-8".to_owned()))
+            Err(SettingsError::InvalidLine {
+                line,
+                problem: "no UTF-8".to_owned(),
+            })
         }
     };
     let found = match &checked {
-        Ok(_) | Err(SettingsError::Line(0, _)) => (None, None),
-        Err(SettingsError::Line(line, _)) => (Some(*line), None),
+        Ok(_) | Err(SettingsError::InvalidLine { line: 0, .. }) => (None, None),
+        Err(SettingsError::InvalidLine { line, .. }) => (Some(*line), None),
         Err(SettingsError::Missing(field)) => (None, Some((*field).to_owned())),
-        Err(SettingsError::Wrong(line, field, ..)) => {
+        Err(SettingsError::InvalidValue { line, field, .. }) => {
             (Some(*line).filter(|l| *l > 0), Some(field.clone()))
         }
     };
--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -272,7 +272,7 @@
 
     /// The port at which control machines expect each other and routers.
     fn peer_port(&self) -> u16 {
-        self.settings.port_range.0
+        self.settings.port_range.first
     }
 }
 
--- a/crates/runtime/pooler/src/control/config.rs
+++ b/crates/runtime/pooler/src/control/config.rs
@@ -25,7 +25,7 @@
 
 /// The controller's intervals and time-outs.
 pub(super) fn control_config(settings: &Settings) -> ControlConfig {
-    let suspect = seconds(settings.own.suspect_ms as f64);
+    let suspect = seconds(settings.tuning.suspect_ms as f64);
     let heartbeat_interval = seconds(settings.heartbeat_ms as f64);
     let failover = FailoverConfig {
         primary_poll_interval: PRIMARY_POLL_INTERVAL_S,
@@ -36,7 +36,7 @@
         drain_timeout: seconds(settings.bounds.drain_ms),
     };
     ControlConfig {
-        lease_duration: seconds(settings.own.lease_ms as f64),
+        lease_duration: seconds(settings.tuning.lease_ms as f64),
         election_timeout: suspect,
         contact_timeout: suspect + CONTACT_MARGIN_S,
         platform_call_timeout: PLATFORM_CALL_TIMEOUT_S,
--- a/crates/runtime/pooler/src/process.rs
+++ b/crates/runtime/pooler/src/process.rs
@@ -180,12 +180,12 @@
     let config = LeaderSessionConfig {
         router: settings.node_name.clone(),
         process_incarnation,
-        port: settings.port_range.0,
-        renew_interval_s: settings.own.renew_ms as f64 / 1000.0,
+        port: settings.port_range.first,
+        renew_interval_s: settings.tuning.renew_ms as f64 / 1000.0,
         // Two thirds of the time after which control machines suspect each other: a machine that is
         // no longer the leader is left while the lease still has time to be renewed by the next
         // one.
-        silence_timeout_s: settings.own.suspect_ms as f64 / 1500.0,
+        silence_timeout_s: settings.tuning.suspect_ms as f64 / 1500.0,
     };
     let session = LeaderSession::new(config, shared.clone(), health_reports);
     session.add_seeds(&settings.seeds);
--- a/crates/testing/testbed/src/tests/plan.rs
+++ b/crates/testing/testbed/src/tests/plan.rs
@@ -44,7 +44,7 @@
     assert_eq!(all.len(), 5);
     assert!(
         all.iter()
-            .all(|s| s.seeds == plan.controls() && s.own.lease_ms == 500 && s.bootstrap)
+            .all(|s| s.seeds == plan.controls() && s.tuning.lease_ms == 500 && s.bootstrap)
     );
     assert!(
         all.iter()
