--- a/crates/runtime/pooler/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -2,9 +2,11 @@
 
 use super::error::{AttemptError, CliError, FailedAttempts};
 use super::table::without_control_chars;
-use badgerstream_control_api::call::{BASE_VERSION, Call, Read, Replace};
-use badgerstream_control_api::status::{ReadStatus, Status};
-use badgerstream_http_codec::{HttpError, Response, Responses, request};
+use badgerstream_control_api::request::{
+    ApiRequest, BASE_VERSION_HEADER, ReadConfigRequest, ReplaceConfigRequest,
+};
+use badgerstream_control_api::status::{ReadStatusRequest, Status};
+use badgerstream_http_codec::{HttpError, Response, ResponseDecoder, encode_request};
 use badgerstream_pooler_config::config::Config;
 use nanoserde::DeJson;
 use std::io::{self, ErrorKind, Read as _, Write as _};
@@ -90,8 +92,10 @@
     /// # Errors
     /// [`CliError`] without an answer, or if it is a rejection or can't be read.
     pub fn config(&mut self) -> Result<Option<CurrentConfig>, CliError> {
-        let Answer { address, response } =
-            self.call(&HttpCall::without_body(Read::METHOD, Read::PATH))?;
+        let Answer { address, response } = self.call(&HttpCall::without_body(
+            ReadConfigRequest::METHOD,
+            ReadConfigRequest::PATH,
+        ))?;
         match response.status {
             404 => Ok(None),
             200 => {
@@ -118,9 +122,9 @@
         let base_version = base.to_string();
         // Safe to send to the next address without an answer: the same bytes get 200 again.
         let answer = self.call(&HttpCall {
-            method: Replace::METHOD,
-            path: Replace::PATH,
-            headers: &[(BASE_VERSION, &base_version)],
+            method: ReplaceConfigRequest::METHOD,
+            path: ReplaceConfigRequest::PATH,
+            headers: &[(BASE_VERSION_HEADER, &base_version)],
             body: text,
         });
         match answer {
@@ -139,7 +143,7 @@
     /// # Errors
     /// [`CliError`] without an answer, or if it is a rejection or can't be read.
     pub fn status(&mut self) -> Result<Status, CliError> {
-        let call = HttpCall::without_body(ReadStatus::METHOD, ReadStatus::PATH);
+        let call = HttpCall::without_body(ReadStatusRequest::METHOD, ReadStatusRequest::PATH);
         let answer = self.call(&call)?;
         let status = read_status(&answer)?;
         if status.leads {
@@ -291,7 +295,7 @@
 
 fn read_status(answer: &Answer) -> Result<Status, CliError> {
     match answer.response.status {
-        200 => Status::read(&answer.response.body).map_err(|error| CliError::InvalidAnswer {
+        200 => Status::parse(&answer.response.body).map_err(|error| CliError::InvalidAnswer {
             address: answer.address,
             reason: error.to_string(),
         }),
@@ -328,7 +332,7 @@
     let mut headers = call.headers.to_vec();
     headers.push(("Connection", "close"));
     let host = address.to_string();
-    let bytes = request(call.method, call.path, &host, &headers, call.body);
+    let bytes = encode_request(call.method, call.path, &host, &headers, call.body);
     send(&mut stream, deadline, &bytes)?;
     receive(&mut stream, deadline)
 }
@@ -357,10 +361,10 @@
 
 fn receive(stream: &mut TcpStream, deadline: Instant) -> io::Result<Response> {
     let invalid = |error: HttpError| io::Error::new(ErrorKind::InvalidData, error.to_string());
-    let mut responses = Responses::new(MAX_ANSWER_BYTES);
+    let mut responses = ResponseDecoder::new(MAX_ANSWER_BYTES);
     let mut bytes = vec![0; READ_SIZE];
     loop {
-        if let Some(response) = responses.next().map_err(invalid)? {
+        if let Some(response) = responses.next_response().map_err(invalid)? {
             return Ok(response);
         }
         stream.set_read_timeout(Some(remaining(deadline)?))?;
--- a/crates/runtime/pooler/src/cli/settings.rs
+++ b/crates/runtime/pooler/src/cli/settings.rs
@@ -51,7 +51,10 @@
     let text = String::from_utf8(bytes).map_err(|error| {
         let valid = &error.as_bytes()[..error.utf8_error().valid_up_to()];
         let line = valid.iter().filter(|byte| **byte == b'\n').count() + 1;
-        SettingsError::Line(line, "no UTF-8".to_owned())
+        SettingsError::InvalidLine {
+            line,
+            problem: "no UTF-8".to_owned(),
+        }
     })?;
     Settings::read(&text)
 }
@@ -60,9 +63,9 @@
     // Line 0 stands for none.
     let (line, field) = match checked {
         Ok(_) => (0, None),
-        Err(SettingsError::Line(line, _)) => (*line, None),
+        Err(SettingsError::InvalidLine { line, .. }) => (*line, None),
         Err(SettingsError::Missing(field)) => (0, Some((*field).to_owned())),
-        Err(SettingsError::Wrong(line, field, ..)) => (*line, Some(field.clone())),
+        Err(SettingsError::InvalidValue { line, field, .. }) => (*line, Some(field.clone())),
     };
     SettingsVerdict {
         file: name(file),
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -8,8 +8,8 @@
 use async_io::Async;
 use badgerstream_control::PromotionOutcome;
 use badgerstream_control_api::promotion;
-use badgerstream_http_codec::Responses;
-use badgerstream_line_protocol::Verdict;
+use badgerstream_http_codec::ResponseDecoder;
+use badgerstream_line_protocol::ExecutionOutcome;
 use futures_lite::{AsyncReadExt, io};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -73,7 +73,7 @@
             let mut stream = Async::<TcpStream>::connect(platform).await?;
             net::configure(&stream, PLATFORM_CALL_TIMEOUT_S);
             net::reset_on_close(&stream, true);
-            let request = promotion::promotion(
+            let request = promotion::encode_promotion_request(
                 &promotion.service,
                 &promotion.server_id,
                 &self.settings.node_name,
@@ -103,7 +103,9 @@
 fn outcome_of(result: &Result<u16, ExchangeError>) -> PromotionOutcome {
     match result {
         Ok(status) => PromotionOutcome::from_status(*status),
-        Err(error) if error.verdict == Verdict::NotRun => PromotionOutcome::NotSent,
+        Err(error) if error.execution_outcome == ExecutionOutcome::NotRun => {
+            PromotionOutcome::NotSent
+        }
         Err(_) => PromotionOutcome::Unknown,
     }
 }
@@ -116,19 +118,22 @@
         Ok(status) => log::info!(
             "event=promotion_answered service={service} server={server_id} status={status}"
         ),
-        Err(ExchangeError { verdict, error }) => log::info!(
-            "event=promotion_unanswered service={service} server={server_id} verdict={verdict:?} \
+        Err(ExchangeError {
+            execution_outcome,
+            error,
+        }) => log::info!(
+            "event=promotion_unanswered service={service} server={server_id} execution_outcome={execution_outcome:?} \
              error={error}"
         ),
     }
 }
 
 async fn read_status_code(stream: &mut Async<TcpStream>) -> io::Result<u16> {
-    let mut responses = Responses::new(MAX_RESPONSE_BYTES);
+    let mut responses = ResponseDecoder::new(MAX_RESPONSE_BYTES);
     let mut bytes = [0; READ_BYTES];
     loop {
         let response = responses
-            .next()
+            .next_response()
             .map_err(|e| io::Error::other(e.to_string()))?;
         if let Some(response) = response {
             return Ok(response.status);
--- a/crates/runtime/pooler/src/tests/cli.rs
+++ b/crates/runtime/pooler/src/tests/cli.rs
@@ -1,9 +1,9 @@
 //! The operators' commands against scripted control machines: threads that listen on loopback.
 
 use crate::cli::{self, CliError, Client, Command};
-use badgerstream_control_api::call;
+use badgerstream_control_api::response;
 use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
-use badgerstream_http_codec::{Request, Requests, response};
+use badgerstream_http_codec::{Request, RequestDecoder, encode_response};
 use clap::Parser;
 use nanoserde::{DeJson, SerJson};
 use std::io::{Read, Write};
@@ -33,10 +33,10 @@
             let mut requests = Vec::new();
             for answer in answers {
                 let (mut stream, _) = listener.accept().unwrap();
-                let mut decoder = Requests::new(1 << 20);
+                let mut decoder = RequestDecoder::new(1 << 20);
                 let mut bytes = [0; 4096];
                 let request = loop {
-                    if let Some(request) = decoder.next().unwrap() {
+                    if let Some(request) = decoder.next_request().unwrap() {
                         break request;
                     }
                     let count = stream.read(&mut bytes).unwrap();
@@ -111,15 +111,15 @@
 }
 
 fn ok(body: &str) -> Vec<u8> {
-    response(200, &[], body.as_bytes(), false)
+    encode_response(200, &[], body.as_bytes(), false)
 }
 
 fn reply(status: u16, body: &str) -> Vec<u8> {
-    response(status, &[], body.as_bytes(), false)
+    encode_response(status, &[], body.as_bytes(), false)
 }
 
 fn redirect(to: &str) -> Vec<u8> {
-    response(307, &[("Location", to)], b"", false)
+    encode_response(307, &[("Location", to)], b"", false)
 }
 
 fn status() -> Status {
@@ -561,8 +561,8 @@
 #[test]
 fn status_members_and_primaries_are_printed_as_tables() {
     let machine = || {
-        ScriptedMachine::new(vec![call::reply(
-            &call::Reply::Done(status()),
+        ScriptedMachine::new(vec![response::encode_response(
+            &response::ApiResponse::Success(status()),
             "/api/System.Status",
             false,
         )])
@@ -598,7 +598,7 @@
         status().primaries
     );
     let (out, _) = run(&["status", "--json", "--at", &machine().address.to_string()]);
-    assert_eq!(Status::read(out.as_bytes()).unwrap(), status());
+    assert_eq!(Status::parse(out.as_bytes()).unwrap(), status());
 }
 
 #[test]
@@ -638,14 +638,14 @@
         "{out}"
     );
     assert_eq!(
-        Status::read(follower_status.serialize_json().as_bytes()).unwrap(),
+        Status::parse(follower_status.serialize_json().as_bytes()).unwrap(),
         follower_status
     );
 }
 
 #[test]
 fn status_with_unknown_fields_is_read() {
-    let found = Status::read(br#"{"node":"n","leads":true,"epoch":1,"newer":[{"x":1}]}"#).unwrap();
+    let found = Status::parse(br#"{"node":"n","leads":true,"epoch":1,"newer":[{"x":1}]}"#).unwrap();
     assert_eq!(
         (found.node.as_str(), found.epoch, found.leader),
         ("n", 1, None)
--- a/crates/runtime/pooler/src/tests/data_plane/harness.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/harness.rs
@@ -279,7 +279,7 @@
     async fn next_line(&mut self) -> Option<Vec<u8>> {
         let mut bytes = [0; 1024];
         loop {
-            if let Some(line) = self.lines.next().unwrap() {
+            if let Some(line) = self.lines.next_line().unwrap() {
                 return Some(line.to_vec());
             }
             let n = self.stream.read(&mut bytes).await.unwrap_or(0);
@@ -345,7 +345,7 @@
     /// The next line, none at the end.
     pub(super) async fn line(&mut self) -> Option<String> {
         loop {
-            if let Some(line) = self.lines.next().unwrap() {
+            if let Some(line) = self.lines.next_line().unwrap() {
                 return Some(String::from_utf8(line.to_vec()).unwrap());
             }
             let mut bytes = [0; 512];
--- a/crates/testing/testbed/src/serve.rs
+++ b/crates/testing/testbed/src/serve.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use badgerstream_http_codec::response;
+use badgerstream_http_codec::encode_response;
 use badgerstream_line_protocol::{LineBuffer, Request};
 use badgerstream_pooler::clock;
 use badgerstream_pooler::net::{self, with_timeout};
@@ -160,10 +160,10 @@
             return self.health(&id, &mut stream).await;
         }
         let opened = match Request::parse(&first) {
-            Ok(Request::Connect { database, who }) => {
+            Ok(Request::Connect { database, caller }) => {
                 self.world
                     .borrow_mut()
-                    .connect(clock::now(), &id, database, who)
+                    .connect(clock::now(), &id, database, caller)
             }
             _ => Err("ERROR MALFORMED CONNECT comes first\r\n".to_owned()),
         };
@@ -212,7 +212,7 @@
 
     async fn health(&self, id: &str, stream: &mut Async<TcpStream>) {
         let (_, draining) = self.world.borrow().tells(id);
-        let answer = response(
+        let answer = encode_response(
             if draining { 503 } else { 200 },
             &[("X-Instance-Id", id)],
             b"",
@@ -225,7 +225,7 @@
 async fn line(stream: &mut Async<TcpStream>, lines: &mut LineBuffer) -> Option<Vec<u8>> {
     let mut bytes = [0; 1024];
     loop {
-        if let Some(line) = lines.next().ok()? {
+        if let Some(line) = lines.next_line().ok()? {
             return Some(line.to_vec());
         }
         match stream.read(&mut bytes).await {
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use badgerstream_control_api::status::Status;
-use badgerstream_line_protocol::{Code, Verdict};
+use badgerstream_line_protocol::{ErrorCode, ExecutionOutcome};
 use badgerstream_pooler::clock;
 use badgerstream_pooler::notify::Notify;
 use badgerstream_testbed::children::Children;
@@ -203,8 +203,8 @@
     }
 }
 
-fn is_promise(code: Code) -> bool {
-    code.verdict() == Verdict::NotRun || code == Code::Aborted
+fn is_promise(code: ErrorCode) -> bool {
+    code.execution_outcome() == ExecutionOutcome::NotRun || code == ErrorCode::Aborted
 }
 
 async fn session<'a>(
@@ -390,7 +390,7 @@
                 let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
                 if asked
                     .ok()
-                    .and_then(|a| Status::read(&a.body).ok())
+                    .and_then(|a| Status::parse(&a.body).ok())
                     .is_some_and(|s| s.leads)
                 {
                     return format!("control-{}", n + 1);
