--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -4,8 +4,8 @@
 //! name or the text of a type, a variant or an event, so renaming code leaves it as it is. It draws no chance and
 //! changes no event.
 
-use crate::operators::Outcome;
-use crate::world::World;
+use crate::operators::ChangeOutcome;
+use crate::simulation::Simulation;
 use badgerstream_control::NodeId;
 use std::fmt;
 
@@ -70,7 +70,7 @@
 
 /// What the digest last noted of what is looked at after every event.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LastNoted {
+pub(crate) struct LastRecorded {
     leader: Option<NodeId>,
     /// The primary that each router may use, and its term.
     primaries: Vec<Option<(String, u64)>>,
@@ -81,9 +81,9 @@
     node.map_or(0, u64::from)
 }
 
-impl World {
+impl Simulation {
     /// Notes that something of this kind happened now, with its numbers.
-    pub(crate) fn note(&mut self, kind: u64, numbers: &[u64]) {
+    pub(crate) fn record(&mut self, kind: u64, numbers: &[u64]) {
         self.run_digest.number(kind);
         self.run_digest.time(self.now);
         for number in numbers {
@@ -92,27 +92,29 @@
     }
 
     /// Notes who leads and which primary each router may use, where that has changed.
-    pub(crate) fn note_changes(&mut self) {
+    pub(crate) fn record_changes(&mut self) {
         let leader = self.leader();
-        if leader != self.last_noted.leader {
-            self.last_noted.leader = leader;
-            self.note(note::LEADER, &[node_number(leader)]);
+        if leader != self.last_recorded.leader {
+            self.last_recorded.leader = leader;
+            self.record(note::LEADER, &[node_number(leader)]);
         }
-        self.last_noted.primaries.resize(self.routers.len(), None);
+        self.last_recorded
+            .primaries
+            .resize(self.routers.len(), None);
         for at in 0..self.routers.len() {
             let router = &self.routers[at];
             let primary = router
-                .primary(self.now + router.offset)
+                .usable_primary(self.now + router.clock_offset)
                 .map(|grant| (grant.server_id.as_str(), grant.primary_term));
-            let before = self.last_noted.primaries[at].as_ref();
+            let before = self.last_recorded.primaries[at].as_ref();
             if primary == before.map(|(id, term)| (id.as_str(), *term)) {
                 continue;
             }
             let primary = primary.map(|(id, term)| (id.to_owned(), term));
             let (id, term) = primary.clone().unwrap_or_default();
-            self.note(note::PRIMARY_GRANTED, &[at as u64, term]);
+            self.record(note::PRIMARY_GRANTED, &[at as u64, term]);
             self.run_digest.bytes(id.as_bytes());
-            self.last_noted.primaries[at] = primary;
+            self.last_recorded.primaries[at] = primary;
         }
     }
 
@@ -122,19 +124,19 @@
         digest.number(note::END);
         digest.time(self.now);
         digest.number(node_number(self.leader()));
-        digest.number(self.orders.len() as u64);
-        for order in &self.orders {
-            digest.number(order.base);
+        digest.number(self.config_changes.len() as u64);
+        for order in &self.config_changes {
+            digest.number(order.base_epoch);
             digest.number(order.epoch);
             digest.bytes(&order.body);
             digest.number(match order.outcome {
-                Outcome::Open => 0,
-                Outcome::Confirmed => 1,
-                Outcome::Refused => 2,
+                ChangeOutcome::Pending => 0,
+                ChangeOutcome::Acknowledged => 1,
+                ChangeOutcome::Rejected => 2,
             });
-            digest.time(order.confirmed);
+            digest.time(order.acknowledged_at);
         }
-        for (node, machine) in &self.controls {
+        for (node, machine) in &self.machines {
             digest.number(u64::from(*node));
             digest.number(u64::from(machine.removed));
             let Some(controller) = &machine.controller else {
@@ -147,20 +149,20 @@
             digest.bytes(record.state.digest().bytes());
         }
         for router in &self.routers {
-            digest.number(router.in_force);
+            digest.number(router.active_config_epoch);
             digest.time(router.lease_until);
         }
         for (id, server) in &self.servers {
             digest.bytes(id.as_bytes());
-            digest.number(u64::from(server.leader));
-            digest.number(server.term);
+            digest.number(u64::from(server.is_primary));
+            digest.number(server.primary_term);
             for (term, commit) in &server.log {
                 digest.number(*term);
                 digest.number(*commit);
             }
         }
-        digest.number(self.acked.len() as u64);
-        digest.number(self.promoted.len() as u64);
+        digest.number(self.acknowledged_commits.len() as u64);
+        digest.number(self.promotions.len() as u64);
         // How often chance was asked shows in what it would give next.
         digest.number(self.chance.clone().below(u64::MAX));
         digest
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -1,6 +1,6 @@
 //! The disk of a control machine.
 
-use crate::schedule::Chance;
+use crate::schedule::RandomSource;
 use badgerstream_control::{HardState, MemberInfo, NodeId, State};
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskHealth {
     /// A save takes so many seconds.
-    Takes(f64),
+    WriteLatency(f64),
     /// Saves are refused.
     Full,
     /// Saves end at that second, at the earliest.
@@ -17,15 +17,15 @@
 
 /// What a save comes to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Save {
+pub enum WriteOutcome {
     /// It is done at that second.
-    DoneAt(f64),
+    CompletedAt(f64),
     /// It is refused.
-    Refused,
+    Rejected,
 }
 
 /// A save of a few milliseconds.
-pub const USUAL: DiskHealth = DiskHealth::Takes(0.001);
+pub const HEALTHY_DISK: DiskHealth = DiskHealth::WriteLatency(0.001);
 
 /// What a control machine finds when it starts.
 #[derive(Clone, Debug)]
@@ -33,11 +33,11 @@
     /// Drawn when the disk was first used.
     pub incarnation: u64,
     /// The record that was saved last.
-    pub record: HardState,
+    pub hard_state: HardState,
     /// How it takes what is written.
     pub health: DiskHealth,
     /// The servers that were known.
-    pub servers: Vec<MemberInfo>,
+    pub members: Vec<MemberInfo>,
 }
 
 impl Disk {
@@ -49,25 +49,25 @@
         };
         Disk {
             incarnation,
-            record,
-            health: USUAL,
-            servers: Vec::new(),
+            hard_state: record,
+            health: HEALTHY_DISK,
+            members: Vec::new(),
         }
     }
 
     /// What a save that begins now comes to.
-    pub fn begin_save(&self, now: f64) -> Save {
+    pub fn begin_write(&self, now: f64) -> WriteOutcome {
         match self.health {
-            DiskHealth::Takes(seconds) => Save::DoneAt(now + seconds),
-            DiskHealth::StalledUntil(until) => Save::DoneAt(until.max(now)),
-            DiskHealth::Full => Save::Refused,
+            DiskHealth::WriteLatency(seconds) => WriteOutcome::CompletedAt(now + seconds),
+            DiskHealth::StalledUntil(until) => WriteOutcome::CompletedAt(until.max(now)),
+            DiskHealth::Full => WriteOutcome::Rejected,
         }
     }
 
     /// A save of this record was cut short or refused: either record may be on the disk.
-    pub fn save_unfinished(&mut self, record: HardState, chance: &mut Chance) {
-        if chance.of_thousand(500) {
-            self.record = record;
+    pub fn interrupt_write(&mut self, record: HardState, chance: &mut RandomSource) {
+        if chance.per_mille(500) {
+            self.hard_state = record;
         }
     }
 }
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -6,24 +6,24 @@
 
 #![allow(missing_docs, reason = "to be documented file by file")]
 
+pub mod control_machine;
 pub mod days;
 pub mod digest;
 pub mod disk;
 pub mod faults;
-pub mod links;
-pub mod machine;
+pub mod network;
 pub mod operators;
 pub mod oracle;
 pub mod platform;
 pub mod routers;
 pub mod schedule;
 pub mod servers;
-pub mod world;
+pub mod simulation;
 
-pub use machine::Machine;
+pub use control_machine::ControlMachine;
 pub use routers::Router;
 pub use servers::{Health, SERVICE, Server};
-pub use world::{World, timing};
+pub use simulation::{Simulation, timing};
 
 #[cfg(test)]
 mod tests {
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -2,7 +2,7 @@
 //! from seeds.
 
 use badgerstream_simulation::days::{Day, Site};
-use badgerstream_simulation::faults::{FaultRun, Losses};
+use badgerstream_simulation::faults::{FaultRun, LossPolicy};
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
@@ -60,9 +60,9 @@
         return ExitCode::SUCCESS;
     }
     let losses = if arguments.beyond {
-        Losses::BeyondBudget
+        LossPolicy::BeyondBudget
     } else {
-        Losses::WithinBudget
+        LossPolicy::WithinBudget
     };
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.runs {
@@ -77,14 +77,14 @@
             broken += 1;
             println!(
                 "seed {seed} machines {machines} budget {budget}: broken; {}",
-                run.story.join("; ")
+                run.fault_log.join("; ")
             );
         } else if arguments.digest {
             let losses = if arguments.beyond { "beyond" } else { "within" };
             println!(
                 "seed={seed} machines={machines} budget={budget} losses={losses} seconds={} digest={}",
                 arguments.seconds,
-                run.world.digest()
+                run.simulation.digest()
             );
         }
     }
--- a/crates/testing/simulation/src/links.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -1,27 +1,27 @@
 //! Connections between control machines: what is sent on one arrives in order, unless it is cut or reset.
 
-use crate::schedule::Chance;
+use crate::schedule::RandomSource;
 use badgerstream_control::{NodeId, PeerMessage, Recipient, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a cut holds up for longer than this is lost, as its sender gives the connection up; in seconds.
-const HELD_UP: f64 = 1.0;
+const HOLD_BACK_LIMIT_S: f64 = 1.0;
 /// Of a thousand messages that a connection which was given up holds, so many arrive late all the same.
-const ARRIVES_LATE: u64 = 150;
+const LATE_ARRIVALS_PER_MILLE: u64 = 150;
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-pub struct Parcel {
+pub struct PeerEnvelope {
     /// Who sent it.
     pub from: Voter,
     /// The sender's life.
-    pub life: u64,
+    pub process_incarnation: u64,
     /// For whom it is.
     pub to: Recipient,
     /// The connection on which it was sent.
     pub connection: u64,
     /// When it was sent.
-    pub sent: f64,
+    pub sent_at: f64,
     /// The message.
     pub message: PeerMessage,
 }
@@ -31,79 +31,83 @@
 struct Link {
     connection: u64,
     /// The life of the sender that opened it.
-    life: u64,
+    process_incarnation: u64,
     /// When the newest message arrives.
-    last: f64,
+    last_arrival: f64,
     /// What a cut holds up.
-    held: Vec<Parcel>,
+    held_back: Vec<PeerEnvelope>,
 }
 
 /// All of them.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
-    all: BTreeMap<(NodeId, NodeId), Link>,
+pub struct PeerNetwork {
+    links: BTreeMap<(NodeId, NodeId), Link>,
     /// Nothing passes from the first to the second.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
-    connections: u64,
+    pub blocked: BTreeSet<(NodeId, NodeId)>,
+    last_connection: u64,
     /// Of a thousand messages so many break their connection, and are lost with all behind them.
-    pub resets: u64,
+    pub resets_per_mille: u64,
 }
 
-impl Links {
+impl PeerNetwork {
     /// Whether nothing passes from one to the other.
-    pub fn is_cut(&self, from: NodeId, to: NodeId) -> bool {
-        self.cut.contains(&(from, to))
+    pub fn is_blocked(&self, from: NodeId, to: NodeId) -> bool {
+        self.blocked.contains(&(from, to))
     }
 
     /// Cuts both ways between these two.
-    pub fn cut_between(&mut self, one: NodeId, other: NodeId) {
-        self.cut.insert((one, other));
-        self.cut.insert((other, one));
+    pub fn block_both_ways(&mut self, one: NodeId, other: NodeId) {
+        self.blocked.insert((one, other));
+        self.blocked.insert((other, one));
     }
 
     /// The connection from this life of `from`, and whether it is a new one.
     pub fn connection(&mut self, from: NodeId, to: NodeId, life: u64) -> (u64, bool) {
-        let link = self.all.entry((from, to)).or_default();
-        let new = link.connection == 0 || link.life != life;
+        let link = self.links.entry((from, to)).or_default();
+        let new = link.connection == 0 || link.process_incarnation != life;
         if new {
-            self.connections += 1;
-            (link.connection, link.life) = (self.connections, life);
+            self.last_connection += 1;
+            (link.connection, link.process_incarnation) = (self.last_connection, life);
         }
         (link.connection, new)
     }
 
     /// Ends the connection: what is still on its way is lost, and the next message opens another one.
     pub fn reset(&mut self, from: NodeId, to: NodeId) {
-        if let Some(link) = self.all.get_mut(&(from, to)) {
+        if let Some(link) = self.links.get_mut(&(from, to)) {
             link.connection = 0;
-            link.held.clear();
+            link.held_back.clear();
         }
     }
 
     /// What waits to be sent is lost, as too much of it waits; the connection goes on.
     pub fn overflow(&mut self, from: NodeId, to: NodeId) {
-        if let Some(link) = self.all.get_mut(&(from, to)) {
-            link.held.clear();
+        if let Some(link) = self.links.get_mut(&(from, to)) {
+            link.held_back.clear();
         }
     }
 
     /// Whether this connection is the newest one.
     pub fn is_newest(&self, from: NodeId, to: NodeId, connection: u64) -> bool {
-        self.all
+        self.links
             .get(&(from, to))
             .is_some_and(|link| link.connection == connection)
     }
 
     /// When a message that is sent now and takes so long arrives: none overtakes another.
-    pub fn arrival(&mut self, from: NodeId, to: NodeId, now: f64, takes: f64) -> f64 {
-        let link = self.all.entry((from, to)).or_default();
-        link.last = (now + takes).max(link.last + 1e-5);
-        link.last
+    pub fn arrival_time(&mut self, from: NodeId, to: NodeId, now: f64, takes: f64) -> f64 {
+        let link = self.links.entry((from, to)).or_default();
+        link.last_arrival = (now + takes).max(link.last_arrival + 1e-5);
+        link.last_arrival
     }
 
     /// A cut holds this up.
-    pub fn hold(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
-        self.all.entry((from, to)).or_default().held.push(parcel);
+    pub fn hold_back(&mut self, from: NodeId, to: NodeId, envelope: PeerEnvelope) {
+        self.links
+            .entry((from, to))
+            .or_default()
+            .held_back
+            .push(envelope);
     }
 
     /// What arrives now that nothing is cut between these any more: all of it, or what was sent a moment ago and by
@@ -113,29 +117,29 @@
         from: NodeId,
         to: NodeId,
         now: f64,
-        chance: &mut Chance,
-    ) -> Vec<Parcel> {
-        let Some(link) = self.all.get_mut(&(from, to)) else {
+        chance: &mut RandomSource,
+    ) -> Vec<PeerEnvelope> {
+        let Some(link) = self.links.get_mut(&(from, to)) else {
             return Vec::new();
         };
-        let held = std::mem::take(&mut link.held);
+        let held = std::mem::take(&mut link.held_back);
         let given_up = held
             .first()
-            .is_some_and(|oldest| now - oldest.sent > HELD_UP);
+            .is_some_and(|oldest| now - oldest.sent_at > HOLD_BACK_LIMIT_S);
         if given_up {
             // The sender has opened another connection, or will.
             link.connection = 0;
         }
         held.into_iter()
-            .filter(|_| !given_up || chance.of_thousand(ARRIVES_LATE))
+            .filter(|_| !given_up || chance.per_mille(LATE_ARRIVALS_PER_MILLE))
             .collect()
     }
 
     /// Pairs between which something is held up and nothing is cut any more.
-    pub fn to_release(&self) -> Vec<(NodeId, NodeId)> {
+    pub fn releasable(&self) -> Vec<(NodeId, NodeId)> {
         let waits = |(pair, link): (&(NodeId, NodeId), &Link)| {
-            (!link.held.is_empty() && !self.cut.contains(pair)).then_some(*pair)
+            (!link.held_back.is_empty() && !self.blocked.contains(pair)).then_some(*pair)
         };
-        self.all.iter().filter_map(waits).collect()
+        self.links.iter().filter_map(waits).collect()
     }
 }
--- a/crates/testing/simulation/src/operators.rs
+++ b/crates/testing/simulation/src/operators.rs
@@ -1,50 +1,50 @@
 //! Operators that change the configuration at once, and send again what had no clear answer.
 
-use crate::world::{Event, World};
+use crate::simulation::{Event, Simulation};
 use badgerstream_control::{ControlRequest, ControlResponse, NodeId};
 use std::rc::Rc;
 
 /// An operator goes on to another machine after so many seconds without an answer.
-const SILENCE: f64 = 1.0;
+const RESPONSE_TIMEOUT_S: f64 = 1.0;
 /// Pauses of an operator, in seconds.
-const PAUSE: f64 = 0.05;
+const ACTION_INTERVAL_S: f64 = 0.05;
 /// Of a thousand moments in which an operator has nothing to do, in so many it sends an old order again.
-const SENDS_OLD: u64 = 150;
+const RESENDS_OLD_PER_MILLE: u64 = 150;
 /// Of a thousand, in so many it reads the configuration.
-const READS: u64 = 200;
+const READS_PER_MILLE: u64 = 200;
 /// Routes of a configuration.
-const ROUTES: usize = 12;
+const ROUTE_COUNT: usize = 12;
 
 /// What is known of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// No clear answer yet.
-    Open,
+    Pending,
     /// It was acknowledged.
-    Confirmed,
+    Acknowledged,
     /// It was refused.
-    Refused,
+    Rejected,
 }
 
 /// A change of the configuration.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct ConfigChange {
     /// The version on which it builds.
-    pub base: u64,
+    pub base_epoch: u64,
     /// Its epoch.
     pub epoch: u64,
     /// Its text.
     pub body: Rc<[u8]>,
     /// What became of it.
-    pub outcome: Outcome,
+    pub outcome: ChangeOutcome,
     /// When it was acknowledged first.
-    pub confirmed: f64,
+    pub acknowledged_at: f64,
 }
 
 /// What an operator waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Asks {
-    Order(usize),
+enum OperatorTask {
+    ConfigChange(usize),
     Read { since: f64 },
 }
 
@@ -52,99 +52,99 @@
 #[derive(Clone, Debug)]
 pub struct Operator {
     /// The version that it goes by.
-    base: u64,
-    asks: Option<Asks>,
+    known_epoch: u64,
+    task: Option<OperatorTask>,
     /// The number of the call under way, and when it was made.
-    call: Option<(u64, f64)>,
+    pending_request: Option<(u64, f64)>,
     /// It must know the version before it goes on.
     must_read: bool,
     /// The machine that was asked last: the next one is another.
-    last: Option<NodeId>,
+    last_node: Option<NodeId>,
 }
 
-impl World {
+impl Simulation {
     /// Adds an operator, who begins at once.
     pub fn add_operator(&mut self) {
         self.operators.push(Operator {
-            base: 0,
-            asks: None,
-            call: None,
+            known_epoch: 0,
+            task: None,
+            pending_request: None,
             must_read: true,
-            last: None,
+            last_node: None,
         });
         let at = self.operators.len() - 1;
-        self.put(0.5 + 0.01 * at as f64, Event::Operator(at));
+        self.schedule(0.5 + 0.01 * at as f64, Event::Operator(at));
     }
 
     /// An operator looks what it has to do.
-    pub(crate) fn operate(&mut self, at: usize) {
-        self.put(PAUSE, Event::Operator(at));
-        if let Some((_, since)) = self.operators[at].call {
-            if self.now - since > SILENCE {
-                self.operators[at].call = None;
+    pub(crate) fn operator_acts(&mut self, at: usize) {
+        self.schedule(ACTION_INTERVAL_S, Event::Operator(at));
+        if let Some((_, since)) = self.operators[at].pending_request {
+            if self.now - since > RESPONSE_TIMEOUT_S {
+                self.operators[at].pending_request = None;
             }
             return;
         }
-        if self.operators[at].asks.is_none() {
-            self.operators[at].asks = Some(self.next_task(at));
+        if self.operators[at].task.is_none() {
+            self.operators[at].task = Some(self.next_operator_task(at));
         }
-        let Some(node) = self.chosen_machine(self.operators[at].last) else {
+        let Some(node) = self.choose_machine(self.operators[at].last_node) else {
             return;
         };
-        self.operators[at].last = Some(node);
-        let call = match self.operators[at].asks {
-            Some(Asks::Order(order)) => {
-                let order = &self.orders[order];
+        self.operators[at].last_node = Some(node);
+        let call = match self.operators[at].task {
+            Some(OperatorTask::ConfigChange(order)) => {
+                let order = &self.config_changes[order];
                 ControlRequest::ReplaceConfig {
-                    base_epoch: order.base,
+                    base_epoch: order.base_epoch,
                     epoch: order.epoch,
                     body: order.body.clone(),
                 }
             }
             _ => ControlRequest::ReadConfig,
         };
-        let number = self.call_for_operator(at);
-        self.say(|| {
+        let number = self.register_operator_request(at);
+        self.trace(|| {
             format!(
                 "operator {at} asks control {node} for {:?}",
-                self.operators[at].asks
+                self.operators[at].task
             )
         });
-        self.operators[at].call = Some((number, self.now));
-        let way = self.way();
-        self.put(way, Event::ControlRequest(node, number, call));
+        self.operators[at].pending_request = Some((number, self.now));
+        let way = self.message_delay();
+        self.schedule(way, Event::ControlRequest(node, number, call));
     }
 
-    fn next_task(&mut self, at: usize) -> Asks {
-        let confirmed: Vec<usize> = (0..self.orders.len())
-            .filter(|order| self.orders[*order].outcome == Outcome::Confirmed)
+    fn next_operator_task(&mut self, at: usize) -> OperatorTask {
+        let confirmed: Vec<usize> = (0..self.config_changes.len())
+            .filter(|order| self.config_changes[*order].outcome == ChangeOutcome::Acknowledged)
             .collect();
-        if self.operators[at].must_read || self.chance.of_thousand(READS) {
-            return Asks::Read { since: self.now };
+        if self.operators[at].must_read || self.chance.per_mille(READS_PER_MILLE) {
+            return OperatorTask::Read { since: self.now };
         }
-        if self.chance.of_thousand(SENDS_OLD)
+        if self.chance.per_mille(RESENDS_OLD_PER_MILLE)
             && let Some(old) = self.chance.pick(&confirmed)
         {
-            return Asks::Order(old);
+            return OperatorTask::ConfigChange(old);
         }
-        let base = self.operators[at].base;
+        let base = self.operators[at].known_epoch;
         // Two operators may pick the same number.
         let epoch = base + 1 + self.draw(3);
-        let body = text(epoch, at, self.orders.len());
-        self.orders.push(Order {
-            base,
+        let body = text(epoch, at, self.config_changes.len());
+        self.config_changes.push(ConfigChange {
+            base_epoch: base,
             epoch,
             body,
-            outcome: Outcome::Open,
-            confirmed: f64::INFINITY,
+            outcome: ChangeOutcome::Pending,
+            acknowledged_at: f64::INFINITY,
         });
-        Asks::Order(self.orders.len() - 1)
+        OperatorTask::ConfigChange(self.config_changes.len() - 1)
     }
 
     /// A machine of the list that operators have, any that was not removed, but for the one that was asked last.
-    fn chosen_machine(&mut self, last: Option<NodeId>) -> Option<NodeId> {
+    fn choose_machine(&mut self, last: Option<NodeId>) -> Option<NodeId> {
         let there = self
-            .controls
+            .machines
             .iter()
             .filter(|(node, machine)| !machine.removed && Some(**node) != last);
         let listed: Vec<NodeId> = there.map(|(node, _)| *node).collect();
@@ -154,32 +154,34 @@
     /// An operator has the answer to its call.
     pub(crate) fn answer_operator(&mut self, at: usize, number: u64, answer: &ControlResponse) {
         if self.operators[at]
-            .call
+            .pending_request
             .is_none_or(|(call, _)| call != number)
         {
             // It has given that call up, but what was told counts all the same.
             return;
         }
-        self.operators[at].call = None;
-        let Some(asks) = self.operators[at].asks else {
+        self.operators[at].pending_request = None;
+        let Some(asks) = self.operators[at].task else {
             return;
         };
-        self.say(|| format!("operator {at} hears {} to {asks:?}", answer.status));
+        self.trace(|| format!("operator {at} hears {} to {asks:?}", answer.status));
         match (asks, answer.status) {
-            (Asks::Order(order), 200) => {
-                self.judge_confirmed(order);
-                self.operators[at].base = self.operators[at].base.max(self.orders[order].epoch);
-                self.operators[at].asks = None;
+            (OperatorTask::ConfigChange(order), 200) => {
+                self.check_acknowledged(order);
+                self.operators[at].known_epoch = self.operators[at]
+                    .known_epoch
+                    .max(self.config_changes[order].epoch);
+                self.operators[at].task = None;
             }
-            (Asks::Order(order), 400..=499) => {
-                self.judge_refused(order, answer.status);
-                self.operators[at].asks = None;
+            (OperatorTask::ConfigChange(order), 400..=499) => {
+                self.check_rejected(order, answer.status);
+                self.operators[at].task = None;
                 self.operators[at].must_read = true;
             }
-            (Asks::Read { since }, 200) => {
-                let epoch = self.judge_read(since, &answer.body);
-                self.operators[at].base = epoch;
-                self.operators[at].asks = None;
+            (OperatorTask::Read { since }, 200) => {
+                let epoch = self.check_read(since, &answer.body);
+                self.operators[at].known_epoch = epoch;
+                self.operators[at].task = None;
                 self.operators[at].must_read = false;
             }
             // No clear answer: the same again, elsewhere.
@@ -190,7 +192,7 @@
 
 /// A configuration as far as control looks at it: a text that begins with its epoch.
 fn text(epoch: u64, operator: usize, order: usize) -> Rc<[u8]> {
-    let routes: Vec<String> = (0..ROUTES)
+    let routes: Vec<String> = (0..ROUTE_COUNT)
         .map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}"))
         .collect();
     let text = format!(
--- a/crates/testing/simulation/src/routers.rs
+++ b/crates/testing/simulation/src/routers.rs
@@ -2,7 +2,7 @@
 
 use crate::operators::epoch_of;
 use crate::servers::{Health, SERVICE};
-use crate::world::{Event, World};
+use crate::simulation::{Event, Simulation};
 use badgerstream_control::{
     ConfigUpdate, HealthReport, LeaseRequest, NodeId, PrimaryGrant, RouterMessage, Term,
 };
@@ -10,54 +10,54 @@
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
-struct Conn {
+struct RouterConnection {
     node: NodeId,
-    life: u64,
+    process_incarnation: u64,
     id: u64,
     /// When the newest message on it arrives: they stay in order.
-    last: f64,
+    last_arrival: f64,
 }
 
 /// A router.
 #[derive(Clone)]
 pub struct Router {
     pub name: String,
-    life: u64,
+    process_incarnation: u64,
     pub frozen: bool,
-    pub(crate) offset: f64,
-    conn: Option<Conn>,
-    turn: usize,
-    hint: Option<NodeId>,
-    renewed: f64,
-    answered: f64,
-    known: (Term, u64),
+    pub(crate) clock_offset: f64,
+    connection: Option<RouterConnection>,
+    next_node: usize,
+    leader_hint: Option<NodeId>,
+    requested_at: f64,
+    answered_at: f64,
+    update_watermark: (Term, u64),
     grants: HashMap<String, PrimaryGrant>,
     pub lease_until: f64,
-    fading: HashMap<String, (PrimaryGrant, f64)>,
+    previous_grants: HashMap<String, (PrimaryGrant, f64)>,
     /// The configuration that it holds; empty if it holds none.
     config: Rc<[u8]>,
     /// The highest epoch that was in force in this life; 0 before the first.
-    pub in_force: u64,
+    pub active_config_epoch: u64,
     /// The control machines that it knows.
-    nodes: Vec<NodeId>,
+    control_nodes: Vec<NodeId>,
     /// When each server last answered it anything, by its own clock.
-    pub(crate) evidence: BTreeMap<String, f64>,
+    pub(crate) last_answers: BTreeMap<String, f64>,
     pub(crate) inbox: Vec<Event>,
 }
 
 impl Router {
     /// The text that it goes by once it was told this. What it can make nothing of it asks for whole.
-    fn read_config(&mut self, news: &ConfigUpdate) -> Rc<[u8]> {
+    fn resolve_config(&mut self, news: &ConfigUpdate) -> Rc<[u8]> {
         self.config = news.resolve(&self.config).unwrap_or_else(|| Rc::from([]));
         self.config.clone()
     }
 
     /// The server that it may use as primary at that second of its own clock.
-    pub(crate) fn primary(&self, clock: f64) -> Option<&PrimaryGrant> {
+    pub(crate) fn usable_primary(&self, clock: f64) -> Option<&PrimaryGrant> {
         match self.grants.get(SERVICE) {
             Some(grant) => (clock < self.lease_until && !grant.revoking).then_some(grant),
             None => self
-                .fading
+                .previous_grants
                 .get(SERVICE)
                 .filter(|(_, until)| clock < *until)
                 .map(|(grant, _)| grant),
@@ -68,32 +68,37 @@
 impl Router {
     /// The process at the other end of its connection is gone.
     pub(crate) fn forget_connection(&mut self, node: NodeId) {
-        if self.conn.as_ref().is_some_and(|conn| conn.node == node) {
-            self.conn = None;
+        if self
+            .connection
+            .as_ref()
+            .is_some_and(|conn| conn.node == node)
+        {
+            self.connection = None;
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// What a control machine says on this connection.
-    pub(crate) fn send_news(&mut self, node: NodeId, conn: u64, message: RouterMessage) {
-        let way = self.way();
-        let life = self.controls[&node].life;
+    pub(crate) fn send_to_router(&mut self, node: NodeId, conn: u64, message: RouterMessage) {
+        let way = self.message_delay();
+        let life = self.machines[&node].process_incarnation;
         let found = self.routers.iter().position(|r| {
-            r.conn
+            r.connection
                 .as_ref()
-                .is_some_and(|c| c.id == conn && c.node == node && c.life == life)
+                .is_some_and(|c| c.id == conn && c.node == node && c.process_incarnation == life)
         });
-        let Some(router) = found.filter(|router| !self.apart.contains(&(node, *router))) else {
+        let Some(router) = found.filter(|router| !self.cut_from_routers.contains(&(node, *router)))
+        else {
             return;
         };
         let now = self.now;
-        let Some(connection) = self.routers[router].conn.as_mut() else {
+        let Some(connection) = self.routers[router].connection.as_mut() else {
             return;
         };
-        connection.last = (now + way).max(connection.last + 1e-5);
-        let after = connection.last - now;
-        self.put(
+        connection.last_arrival = (now + way).max(connection.last_arrival + 1e-5);
+        let after = connection.last_arrival - now;
+        self.schedule(
             after,
             Event::News {
                 router,
@@ -107,43 +112,43 @@
     pub fn add_router(&mut self, at: usize) {
         self.routers.push(Router {
             name: format!("r{at}"),
-            life: 100 + at as u64,
+            process_incarnation: 100 + at as u64,
             frozen: false,
-            offset: 7777.0 * (at + 1) as f64,
-            conn: None,
-            turn: at,
-            hint: None,
-            renewed: 0.0,
-            answered: 0.0,
-            known: (Term(0), 0),
+            clock_offset: 7777.0 * (at + 1) as f64,
+            connection: None,
+            next_node: at,
+            leader_hint: None,
+            requested_at: 0.0,
+            answered_at: 0.0,
+            update_watermark: (Term(0), 0),
             grants: HashMap::new(),
             lease_until: f64::NEG_INFINITY,
-            fading: HashMap::new(),
+            previous_grants: HashMap::new(),
             config: Rc::from([]),
-            in_force: 0,
-            nodes: self.seeds.clone(),
-            evidence: BTreeMap::new(),
+            active_config_epoch: 0,
+            control_nodes: self.seed_nodes.clone(),
+            last_answers: BTreeMap::new(),
             inbox: Vec::new(),
         });
-        self.put(0.001, Event::RouterTick(at));
-        self.put(0.003, Event::Statement(at));
+        self.schedule(0.001, Event::RouterTick(at));
+        self.schedule(0.003, Event::Statement(at));
     }
 
-    pub(crate) fn statement(&mut self, router: usize) {
+    pub(crate) fn send_statement(&mut self, router: usize) {
         let it = &self.routers[router];
-        if it.frozen || !self.traffic {
+        if it.frozen || !self.statements_enabled {
             return;
         }
         self.read_at_replicas(router);
         let it = &self.routers[router];
-        let Some(grant) = it.primary(self.now + it.offset) else {
+        let Some(grant) = it.usable_primary(self.now + it.clock_offset) else {
             return;
         };
         let server = grant.server_id.clone();
-        let (seen, sent) = (self.acked.len(), self.now);
+        let (seen, sent) = (self.acknowledged_commits.len(), self.now);
         let write = self.draw(3) == 0;
-        let way = self.way();
-        self.put(
+        let way = self.message_delay();
+        self.schedule(
             way,
             Event::At {
                 router,
@@ -160,16 +165,26 @@
         let up = self
             .servers
             .values()
-            .filter(|server| server.health == Health::Up && !server.leader);
+            .filter(|server| server.health == Health::Up && !server.is_primary);
         let up: Vec<String> = up.map(|server| server.id.clone()).collect();
         for server in up {
-            self.put(2.0 * self.delay, Event::Answered { router, server });
+            self.schedule(
+                2.0 * self.message_delay_s,
+                Event::Answered { router, server },
+            );
         }
     }
 
-    pub(crate) fn at(&mut self, router: usize, id: &str, write: bool, seen: usize, sent: f64) {
-        let way = self.way();
-        let commit = self.next_commit + 1;
+    pub(crate) fn statement_arrived(
+        &mut self,
+        router: usize,
+        id: &str,
+        write: bool,
+        seen: usize,
+        sent: f64,
+    ) {
+        let way = self.message_delay();
+        let commit = self.last_commit + 1;
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
@@ -177,14 +192,14 @@
             return;
         }
         if write {
-            if server.leader {
-                self.next_commit = commit;
-                server.log.push((server.term, commit));
+            if server.is_primary {
+                self.last_commit = commit;
+                server.log.push((server.primary_term, commit));
             }
         } else {
             // What lies further back was looked for by the reads before.
             let lacks = |c: &&u64| server.log.binary_search_by_key(*c, |e| e.1).is_err();
-            let missed = self.acked[seen.saturating_sub(60)..seen]
+            let missed = self.acknowledged_commits[seen.saturating_sub(60)..seen]
                 .iter()
                 .filter(lacks)
                 .count();
@@ -194,7 +209,7 @@
                 self.now
             );
         }
-        self.put(
+        self.schedule(
             way,
             Event::Answered {
                 router,
@@ -219,78 +234,88 @@
         if it.frozen {
             return;
         }
-        let now = self.now + it.offset;
-        if let Some(conn) = &it.conn {
-            let broken = self.controls[&conn.node].life != conn.life;
-            if broken || now - it.answered > 0.6 && it.renewed > it.answered {
-                it.conn = None;
-            } else if now - it.renewed >= 0.3 {
-                self.renew(router);
+        let now = self.now + it.clock_offset;
+        if let Some(conn) = &it.connection {
+            let broken = self.machines[&conn.node].process_incarnation != conn.process_incarnation;
+            if broken || now - it.answered_at > 0.6 && it.requested_at > it.answered_at {
+                it.connection = None;
+            } else if now - it.requested_at >= 0.3 {
+                self.request_lease(router);
             }
             return;
         }
-        let node = it.hint.take().unwrap_or(it.nodes[it.turn % it.nodes.len()]);
-        it.turn += 1;
-        let control = &self.controls[&node];
-        if control.health == Health::Up && !self.apart.contains(&(node, router)) {
-            self.connections += 1;
-            it.conn = Some(Conn {
+        let node = it
+            .leader_hint
+            .take()
+            .unwrap_or(it.control_nodes[it.next_node % it.control_nodes.len()]);
+        it.next_node += 1;
+        let control = &self.machines[&node];
+        if control.health == Health::Up && !self.cut_from_routers.contains(&(node, router)) {
+            self.last_router_connection += 1;
+            it.connection = Some(RouterConnection {
                 node,
-                life: control.life,
-                id: self.connections,
-                last: self.now,
+                process_incarnation: control.process_incarnation,
+                id: self.last_router_connection,
+                last_arrival: self.now,
             });
-            it.answered = now;
-            self.renew(router);
+            it.answered_at = now;
+            self.request_lease(router);
         }
     }
 
-    pub(crate) fn renew(&mut self, router: usize) {
-        let way = self.way();
+    pub(crate) fn request_lease(&mut self, router: usize) {
+        let way = self.message_delay();
         let it = &mut self.routers[router];
-        let now = self.now + it.offset;
-        it.renewed = now;
-        let evidence = it.evidence.iter().map(|(id, at)| HealthReport {
+        let now = self.now + it.clock_offset;
+        it.requested_at = now;
+        let evidence = it.last_answers.iter().map(|(id, at)| HealthReport {
             service: SERVICE.to_owned(),
             server_id: id.clone(),
             answered_seconds_ago: now - at,
         });
         let call = LeaseRequest {
             router: it.name.clone(),
-            process_incarnation: it.life,
+            process_incarnation: it.process_incarnation,
             sent_at: now,
-            update_watermark: it.known,
+            update_watermark: it.update_watermark,
             config_epoch: epoch_of(&it.config),
             health_reports: evidence.collect(),
         };
-        let Some(conn) = &mut it.conn else { return };
-        conn.last = (self.now + way).max(conn.last + 1e-5);
-        let after = conn.last - self.now;
+        let Some(conn) = &mut it.connection else {
+            return;
+        };
+        conn.last_arrival = (self.now + way).max(conn.last_arrival + 1e-5);
+        let after = conn.last_arrival - self.now;
         let event = Event::Renew {
             node: conn.node,
-            life: conn.life,
+            life: conn.process_incarnation,
             conn: conn.id,
             router,
             call,
         };
-        self.put(after, event);
+        self.schedule(after, event);
     }
 
-    pub(crate) fn news(&mut self, router: usize, conn: u64, message: RouterMessage) {
+    pub(crate) fn router_message_arrived(
+        &mut self,
+        router: usize,
+        conn: u64,
+        message: RouterMessage,
+    ) {
         let it = &mut self.routers[router];
-        if it.conn.as_ref().is_none_or(|c| c.id != conn) {
+        if it.connection.as_ref().is_none_or(|c| c.id != conn) {
             return;
         }
-        let now = self.now + it.offset;
+        let now = self.now + it.clock_offset;
         let (known, sent, lease, whole, grants, config, voters) = match message {
             RouterMessage::NotLeader { leader, voters } => {
-                let node = it.conn.take().map(|c| c.node);
-                it.hint = leader.filter(|l| Some(*l) != node);
+                let node = it.connection.take().map(|c| c.node);
+                it.leader_hint = leader.filter(|l| Some(*l) != node);
                 let told: Vec<NodeId> = voters
                     .into_iter()
-                    .filter(|node| !it.nodes.contains(node))
+                    .filter(|node| !it.control_nodes.contains(node))
                     .collect();
-                it.nodes.extend(told);
+                it.control_nodes.extend(told);
                 return;
             }
             RouterMessage::Update {
@@ -305,21 +330,21 @@
             } => (known, sent, lease, whole, grants, config, voters),
         };
         let mut told = None;
-        if known.0 >= it.known.0 {
+        if known.0 >= it.update_watermark.0 {
             if !voters.is_empty() {
-                it.nodes = voters;
+                it.control_nodes = voters;
             }
-            told = config.map(|news| it.read_config(&news));
+            told = config.map(|news| it.resolve_config(&news));
             if whole {
                 let until = it.lease_until;
                 let old = it.grants.drain().filter(|(_, g)| !g.revoking);
-                it.fading = old
+                it.previous_grants = old
                     .map(|(service, grant)| (service, (grant, until)))
                     .collect();
                 it.lease_until = f64::NEG_INFINITY;
             }
             for grant in grants {
-                it.fading.remove(&grant.service);
+                it.previous_grants.remove(&grant.service);
                 it.grants.insert(grant.service.clone(), grant);
             }
             if let Some(sent) = sent
@@ -327,33 +352,33 @@
             {
                 it.lease_until = it.lease_until.max(sent + lease);
             }
-            it.known = known;
+            it.update_watermark = known;
         }
         if sent.is_some() {
-            it.answered = now;
+            it.answered_at = now;
         }
         if let Some(text) = told {
-            self.put_in_force(router, &text);
+            self.activate_config(router, &text);
         }
         if sent.is_none() {
-            self.renew(router);
+            self.request_lease(router);
         }
     }
 
     /// A router goes by this configuration if it is newer than the one before.
-    fn put_in_force(&mut self, router: usize, text: &[u8]) {
+    fn activate_config(&mut self, router: usize, text: &[u8]) {
         let epoch = epoch_of(text);
-        if epoch > self.routers[router].in_force {
-            self.judge_in_force(router, epoch, text);
-            self.routers[router].in_force = epoch;
+        if epoch > self.routers[router].active_config_epoch {
+            self.check_active_config(router, epoch, text);
+            self.routers[router].active_config_epoch = epoch;
         }
     }
 
     /// The primary that all routers may use, if it leads.
-    pub fn in_use(&self) -> Option<String> {
+    pub fn primary_in_use(&self) -> Option<String> {
         let mut used = None;
         for router in self.routers.iter().filter(|r| !r.frozen) {
-            let grant = router.primary(self.now + router.offset)?;
+            let grant = router.usable_primary(self.now + router.clock_offset)?;
             if used.as_ref().is_some_and(|u| *u != grant.server_id) {
                 return None;
             }
@@ -362,12 +387,14 @@
         used.filter(|id| {
             self.servers
                 .get(id)
-                .is_some_and(|s| s.leader && s.health == Health::Up)
+                .is_some_and(|s| s.is_primary && s.health == Health::Up)
         })
     }
 
     /// Writes are acknowledged again: one was within the last 0.4 s.
-    pub fn writes(&self) -> bool {
-        self.served.last().is_some_and(|at| self.now - at < 0.4)
+    pub fn acknowledges_writes(&self) -> bool {
+        self.acknowledgement_times
+            .last()
+            .is_some_and(|at| self.now - at < 0.4)
     }
 }
--- a/crates/testing/simulation/src/schedule.rs
+++ b/crates/testing/simulation/src/schedule.rs
@@ -3,55 +3,56 @@
 use std::collections::BTreeMap;
 
 /// Microseconds a second: the grain of simulated time.
-const GRAIN: f64 = 1e6;
+const TICKS_PER_SECOND: f64 = 1e6;
 
 /// Events that are to happen; of those at the same time the one that was put first comes first.
 #[derive(Clone, Debug)]
-pub struct Schedule<Event> {
+pub struct EventQueue<Event> {
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
 }
 
-impl<Event> Default for Schedule<Event> {
+impl<Event> Default for EventQueue<Event> {
     fn default() -> Self {
-        Schedule {
+        EventQueue {
             events: BTreeMap::new(),
             count: 0,
         }
     }
 }
 
-impl<Event> Schedule<Event> {
+impl<Event> EventQueue<Event> {
     /// This happens at that second.
-    pub fn put(&mut self, at: f64, event: Event) {
+    pub fn push(&mut self, at: f64, event: Event) {
         self.count += 1;
-        self.events.insert(((at * GRAIN) as u64, self.count), event);
+        self.events
+            .insert(((at * TICKS_PER_SECOND) as u64, self.count), event);
     }
 
     /// The next event that happens no later than at that second, with its time.
-    pub fn next_until(&mut self, until: f64) -> Option<(f64, Event)> {
+    pub fn pop_until(&mut self, until: f64) -> Option<(f64, Event)> {
         let (at, _) = *self.events.first_key_value()?.0;
-        if at as f64 / GRAIN > until {
+        if at as f64 / TICKS_PER_SECOND > until {
             return None;
         }
         let ((at, _), event) = self.events.pop_first()?;
-        Some((at as f64 / GRAIN, event))
+        Some((at as f64 / TICKS_PER_SECOND, event))
     }
 
     /// All that is to happen.
-    pub fn all(&self) -> impl Iterator<Item = &Event> {
+    pub fn pending(&self) -> impl Iterator<Item = &Event> {
         self.events.values()
     }
 }
 
 /// Chance from a seed.
 #[derive(Clone, Debug)]
-pub struct Chance(fastrand::Rng);
+pub struct RandomSource(fastrand::Rng);
 
-impl Chance {
+impl RandomSource {
     /// The same seed gives the same chance.
-    pub fn new(seed: u64) -> Chance {
-        Chance(fastrand::Rng::with_seed(seed))
+    pub fn new(seed: u64) -> RandomSource {
+        RandomSource(fastrand::Rng::with_seed(seed))
     }
 
     /// A number below that one; 0 if that is 0.
@@ -60,7 +61,7 @@
     }
 
     /// Whether something happens that happens so many times of a thousand.
-    pub fn of_thousand(&mut self, times: u64) -> bool {
+    pub fn per_mille(&mut self, times: u64) -> bool {
         self.below(1000) < times
     }
 
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/simulation.rs
@@ -1,12 +1,12 @@
 //! One clock, all events, and what happens at each.
 
-use crate::digest::{LastNoted, RunDigest};
-use crate::links::{Links, Parcel};
-use crate::machine::{KEEP_SERVERS, Machine};
-use crate::operators::{Operator, Order};
-use crate::oracle::Seen;
+use crate::control_machine::{ControlMachine, PERSIST_MEMBERS_INTERVAL_S};
+use crate::digest::{LastRecorded, RunDigest};
+use crate::network::{PeerEnvelope, PeerNetwork};
+use crate::operators::{ConfigChange, Operator};
+use crate::oracle::Oracle;
 use crate::routers::Router;
-use crate::schedule::{Chance, Schedule};
+use crate::schedule::{EventQueue, RandomSource};
 use crate::servers::{Health, SERVICE, Server};
 use badgerstream_control::{
     CommandOutcome, ControlConfig, ControlRequest, ControlResponse, Controller, FailoverConfig,
@@ -37,15 +37,15 @@
 }
 
 /// How often liveness is looked at, in seconds.
-const LOOK: f64 = 0.2;
+const LIVENESS_CHECK_INTERVAL_S: f64 = 0.2;
 /// Calls of operators and heartbeats of servers have numbers from here on.
-const FIRST_CALL: u64 = 1 << 32;
+const FIRST_REQUEST_ID: u64 = 1 << 32;
 
 /// What happens.
 #[derive(Clone, Debug)]
 pub enum Event {
     Tick(NodeId, u64),
-    Peer(Parcel),
+    Peer(PeerEnvelope),
     Met(NodeId, NodeId, u64),
     Saved(NodeId, u64),
     Reopen(NodeId, u64),
@@ -129,143 +129,143 @@
 
 /// Who waits for the answer to a call.
 #[derive(Clone, Debug)]
-enum Caller {
+enum Requester {
     Operator(usize),
     Server(String),
 }
 
 /// The whole of it.
 #[derive(Clone)]
-pub struct World {
+pub struct Simulation {
     /// The time, in seconds.
     pub now: f64,
-    schedule: Schedule<Event>,
-    pub(crate) chance: Chance,
+    schedule: EventQueue<Event>,
+    pub(crate) chance: RandomSource,
     /// Control machines.
-    pub controls: BTreeMap<NodeId, Machine>,
+    pub machines: BTreeMap<NodeId, ControlMachine>,
     /// The control machines that settings name.
-    pub seeds: Vec<NodeId>,
+    pub seed_nodes: Vec<NodeId>,
     /// How many control machines may be lost at once.
-    pub budget: usize,
+    pub fault_budget: usize,
     /// Connections between control machines.
-    pub links: Links,
+    pub network: PeerNetwork,
     /// Control machines that are cut off from the others, one way at least.
-    pub(crate) cut_off: BTreeSet<NodeId>,
+    pub(crate) isolated: BTreeSet<NodeId>,
     /// The control machines are cut into two halves.
-    pub halves: bool,
+    pub halved: bool,
     /// The newest connection that a machine (first) has heard of another one.
-    pub(crate) lives_heard: HashMap<(NodeId, NodeId), u64>,
+    pub(crate) newest_connections: HashMap<(NodeId, NodeId), u64>,
     pub routers: Vec<Router>,
     pub servers: BTreeMap<String, Server>,
     pub operators: Vec<Operator>,
-    pub orders: Vec<Order>,
+    pub config_changes: Vec<ConfigChange>,
     /// What the oracle has seen.
-    pub seen: Seen,
+    pub oracle: Oracle,
     /// Control machines that reach no server, and pairs of control machine and router that do not meet.
-    pub deaf_controls: HashSet<NodeId>,
-    pub apart: HashSet<(NodeId, usize)>,
+    pub cut_from_servers: HashSet<NodeId>,
+    pub cut_from_routers: HashSet<(NodeId, usize)>,
     /// Servers that answer no control machine, though they go on.
-    pub mute: HashSet<String>,
+    pub unresponsive_to_control: HashSet<String>,
     /// Of a thousand questions to servers, so many do their work and their answers are lost.
-    pub lost_answers: u64,
+    pub command_answers_lost_per_mille: u64,
     /// Of a thousand calls to the platform, so many do their work and their answers are lost.
-    pub lost_posts: u64,
+    pub promotion_answers_lost_per_mille: u64,
     /// Of a thousand answers to operators, so many are lost.
-    pub lost_replies: u64,
+    pub operator_answers_lost_per_mille: u64,
     /// The answers of the next calls to the platform, which then do nothing.
-    pub statuses: Vec<u16>,
-    pub fencing: bool,
-    pub promote_s: f64,
-    pub delay: f64,
+    pub scripted_statuses: Vec<u16>,
+    pub checks_fencing_tokens: bool,
+    pub promotion_duration_s: f64,
+    pub message_delay_s: f64,
     /// The row's last field is the highest term heard of, and stays; otherwise it is 0 unless held.
-    pub held_is_heard: bool,
-    /// A second `PAUSE` of the same term is refused.
-    pub pause_once: bool,
-    pub traffic: bool,
-    pub(crate) fence: u64,
-    pub(crate) next_commit: u64,
-    pub(crate) connections: u64,
-    calls: u64,
-    callers: HashMap<u64, Caller>,
+    pub reports_highest_term_seen: bool,
+    /// A second `ACTION_INTERVAL_S` of the same term is refused.
+    pub rejects_repeated_pause: bool,
+    pub statements_enabled: bool,
+    pub(crate) highest_fencing_token: u64,
+    pub(crate) last_commit: u64,
+    pub(crate) last_router_connection: u64,
+    last_request_id: u64,
+    requesters: HashMap<u64, Requester>,
     /// Commits that were acknowledged, in that order.
-    pub acked: Vec<u64>,
+    pub acknowledged_commits: Vec<u64>,
     /// The servers that were promoted, and when.
-    pub promoted: Vec<(String, f64)>,
-    pub posts: Vec<(String, u64)>,
+    pub promotions: Vec<(String, f64)>,
+    pub promotion_requests: Vec<(String, u64)>,
     /// Answers to calls of a test, by their numbers.
-    pub replies: BTreeMap<u64, (u16, Vec<u8>)>,
-    loud: bool,
-    pub served: Vec<f64>,
+    pub responses: BTreeMap<u64, (u16, Vec<u8>)>,
+    traces: bool,
+    pub acknowledgement_times: Vec<f64>,
     pub(crate) run_digest: RunDigest,
-    pub(crate) last_noted: LastNoted,
+    pub(crate) last_recorded: LastRecorded,
 }
 
-impl World {
+impl Simulation {
     /// Three control machines, two routers, and the servers a (primary), b, c; nothing has run yet.
-    pub fn new(seed: u64) -> World {
-        let mut world = World::control_only(seed, 3, 1);
+    pub fn new(seed: u64) -> Simulation {
+        let mut simulation = Simulation::control_only(seed, 3, 1);
         for at in 0..2 {
-            world.add_router(at);
+            simulation.add_router(at);
         }
         for id in ["a", "b", "c"] {
-            world.add_server(id, &format!("10.0.0.{}:1", id.as_bytes()[0]), id == "a");
+            simulation.add_server(id, &format!("10.0.0.{}:1", id.as_bytes()[0]), id == "a");
         }
-        world.put(0.0, Event::Replicate);
-        world
+        simulation.schedule(0.0, Event::Replicate);
+        simulation
     }
 
     /// So many control machines, of which so many may be lost at once, and nothing else.
-    pub fn control_only(seed: u64, machines: u32, budget: usize) -> World {
-        let mut world = World {
+    pub fn control_only(seed: u64, machines: u32, budget: usize) -> Simulation {
+        let mut simulation = Simulation {
             now: 0.0,
-            schedule: Schedule::default(),
-            chance: Chance::new(seed),
-            controls: BTreeMap::new(),
-            seeds: (1..=machines.min(3)).collect(),
-            budget,
-            links: Links::default(),
-            cut_off: BTreeSet::new(),
-            halves: false,
-            lives_heard: HashMap::new(),
+            schedule: EventQueue::default(),
+            chance: RandomSource::new(seed),
+            machines: BTreeMap::new(),
+            seed_nodes: (1..=machines.min(3)).collect(),
+            fault_budget: budget,
+            network: PeerNetwork::default(),
+            isolated: BTreeSet::new(),
+            halved: false,
+            newest_connections: HashMap::new(),
             routers: Vec::new(),
             servers: BTreeMap::new(),
             operators: Vec::new(),
-            orders: Vec::new(),
-            seen: Seen::default(),
-            deaf_controls: HashSet::new(),
-            apart: HashSet::new(),
-            mute: HashSet::new(),
-            lost_answers: 0,
-            lost_posts: 0,
-            lost_replies: 0,
-            statuses: Vec::new(),
-            fencing: false,
-            promote_s: 0.6,
-            delay: 0.0015,
-            held_is_heard: false,
-            pause_once: false,
-            traffic: true,
-            fence: 0,
-            next_commit: 0,
-            connections: 0,
-            calls: FIRST_CALL,
-            callers: HashMap::new(),
-            acked: Vec::new(),
-            promoted: Vec::new(),
-            posts: Vec::new(),
-            replies: BTreeMap::new(),
-            loud: std::env::var("LOUD").is_ok(),
-            served: Vec::new(),
+            config_changes: Vec::new(),
+            oracle: Oracle::default(),
+            cut_from_servers: HashSet::new(),
+            cut_from_routers: HashSet::new(),
+            unresponsive_to_control: HashSet::new(),
+            command_answers_lost_per_mille: 0,
+            promotion_answers_lost_per_mille: 0,
+            operator_answers_lost_per_mille: 0,
+            scripted_statuses: Vec::new(),
+            checks_fencing_tokens: false,
+            promotion_duration_s: 0.6,
+            message_delay_s: 0.0015,
+            reports_highest_term_seen: false,
+            rejects_repeated_pause: false,
+            statements_enabled: true,
+            highest_fencing_token: 0,
+            last_commit: 0,
+            last_router_connection: 0,
+            last_request_id: FIRST_REQUEST_ID,
+            requesters: HashMap::new(),
+            acknowledged_commits: Vec::new(),
+            promotions: Vec::new(),
+            promotion_requests: Vec::new(),
+            responses: BTreeMap::new(),
+            traces: std::env::var("LOUD").is_ok(),
+            acknowledgement_times: Vec::new(),
             run_digest: RunDigest::default(),
-            last_noted: LastNoted::default(),
+            last_recorded: LastRecorded::default(),
         };
-        let seeds = world.seeds.clone();
+        let seeds = simulation.seed_nodes.clone();
         for node in 1..=machines {
-            world.add_control(node, badgerstream_control::FOUNDING_INCARNATION, &seeds);
-            world.start(node);
+            simulation.add_control(node, badgerstream_control::FOUNDING_INCARNATION, &seeds);
+            simulation.start(node);
         }
-        world.put(LOOK, Event::Look);
-        world
+        simulation.schedule(LIVENESS_CHECK_INTERVAL_S, Event::Look);
+        simulation
     }
 
     /// A number below that one.
@@ -273,113 +273,113 @@
         self.chance.below(below)
     }
 
-    pub(crate) fn put(&mut self, after: f64, event: Event) {
-        self.schedule.put(self.now + after, event);
+    pub(crate) fn schedule(&mut self, after: f64, event: Event) {
+        self.schedule.push(self.now + after, event);
     }
 
     /// Whether such an event is to happen.
-    pub(crate) fn waits_for(&self, is: impl Fn(&Event) -> bool) -> bool {
-        self.schedule.all().any(is)
+    pub(crate) fn is_scheduled(&self, is: impl Fn(&Event) -> bool) -> bool {
+        self.schedule.pending().any(is)
     }
 
-    pub(crate) fn say(&self, text: impl FnOnce() -> String) {
-        if self.loud {
+    pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
+        if self.traces {
             eprintln!("{:9.4} {}", self.now, text());
         }
     }
 
     /// How long a message takes.
-    pub(crate) fn way(&mut self) -> f64 {
-        self.delay * (0.8 + 0.004 * self.draw(100) as f64)
+    pub(crate) fn message_delay(&mut self) -> f64 {
+        self.message_delay_s * (0.8 + 0.004 * self.draw(100) as f64)
     }
 
     /// This machine hears no other one, or is heard by none, or both.
-    pub fn cut_off(&mut self, node: NodeId, hears_nobody: bool, unheard: bool) {
-        self.say(|| {
+    pub fn isolate(&mut self, node: NodeId, hears_nobody: bool, unheard: bool) {
+        self.trace(|| {
             format!("control {node} is cut off: hears nobody {hears_nobody}, unheard {unheard}")
         });
-        self.cut_off.insert(node);
+        self.isolated.insert(node);
         let others: Vec<NodeId> = self
-            .controls
+            .machines
             .keys()
             .copied()
             .filter(|other| *other != node)
             .collect();
         for other in others {
             if hears_nobody {
-                self.links.cut.insert((other, node));
+                self.network.blocked.insert((other, node));
             }
             if unheard {
-                self.links.cut.insert((node, other));
+                self.network.blocked.insert((node, other));
             }
         }
-        self.trouble(node);
+        self.record_fault(node);
     }
 
     /// Nothing is cut at this machine any more.
     pub fn heal(&mut self, node: NodeId) {
-        self.say(|| format!("control {node} is no longer cut off"));
-        self.cut_off.remove(&node);
-        self.links
-            .cut
+        self.trace(|| format!("control {node} is no longer cut off"));
+        self.isolated.remove(&node);
+        self.network
+            .blocked
             .retain(|(from, to)| *from != node && *to != node);
-        self.trouble(node);
-        self.release_held();
+        self.record_fault(node);
+        self.release_held_back();
     }
 
     /// These control machines and those don't reach each other; each reaches all routers, servers and operators.
-    pub fn cut_halves(&mut self, half: &[NodeId], other: &[NodeId]) {
-        self.say(|| format!("control is cut into {half:?} and {other:?}"));
-        self.halves = true;
-        self.seen.event = self.now;
+    pub fn partition_halves(&mut self, half: &[NodeId], other: &[NodeId]) {
+        self.trace(|| format!("control is cut into {half:?} and {other:?}"));
+        self.halved = true;
+        self.oracle.last_fault_at = self.now;
         for one in half {
             other
                 .iter()
-                .for_each(|other| self.links.cut_between(*one, *other));
+                .for_each(|other| self.network.block_both_ways(*one, *other));
         }
     }
 
     /// The halves reach each other again; what else was cut is whole as well.
-    pub fn join_halves(&mut self) {
-        self.say(|| "control is no longer cut into halves".to_owned());
-        self.seen.event = self.now;
+    pub fn rejoin_halves(&mut self) {
+        self.trace(|| "control is no longer cut into halves".to_owned());
+        self.oracle.last_fault_at = self.now;
         self.heal_all();
     }
 
     /// Nothing is cut any more.
     pub fn heal_all(&mut self) {
-        self.halves = false;
-        self.cut_off.clear();
-        self.links.cut.clear();
-        self.release_held();
+        self.halved = false;
+        self.isolated.clear();
+        self.network.blocked.clear();
+        self.release_held_back();
     }
 
-    fn release_held(&mut self) {
-        for (from, to) in self.links.to_release() {
-            for parcel in self.links.release(from, to, self.now, &mut self.chance) {
-                let way = self.way();
-                let at = self.links.arrival(from, to, self.now, way);
-                self.put(at - self.now, Event::Peer(parcel));
+    fn release_held_back(&mut self) {
+        for (from, to) in self.network.releasable() {
+            for envelope in self.network.release(from, to, self.now, &mut self.chance) {
+                let way = self.message_delay();
+                let at = self.network.arrival_time(from, to, self.now, way);
+                self.schedule(at - self.now, Event::Peer(envelope));
             }
         }
     }
 
     /// All connections between control machines end.
-    pub fn reset_links(&mut self) {
-        let nodes: Vec<NodeId> = self.controls.keys().copied().collect();
+    pub fn reset_connections(&mut self) {
+        let nodes: Vec<NodeId> = self.machines.keys().copied().collect();
         for from in &nodes {
             for to in nodes.iter().filter(|to| *to != from) {
-                self.links.reset(*from, *to);
+                self.network.reset(*from, *to);
             }
         }
-        self.seen.event = self.now;
+        self.oracle.last_fault_at = self.now;
     }
 
     /// The disk of this machine takes what is written like this from now on.
-    pub fn set_disk(&mut self, node: NodeId, health: crate::disk::DiskHealth) {
-        self.say(|| format!("disk of control {node}: {health:?}"));
-        self.trouble(node);
-        self.controls
+    pub fn set_disk_health(&mut self, node: NodeId, health: crate::disk::DiskHealth) {
+        self.trace(|| format!("disk of control {node}: {health:?}"));
+        self.record_fault(node);
+        self.machines
             .get_mut(&node)
             .expect("the machine exists")
             .disk
@@ -387,42 +387,43 @@
     }
 
     /// This machine is asked to end.
-    pub fn resign(&mut self, node: NodeId) {
-        self.say(|| format!("control {node} is asked to end"));
-        self.trouble(node);
-        if let Some(machine) = self.controls.get_mut(&node) {
-            machine.ending = true;
+    pub fn request_shutdown(&mut self, node: NodeId) {
+        self.trace(|| format!("control {node} is asked to end"));
+        self.record_fault(node);
+        if let Some(machine) = self.machines.get_mut(&node) {
+            machine.shutting_down = true;
         }
-        self.with(node, badgerstream_control::Controller::resign);
+        self.with_controller(node, badgerstream_control::Controller::resign);
     }
 
     /// It is asked to end soon, and will be removed.
-    pub fn leave_before_removal(&mut self, node: NodeId) {
-        self.trouble(node);
-        self.put(1.5, Event::Resign(node));
+    pub fn schedule_shutdown(&mut self, node: NodeId) {
+        self.record_fault(node);
+        self.schedule(1.5, Event::Resign(node));
     }
 
     /// Another machine takes the place of this one, from now on.
-    pub fn seen_successor(&mut self, node: NodeId) {
-        self.seen.successors.insert(node, Some(self.now + 3.0));
+    pub fn expect_successor(&mut self, node: NodeId) {
+        self.oracle.successors.insert(node, Some(self.now + 3.0));
     }
 
-    pub(crate) fn call_for_operator(&mut self, at: usize) -> u64 {
-        self.calls += 1;
-        self.callers.insert(self.calls, Caller::Operator(at));
-        self.calls
+    pub(crate) fn register_operator_request(&mut self, at: usize) -> u64 {
+        self.last_request_id += 1;
+        self.requesters
+            .insert(self.last_request_id, Requester::Operator(at));
+        self.last_request_id
     }
 
-    pub(crate) fn call_for_server(&mut self, id: &str) -> u64 {
-        self.calls += 1;
-        self.callers
-            .insert(self.calls, Caller::Server(id.to_owned()));
-        self.calls
+    pub(crate) fn register_server_request(&mut self, id: &str) -> u64 {
+        self.last_request_id += 1;
+        self.requesters
+            .insert(self.last_request_id, Requester::Server(id.to_owned()));
+        self.last_request_id
     }
 
     /// A control machine answers a call.
-    pub(crate) fn reply(&mut self, node: NodeId, call: u64, answer: ControlResponse) {
-        let clock = self.now + self.controls[&node].offset;
+    pub(crate) fn respond(&mut self, node: NodeId, call: u64, answer: ControlResponse) {
+        let clock = self.now + self.machines[&node].clock_offset;
         let answer = match clock < answer.valid_until {
             true => answer,
             // It rested on contact that is over.
@@ -432,15 +433,16 @@
                 valid_until: f64::INFINITY,
             },
         };
-        match self.callers.remove(&call) {
-            Some(Caller::Operator(_)) if self.chance.of_thousand(self.lost_replies) => {}
-            Some(Caller::Operator(at)) => self.answer_operator(at, call, &answer),
-            Some(Caller::Server(id)) if answer.status != 200 => {
-                self.put(0.05, Event::Heartbeat(id));
+        match self.requesters.remove(&call) {
+            Some(Requester::Operator(_))
+                if self.chance.per_mille(self.operator_answers_lost_per_mille) => {}
+            Some(Requester::Operator(at)) => self.answer_operator(at, call, &answer),
+            Some(Requester::Server(id)) if answer.status != 200 => {
+                self.schedule(0.05, Event::Heartbeat(id));
             }
-            Some(Caller::Server(_)) => {}
+            Some(Requester::Server(_)) => {}
             None => {
-                self.replies
+                self.responses
                     .entry(call)
                     .or_insert((answer.status, answer.body.to_vec()));
             }
@@ -450,25 +452,25 @@
     /// Lets so many seconds pass.
     pub fn run(&mut self, seconds: f64) {
         let until = self.now + seconds;
-        while let Some((at, event)) = self.schedule.next_until(until) {
+        while let Some((at, event)) = self.schedule.pop_until(until) {
             self.now = self.now.max(at);
             self.handle(event);
-            self.check();
+            self.check_safety();
         }
         self.now = until;
     }
 
     /// Lets the next event happen.
     pub fn step(&mut self) {
-        if let Some((at, event)) = self.schedule.next_until(f64::INFINITY) {
+        if let Some((at, event)) = self.schedule.pop_until(f64::INFINITY) {
             self.now = self.now.max(at);
             self.handle(event);
-            self.check();
+            self.check_safety();
         }
     }
 
     /// Runs until this holds; gives the seconds it took, or panics after so many.
-    pub fn run_until(&mut self, most: f64, what: &str, holds: impl Fn(&World) -> bool) -> f64 {
+    pub fn run_until(&mut self, most: f64, what: &str, holds: impl Fn(&Simulation) -> bool) -> f64 {
         let begin = self.now;
         while !holds(self) {
             assert!(
@@ -484,41 +486,42 @@
     pub(crate) fn handle(&mut self, event: Event) {
         match &event {
             Event::Tick(node, life) => {
-                if !self.reaches(*node, Some(*life), &event) {
+                if !self.admit(*node, Some(*life), &event) {
                     return;
                 }
-                self.with(*node, badgerstream_control::Controller::tick);
-                if self.now - self.controls[node].servers_kept >= KEEP_SERVERS {
-                    self.keep_servers(*node);
+                self.with_controller(*node, badgerstream_control::Controller::tick);
+                if self.now - self.machines[node].members_persisted_at >= PERSIST_MEMBERS_INTERVAL_S
+                {
+                    self.persist_members(*node);
                 }
-                let leads = self.controls[node]
+                let leads = self.machines[node]
                     .controller
                     .as_ref()
                     .is_some_and(Controller::is_leader);
-                self.put(if leads { 0.02 } else { 0.05 }, Event::Tick(*node, *life));
+                self.schedule(if leads { 0.02 } else { 0.05 }, Event::Tick(*node, *life));
             }
-            Event::Peer(parcel) => self.deliver(parcel.clone(), &event),
+            Event::Peer(envelope) => self.deliver_peer_message(envelope.clone(), &event),
             Event::Met(node, other, life) => {
-                if self.reaches(*node, Some(*life), &event) {
-                    self.with(*node, |controller, _| controller.peer_connected(*other));
+                if self.admit(*node, Some(*life), &event) {
+                    self.with_controller(*node, |controller, _| controller.peer_connected(*other));
                 }
             }
-            Event::Saved(node, life) => self.saved(*node, *life),
-            Event::Reopen(node, life) => self.reopen(*node, *life),
+            Event::Saved(node, life) => self.persist_completed(*node, *life),
+            Event::Reopen(node, life) => self.reopen_disk(*node, *life),
             Event::ControlRequest(node, number, call) => {
-                if self.reaches(*node, None, &event) {
-                    self.call(*node, *number, call.clone());
+                if self.admit(*node, None, &event) {
+                    self.submit_request(*node, *number, call.clone());
                 }
             }
-            Event::Operator(at) => self.operate(*at),
+            Event::Operator(at) => self.operator_acts(*at),
             Event::Resign(node) => {
-                if self.reaches(*node, None, &event) {
-                    self.resign(*node);
+                if self.admit(*node, None, &event) {
+                    self.request_shutdown(*node);
                 }
             }
             Event::Look => {
                 self.check_liveness();
-                self.put(LOOK, Event::Look);
+                self.schedule(LIVENESS_CHECK_INTERVAL_S, Event::Look);
             }
             Event::AskAt {
                 node,
@@ -534,15 +537,15 @@
                         id: id.clone(),
                         asked: CommandOutcome::Refused,
                     };
-                    self.put(0.001, refused);
+                    self.schedule(0.001, refused);
                     return;
                 }
-                let row = self.run_statement(id, *statement);
+                let row = self.execute_command(id, *statement);
                 if !matches!(statement, ServerCommand::Status) {
-                    self.say(|| format!("control {node} {statement:?} {id}: {row:?}"));
+                    self.trace(|| format!("control {node} {statement:?} {id}: {row:?}"));
                 }
-                let lost = self.draw(1000) < self.lost_answers;
-                let way = self.way();
+                let lost = self.draw(1000) < self.command_answers_lost_per_mille;
+                let way = self.message_delay();
                 let (after, asked) = match row {
                     _ if lost => (0.6, CommandOutcome::TimedOut),
                     Some(row) => (
@@ -555,7 +558,7 @@
                     ),
                     None => (way, CommandOutcome::Busy),
                 };
-                self.put(
+                self.schedule(
                     after,
                     Event::CommandOutcome {
                         node: *node,
@@ -571,9 +574,9 @@
                 id,
                 asked,
             } => {
-                if self.reaches(*node, Some(*life), &event) {
-                    let control = self.controls.get_mut(node).unwrap();
-                    let now = self.now + control.offset;
+                if self.admit(*node, Some(*life), &event) {
+                    let control = self.machines.get_mut(node).unwrap();
+                    let now = self.now + control.clock_offset;
                     control
                         .controller
                         .as_mut()
@@ -588,12 +591,12 @@
                 router,
                 call,
             } => {
-                if self.apart.contains(&(*node, *router)) {
+                if self.cut_from_routers.contains(&(*node, *router)) {
                     return;
                 }
-                if self.reaches(*node, Some(*life), &event) {
+                if self.admit(*node, Some(*life), &event) {
                     let call = call.clone();
-                    self.with(*node, |s, now| s.handle_lease_request(now, *conn, call));
+                    self.with_controller(*node, |s, now| s.handle_lease_request(now, *conn, call));
                 }
             }
             Event::News {
@@ -605,19 +608,19 @@
                     self.routers[*router].inbox.push(event);
                     return;
                 }
-                self.news(*router, *conn, message.clone());
+                self.router_message_arrived(*router, *conn, message.clone());
             }
             Event::RouterTick(router) => {
                 self.router_tick(*router);
-                self.put(0.01, Event::RouterTick(*router));
+                self.schedule(0.01, Event::RouterTick(*router));
             }
             Event::Heartbeat(id) => {
-                self.beat(id);
+                self.send_heartbeat(id);
             }
             Event::Statement(router) => {
-                self.statement(*router);
+                self.send_statement(*router);
                 let wait = 0.02 + 0.0002 * self.draw(100) as f64;
-                self.put(wait, Event::Statement(*router));
+                self.schedule(wait, Event::Statement(*router));
             }
             Event::At {
                 router,
@@ -625,14 +628,16 @@
                 write,
                 seen,
                 sent,
-            } => self.at(*router, server, *write, *seen, *sent),
+            } => self.statement_arrived(*router, server, *write, *seen, *sent),
             Event::Answered { router, server } => {
-                let clock = self.now + self.routers[*router].offset;
-                self.routers[*router].evidence.insert(server.clone(), clock);
+                let clock = self.now + self.routers[*router].clock_offset;
+                self.routers[*router]
+                    .last_answers
+                    .insert(server.clone(), clock);
             }
             Event::Replicate => {
                 self.replicate();
-                self.put(0.006, Event::Replicate);
+                self.schedule(0.006, Event::Replicate);
             }
             Event::Append {
                 from,
@@ -642,20 +647,20 @@
             } => {
                 let server = self.servers.get_mut(to).unwrap();
                 if server.health != Health::Up
-                    || server.leader
-                    || server.deaf
-                    || server.held.is_some()
-                    || self.now < server.apart_until
-                    || server.term > *term
+                    || server.is_primary
+                    || server.receives_nothing
+                    || server.paused_at_term.is_some()
+                    || self.now < server.reconnects_at
+                    || server.primary_term > *term
                 {
                     return;
                 }
-                server.term = *term;
+                server.primary_term = *term;
                 if server.log.len() <= log.len() || server.log[..log.len()] != log[..] {
                     server.log.clone_from(log);
                 }
-                let way = self.way();
-                self.put(
+                let way = self.message_delay();
+                self.schedule(
                     way,
                     Event::Appended {
                         primary: from.clone(),
@@ -670,12 +675,13 @@
                 length,
             } => {
                 let server = self.servers.get_mut(primary).unwrap();
-                if server.health != Health::Up || !server.leader || server.term != *term {
+                if server.health != Health::Up || !server.is_primary || server.primary_term != *term
+                {
                     return;
                 }
-                let from = server.acked;
+                let from = server.acknowledged_length;
                 if *length > from {
-                    server.acked = *length;
+                    server.acknowledged_length = *length;
                     let news: Vec<u64> = server.log[from..*length].iter().map(|e| e.1).collect();
                     self.acknowledge(primary, *term, news);
                 }
@@ -687,10 +693,10 @@
                 fence,
                 before,
             } => {
-                if !self.reaches(*node, Some(*life), &event) {
+                if !self.admit(*node, Some(*life), &event) {
                     return;
                 }
-                let control = &self.controls[node];
+                let control = &self.machines[node];
                 let promised = control
                     .controller
                     .as_ref()
@@ -698,7 +704,7 @@
                     .hard_state()
                     .voted_term
                     .0;
-                if self.now + control.offset >= *before || promised != *fence {
+                if self.now + control.clock_offset >= *before || promised != *fence {
                     let outcome = PromotionOutcome::NotSent;
                     let answer = Event::PostAnswer {
                         node: *node,
@@ -706,11 +712,11 @@
                         id: id.clone(),
                         outcome,
                     };
-                    self.put(0.0, answer);
+                    self.schedule(0.0, answer);
                     return;
                 }
-                let way = self.way();
-                self.put(
+                let way = self.message_delay();
+                self.schedule(
                     way,
                     Event::PostAt {
                         node: *node,
@@ -725,7 +731,7 @@
                 life,
                 id,
                 fence,
-            } => self.post_at(*node, *life, id, *fence),
+            } => self.promotion_request_arrived(*node, *life, id, *fence),
             Event::Promote(id) => self.promote(id),
             Event::PostAnswer {
                 node,
@@ -733,9 +739,9 @@
                 id,
                 outcome,
             } => {
-                if self.reaches(*node, Some(*life), &event) {
-                    let control = self.controls.get_mut(node).unwrap();
-                    let now = self.now + control.offset;
+                if self.admit(*node, Some(*life), &event) {
+                    let control = self.machines.get_mut(node).unwrap();
+                    let now = self.now + control.clock_offset;
                     control
                         .controller
                         .as_mut()
@@ -745,11 +751,11 @@
             }
             Event::Depose(id, term) => {
                 let server = self.servers.get_mut(id).unwrap();
-                if server.leader && server.term < *term {
+                if server.is_primary && server.primary_term < *term {
                     if server.health == Health::Up {
-                        server.leader = false;
+                        server.is_primary = false;
                     } else {
-                        self.put(1.0, event);
+                        self.schedule(1.0, event);
                     }
                 }
             }
--- a/crates/testing/simulation/tests/calls.rs
+++ b/crates/testing/simulation/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use badgerstream_control::ControlRequest;
-use badgerstream_simulation::World;
+use badgerstream_simulation::Simulation;
 
 fn replace(base: u64, epoch: u64, text: &str) -> ControlRequest {
     ControlRequest::ReplaceConfig {
@@ -12,19 +12,24 @@
     }
 }
 
-fn led() -> World {
-    let mut world = World::new(1);
-    world.traffic = false;
-    world.run_until(1.0, "a leader", |w| w.leader().is_some());
-    world
+fn led() -> Simulation {
+    let mut simulation = Simulation::new(1);
+    simulation.statements_enabled = false;
+    simulation.run_until(1.0, "a leader", |w| w.leader().is_some());
+    simulation
 }
 
 /// What a fresh call to this machine comes to; none if nothing does.
-fn ask(world: &mut World, node: u32, number: u64, call: ControlRequest) -> Option<(u16, Vec<u8>)> {
-    world.call(node, number, call);
+fn ask(
+    simulation: &mut Simulation,
+    node: u32,
+    number: u64,
+    call: ControlRequest,
+) -> Option<(u16, Vec<u8>)> {
+    simulation.submit_request(node, number, call);
     for _ in 0..600 {
-        world.run(0.005);
-        if let Some(reply) = world.replies.get(&number) {
+        simulation.run(0.005);
+        if let Some(reply) = simulation.responses.get(&number) {
             return Some(reply.clone());
         }
     }
@@ -33,12 +38,12 @@
 
 #[test]
 fn a_configuration_is_taken_wherever_it_is_sent() {
-    let mut world = led();
+    let mut simulation = led();
     for node in 1..=3 {
         let number = u64::from(node);
         let (base, epoch) = (number - 1, number);
         assert_eq!(
-            ask(&mut world, node, number, replace(base, epoch, "x"))
+            ask(&mut simulation, node, number, replace(base, epoch, "x"))
                 .unwrap()
                 .0,
             200
@@ -46,7 +51,7 @@
         // Just the same again, at another machine.
         assert_eq!(
             ask(
-                &mut world,
+                &mut simulation,
                 1 + node % 3,
                 10 + number,
                 replace(base, epoch, "x")
@@ -57,29 +62,40 @@
         );
         // Another one on the same base.
         assert_eq!(
-            ask(&mut world, node, 20 + number, replace(base, epoch + 1, "y"))
-                .unwrap()
-                .0,
+            ask(
+                &mut simulation,
+                node,
+                20 + number,
+                replace(base, epoch + 1, "y")
+            )
+            .unwrap()
+            .0,
             412
         );
     }
-    assert_eq!(ask(&mut world, 2, 30, replace(3, 3, "z")).unwrap().0, 400);
     assert_eq!(
-        ask(&mut world, 2, 31, ControlRequest::ReadConfig).unwrap(),
+        ask(&mut simulation, 2, 30, replace(3, 3, "z")).unwrap().0,
+        400
+    );
+    assert_eq!(
+        ask(&mut simulation, 2, 31, ControlRequest::ReadConfig).unwrap(),
         (200, b"x".to_vec())
     );
 }
 
 #[test]
 fn a_call_waits_for_a_leader_and_ends() {
-    let mut world = World::new(2);
-    world.kill(1);
-    world.kill(3);
-    assert_eq!(ask(&mut world, 2, 1, replace(0, 1, "x")).unwrap().0, 503);
-    world.call(2, 2, replace(0, 1, "x"));
-    world.start(1);
-    world.run(2.4);
-    assert_eq!(world.replies[&2].0, 200);
+    let mut simulation = Simulation::new(2);
+    simulation.kill(1);
+    simulation.kill(3);
+    assert_eq!(
+        ask(&mut simulation, 2, 1, replace(0, 1, "x")).unwrap().0,
+        503
+    );
+    simulation.submit_request(2, 2, replace(0, 1, "x"));
+    simulation.start(1);
+    simulation.run(2.4);
+    assert_eq!(simulation.responses[&2].0, 200);
 }
 
 /// Two operators send on one base while a machine restarts, at every moment: one of them wins, and a repeat finds out.
@@ -87,19 +103,19 @@
 fn two_on_one_base() {
     let start = led();
     for step in 0..90 {
-        let mut world = start.clone();
+        let mut simulation = start.clone();
         let victim = 1 + step % 3;
-        world.call(1 + step % 2, 1, replace(0, 5, "x"));
-        world.call(2 + step % 2, 2, replace(0, 6, "y"));
-        world.run(0.0004 * f64::from(step / 3));
-        world.kill(victim);
-        world.run(0.3);
-        world.start(victim);
-        world.run(3.0);
+        simulation.submit_request(1 + step % 2, 1, replace(0, 5, "x"));
+        simulation.submit_request(2 + step % 2, 2, replace(0, 6, "y"));
+        simulation.run(0.0004 * f64::from(step / 3));
+        simulation.kill(victim);
+        simulation.run(0.3);
+        simulation.start(victim);
+        simulation.run(3.0);
         let mut answers = Vec::new();
         for (at, call) in [(1, replace(0, 5, "x")), (2, replace(0, 6, "y"))] {
-            let first = world.replies.get(&at).map(|r| r.0);
-            let again = ask(&mut world, 3, 10 + at, call).unwrap().0;
+            let first = simulation.responses.get(&at).map(|r| r.0);
+            let again = ask(&mut simulation, 3, 10 + at, call).unwrap().0;
             assert!(again == 200 || again == 412, "step {step}: {again}");
             assert!(
                 first.is_none_or(|f| f == 503 || f == again),
@@ -109,8 +125,8 @@
         }
         answers.sort_unstable();
         assert_eq!(answers, [200, 412], "step {step}");
-        let read = ask(&mut world, 1, 20, ControlRequest::ReadConfig).unwrap();
-        let won = world.controls[&1]
+        let read = ask(&mut simulation, 1, 20, ControlRequest::ReadConfig).unwrap();
+        let won = simulation.machines[&1]
             .controller
             .as_ref()
             .unwrap()
@@ -127,40 +143,46 @@
 fn what_was_acknowledged_outlives_the_closing_fault() {
     let start = led();
     for step in 0..48 {
-        let mut world = start.clone();
+        let mut simulation = start.clone();
         let wiped = 1 + step % 4;
-        world.call(1 + step % 3, 1, replace(0, 5, "x"));
+        simulation.submit_request(1 + step % 3, 1, replace(0, 5, "x"));
         let mut waited = 0;
-        while !world.replies.contains_key(&1) && waited < 1000 {
-            world.run(0.0002);
+        while !simulation.responses.contains_key(&1) && waited < 1000 {
+            simulation.run(0.0002);
             waited += 1;
         }
-        assert_eq!(world.replies[&1].0, 200);
-        world.run(0.0005 * f64::from(step / 4));
+        assert_eq!(simulation.responses[&1].0, 200);
+        simulation.run(0.0005 * f64::from(step / 4));
         for node in 1..=3 {
             if node == wiped {
-                world.wipe(node);
+                simulation.lose_disk(node);
             } else {
-                world.kill(node);
+                simulation.kill(node);
             }
         }
-        world.run(0.5);
+        simulation.run(0.5);
         for node in 1..=3 {
-            world.start(node);
-            world.run(0.01 * f64::from(step));
+            simulation.start(node);
+            simulation.run(0.01 * f64::from(step));
         }
-        world.run(4.0);
+        simulation.run(4.0);
         for node in 1..=3 {
             let read = ask(
-                &mut world,
+                &mut simulation,
                 node,
                 10 + u64::from(node),
                 ControlRequest::ReadConfig,
             );
             assert_eq!(read, Some((200, b"x".to_vec())), "step {step}, node {node}");
         }
-        assert_eq!(ask(&mut world, 1, 20, replace(0, 5, "x")).unwrap().0, 200);
-        assert_eq!(ask(&mut world, 1, 21, replace(0, 6, "y")).unwrap().0, 412);
+        assert_eq!(
+            ask(&mut simulation, 1, 20, replace(0, 5, "x")).unwrap().0,
+            200
+        );
+        assert_eq!(
+            ask(&mut simulation, 1, 21, replace(0, 6, "y")).unwrap().0,
+            412
+        );
     }
 }
 
@@ -168,47 +190,51 @@
 #[test]
 fn configurations_under_any_trouble() {
     arbtest(|u| {
-        let mut world = World::new(u.int_in_range(0..=1000)?);
-        world.traffic = false;
-        world.run(1.0);
+        let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
+        simulation.statements_enabled = false;
+        simulation.run(1.0);
         let (mut number, mut epoch) = (0, 0);
         let mut sent = Vec::new();
         let mut acked: Vec<(u64, u64)> = Vec::new();
         for _ in 0..u.int_in_range(2..=14)? {
             let node = u.int_in_range(1..=3)?;
-            let control = &world.controls[&node];
+            let control = &simulation.machines[&node];
             // A second disk may be lost only once the machine that lost the first one is a voter again.
-            let whole = world.all_decide();
+            let whole = simulation.all_machines_vote();
             match u.int_in_range(0..=9)? {
-                0 => world.kill(node),
-                1 if control.controller.is_none() => world.start(node),
+                0 => simulation.kill(node),
+                1 if control.controller.is_none() => simulation.start(node),
                 2 if whole => {
-                    world.wipe(node);
-                    world.start(node);
+                    simulation.lose_disk(node);
+                    simulation.start(node);
                 }
-                3 if control.controller.is_some() => world.freeze(node),
-                4 if control.frozen => world.thaw(node),
+                3 if control.controller.is_some() => simulation.freeze(node),
+                4 if control.frozen => simulation.thaw(node),
                 5 => {
-                    world.links.cut.insert((node, 1 + node % 3));
-                    world.links.cut.insert((1 + node % 3, node));
+                    simulation.network.blocked.insert((node, 1 + node % 3));
+                    simulation.network.blocked.insert((1 + node % 3, node));
                 }
-                6 => world.heal_all(),
+                6 => simulation.heal_all(),
                 _ => {
                     let base = acked.last().map_or(0, |a| a.1);
                     for to in [node, 1 + node % 3] {
                         number += 1;
                         epoch += 1;
                         sent.push((number, base, epoch));
-                        if !world.controls[&to].frozen {
-                            world.call(to, number, replace(base, epoch, &format!("c{epoch}")));
+                        if !simulation.machines[&to].frozen {
+                            simulation.submit_request(
+                                to,
+                                number,
+                                replace(base, epoch, &format!("c{epoch}")),
+                            );
                         }
                     }
                 }
             }
             let wait: u16 = u.int_in_range(0..=1200)?;
-            world.run(f64::from(wait) / 1000.0);
+            simulation.run(f64::from(wait) / 1000.0);
             for (number, base, epoch) in &sent {
-                if world.replies.get(number).is_some_and(|r| r.0 == 200)
+                if simulation.responses.get(number).is_some_and(|r| r.0 == 200)
                     && !acked.contains(&(*base, *epoch))
                 {
                     assert!(
@@ -220,19 +246,19 @@
             }
             acked.sort_unstable();
         }
-        world.heal_all();
+        simulation.heal_all();
         for node in 1..=3 {
-            let control = &world.controls[&node];
+            let control = &simulation.machines[&node];
             if control.frozen {
-                world.thaw(node);
+                simulation.thaw(node);
             } else if control.controller.is_none() {
-                world.start(node);
+                simulation.start(node);
             }
         }
-        world.run(6.0);
+        simulation.run(6.0);
         for node in 1..=3 {
             let read = ask(
-                &mut world,
+                &mut simulation,
                 node,
                 1000 + u64::from(node),
                 ControlRequest::ReadConfig,
@@ -258,54 +284,62 @@
 /// A leader that reaches no other control machine sends routers away, so that they find the one that took over.
 #[test]
 fn routers_leave_a_leader_that_is_cut_off() {
-    let mut world = World::new(3);
-    world.run_until(6.0, "a primary in use", |w| w.in_use().is_some());
-    world.run(1.0);
-    let old = world.leader().unwrap();
+    let mut simulation = Simulation::new(3);
+    simulation.run_until(6.0, "a primary in use", |w| w.primary_in_use().is_some());
+    simulation.run(1.0);
+    let old = simulation.leader().unwrap();
     for other in (1..=3).filter(|n| *n != old) {
-        world.links.cut.insert((old, other));
-        world.links.cut.insert((other, old));
+        simulation.network.blocked.insert((old, other));
+        simulation.network.blocked.insert((other, old));
     }
-    world.run(0.05);
-    world.run_until(1.5, "another leader", |w| {
+    simulation.run(0.05);
+    simulation.run_until(1.5, "another leader", |w| {
         w.leader().is_some_and(|l| l != old)
     });
-    world.run_until(2.0, "routers with a lease", |w| w.in_use().is_some());
-    world.run(1.0);
-    assert!(world.in_use().is_some());
+    simulation.run_until(2.0, "routers with a lease", |w| {
+        w.primary_in_use().is_some()
+    });
+    simulation.run(1.0);
+    assert!(simulation.primary_in_use().is_some());
 }
 
 #[test]
 fn a_machine_that_hears_nobody_lead_sends_beats_on() {
-    let mut world = led();
+    let mut simulation = led();
     // A follower is in contact once its leader has confirmed one of its answers.
-    world.run(0.5);
-    let leader = world.leader().expect("somebody leads");
+    simulation.run(0.5);
+    let leader = simulation.leader().expect("somebody leads");
     let beat = |seq: u64| ControlRequest::Heartbeat {
         server_id: "new".to_owned(),
         heartbeat: badgerstream_simulation::servers::beat("10.0.9.9:1", seq, false),
     };
-    let alone = *world
-        .controls
+    let alone = *simulation
+        .machines
         .keys()
         .find(|n| **n != leader)
         .expect("three control machines");
-    assert_eq!(ask(&mut world, alone, 901, beat(1)).map(|a| a.0), Some(200));
-    for other in world
-        .controls
+    assert_eq!(
+        ask(&mut simulation, alone, 901, beat(1)).map(|a| a.0),
+        Some(200)
+    );
+    for other in simulation
+        .machines
         .keys()
         .copied()
         .filter(|n| *n != alone)
         .collect::<Vec<_>>()
     {
-        world.links.cut.insert((alone, other));
-        world.links.cut.insert((other, alone));
+        simulation.network.blocked.insert((alone, other));
+        simulation.network.blocked.insert((other, alone));
     }
-    world.run(2.0);
+    simulation.run(2.0);
     // Only it would know of a copy that counts for what is acknowledged.
-    assert_eq!(ask(&mut world, alone, 902, beat(2)).map(|a| a.0), Some(503));
     assert_eq!(
-        ask(&mut world, leader, 903, beat(3)).map(|a| a.0),
+        ask(&mut simulation, alone, 902, beat(2)).map(|a| a.0),
+        Some(503)
+    );
+    assert_eq!(
+        ask(&mut simulation, leader, 903, beat(3)).map(|a| a.0),
         Some(200)
     );
 }
--- a/crates/testing/simulation/tests/catch_up.rs
+++ b/crates/testing/simulation/tests/catch_up.rs
@@ -1,24 +1,24 @@
 //! Hundreds of changes, and machines that were away meanwhile.
 
 use badgerstream_control::NodeId;
-use badgerstream_simulation::World;
-use badgerstream_simulation::disk::{DiskHealth, USUAL};
-use badgerstream_simulation::oracle::CATCH_UP;
+use badgerstream_simulation::Simulation;
+use badgerstream_simulation::disk::{DiskHealth, HEALTHY_DISK};
+use badgerstream_simulation::oracle::CATCH_UP_S;
 
-fn busy(seed: u64, machines: u32, budget: usize) -> World {
-    let mut world = World::control_only(seed, machines, budget);
+fn busy(seed: u64, machines: u32, budget: usize) -> Simulation {
+    let mut simulation = Simulation::control_only(seed, machines, budget);
     for _ in 0..6 {
-        world.add_operator();
+        simulation.add_operator();
     }
-    world.run(4.0);
-    world
+    simulation.run(4.0);
+    simulation
 }
 
-fn newest(world: &World) -> u64 {
-    world
-        .controls
+fn newest(simulation: &Simulation) -> u64 {
+    simulation
+        .machines
         .values()
-        .map(|machine| machine.disk.record.state.version)
+        .map(|machine| machine.disk.hard_state.state.version)
         .max()
         .unwrap_or(0)
 }
@@ -27,25 +27,25 @@
 /// leads with nothing older.
 #[test]
 fn who_was_away_for_hundreds_of_changes_leads_with_the_newest() {
-    for (seed, health) in [(1, USUAL), (2, DiskHealth::Takes(0.06))] {
-        let mut world = busy(seed, 3, 1);
-        let leader = world.leader().unwrap();
+    for (seed, health) in [(1, HEALTHY_DISK), (2, DiskHealth::WriteLatency(0.06))] {
+        let mut simulation = busy(seed, 3, 1);
+        let leader = simulation.leader().unwrap();
         let away = 1 + leader % 3;
-        world.kill(away);
-        while newest(&world) < 300 {
-            world.run(1.0);
+        simulation.kill(away);
+        while newest(&simulation) < 300 {
+            simulation.run(1.0);
         }
-        let missed = newest(&world);
-        world.start(away);
-        world.set_disk(away, health);
-        world.run(CATCH_UP);
-        world.set_disk(away, USUAL);
-        assert!(world.controls[&away].disk.record.state.version >= missed);
+        let missed = newest(&simulation);
+        simulation.start(away);
+        simulation.set_disk_health(away, health);
+        simulation.run(CATCH_UP_S);
+        simulation.set_disk_health(away, HEALTHY_DISK);
+        assert!(simulation.machines[&away].disk.hard_state.state.version >= missed);
         // Only it and one other are left.
-        world.run(CATCH_UP);
-        world.kill(leader);
-        world.run(4.0);
-        assert!(world.leader().is_some(), "{}", world.describe());
+        simulation.run(CATCH_UP_S);
+        simulation.kill(leader);
+        simulation.run(4.0);
+        assert!(simulation.leader().is_some(), "{}", simulation.describe());
     }
 }
 
@@ -54,18 +54,23 @@
 #[test]
 fn restarts_through_hundreds_of_changes() {
     for (seed, machines, budget) in [(3, 3, 1), (4, 5, 2), (5, 6, 2)] {
-        let mut world = busy(seed, machines, budget);
+        let mut simulation = busy(seed, machines, budget);
         for round in 0..12 {
             let nodes: Vec<NodeId> = (1..=machines).collect();
             let restarted = nodes[round % nodes.len()];
-            world.kill(restarted);
-            world.run(0.7);
-            world.start(restarted);
-            world.run(CATCH_UP + 0.5);
-            let behind = newest(&world) - world.controls[&restarted].disk.record.state.version;
+            simulation.kill(restarted);
+            simulation.run(0.7);
+            simulation.start(restarted);
+            simulation.run(CATCH_UP_S + 0.5);
+            let behind = newest(&simulation)
+                - simulation.machines[&restarted]
+                    .disk
+                    .hard_state
+                    .state
+                    .version;
             assert!(behind <= 3, "{behind} changes behind");
         }
-        assert!(newest(&world) > 300, "{}", newest(&world));
+        assert!(newest(&simulation) > 300, "{}", newest(&simulation));
     }
 }
 
@@ -74,26 +79,26 @@
 #[test]
 fn disks_that_are_full_for_a_while_end_no_voter() {
     for seed in 0..4 {
-        let mut world = busy(seed, 3, 1);
+        let mut simulation = busy(seed, 3, 1);
         for _ in 0..3 {
-            let leader = world.leader().unwrap();
+            let leader = simulation.leader().unwrap();
             for node in [leader, 1 + leader % 3] {
-                world.set_disk(node, DiskHealth::Full);
-                world.run(3.0);
-                world.set_disk(node, USUAL);
-                world.run(0.6);
-                let controller = world.controls[&node].controller.as_ref().unwrap();
+                simulation.set_disk_health(node, DiskHealth::Full);
+                simulation.run(3.0);
+                simulation.set_disk_health(node, HEALTHY_DISK);
+                simulation.run(0.6);
+                let controller = simulation.machines[&node].controller.as_ref().unwrap();
                 assert!(
                     !controller.consensus().disk_failed(),
                     "it is opened anew within half a second"
                 );
-                world.run(CATCH_UP + 0.5);
+                simulation.run(CATCH_UP_S + 0.5);
             }
         }
-        assert!(world.all_decide());
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        world.run(4.5);
-        assert!(world.leader().is_some());
+        assert!(simulation.all_machines_vote());
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        simulation.run(4.5);
+        assert!(simulation.leader().is_some());
     }
 }
--- a/crates/testing/simulation/tests/contact.rs
+++ b/crates/testing/simulation/tests/contact.rs
@@ -1,19 +1,19 @@
 //! A control machine that is cut off: it serves nothing old, confirms nothing and holds nobody up.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::World;
+use badgerstream_simulation::Simulation;
 use badgerstream_simulation::servers::beat;
 use std::rc::Rc;
 
 /// Control machines that have settled, and operators at work.
-fn at_work(seed: u64, machines: u32, budget: usize) -> (World, NodeId) {
-    let mut world = World::control_only(seed, machines, budget);
+fn at_work(seed: u64, machines: u32, budget: usize) -> (Simulation, NodeId) {
+    let mut simulation = Simulation::control_only(seed, machines, budget);
     for _ in 0..4 {
-        world.add_operator();
+        simulation.add_operator();
     }
-    world.run(6.0);
-    let leader = world.leader().expect("somebody leads");
-    (world, leader)
+    simulation.run(6.0);
+    let leader = simulation.leader().expect("somebody leads");
+    (simulation, leader)
 }
 
 /// Cut off for twenty seconds, both ways or one way, the leader or a follower: the others go on, and the machine is a voter
@@ -23,17 +23,17 @@
     for (machines, budget) in [(3, 1), (5, 2), (6, 2)] {
         for (hears_nobody, unheard) in [(true, true), (true, false), (false, true)] {
             for leads in [true, false] {
-                let (mut world, leader) = at_work(11, machines, budget);
+                let (mut simulation, leader) = at_work(11, machines, budget);
                 let cut = if leads { leader } else { 1 + leader % machines };
-                world.cut_off(cut, hears_nobody, unheard);
-                let before = world.seen.acknowledgements;
-                world.run(20.0);
-                assert!(world.leader().is_some_and(|now| now != cut || !leads));
-                let acknowledged = world.seen.acknowledgements - before;
+                simulation.isolate(cut, hears_nobody, unheard);
+                let before = simulation.oracle.acknowledged_changes;
+                simulation.run(20.0);
+                assert!(simulation.leader().is_some_and(|now| now != cut || !leads));
+                let acknowledged = simulation.oracle.acknowledged_changes - before;
                 assert!(acknowledged > 20, "{acknowledged} orders in twenty seconds");
-                world.heal(cut);
-                world.run(6.0);
-                assert!(world.all_decide());
+                simulation.heal(cut);
+                simulation.run(6.0);
+                assert!(simulation.all_machines_vote());
             }
         }
     }
@@ -44,10 +44,10 @@
 fn a_leader_that_hears_nobody_makes_room_soon() {
     for seed in 0..20 {
         for (machines, budget) in [(3, 1), (5, 2), (6, 2)] {
-            let (mut world, leader) = at_work(seed, machines, budget);
-            world.cut_off(leader, true, false);
-            let leads = |w: &World| w.leader().is_some_and(|now| now != leader);
-            world.run_until(1.6, "another leads", leads);
+            let (mut simulation, leader) = at_work(seed, machines, budget);
+            simulation.isolate(leader, true, false);
+            let leads = |w: &Simulation| w.leader().is_some_and(|now| now != leader);
+            simulation.run_until(1.6, "another leads", leads);
         }
     }
 }
@@ -85,16 +85,16 @@
 fn a_machine_that_is_cut_off_answers_nothing_but_503() {
     for (hears_nobody, unheard) in [(true, true), (true, false), (false, true)] {
         for leads in [true, false] {
-            let (mut world, leader) = at_work(12, 3, 1);
+            let (mut simulation, leader) = at_work(12, 3, 1);
             let cut = if leads { leader } else { 1 + leader % 3 };
-            world.cut_off(cut, hears_nobody, unheard);
-            world.run(1.3);
+            simulation.isolate(cut, hears_nobody, unheard);
+            simulation.run(1.3);
             for round in 0..15 {
                 for (at, (what, call)) in calls().into_iter().enumerate() {
                     let number = 1 + 10 * round + at as u64;
-                    world.call(cut, number, call);
-                    world.run(1.0);
-                    let status = world.replies.get(&number).map(|reply| reply.0);
+                    simulation.submit_request(cut, number, call);
+                    simulation.run(1.0);
+                    let status = simulation.responses.get(&number).map(|reply| reply.0);
                     assert_eq!(
                         status,
                         Some(503),
@@ -109,20 +109,20 @@
 /// A follower that hears a leader which is cut off itself, with it, confirms nothing either.
 #[test]
 fn a_follower_of_a_leader_that_is_cut_off_answers_nothing_but_503() {
-    let (mut world, leader) = at_work(13, 5, 2);
+    let (mut simulation, leader) = at_work(13, 5, 2);
     let with_it = 1 + leader % 5;
     for other in (1..=5).filter(|node| *node != leader && *node != with_it) {
         for side in [leader, with_it] {
-            world.links.cut_between(side, other);
+            simulation.network.block_both_ways(side, other);
         }
     }
-    world.run(1.3);
+    simulation.run(1.3);
     for (at, (what, call)) in calls().into_iter().enumerate() {
         for (node, number) in [(leader, 1 + at as u64), (with_it, 100 + at as u64)] {
-            world.call(node, number, call.clone());
-            world.run(1.0);
+            simulation.submit_request(node, number, call.clone());
+            simulation.run(1.0);
             assert_eq!(
-                world.replies.get(&number).map(|reply| reply.0),
+                simulation.responses.get(&number).map(|reply| reply.0),
                 Some(503),
                 "{what} at {node}"
             );
@@ -134,11 +134,11 @@
 /// serves then is not from before.
 #[test]
 fn what_is_read_after_a_standstill_is_not_from_before() {
-    let mut start = World::control_only(14, 3, 1);
+    let mut start = Simulation::control_only(14, 3, 1);
     start.run(3.0);
     let leader = start.leader().unwrap();
     let first = b"{\"epoch\":3}".as_slice();
-    start.call(
+    start.submit_request(
         leader,
         1,
         ControlRequest::ReplaceConfig {
@@ -148,20 +148,20 @@
         },
     );
     start.run(0.5);
-    assert_eq!(start.replies[&1].0, 200);
+    assert_eq!(start.responses[&1].0, 200);
     for at in 0..40 {
         for asked in 1..=3 {
-            let mut world = start.clone();
-            world.call(asked, 2, ControlRequest::ReadConfig);
+            let mut simulation = start.clone();
+            simulation.submit_request(asked, 2, ControlRequest::ReadConfig);
             for _ in 0..at {
-                world.step();
+                simulation.step();
             }
-            world.freeze(leader);
-            world.run(2.0);
-            let answered = world.replies.contains_key(&2);
-            let next = world.leader().expect("another one leads");
+            simulation.freeze(leader);
+            simulation.run(2.0);
+            let answered = simulation.responses.contains_key(&2);
+            let next = simulation.leader().expect("another one leads");
             let second = b"{\"epoch\":4}".as_slice();
-            world.call(
+            simulation.submit_request(
                 next,
                 3,
                 ControlRequest::ReplaceConfig {
@@ -170,11 +170,11 @@
                     body: second.into(),
                 },
             );
-            world.run(0.5);
-            assert_eq!(world.replies[&3].0, 200);
-            world.thaw(leader);
-            world.run(1.5);
-            let read = world.replies.get(&2).expect("an answer");
+            simulation.run(0.5);
+            assert_eq!(simulation.responses[&3].0, 200);
+            simulation.thaw(leader);
+            simulation.run(1.5);
+            let read = simulation.responses.get(&2).expect("an answer");
             assert!(
                 answered || read.0 == 503 || read.1 == second,
                 "{asked} at {at}: {read:?}"
@@ -189,11 +189,11 @@
 fn what_was_acknowledged_for_a_server_outlives_two_machines() {
     for depart in [false, true] {
         for at in 0..30 {
-            let mut world = World::control_only(15, 5, 2);
-            world.run(4.0);
-            let leader = world.leader().unwrap();
+            let mut simulation = Simulation::control_only(15, 5, 2);
+            simulation.run(4.0);
+            let leader = simulation.leader().unwrap();
             let asked = 1 + leader % 5;
-            world.call(
+            simulation.submit_request(
                 asked,
                 1,
                 ControlRequest::Heartbeat {
@@ -201,8 +201,8 @@
                     heartbeat: beat("10.0.0.1:1", 1, false),
                 },
             );
-            world.run(0.5);
-            assert_eq!(world.replies[&1].0, 200);
+            simulation.run(0.5);
+            assert_eq!(simulation.responses[&1].0, 200);
             let call = match depart {
                 true => ControlRequest::Depart {
                     server_id: "a".to_owned(),
@@ -212,16 +212,19 @@
                     heartbeat: beat("10.0.0.1:1", 2, true),
                 },
             };
-            world.call(asked, 2, call);
+            simulation.submit_request(asked, 2, call);
             for _ in 0..at {
-                world.step();
+                simulation.step();
             }
-            let acknowledged = world.replies.get(&2).is_some_and(|reply| reply.0 == 200);
-            world.wipe(asked);
-            world.wipe(leader);
-            world.run(1.5);
-            let next = world.leader().expect("three of five lead");
-            let controller = world.controls[&next].controller.as_ref().unwrap();
+            let acknowledged = simulation
+                .responses
+                .get(&2)
+                .is_some_and(|reply| reply.0 == 200);
+            simulation.lose_disk(asked);
+            simulation.lose_disk(leader);
+            simulation.run(1.5);
+            let next = simulation.leader().expect("three of five lead");
+            let controller = simulation.machines[&next].controller.as_ref().unwrap();
             // Nobody listens at its address here, so one that left without having drained is known to have ended by now.
             let mut members = controller
                 .members()
@@ -238,7 +241,7 @@
 #[test]
 fn nothing_is_confirmed_for_a_server_that_too_few_know() {
     for draining in [false, true] {
-        let (mut world, leader) = at_work(16, 5, 2);
+        let (mut simulation, leader) = at_work(16, 5, 2);
         let asked = 1 + leader % 5;
         let others: Vec<NodeId> = (1..=5).filter(|node| *node != asked).collect();
         let only_leader: Vec<NodeId> = others
@@ -249,21 +252,21 @@
         for (number, unreached) in [(1, others.clone()), (2, only_leader), (3, vec![leader])] {
             let id = format!("server-{number}");
             for node in &unreached {
-                world.links.cut.insert((asked, *node));
+                simulation.network.blocked.insert((asked, *node));
             }
             let call = ControlRequest::Heartbeat {
                 server_id: id.clone(),
                 heartbeat: beat("10.0.0.1:1", 1, draining),
             };
-            world.call(asked, number, call);
-            world.run(1.0);
+            simulation.submit_request(asked, number, call);
+            simulation.run(1.0);
             assert_eq!(
-                world.replies.get(&number).map(|reply| reply.0),
+                simulation.responses.get(&number).map(|reply| reply.0),
                 Some(503),
                 "{id}"
             );
-            world.heal_all();
-            world.run(3.0);
+            simulation.heal_all();
+            simulation.run(3.0);
         }
     }
 }
@@ -287,40 +290,40 @@
 fn a_router_is_told_nothing_that_is_not_agreed_on() {
     for moment in 0..40 {
         for cut in [false, true] {
-            let mut world = World::control_only(21, 3, 1);
-            world.add_router(0);
-            world.run(3.0);
-            let leader = world.leader().expect("somebody leads");
+            let mut simulation = Simulation::control_only(21, 3, 1);
+            simulation.add_router(0);
+            simulation.run(3.0);
+            let leader = simulation.leader().expect("somebody leads");
             let replace = |base, epoch, by| ControlRequest::ReplaceConfig {
                 base_epoch: base,
                 epoch,
                 body: config(epoch, by),
             };
-            world.call(leader, 1, replace(0, 1, "a"));
-            world.run(0.5);
-            assert_eq!(world.routers[0].in_force, 1);
-            world.freeze_router(0);
+            simulation.submit_request(leader, 1, replace(0, 1, "a"));
+            simulation.run(0.5);
+            assert_eq!(simulation.routers[0].active_config_epoch, 1);
+            simulation.freeze_router(0);
             // The second version is on its way to it, so that the third one has to wait.
-            world.call(leader, 2, replace(1, 2, "a"));
-            world.run(0.1);
-            world.call(leader, 3, replace(2, 3, "a"));
-            world.run(0.1);
+            simulation.submit_request(leader, 2, replace(1, 2, "a"));
+            simulation.run(0.1);
+            simulation.submit_request(leader, 3, replace(2, 3, "a"));
+            simulation.run(0.1);
             if cut {
-                world.cut_off(leader, true, true);
+                simulation.isolate(leader, true, true);
             }
-            world.call(leader, 4, replace(3, 4, "lost"));
-            world.run(0.002 * f64::from(moment));
-            world.thaw_router(0);
-            world.run(2.0);
+            simulation.submit_request(leader, 4, replace(3, 4, "lost"));
+            simulation.run(0.002 * f64::from(moment));
+            simulation.thaw_router(0);
+            simulation.run(2.0);
             if cut {
-                let next = world
+                let next = simulation
                     .leader()
                     .filter(|next| *next != leader)
                     .expect("another one leads");
-                world.call(next, 5, replace(3, 4, "won"));
-                world.run(1.0);
+                simulation.submit_request(next, 5, replace(3, 4, "won"));
+                simulation.run(1.0);
             }
-            assert_eq!(world.routers[0].in_force, 4);
+            assert_eq!(simulation.routers[0].active_config_epoch, 4);
         }
     }
 }
--- a/crates/testing/simulation/tests/digest.rs
+++ b/crates/testing/simulation/tests/digest.rs
@@ -3,8 +3,8 @@
 //! A change of the decisions or of the simulation changes digests, and says so in its commit; a change of names doesn't. The
 //! lines of runs with faults by chance are those that `badgerstream-simulate --digest` prints.
 
-use badgerstream_simulation::World;
-use badgerstream_simulation::faults::{FaultRun, Losses};
+use badgerstream_simulation::Simulation;
+use badgerstream_simulation::faults::{FaultRun, LossPolicy};
 use std::collections::HashMap;
 
 const FIXTURE: &str = include_str!("fixtures/digests.txt");
@@ -25,46 +25,49 @@
         return play_failover(scenario, seed).digest().to_string();
     }
     let losses = match fields["losses"] {
-        "within" => Losses::WithinBudget,
-        "beyond" => Losses::BeyondBudget,
+        "within" => LossPolicy::WithinBudget,
+        "beyond" => LossPolicy::BeyondBudget,
         other => panic!("losses {other}"),
     };
     let (machines, budget) = (number("machines") as u32, number("budget") as usize);
     let mut run = FaultRun::new(seed, machines, budget, losses);
     run.play(number("seconds") as f64);
-    run.world.digest().to_string()
+    run.simulation.digest().to_string()
 }
 
 /// A world with routers, servers and statements, in which the primary is lost or leaves.
-fn play_failover(scenario: &str, seed: u64) -> World {
-    let mut world = World::new(seed);
+fn play_failover(scenario: &str, seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
     for _ in 0..2 {
-        world.add_operator();
+        simulation.add_operator();
     }
     if scenario == "lost-answers" {
-        (world.lost_answers, world.lost_posts) = (150, 300);
+        (
+            simulation.command_answers_lost_per_mille,
+            simulation.promotion_answers_lost_per_mille,
+        ) = (150, 300);
     }
-    world.run(6.0);
+    simulation.run(6.0);
     match scenario {
-        "crash" | "lost-answers" => world.crash("a"),
-        "dark" => world.darken("a"),
-        "drain" => world.drain("a"),
+        "crash" | "lost-answers" => simulation.crash("a"),
+        "dark" => simulation.make_unresponsive("a"),
+        "drain" => simulation.drain("a"),
         "both" => {
-            let leader = world.leader().expect("somebody leads");
-            world.kill(leader);
-            world.crash("a");
+            let leader = simulation.leader().expect("somebody leads");
+            simulation.kill(leader);
+            simulation.crash("a");
         }
         other => panic!("scenario {other}"),
     }
-    world.run(6.0);
+    simulation.run(6.0);
     if scenario == "drain" {
-        world.depart("a");
+        simulation.depart("a");
     } else {
-        world.recover("a");
+        simulation.recover("a");
     }
-    world.run(3.0);
-    assert!(!world.promoted.is_empty(), "{scenario} {seed}");
-    world
+    simulation.run(3.0);
+    assert!(!simulation.promotions.is_empty(), "{scenario} {seed}");
+    simulation
 }
 
 fn check(kind: fn(&&str) -> bool) {
--- a/crates/testing/simulation/tests/failover.rs
+++ b/crates/testing/simulation/tests/failover.rs
@@ -1,74 +1,75 @@
 //! Leases, primaries and promotions, in simulated time.
 
 use arbtest::arbtest;
-use badgerstream_simulation::{Health, World};
+use badgerstream_simulation::{Health, Simulation};
 
-fn steady(seed: u64) -> World {
-    let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use at the start", |w| {
-        w.in_use().as_deref() == Some("a")
+fn steady(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.run_until(6.0, "a primary in use at the start", |w| {
+        w.primary_in_use().as_deref() == Some("a")
     });
-    world.run(4.0);
-    assert!(world.writes());
-    world
+    simulation.run(4.0);
+    assert!(simulation.acknowledges_writes());
+    simulation
 }
 
 #[test]
 fn a_start_is_short() {
-    let mut world = World::new(1);
-    let took = world.run_until(3.0, "writes", World::writes);
+    let mut simulation = Simulation::new(1);
+    let took = simulation.run_until(3.0, "writes", Simulation::acknowledges_writes);
     assert!(took < 2.6, "{took}");
 }
 
 #[test]
 fn a_crashed_primary_is_replaced() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.crash("a");
-        world.run(0.4);
-        let took = 0.4 + world.run_until(2.1, "writes at another", World::writes);
+        let mut simulation = steady(seed);
+        simulation.crash("a");
+        simulation.run(0.4);
+        let took =
+            0.4 + simulation.run_until(2.1, "writes at another", Simulation::acknowledges_writes);
         assert!(took < 2.4, "{took}");
-        assert_eq!(world.promoted.len(), 1);
+        assert_eq!(simulation.promotions.len(), 1);
         // Back, it follows.
-        world.recover("a");
-        world.run(3.0);
-        assert!(!world.servers["a"].leader && world.writes());
-        let length = world.servers[&world.promoted[0].0].log.len();
-        assert!(world.servers["a"].log.len() + 9 > length);
+        simulation.recover("a");
+        simulation.run(3.0);
+        assert!(!simulation.servers["a"].is_primary && simulation.acknowledges_writes());
+        let length = simulation.servers[&simulation.promotions[0].0].log.len();
+        assert!(simulation.servers["a"].log.len() + 9 > length);
     }
 }
 
 #[test]
 fn a_dark_primary_is_replaced() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.darken("a");
-        world.run(0.4);
-        world.run_until(3.2, "writes at another", World::writes);
-        world.recover("a");
+        let mut simulation = steady(seed);
+        simulation.make_unresponsive("a");
+        simulation.run(0.4);
+        simulation.run_until(3.2, "writes at another", Simulation::acknowledges_writes);
+        simulation.recover("a");
         // It has not heard of the promote yet.
-        let server = world.servers.get_mut("a").unwrap();
-        (server.leader, server.term) = (true, 1);
-        world.run(3.0);
-        assert!(!world.servers["a"].leader && world.writes());
+        let server = simulation.servers.get_mut("a").unwrap();
+        (server.is_primary, server.primary_term) = (true, 1);
+        simulation.run(3.0);
+        assert!(!simulation.servers["a"].is_primary && simulation.acknowledges_writes());
     }
 }
 
 #[test]
 fn the_primary_is_not_lost_with_the_leading_control_machine() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        world.run(0.05);
-        world.run_until(1.2, "a new leader", |w| w.leader().is_some());
-        world.run_until(2.0, "the same primary", |w| {
-            w.in_use().as_deref() == Some("a")
+        let mut simulation = steady(seed);
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        simulation.run(0.05);
+        simulation.run_until(1.2, "a new leader", |w| w.leader().is_some());
+        simulation.run_until(2.0, "the same primary", |w| {
+            w.primary_in_use().as_deref() == Some("a")
         });
-        assert!(world.promoted.is_empty());
-        world.start(leader);
-        world.run(3.0);
-        assert!(world.writes());
+        assert!(simulation.promotions.is_empty());
+        simulation.start(leader);
+        simulation.run(3.0);
+        assert!(simulation.acknowledges_writes());
     }
 }
 
@@ -76,16 +77,16 @@
 #[test]
 fn a_settled_primary_is_granted_at_once() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.crash("a");
-        world.run(5.0);
-        let primary = world.in_use().expect("another primary");
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        let took = world.run_until(1.2, "a new leader", |w| w.leader().is_some());
-        world.run(0.7);
+        let mut simulation = steady(seed);
+        simulation.crash("a");
+        simulation.run(5.0);
+        let primary = simulation.primary_in_use().expect("another primary");
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        let took = simulation.run_until(1.2, "a new leader", |w| w.leader().is_some());
+        simulation.run(0.7);
         assert_eq!(
-            world.in_use(),
+            simulation.primary_in_use(),
             Some(primary),
             "seed {seed}: led after {took}"
         );
@@ -95,71 +96,71 @@
 #[test]
 fn a_crash_of_both_comes_to_an_end() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(7.0, "writes at another", World::writes);
+        let mut simulation = steady(seed);
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(7.0, "writes at another", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
 fn a_deaf_replica_is_never_promoted() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.servers.get_mut("b").unwrap().deaf = true;
-        world.run(1.0);
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(2.5, "another primary", |w| w.in_use().is_some());
-        assert_eq!(world.promoted[0].0, "c");
-        world.servers.get_mut("b").unwrap().deaf = false;
-        world.run_until(0.5, "writes", World::writes);
+        let mut simulation = steady(seed);
+        simulation.servers.get_mut("b").unwrap().receives_nothing = true;
+        simulation.run(1.0);
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(2.5, "another primary", |w| w.primary_in_use().is_some());
+        assert_eq!(simulation.promotions[0].0, "c");
+        simulation.servers.get_mut("b").unwrap().receives_nothing = false;
+        simulation.run_until(0.5, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
 fn a_dead_replica_does_not_hold_up_a_change() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.crash("b");
-        world.run(2.5);
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(3.5, "writes at another", |w| !w.promoted.is_empty());
-        assert_eq!(world.promoted[0].0, "c");
+        let mut simulation = steady(seed);
+        simulation.crash("b");
+        simulation.run(2.5);
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(3.5, "writes at another", |w| !w.promotions.is_empty());
+        assert_eq!(simulation.promotions[0].0, "c");
         // With one copy alone nothing is acknowledged.
-        world.recover("b");
-        world.run_until(2.0, "writes", World::writes);
+        simulation.recover("b");
+        simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
 fn two_that_die_at_once_are_waited_for() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.servers.get_mut("c").unwrap().deaf = true;
-        world.run(0.5);
-        world.crash("b");
-        world.crash("a");
-        world.run(5.0);
-        assert!(world.promoted.is_empty());
-        world.recover(if seed % 2 == 0 { "a" } else { "b" });
-        world.servers.get_mut("c").unwrap().deaf = false;
-        world.run_until(3.0, "writes", World::writes);
+        let mut simulation = steady(seed);
+        simulation.servers.get_mut("c").unwrap().receives_nothing = true;
+        simulation.run(0.5);
+        simulation.crash("b");
+        simulation.crash("a");
+        simulation.run(5.0);
+        assert!(simulation.promotions.is_empty());
+        simulation.recover(if seed % 2 == 0 { "a" } else { "b" });
+        simulation.servers.get_mut("c").unwrap().receives_nothing = false;
+        simulation.run_until(3.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 /// Runs until another primary than a is in use, and a little on: the longest time without a write that was acknowledged.
-fn gap_until_another_is_used(world: &mut World) -> f64 {
-    let begin = world.now;
-    world.run_until(4.0, "another in use", |w| {
-        w.in_use().is_some_and(|p| p != "a")
+fn gap_until_another_is_used(simulation: &mut Simulation) -> f64 {
+    let begin = simulation.now;
+    simulation.run_until(4.0, "another in use", |w| {
+        w.primary_in_use().is_some_and(|p| p != "a")
     });
-    world.run(0.5);
-    let at: Vec<f64> = world
-        .served
+    simulation.run(0.5);
+    let at: Vec<f64> = simulation
+        .acknowledgement_times
         .iter()
         .copied()
         .filter(|t| *t > begin)
@@ -170,14 +171,14 @@
 #[test]
 fn a_planned_change_has_hardly_a_gap() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.drain("a");
-        let gap = gap_until_another_is_used(&mut world);
+        let mut simulation = steady(seed);
+        simulation.drain("a");
+        let gap = gap_until_another_is_used(&mut simulation);
         assert!(gap < 1.0, "{gap}");
-        assert!(!world.servers["a"].leader);
-        world.depart("a");
-        world.run(1.0);
-        assert!(world.writes() && world.promoted.len() == 1);
+        assert!(!simulation.servers["a"].is_primary);
+        simulation.depart("a");
+        simulation.run(1.0);
+        assert!(simulation.acknowledges_writes() && simulation.promotions.len() == 1);
     }
 }
 
@@ -185,15 +186,15 @@
 #[test]
 fn a_primary_that_departs_first_is_replaced_while_it_serves() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.depart_first("a");
-        let gap = gap_until_another_is_used(&mut world);
+        let mut simulation = steady(seed);
+        simulation.depart_while_serving("a");
+        let gap = gap_until_another_is_used(&mut simulation);
         assert!(gap < 1.0, "{gap}");
-        world.crash("a");
-        world.run(2.0);
-        assert!(world.writes() && world.promoted.len() == 1);
-        let leader = world.leader().expect("somebody leads");
-        let controller = world.controls[&leader]
+        simulation.crash("a");
+        simulation.run(2.0);
+        assert!(simulation.acknowledges_writes() && simulation.promotions.len() == 1);
+        let leader = simulation.leader().expect("somebody leads");
+        let controller = simulation.machines[&leader]
             .controller
             .as_ref()
             .expect("it runs");
@@ -210,20 +211,24 @@
 fn a_replica_that_departs_first_may_hold_the_only_copy() {
     for seed in 0..8 {
         for leader_lost in [false, true] {
-            let mut world = steady(seed);
-            world.depart_first("b");
-            world.run(1.0);
-            world.servers.get_mut("c").expect("a replica").deaf = true;
-            world.run(3.0);
-            assert!(world.writes(), "b receives on");
-            world.crash("a");
+            let mut simulation = steady(seed);
+            simulation.depart_while_serving("b");
+            simulation.run(1.0);
+            simulation
+                .servers
+                .get_mut("c")
+                .expect("a replica")
+                .receives_nothing = true;
+            simulation.run(3.0);
+            assert!(simulation.acknowledges_writes(), "b receives on");
+            simulation.crash("a");
             if leader_lost {
-                let leader = world.leader().expect("somebody leads");
-                world.kill(leader);
+                let leader = simulation.leader().expect("somebody leads");
+                simulation.kill(leader);
             }
             // Promoting c would lose commits: the simulation looks for that.
-            world.run_until(7.0, "b leads", |w| {
-                w.promoted.iter().any(|(id, _)| id == "b")
+            simulation.run_until(7.0, "b leads", |w| {
+                w.promotions.iter().any(|(id, _)| id == "b")
             });
         }
     }
@@ -231,13 +236,13 @@
 
 #[test]
 fn the_old_primary_is_kept_until_the_new_one_leads() {
-    let mut world = steady(3);
-    world.statuses = vec![503; 4];
-    world.drain("a");
-    while world.promoted.is_empty() {
-        assert_eq!(world.in_use().as_deref(), Some("a"));
-        world.run(0.005);
-        assert!(world.now < 30.0);
+    let mut simulation = steady(3);
+    simulation.scripted_statuses = vec![503; 4];
+    simulation.drain("a");
+    while simulation.promotions.is_empty() {
+        assert_eq!(simulation.primary_in_use().as_deref(), Some("a"));
+        simulation.run(0.005);
+        assert!(simulation.now < 30.0);
     }
 }
 
@@ -246,17 +251,18 @@
 #[test]
 fn two_primaries_leave_one_after_the_other() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.drain("a");
-        let begin = world.now;
-        world.run_until(3.0, "a promotion", |w| !w.promoted.is_empty());
-        let promoted = world.promoted[0].0.clone();
-        world.drain(&promoted);
-        world.run_until(0.8, "the first one follows", |w| !w.servers["a"].leader);
-        world.run_until(4.0, "a third one in use", |w| {
-            w.in_use().is_some_and(|p| p != "a" && p != promoted)
+        let mut simulation = steady(seed);
+        simulation.drain("a");
+        let begin = simulation.now;
+        simulation.run_until(3.0, "a promotion", |w| !w.promotions.is_empty());
+        let promoted = simulation.promotions[0].0.clone();
+        simulation.drain(&promoted);
+        simulation.run_until(0.8, "the first one follows", |w| !w.servers["a"].is_primary);
+        simulation.run_until(4.0, "a third one in use", |w| {
+            w.primary_in_use()
+                .is_some_and(|p| p != "a" && p != promoted)
         });
-        assert!(world.now - begin < 5.0 && world.promoted.len() == 2);
+        assert!(simulation.now - begin < 5.0 && simulation.promotions.len() == 2);
     }
 }
 
@@ -265,57 +271,74 @@
 #[test]
 fn a_primary_that_is_back_takes_the_place_of_a_choice_that_ended() {
     for seed in 0..8 {
-        let mut world = steady(seed);
-        world.servers.get_mut("b").expect("a replica").deaf = true;
-        world.run(0.3);
-        world.crash("a");
-        world.run_until(3.0, "the platform is asked", |w| !w.posts.is_empty());
-        world.crash("c");
-        world.servers.get_mut("c").expect("the choice").left = true;
-        world.run(1.0);
-        world.servers.get_mut("b").expect("a replica").deaf = false;
-        world.recover("a");
-        world.run_until(8.0, "writes", World::writes);
+        let mut simulation = steady(seed);
+        simulation
+            .servers
+            .get_mut("b")
+            .expect("a replica")
+            .receives_nothing = true;
+        simulation.run(0.3);
+        simulation.crash("a");
+        simulation.run_until(3.0, "the platform is asked", |w| {
+            !w.promotion_requests.is_empty()
+        });
+        simulation.crash("c");
+        simulation
+            .servers
+            .get_mut("c")
+            .expect("the choice")
+            .departed = true;
+        simulation.run(1.0);
+        simulation
+            .servers
+            .get_mut("b")
+            .expect("a replica")
+            .receives_nothing = false;
+        simulation.recover("a");
+        simulation.run_until(8.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
 fn a_release_replaces_all() {
     for seed in 0..6 {
-        let mut world = steady(seed);
+        let mut simulation = steady(seed);
         for (old, new) in [("a", "d"), ("b", "e"), ("c", "f")] {
-            world.add_server(new, &format!("10.0.1.{}:1", new.as_bytes()[0]), false);
-            world.run(2.0);
-            world.drain(old);
-            world.run(7.2);
-            assert!(world.in_use().is_some_and(|p| p != old));
-            world.depart(old);
-            world.run(1.0);
-            assert!(world.writes(), "after {old}");
+            simulation.add_server(new, &format!("10.0.1.{}:1", new.as_bytes()[0]), false);
+            simulation.run(2.0);
+            simulation.drain(old);
+            simulation.run(7.2);
+            assert!(simulation.primary_in_use().is_some_and(|p| p != old));
+            simulation.depart(old);
+            simulation.run(1.0);
+            assert!(simulation.acknowledges_writes(), "after {old}");
         }
-        assert!(world.promoted.len() <= 3);
+        assert!(simulation.promotions.len() <= 3);
     }
 }
 
 #[test]
 fn a_release_at_the_old_addresses() {
     for seed in 0..6 {
-        let mut world = steady(seed);
+        let mut simulation = steady(seed);
         for (old, new) in [("a", "d"), ("b", "e"), ("c", "f")] {
-            world.drain(old);
-            world.run(7.2);
-            assert!(world.in_use().is_some_and(|p| p != old), "{old}");
-            world.depart(old);
-            world.run(0.7);
+            simulation.drain(old);
+            simulation.run(7.2);
+            assert!(
+                simulation.primary_in_use().is_some_and(|p| p != old),
+                "{old}"
+            );
+            simulation.depart(old);
+            simulation.run(0.7);
             let (endpoint, log, term) = {
-                let s = &world.servers[old];
-                (s.endpoint.clone(), s.log.clone(), s.term)
+                let s = &simulation.servers[old];
+                (s.endpoint.clone(), s.log.clone(), s.primary_term)
             };
-            world.add_server(new, &endpoint, false);
-            let server = world.servers.get_mut(new).unwrap();
-            (server.log, server.term) = (log, term);
-            world.run(3.0);
-            assert!(world.writes(), "after {old}");
+            simulation.add_server(new, &endpoint, false);
+            let server = simulation.servers.get_mut(new).unwrap();
+            (server.log, server.primary_term) = (log, term);
+            simulation.run(3.0);
+            assert!(simulation.acknowledges_writes(), "after {old}");
         }
     }
 }
@@ -323,41 +346,49 @@
 #[test]
 fn a_primary_that_restarts_with_a_new_id_is_found() {
     for seed in 0..6 {
-        let mut world = steady(seed);
-        world.crash("a");
+        let mut simulation = steady(seed);
+        simulation.crash("a");
         let (endpoint, log) = (
-            world.servers["a"].endpoint.clone(),
-            world.servers["a"].log.clone(),
+            simulation.servers["a"].endpoint.clone(),
+            simulation.servers["a"].log.clone(),
         );
-        world.run(0.3);
-        world.servers.get_mut("a").unwrap().left = true;
+        simulation.run(0.3);
+        simulation.servers.get_mut("a").unwrap().departed = true;
         // It gets the log, and the lead, as nobody was promoted.
-        world.add_server("d", &endpoint, true);
-        world.servers.get_mut("d").unwrap().log = log;
-        world.run(5.0);
-        assert!(world.in_use().is_some() && world.writes());
+        simulation.add_server("d", &endpoint, true);
+        simulation.servers.get_mut("d").unwrap().log = log;
+        simulation.run(5.0);
+        assert!(simulation.primary_in_use().is_some() && simulation.acknowledges_writes());
     }
 }
 
 /// A primary that was promoted by us and a replica go one after the other, with commits that the third server lacks: the primary
 /// and the third one.
 /// A primary a is in use, and control has not reached the replica c for longer than after which the silent are forgotten.
-fn out_of_reach_of_control(seed: u64) -> World {
-    let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use", |w| {
-        w.in_use().as_deref() == Some("a")
+fn out_of_reach_of_control(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.run_until(6.0, "a primary in use", |w| {
+        w.primary_in_use().as_deref() == Some("a")
     });
-    world.run(1.0);
-    world.mute.insert("c".to_owned());
-    world.servers.get_mut("c").expect("it is there").beats = false;
-    world.run(6.5);
-    world
+    simulation.run(1.0);
+    simulation.unresponsive_to_control.insert("c".to_owned());
+    simulation
+        .servers
+        .get_mut("c")
+        .expect("it is there")
+        .sends_heartbeats = false;
+    simulation.run(6.5);
+    simulation
 }
 
 /// Control reaches c again.
-fn reach_again(world: &mut World) {
-    world.mute.clear();
-    world.servers.get_mut("c").expect("it is there").beats = true;
+fn reach_again(simulation: &mut Simulation) {
+    simulation.unresponsive_to_control.clear();
+    simulation
+        .servers
+        .get_mut("c")
+        .expect("it is there")
+        .sends_heartbeats = true;
 }
 
 /// A replica that control alone can't reach, for longer than after which the silent are forgotten, is there: it receives, and commits
@@ -365,18 +396,26 @@
 #[test]
 fn a_replica_that_only_control_does_not_reach_may_hold_the_newest_commits() {
     for seed in 0..20 {
-        let mut world = out_of_reach_of_control(seed);
-        world.drain("a");
+        let mut simulation = out_of_reach_of_control(seed);
+        simulation.drain("a");
         for _ in 0..800 {
-            world.run(0.01);
-            if world.phase() == "promoting" {
-                world.servers.get_mut("b").expect("it is there").deaf = true;
+            simulation.run(0.01);
+            if simulation.phase() == "promoting" {
+                simulation
+                    .servers
+                    .get_mut("b")
+                    .expect("it is there")
+                    .receives_nothing = true;
             }
         }
-        reach_again(&mut world);
-        world.servers.get_mut("b").expect("it is there").deaf = false;
-        world.run_until(8.0, "another primary in use", |w| {
-            w.in_use().is_some_and(|id| id != "a")
+        reach_again(&mut simulation);
+        simulation
+            .servers
+            .get_mut("b")
+            .expect("it is there")
+            .receives_nothing = false;
+        simulation.run_until(8.0, "another primary in use", |w| {
+            w.primary_in_use().is_some_and(|id| id != "a")
         });
     }
 }
@@ -385,15 +424,23 @@
 #[test]
 fn a_crash_waits_for_a_replica_that_only_control_does_not_reach() {
     for seed in 0..20 {
-        let mut world = out_of_reach_of_control(seed);
-        world.servers.get_mut("b").expect("it is there").deaf = true;
-        world.run(0.4);
-        world.crash("a");
-        world.run(3.0);
-        assert!(world.promoted.is_empty(), "{:?}", world.promoted);
-        reach_again(&mut world);
-        world.run_until(6.0, "another primary in use", |w| {
-            w.in_use().as_deref() == Some("c")
+        let mut simulation = out_of_reach_of_control(seed);
+        simulation
+            .servers
+            .get_mut("b")
+            .expect("it is there")
+            .receives_nothing = true;
+        simulation.run(0.4);
+        simulation.crash("a");
+        simulation.run(3.0);
+        assert!(
+            simulation.promotions.is_empty(),
+            "{:?}",
+            simulation.promotions
+        );
+        reach_again(&mut simulation);
+        simulation.run_until(6.0, "another primary in use", |w| {
+            w.primary_in_use().as_deref() == Some("c")
         });
     }
 }
@@ -402,36 +449,40 @@
 #[test]
 fn a_crash_waits_for_no_replica_that_is_dark() {
     for seed in 0..20 {
-        let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| {
-            w.in_use().as_deref() == Some("a")
+        let mut simulation = Simulation::new(seed);
+        simulation.run_until(6.0, "a primary in use", |w| {
+            w.primary_in_use().as_deref() == Some("a")
         });
-        world.run(1.0);
-        world.darken("c");
-        world.run(3.0);
-        world.crash("a");
-        world.run_until(4.0, "another primary in use", |w| {
-            w.in_use().as_deref() == Some("b")
+        simulation.run(1.0);
+        simulation.make_unresponsive("c");
+        simulation.run(3.0);
+        simulation.crash("a");
+        simulation.run_until(4.0, "another primary in use", |w| {
+            w.primary_in_use().as_deref() == Some("b")
         });
     }
 }
 
-fn two_of_three_lost(seed: u64) -> (World, String, &'static str) {
-    let mut world = steady(seed);
-    world.crash("a");
-    world.run(0.5);
-    world.run_until(4.0, "writes at another", World::writes);
-    world.recover("a");
-    world.run(2.0);
-    let promoted = world.in_use().expect("a primary");
+fn two_of_three_lost(seed: u64) -> (Simulation, String, &'static str) {
+    let mut simulation = steady(seed);
+    simulation.crash("a");
+    simulation.run(0.5);
+    simulation.run_until(4.0, "writes at another", Simulation::acknowledges_writes);
+    simulation.recover("a");
+    simulation.run(2.0);
+    let promoted = simulation.primary_in_use().expect("a primary");
     let behind = if promoted == "b" { "c" } else { "b" };
-    world.servers.get_mut(behind).expect("a replica").deaf = true;
-    world.run(0.5);
-    world.crash("a");
-    world.run(0.2);
-    world.crash(&promoted);
-    world.run(1.0);
-    (world, promoted, behind)
+    simulation
+        .servers
+        .get_mut(behind)
+        .expect("a replica")
+        .receives_nothing = true;
+    simulation.run(0.5);
+    simulation.crash("a");
+    simulation.run(0.2);
+    simulation.crash(&promoted);
+    simulation.run(1.0);
+    (simulation, promoted, behind)
 }
 
 /// The same where it was promoted by us and alone has all commits, and where another control machine leads by then.
@@ -439,19 +490,27 @@
 fn a_promoted_primary_that_restarts_with_a_new_id_is_found() {
     for seed in 0..6 {
         for leader_lost in [false, true] {
-            let (mut world, promoted, behind) = two_of_three_lost(seed);
+            let (mut simulation, promoted, behind) = two_of_three_lost(seed);
             if leader_lost {
-                let leader = world.leader().expect("somebody leads");
-                world.kill(leader);
+                let leader = simulation.leader().expect("somebody leads");
+                simulation.kill(leader);
             }
-            world.run(1.0);
+            simulation.run(1.0);
             assert!(
-                !world.writes() && world.promoted.len() == 1,
+                !simulation.acknowledges_writes() && simulation.promotions.len() == 1,
                 "it is waited for"
             );
-            world.recover_as(&promoted, "d");
-            world.servers.get_mut(behind).expect("a replica").deaf = false;
-            world.run_until(if leader_lost { 5.0 } else { 2.0 }, "writes", World::writes);
+            simulation.recover_with_new_id(&promoted, "d");
+            simulation
+                .servers
+                .get_mut(behind)
+                .expect("a replica")
+                .receives_nothing = false;
+            simulation.run_until(
+                if leader_lost { 5.0 } else { 2.0 },
+                "writes",
+                Simulation::acknowledges_writes,
+            );
         }
     }
 }
@@ -460,46 +519,54 @@
 #[test]
 fn servers_that_are_back_under_new_ids_are_waited_for_no_longer() {
     for seed in 0..6 {
-        let (mut world, promoted, behind) = two_of_three_lost(seed);
-        let leader = world.leader().expect("somebody leads");
-        world.kill(leader);
-        world.run(3.0);
+        let (mut simulation, promoted, behind) = two_of_three_lost(seed);
+        let leader = simulation.leader().expect("somebody leads");
+        simulation.kill(leader);
+        simulation.run(3.0);
         assert!(
-            !world.writes() && world.promoted.len() == 1,
+            !simulation.acknowledges_writes() && simulation.promotions.len() == 1,
             "both are waited for"
         );
-        world.recover_as("a", "d");
-        world.run(0.5);
-        world.recover_as(&promoted, "e");
+        simulation.recover_with_new_id("a", "d");
+        simulation.run(0.5);
+        simulation.recover_with_new_id(&promoted, "e");
         // It was told to follow by a leader before.
-        world.servers.get_mut("e").expect("it is back").leader = false;
-        world.servers.get_mut(behind).expect("a replica").deaf = false;
-        world.start(leader);
-        world.run_until(6.0, "writes", World::writes);
+        simulation
+            .servers
+            .get_mut("e")
+            .expect("it is back")
+            .is_primary = false;
+        simulation
+            .servers
+            .get_mut(behind)
+            .expect("a replica")
+            .receives_nothing = false;
+        simulation.start(leader);
+        simulation.run_until(6.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
 fn a_promote_whose_answer_is_lost() {
     for seed in 0..6 {
-        let mut world = steady(seed);
-        world.lost_posts = 1000;
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(2.5, "writes at another", World::writes);
-        world.run(2.0);
-        assert_eq!(world.promoted.len(), 1);
+        let mut simulation = steady(seed);
+        simulation.promotion_answers_lost_per_mille = 1000;
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(2.5, "writes at another", Simulation::acknowledges_writes);
+        simulation.run(2.0);
+        assert_eq!(simulation.promotions.len(), 1);
     }
 }
 
 #[test]
 fn a_platform_in_trouble_is_asked_again() {
     for status in [429, 500, 503, 409] {
-        let mut world = steady(4);
-        world.statuses = vec![status; 3];
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(6.0, "writes at another", World::writes);
+        let mut simulation = steady(4);
+        simulation.scripted_statuses = vec![status; 3];
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(6.0, "writes at another", Simulation::acknowledges_writes);
     }
 }
 
@@ -509,18 +576,18 @@
     let mut seen = std::collections::BTreeSet::new();
     let start = steady(5);
     for step in 0..60 {
-        let mut world = start.clone();
-        world.drain("a");
-        world.run(0.02 * f64::from(step));
-        let leader = world.leader().unwrap();
-        seen.insert(world.phase());
-        world.kill(leader);
-        world.run(0.05);
-        world.run_until(7.0, "a new primary", |w| {
-            w.in_use().is_some_and(|p| p != "a")
+        let mut simulation = start.clone();
+        simulation.drain("a");
+        simulation.run(0.02 * f64::from(step));
+        let leader = simulation.leader().unwrap();
+        seen.insert(simulation.phase());
+        simulation.kill(leader);
+        simulation.run(0.05);
+        simulation.run_until(7.0, "a new primary", |w| {
+            w.primary_in_use().is_some_and(|p| p != "a")
         });
-        world.run(1.0);
-        assert!(world.writes());
+        simulation.run(1.0);
+        assert!(simulation.acknowledges_writes());
     }
     assert!(
         seen.contains("promoting") && seen.contains("switching"),
@@ -533,23 +600,23 @@
 fn a_frozen_leader_does_no_harm() {
     let start = steady(6);
     for step in 0..40 {
-        let mut world = start.clone();
+        let mut simulation = start.clone();
         if step % 2 == 0 {
-            world.crash("a");
+            simulation.crash("a");
         } else {
-            world.drain("a");
+            simulation.drain("a");
         }
-        world.run(0.03 * f64::from(step));
-        let leader = world.leader().unwrap();
-        world.freeze(leader);
-        world.run(0.3 + 0.05 * f64::from(step));
-        world.thaw(leader);
-        world.run(0.4);
-        world.run_until(9.0, "a new primary", |w| {
-            w.in_use().is_some_and(|p| p != "a")
+        simulation.run(0.03 * f64::from(step));
+        let leader = simulation.leader().unwrap();
+        simulation.freeze(leader);
+        simulation.run(0.3 + 0.05 * f64::from(step));
+        simulation.thaw(leader);
+        simulation.run(0.4);
+        simulation.run_until(9.0, "a new primary", |w| {
+            w.primary_in_use().is_some_and(|p| p != "a")
         });
-        world.run(1.0);
-        assert!(world.writes());
+        simulation.run(1.0);
+        assert!(simulation.acknowledges_writes());
     }
 }
 
@@ -558,15 +625,15 @@
 fn a_crash_is_handled_under_another_leader() {
     let start = steady(7);
     for step in 0..40 {
-        let mut world = start.clone();
-        world.crash("a");
-        world.run(0.05 * f64::from(step));
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        world.run(0.05);
-        world.run_until(8.0, "a new primary", |w| w.in_use().is_some());
-        world.run(1.0);
-        assert!(world.writes());
+        let mut simulation = start.clone();
+        simulation.crash("a");
+        simulation.run(0.05 * f64::from(step));
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        simulation.run(0.05);
+        simulation.run_until(8.0, "a new primary", |w| w.primary_in_use().is_some());
+        simulation.run(1.0);
+        assert!(simulation.acknowledges_writes());
     }
 }
 
@@ -575,14 +642,21 @@
 fn a_primary_that_is_back_is_replicated() {
     let start = steady(8);
     for step in 0..40 {
-        let mut world = start.clone();
-        world.darken("a");
-        world.run(0.05 * f64::from(step));
-        world.recover("a");
-        world.run(5.0);
-        assert!(world.writes(), "step {step}: phase {}", world.phase());
+        let mut simulation = start.clone();
+        simulation.make_unresponsive("a");
+        simulation.run(0.05 * f64::from(step));
+        simulation.recover("a");
+        simulation.run(5.0);
         assert!(
-            world.servers.values().all(|s| s.held.is_none()),
+            simulation.acknowledges_writes(),
+            "step {step}: phase {}",
+            simulation.phase()
+        );
+        assert!(
+            simulation
+                .servers
+                .values()
+                .all(|s| s.paused_at_term.is_none()),
             "step {step}: a replica is still held"
         );
     }
@@ -593,16 +667,23 @@
 fn a_pause_does_not_outlive_its_leader() {
     let start = steady(9);
     for step in 0..20 {
-        let mut world = start.clone();
-        world.darken("a");
-        world.run(0.55 + 0.03 * f64::from(step));
-        world.recover("a");
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        world.run(9.0);
-        assert!(world.writes(), "step {step}: phase {}", world.phase());
+        let mut simulation = start.clone();
+        simulation.make_unresponsive("a");
+        simulation.run(0.55 + 0.03 * f64::from(step));
+        simulation.recover("a");
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        simulation.run(9.0);
+        assert!(
+            simulation.acknowledges_writes(),
+            "step {step}: phase {}",
+            simulation.phase()
+        );
         assert!(
-            world.servers.values().all(|s| s.held.is_none()),
+            simulation
+                .servers
+                .values()
+                .all(|s| s.paused_at_term.is_none()),
             "step {step}: a replica is still held"
         );
     }
@@ -611,15 +692,23 @@
 /// A leader before left the replicas paused: the next one finds the primary nevertheless, and lets them go.
 #[test]
 fn a_pause_of_a_leader_before_hides_no_primary() {
-    let mut world = steady(10);
+    let mut simulation = steady(10);
     for id in ["b", "c"] {
-        world.servers.get_mut(id).unwrap().held = Some(5);
+        simulation.servers.get_mut(id).unwrap().paused_at_term = Some(5);
     }
-    let leader = world.leader().unwrap();
-    world.kill(leader);
-    world.run(3.0);
-    assert!(world.in_use().as_deref() == Some("a") && world.promoted.is_empty());
-    assert!(world.writes() && world.servers.values().all(|s| s.held.is_none()));
+    let leader = simulation.leader().unwrap();
+    simulation.kill(leader);
+    simulation.run(3.0);
+    assert!(
+        simulation.primary_in_use().as_deref() == Some("a") && simulation.promotions.is_empty()
+    );
+    assert!(
+        simulation.acknowledges_writes()
+            && simulation
+                .servers
+                .values()
+                .all(|s| s.paused_at_term.is_none())
+    );
 }
 
 /// It is agreed on another primary, the platform does nothing, and the old one is back under the next leader.
@@ -627,51 +716,55 @@
 fn an_agreement_without_a_promote_comes_to_an_end() {
     let start = steady(11);
     for step in 0..20 {
-        let mut world = start.clone();
-        world.statuses = vec![503; 100];
-        world.crash("a");
-        world.run(0.5 + 0.05 * f64::from(step));
-        let leader = world.leader().unwrap();
-        world.kill(leader);
-        world.statuses.clear();
-        world.recover("a");
-        world.run(0.4);
-        world.run_until(8.0, "a primary", |w| w.in_use().is_some());
-        world.run(1.0);
-        assert!(world.writes(), "step {step}");
+        let mut simulation = start.clone();
+        simulation.scripted_statuses = vec![503; 100];
+        simulation.crash("a");
+        simulation.run(0.5 + 0.05 * f64::from(step));
+        let leader = simulation.leader().unwrap();
+        simulation.kill(leader);
+        simulation.scripted_statuses.clear();
+        simulation.recover("a");
+        simulation.run(0.4);
+        simulation.run_until(8.0, "a primary", |w| w.primary_in_use().is_some());
+        simulation.run(1.0);
+        assert!(simulation.acknowledges_writes(), "step {step}");
     }
 }
 
 /// The new primary leads, is silent before that is seen, and is back as primary.
 #[test]
 fn a_primary_that_hides_after_its_promote_is_used() {
-    let mut world = steady(12);
-    world.crash("a");
-    world.run_until(2.0, "a promote", |w| !w.promoted.is_empty());
-    let new = world.promoted[0].0.clone();
-    world.darken(&new);
-    world.run(0.9);
-    world.recover(&new);
-    world.run_until(2.0, "the new primary in use", |w| {
-        w.in_use().as_ref() == Some(&new)
+    let mut simulation = steady(12);
+    simulation.crash("a");
+    simulation.run_until(2.0, "a promote", |w| !w.promotions.is_empty());
+    let new = simulation.promotions[0].0.clone();
+    simulation.make_unresponsive(&new);
+    simulation.run(0.9);
+    simulation.recover(&new);
+    simulation.run_until(2.0, "the new primary in use", |w| {
+        w.primary_in_use().as_ref() == Some(&new)
     });
-    assert_eq!(world.promoted.len(), 1);
+    assert_eq!(simulation.promotions.len(), 1);
 }
 
 /// The platform says that the coming primary does not run, yet it leads a moment later: routers let go of the old one.
 #[test]
 fn a_refused_promote_that_happened_all_the_same() {
     for seed in 13..23 {
-        let mut world = steady(seed);
-        world.statuses = vec![409];
-        world.drain("a");
-        world.run_until(3.0, "a call", |w| !w.posts.is_empty());
-        world.run(0.01);
-        let to = world.posts[0].0.clone();
-        let server = world.servers.get_mut(&to).unwrap();
-        (server.leader, server.term, server.held) = (true, 2, None);
-        world.run_until(4.0, "the new primary in use", |w| {
-            w.in_use().as_ref() == Some(&to)
+        let mut simulation = steady(seed);
+        simulation.scripted_statuses = vec![409];
+        simulation.drain("a");
+        simulation.run_until(3.0, "a call", |w| !w.promotion_requests.is_empty());
+        simulation.run(0.01);
+        let to = simulation.promotion_requests[0].0.clone();
+        let server = simulation.servers.get_mut(&to).unwrap();
+        (
+            server.is_primary,
+            server.primary_term,
+            server.paused_at_term,
+        ) = (true, 2, None);
+        simulation.run_until(4.0, "the new primary in use", |w| {
+            w.primary_in_use().as_ref() == Some(&to)
         });
     }
 }
@@ -679,161 +772,176 @@
 /// A replica holds a term that nobody knew of: below it, it does not pause.
 #[test]
 fn a_higher_term_is_met_while_pausing() {
-    let mut world = steady(14);
-    world.servers.get_mut("b").unwrap().held = Some(9);
-    world.crash("a");
-    world.run_until(3.5, "another primary", |w| w.in_use().is_some());
+    let mut simulation = steady(14);
+    simulation.servers.get_mut("b").unwrap().paused_at_term = Some(9);
+    simulation.crash("a");
+    simulation.run_until(3.5, "another primary", |w| w.primary_in_use().is_some());
 
-    let mut world = steady(14);
-    world.crash("a");
-    world.run_until(1.0, "the end of the old grant", |w| w.phase() == "closing");
-    world.servers.get_mut("b").unwrap().term = 9;
-    world.run_until(3.5, "another primary", |w| w.in_use().is_some());
+    let mut simulation = steady(14);
+    simulation.crash("a");
+    simulation.run_until(1.0, "the end of the old grant", |w| w.phase() == "closing");
+    simulation.servers.get_mut("b").unwrap().primary_term = 9;
+    simulation.run_until(3.5, "another primary", |w| w.primary_in_use().is_some());
 }
 
 /// One replica is gone for so long that it is forgotten, the other has received nothing since before: the planned change
 /// waits until that one has what the other took with it.
 #[test]
 fn a_planned_change_waits_for_what_a_lost_replica_had() {
-    let mut world = steady(24);
-    world.servers.get_mut("c").unwrap().deaf = true;
-    world.run(1.0);
-    world.darken("b");
-    world.run(6.5);
-    world.drain("a");
-    world.run(3.0);
-    assert!(world.promoted.is_empty() && world.in_use().as_deref() == Some("a"));
-    world.servers.get_mut("c").unwrap().deaf = false;
-    world.run_until(3.0, "the new primary in use", |w| {
-        w.in_use().as_deref() == Some("c")
+    let mut simulation = steady(24);
+    simulation.servers.get_mut("c").unwrap().receives_nothing = true;
+    simulation.run(1.0);
+    simulation.make_unresponsive("b");
+    simulation.run(6.5);
+    simulation.drain("a");
+    simulation.run(3.0);
+    assert!(
+        simulation.promotions.is_empty() && simulation.primary_in_use().as_deref() == Some("a")
+    );
+    simulation.servers.get_mut("c").unwrap().receives_nothing = false;
+    simulation.run_until(3.0, "the new primary in use", |w| {
+        w.primary_in_use().as_deref() == Some("c")
     });
 }
 
 /// The old primary is back as a replica, and counts as one: with it all that was acknowledged is there.
 #[test]
 fn an_old_primary_counts_as_a_copy() {
-    let mut world = steady(15);
-    world.crash("a");
-    world.crash("c");
-    world.run(1.0);
-    world.servers.get_mut("a").unwrap().leader = false;
-    world.recover("a");
-    world.run_until(3.0, "a primary", |w| w.in_use().is_some());
+    let mut simulation = steady(15);
+    simulation.crash("a");
+    simulation.crash("c");
+    simulation.run(1.0);
+    simulation.servers.get_mut("a").unwrap().is_primary = false;
+    simulation.recover("a");
+    simulation.run_until(3.0, "a primary", |w| w.primary_in_use().is_some());
 }
 
 /// Frozen routers hold no lease when they wake, and hold nobody up for longer than their lease.
 #[test]
 fn a_frozen_router() {
     for seed in 0..6 {
-        let mut world = steady(seed);
-        world.freeze_router(0);
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(2.6, "writes at another", World::writes);
-        world.thaw_router(0);
-        world.run(1.0);
-        assert!(world.in_use().is_some());
+        let mut simulation = steady(seed);
+        simulation.freeze_router(0);
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(2.6, "writes at another", Simulation::acknowledges_writes);
+        simulation.thaw_router(0);
+        simulation.run(1.0);
+        assert!(simulation.primary_in_use().is_some());
     }
 }
 
 /// All kinds of trouble, one after the other; the rules are checked at every event, and once all is calm writes go on.
 fn trouble(u: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
-    let mut world = World::new(u.int_in_range(0..=1000)?);
-    world.held_is_heard = u.arbitrary()?;
-    world.pause_once = u.arbitrary()?;
-    world.fencing = u.arbitrary()?;
+    let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
+    simulation.reports_highest_term_seen = u.arbitrary()?;
+    simulation.rejects_repeated_pause = u.arbitrary()?;
+    simulation.checks_fencing_tokens = u.arbitrary()?;
     // Places in one region, or in three.
-    (world.delay, world.promote_s) = *u.choose(&[(0.0015, 0.6), (0.012, 0.3)])?;
-    world.lost_answers = u.int_in_range(0..=60)?;
-    world.lost_posts = u.int_in_range(0..=500)?;
-    world.run(3.0);
+    (simulation.message_delay_s, simulation.promotion_duration_s) =
+        *u.choose(&[(0.0015, 0.6), (0.012, 0.3)])?;
+    simulation.command_answers_lost_per_mille = u.int_in_range(0..=60)?;
+    simulation.promotion_answers_lost_per_mille = u.int_in_range(0..=500)?;
+    simulation.run(3.0);
     let mut next = b'd';
     let mut reborn = 0;
     for _ in 0..u.int_in_range(1..=8)? {
         let node = u.int_in_range(1..=3)?;
-        let servers: Vec<String> = world
+        let servers: Vec<String> = simulation
             .servers
             .values()
-            .filter(|s| !s.left)
+            .filter(|s| !s.departed)
             .map(|s| s.id.clone())
             .collect();
         let server = u.choose(&servers)?.clone();
         match u.int_in_range(0..=14)? {
-            0 => world.kill(node),
-            1 if world.controls[&node].controller.is_none() => world.start(node),
-            2 if world.controls[&node].controller.is_some() => world.freeze(node),
-            3 if world.controls[&node].frozen => world.thaw(node),
-            4 if world.servers[&server].health == Health::Up => world.crash(&server),
-            5 if world.servers[&server].health == Health::Up => world.darken(&server),
-            6 if world.servers[&server].health != Health::Up => world.recover(&server),
+            0 => simulation.kill(node),
+            1 if simulation.machines[&node].controller.is_none() => simulation.start(node),
+            2 if simulation.machines[&node].controller.is_some() => simulation.freeze(node),
+            3 if simulation.machines[&node].frozen => simulation.thaw(node),
+            4 if simulation.servers[&server].health == Health::Up => simulation.crash(&server),
+            5 if simulation.servers[&server].health == Health::Up => {
+                simulation.make_unresponsive(&server);
+            }
+            6 if simulation.servers[&server].health != Health::Up => simulation.recover(&server),
             7 => {
-                let deaf = !world.servers[&server].deaf;
-                world.servers.get_mut(&server).unwrap().deaf = deaf;
+                let deaf = !simulation.servers[&server].receives_nothing;
+                simulation
+                    .servers
+                    .get_mut(&server)
+                    .unwrap()
+                    .receives_nothing = deaf;
             }
-            8 => world.drain(&server),
-            9 if world.servers[&server].draining && world.servers[&server].health == Health::Up => {
+            8 => simulation.drain(&server),
+            9 if simulation.servers[&server].draining
+                && simulation.servers[&server].health == Health::Up =>
+            {
                 let id = char::from(next).to_string();
                 next += 1;
-                world.depart(&server);
-                world.add_server(&id, &format!("10.0.1.{next}:1"), false);
+                simulation.depart(&server);
+                simulation.add_server(&id, &format!("10.0.1.{next}:1"), false);
             }
             10 => {
                 let other = 1 + node % 3;
-                world.links.cut.insert((node, other));
+                simulation.network.blocked.insert((node, other));
                 if u.arbitrary()? {
-                    world.links.cut.insert((other, node));
+                    simulation.network.blocked.insert((other, node));
                 }
             }
-            11 => world.freeze_router(u.int_in_range(0..=1)?),
+            11 => simulation.freeze_router(u.int_in_range(0..=1)?),
             12 => {
-                world.deaf_controls.insert(node);
+                simulation.cut_from_servers.insert(node);
             }
-            13 if world.servers[&server].health == Health::Down => {
+            13 if simulation.servers[&server].health == Health::Down => {
                 let id = char::from(next).to_string();
                 next += 1;
-                world.recover_as(&server, &id);
+                simulation.recover_with_new_id(&server, &id);
                 reborn += 1;
             }
             _ => {
-                world.heal_all();
-                world.deaf_controls.clear();
-                world.apart.clear();
+                simulation.heal_all();
+                simulation.cut_from_servers.clear();
+                simulation.cut_from_routers.clear();
             }
         }
         let wait: u16 = u.int_in_range(0..=1500)?;
-        world.run(f64::from(wait) / 1000.0);
+        simulation.run(f64::from(wait) / 1000.0);
     }
-    world.heal_all();
-    world.deaf_controls.clear();
-    world.lost_answers = 0;
-    world.lost_posts = 0;
+    simulation.heal_all();
+    simulation.cut_from_servers.clear();
+    simulation.command_answers_lost_per_mille = 0;
+    simulation.promotion_answers_lost_per_mille = 0;
     for router in 0..2 {
-        world.thaw_router(router);
+        simulation.thaw_router(router);
     }
     for node in 1..=3 {
-        if world.controls[&node].frozen {
-            world.thaw(node);
-        } else if world.controls[&node].controller.is_none() {
-            world.start(node);
+        if simulation.machines[&node].frozen {
+            simulation.thaw(node);
+        } else if simulation.machines[&node].controller.is_none() {
+            simulation.start(node);
         }
     }
-    let ids: Vec<String> = world.servers.keys().cloned().collect();
+    let ids: Vec<String> = simulation.servers.keys().cloned().collect();
     for id in ids {
-        let server = world.servers.get_mut(&id).unwrap();
-        server.deaf = false;
+        let server = simulation.servers.get_mut(&id).unwrap();
+        server.receives_nothing = false;
         server.draining = false;
-        if server.left {
+        if server.departed {
             continue;
         }
         if server.health != Health::Up {
-            world.recover(&id);
-            world.run(0.5);
+            simulation.recover(&id);
+            simulation.run(0.5);
         }
     }
     // Of two that left in the midst of trouble nobody can tell what they took with them.
-    if world.servers.values().filter(|s| s.left).count() < 2 + reborn {
-        world.run(0.2);
-        world.run_until(25.0, "writes once all is calm", World::writes);
+    if simulation.servers.values().filter(|s| s.departed).count() < 2 + reborn {
+        simulation.run(0.2);
+        simulation.run_until(
+            25.0,
+            "writes once all is calm",
+            Simulation::acknowledges_writes,
+        );
     }
     Ok(())
 }
@@ -848,17 +956,19 @@
 
 #[test]
 fn a_draining_primary_is_let_go_of_in_time_though_the_platform_is_down() {
-    let mut world = steady(5);
-    world.statuses = vec![503; 1000];
-    world.drain("a");
-    let said = world.now;
-    world.run_until(9.0, "the primary is given up", |w| w.in_use().is_none());
-    let after = world.now - said;
+    let mut simulation = steady(5);
+    simulation.scripted_statuses = vec![503; 1000];
+    simulation.drain("a");
+    let said = simulation.now;
+    simulation.run_until(9.0, "the primary is given up", |w| {
+        w.primary_in_use().is_none()
+    });
+    let after = simulation.now - said;
     assert!(after < 7.0, "after {after}");
     // It is replaced as soon as the platform is back.
-    world.statuses.clear();
-    world.run_until(5.0, "another is in use", |w| {
-        w.in_use().is_some_and(|p| p != "a")
+    simulation.scripted_statuses.clear();
+    simulation.run_until(5.0, "another is in use", |w| {
+        w.primary_in_use().is_some_and(|p| p != "a")
     });
 }
 
--- a/crates/testing/simulation/tests/losses.rs
+++ b/crates/testing/simulation/tests/losses.rs
@@ -2,22 +2,22 @@
 //! acknowledged.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::World;
-use badgerstream_simulation::oracle::CATCH_UP;
+use badgerstream_simulation::Simulation;
+use badgerstream_simulation::oracle::CATCH_UP_S;
 
 const SITES: [(u32, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
-fn settled(seed: u64, machines: u32, budget: usize) -> World {
-    let mut world = World::control_only(seed, machines, budget);
-    world.run(4.0);
-    assert!(world.all_decide());
-    world
+fn settled(seed: u64, machines: u32, budget: usize) -> Simulation {
+    let mut simulation = Simulation::control_only(seed, machines, budget);
+    simulation.run(4.0);
+    assert!(simulation.all_machines_vote());
+    simulation
 }
 
-fn replace(world: &mut World, number: u64, base: u64, epoch: u64) {
-    let leader = world.leader().expect("somebody leads");
+fn replace(simulation: &mut Simulation, number: u64, base: u64, epoch: u64) {
+    let leader = simulation.leader().expect("somebody leads");
     let body = format!("{{\"epoch\":{epoch}}}").into_bytes();
-    world.call(
+    simulation.submit_request(
         leader,
         number,
         ControlRequest::ReplaceConfig {
@@ -27,40 +27,40 @@
         },
     );
     for _ in 0..400 {
-        if world.replies.contains_key(&number) {
+        if simulation.responses.contains_key(&number) {
             break;
         }
-        world.run(0.002);
+        simulation.run(0.002);
     }
     assert_eq!(
-        world.replies.get(&number).map(|reply| reply.0),
+        simulation.responses.get(&number).map(|reply| reply.0),
         Some(200),
         "{}",
-        world.describe()
+        simulation.describe()
     );
 }
 
 /// Machines that aren't gone and run.
-fn running(world: &World) -> Vec<NodeId> {
-    let runs = world
-        .controls
+fn running(simulation: &Simulation) -> Vec<NodeId> {
+    let runs = simulation
+        .machines
         .iter()
         .filter(|(_, machine)| !machine.removed && machine.controller.is_some());
     runs.map(|(node, _)| *node).collect()
 }
 
 /// Every machine that runs reads the newest acknowledged configuration.
-fn all_read(world: &mut World, number: u64, epoch: u64) {
-    for node in running(world) {
+fn all_read(simulation: &mut Simulation, number: u64, epoch: u64) {
+    for node in running(simulation) {
         let call = number + u64::from(node);
-        world.call(node, call, ControlRequest::ReadConfig);
-        world.run(1.0);
+        simulation.submit_request(node, call, ControlRequest::ReadConfig);
+        simulation.run(1.0);
         let expected = (200, format!("{{\"epoch\":{epoch}}}").into_bytes());
         assert_eq!(
-            world.replies.get(&call),
+            simulation.responses.get(&call),
             Some(&expected),
             "{}",
-            world.describe()
+            simulation.describe()
         );
     }
 }
@@ -71,33 +71,33 @@
 fn a_second_loss_after_lost_disks() {
     for (machines, budget) in SITES {
         for seed in 0..6 {
-            let mut world = settled(seed, machines, budget);
-            replace(&mut world, 1, 0, 7);
-            let leader = world.leader().unwrap();
+            let mut simulation = settled(seed, machines, budget);
+            replace(&mut simulation, 1, 0, 7);
+            let leader = simulation.leader().unwrap();
             let mut wiped: Vec<NodeId> = (0..machines)
                 .map(|at| 1 + (leader + at - 1) % machines)
                 .collect();
             wiped.rotate_left(seed as usize % 2);
             wiped.truncate(budget);
             for node in &wiped {
-                world.wipe(*node);
+                simulation.lose_disk(*node);
             }
-            world.run(0.8);
+            simulation.run(0.8);
             for node in &wiped {
-                world.start(*node);
+                simulation.start(*node);
             }
-            world.run(CATCH_UP);
-            assert!(world.all_decide(), "{}", world.describe());
-            let leader = world.leader().unwrap();
+            simulation.run(CATCH_UP_S);
+            assert!(simulation.all_machines_vote(), "{}", simulation.describe());
+            let leader = simulation.leader().unwrap();
             let others = (1..=machines).filter(|node| !wiped.contains(node));
             let mut ends: Vec<NodeId> = others.collect();
             ends.sort_by_key(|node| *node != leader);
             for node in ends.iter().take(budget) {
-                world.kill(*node);
+                simulation.kill(*node);
             }
-            world.run(2.5);
-            replace(&mut world, 2, 7, 9);
-            all_read(&mut world, 100, 9);
+            simulation.run(2.5);
+            replace(&mut simulation, 2, 7, 9);
+            all_read(&mut simulation, 100, 9);
         }
     }
 }
@@ -108,31 +108,31 @@
 fn a_second_loss_after_a_replacement() {
     for (machines, budget) in SITES {
         for seed in 0..6 {
-            let mut world = settled(seed, machines, budget);
-            replace(&mut world, 1, 0, 7);
-            let leader = world.leader().unwrap();
+            let mut simulation = settled(seed, machines, budget);
+            replace(&mut simulation, 1, 0, 7);
+            let leader = simulation.leader().unwrap();
             let gone = if seed % 2 == 0 {
                 leader
             } else {
                 1 + leader % machines
             };
-            world.remove(gone);
-            world.run(0.5);
+            simulation.remove(gone);
+            simulation.run(0.5);
             if budget > 1 {
-                let wiped = running(&world)[seed as usize % 3];
-                world.wipe(wiped);
-                world.run(0.3);
-                world.start(wiped);
+                let wiped = running(&simulation)[seed as usize % 3];
+                simulation.lose_disk(wiped);
+                simulation.run(0.3);
+                simulation.start(wiped);
             }
-            world.run(0.5);
-            world.join(20);
-            world.run(CATCH_UP);
-            for node in running(&world).into_iter().rev().take(budget) {
-                world.kill(node);
+            simulation.run(0.5);
+            simulation.add_and_start(20);
+            simulation.run(CATCH_UP_S);
+            for node in running(&simulation).into_iter().rev().take(budget) {
+                simulation.kill(node);
             }
-            world.run(2.5);
-            replace(&mut world, 2, 7, 9);
-            all_read(&mut world, 100, 9);
+            simulation.run(2.5);
+            replace(&mut simulation, 2, 7, 9);
+            all_read(&mut simulation, 100, 9);
         }
     }
 }
@@ -142,29 +142,29 @@
 #[test]
 fn a_member_that_leaves_takes_no_copy_with_it() {
     for seed in 0..12 {
-        let mut world = settled(seed, 4, 1);
-        let leader = world.leader().unwrap();
+        let mut simulation = settled(seed, 4, 1);
+        let leader = simulation.leader().unwrap();
         let lags = 1 + leader % 4;
         let leaves = 1 + lags % 4;
         // One of four knows nothing of the newest state when the next one asks to leave.
-        world.cut_off(lags, true, true);
-        replace(&mut world, 1, 0, 7);
-        world.heal(lags);
-        world.resign(leaves);
-        world.run_until(1.5, "it may end", |w| {
-            w.controls[&leaves]
+        simulation.isolate(lags, true, true);
+        replace(&mut simulation, 1, 0, 7);
+        simulation.heal(lags);
+        simulation.request_shutdown(leaves);
+        simulation.run_until(1.5, "it may end", |w| {
+            w.machines[&leaves]
                 .controller
                 .as_ref()
                 .is_some_and(badgerstream_control::Controller::may_shut_down)
         });
-        world.remove(leaves);
-        world.wipe(leader);
-        world.run(0.6);
-        world.start(leader);
-        world.run(CATCH_UP);
-        assert!(world.leader().is_some(), "{}", world.describe());
-        all_read(&mut world, 100, 7);
-        replace(&mut world, 2, 7, 9);
+        simulation.remove(leaves);
+        simulation.lose_disk(leader);
+        simulation.run(0.6);
+        simulation.start(leader);
+        simulation.run(CATCH_UP_S);
+        assert!(simulation.leader().is_some(), "{}", simulation.describe());
+        all_read(&mut simulation, 100, 7);
+        replace(&mut simulation, 2, 7, 9);
     }
 }
 
@@ -177,37 +177,37 @@
     let leader = start.leader().unwrap();
     start.remove(1 + leader % 3);
     start.run(1.2);
-    start.join(20);
+    start.add_and_start(20);
     for at in 0..120 {
-        let mut world = start.clone();
+        let mut simulation = start.clone();
         for _ in 0..at {
-            world.step();
+            simulation.step();
         }
         match at % 3 {
-            0 => world.kill(leader),
-            1 => world.power_off(leader),
-            _ => world.freeze(leader),
+            0 => simulation.kill(leader),
+            1 => simulation.power_off(leader),
+            _ => simulation.freeze(leader),
         }
-        world.run(1.0);
+        simulation.run(1.0);
         if at % 3 == 2 {
-            world.thaw(leader);
+            simulation.thaw(leader);
         } else {
-            world.start(leader);
+            simulation.start(leader);
         }
-        world.run(CATCH_UP);
+        simulation.run(CATCH_UP_S);
         assert_eq!(
-            world
-                .controls
+            simulation
+                .machines
                 .values()
                 .filter(|machine| !machine.removed)
                 .count(),
             3
         );
-        for lost in running(&world) {
-            let mut world = world.clone();
-            world.kill(lost);
-            world.run(2.5);
-            replace(&mut world, 2, 7, 9);
+        for lost in running(&simulation) {
+            let mut simulation = simulation.clone();
+            simulation.kill(lost);
+            simulation.run(2.5);
+            replace(&mut simulation, 2, 7, 9);
         }
     }
 }
@@ -220,9 +220,9 @@
         let start = settled(3, machines, budget);
         let leader = start.leader().unwrap();
         for at in 0..40 {
-            let mut world = start.clone();
+            let mut simulation = start.clone();
             let body = b"{\"epoch\":7}".as_slice();
-            world.call(
+            simulation.submit_request(
                 leader,
                 1,
                 ControlRequest::ReplaceConfig {
@@ -232,28 +232,31 @@
                 },
             );
             for _ in 0..at {
-                world.step();
+                simulation.step();
             }
-            let acknowledged = world.replies.get(&1).is_some_and(|reply| reply.0 == 200);
+            let acknowledged = simulation
+                .responses
+                .get(&1)
+                .is_some_and(|reply| reply.0 == 200);
             for node in 1..=machines {
                 // The leader's disk among them, as often as not.
                 let wiped =
                     (0..budget as u32).any(|more| 1 + (leader + at / 2 + more) % machines == node);
                 if wiped {
-                    world.wipe(node);
+                    simulation.lose_disk(node);
                 } else {
-                    world.power_off(node);
+                    simulation.power_off(node);
                 }
             }
             for node in 1..=machines {
-                world.run(0.2);
-                world.start(node);
+                simulation.run(0.2);
+                simulation.start(node);
             }
-            world.run(CATCH_UP);
+            simulation.run(CATCH_UP_S);
             if acknowledged {
-                all_read(&mut world, 100, 7);
+                all_read(&mut simulation, 100, 7);
             }
-            assert!(world.leader().is_some(), "{}", world.describe());
+            assert!(simulation.leader().is_some(), "{}", simulation.describe());
         }
     }
 }
--- a/crates/testing/simulation/tests/orders.rs
+++ b/crates/testing/simulation/tests/orders.rs
@@ -1,7 +1,7 @@
 //! One outcome for an order: two operators under one number, on one base, with orders sent again.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::World;
+use badgerstream_simulation::Simulation;
 
 fn order(base: u64, epoch: u64, text: &str) -> ControlRequest {
     ControlRequest::ReplaceConfig {
@@ -11,24 +11,24 @@
     }
 }
 
-fn settled(seed: u64, machines: u32, budget: usize) -> World {
-    let mut world = World::control_only(seed, machines, budget);
-    world.run(3.0);
-    assert!(world.leader().is_some());
-    world
+fn settled(seed: u64, machines: u32, budget: usize) -> Simulation {
+    let mut simulation = Simulation::control_only(seed, machines, budget);
+    simulation.run(3.0);
+    assert!(simulation.leader().is_some());
+    simulation
 }
 
 /// The answer to a call that is made now.
 fn ask(
-    world: &mut World,
+    simulation: &mut Simulation,
     node: NodeId,
     number: u64,
     call: ControlRequest,
 ) -> Option<(u16, Vec<u8>)> {
-    world.call(node, number, call);
+    simulation.submit_request(node, number, call);
     for _ in 0..400 {
-        world.run(0.005);
-        if let Some(reply) = world.replies.get(&number) {
+        simulation.run(0.005);
+        if let Some(reply) = simulation.responses.get(&number) {
             return Some(reply.clone());
         }
     }
@@ -37,7 +37,7 @@
 
 /// Asks until there is a clear answer, each time another machine.
 fn clear_answer(
-    world: &mut World,
+    simulation: &mut Simulation,
     first: NodeId,
     number: &mut u64,
     call: &ControlRequest,
@@ -45,11 +45,13 @@
     for turn in 0..12 {
         let node = 1 + (first + turn) % 3;
         *number += 1;
-        if let Some(reply) = ask(world, node, *number, call.clone()).filter(|reply| reply.0 < 500) {
+        if let Some(reply) =
+            ask(simulation, node, *number, call.clone()).filter(|reply| reply.0 < 500)
+        {
             return reply;
         }
     }
-    panic!("{}: no clear answer", world.now)
+    panic!("{}: no clear answer", simulation.now)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -61,21 +63,21 @@
     Wipe,
 }
 
-fn lose(world: &mut World, node: NodeId, loss: Loss) {
+fn lose(simulation: &mut Simulation, node: NodeId, loss: Loss) {
     match loss {
-        Loss::Kill => world.kill(node),
-        Loss::Freeze => world.freeze(node),
-        Loss::Cut => world.cut_off(node, true, true),
-        Loss::CutOneWay => world.cut_off(node, true, false),
-        Loss::Wipe => world.wipe(node),
+        Loss::Kill => simulation.kill(node),
+        Loss::Freeze => simulation.freeze(node),
+        Loss::Cut => simulation.isolate(node, true, true),
+        Loss::CutOneWay => simulation.isolate(node, true, false),
+        Loss::Wipe => simulation.lose_disk(node),
     }
 }
 
-fn mend(world: &mut World, node: NodeId, loss: Loss) {
+fn mend(simulation: &mut Simulation, node: NodeId, loss: Loss) {
     match loss {
-        Loss::Kill | Loss::Wipe => world.start(node),
-        Loss::Freeze => world.thaw(node),
-        Loss::Cut | Loss::CutOneWay => world.heal(node),
+        Loss::Kill | Loss::Wipe => simulation.start(node),
+        Loss::Freeze => simulation.thaw(node),
+        Loss::Cut | Loss::CutOneWay => simulation.heal(node),
     }
 }
 
@@ -99,28 +101,31 @@
             Loss::Wipe,
         ] {
             for at in 0..34 {
-                let mut world = start.clone();
-                world.call(first, 1, orders[0].clone());
-                world.call(second, 2, orders[1].clone());
+                let mut simulation = start.clone();
+                simulation.submit_request(first, 1, orders[0].clone());
+                simulation.submit_request(second, 2, orders[1].clone());
                 for _ in 0..at {
-                    world.step();
+                    simulation.step();
                 }
-                lose(&mut world, leader, loss);
-                world.run(1.4);
+                lose(&mut simulation, leader, loss);
+                simulation.run(1.4);
                 // Sent again while the first copies may still be on their way.
                 let mut number = 10;
-                let during =
-                    [0, 1].map(|o| clear_answer(&mut world, leader, &mut number, &orders[o]).0);
-                mend(&mut world, leader, loss);
-                world.run(4.5);
+                let during = [0, 1]
+                    .map(|o| clear_answer(&mut simulation, leader, &mut number, &orders[o]).0);
+                mend(&mut simulation, leader, loss);
+                simulation.run(4.5);
                 let after = [0, 1]
-                    .map(|o| clear_answer(&mut world, o as NodeId, &mut number, &orders[o]).0);
+                    .map(|o| clear_answer(&mut simulation, o as NodeId, &mut number, &orders[o]).0);
                 assert_eq!(
                     during, after,
                     "{loss:?} at {at}, sent to {first} and {second}"
                 );
                 for o in [0, 1] {
-                    let answer = world.replies.get(&(1 + o as u64)).map(|reply| reply.0);
+                    let answer = simulation
+                        .responses
+                        .get(&(1 + o as u64))
+                        .map(|reply| reply.0);
                     assert!(
                         answer.is_none_or(|a| a == 503 || a == after[o]),
                         "{loss:?} at {at}: {answer:?}, then {}",
@@ -135,7 +140,7 @@
                 taken[won] += 1;
                 for node in 1..=3 {
                     number += 1;
-                    let read = ask(&mut world, node, number, ControlRequest::ReadConfig)
+                    let read = ask(&mut simulation, node, number, ControlRequest::ReadConfig)
                         .expect("an answer");
                     let ControlRequest::ReplaceConfig { body, .. } = &orders[won] else {
                         panic!("an order")
@@ -152,15 +157,17 @@
 /// restarts: one of the eight is taken, and its repeat is confirmed by any machine.
 #[test]
 fn an_order_is_confirmed_again_after_hundreds_of_changes() {
-    let mut world = settled(2, 3, 1);
+    let mut simulation = settled(2, 3, 1);
     let eight: Vec<ControlRequest> = (0..8)
         .map(|n| order(0, 5 + n / 2, &format!("{{\"epoch\":{}}}//{n}", 5 + n / 2)))
         .collect();
     for (at, call) in eight.iter().enumerate() {
-        world.call(1 + at as NodeId % 3, 100 + at as u64, call.clone());
+        simulation.submit_request(1 + at as NodeId % 3, 100 + at as u64, call.clone());
     }
-    world.run(2.0);
-    let statuses: Vec<u16> = (0..8).map(|at| world.replies[&(100 + at)].0).collect();
+    simulation.run(2.0);
+    let statuses: Vec<u16> = (0..8)
+        .map(|at| simulation.responses[&(100 + at)].0)
+        .collect();
     assert_eq!(
         statuses.iter().filter(|status| **status == 200).count(),
         1,
@@ -173,20 +180,20 @@
     for change in 0..400u64 {
         let epoch = base + 1 + change % 3;
         let call = order(base, epoch, &format!("{{\"epoch\":{epoch}}}"));
-        assert_eq!(clear_answer(&mut world, 1, &mut number, &call).0, 200);
+        assert_eq!(clear_answer(&mut simulation, 1, &mut number, &call).0, 200);
         base = epoch;
         if change % 80 == 40 {
-            let leader = world.leader().unwrap();
-            world.kill(leader);
-            world.run(1.5);
-            world.start(leader);
-            world.run(2.0);
+            let leader = simulation.leader().unwrap();
+            simulation.kill(leader);
+            simulation.run(1.5);
+            simulation.start(leader);
+            simulation.run(2.0);
         }
     }
     for node in 0..3 {
         for (at, call) in eight.iter().enumerate() {
             assert_eq!(
-                clear_answer(&mut world, node, &mut number, call).0,
+                clear_answer(&mut simulation, node, &mut number, call).0,
                 statuses[at]
             );
         }
