--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -2,28 +2,28 @@
 //! hold to is in `docs/design/calls.md`.
 
 use arbtest::arbtest;
-use badgerstream_simulation::{Health, World};
+use badgerstream_simulation::{Health, Simulation};
 
-fn steady(seed: u64) -> World {
-    let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use at the start", |w| {
-        w.in_use().as_deref() == Some("a")
+fn steady(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.run_until(6.0, "a primary in use at the start", |w| {
+        w.primary_in_use().as_deref() == Some("a")
     });
-    world.run(4.0);
-    assert!(world.writes());
-    world
+    simulation.run(4.0);
+    assert!(simulation.acknowledges_writes());
+    simulation
 }
 
-fn held(world: &World, id: &str) -> Option<u64> {
-    world.servers[id].held
+fn held(simulation: &Simulation, id: &str) -> Option<u64> {
+    simulation.servers[id].paused_at_term
 }
 
-fn set_held(world: &mut World, id: &str, term: Option<u64>) {
-    world.servers.get_mut(id).unwrap().held = term;
+fn set_held(simulation: &mut Simulation, id: &str, term: Option<u64>) {
+    simulation.servers.get_mut(id).unwrap().paused_at_term = term;
 }
 
-fn set_deaf(world: &mut World, id: &str, deaf: bool) {
-    world.servers.get_mut(id).unwrap().deaf = deaf;
+fn set_deaf(simulation: &mut Simulation, id: &str, deaf: bool) {
+    simulation.servers.get_mut(id).unwrap().receives_nothing = deaf;
 }
 
 // ---- repeated promotions
@@ -31,14 +31,14 @@
 #[test]
 fn a_repeat_of_the_same_promotion_changes_nothing() {
     for (seed, fencing) in [(1, true), (2, false), (3, true), (4, false)] {
-        let mut world = steady(seed);
-        world.fencing = fencing;
-        world.lost_posts = 1000;
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(2.5, "writes at another", World::writes);
-        world.run(2.0);
-        assert_eq!(world.promoted.len(), 1);
+        let mut simulation = steady(seed);
+        simulation.checks_fencing_tokens = fencing;
+        simulation.promotion_answers_lost_per_mille = 1000;
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(2.5, "writes at another", Simulation::acknowledges_writes);
+        simulation.run(2.0);
+        assert_eq!(simulation.promotions.len(), 1);
     }
 }
 
@@ -48,25 +48,25 @@
 fn a_late_promotion_takes_the_lead_from_nobody() {
     for fencing in [true, false] {
         for late in [0.6, 0.75, 0.9] {
-            let mut world = steady(5);
-            world.promote_s = 0.3;
-            world.add_server("d", "10.0.0.200:1", false);
-            world.run(2.0);
-            world.fencing = fencing;
-            world.statuses = vec![503];
-            world.crash("a");
-            world.run_until(3.0, "a call", |w| !w.posts.is_empty());
-            let first = world.posts[0].0.clone();
-            world.darken(&first);
-            world.run(late - 0.1);
+            let mut simulation = steady(5);
+            simulation.promotion_duration_s = 0.3;
+            simulation.add_server("d", "10.0.0.200:1", false);
+            simulation.run(2.0);
+            simulation.checks_fencing_tokens = fencing;
+            simulation.scripted_statuses = vec![503];
+            simulation.crash("a");
+            simulation.run_until(3.0, "a call", |w| !w.promotion_requests.is_empty());
+            let first = simulation.promotion_requests[0].0.clone();
+            simulation.make_unresponsive(&first);
+            simulation.run(late - 0.1);
             // It is back, without what another one may have acknowledged meanwhile.
-            set_deaf(&mut world, &first, true);
-            world.recover(&first);
-            world.run(0.1);
-            world.promote(&first);
-            set_deaf(&mut world, &first, false);
-            world.run_until(5.0, "a primary in use", |w| w.in_use().is_some());
-            world.run_until(2.0, "writes", World::writes);
+            set_deaf(&mut simulation, &first, true);
+            simulation.recover(&first);
+            simulation.run(0.1);
+            simulation.promote(&first);
+            set_deaf(&mut simulation, &first, false);
+            simulation.run_until(5.0, "a primary in use", |w| w.primary_in_use().is_some());
+            simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
         }
     }
 }
@@ -74,11 +74,15 @@
 /// A server that goes dark is refused by the platform before its silence is seen here: it isn't named again and again.
 #[test]
 fn a_refusal_is_not_met_with_a_storm_of_calls() {
-    let mut world = steady(5);
-    world.statuses = vec![409; 1000];
-    world.crash("a");
-    world.run(3.0);
-    assert!(world.posts.len() < 8, "{} calls", world.posts.len());
+    let mut simulation = steady(5);
+    simulation.scripted_statuses = vec![409; 1000];
+    simulation.crash("a");
+    simulation.run(3.0);
+    assert!(
+        simulation.promotion_requests.len() < 8,
+        "{} calls",
+        simulation.promotion_requests.len()
+    );
 }
 
 /// A second copy is refused while the first one may still take effect: the old primary, which is not the one of record any
@@ -86,19 +90,19 @@
 #[test]
 fn a_refused_copy_does_not_let_the_old_primary_go_on_at_once() {
     for late in [0.15, 0.3, 0.6, 0.8] {
-        let mut world = steady(6);
-        world.statuses = vec![503, 409];
-        world.drain("a");
-        world.run_until(3.0, "the refusal of the second call", |w| {
-            w.posts.len() == 2
+        let mut simulation = steady(6);
+        simulation.scripted_statuses = vec![503, 409];
+        simulation.drain("a");
+        simulation.run_until(3.0, "the refusal of the second call", |w| {
+            w.promotion_requests.len() == 2
         });
-        let to = world.posts[0].0.clone();
-        set_deaf(&mut world, &to, true);
-        world.run(late);
-        world.promote(&to);
-        set_deaf(&mut world, &to, false);
-        world.run_until(4.0, "the new primary in use", |w| {
-            w.in_use().as_ref() == Some(&to)
+        let to = simulation.promotion_requests[0].0.clone();
+        set_deaf(&mut simulation, &to, true);
+        simulation.run(late);
+        simulation.promote(&to);
+        set_deaf(&mut simulation, &to, false);
+        simulation.run_until(4.0, "the new primary in use", |w| {
+            w.primary_in_use().as_ref() == Some(&to)
         });
     }
 }
@@ -106,22 +110,24 @@
 /// The server that a former leader asked the platform for is taken again, if it is as far as any other.
 #[test]
 fn the_next_leader_asks_for_the_same_server() {
-    let mut world = steady(7);
-    world.traffic = false;
-    world.run(0.2);
-    world.crash("b");
-    world.run(2.5);
-    world.statuses = vec![503; 1000];
-    world.crash("a");
-    world.run_until(4.0, "a call", |w| !w.posts.is_empty());
-    assert_eq!(world.posts[0].0, "c");
-    let leader = world.leader().unwrap();
-    world.kill(leader);
-    world.recover("b");
-    let before = world.posts.len();
-    world.run_until(9.0, "a call of the next leader", |w| w.posts.len() > before);
-    assert!(world.posts[before].1 > world.posts[0].1);
-    assert_eq!(world.posts[before].0, "c");
+    let mut simulation = steady(7);
+    simulation.statements_enabled = false;
+    simulation.run(0.2);
+    simulation.crash("b");
+    simulation.run(2.5);
+    simulation.scripted_statuses = vec![503; 1000];
+    simulation.crash("a");
+    simulation.run_until(4.0, "a call", |w| !w.promotion_requests.is_empty());
+    assert_eq!(simulation.promotion_requests[0].0, "c");
+    let leader = simulation.leader().unwrap();
+    simulation.kill(leader);
+    simulation.recover("b");
+    let before = simulation.promotion_requests.len();
+    simulation.run_until(9.0, "a call of the next leader", |w| {
+        w.promotion_requests.len() > before
+    });
+    assert!(simulation.promotion_requests[before].1 > simulation.promotion_requests[0].1);
+    assert_eq!(simulation.promotion_requests[before].0, "c");
 }
 
 // ---- statements that come late
@@ -136,8 +142,8 @@
     }
     start.run(0.2);
     // From here on commits wait at the primary, which answers nobody but its replicas.
-    start.traffic = false;
-    start.mute.insert("a".to_owned());
+    start.statements_enabled = false;
+    start.unresponsive_to_control.insert("a".to_owned());
     start.freeze_router(0);
     start.run_until(2.0, "the replicas are paused", |w| {
         held(w, "b").is_some() && held(w, "c").is_some()
@@ -147,18 +153,18 @@
     }
     let lease_ends = start.routers[0].lease_until - 7777.0;
     for step in 1..60 {
-        let mut world = start.clone();
-        world.run((lease_ends - 0.005 * f64::from(step / 2) - world.now).max(0.0));
-        let before = world.acked.len();
-        set_held(&mut world, "c", None);
+        let mut simulation = start.clone();
+        simulation.run((lease_ends - 0.005 * f64::from(step / 2) - simulation.now).max(0.0));
+        let before = simulation.acknowledged_commits.len();
+        set_held(&mut simulation, "c", None);
         if step % 2 == 0 {
             // A late `PAUSE` follows, so that it looks as if nothing had been.
-            world.run(0.008);
-            set_held(&mut world, "c", Some(50));
+            simulation.run(0.008);
+            set_held(&mut simulation, "c", Some(50));
         }
-        world.run_until(5.0, "a promotion", |w| !w.promoted.is_empty());
+        simulation.run_until(5.0, "a promotion", |w| !w.promotions.is_empty());
         assert!(
-            world.acked.len() > before,
+            simulation.acknowledged_commits.len() > before,
             "step {step}: the commits that waited were acknowledged"
         );
     }
@@ -167,54 +173,54 @@
 /// A `RESUME` of a server that was frozen runs right after the `PAUSE`: the planned change notices before it goes on.
 #[test]
 fn a_resume_right_after_a_pause_is_noticed() {
-    let mut world = steady(9);
-    world.drain("a");
-    while held(&world, "b").or(held(&world, "c")).is_none() {
-        world.run(0.0005);
-        assert!(world.now < 20.0);
+    let mut simulation = steady(9);
+    simulation.drain("a");
+    while held(&simulation, "b").or(held(&simulation, "c")).is_none() {
+        simulation.run(0.0005);
+        assert!(simulation.now < 20.0);
     }
-    let paused = if held(&world, "b").is_some() {
+    let paused = if held(&simulation, "b").is_some() {
         "b"
     } else {
         "c"
     };
     let to = if paused == "b" { "c" } else { "b" };
-    set_held(&mut world, paused, None);
-    world.run_until(2.0, "a call", |w| !w.posts.is_empty());
+    set_held(&mut simulation, paused, None);
+    simulation.run_until(2.0, "a call", |w| !w.promotion_requests.is_empty());
     // Nothing that only the other replica has may be acknowledged now.
-    set_deaf(&mut world, to, true);
-    world.run(0.8);
-    assert_eq!(world.promoted[0].0, to);
-    set_deaf(&mut world, to, false);
-    world.run_until(2.0, "writes", World::writes);
+    set_deaf(&mut simulation, to, true);
+    simulation.run(0.8);
+    assert_eq!(simulation.promotions[0].0, to);
+    set_deaf(&mut simulation, to, false);
+    simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
 }
 
 /// A `PAUSE` comes after the `RESUME` that was to undo it.
 #[test]
 fn a_late_pause_is_undone() {
     for seed in 10..14 {
-        let mut world = steady(seed);
-        world.darken("a");
-        world.run_until(2.0, "the replicas are paused", |w| {
+        let mut simulation = steady(seed);
+        simulation.make_unresponsive("a");
+        simulation.run_until(2.0, "the replicas are paused", |w| {
             held(w, "b").is_some() && held(w, "c").is_some()
         });
-        world.recover("a");
-        world.run_until(3.0, "a primary in use", |w| w.in_use().is_some());
-        world.run(1.0);
-        let replicas: Vec<String> = world
+        simulation.recover("a");
+        simulation.run_until(3.0, "a primary in use", |w| w.primary_in_use().is_some());
+        simulation.run(1.0);
+        let replicas: Vec<String> = simulation
             .servers
             .values()
-            .filter(|s| !s.leader)
+            .filter(|s| !s.is_primary)
             .map(|s| s.id.clone())
             .collect();
         assert_eq!(replicas.len(), 2);
         for id in &replicas {
-            set_held(&mut world, id, Some(90));
+            set_held(&mut simulation, id, Some(90));
         }
-        world.run(1.6);
-        assert!(world.writes(), "seed {seed}");
+        simulation.run(1.6);
+        assert!(simulation.acknowledges_writes(), "seed {seed}");
         assert!(
-            replicas.iter().all(|id| held(&world, id).is_none()),
+            replicas.iter().all(|id| held(&simulation, id).is_none()),
             "seed {seed}"
         );
     }
@@ -225,60 +231,71 @@
 #[test]
 fn late_pauses_and_step_downs_at_any_moment() {
     arbtest(|u| {
-        let mut world = World::new(u.int_in_range(0..=1000)?);
-        world.fencing = u.arbitrary()?;
-        world.lost_posts = u.int_in_range(0..=300)?;
-        world.run(3.0);
+        let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
+        simulation.checks_fencing_tokens = u.arbitrary()?;
+        simulation.promotion_answers_lost_per_mille = u.int_in_range(0..=300)?;
+        simulation.run(3.0);
         for _ in 0..u.int_in_range(2..=10)? {
             let id = *u.choose(&["a", "b", "c"])?;
-            let up = world.servers[id].health == Health::Up;
-            let top = world.servers.values().map(|s| s.term).max().unwrap_or(0);
+            let up = simulation.servers[id].health == Health::Up;
+            let top = simulation
+                .servers
+                .values()
+                .map(|s| s.primary_term)
+                .max()
+                .unwrap_or(0);
             let late = top + u.int_in_range(0..=4)?;
             match u.int_in_range(0..=6)? {
                 0 | 1
                     if up
-                        && !world.servers[id].leader
-                        && late > world.servers[id].held.unwrap_or(top) =>
+                        && !simulation.servers[id].is_primary
+                        && late > simulation.servers[id].paused_at_term.unwrap_or(top) =>
                 {
-                    set_held(&mut world, id, Some(late));
+                    set_held(&mut simulation, id, Some(late));
                 }
                 // The lowest term that turned it out, which is its own and one more.
-                2 if up && world.servers[id].leader => {
-                    world.servers.get_mut(id).unwrap().leader = false;
+                2 if up && simulation.servers[id].is_primary => {
+                    simulation.servers.get_mut(id).unwrap().is_primary = false;
                 }
                 3 if up
-                    && world
+                    && simulation
                         .servers
                         .values()
                         .filter(|s| s.health == Health::Up)
                         .count()
                         > 2 =>
                 {
-                    world.crash(id);
+                    simulation.crash(id);
                 }
-                4 if !up => world.recover(id),
-                5 => world.drain(id),
+                4 if !up => simulation.recover(id),
+                5 => simulation.drain(id),
                 _ => {
-                    if let Some(leader) = world.leader() {
-                        world.kill(leader);
-                        world.run(0.02);
-                        world.start(leader);
+                    if let Some(leader) = simulation.leader() {
+                        simulation.kill(leader);
+                        simulation.run(0.02);
+                        simulation.start(leader);
                     }
                 }
             }
-            world.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
+            simulation.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
         }
         for id in ["a", "b", "c"] {
-            world.servers.get_mut(id).unwrap().draining = false;
-            if world.servers[id].health != Health::Up {
-                world.recover(id);
+            simulation.servers.get_mut(id).unwrap().draining = false;
+            if simulation.servers[id].health != Health::Up {
+                simulation.recover(id);
             }
         }
-        world.lost_posts = 0;
-        world.run(0.2);
-        world.run_until(25.0, "writes once all is calm", World::writes);
-        world.run_until(4.0, "no replica is held", |w| {
-            w.servers.values().all(|s| s.leader || s.held.is_none())
+        simulation.promotion_answers_lost_per_mille = 0;
+        simulation.run(0.2);
+        simulation.run_until(
+            25.0,
+            "writes once all is calm",
+            Simulation::acknowledges_writes,
+        );
+        simulation.run_until(4.0, "no replica is held", |w| {
+            w.servers
+                .values()
+                .all(|s| s.is_primary || s.paused_at_term.is_none())
         });
         Ok(())
     })
--- a/crates/testing/simulation/tests/random.rs
+++ b/crates/testing/simulation/tests/random.rs
@@ -1,8 +1,8 @@
 //! Faults by chance on fixed seeds; many more are played with `badgerstream-simulate`.
 
-use badgerstream_simulation::faults::{FaultRun, Losses};
+use badgerstream_simulation::faults::{FaultRun, LossPolicy};
 
-fn play(losses: Losses, seeds: std::ops::Range<u64>) {
+fn play(losses: LossPolicy, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let (machines, budget) = [(3, 1), (5, 2), (6, 2), (4, 1)][(seed % 4) as usize];
         let mut run = FaultRun::new(seed, machines, budget, losses);
@@ -10,19 +10,19 @@
         assert!(
             played.is_ok(),
             "seed {seed}, machines {machines}, budget {budget}: {}",
-            run.story.join("; ")
+            run.fault_log.join("; ")
         );
     }
 }
 
 #[test]
 fn faults_by_chance() {
-    play(Losses::WithinBudget, 0..120);
+    play(LossPolicy::WithinBudget, 0..120);
 }
 
 /// Any number of machines is lost at once, halves are cut from each other, and no more disks are lost than the budget allows: what
-/// holds for every machine, in touch or not, holds all along, and service is back `RECOVERY` behind the last return.
+/// holds for every machine, in touch or not, holds all along, and service is back `RECOVERY_S` behind the last return.
 #[test]
 fn faults_beyond_the_budget() {
-    play(Losses::BeyondBudget, 0..80);
+    play(LossPolicy::BeyondBudget, 0..80);
 }
--- a/crates/testing/simulation/tests/rosters.rs
+++ b/crates/testing/simulation/tests/rosters.rs
@@ -1,7 +1,7 @@
 //! What a new leader has to know of servers before it replaces a primary.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::World;
+use badgerstream_simulation::Simulation;
 use badgerstream_simulation::servers::beat;
 
 /// A new copy is known to the leader and to one follower only, and alone has the newest commits, when the primary and the
@@ -10,21 +10,21 @@
 fn a_new_leader_hears_of_copies_that_it_did_not_know() {
     let mut played = 0;
     for seed in 0..10 {
-        let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| {
-            w.in_use().as_deref() == Some("a")
+        let mut simulation = Simulation::new(seed);
+        simulation.run_until(6.0, "a primary in use", |w| {
+            w.primary_in_use().as_deref() == Some("a")
         });
-        world.run(3.0);
-        let leader = world.leader().unwrap();
+        simulation.run(3.0);
+        let leader = simulation.leader().unwrap();
         let others: Vec<NodeId> = (1..=3).filter(|node| *node != leader).collect();
         let (takes_over, knows) = (others[0], others[1]);
         // It hears nothing of the others while they are told of the new copy.
         for other in [leader, knows] {
-            world.links.cut.insert((other, takes_over));
+            simulation.network.blocked.insert((other, takes_over));
         }
-        world.add_server("d", "10.0.0.200:1", false);
-        world.servers.get_mut("d").unwrap().beats = false;
-        world.call(
+        simulation.add_server("d", "10.0.0.200:1", false);
+        simulation.servers.get_mut("d").unwrap().sends_heartbeats = false;
+        simulation.submit_request(
             knows,
             9,
             ControlRequest::Heartbeat {
@@ -32,56 +32,56 @@
                 heartbeat: beat("10.0.0.200:1", 1, false),
             },
         );
-        world.run(0.1);
-        assert_eq!(world.replies[&9].0, 200);
+        simulation.run(0.1);
+        assert_eq!(simulation.responses[&9].0, 200);
         for id in ["b", "c"] {
-            world.servers.get_mut(id).unwrap().deaf = true;
+            simulation.servers.get_mut(id).unwrap().receives_nothing = true;
         }
-        world.run(0.15);
-        world.crash("a");
-        world.kill(leader);
+        simulation.run(0.15);
+        simulation.crash("a");
+        simulation.kill(leader);
         // So much waited for the connections to it that some was lost, and this as well.
-        world.links.overflow(leader, takes_over);
-        world.links.overflow(knows, takes_over);
-        world.heal_all();
+        simulation.network.overflow(leader, takes_over);
+        simulation.network.overflow(knows, takes_over);
+        simulation.heal_all();
         for id in ["b", "c"] {
-            world.servers.get_mut(id).unwrap().deaf = false;
+            simulation.servers.get_mut(id).unwrap().receives_nothing = false;
         }
-        world.run_until(4.0, "another leader", |w| w.leader().is_some());
-        let length = |id: &str| world.servers[id].log.len();
+        simulation.run_until(4.0, "another leader", |w| w.leader().is_some());
+        let length = |id: &str| simulation.servers[id].log.len();
         let alone = length("d") > length("b").max(length("c"));
-        played += u32::from(alone && world.leader() == Some(takes_over));
+        played += u32::from(alone && simulation.leader() == Some(takes_over));
         // A promotion without the commits that only the new copy has is an error of the world.
-        world.run(8.0);
+        simulation.run(8.0);
         assert!(
-            !alone || world.promoted.iter().all(|(id, _)| id == "d"),
+            !alone || simulation.promotions.iter().all(|(id, _)| id == "d"),
             "{:?}",
-            world.promoted
+            simulation.promotions
         );
     }
     assert!(played > 3, "{played}");
 }
 
 /// Once call 9 is acknowledged all control machines lose power, and the leader its disk; they are back half a second later.
-fn lose_all_once_acknowledged(world: &mut World) {
-    while !world.replies.contains_key(&9) {
-        world.step();
+fn lose_all_once_acknowledged(simulation: &mut Simulation) {
+    while !simulation.responses.contains_key(&9) {
+        simulation.step();
     }
-    assert_eq!(world.replies[&9].0, 200);
-    let leader = world.leader().expect("somebody leads");
-    world.wipe(leader);
+    assert_eq!(simulation.responses[&9].0, 200);
+    let leader = simulation.leader().expect("somebody leads");
+    simulation.lose_disk(leader);
     for node in (1..=3).filter(|node| *node != leader) {
-        world.power_off(node);
+        simulation.power_off(node);
     }
-    world.run(0.5);
-    (1..=3).for_each(|node| world.start(node));
-    world.run_until(4.0, "another leader", |w| w.leader().is_some());
+    simulation.run(0.5);
+    (1..=3).for_each(|node| simulation.start(node));
+    simulation.run_until(4.0, "another leader", |w| w.leader().is_some());
 }
 
 /// Whether the leader knows that this server, which serves on, drains.
-fn drains(world: &World, id: &str) -> bool {
-    let leader = world.leader().expect("somebody leads");
-    let controller = world.controls[&leader]
+fn drains(simulation: &Simulation, id: &str) -> bool {
+    let leader = simulation.leader().expect("somebody leads");
+    let controller = simulation.machines[&leader]
         .controller
         .as_ref()
         .expect("it runs");
@@ -98,16 +98,16 @@
 #[test]
 fn an_acknowledged_drain_outlives_a_loss_of_all() {
     for seed in 0..20 {
-        let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| {
-            w.in_use().as_deref() == Some("a")
+        let mut simulation = Simulation::new(seed);
+        simulation.run_until(6.0, "a primary in use", |w| {
+            w.primary_in_use().as_deref() == Some("a")
         });
-        world.run(2.0);
-        let server = world.servers.get_mut("b").expect("a replica");
-        server.beats = false;
+        simulation.run(2.0);
+        let server = simulation.servers.get_mut("b").expect("a replica");
+        server.sends_heartbeats = false;
         let endpoint = server.endpoint.clone();
         let asked = 1 + (seed % 3) as NodeId;
-        world.call(
+        simulation.submit_request(
             asked,
             9,
             ControlRequest::Heartbeat {
@@ -115,9 +115,9 @@
                 heartbeat: beat(&endpoint, 1000, true),
             },
         );
-        lose_all_once_acknowledged(&mut world);
-        let leader = world.leader().expect("somebody leads");
-        world.call(
+        lose_all_once_acknowledged(&mut simulation);
+        let leader = simulation.leader().expect("somebody leads");
+        simulation.submit_request(
             leader,
             10,
             ControlRequest::Heartbeat {
@@ -125,8 +125,8 @@
                 heartbeat: beat(&endpoint, 999, false),
             },
         );
-        world.run(1.0);
-        assert!(drains(&world, "b"), "it is taken for one that stays");
+        simulation.run(1.0);
+        assert!(drains(&simulation, "b"), "it is taken for one that stays");
     }
 }
 
@@ -135,22 +135,22 @@
 #[test]
 fn what_is_said_once_outlives_a_loss_of_all() {
     for seed in 0..20 {
-        let mut world = World::new(seed);
-        world.run_until(6.0, "a primary in use", |w| {
-            w.in_use().as_deref() == Some("a")
+        let mut simulation = Simulation::new(seed);
+        simulation.run_until(6.0, "a primary in use", |w| {
+            w.primary_in_use().as_deref() == Some("a")
         });
-        world.run(2.0);
-        world.servers.get_mut("b").expect("a replica").left = true;
+        simulation.run(2.0);
+        simulation.servers.get_mut("b").expect("a replica").departed = true;
         let asked = 1 + (seed % 3) as NodeId;
-        world.call(
+        simulation.submit_request(
             asked,
             9,
             ControlRequest::Depart {
                 server_id: "b".to_owned(),
             },
         );
-        lose_all_once_acknowledged(&mut world);
-        world.run(1.0);
-        assert!(drains(&world, "b"), "it is taken for one that stays");
+        lose_all_once_acknowledged(&mut simulation);
+        simulation.run(1.0);
+        assert!(drains(&simulation, "b"), "it is taken for one that stays");
     }
 }
