--- /dev/null
+++ b/crates/testing/simulation/src/control.rs
@@ -0,0 +1,17 @@
+//! The control machines, their disks and the network between them.
+//!
+//! [`ControlCluster`] owns them. It schedules its own events and returns the outputs of the
+//! decisions; [`crate::Simulation`] carries those out, as they concern other parts too.
+
+mod cluster;
+mod disk;
+mod machine;
+mod network;
+mod persistence;
+mod transport;
+
+pub use cluster::{ControlCluster, Isolation, timing};
+pub use disk::{Disk, DiskHealth, HEALTHY_DISK, WriteOutcome};
+pub use machine::{ControlMachine, PendingWrite};
+pub use network::{OpenConnection, PeerEnvelope, PeerNetwork};
+pub(crate) use transport::Delivery;
--- /dev/null
+++ b/crates/testing/simulation/src/control/cluster.rs
@@ -0,0 +1,353 @@
+//! All control machines: start and end of their processes, and what they decide.
+
+use super::disk::Disk;
+use super::machine::ControlMachine;
+use super::network::PeerNetwork;
+use crate::event::{ControlEvent, Process};
+use crate::health::Health;
+use crate::kernel::Kernel;
+use badgerstream_control::{
+    ControlConfig, Controller, FOUNDING_INCARNATION, FailoverConfig, NodeId, Output, State,
+};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::rc::Rc;
+
+/// Incarnations of disks and processes are drawn below this bound.
+const INCARNATION_BOUND: u64 = 1 << 40;
+
+/// The timings that the pooler process sets by default, with heartbeats of servers every 1.2 s.
+pub fn timing() -> ControlConfig {
+    let failover = FailoverConfig {
+        primary_poll_interval: 0.2,
+        replica_poll_interval: 1.0,
+        primary_timeout: 0.6,
+        query_timeout: 0.6,
+        heartbeat_interval: 1.2,
+        drain_timeout: 7.0,
+    };
+    ControlConfig {
+        lease_duration: 1.0,
+        election_timeout: 0.6,
+        contact_timeout: 1.0,
+        platform_call_timeout: 1.0,
+        duty_handover_delay: 0.0,
+        request_timeout: 0.9,
+        member_timeout: 4.8,
+        failover,
+    }
+}
+
+/// Which directions between a machine and all other control machines are blocked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Isolation {
+    /// Nothing passes either way.
+    BothWays,
+    /// The machine receives nothing; the others receive what it sends.
+    Inbound,
+    /// The others receive nothing of the machine; it receives what they send.
+    Outbound,
+}
+
+impl Isolation {
+    fn blocks_inbound(self) -> bool {
+        self != Isolation::Outbound
+    }
+
+    fn blocks_outbound(self) -> bool {
+        self != Isolation::Inbound
+    }
+}
+
+/// All control machines, and the network between them.
+#[derive(Clone)]
+pub struct ControlCluster {
+    /// The machines, those that were replaced among them.
+    pub machines: BTreeMap<NodeId, ControlMachine>,
+    /// The control machines that settings name.
+    pub seed_nodes: Vec<NodeId>,
+    /// How many control machines may be lost at once.
+    pub fault_budget: usize,
+    /// Connections between control machines.
+    pub network: PeerNetwork,
+    /// Control machines that are isolated from the others, in one direction at least.
+    isolated: BTreeSet<NodeId>,
+    /// The control machines are partitioned into two halves.
+    halved: bool,
+    /// The newest connection on which a receiver (first) has had a message of a sender.
+    pub(super) newest_connections: HashMap<(NodeId, NodeId), u64>,
+    /// Control machines that reach no server.
+    pub cut_from_servers: HashSet<NodeId>,
+}
+
+impl ControlCluster {
+    /// No machine yet; the first three of so many are named in settings.
+    pub(crate) fn new(machines: u32, fault_budget: usize) -> ControlCluster {
+        ControlCluster {
+            machines: BTreeMap::new(),
+            seed_nodes: (1..=machines.min(3)).collect(),
+            fault_budget,
+            network: PeerNetwork::default(),
+            isolated: BTreeSet::new(),
+            halved: false,
+            newest_connections: HashMap::new(),
+            cut_from_servers: HashSet::new(),
+        }
+    }
+
+    /// Adds a machine of the founding voter set, with an empty disk, not started yet.
+    pub(crate) fn add_founding_machine(&mut self, node: NodeId) {
+        let machine = ControlMachine::new(node, FOUNDING_INCARNATION, &self.seed_nodes);
+        self.machines.insert(node, machine);
+    }
+
+    /// Adds a machine with an empty disk, not started yet.
+    pub(crate) fn add_machine(&mut self, kernel: &mut Kernel, node: NodeId) {
+        let incarnation = draw_disk_incarnation(kernel);
+        let machine = ControlMachine::new(node, incarnation, &self.seed_nodes);
+        self.machines.insert(node, machine);
+    }
+
+    pub(crate) fn machine_mut(&mut self, node: NodeId) -> &mut ControlMachine {
+        self.machines.get_mut(&node).expect("the machine exists")
+    }
+
+    /// Starts the machine's process with what its disk holds.
+    pub(crate) fn start(&mut self, kernel: &mut Kernel, node: NodeId) {
+        let incarnation = 1 + kernel.random.below(INCARNATION_BOUND);
+        let stale_seed_nodes = self.stale_seed_nodes(kernel, node);
+        let fault_budget = self.fault_budget;
+        let is_founding_seed = self.seed_nodes.contains(&node);
+        let machine = self.machine_mut(node);
+        if machine.process_incarnation > 0 || !is_founding_seed {
+            machine.seed_nodes = stale_seed_nodes;
+        }
+        machine.process_incarnation = incarnation;
+        machine.health = Health::Up;
+        machine.frozen = false;
+        machine.shutting_down = false;
+        machine.pending_write = None;
+        machine.inbox.clear();
+        let clock = machine.clock(kernel.now());
+        let voter = machine.voter();
+        let hard_state = machine.disk.hard_state.clone();
+        let mut controller = Controller::new(voter, hard_state, clock, incarnation, timing());
+        controller.set_seeds_and_budget(machine.seed_nodes.clone(), fault_budget);
+        controller.restore_members(clock, machine.disk.members.clone(), 0.0);
+        machine.controller = Some(controller);
+        kernel.schedule(0.0, ControlEvent::Tick(Process { node, incarnation }));
+        kernel.trace(|| format!("control {node} starts as {voter}"));
+    }
+
+    /// Three seed nodes as a list that lags behind has them: some may be replaced by now, but not
+    /// all.
+    fn stale_seed_nodes(&mut self, kernel: &mut Kernel, of: NodeId) -> Vec<NodeId> {
+        let others = self
+            .machines
+            .values()
+            .filter(|machine| !machine.removed && machine.node != of);
+        let others: Vec<NodeId> = others.map(|machine| machine.node).collect();
+        let removed = self.machines.values().filter(|machine| machine.removed);
+        let removed: Vec<NodeId> = removed.map(|machine| machine.node).collect();
+        let random = &mut kernel.random;
+        let mut seed_nodes: Vec<NodeId> = (0..2).filter_map(|_| random.pick(&others)).collect();
+        seed_nodes.extend(random.pick(&removed).or(random.pick(&others)));
+        seed_nodes
+    }
+
+    /// Ends the process; a write under way is interrupted. Other machines have to open new
+    /// connections to it.
+    pub(crate) fn end_process(&mut self, kernel: &mut Kernel, node: NodeId, health: Health) {
+        let machine = self.machine_mut(node);
+        machine.controller = None;
+        if let Some(write) = machine.pending_write.take() {
+            machine
+                .disk
+                .interrupt_write(write.hard_state, &mut kernel.random);
+        }
+        machine.health = health;
+        machine.frozen = false;
+        machine.inbox.clear();
+        for other in self.nodes_except(node) {
+            self.network.reset(other, node);
+        }
+    }
+
+    /// Replaces the disk by an empty one, whose settings name the founding seed nodes.
+    pub(crate) fn replace_disk(&mut self, kernel: &mut Kernel, node: NodeId) {
+        kernel.trace(|| format!("control {node} loses its disk"));
+        let incarnation = draw_disk_incarnation(kernel);
+        let seed_nodes = self.seed_nodes.clone();
+        let machine = self.machine_mut(node);
+        machine.disk = Disk::empty(incarnation, &seed_nodes);
+        machine.seed_nodes = seed_nodes;
+    }
+
+    fn nodes_except(&self, node: NodeId) -> Vec<NodeId> {
+        let nodes = self.machines.keys().copied();
+        nodes.filter(|other| *other != node).collect()
+    }
+
+    /// Lets the machine decide; `None` if its process doesn't run.
+    pub(crate) fn decide(
+        &mut self,
+        node: NodeId,
+        now: f64,
+        decision: impl FnOnce(&mut Controller, f64) -> Vec<Output>,
+    ) -> Option<Vec<Output>> {
+        let machine = self.machines.get_mut(&node)?;
+        let clock = machine.clock(now);
+        let controller = machine.controller.as_mut()?;
+        Some(decision(controller, clock))
+    }
+
+    /// Gives the event back if its process takes it in now. While the process is stalled the event
+    /// waits in its inbox; without the process it is dropped.
+    pub(crate) fn admit(&mut self, event: ControlEvent) -> Option<ControlEvent> {
+        let Some(addressee) = event.addressee() else {
+            return Some(event);
+        };
+        let machine = self.machines.get_mut(&addressee.node())?;
+        if machine.controller.is_none() || !addressee.accepts(machine.process_incarnation) {
+            return None;
+        }
+        if machine.is_stalled() {
+            machine.inbox.push(event);
+            return None;
+        }
+        Some(event)
+    }
+
+    /// Takes the events that waited for the process, unless it is still stalled.
+    pub(crate) fn take_inbox(&mut self, node: NodeId) -> Vec<ControlEvent> {
+        let machine = self.machine_mut(node);
+        if machine.is_stalled() {
+            return Vec::new();
+        }
+        std::mem::take(&mut machine.inbox)
+    }
+
+    /// The machine that leads and may act.
+    pub fn leader(&self, now: f64) -> Option<NodeId> {
+        let acts = |machine: &ControlMachine| {
+            let controller = machine.controller.as_ref().filter(|_| !machine.frozen)?;
+            let may_act = controller.may_act(machine.clock(now));
+            may_act.then_some(machine.node)
+        };
+        self.machines.values().find_map(acts)
+    }
+
+    /// The failover phase in which the leader sees the service, as its status names it.
+    pub fn phase(&self, now: f64) -> &'static str {
+        let controller = self
+            .leader(now)
+            .and_then(|leader| self.machines[&leader].controller.as_ref());
+        let Some(controller) = controller else {
+            return "none";
+        };
+        controller
+            .primaries()
+            .first()
+            .map_or("unknown", |primary| primary.phase)
+    }
+
+    /// Whether this machine runs, is in touch with the others and can write to its disk.
+    pub fn is_healthy(&self, node: NodeId) -> bool {
+        let Some(machine) = self.machines.get(&node) else {
+            return false;
+        };
+        let runs = machine.controller.is_some() && !machine.shutting_down && !machine.frozen;
+        runs && machine.disk.health.is_healthy() && !self.isolated.contains(&node)
+    }
+
+    /// The newest state that any running machine knows to be committed.
+    pub(crate) fn newest_committed_state(&self) -> Option<Rc<State>> {
+        let committed = |machine: &ControlMachine| {
+            let consensus = machine.controller.as_ref()?.consensus();
+            consensus.committed_state().cloned()
+        };
+        self.machines
+            .values()
+            .filter_map(committed)
+            .max_by_key(|state| state.version)
+    }
+
+    /// Whether the committed voter set is that of all machines with their disks of now, without
+    /// those that were removed.
+    pub fn all_machines_vote(&self) -> bool {
+        let Some(state) = self.newest_committed_state() else {
+            return false;
+        };
+        let votes_as_it_should =
+            |machine: &ControlMachine| state.voters.contains(machine.voter()) != machine.removed;
+        !state.voters.is_joint() && self.machines.values().all(votes_as_it_should)
+    }
+
+    /// A random machine that runs, isn't stalled and is reached by servers.
+    pub(crate) fn random_reachable_machine(&self, kernel: &mut Kernel) -> Option<NodeId> {
+        let is_reachable = |machine: &&ControlMachine| {
+            machine.controller.is_some()
+                && !machine.is_stalled()
+                && !self.cut_from_servers.contains(&machine.node)
+        };
+        let reachable = self.machines.values().filter(is_reachable);
+        let reachable: Vec<NodeId> = reachable.map(|machine| machine.node).collect();
+        kernel.random.pick(&reachable)
+    }
+
+    /// Whether the control machines are partitioned into halves.
+    pub fn is_halved(&self) -> bool {
+        self.halved
+    }
+
+    /// Blocks the links of this machine to all others.
+    pub(crate) fn isolate(&mut self, node: NodeId, isolation: Isolation) {
+        self.isolated.insert(node);
+        for other in self.nodes_except(node) {
+            if isolation.blocks_inbound() {
+                self.network.blocked.insert((other, node));
+            }
+            if isolation.blocks_outbound() {
+                self.network.blocked.insert((node, other));
+            }
+        }
+    }
+
+    /// Unblocks all links of this machine.
+    pub(crate) fn heal(&mut self, kernel: &mut Kernel, node: NodeId) {
+        self.isolated.remove(&node);
+        self.network.unblock_machine(node);
+        self.release_held_back(kernel);
+    }
+
+    /// Blocks all links between the two groups.
+    pub(crate) fn partition_halves(&mut self, half: &[NodeId], other_half: &[NodeId]) {
+        self.halved = true;
+        for one in half {
+            for other in other_half {
+                self.network.block_both_ways(*one, *other);
+            }
+        }
+    }
+
+    /// Unblocks all links.
+    pub(crate) fn heal_all(&mut self, kernel: &mut Kernel) {
+        self.halved = false;
+        self.isolated.clear();
+        self.network.blocked.clear();
+        self.release_held_back(kernel);
+    }
+
+    /// Resets all connections between control machines.
+    pub(crate) fn reset_connections(&mut self) {
+        let nodes: Vec<NodeId> = self.machines.keys().copied().collect();
+        for from in &nodes {
+            for to in nodes.iter().filter(|to| *to != from) {
+                self.network.reset(*from, *to);
+            }
+        }
+    }
+}
+
+fn draw_disk_incarnation(kernel: &mut Kernel) -> u64 {
+    FOUNDING_INCARNATION + 1 + kernel.random.below(INCARNATION_BOUND)
+}
--- /dev/null
+++ b/crates/testing/simulation/src/edge.rs
@@ -0,0 +1,7 @@
+//! The routers: their leases, grants and statements.
+
+mod fleet;
+mod router;
+
+pub use fleet::{ActivatedConfig, Edge};
+pub use router::Router;
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,113 +1,57 @@
-//! Faults by chance: as many machines lost at a time as the budget allows, or any number of them as long as no more disks are lost
-//! than it allows; and some that strike all at once.
+//! Runs with random faults: as many machines lost at a time as the budget allows, or any number of
+//! them as long as no more disks are lost than it allows; and some faults of all machines at once.
+//!
+//! The injector draws from a random source of its own, so that it doesn't disturb the simulation's.
 
-use crate::disk::{DiskHealth, HEALTHY_DISK};
+mod kinds;
+
+pub use kinds::LossPolicy;
+
+use crate::control::{ControlMachine, DiskHealth, HEALTHY_DISK, Isolation};
+use crate::kernel::RandomSource;
 use crate::oracle::{CATCH_UP_S, RECOVERY_S};
-use crate::schedule::RandomSource;
 use crate::simulation::Simulation;
 use badgerstream_control::NodeId;
+use kinds::{Fault, Recovery, ScheduledRecovery};
 
 /// Operators at work at once.
 const OPERATOR_COUNT: usize = 6;
 
-/// Routers that are told of configurations.
+/// Routers that receive configurations.
 const ROUTER_COUNT: usize = 2;
 
-/// What may happen.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fault {
-    Kill,
-    PowerOff,
-    LoseDisk,
-    Freeze,
-    Isolate,
-    IsolateOneWay,
-    DiskFull,
-    DiskSlow,
-    DiskStall,
-    Replace,
-    ReplacePlanned,
-    Restart,
-    ResetConnections,
-    KillAll,
-    PowerOffAll,
-    LoseSomeDisks,
-    PartitionHalves,
-}
-
-const FAULTS: [Fault; 17] = [
-    Fault::Kill,
-    Fault::PowerOff,
-    Fault::LoseDisk,
-    Fault::Freeze,
-    Fault::Isolate,
-    Fault::IsolateOneWay,
-    Fault::DiskFull,
-    Fault::DiskSlow,
-    Fault::DiskStall,
-    Fault::Replace,
-    Fault::ReplacePlanned,
-    Fault::Restart,
-    Fault::ResetConnections,
-    Fault::KillAll,
-    Fault::PowerOffAll,
-    Fault::LoseSomeDisks,
-    Fault::PartitionHalves,
-];
-
-impl Fault {
-    /// Whether a disk is lost by it.
-    fn loses_disk(self) -> bool {
-        matches!(
-            self,
-            Fault::LoseDisk | Fault::Replace | Fault::ReplacePlanned
-        )
-    }
-}
+/// What tells the injector's seed from the simulation's.
+const SEED_MASK: u64 = 0x5eed;
 
-/// How many machines may be lost at once.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LossPolicy {
-    /// No more than the budget allows, until they have caught up.
-    WithinBudget,
-    /// Any number, and the links between two halves; but no more disks than the budget allows, until all machines decide again.
-    /// Service may rest meanwhile.
-    BeyondBudget,
-}
+/// The control machines start for so many seconds before the first fault.
+const START_S: f64 = 3.0;
 
-/// What is to be undone, and when.
-#[derive(Clone, Debug)]
-enum Recovery {
-    Start(NodeId),
-    Thaw(NodeId),
-    Join(NodeId),
-    Heal(NodeId),
-    RepairDisk(NodeId),
-    Remove(NodeId),
-    RejoinHalves,
-}
+/// The most seconds between two decisions of the injector, mostly and in a burst.
+const USUAL_PAUSE_S: f64 = 3.0;
+const BURST_PAUSE_S: f64 = 0.3;
 
-/// A world with faults by chance.
+/// A simulation with random faults.
 pub struct FaultRun {
-    /// The world.
+    /// The simulation.
     pub simulation: Simulation,
     random: RandomSource,
-    pending_recoveries: Vec<(f64, Recovery)>,
+    pending_recoveries: Vec<ScheduledRecovery>,
     next_node: NodeId,
     loss_policy: LossPolicy,
-    /// Disks lost since all machines last decided.
+    /// Disks lost since all machines last voted.
     disks_lost: usize,
-    /// What happened, for a message.
+    /// What happened and when, for messages.
     pub fault_log: Vec<String>,
 }
 
 impl FaultRun {
-    /// So many machines, of which so many may be lost at once, and a few operators.
-    pub fn new(seed: u64, machines: u32, budget: usize, losses: LossPolicy) -> FaultRun {
-        let mut simulation = Simulation::control_only(seed, machines, budget);
-        simulation.network.resets_per_mille = if seed.is_multiple_of(3) { 2 } else { 0 };
-        simulation.operator_answers_lost_per_mille = (seed % 4) * 60;
-        simulation.message_delay_s = if seed.is_multiple_of(2) {
+    /// So many machines, of which `fault_budget` may be lost at once, and a few operators and
+    /// routers.
+    pub fn new(seed: u64, machines: u32, fault_budget: usize, loss_policy: LossPolicy) -> FaultRun {
+        let mut simulation = Simulation::control_only(seed, machines, fault_budget);
+        simulation.control.network.resets_per_mille = if seed.is_multiple_of(3) { 2 } else { 0 };
+        simulation.operators.responses_lost_per_mille = (seed % 4) * 60;
+        simulation.kernel.message_delay_s = if seed.is_multiple_of(2) {
             0.0015
         } else {
             0.012
@@ -115,33 +59,41 @@
         for _ in 0..OPERATOR_COUNT {
             simulation.add_operator();
         }
-        for at in 0..ROUTER_COUNT {
-            simulation.add_router(at);
+        for _ in 0..ROUTER_COUNT {
+            simulation.add_router();
         }
-        let next_node = machines + 1;
         FaultRun {
             simulation,
-            random: RandomSource::new(seed ^ 0x5eed),
+            random: RandomSource::new(seed ^ SEED_MASK),
             pending_recoveries: Vec::new(),
-            next_node,
-            loss_policy: losses,
+            next_node: machines + 1,
+            loss_policy,
             disks_lost: 0,
             fault_log: Vec::new(),
         }
     }
 
-    /// Plays faults for so many seconds, then waits until all is calm and something was acknowledged.
+    /// Injects faults for so many seconds, then waits until all have ended and control has had its
+    /// time to recover.
+    ///
+    /// # Panics
+    ///
+    /// If the oracle finds a violation, or nobody leads at the end.
     pub fn play(&mut self, seconds: f64) {
-        self.simulation.run(3.0);
-        let until = self.simulation.now + seconds;
-        while self.simulation.now < until {
+        self.simulation.run(START_S);
+        let until = self.simulation.now() + seconds;
+        while self.simulation.now() < until {
             self.recover_due();
-            let pause = if self.random.per_mille(300) { 0.3 } else { 3.0 };
+            let longest_pause = if self.random.per_mille(300) {
+                BURST_PAUSE_S
+            } else {
+                USUAL_PAUSE_S
+            };
             if self.random.per_mille(600) {
                 self.inject();
             }
-            let wait = self.random.between(0.0, pause);
-            self.wait(wait);
+            let pause = self.random.between(0.0, longest_pause);
+            self.wait(pause);
         }
         while !self.pending_recoveries.is_empty() {
             self.wait(0.1);
@@ -154,86 +106,64 @@
         );
     }
 
+    /// Lets time pass, with the recoveries that are due in it.
     fn wait(&mut self, seconds: f64) {
-        let until = self.simulation.now + seconds;
-        while self.simulation.now < until {
-            let next = self
-                .pending_recoveries
-                .iter()
-                .map(|(at, _)| *at)
-                .fold(until, f64::min);
-            self.simulation.run((next - self.simulation.now).max(0.001));
+        let until = self.simulation.now() + seconds;
+        while self.simulation.now() < until {
+            let due = self.pending_recoveries.iter().map(|pending| pending.at);
+            let next = due.fold(until, f64::min);
+            self.simulation
+                .run((next - self.simulation.now()).max(0.001));
             self.recover_due();
         }
     }
 
     fn recover_due(&mut self) {
-        let now = self.simulation.now;
-        let (due, kept) = std::mem::take(&mut self.pending_recoveries)
+        let now = self.simulation.now();
+        let (due, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_recoveries)
             .into_iter()
-            .partition(|(at, _)| *at <= now);
-        self.pending_recoveries = kept;
-        let due: Vec<(f64, Recovery)> = due;
-        for (_, undo) in due {
-            self.log_fault(format!("{undo:?}"));
-            match undo {
-                Recovery::Start(node) => self.simulation.start(node),
-                Recovery::Thaw(node) => self.simulation.thaw(node),
-                Recovery::Join(node) => self.simulation.add_and_start(node),
-                Recovery::Heal(node) => self.simulation.heal(node),
-                Recovery::RepairDisk(node) => self.simulation.set_disk_health(node, HEALTHY_DISK),
-                Recovery::Remove(node) => self.simulation.remove(node),
-                Recovery::RejoinHalves => self.simulation.rejoin_halves(),
-            }
+            .partition(|pending| pending.at <= now);
+        self.pending_recoveries = pending;
+        for ScheduledRecovery { recovery, .. } in due {
+            self.log_fault(format!("{recovery:?}"));
+            self.recover(&recovery);
         }
     }
 
-    fn log_fault(&mut self, what: String) {
-        self.fault_log
-            .push(format!("{:.3} {what}", self.simulation.now));
+    fn recover(&mut self, recovery: &Recovery) {
+        let simulation = &mut self.simulation;
+        match recovery {
+            Recovery::Start(node) => simulation.start(*node),
+            Recovery::Thaw(node) => simulation.thaw(*node),
+            Recovery::Join(node) => simulation.add_and_start(*node),
+            Recovery::Heal(node) => simulation.heal(*node),
+            Recovery::RepairDisk(node) => simulation.set_disk_health(*node, HEALTHY_DISK),
+            Recovery::Remove(node) => simulation.remove(*node),
+            Recovery::RejoinHalves => simulation.rejoin_halves(),
+        }
     }
 
-    fn schedule_recovery(&mut self, low: f64, high: f64, undo: Recovery) {
-        let at = self.simulation.now + self.random.between(low, high);
-        self.pending_recoveries.push((at, undo));
+    fn log_fault(&mut self, text: String) {
+        let now = self.simulation.now();
+        self.fault_log.push(format!("{now:.3} {text}"));
     }
 
-    /// One machine that may be lost, the leader as often as not.
-    fn choose_victim(&mut self) -> Option<NodeId> {
-        let simulation = &self.simulation;
-        let within = self.loss_policy == LossPolicy::WithinBudget;
-        if within && simulation.lost_machines() >= simulation.fault_budget {
-            return None;
-        }
-        let fit = |node: &NodeId| {
-            if within {
-                !simulation.is_lost(*node)
-            } else {
-                simulation.is_healthy(*node)
-            }
-        };
-        let there = |node: &NodeId| !simulation.machines[node].removed && fit(node);
-        let fit: Vec<NodeId> = simulation.machines.keys().copied().filter(there).collect();
-        let leader = self
-            .simulation
-            .leader()
-            .filter(|leader| fit.contains(leader));
-        if self.random.per_mille(500) {
-            leader.or(self.random.pick(&fit))
-        } else {
-            self.random.pick(&fit)
-        }
+    /// Schedules a recovery between so many seconds from now.
+    fn schedule_recovery(&mut self, earliest_s: f64, latest_s: f64, recovery: Recovery) {
+        let at = self.simulation.now() + self.random.between(earliest_s, latest_s);
+        self.pending_recoveries
+            .push(ScheduledRecovery { at, recovery });
     }
 
     fn inject(&mut self) {
-        let Some(fault) = self.random.pick(&FAULTS) else {
+        let Some(fault) = self.random.pick(&Fault::ALL) else {
             return;
         };
         if self.simulation.all_machines_vote() && self.simulation.lost_machines() == 0 {
             self.disks_lost = 0;
         }
         match fault {
-            Fault::PartitionHalves => self.partition_into_halves(),
+            Fault::PartitionHalves => self.partition_halves(),
             _ if fault.loses_disk() && !self.may_lose_disk() => {}
             Fault::KillAll | Fault::PowerOffAll | Fault::LoseSomeDisks => self.inject_on_all(fault),
             Fault::ResetConnections => self.simulation.reset_connections(),
@@ -247,29 +177,58 @@
         }
     }
 
+    fn is_within_budget(&self) -> bool {
+        self.loss_policy == LossPolicy::WithinBudget
+    }
+
     /// Whether the disk of one more machine may be lost now.
     fn may_lose_disk(&self) -> bool {
-        self.loss_policy == LossPolicy::WithinBudget
-            || self.disks_lost < self.simulation.fault_budget
+        self.is_within_budget() || self.disks_lost < self.simulation.control.fault_budget
+    }
+
+    /// One machine that may be lost, the leader as often as not.
+    fn choose_victim(&mut self) -> Option<NodeId> {
+        let simulation = &self.simulation;
+        let is_within_budget = self.is_within_budget();
+        if is_within_budget && simulation.lost_machines() >= simulation.control.fault_budget {
+            return None;
+        }
+        let may_be_lost = |machine: &&ControlMachine| {
+            !machine.removed
+                && if is_within_budget {
+                    !simulation.is_lost(machine.node)
+                } else {
+                    simulation.control.is_healthy(machine.node)
+                }
+        };
+        let machines = simulation.control.machines.values().filter(may_be_lost);
+        let candidates: Vec<NodeId> = machines.map(|machine| machine.node).collect();
+        let leader = simulation
+            .leader()
+            .filter(|leader| candidates.contains(leader));
+        if self.random.per_mille(500) {
+            // Drawn in either case: the draws of a seed don't depend on whether somebody leads.
+            leader.or(self.random.pick(&candidates))
+        } else {
+            self.random.pick(&candidates)
+        }
     }
 
-    /// Half of the machines and the others don't reach each other for some seconds, whatever the budget is.
-    fn partition_into_halves(&mut self) {
-        if self.loss_policy == LossPolicy::WithinBudget || self.simulation.halved {
+    /// Half of the machines and the others don't reach each other for some seconds, whatever the
+    /// budget is.
+    fn partition_halves(&mut self) {
+        if self.is_within_budget() || self.simulation.control.is_halved() {
             return;
         }
-        let mut others: Vec<NodeId> = self
-            .simulation
-            .machines
-            .iter()
-            .filter(|(_, m)| !m.removed)
-            .map(|(node, _)| *node)
-            .collect();
+        let machines = self.simulation.control.machines.values();
+        let present = machines.filter(|machine| !machine.removed);
+        let mut others: Vec<NodeId> = present.map(|machine| machine.node).collect();
         let mut half = Vec::new();
         for _ in 0..others.len() / 2 {
-            half.push(others.remove(self.random.below(others.len() as u64) as usize));
+            let index = self.random.below(others.len() as u64) as usize;
+            half.push(others.remove(index));
         }
-        self.log_fault(format!("Halves {half:?} {others:?}"));
+        self.log_fault(format!("PartitionHalves {half:?} {others:?}"));
         self.simulation.partition_halves(&half, &others);
         self.schedule_recovery(0.2, 6.0, Recovery::RejoinHalves);
     }
@@ -292,85 +251,85 @@
                 self.simulation.freeze(node);
                 self.schedule_recovery(0.05, 5.0, Recovery::Thaw(node));
             }
-            Fault::Isolate => {
-                self.simulation.isolate(node, true, true);
-                self.schedule_recovery(0.2, 20.0, Recovery::Heal(node));
-            }
+            Fault::Isolate => self.inject_isolation(node, Isolation::BothWays),
             Fault::IsolateOneWay => {
-                let hears = self.random.per_mille(500);
-                self.simulation.isolate(node, hears, !hears);
-                self.schedule_recovery(0.2, 20.0, Recovery::Heal(node));
+                let isolation = if self.random.per_mille(500) {
+                    Isolation::Inbound
+                } else {
+                    Isolation::Outbound
+                };
+                self.inject_isolation(node, isolation);
             }
-            Fault::DiskFull => {
-                self.simulation.set_disk_health(node, DiskHealth::Full);
-                self.schedule_recovery(0.2, 5.0, Recovery::RepairDisk(node));
-            }
-            Fault::DiskSlow => {
-                let takes = self.random.between(0.05, 0.5);
-                self.simulation
-                    .set_disk_health(node, DiskHealth::WriteLatency(takes));
-                self.schedule_recovery(0.2, 5.0, Recovery::RepairDisk(node));
-            }
-            Fault::DiskStall => {
-                let stalled = self.random.between(0.2, 4.0);
-                let until = self.simulation.now + stalled;
-                self.simulation
-                    .set_disk_health(node, DiskHealth::StalledUntil(until));
-                self.schedule_recovery(stalled, stalled + 0.01, Recovery::RepairDisk(node));
-            }
-            Fault::Replace => {
-                self.simulation.remove(node);
-                let successor = self.new_node();
-                self.simulation.expect_successor(node);
-                self.schedule_recovery(0.2, 3.0, Recovery::Join(successor));
-            }
-            Fault::ReplacePlanned => {
-                let successor = self.new_node();
-                self.simulation.add_and_start(successor);
-                self.schedule_recovery(2.0, 6.0, Recovery::Remove(node));
-                self.simulation.expect_successor(node);
-                self.simulation.schedule_shutdown(node);
+            Fault::DiskFull | Fault::DiskSlow | Fault::DiskStall => {
+                self.inject_on_disk(fault, node);
             }
+            Fault::Replace | Fault::ReplacePlanned => self.inject_replacement(fault, node),
             Fault::Restart => {
                 self.simulation.request_shutdown(node);
                 self.wait(0.5);
                 self.simulation.kill(node);
                 self.schedule_recovery(0.1, 1.0, Recovery::Start(node));
             }
-            _ => {}
+            Fault::ResetConnections
+            | Fault::KillAll
+            | Fault::PowerOffAll
+            | Fault::LoseSomeDisks
+            | Fault::PartitionHalves => unreachable!("{fault:?} strikes more than one machine"),
         }
     }
 
-    fn new_node(&mut self) -> NodeId {
+    fn inject_isolation(&mut self, node: NodeId, isolation: Isolation) {
+        self.simulation.isolate(node, isolation);
+        self.schedule_recovery(0.2, 20.0, Recovery::Heal(node));
+    }
+
+    fn inject_on_disk(&mut self, fault: Fault, node: NodeId) {
+        let repair = Recovery::RepairDisk(node);
+        match fault {
+            Fault::DiskSlow => {
+                let latency = self.random.between(0.05, 0.5);
+                let health = DiskHealth::WriteLatency(latency);
+                self.simulation.set_disk_health(node, health);
+                self.schedule_recovery(0.2, 5.0, repair);
+            }
+            Fault::DiskStall => {
+                let stall_s = self.random.between(0.2, 4.0);
+                let until = self.simulation.now() + stall_s;
+                let health = DiskHealth::StalledUntil(until);
+                self.simulation.set_disk_health(node, health);
+                self.schedule_recovery(stall_s, stall_s + 0.01, repair);
+            }
+            _ => {
+                self.simulation.set_disk_health(node, DiskHealth::Full);
+                self.schedule_recovery(0.2, 5.0, repair);
+            }
+        }
+    }
+
+    fn inject_replacement(&mut self, fault: Fault, node: NodeId) {
+        let successor = self.next_node;
         self.next_node += 1;
-        self.next_node - 1
+        if fault == Fault::ReplacePlanned {
+            self.simulation.add_and_start(successor);
+            self.schedule_recovery(2.0, 6.0, Recovery::Remove(node));
+            self.simulation.expect_successor(node);
+            self.simulation.schedule_shutdown(node);
+        } else {
+            self.simulation.remove(node);
+            self.simulation.expect_successor(node);
+            self.schedule_recovery(0.2, 3.0, Recovery::Join(successor));
+        }
     }
 
     /// All processes or machines at once, and of some the disks besides.
     fn inject_on_all(&mut self, fault: Fault) {
-        let within = self.loss_policy == LossPolicy::WithinBudget;
-        if within && (!self.pending_recoveries.is_empty() || self.simulation.lost_machines() > 0) {
+        let is_calm = self.pending_recoveries.is_empty() && self.simulation.lost_machines() == 0;
+        if self.is_within_budget() && !is_calm {
             return;
         }
         self.log_fault(format!("{fault:?}"));
-        let there = |node: &NodeId| within || self.simulation.is_healthy(*node);
-        let machines = self
-            .simulation
-            .machines
-            .iter()
-            .filter(|(_, m)| !m.removed)
-            .map(|(node, _)| *node);
-        let nodes: Vec<NodeId> = machines.filter(there).collect();
-        let disks = if within {
-            self.simulation.fault_budget
-        } else {
-            self.simulation.fault_budget - self.disks_lost
-        };
-        let mut wiped: Vec<NodeId> = nodes.clone();
-        while wiped.len() > disks {
-            let at = self.random.below(wiped.len() as u64) as usize;
-            wiped.remove(at);
-        }
+        let nodes = self.machines_to_strike();
+        let wiped = self.choose_disks(&nodes);
         if fault == Fault::LoseSomeDisks {
             self.disks_lost += wiped.len();
         }
@@ -383,4 +342,31 @@
             self.schedule_recovery(0.3, 1.5, Recovery::Start(node));
         }
     }
+
+    /// All machines; beyond the budget those that are healthy, as the others have faults already.
+    fn machines_to_strike(&self) -> Vec<NodeId> {
+        let control = &self.simulation.control;
+        let machines = control.machines.values();
+        machines
+            .filter(|machine| !machine.removed)
+            .map(|machine| machine.node)
+            .filter(|node| self.is_within_budget() || control.is_healthy(*node))
+            .collect()
+    }
+
+    /// As many of the machines as may lose their disks now.
+    fn choose_disks(&mut self, nodes: &[NodeId]) -> Vec<NodeId> {
+        let fault_budget = self.simulation.control.fault_budget;
+        let limit = if self.is_within_budget() {
+            fault_budget
+        } else {
+            fault_budget - self.disks_lost
+        };
+        let mut chosen = nodes.to_vec();
+        while chosen.len() > limit {
+            let index = self.random.below(chosen.len() as u64) as usize;
+            chosen.remove(index);
+        }
+        chosen
+    }
 }
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -1,29 +1,39 @@
-//! The control side in simulated time: the decisions that ship ([`badgerstream_control`]), round them machines with disks
-//! and links, database servers, routers, the platform and operators, all driven by one clock.
+//! The control side in simulated time: the decisions that ship ([`badgerstream_control`]), and
+//! around them machines with disks and a network, database servers, routers, the platform and
+//! operators, all driven by one clock.
 //!
-//! A run is a function of its seed and of what is done to it. Safety is checked at every event, and liveness whenever no
-//! more machines are lost than the fault budget allows ([`oracle`]). Days for the users' bench are drawn here, too ([`days`]).
-
-#![allow(missing_docs, reason = "to be documented file by file")]
+//! A run is a function of its seed and of what is done to it. The layout, from the inside out:
+//!
+//! - [`kernel`]: clock, event queue and random source; [`event`]: what is scheduled
+//! - [`control`], [`service`], [`edge`], [`platform`], [`operators`]: the parts, each of which owns
+//!   its state, handles its events and schedules what follows
+//! - [`oracle`]: what must hold: safety at every event, liveness whenever no more machines are lost
+//!   than the fault budget allows; [`digest`]: one number for all that a run decided and when
+//! - [`simulation`]: the parts together, and the loop over events
+//! - [`faults`]: runs with random faults
+//! - [`days`]: days for the users' bench, drawn from seeds; they use nothing of the simulation
 
-pub mod control_machine;
+pub mod control;
 pub mod days;
 pub mod digest;
-pub mod disk;
+pub mod edge;
+pub mod event;
 pub mod faults;
-pub mod network;
+mod health;
+pub mod kernel;
+mod observer;
 pub mod operators;
 pub mod oracle;
 pub mod platform;
-pub mod routers;
-pub mod schedule;
-pub mod servers;
+mod requests;
+pub mod service;
 pub mod simulation;
 
-pub use control_machine::ControlMachine;
-pub use routers::Router;
-pub use servers::{Health, SERVICE, Server};
-pub use simulation::{Simulation, timing};
+pub use control::{ControlMachine, DiskHealth, HEALTHY_DISK, Isolation};
+pub use health::Health;
+pub use requests::Responses;
+pub use service::{SERVICE, Server};
+pub use simulation::Simulation;
 
 #[cfg(test)]
 mod tests {
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -1,11 +1,15 @@
-//! `badgerstream-simulate`: the control side under faults by chance, for as many seeds as wanted; and days for the users' bench, drawn
-//! from seeds.
+//! `badgerstream-simulate`: the control side under random faults, for as many seeds as wanted; and
+//! days for the users' bench, drawn from seeds.
 
 use badgerstream_simulation::days::{Day, Site};
 use badgerstream_simulation::faults::{FaultRun, LossPolicy};
 use clap::{Parser, Subcommand};
+use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
+/// Machines and fault budgets, of which the seed picks one if `--machines` isn't given.
+const SIZES: [(u32, usize); 4] = [(3, 1), (5, 2), (6, 2), (4, 1)];
+
 /// Plays the control side with faults by chance and checks safety and liveness.
 #[derive(Parser)]
 #[command(
@@ -15,7 +19,7 @@
 )]
 struct Arguments {
     #[command(subcommand)]
-    draw: Option<Draw>,
+    command: Option<Command>,
     /// The first seed.
     #[arg(long, default_value_t = 0)]
     seed: u64,
@@ -40,7 +44,7 @@
 }
 
 #[derive(Subcommand)]
-enum Draw {
+enum Command {
     /// Prints a day for the bench, drawn from a seed: several troubles on the same machine within the same second.
     Day {
         /// The kind of deployment that it is drawn for.
@@ -52,42 +56,39 @@
     },
 }
 
+impl Arguments {
+    fn loss_policy(&self) -> LossPolicy {
+        if self.beyond {
+            LossPolicy::BeyondBudget
+        } else {
+            LossPolicy::WithinBudget
+        }
+    }
+
+    /// Machines and fault budget of the run with this seed.
+    fn size(&self, seed: u64) -> (u32, usize) {
+        match self.machines {
+            Some(machines) => (machines, self.budget),
+            None => SIZES[(seed % SIZES.len() as u64) as usize],
+        }
+    }
+}
+
 fn main() -> ExitCode {
     env_logger::init();
     let arguments = Arguments::parse();
-    if let Some(Draw::Day { site, seed }) = arguments.draw {
-        print!("{}", Day::draw(site, seed));
-        return ExitCode::SUCCESS;
-    }
-    let losses = if arguments.beyond {
-        LossPolicy::BeyondBudget
-    } else {
-        LossPolicy::WithinBudget
-    };
-    let mut broken = 0;
-    for seed in arguments.seed..arguments.seed + arguments.runs {
-        let (machines, budget) = match arguments.machines {
-            Some(machines) => (machines, arguments.budget),
-            None => [(3, 1), (5, 2), (6, 2), (4, 1)][(seed % 4) as usize],
-        };
-        let mut run = FaultRun::new(seed, machines, budget, losses);
-        let played =
-            std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run.play(arguments.seconds)));
-        if played.is_err() {
-            broken += 1;
-            println!(
-                "seed {seed} machines {machines} budget {budget}: broken; {}",
-                run.fault_log.join("; ")
-            );
-        } else if arguments.digest {
-            let losses = if arguments.beyond { "beyond" } else { "within" };
-            println!(
-                "seed={seed} machines={machines} budget={budget} losses={losses} seconds={} digest={}",
-                arguments.seconds,
-                run.simulation.digest()
-            );
+    match arguments.command {
+        Some(Command::Day { site, seed }) => {
+            print!("{}", Day::draw(site, seed));
+            ExitCode::SUCCESS
         }
+        None => play_runs(&arguments),
     }
+}
+
+fn play_runs(arguments: &Arguments) -> ExitCode {
+    let seeds = arguments.seed..arguments.seed + arguments.runs;
+    let broken = seeds.filter(|seed| !play_run(arguments, *seed)).count();
     println!("runs={} broken={broken}", arguments.runs);
     if broken == 0 {
         ExitCode::SUCCESS
@@ -95,3 +96,24 @@
         ExitCode::FAILURE
     }
 }
+
+/// Plays one run and prints what there is to say of it; false if the oracle found a violation.
+fn play_run(arguments: &Arguments, seed: u64) -> bool {
+    let (machines, budget) = arguments.size(seed);
+    let seconds = arguments.seconds;
+    let mut run = FaultRun::new(seed, machines, budget, arguments.loss_policy());
+    if catch_unwind(AssertUnwindSafe(|| run.play(seconds))).is_err() {
+        let faults = run.fault_log.join("; ");
+        println!("seed {seed} machines {machines} budget {budget}: broken; {faults}");
+        return false;
+    }
+    if arguments.digest {
+        let losses = if arguments.beyond { "beyond" } else { "within" };
+        println!(
+            "seed={seed} machines={machines} budget={budget} losses={losses} seconds={seconds} \
+             digest={}",
+            run.simulation.digest()
+        );
+    }
+    true
+}
--- a/crates/testing/simulation/src/platform.rs
+++ b/crates/testing/simulation/src/platform.rs
@@ -1,51 +1,106 @@
-//! The platform that promotes.
+//! The platform that promotes servers when a control machine asks it.
 
-use crate::digest::note;
-use crate::servers::Health;
-use crate::simulation::{Event, Simulation};
-use badgerstream_control::{NodeId, PromotionOutcome};
+use crate::digest::EntryKind;
+use crate::event::{ControlEvent, PromotionCall, ServerEvent};
+use crate::kernel::Kernel;
+use crate::service::{Server, Service};
+use badgerstream_control::PromotionOutcome;
+use std::collections::VecDeque;
 
-impl Simulation {
+/// A request whose answer is lost has an unknown outcome after so many seconds.
+const REQUEST_TIMEOUT_S: f64 = 1.0;
+
+/// A request to promote a server, as the platform received it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PromotionRequest {
+    /// The server.
+    pub server_id: String,
+    /// The fencing token of the leader that sent it.
+    pub fencing_token: u64,
+}
+
+/// The platform.
+#[derive(Clone)]
+pub struct Platform {
+    /// All requests, in the order of their arrival.
+    pub promotion_requests: Vec<PromotionRequest>,
+    /// Of the requests so many are carried out and their answers lost.
+    pub answers_lost_per_mille: u64,
+    /// The HTTP statuses of the next answers; a scripted answer other than 200 does nothing else.
+    pub scripted_statuses: VecDeque<u16>,
+    /// Whether a request with a lower fencing token than an earlier one is rejected.
+    pub checks_fencing_tokens: bool,
+    /// How long a promotion takes, in seconds.
+    pub promotion_duration_s: f64,
+    highest_fencing_token: u64,
+}
+
+impl Default for Platform {
+    fn default() -> Platform {
+        Platform {
+            promotion_requests: Vec::new(),
+            answers_lost_per_mille: 0,
+            scripted_statuses: VecDeque::new(),
+            checks_fencing_tokens: false,
+            promotion_duration_s: 0.6,
+            highest_fencing_token: 0,
+        }
+    }
+}
+
+impl Platform {
+    /// A request to promote a server arrives.
     pub(crate) fn promotion_request_arrived(
         &mut self,
-        node: NodeId,
-        life: u64,
-        id: &str,
-        fence: u64,
+        kernel: &mut Kernel,
+        service: &Service,
+        call: PromotionCall,
     ) {
-        let way = self.message_delay();
-        self.trace(|| format!("platform: control {node} promotes {id} under {fence}"));
-        self.promotion_requests.push((id.to_owned(), fence));
-        self.record(note::PROMOTION_ASKED, &[u64::from(node), fence]);
-        self.run_digest.bytes(id.as_bytes());
-        let told = (!self.scripted_statuses.is_empty()).then(|| self.scripted_statuses.remove(0));
-        let runs = self.servers.get(id).is_some_and(|s| s.health == Health::Up);
-        let status = match told {
-            Some(status) => status,
-            None if self.checks_fencing_tokens && fence < self.highest_fencing_token => 409,
-            None if !runs => 409,
-            None => 200,
-        };
+        let delay = kernel.message_delay();
+        self.note_request(kernel, &call);
+        let status = self.status(service, &call);
         if status == 200 {
-            self.highest_fencing_token = self.highest_fencing_token.max(fence);
-            let after = self.promotion_duration_s;
-            self.schedule(after, Event::Promote(id.to_owned()));
+            self.highest_fencing_token = self.highest_fencing_token.max(call.fencing_token);
+            let takes_effect = ServerEvent::PromotionTakesEffect(call.server_id.clone());
+            kernel.schedule(self.promotion_duration_s, takes_effect);
         }
-        let lost = self.draw(1000) < self.promotion_answers_lost_per_mille;
-        let answer = PromotionOutcome::from_status(status);
-        let (after, outcome) = if lost {
-            (1.0, PromotionOutcome::Unknown)
-        } else {
-            (way, answer)
+        let is_lost = kernel.random.per_mille(self.answers_lost_per_mille);
+        let completed = |outcome| ControlEvent::PromotionCompleted {
+            process: call.process,
+            server_id: call.server_id.clone(),
+            outcome,
         };
-        self.schedule(
-            after,
-            Event::PostAnswer {
-                node,
-                life,
-                id: id.to_owned(),
-                outcome,
-            },
-        );
+        if is_lost {
+            kernel.schedule(REQUEST_TIMEOUT_S, completed(PromotionOutcome::Unknown));
+        } else {
+            let outcome = PromotionOutcome::from_status(status);
+            kernel.schedule(delay, completed(outcome));
+        }
+    }
+
+    fn note_request(&mut self, kernel: &mut Kernel, call: &PromotionCall) {
+        let (node, id, token) = (call.process.node, &call.server_id, call.fencing_token);
+        kernel.trace(|| format!("platform: control {node} promotes {id} under {token}"));
+        kernel.record(EntryKind::PromotionRequested, &[u64::from(node), token]);
+        kernel.digest.bytes(id.as_bytes());
+        self.promotion_requests.push(PromotionRequest {
+            server_id: id.clone(),
+            fencing_token: token,
+        });
+    }
+
+    /// The HTTP status of the answer.
+    fn status(&mut self, service: &Service, call: &PromotionCall) -> u16 {
+        if let Some(scripted) = self.scripted_statuses.pop_front() {
+            return scripted;
+        }
+        let is_fenced_off =
+            self.checks_fencing_tokens && call.fencing_token < self.highest_fencing_token;
+        let server = service.servers.get(&call.server_id);
+        if is_fenced_off || !server.is_some_and(Server::is_up) {
+            409
+        } else {
+            200
+        }
     }
 }
--- /dev/null
+++ b/crates/testing/simulation/src/service/commands.rs
@@ -0,0 +1,98 @@
+//! Commands of control machines to servers, and the servers' heartbeats.
+
+use super::replication::Service;
+use super::server::{CommandRules, heartbeat};
+use crate::event::{CommandCall, ControlEvent, Event, ServerEvent};
+use crate::health::Health;
+use crate::kernel::Kernel;
+use badgerstream_control::{CommandOutcome, Heartbeat, ServerCommand};
+
+/// A command without an answer times out after so many seconds.
+const COMMAND_TIMEOUT_S: f64 = 0.6;
+
+/// A server sends heartbeats this often, in seconds.
+const HEARTBEAT_INTERVAL_S: f64 = 1.2;
+
+/// A command that meets an ended process is refused after so many seconds.
+const REFUSAL_DELAY_S: f64 = 0.001;
+
+impl Service {
+    /// A control machine sends a command to the server at that address; without a network it times
+    /// out.
+    pub(crate) fn send_command(
+        &self,
+        kernel: &mut Kernel,
+        call: CommandCall,
+        endpoint: &str,
+        is_reachable: bool,
+    ) {
+        let server = self.servers.get(&call.server_id);
+        let server = server.filter(|server| server.endpoint == endpoint);
+        let health = server.map_or(Health::Down, |server| server.health);
+        let delay = kernel.message_delay();
+        let answers_control = !self.unresponsive_to_control.contains(&call.server_id);
+        if !is_reachable || !answers_control || health == Health::Unresponsive {
+            complete(kernel, COMMAND_TIMEOUT_S, call, CommandOutcome::TimedOut);
+        } else if health == Health::Down {
+            complete(kernel, 2.0 * delay, call, CommandOutcome::Refused);
+        } else {
+            kernel.schedule(delay, ServerEvent::CommandArrived(call));
+        }
+    }
+
+    /// A command arrives, and its answer leaves or is lost.
+    pub(crate) fn command_arrived(&mut self, kernel: &mut Kernel, call: CommandCall) {
+        let rules = CommandRules {
+            reports_highest_term_seen: self.reports_highest_term_seen,
+            rejects_repeated_pause: self.rejects_repeated_pause,
+        };
+        let server = self.server_mut(&call.server_id);
+        if !server.is_up() {
+            complete(kernel, REFUSAL_DELAY_S, call, CommandOutcome::Refused);
+            return;
+        }
+        let command = call.command;
+        let status = server.execute(command, rules);
+        if !matches!(command, ServerCommand::Status) {
+            let (node, id) = (call.process.node, &call.server_id);
+            kernel.trace(|| format!("control {node} {command:?} {id}: {status:?}"));
+        }
+        let is_lost = kernel.random.per_mille(self.command_answers_lost_per_mille);
+        let delay = kernel.message_delay();
+        if is_lost {
+            complete(kernel, COMMAND_TIMEOUT_S, call, CommandOutcome::TimedOut);
+            return;
+        }
+        let sent_at = call.sent_at;
+        let outcome = status.map_or(CommandOutcome::Busy, |status| CommandOutcome::Status {
+            command,
+            status,
+            sent_at,
+        });
+        complete(kernel, delay, call, outcome);
+    }
+
+    /// The server's next heartbeat.
+    pub(crate) fn next_heartbeat(&mut self, id: &str) -> Heartbeat {
+        let server = self.server_mut(id);
+        server.heartbeat_sequence += 1;
+        heartbeat(&server.endpoint, server.heartbeat_sequence, server.draining)
+    }
+
+    /// Schedules the next heartbeat, unless one is scheduled: a server has one timer.
+    pub(crate) fn schedule_heartbeat(kernel: &mut Kernel, id: String) {
+        let is_same = |event: &Event| matches!(event, Event::Server(ServerEvent::HeartbeatDue(of)) if *of == id);
+        if !kernel.is_scheduled(is_same) {
+            kernel.schedule(HEARTBEAT_INTERVAL_S, ServerEvent::HeartbeatDue(id));
+        }
+    }
+}
+
+fn complete(kernel: &mut Kernel, after_s: f64, call: CommandCall, outcome: CommandOutcome) {
+    let completed = ControlEvent::CommandCompleted {
+        process: call.process,
+        server_id: call.server_id,
+        outcome,
+    };
+    kernel.schedule(after_s, completed);
+}
--- /dev/null
+++ b/crates/testing/simulation/src/simulation/actions.rs
@@ -0,0 +1,256 @@
+//! What a test or the fault injector does to the simulation.
+
+use super::Simulation;
+use crate::control::{DiskHealth, Isolation};
+use crate::event::{ControlEvent, ServerEvent};
+use crate::health::Health;
+use badgerstream_control::{ControlRequest, Controller, NodeId};
+
+/// A machine that will be removed gets SIGTERM after so many seconds.
+const SHUTDOWN_DELAY_S: f64 = 1.5;
+
+/// Control machines.
+impl Simulation {
+    fn record_fault(&mut self, node: NodeId) {
+        let now = self.kernel.now();
+        self.oracle.losses.record_fault(node, now);
+    }
+
+    /// Adds a machine at an address of its own, with an empty disk, and starts it.
+    pub fn add_and_start(&mut self, node: NodeId) {
+        self.control.add_machine(&mut self.kernel, node);
+        self.start(node);
+    }
+
+    /// Starts the machine's process with what its disk holds.
+    pub fn start(&mut self, node: NodeId) {
+        self.record_fault(node);
+        self.control.start(&mut self.kernel, node);
+    }
+
+    /// Kills the process, as by SIGKILL; its disk stays as of the last write, or has the one that
+    /// was under way.
+    pub fn kill(&mut self, node: NodeId) {
+        self.kernel.trace(|| format!("control {node} killed"));
+        self.end_process(node, Health::Down);
+    }
+
+    /// The machine loses power: its connections aren't closed.
+    pub fn power_off(&mut self, node: NodeId) {
+        self.kernel.trace(|| format!("control {node} loses power"));
+        self.end_process(node, Health::Unresponsive);
+    }
+
+    fn end_process(&mut self, node: NodeId, health: Health) {
+        self.record_fault(node);
+        self.control.end_process(&mut self.kernel, node, health);
+        self.edge.close_connections_to(node);
+    }
+
+    /// The process is killed and its disk lost.
+    pub fn lose_disk(&mut self, node: NodeId) {
+        self.kill(node);
+        self.control.replace_disk(&mut self.kernel, node);
+    }
+
+    /// The machine is gone for good.
+    pub fn remove(&mut self, node: NodeId) {
+        self.power_off(node);
+        self.control.machine_mut(node).removed = true;
+    }
+
+    /// Stops the process, as by SIGSTOP.
+    pub fn freeze(&mut self, node: NodeId) {
+        self.kernel.trace(|| format!("control {node} frozen"));
+        self.record_fault(node);
+        self.control.machine_mut(node).frozen = true;
+    }
+
+    /// Continues a frozen process, as by SIGCONT.
+    pub fn thaw(&mut self, node: NodeId) {
+        self.kernel.trace(|| format!("control {node} thawed"));
+        self.record_fault(node);
+        if let Some(process) = self.control.thaw(node) {
+            self.persist_completed(process);
+        }
+        self.drain_inbox(node);
+    }
+
+    /// The machine's disk is in this condition from now on.
+    pub fn set_disk_health(&mut self, node: NodeId, health: DiskHealth) {
+        self.kernel
+            .trace(|| format!("disk of control {node}: {health:?}"));
+        self.record_fault(node);
+        self.control.machine_mut(node).disk.health = health;
+    }
+
+    /// The process gets SIGTERM.
+    pub fn request_shutdown(&mut self, node: NodeId) {
+        self.kernel.trace(|| format!("control {node} gets SIGTERM"));
+        self.record_fault(node);
+        if let Some(machine) = self.control.machines.get_mut(&node) {
+            machine.shutting_down = true;
+        }
+        self.decide(node, Controller::resign);
+    }
+
+    /// The process gets SIGTERM soon, as the machine will be removed.
+    pub fn schedule_shutdown(&mut self, node: NodeId) {
+        self.record_fault(node);
+        let shutdown = ControlEvent::ShutdownRequested(node);
+        self.kernel.schedule(SHUTDOWN_DELAY_S, shutdown);
+    }
+
+    /// Another machine takes the place of this one, from now on.
+    pub fn expect_successor(&mut self, node: NodeId) {
+        let now = self.kernel.now();
+        self.oracle.losses.expect_successor(node, now);
+    }
+}
+
+/// The network between control machines.
+impl Simulation {
+    /// Blocks the links of this machine to all other control machines.
+    pub fn isolate(&mut self, node: NodeId, isolation: Isolation) {
+        self.kernel
+            .trace(|| format!("control {node} is isolated: {isolation:?}"));
+        self.control.isolate(node, isolation);
+        self.record_fault(node);
+    }
+
+    /// Unblocks all links of this machine.
+    pub fn heal(&mut self, node: NodeId) {
+        self.kernel
+            .trace(|| format!("control {node} is no longer isolated"));
+        self.record_fault(node);
+        self.control.heal(&mut self.kernel, node);
+    }
+
+    /// Blocks all links between these two groups of control machines; each reaches all routers,
+    /// servers and operators.
+    pub fn partition_halves(&mut self, half: &[NodeId], other_half: &[NodeId]) {
+        self.kernel
+            .trace(|| format!("control is partitioned into {half:?} and {other_half:?}"));
+        self.record_network_fault();
+        self.control.partition_halves(half, other_half);
+    }
+
+    /// Unblocks all links, those of isolated machines too.
+    pub fn rejoin_halves(&mut self) {
+        self.kernel
+            .trace(|| "control is no longer partitioned".to_owned());
+        self.record_network_fault();
+        self.heal_all();
+    }
+
+    /// Unblocks all links; no fault is recorded.
+    pub fn heal_all(&mut self) {
+        self.control.heal_all(&mut self.kernel);
+    }
+
+    /// Resets all connections between control machines.
+    pub fn reset_connections(&mut self) {
+        self.control.reset_connections();
+        self.record_network_fault();
+    }
+
+    fn record_network_fault(&mut self) {
+        let now = self.kernel.now();
+        self.oracle.losses.record_network_fault(now);
+    }
+}
+
+/// Routers and operators.
+impl Simulation {
+    /// Adds a router.
+    pub fn add_router(&mut self) {
+        let control_nodes = self.control.seed_nodes.clone();
+        self.edge.add_router(&mut self.kernel, control_nodes);
+    }
+
+    /// Stops the router's process, as by SIGSTOP.
+    pub fn freeze_router(&mut self, index: usize) {
+        self.edge.routers[index].frozen = true;
+    }
+
+    /// Continues a frozen router.
+    pub fn thaw_router(&mut self, index: usize) {
+        for event in self.edge.thaw(index) {
+            self.handle_router(event);
+        }
+    }
+
+    /// Adds an operator.
+    pub fn add_operator(&mut self) {
+        self.operators.add_operator(&mut self.kernel);
+    }
+}
+
+/// Database servers.
+impl Simulation {
+    /// Adds a server.
+    pub fn add_server(&mut self, id: &str, endpoint: &str, is_primary: bool) {
+        let kernel = &mut self.kernel;
+        self.service.add_server(kernel, id, endpoint, is_primary);
+    }
+
+    /// Ends the server's process.
+    pub fn crash(&mut self, id: &str) {
+        self.kernel.trace(|| format!("server {id} crashes"));
+        self.service.crash(id);
+    }
+
+    /// The server does and answers nothing.
+    pub fn make_unresponsive(&mut self, id: &str) {
+        self.kernel.trace(|| format!("server {id} is unresponsive"));
+        self.service.server_mut(id).health = Health::Unresponsive;
+    }
+
+    /// Brings the server back with its log, as a replica if another one was promoted meanwhile.
+    pub fn recover(&mut self, id: &str) {
+        self.kernel.trace(|| format!("server {id} is back"));
+        self.service.recover(&mut self.kernel, id);
+    }
+
+    /// Brings a server back at its address under another id, with its log; it is the primary if
+    /// nobody was promoted since.
+    pub fn recover_with_new_id(&mut self, old_id: &str, new_id: &str) {
+        let kernel = &mut self.kernel;
+        self.service.recover_with_new_id(kernel, old_id, new_id);
+    }
+
+    /// The server reports from now on that it drains.
+    pub fn drain(&mut self, id: &str) {
+        self.kernel.trace(|| format!("server {id} drains"));
+        self.service.server_mut(id).draining = true;
+        let heartbeat = ServerEvent::HeartbeatDue(id.to_owned());
+        self.kernel.schedule(0.0, heartbeat);
+    }
+
+    /// The server says that it departs, and ends.
+    pub fn depart(&mut self, id: &str) {
+        self.kernel.trace(|| format!("server {id} departs"));
+        self.service.server_mut(id).health = Health::Down;
+        self.send_departure(id);
+    }
+
+    /// The server says that it departs without having drained, and serves on.
+    pub fn depart_while_serving(&mut self, id: &str) {
+        self.kernel
+            .trace(|| format!("server {id} departs and serves on"));
+        self.send_departure(id);
+    }
+
+    fn send_departure(&mut self, id: &str) {
+        self.service.server_mut(id).departed = true;
+        if let Some(node) = self.control.random_reachable_machine(&mut self.kernel) {
+            let server_id = id.to_owned();
+            self.submit_request(node, 0, ControlRequest::Depart { server_id });
+        }
+    }
+
+    /// A promotion of this server takes effect now.
+    pub fn promote(&mut self, id: &str) {
+        self.service.promote(&mut self.kernel, id);
+    }
+}
--- /dev/null
+++ b/crates/testing/simulation/src/simulation/control_events.rs
@@ -0,0 +1,254 @@
+//! Events of control machines, and the outputs of their decisions.
+
+use super::Simulation;
+use crate::control::{Delivery, PeerEnvelope};
+use crate::event::{CommandCall, ControlEvent, PlatformEvent, Process, PromotionCall};
+use crate::service::SERVICE;
+use badgerstream_control::{Controller, LeaseRequest, NodeId, Output, PromotionOutcome};
+use std::collections::VecDeque;
+
+/// A machine that leads is driven this often, in seconds.
+const LEADER_TICK_INTERVAL_S: f64 = 0.02;
+
+/// Any other machine is driven this often, in seconds.
+const FOLLOWER_TICK_INTERVAL_S: f64 = 0.05;
+
+impl Simulation {
+    pub(super) fn handle_control(&mut self, event: ControlEvent) {
+        match event {
+            ControlEvent::PeerMessageArrived(envelope) => self.peer_message_arrived(envelope),
+            ControlEvent::LeaseRequestArrived {
+                process, router, ..
+            } if self.edge.blocked.contains(&(process.node, router)) => {}
+            event => {
+                if let Some(event) = self.control.admit(event) {
+                    self.handle_admitted(event);
+                }
+            }
+        }
+    }
+
+    fn peer_message_arrived(&mut self, envelope: PeerEnvelope) {
+        match self.control.deliver(envelope) {
+            Delivery::Deferred => {}
+            Delivery::OtherIncarnation { receiver, sender } => {
+                self.decide(receiver, |controller, _| controller.peer_discovered(sender));
+            }
+            Delivery::Accepted {
+                receiver,
+                sender,
+                message,
+            } => self.decide(receiver, |controller, clock| {
+                controller.handle_peer_message(clock, sender, message)
+            }),
+        }
+    }
+
+    fn handle_admitted(&mut self, event: ControlEvent) {
+        match event {
+            ControlEvent::Tick(process) => self.tick(process),
+            ControlEvent::PeerMessageArrived(envelope) => self.peer_message_arrived(envelope),
+            ControlEvent::PeerConnected { process, peer } => {
+                self.decide(process.node, |controller, _| {
+                    controller.peer_connected(peer)
+                });
+            }
+            ControlEvent::PersistCompleted(process) => self.persist_completed(process),
+            ControlEvent::ReopenDisk(process) => {
+                self.control.reopen_disk(&mut self.kernel, process);
+            }
+            ControlEvent::RequestArrived {
+                node,
+                request_id,
+                request,
+            } => self.submit_request(node, request_id, request),
+            ControlEvent::ShutdownRequested(node) => self.request_shutdown(node),
+            ControlEvent::CommandCompleted {
+                process,
+                server_id,
+                outcome,
+            } => self.report(process.node, |controller, clock| {
+                controller.command_completed(clock, SERVICE, &server_id, outcome);
+            }),
+            ControlEvent::LeaseRequestArrived {
+                process,
+                connection,
+                request,
+                ..
+            } => self.lease_request_arrived(process, connection, request),
+            ControlEvent::PromotionDue {
+                promotion,
+                deadline,
+            } => self.promotion_due(promotion, deadline),
+            ControlEvent::PromotionCompleted {
+                process,
+                server_id,
+                outcome,
+            } => self.report(process.node, |controller, clock| {
+                controller.promotion_completed(clock, SERVICE, &server_id, outcome);
+            }),
+        }
+    }
+
+    fn tick(&mut self, process: Process) {
+        let node = process.node;
+        self.decide(node, Controller::tick);
+        let now = self.kernel.now();
+        if self.control.members_write_is_due(node, now) {
+            self.control.persist_members(node, now);
+        }
+        let leads = self.control.machines[&node].leading_controller().is_some();
+        let interval = if leads {
+            LEADER_TICK_INTERVAL_S
+        } else {
+            FOLLOWER_TICK_INTERVAL_S
+        };
+        self.kernel.schedule(interval, ControlEvent::Tick(process));
+    }
+
+    fn lease_request_arrived(&mut self, process: Process, connection: u64, request: LeaseRequest) {
+        self.decide(process.node, |controller, clock| {
+            controller.handle_lease_request(clock, connection, request)
+        });
+    }
+
+    /// Sends a promotion, unless its deadline has passed or the machine has voted in another term:
+    /// looked at once more just before the request leaves.
+    fn promotion_due(&mut self, promotion: PromotionCall, deadline: f64) {
+        let kernel = &mut self.kernel;
+        let machine = &self.control.machines[&promotion.process.node];
+        let voted_term = machine
+            .controller
+            .as_ref()
+            .map(|controller| controller.hard_state().voted_term.0);
+        let is_late = machine.clock(kernel.now()) >= deadline;
+        if is_late || voted_term != Some(promotion.fencing_token) {
+            let not_sent = ControlEvent::PromotionCompleted {
+                process: promotion.process,
+                server_id: promotion.server_id,
+                outcome: PromotionOutcome::NotSent,
+            };
+            kernel.schedule(0.0, not_sent);
+            return;
+        }
+        let delay = kernel.message_delay();
+        let arrived = PlatformEvent::PromotionRequestArrived(promotion);
+        kernel.schedule(delay, arrived);
+    }
+
+    pub(super) fn persist_completed(&mut self, process: Process) {
+        let now = self.kernel.now();
+        if let Some(outputs) = self.control.persist_completed(process, now) {
+            self.perform_outputs(process.node, outputs);
+            self.drain_inbox(process.node);
+        }
+    }
+
+    /// Handles the events that waited while a process was stalled.
+    pub(super) fn drain_inbox(&mut self, node: NodeId) {
+        for event in self.control.take_inbox(node) {
+            self.handle_control(event);
+            // Each is an event of its own to the oracle, though all happen at one moment.
+            self.check_safety();
+        }
+    }
+
+    /// Lets the machine decide and carries the outputs out; nothing happens if its process doesn't
+    /// run.
+    pub fn decide(
+        &mut self,
+        node: NodeId,
+        decision: impl FnOnce(&mut Controller, f64) -> Vec<Output>,
+    ) {
+        let now = self.kernel.now();
+        if let Some(outputs) = self.control.decide(node, now, decision) {
+            self.perform_outputs(node, outputs.into());
+        }
+    }
+
+    /// Reports a result that has no outputs.
+    fn report(&mut self, node: NodeId, report: impl FnOnce(&mut Controller, f64)) {
+        self.decide(node, |controller, clock| {
+            report(controller, clock);
+            Vec::new()
+        });
+    }
+
+    /// Carries outputs out in order; behind a write nothing happens before it is completed.
+    fn perform_outputs(&mut self, node: NodeId, mut outputs: VecDeque<Output>) {
+        while let Some(output) = outputs.pop_front() {
+            match output {
+                Output::Persist => {
+                    let begun = self.control.begin_persist(&mut self.kernel, node, outputs);
+                    let Some(rest) = begun else { return };
+                    outputs = rest;
+                }
+                Output::PersistMembers(then) => {
+                    if self.control.persist_members(node, self.kernel.now()) {
+                        for output in then.into_iter().rev() {
+                            outputs.push_front(output);
+                        }
+                    }
+                }
+                output => self.perform_output(node, output),
+            }
+        }
+    }
+
+    fn perform_output(&mut self, node: NodeId, output: Output) {
+        let kernel = &mut self.kernel;
+        let process = self.control.machines[&node].process();
+        match output {
+            Output::Persist | Output::PersistMembers(_) => {
+                unreachable!("writes are carried out where the outputs behind them wait")
+            }
+            Output::SendToPeer(to, message) => {
+                self.control.send_to_peer(kernel, node, to, message);
+            }
+            Output::SendToRouter(connection, message) => {
+                self.edge
+                    .send_to_router(kernel, process, connection, message);
+            }
+            Output::SendUpdate(connection, update) => {
+                let message = (*update).clone();
+                self.edge
+                    .send_to_router(kernel, process, connection, message);
+            }
+            Output::SendCommand {
+                server_id,
+                endpoint,
+                command,
+                ..
+            } => {
+                let call = CommandCall {
+                    process,
+                    server_id,
+                    command,
+                    sent_at: self.control.machines[&node].clock(kernel.now()),
+                };
+                let is_reachable = !self.control.cut_from_servers.contains(&node);
+                self.service
+                    .send_command(kernel, call, &endpoint, is_reachable);
+            }
+            Output::Promote {
+                server_id,
+                fencing_token,
+                deadline,
+                ..
+            } => {
+                let delay = kernel.message_delay();
+                let promotion = PromotionCall {
+                    process,
+                    server_id,
+                    fencing_token,
+                };
+                let due = ControlEvent::PromotionDue {
+                    promotion,
+                    deadline,
+                };
+                kernel.schedule(delay, due);
+            }
+            Output::Respond(request_id, response) => self.respond(node, request_id, response),
+        }
+    }
+}
--- a/crates/testing/simulation/tests/calls.rs
+++ b/crates/testing/simulation/tests/calls.rs
@@ -14,7 +14,7 @@
 
 fn led() -> Simulation {
     let mut simulation = Simulation::new(1);
-    simulation.statements_enabled = false;
+    simulation.edge.statements_enabled = false;
     simulation.run_until(1.0, "a leader", |w| w.leader().is_some());
     simulation
 }
@@ -126,7 +126,7 @@
         answers.sort_unstable();
         assert_eq!(answers, [200, 412], "step {step}");
         let read = ask(&mut simulation, 1, 20, ControlRequest::ReadConfig).unwrap();
-        let won = simulation.machines[&1]
+        let won = simulation.control.machines[&1]
             .controller
             .as_ref()
             .unwrap()
@@ -191,14 +191,14 @@
 fn configurations_under_any_trouble() {
     arbtest(|u| {
         let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
-        simulation.statements_enabled = false;
+        simulation.edge.statements_enabled = false;
         simulation.run(1.0);
         let (mut number, mut epoch) = (0, 0);
         let mut sent = Vec::new();
         let mut acked: Vec<(u64, u64)> = Vec::new();
         for _ in 0..u.int_in_range(2..=14)? {
             let node = u.int_in_range(1..=3)?;
-            let control = &simulation.machines[&node];
+            let control = &simulation.control.machines[&node];
             // A second disk may be lost only once the machine that lost the first one is a voter again.
             let whole = simulation.all_machines_vote();
             match u.int_in_range(0..=9)? {
@@ -211,8 +211,16 @@
                 3 if control.controller.is_some() => simulation.freeze(node),
                 4 if control.frozen => simulation.thaw(node),
                 5 => {
-                    simulation.network.blocked.insert((node, 1 + node % 3));
-                    simulation.network.blocked.insert((1 + node % 3, node));
+                    simulation
+                        .control
+                        .network
+                        .blocked
+                        .insert((node, 1 + node % 3));
+                    simulation
+                        .control
+                        .network
+                        .blocked
+                        .insert((1 + node % 3, node));
                 }
                 6 => simulation.heal_all(),
                 _ => {
@@ -221,7 +229,7 @@
                         number += 1;
                         epoch += 1;
                         sent.push((number, base, epoch));
-                        if !simulation.machines[&to].frozen {
+                        if !simulation.control.machines[&to].frozen {
                             simulation.submit_request(
                                 to,
                                 number,
@@ -248,7 +256,7 @@
         }
         simulation.heal_all();
         for node in 1..=3 {
-            let control = &simulation.machines[&node];
+            let control = &simulation.control.machines[&node];
             if control.frozen {
                 simulation.thaw(node);
             } else if control.controller.is_none() {
@@ -289,8 +297,8 @@
     simulation.run(1.0);
     let old = simulation.leader().unwrap();
     for other in (1..=3).filter(|n| *n != old) {
-        simulation.network.blocked.insert((old, other));
-        simulation.network.blocked.insert((other, old));
+        simulation.control.network.blocked.insert((old, other));
+        simulation.control.network.blocked.insert((other, old));
     }
     simulation.run(0.05);
     simulation.run_until(1.5, "another leader", |w| {
@@ -311,9 +319,10 @@
     let leader = simulation.leader().expect("somebody leads");
     let beat = |seq: u64| ControlRequest::Heartbeat {
         server_id: "new".to_owned(),
-        heartbeat: badgerstream_simulation::servers::beat("10.0.9.9:1", seq, false),
+        heartbeat: badgerstream_simulation::service::heartbeat("10.0.9.9:1", seq, false),
     };
     let alone = *simulation
+        .control
         .machines
         .keys()
         .find(|n| **n != leader)
@@ -323,14 +332,15 @@
         Some(200)
     );
     for other in simulation
+        .control
         .machines
         .keys()
         .copied()
         .filter(|n| *n != alone)
         .collect::<Vec<_>>()
     {
-        simulation.network.blocked.insert((alone, other));
-        simulation.network.blocked.insert((other, alone));
+        simulation.control.network.blocked.insert((alone, other));
+        simulation.control.network.blocked.insert((other, alone));
     }
     simulation.run(2.0);
     // Only it would know of a copy that counts for what is acknowledged.
--- a/crates/testing/simulation/tests/catch_up.rs
+++ b/crates/testing/simulation/tests/catch_up.rs
@@ -2,8 +2,8 @@
 
 use badgerstream_control::NodeId;
 use badgerstream_simulation::Simulation;
-use badgerstream_simulation::disk::{DiskHealth, HEALTHY_DISK};
 use badgerstream_simulation::oracle::CATCH_UP_S;
+use badgerstream_simulation::{DiskHealth, HEALTHY_DISK};
 
 fn busy(seed: u64, machines: u32, budget: usize) -> Simulation {
     let mut simulation = Simulation::control_only(seed, machines, budget);
@@ -16,6 +16,7 @@
 
 fn newest(simulation: &Simulation) -> u64 {
     simulation
+        .control
         .machines
         .values()
         .map(|machine| machine.disk.hard_state.state.version)
@@ -40,7 +41,14 @@
         simulation.set_disk_health(away, health);
         simulation.run(CATCH_UP_S);
         simulation.set_disk_health(away, HEALTHY_DISK);
-        assert!(simulation.machines[&away].disk.hard_state.state.version >= missed);
+        assert!(
+            simulation.control.machines[&away]
+                .disk
+                .hard_state
+                .state
+                .version
+                >= missed
+        );
         // Only it and one other are left.
         simulation.run(CATCH_UP_S);
         simulation.kill(leader);
@@ -63,7 +71,7 @@
             simulation.start(restarted);
             simulation.run(CATCH_UP_S + 0.5);
             let behind = newest(&simulation)
-                - simulation.machines[&restarted]
+                - simulation.control.machines[&restarted]
                     .disk
                     .hard_state
                     .state
@@ -87,7 +95,10 @@
                 simulation.run(3.0);
                 simulation.set_disk_health(node, HEALTHY_DISK);
                 simulation.run(0.6);
-                let controller = simulation.machines[&node].controller.as_ref().unwrap();
+                let controller = simulation.control.machines[&node]
+                    .controller
+                    .as_ref()
+                    .unwrap();
                 assert!(
                     !controller.consensus().disk_failed(),
                     "it is opened anew within half a second"
--- a/crates/testing/simulation/tests/contact.rs
+++ b/crates/testing/simulation/tests/contact.rs
@@ -1,10 +1,12 @@
 //! A control machine that is cut off: it serves nothing old, confirms nothing and holds nobody up.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::Simulation;
-use badgerstream_simulation::servers::beat;
+use badgerstream_simulation::service::heartbeat;
+use badgerstream_simulation::{Isolation, Simulation};
 use std::rc::Rc;
 
+const ISOLATIONS: [Isolation; 3] = [Isolation::BothWays, Isolation::Inbound, Isolation::Outbound];
+
 /// Control machines that have settled, and operators at work.
 fn at_work(seed: u64, machines: u32, budget: usize) -> (Simulation, NodeId) {
     let mut simulation = Simulation::control_only(seed, machines, budget);
@@ -21,15 +23,15 @@
 #[test]
 fn a_machine_that_is_cut_off_for_twenty_seconds_holds_nobody_up() {
     for (machines, budget) in [(3, 1), (5, 2), (6, 2)] {
-        for (hears_nobody, unheard) in [(true, true), (true, false), (false, true)] {
+        for isolation in ISOLATIONS {
             for leads in [true, false] {
                 let (mut simulation, leader) = at_work(11, machines, budget);
                 let cut = if leads { leader } else { 1 + leader % machines };
-                simulation.isolate(cut, hears_nobody, unheard);
-                let before = simulation.oracle.acknowledged_changes;
+                simulation.isolate(cut, isolation);
+                let before = simulation.oracle.safety.acknowledged_changes;
                 simulation.run(20.0);
                 assert!(simulation.leader().is_some_and(|now| now != cut || !leads));
-                let acknowledged = simulation.oracle.acknowledged_changes - before;
+                let acknowledged = simulation.oracle.safety.acknowledged_changes - before;
                 assert!(acknowledged > 20, "{acknowledged} orders in twenty seconds");
                 simulation.heal(cut);
                 simulation.run(6.0);
@@ -45,7 +47,7 @@
     for seed in 0..20 {
         for (machines, budget) in [(3, 1), (5, 2), (6, 2)] {
             let (mut simulation, leader) = at_work(seed, machines, budget);
-            simulation.isolate(leader, true, false);
+            simulation.isolate(leader, Isolation::Inbound);
             let leads = |w: &Simulation| w.leader().is_some_and(|now| now != leader);
             simulation.run_until(1.6, "another leads", leads);
         }
@@ -68,7 +70,7 @@
             "beat",
             ControlRequest::Heartbeat {
                 server_id: "new".to_owned(),
-                heartbeat: beat("10.0.9.9:1", 1, false),
+                heartbeat: heartbeat("10.0.9.9:1", 1, false),
             },
         ),
         (
@@ -83,11 +85,11 @@
 /// Whatever is asked of a machine without contact, it confirms, refuses and serves nothing, and says so within a second.
 #[test]
 fn a_machine_that_is_cut_off_answers_nothing_but_503() {
-    for (hears_nobody, unheard) in [(true, true), (true, false), (false, true)] {
+    for isolation in ISOLATIONS {
         for leads in [true, false] {
             let (mut simulation, leader) = at_work(12, 3, 1);
             let cut = if leads { leader } else { 1 + leader % 3 };
-            simulation.isolate(cut, hears_nobody, unheard);
+            simulation.isolate(cut, isolation);
             simulation.run(1.3);
             for round in 0..15 {
                 for (at, (what, call)) in calls().into_iter().enumerate() {
@@ -95,11 +97,7 @@
                     simulation.submit_request(cut, number, call);
                     simulation.run(1.0);
                     let status = simulation.responses.get(&number).map(|reply| reply.0);
-                    assert_eq!(
-                        status,
-                        Some(503),
-                        "{what}, leader {leads}, {hears_nobody} {unheard}"
-                    );
+                    assert_eq!(status, Some(503), "{what}, leader {leads}, {isolation:?}");
                 }
             }
         }
@@ -113,7 +111,7 @@
     let with_it = 1 + leader % 5;
     for other in (1..=5).filter(|node| *node != leader && *node != with_it) {
         for side in [leader, with_it] {
-            simulation.network.block_both_ways(side, other);
+            simulation.control.network.block_both_ways(side, other);
         }
     }
     simulation.run(1.3);
@@ -198,7 +196,7 @@
                 1,
                 ControlRequest::Heartbeat {
                     server_id: "a".to_owned(),
-                    heartbeat: beat("10.0.0.1:1", 1, false),
+                    heartbeat: heartbeat("10.0.0.1:1", 1, false),
                 },
             );
             simulation.run(0.5);
@@ -209,7 +207,7 @@
                 },
                 false => ControlRequest::Heartbeat {
                     server_id: "a".to_owned(),
-                    heartbeat: beat("10.0.0.1:1", 2, true),
+                    heartbeat: heartbeat("10.0.0.1:1", 2, true),
                 },
             };
             simulation.submit_request(asked, 2, call);
@@ -224,7 +222,10 @@
             simulation.lose_disk(leader);
             simulation.run(1.5);
             let next = simulation.leader().expect("three of five lead");
-            let controller = simulation.machines[&next].controller.as_ref().unwrap();
+            let controller = simulation.control.machines[&next]
+                .controller
+                .as_ref()
+                .unwrap();
             // Nobody listens at its address here, so one that left without having drained is known to have ended by now.
             let mut members = controller
                 .members()
@@ -252,11 +253,11 @@
         for (number, unreached) in [(1, others.clone()), (2, only_leader), (3, vec![leader])] {
             let id = format!("server-{number}");
             for node in &unreached {
-                simulation.network.blocked.insert((asked, *node));
+                simulation.control.network.blocked.insert((asked, *node));
             }
             let call = ControlRequest::Heartbeat {
                 server_id: id.clone(),
-                heartbeat: beat("10.0.0.1:1", 1, draining),
+                heartbeat: heartbeat("10.0.0.1:1", 1, draining),
             };
             simulation.submit_request(asked, number, call);
             simulation.run(1.0);
@@ -291,7 +292,7 @@
     for moment in 0..40 {
         for cut in [false, true] {
             let mut simulation = Simulation::control_only(21, 3, 1);
-            simulation.add_router(0);
+            simulation.add_router();
             simulation.run(3.0);
             let leader = simulation.leader().expect("somebody leads");
             let replace = |base, epoch, by| ControlRequest::ReplaceConfig {
@@ -301,7 +302,7 @@
             };
             simulation.submit_request(leader, 1, replace(0, 1, "a"));
             simulation.run(0.5);
-            assert_eq!(simulation.routers[0].active_config_epoch, 1);
+            assert_eq!(simulation.edge.routers[0].active_config_epoch, 1);
             simulation.freeze_router(0);
             // The second version is on its way to it, so that the third one has to wait.
             simulation.submit_request(leader, 2, replace(1, 2, "a"));
@@ -309,7 +310,7 @@
             simulation.submit_request(leader, 3, replace(2, 3, "a"));
             simulation.run(0.1);
             if cut {
-                simulation.isolate(leader, true, true);
+                simulation.isolate(leader, Isolation::BothWays);
             }
             simulation.submit_request(leader, 4, replace(3, 4, "lost"));
             simulation.run(0.002 * f64::from(moment));
@@ -323,7 +324,7 @@
                 simulation.submit_request(next, 5, replace(3, 4, "won"));
                 simulation.run(1.0);
             }
-            assert_eq!(simulation.routers[0].active_config_epoch, 4);
+            assert_eq!(simulation.edge.routers[0].active_config_epoch, 4);
         }
     }
 }
--- a/crates/testing/simulation/tests/digest.rs
+++ b/crates/testing/simulation/tests/digest.rs
@@ -43,8 +43,8 @@
     }
     if scenario == "lost-answers" {
         (
-            simulation.command_answers_lost_per_mille,
-            simulation.promotion_answers_lost_per_mille,
+            simulation.service.command_answers_lost_per_mille,
+            simulation.platform.answers_lost_per_mille,
         ) = (150, 300);
     }
     simulation.run(6.0);
@@ -66,7 +66,10 @@
         simulation.recover("a");
     }
     simulation.run(3.0);
-    assert!(!simulation.promotions.is_empty(), "{scenario} {seed}");
+    assert!(
+        !simulation.service.promotions.is_empty(),
+        "{scenario} {seed}"
+    );
     simulation
 }
 
--- a/crates/testing/simulation/tests/failover.rs
+++ b/crates/testing/simulation/tests/failover.rs
@@ -29,13 +29,15 @@
         let took =
             0.4 + simulation.run_until(2.1, "writes at another", Simulation::acknowledges_writes);
         assert!(took < 2.4, "{took}");
-        assert_eq!(simulation.promotions.len(), 1);
+        assert_eq!(simulation.service.promotions.len(), 1);
         // Back, it follows.
         simulation.recover("a");
         simulation.run(3.0);
-        assert!(!simulation.servers["a"].is_primary && simulation.acknowledges_writes());
-        let length = simulation.servers[&simulation.promotions[0].0].log.len();
-        assert!(simulation.servers["a"].log.len() + 9 > length);
+        assert!(!simulation.service.servers["a"].is_primary && simulation.acknowledges_writes());
+        let length = simulation.service.servers[&simulation.service.promotions[0].server_id]
+            .log
+            .len();
+        assert!(simulation.service.servers["a"].log.len() + 9 > length);
     }
 }
 
@@ -48,10 +50,10 @@
         simulation.run_until(3.2, "writes at another", Simulation::acknowledges_writes);
         simulation.recover("a");
         // It has not heard of the promote yet.
-        let server = simulation.servers.get_mut("a").unwrap();
+        let server = simulation.service.servers.get_mut("a").unwrap();
         (server.is_primary, server.primary_term) = (true, 1);
         simulation.run(3.0);
-        assert!(!simulation.servers["a"].is_primary && simulation.acknowledges_writes());
+        assert!(!simulation.service.servers["a"].is_primary && simulation.acknowledges_writes());
     }
 }
 
@@ -66,7 +68,7 @@
         simulation.run_until(2.0, "the same primary", |w| {
             w.primary_in_use().as_deref() == Some("a")
         });
-        assert!(simulation.promotions.is_empty());
+        assert!(simulation.service.promotions.is_empty());
         simulation.start(leader);
         simulation.run(3.0);
         assert!(simulation.acknowledges_writes());
@@ -109,13 +111,23 @@
 fn a_deaf_replica_is_never_promoted() {
     for seed in 0..8 {
         let mut simulation = steady(seed);
-        simulation.servers.get_mut("b").unwrap().receives_nothing = true;
+        simulation
+            .service
+            .servers
+            .get_mut("b")
+            .unwrap()
+            .receives_nothing = true;
         simulation.run(1.0);
         simulation.crash("a");
         simulation.run(0.4);
         simulation.run_until(2.5, "another primary", |w| w.primary_in_use().is_some());
-        assert_eq!(simulation.promotions[0].0, "c");
-        simulation.servers.get_mut("b").unwrap().receives_nothing = false;
+        assert_eq!(simulation.service.promotions[0].server_id, "c");
+        simulation
+            .service
+            .servers
+            .get_mut("b")
+            .unwrap()
+            .receives_nothing = false;
         simulation.run_until(0.5, "writes", Simulation::acknowledges_writes);
     }
 }
@@ -128,8 +140,10 @@
         simulation.run(2.5);
         simulation.crash("a");
         simulation.run(0.4);
-        simulation.run_until(3.5, "writes at another", |w| !w.promotions.is_empty());
-        assert_eq!(simulation.promotions[0].0, "c");
+        simulation.run_until(3.5, "writes at another", |w| {
+            !w.service.promotions.is_empty()
+        });
+        assert_eq!(simulation.service.promotions[0].server_id, "c");
         // With one copy alone nothing is acknowledged.
         simulation.recover("b");
         simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
@@ -140,26 +154,37 @@
 fn two_that_die_at_once_are_waited_for() {
     for seed in 0..8 {
         let mut simulation = steady(seed);
-        simulation.servers.get_mut("c").unwrap().receives_nothing = true;
+        simulation
+            .service
+            .servers
+            .get_mut("c")
+            .unwrap()
+            .receives_nothing = true;
         simulation.run(0.5);
         simulation.crash("b");
         simulation.crash("a");
         simulation.run(5.0);
-        assert!(simulation.promotions.is_empty());
+        assert!(simulation.service.promotions.is_empty());
         simulation.recover(if seed % 2 == 0 { "a" } else { "b" });
-        simulation.servers.get_mut("c").unwrap().receives_nothing = false;
+        simulation
+            .service
+            .servers
+            .get_mut("c")
+            .unwrap()
+            .receives_nothing = false;
         simulation.run_until(3.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 /// Runs until another primary than a is in use, and a little on: the longest time without a write that was acknowledged.
 fn gap_until_another_is_used(simulation: &mut Simulation) -> f64 {
-    let begin = simulation.now;
+    let begin = simulation.now();
     simulation.run_until(4.0, "another in use", |w| {
         w.primary_in_use().is_some_and(|p| p != "a")
     });
     simulation.run(0.5);
     let at: Vec<f64> = simulation
+        .service
         .acknowledgement_times
         .iter()
         .copied()
@@ -175,10 +200,10 @@
         simulation.drain("a");
         let gap = gap_until_another_is_used(&mut simulation);
         assert!(gap < 1.0, "{gap}");
-        assert!(!simulation.servers["a"].is_primary);
+        assert!(!simulation.service.servers["a"].is_primary);
         simulation.depart("a");
         simulation.run(1.0);
-        assert!(simulation.acknowledges_writes() && simulation.promotions.len() == 1);
+        assert!(simulation.acknowledges_writes() && simulation.service.promotions.len() == 1);
     }
 }
 
@@ -192,9 +217,9 @@
         assert!(gap < 1.0, "{gap}");
         simulation.crash("a");
         simulation.run(2.0);
-        assert!(simulation.acknowledges_writes() && simulation.promotions.len() == 1);
+        assert!(simulation.acknowledges_writes() && simulation.service.promotions.len() == 1);
         let leader = simulation.leader().expect("somebody leads");
-        let controller = simulation.machines[&leader]
+        let controller = simulation.control.machines[&leader]
             .controller
             .as_ref()
             .expect("it runs");
@@ -215,6 +240,7 @@
             simulation.depart_while_serving("b");
             simulation.run(1.0);
             simulation
+                .service
                 .servers
                 .get_mut("c")
                 .expect("a replica")
@@ -228,7 +254,7 @@
             }
             // Promoting c would lose commits: the simulation looks for that.
             simulation.run_until(7.0, "b leads", |w| {
-                w.promotions.iter().any(|(id, _)| id == "b")
+                w.service.promotions.iter().any(|p| p.server_id == "b")
             });
         }
     }
@@ -237,12 +263,12 @@
 #[test]
 fn the_old_primary_is_kept_until_the_new_one_leads() {
     let mut simulation = steady(3);
-    simulation.scripted_statuses = vec![503; 4];
+    simulation.platform.scripted_statuses = vec![503; 4].into();
     simulation.drain("a");
-    while simulation.promotions.is_empty() {
+    while simulation.service.promotions.is_empty() {
         assert_eq!(simulation.primary_in_use().as_deref(), Some("a"));
         simulation.run(0.005);
-        assert!(simulation.now < 30.0);
+        assert!(simulation.now() < 30.0);
     }
 }
 
@@ -253,16 +279,18 @@
     for seed in 0..8 {
         let mut simulation = steady(seed);
         simulation.drain("a");
-        let begin = simulation.now;
-        simulation.run_until(3.0, "a promotion", |w| !w.promotions.is_empty());
-        let promoted = simulation.promotions[0].0.clone();
+        let begin = simulation.now();
+        simulation.run_until(3.0, "a promotion", |w| !w.service.promotions.is_empty());
+        let promoted = simulation.service.promotions[0].server_id.clone();
         simulation.drain(&promoted);
-        simulation.run_until(0.8, "the first one follows", |w| !w.servers["a"].is_primary);
+        simulation.run_until(0.8, "the first one follows", |w| {
+            !w.service.servers["a"].is_primary
+        });
         simulation.run_until(4.0, "a third one in use", |w| {
             w.primary_in_use()
                 .is_some_and(|p| p != "a" && p != promoted)
         });
-        assert!(simulation.now - begin < 5.0 && simulation.promotions.len() == 2);
+        assert!(simulation.now() - begin < 5.0 && simulation.service.promotions.len() == 2);
     }
 }
 
@@ -273,6 +301,7 @@
     for seed in 0..8 {
         let mut simulation = steady(seed);
         simulation
+            .service
             .servers
             .get_mut("b")
             .expect("a replica")
@@ -280,16 +309,18 @@
         simulation.run(0.3);
         simulation.crash("a");
         simulation.run_until(3.0, "the platform is asked", |w| {
-            !w.promotion_requests.is_empty()
+            !w.platform.promotion_requests.is_empty()
         });
         simulation.crash("c");
         simulation
+            .service
             .servers
             .get_mut("c")
             .expect("the choice")
             .departed = true;
         simulation.run(1.0);
         simulation
+            .service
             .servers
             .get_mut("b")
             .expect("a replica")
@@ -313,7 +344,7 @@
             simulation.run(1.0);
             assert!(simulation.acknowledges_writes(), "after {old}");
         }
-        assert!(simulation.promotions.len() <= 3);
+        assert!(simulation.service.promotions.len() <= 3);
     }
 }
 
@@ -331,11 +362,11 @@
             simulation.depart(old);
             simulation.run(0.7);
             let (endpoint, log, term) = {
-                let s = &simulation.servers[old];
+                let s = &simulation.service.servers[old];
                 (s.endpoint.clone(), s.log.clone(), s.primary_term)
             };
             simulation.add_server(new, &endpoint, false);
-            let server = simulation.servers.get_mut(new).unwrap();
+            let server = simulation.service.servers.get_mut(new).unwrap();
             (server.log, server.primary_term) = (log, term);
             simulation.run(3.0);
             assert!(simulation.acknowledges_writes(), "after {old}");
@@ -349,14 +380,14 @@
         let mut simulation = steady(seed);
         simulation.crash("a");
         let (endpoint, log) = (
-            simulation.servers["a"].endpoint.clone(),
-            simulation.servers["a"].log.clone(),
+            simulation.service.servers["a"].endpoint.clone(),
+            simulation.service.servers["a"].log.clone(),
         );
         simulation.run(0.3);
-        simulation.servers.get_mut("a").unwrap().departed = true;
+        simulation.service.servers.get_mut("a").unwrap().departed = true;
         // It gets the log, and the lead, as nobody was promoted.
         simulation.add_server("d", &endpoint, true);
-        simulation.servers.get_mut("d").unwrap().log = log;
+        simulation.service.servers.get_mut("d").unwrap().log = log;
         simulation.run(5.0);
         assert!(simulation.primary_in_use().is_some() && simulation.acknowledges_writes());
     }
@@ -371,8 +402,12 @@
         w.primary_in_use().as_deref() == Some("a")
     });
     simulation.run(1.0);
-    simulation.unresponsive_to_control.insert("c".to_owned());
     simulation
+        .service
+        .unresponsive_to_control
+        .insert("c".to_owned());
+    simulation
+        .service
         .servers
         .get_mut("c")
         .expect("it is there")
@@ -383,8 +418,9 @@
 
 /// Control reaches c again.
 fn reach_again(simulation: &mut Simulation) {
-    simulation.unresponsive_to_control.clear();
+    simulation.service.unresponsive_to_control.clear();
     simulation
+        .service
         .servers
         .get_mut("c")
         .expect("it is there")
@@ -402,6 +438,7 @@
             simulation.run(0.01);
             if simulation.phase() == "promoting" {
                 simulation
+                    .service
                     .servers
                     .get_mut("b")
                     .expect("it is there")
@@ -410,6 +447,7 @@
         }
         reach_again(&mut simulation);
         simulation
+            .service
             .servers
             .get_mut("b")
             .expect("it is there")
@@ -426,6 +464,7 @@
     for seed in 0..20 {
         let mut simulation = out_of_reach_of_control(seed);
         simulation
+            .service
             .servers
             .get_mut("b")
             .expect("it is there")
@@ -434,9 +473,9 @@
         simulation.crash("a");
         simulation.run(3.0);
         assert!(
-            simulation.promotions.is_empty(),
+            simulation.service.promotions.is_empty(),
             "{:?}",
-            simulation.promotions
+            simulation.service.promotions
         );
         reach_again(&mut simulation);
         simulation.run_until(6.0, "another primary in use", |w| {
@@ -473,6 +512,7 @@
     let promoted = simulation.primary_in_use().expect("a primary");
     let behind = if promoted == "b" { "c" } else { "b" };
     simulation
+        .service
         .servers
         .get_mut(behind)
         .expect("a replica")
@@ -497,11 +537,12 @@
             }
             simulation.run(1.0);
             assert!(
-                !simulation.acknowledges_writes() && simulation.promotions.len() == 1,
+                !simulation.acknowledges_writes() && simulation.service.promotions.len() == 1,
                 "it is waited for"
             );
             simulation.recover_with_new_id(&promoted, "d");
             simulation
+                .service
                 .servers
                 .get_mut(behind)
                 .expect("a replica")
@@ -524,7 +565,7 @@
         simulation.kill(leader);
         simulation.run(3.0);
         assert!(
-            !simulation.acknowledges_writes() && simulation.promotions.len() == 1,
+            !simulation.acknowledges_writes() && simulation.service.promotions.len() == 1,
             "both are waited for"
         );
         simulation.recover_with_new_id("a", "d");
@@ -532,11 +573,13 @@
         simulation.recover_with_new_id(&promoted, "e");
         // It was told to follow by a leader before.
         simulation
+            .service
             .servers
             .get_mut("e")
             .expect("it is back")
             .is_primary = false;
         simulation
+            .service
             .servers
             .get_mut(behind)
             .expect("a replica")
@@ -550,12 +593,12 @@
 fn a_promote_whose_answer_is_lost() {
     for seed in 0..6 {
         let mut simulation = steady(seed);
-        simulation.promotion_answers_lost_per_mille = 1000;
+        simulation.platform.answers_lost_per_mille = 1000;
         simulation.crash("a");
         simulation.run(0.4);
         simulation.run_until(2.5, "writes at another", Simulation::acknowledges_writes);
         simulation.run(2.0);
-        assert_eq!(simulation.promotions.len(), 1);
+        assert_eq!(simulation.service.promotions.len(), 1);
     }
 }
 
@@ -563,7 +606,7 @@
 fn a_platform_in_trouble_is_asked_again() {
     for status in [429, 500, 503, 409] {
         let mut simulation = steady(4);
-        simulation.scripted_statuses = vec![status; 3];
+        simulation.platform.scripted_statuses = vec![status; 3].into();
         simulation.crash("a");
         simulation.run(0.4);
         simulation.run_until(6.0, "writes at another", Simulation::acknowledges_writes);
@@ -654,6 +697,7 @@
         );
         assert!(
             simulation
+                .service
                 .servers
                 .values()
                 .all(|s| s.paused_at_term.is_none()),
@@ -681,6 +725,7 @@
         );
         assert!(
             simulation
+                .service
                 .servers
                 .values()
                 .all(|s| s.paused_at_term.is_none()),
@@ -694,17 +739,24 @@
 fn a_pause_of_a_leader_before_hides_no_primary() {
     let mut simulation = steady(10);
     for id in ["b", "c"] {
-        simulation.servers.get_mut(id).unwrap().paused_at_term = Some(5);
+        simulation
+            .service
+            .servers
+            .get_mut(id)
+            .unwrap()
+            .paused_at_term = Some(5);
     }
     let leader = simulation.leader().unwrap();
     simulation.kill(leader);
     simulation.run(3.0);
     assert!(
-        simulation.primary_in_use().as_deref() == Some("a") && simulation.promotions.is_empty()
+        simulation.primary_in_use().as_deref() == Some("a")
+            && simulation.service.promotions.is_empty()
     );
     assert!(
         simulation.acknowledges_writes()
             && simulation
+                .service
                 .servers
                 .values()
                 .all(|s| s.paused_at_term.is_none())
@@ -717,12 +769,12 @@
     let start = steady(11);
     for step in 0..20 {
         let mut simulation = start.clone();
-        simulation.scripted_statuses = vec![503; 100];
+        simulation.platform.scripted_statuses = vec![503; 100].into();
         simulation.crash("a");
         simulation.run(0.5 + 0.05 * f64::from(step));
         let leader = simulation.leader().unwrap();
         simulation.kill(leader);
-        simulation.scripted_statuses.clear();
+        simulation.platform.scripted_statuses.clear();
         simulation.recover("a");
         simulation.run(0.4);
         simulation.run_until(8.0, "a primary", |w| w.primary_in_use().is_some());
@@ -736,15 +788,15 @@
 fn a_primary_that_hides_after_its_promote_is_used() {
     let mut simulation = steady(12);
     simulation.crash("a");
-    simulation.run_until(2.0, "a promote", |w| !w.promotions.is_empty());
-    let new = simulation.promotions[0].0.clone();
+    simulation.run_until(2.0, "a promote", |w| !w.service.promotions.is_empty());
+    let new = simulation.service.promotions[0].server_id.clone();
     simulation.make_unresponsive(&new);
     simulation.run(0.9);
     simulation.recover(&new);
     simulation.run_until(2.0, "the new primary in use", |w| {
         w.primary_in_use().as_ref() == Some(&new)
     });
-    assert_eq!(simulation.promotions.len(), 1);
+    assert_eq!(simulation.service.promotions.len(), 1);
 }
 
 /// The platform says that the coming primary does not run, yet it leads a moment later: routers let go of the old one.
@@ -752,12 +804,12 @@
 fn a_refused_promote_that_happened_all_the_same() {
     for seed in 13..23 {
         let mut simulation = steady(seed);
-        simulation.scripted_statuses = vec![409];
+        simulation.platform.scripted_statuses = vec![409].into();
         simulation.drain("a");
-        simulation.run_until(3.0, "a call", |w| !w.promotion_requests.is_empty());
+        simulation.run_until(3.0, "a call", |w| !w.platform.promotion_requests.is_empty());
         simulation.run(0.01);
-        let to = simulation.promotion_requests[0].0.clone();
-        let server = simulation.servers.get_mut(&to).unwrap();
+        let to = simulation.platform.promotion_requests[0].server_id.clone();
+        let server = simulation.service.servers.get_mut(&to).unwrap();
         (
             server.is_primary,
             server.primary_term,
@@ -773,14 +825,24 @@
 #[test]
 fn a_higher_term_is_met_while_pausing() {
     let mut simulation = steady(14);
-    simulation.servers.get_mut("b").unwrap().paused_at_term = Some(9);
+    simulation
+        .service
+        .servers
+        .get_mut("b")
+        .unwrap()
+        .paused_at_term = Some(9);
     simulation.crash("a");
     simulation.run_until(3.5, "another primary", |w| w.primary_in_use().is_some());
 
     let mut simulation = steady(14);
     simulation.crash("a");
     simulation.run_until(1.0, "the end of the old grant", |w| w.phase() == "closing");
-    simulation.servers.get_mut("b").unwrap().primary_term = 9;
+    simulation
+        .service
+        .servers
+        .get_mut("b")
+        .unwrap()
+        .primary_term = 9;
     simulation.run_until(3.5, "another primary", |w| w.primary_in_use().is_some());
 }
 
@@ -789,16 +851,27 @@
 #[test]
 fn a_planned_change_waits_for_what_a_lost_replica_had() {
     let mut simulation = steady(24);
-    simulation.servers.get_mut("c").unwrap().receives_nothing = true;
+    simulation
+        .service
+        .servers
+        .get_mut("c")
+        .unwrap()
+        .receives_nothing = true;
     simulation.run(1.0);
     simulation.make_unresponsive("b");
     simulation.run(6.5);
     simulation.drain("a");
     simulation.run(3.0);
     assert!(
-        simulation.promotions.is_empty() && simulation.primary_in_use().as_deref() == Some("a")
+        simulation.service.promotions.is_empty()
+            && simulation.primary_in_use().as_deref() == Some("a")
     );
-    simulation.servers.get_mut("c").unwrap().receives_nothing = false;
+    simulation
+        .service
+        .servers
+        .get_mut("c")
+        .unwrap()
+        .receives_nothing = false;
     simulation.run_until(3.0, "the new primary in use", |w| {
         w.primary_in_use().as_deref() == Some("c")
     });
@@ -811,7 +884,7 @@
     simulation.crash("a");
     simulation.crash("c");
     simulation.run(1.0);
-    simulation.servers.get_mut("a").unwrap().is_primary = false;
+    simulation.service.servers.get_mut("a").unwrap().is_primary = false;
     simulation.recover("a");
     simulation.run_until(3.0, "a primary", |w| w.primary_in_use().is_some());
 }
@@ -834,20 +907,23 @@
 /// All kinds of trouble, one after the other; the rules are checked at every event, and once all is calm writes go on.
 fn trouble(u: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
     let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
-    simulation.reports_highest_term_seen = u.arbitrary()?;
-    simulation.rejects_repeated_pause = u.arbitrary()?;
-    simulation.checks_fencing_tokens = u.arbitrary()?;
+    simulation.service.reports_highest_term_seen = u.arbitrary()?;
+    simulation.service.rejects_repeated_pause = u.arbitrary()?;
+    simulation.platform.checks_fencing_tokens = u.arbitrary()?;
     // Places in one region, or in three.
-    (simulation.message_delay_s, simulation.promotion_duration_s) =
-        *u.choose(&[(0.0015, 0.6), (0.012, 0.3)])?;
-    simulation.command_answers_lost_per_mille = u.int_in_range(0..=60)?;
-    simulation.promotion_answers_lost_per_mille = u.int_in_range(0..=500)?;
+    (
+        simulation.kernel.message_delay_s,
+        simulation.platform.promotion_duration_s,
+    ) = *u.choose(&[(0.0015, 0.6), (0.012, 0.3)])?;
+    simulation.service.command_answers_lost_per_mille = u.int_in_range(0..=60)?;
+    simulation.platform.answers_lost_per_mille = u.int_in_range(0..=500)?;
     simulation.run(3.0);
     let mut next = b'd';
     let mut reborn = 0;
     for _ in 0..u.int_in_range(1..=8)? {
         let node = u.int_in_range(1..=3)?;
         let servers: Vec<String> = simulation
+            .service
             .servers
             .values()
             .filter(|s| !s.departed)
@@ -856,25 +932,30 @@
         let server = u.choose(&servers)?.clone();
         match u.int_in_range(0..=14)? {
             0 => simulation.kill(node),
-            1 if simulation.machines[&node].controller.is_none() => simulation.start(node),
-            2 if simulation.machines[&node].controller.is_some() => simulation.freeze(node),
-            3 if simulation.machines[&node].frozen => simulation.thaw(node),
-            4 if simulation.servers[&server].health == Health::Up => simulation.crash(&server),
-            5 if simulation.servers[&server].health == Health::Up => {
+            1 if simulation.control.machines[&node].controller.is_none() => simulation.start(node),
+            2 if simulation.control.machines[&node].controller.is_some() => simulation.freeze(node),
+            3 if simulation.control.machines[&node].frozen => simulation.thaw(node),
+            4 if simulation.service.servers[&server].health == Health::Up => {
+                simulation.crash(&server);
+            }
+            5 if simulation.service.servers[&server].health == Health::Up => {
                 simulation.make_unresponsive(&server);
             }
-            6 if simulation.servers[&server].health != Health::Up => simulation.recover(&server),
+            6 if simulation.service.servers[&server].health != Health::Up => {
+                simulation.recover(&server);
+            }
             7 => {
-                let deaf = !simulation.servers[&server].receives_nothing;
+                let deaf = !simulation.service.servers[&server].receives_nothing;
                 simulation
+                    .service
                     .servers
                     .get_mut(&server)
                     .unwrap()
                     .receives_nothing = deaf;
             }
             8 => simulation.drain(&server),
-            9 if simulation.servers[&server].draining
-                && simulation.servers[&server].health == Health::Up =>
+            9 if simulation.service.servers[&server].draining
+                && simulation.service.servers[&server].health == Health::Up =>
             {
                 let id = char::from(next).to_string();
                 next += 1;
@@ -883,16 +964,16 @@
             }
             10 => {
                 let other = 1 + node % 3;
-                simulation.network.blocked.insert((node, other));
+                simulation.control.network.blocked.insert((node, other));
                 if u.arbitrary()? {
-                    simulation.network.blocked.insert((other, node));
+                    simulation.control.network.blocked.insert((other, node));
                 }
             }
             11 => simulation.freeze_router(u.int_in_range(0..=1)?),
             12 => {
-                simulation.cut_from_servers.insert(node);
+                simulation.control.cut_from_servers.insert(node);
             }
-            13 if simulation.servers[&server].health == Health::Down => {
+            13 if simulation.service.servers[&server].health == Health::Down => {
                 let id = char::from(next).to_string();
                 next += 1;
                 simulation.recover_with_new_id(&server, &id);
@@ -900,30 +981,30 @@
             }
             _ => {
                 simulation.heal_all();
-                simulation.cut_from_servers.clear();
-                simulation.cut_from_routers.clear();
+                simulation.control.cut_from_servers.clear();
+                simulation.edge.blocked.clear();
             }
         }
         let wait: u16 = u.int_in_range(0..=1500)?;
         simulation.run(f64::from(wait) / 1000.0);
     }
     simulation.heal_all();
-    simulation.cut_from_servers.clear();
-    simulation.command_answers_lost_per_mille = 0;
-    simulation.promotion_answers_lost_per_mille = 0;
+    simulation.control.cut_from_servers.clear();
+    simulation.service.command_answers_lost_per_mille = 0;
+    simulation.platform.answers_lost_per_mille = 0;
     for router in 0..2 {
         simulation.thaw_router(router);
     }
     for node in 1..=3 {
-        if simulation.machines[&node].frozen {
+        if simulation.control.machines[&node].frozen {
             simulation.thaw(node);
-        } else if simulation.machines[&node].controller.is_none() {
+        } else if simulation.control.machines[&node].controller.is_none() {
             simulation.start(node);
         }
     }
-    let ids: Vec<String> = simulation.servers.keys().cloned().collect();
+    let ids: Vec<String> = simulation.service.servers.keys().cloned().collect();
     for id in ids {
-        let server = simulation.servers.get_mut(&id).unwrap();
+        let server = simulation.service.servers.get_mut(&id).unwrap();
         server.receives_nothing = false;
         server.draining = false;
         if server.departed {
@@ -935,7 +1016,14 @@
         }
     }
     // Of two that left in the midst of trouble nobody can tell what they took with them.
-    if simulation.servers.values().filter(|s| s.departed).count() < 2 + reborn {
+    if simulation
+        .service
+        .servers
+        .values()
+        .filter(|s| s.departed)
+        .count()
+        < 2 + reborn
+    {
         simulation.run(0.2);
         simulation.run_until(
             25.0,
@@ -957,16 +1045,16 @@
 #[test]
 fn a_draining_primary_is_let_go_of_in_time_though_the_platform_is_down() {
     let mut simulation = steady(5);
-    simulation.scripted_statuses = vec![503; 1000];
+    simulation.platform.scripted_statuses = vec![503; 1000].into();
     simulation.drain("a");
-    let said = simulation.now;
+    let said = simulation.now();
     simulation.run_until(9.0, "the primary is given up", |w| {
         w.primary_in_use().is_none()
     });
-    let after = simulation.now - said;
+    let after = simulation.now() - said;
     assert!(after < 7.0, "after {after}");
     // It is replaced as soon as the platform is back.
-    simulation.scripted_statuses.clear();
+    simulation.platform.scripted_statuses.clear();
     simulation.run_until(5.0, "another is in use", |w| {
         w.primary_in_use().is_some_and(|p| p != "a")
     });
--- a/crates/testing/simulation/tests/losses.rs
+++ b/crates/testing/simulation/tests/losses.rs
@@ -2,8 +2,8 @@
 //! acknowledged.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::Simulation;
 use badgerstream_simulation::oracle::CATCH_UP_S;
+use badgerstream_simulation::{Isolation, Simulation};
 
 const SITES: [(u32, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
@@ -43,6 +43,7 @@
 /// Machines that aren't gone and run.
 fn running(simulation: &Simulation) -> Vec<NodeId> {
     let runs = simulation
+        .control
         .machines
         .iter()
         .filter(|(_, machine)| !machine.removed && machine.controller.is_some());
@@ -147,12 +148,12 @@
         let lags = 1 + leader % 4;
         let leaves = 1 + lags % 4;
         // One of four knows nothing of the newest state when the next one asks to leave.
-        simulation.isolate(lags, true, true);
+        simulation.isolate(lags, Isolation::BothWays);
         replace(&mut simulation, 1, 0, 7);
         simulation.heal(lags);
         simulation.request_shutdown(leaves);
         simulation.run_until(1.5, "it may end", |w| {
-            w.machines[&leaves]
+            w.control.machines[&leaves]
                 .controller
                 .as_ref()
                 .is_some_and(badgerstream_control::Controller::may_shut_down)
@@ -197,6 +198,7 @@
         simulation.run(CATCH_UP_S);
         assert_eq!(
             simulation
+                .control
                 .machines
                 .values()
                 .filter(|machine| !machine.removed)
--- a/crates/testing/simulation/tests/orders.rs
+++ b/crates/testing/simulation/tests/orders.rs
@@ -1,7 +1,7 @@
 //! One outcome for an order: two operators under one number, on one base, with orders sent again.
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::Simulation;
+use badgerstream_simulation::{Isolation, Simulation};
 
 fn order(base: u64, epoch: u64, text: &str) -> ControlRequest {
     ControlRequest::ReplaceConfig {
@@ -51,7 +51,7 @@
             return reply;
         }
     }
-    panic!("{}: no clear answer", simulation.now)
+    panic!("{}: no clear answer", simulation.now())
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -67,8 +67,8 @@
     match loss {
         Loss::Kill => simulation.kill(node),
         Loss::Freeze => simulation.freeze(node),
-        Loss::Cut => simulation.isolate(node, true, true),
-        Loss::CutOneWay => simulation.isolate(node, true, false),
+        Loss::Cut => simulation.isolate(node, Isolation::BothWays),
+        Loss::CutOneWay => simulation.isolate(node, Isolation::Inbound),
         Loss::Wipe => simulation.lose_disk(node),
     }
 }
--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -15,15 +15,25 @@
 }
 
 fn held(simulation: &Simulation, id: &str) -> Option<u64> {
-    simulation.servers[id].paused_at_term
+    simulation.service.servers[id].paused_at_term
 }
 
 fn set_held(simulation: &mut Simulation, id: &str, term: Option<u64>) {
-    simulation.servers.get_mut(id).unwrap().paused_at_term = term;
+    simulation
+        .service
+        .servers
+        .get_mut(id)
+        .unwrap()
+        .paused_at_term = term;
 }
 
 fn set_deaf(simulation: &mut Simulation, id: &str, deaf: bool) {
-    simulation.servers.get_mut(id).unwrap().receives_nothing = deaf;
+    simulation
+        .service
+        .servers
+        .get_mut(id)
+        .unwrap()
+        .receives_nothing = deaf;
 }
 
 // ---- repeated promotions
@@ -32,13 +42,13 @@
 fn a_repeat_of_the_same_promotion_changes_nothing() {
     for (seed, fencing) in [(1, true), (2, false), (3, true), (4, false)] {
         let mut simulation = steady(seed);
-        simulation.checks_fencing_tokens = fencing;
-        simulation.promotion_answers_lost_per_mille = 1000;
+        simulation.platform.checks_fencing_tokens = fencing;
+        simulation.platform.answers_lost_per_mille = 1000;
         simulation.crash("a");
         simulation.run(0.4);
         simulation.run_until(2.5, "writes at another", Simulation::acknowledges_writes);
         simulation.run(2.0);
-        assert_eq!(simulation.promotions.len(), 1);
+        assert_eq!(simulation.service.promotions.len(), 1);
     }
 }
 
@@ -49,14 +59,14 @@
     for fencing in [true, false] {
         for late in [0.6, 0.75, 0.9] {
             let mut simulation = steady(5);
-            simulation.promotion_duration_s = 0.3;
+            simulation.platform.promotion_duration_s = 0.3;
             simulation.add_server("d", "10.0.0.200:1", false);
             simulation.run(2.0);
-            simulation.checks_fencing_tokens = fencing;
-            simulation.scripted_statuses = vec![503];
+            simulation.platform.checks_fencing_tokens = fencing;
+            simulation.platform.scripted_statuses = vec![503].into();
             simulation.crash("a");
-            simulation.run_until(3.0, "a call", |w| !w.promotion_requests.is_empty());
-            let first = simulation.promotion_requests[0].0.clone();
+            simulation.run_until(3.0, "a call", |w| !w.platform.promotion_requests.is_empty());
+            let first = simulation.platform.promotion_requests[0].server_id.clone();
             simulation.make_unresponsive(&first);
             simulation.run(late - 0.1);
             // It is back, without what another one may have acknowledged meanwhile.
@@ -75,13 +85,13 @@
 #[test]
 fn a_refusal_is_not_met_with_a_storm_of_calls() {
     let mut simulation = steady(5);
-    simulation.scripted_statuses = vec![409; 1000];
+    simulation.platform.scripted_statuses = vec![409; 1000].into();
     simulation.crash("a");
     simulation.run(3.0);
     assert!(
-        simulation.promotion_requests.len() < 8,
+        simulation.platform.promotion_requests.len() < 8,
         "{} calls",
-        simulation.promotion_requests.len()
+        simulation.platform.promotion_requests.len()
     );
 }
 
@@ -91,12 +101,12 @@
 fn a_refused_copy_does_not_let_the_old_primary_go_on_at_once() {
     for late in [0.15, 0.3, 0.6, 0.8] {
         let mut simulation = steady(6);
-        simulation.scripted_statuses = vec![503, 409];
+        simulation.platform.scripted_statuses = vec![503, 409].into();
         simulation.drain("a");
         simulation.run_until(3.0, "the refusal of the second call", |w| {
-            w.promotion_requests.len() == 2
+            w.platform.promotion_requests.len() == 2
         });
-        let to = simulation.promotion_requests[0].0.clone();
+        let to = simulation.platform.promotion_requests[0].server_id.clone();
         set_deaf(&mut simulation, &to, true);
         simulation.run(late);
         simulation.promote(&to);
@@ -111,23 +121,29 @@
 #[test]
 fn the_next_leader_asks_for_the_same_server() {
     let mut simulation = steady(7);
-    simulation.statements_enabled = false;
+    simulation.edge.statements_enabled = false;
     simulation.run(0.2);
     simulation.crash("b");
     simulation.run(2.5);
-    simulation.scripted_statuses = vec![503; 1000];
+    simulation.platform.scripted_statuses = vec![503; 1000].into();
     simulation.crash("a");
-    simulation.run_until(4.0, "a call", |w| !w.promotion_requests.is_empty());
-    assert_eq!(simulation.promotion_requests[0].0, "c");
+    simulation.run_until(4.0, "a call", |w| !w.platform.promotion_requests.is_empty());
+    assert_eq!(simulation.platform.promotion_requests[0].server_id, "c");
     let leader = simulation.leader().unwrap();
     simulation.kill(leader);
     simulation.recover("b");
-    let before = simulation.promotion_requests.len();
+    let before = simulation.platform.promotion_requests.len();
     simulation.run_until(9.0, "a call of the next leader", |w| {
-        w.promotion_requests.len() > before
+        w.platform.promotion_requests.len() > before
     });
-    assert!(simulation.promotion_requests[before].1 > simulation.promotion_requests[0].1);
-    assert_eq!(simulation.promotion_requests[before].0, "c");
+    assert!(
+        simulation.platform.promotion_requests[before].fencing_token
+            > simulation.platform.promotion_requests[0].fencing_token
+    );
+    assert_eq!(
+        simulation.platform.promotion_requests[before].server_id,
+        "c"
+    );
 }
 
 // ---- statements that come late
@@ -142,8 +158,8 @@
     }
     start.run(0.2);
     // From here on commits wait at the primary, which answers nobody but its replicas.
-    start.statements_enabled = false;
-    start.unresponsive_to_control.insert("a".to_owned());
+    start.edge.statements_enabled = false;
+    start.service.unresponsive_to_control.insert("a".to_owned());
     start.freeze_router(0);
     start.run_until(2.0, "the replicas are paused", |w| {
         held(w, "b").is_some() && held(w, "c").is_some()
@@ -151,20 +167,20 @@
     for id in ["b", "c"] {
         set_deaf(&mut start, id, false);
     }
-    let lease_ends = start.routers[0].lease_until - 7777.0;
+    let lease_ends = start.edge.routers[0].lease_until - 7777.0;
     for step in 1..60 {
         let mut simulation = start.clone();
-        simulation.run((lease_ends - 0.005 * f64::from(step / 2) - simulation.now).max(0.0));
-        let before = simulation.acknowledged_commits.len();
+        simulation.run((lease_ends - 0.005 * f64::from(step / 2) - simulation.now()).max(0.0));
+        let before = simulation.service.acknowledged_commits.len();
         set_held(&mut simulation, "c", None);
         if step % 2 == 0 {
             // A late `PAUSE` follows, so that it looks as if nothing had been.
             simulation.run(0.008);
             set_held(&mut simulation, "c", Some(50));
         }
-        simulation.run_until(5.0, "a promotion", |w| !w.promotions.is_empty());
+        simulation.run_until(5.0, "a promotion", |w| !w.service.promotions.is_empty());
         assert!(
-            simulation.acknowledged_commits.len() > before,
+            simulation.service.acknowledged_commits.len() > before,
             "step {step}: the commits that waited were acknowledged"
         );
     }
@@ -177,7 +193,7 @@
     simulation.drain("a");
     while held(&simulation, "b").or(held(&simulation, "c")).is_none() {
         simulation.run(0.0005);
-        assert!(simulation.now < 20.0);
+        assert!(simulation.now() < 20.0);
     }
     let paused = if held(&simulation, "b").is_some() {
         "b"
@@ -186,11 +202,11 @@
     };
     let to = if paused == "b" { "c" } else { "b" };
     set_held(&mut simulation, paused, None);
-    simulation.run_until(2.0, "a call", |w| !w.promotion_requests.is_empty());
+    simulation.run_until(2.0, "a call", |w| !w.platform.promotion_requests.is_empty());
     // Nothing that only the other replica has may be acknowledged now.
     set_deaf(&mut simulation, to, true);
     simulation.run(0.8);
-    assert_eq!(simulation.promotions[0].0, to);
+    assert_eq!(simulation.service.promotions[0].server_id, to);
     set_deaf(&mut simulation, to, false);
     simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
 }
@@ -208,6 +224,7 @@
         simulation.run_until(3.0, "a primary in use", |w| w.primary_in_use().is_some());
         simulation.run(1.0);
         let replicas: Vec<String> = simulation
+            .service
             .servers
             .values()
             .filter(|s| !s.is_primary)
@@ -232,13 +249,14 @@
 fn late_pauses_and_step_downs_at_any_moment() {
     arbtest(|u| {
         let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
-        simulation.checks_fencing_tokens = u.arbitrary()?;
-        simulation.promotion_answers_lost_per_mille = u.int_in_range(0..=300)?;
+        simulation.platform.checks_fencing_tokens = u.arbitrary()?;
+        simulation.platform.answers_lost_per_mille = u.int_in_range(0..=300)?;
         simulation.run(3.0);
         for _ in 0..u.int_in_range(2..=10)? {
             let id = *u.choose(&["a", "b", "c"])?;
-            let up = simulation.servers[id].health == Health::Up;
+            let up = simulation.service.servers[id].health == Health::Up;
             let top = simulation
+                .service
                 .servers
                 .values()
                 .map(|s| s.primary_term)
@@ -248,17 +266,18 @@
             match u.int_in_range(0..=6)? {
                 0 | 1
                     if up
-                        && !simulation.servers[id].is_primary
-                        && late > simulation.servers[id].paused_at_term.unwrap_or(top) =>
+                        && !simulation.service.servers[id].is_primary
+                        && late > simulation.service.servers[id].paused_at_term.unwrap_or(top) =>
                 {
                     set_held(&mut simulation, id, Some(late));
                 }
                 // The lowest term that turned it out, which is its own and one more.
-                2 if up && simulation.servers[id].is_primary => {
-                    simulation.servers.get_mut(id).unwrap().is_primary = false;
+                2 if up && simulation.service.servers[id].is_primary => {
+                    simulation.service.servers.get_mut(id).unwrap().is_primary = false;
                 }
                 3 if up
                     && simulation
+                        .service
                         .servers
                         .values()
                         .filter(|s| s.health == Health::Up)
@@ -280,12 +299,12 @@
             simulation.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
         }
         for id in ["a", "b", "c"] {
-            simulation.servers.get_mut(id).unwrap().draining = false;
-            if simulation.servers[id].health != Health::Up {
+            simulation.service.servers.get_mut(id).unwrap().draining = false;
+            if simulation.service.servers[id].health != Health::Up {
                 simulation.recover(id);
             }
         }
-        simulation.promotion_answers_lost_per_mille = 0;
+        simulation.platform.answers_lost_per_mille = 0;
         simulation.run(0.2);
         simulation.run_until(
             25.0,
@@ -293,7 +312,8 @@
             Simulation::acknowledges_writes,
         );
         simulation.run_until(4.0, "no replica is held", |w| {
-            w.servers
+            w.service
+                .servers
                 .values()
                 .all(|s| s.is_primary || s.paused_at_term.is_none())
         });
--- a/crates/testing/simulation/tests/quorum.rs
+++ b/crates/testing/simulation/tests/quorum.rs
@@ -14,7 +14,7 @@
 /// Cuts the links from the leader to the others, or those from the others to it.
 fn cut(simulation: &mut Simulation, leader: NodeId, outgoing: bool) {
     for other in (1..=3).filter(|n| *n != leader) {
-        simulation.network.blocked.insert(if outgoing {
+        simulation.control.network.blocked.insert(if outgoing {
             (leader, other)
         } else {
             (other, leader)
@@ -38,7 +38,7 @@
             assert!(
                 simulation.leader().is_some_and(|l| l != old),
                 "seed {seed}, at {}",
-                simulation.now
+                simulation.now()
             );
         }
         simulation.heal_all();
@@ -61,7 +61,7 @@
             assert!(
                 simulation.leader().is_some_and(|l| l != old),
                 "seed {seed}, at {}",
-                simulation.now
+                simulation.now()
             );
         }
     }
--- a/crates/testing/simulation/tests/rosters.rs
+++ b/crates/testing/simulation/tests/rosters.rs
@@ -2,7 +2,7 @@
 
 use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::Simulation;
-use badgerstream_simulation::servers::beat;
+use badgerstream_simulation::service::heartbeat;
 
 /// A new copy is known to the leader and to one follower only, and alone has the newest commits, when the primary and the
 /// leader are lost at once. The other follower takes over: it waits until it has heard of that copy.
@@ -20,43 +20,67 @@
         let (takes_over, knows) = (others[0], others[1]);
         // It hears nothing of the others while they are told of the new copy.
         for other in [leader, knows] {
-            simulation.network.blocked.insert((other, takes_over));
+            simulation
+                .control
+                .network
+                .blocked
+                .insert((other, takes_over));
         }
         simulation.add_server("d", "10.0.0.200:1", false);
-        simulation.servers.get_mut("d").unwrap().sends_heartbeats = false;
+        simulation
+            .service
+            .servers
+            .get_mut("d")
+            .unwrap()
+            .sends_heartbeats = false;
         simulation.submit_request(
             knows,
             9,
             ControlRequest::Heartbeat {
                 server_id: "d".to_owned(),
-                heartbeat: beat("10.0.0.200:1", 1, false),
+                heartbeat: heartbeat("10.0.0.200:1", 1, false),
             },
         );
         simulation.run(0.1);
         assert_eq!(simulation.responses[&9].0, 200);
         for id in ["b", "c"] {
-            simulation.servers.get_mut(id).unwrap().receives_nothing = true;
+            simulation
+                .service
+                .servers
+                .get_mut(id)
+                .unwrap()
+                .receives_nothing = true;
         }
         simulation.run(0.15);
         simulation.crash("a");
         simulation.kill(leader);
         // So much waited for the connections to it that some was lost, and this as well.
-        simulation.network.overflow(leader, takes_over);
-        simulation.network.overflow(knows, takes_over);
+        simulation.control.network.overflow(leader, takes_over);
+        simulation.control.network.overflow(knows, takes_over);
         simulation.heal_all();
         for id in ["b", "c"] {
-            simulation.servers.get_mut(id).unwrap().receives_nothing = false;
+            simulation
+                .service
+                .servers
+                .get_mut(id)
+                .unwrap()
+                .receives_nothing = false;
         }
         simulation.run_until(4.0, "another leader", |w| w.leader().is_some());
-        let length = |id: &str| simulation.servers[id].log.len();
+        let length = |id: &str| simulation.service.servers[id].log.len();
         let alone = length("d") > length("b").max(length("c"));
         played += u32::from(alone && simulation.leader() == Some(takes_over));
         // A promotion without the commits that only the new copy has is an error of the world.
         simulation.run(8.0);
         assert!(
-            !alone || simulation.promotions.iter().all(|(id, _)| id == "d"),
+            !alone
+                || simulation
+                    .service
+                    .promotions
+                    .iter()
+                    .all(|p| p.server_id == "d"),
             "{:?}",
-            simulation.promotions
+            simulation.service.promotions
         );
     }
     assert!(played > 3, "{played}");
@@ -81,7 +105,7 @@
 /// Whether the leader knows that this server, which serves on, drains.
 fn drains(simulation: &Simulation, id: &str) -> bool {
     let leader = simulation.leader().expect("somebody leads");
-    let controller = simulation.machines[&leader]
+    let controller = simulation.control.machines[&leader]
         .controller
         .as_ref()
         .expect("it runs");
@@ -103,7 +127,7 @@
             w.primary_in_use().as_deref() == Some("a")
         });
         simulation.run(2.0);
-        let server = simulation.servers.get_mut("b").expect("a replica");
+        let server = simulation.service.servers.get_mut("b").expect("a replica");
         server.sends_heartbeats = false;
         let endpoint = server.endpoint.clone();
         let asked = 1 + (seed % 3) as NodeId;
@@ -112,7 +136,7 @@
             9,
             ControlRequest::Heartbeat {
                 server_id: "b".to_owned(),
-                heartbeat: beat(&endpoint, 1000, true),
+                heartbeat: heartbeat(&endpoint, 1000, true),
             },
         );
         lose_all_once_acknowledged(&mut simulation);
@@ -122,7 +146,7 @@
             10,
             ControlRequest::Heartbeat {
                 server_id: "b".to_owned(),
-                heartbeat: beat(&endpoint, 999, false),
+                heartbeat: heartbeat(&endpoint, 999, false),
             },
         );
         simulation.run(1.0);
@@ -140,7 +164,12 @@
             w.primary_in_use().as_deref() == Some("a")
         });
         simulation.run(2.0);
-        simulation.servers.get_mut("b").expect("a replica").departed = true;
+        simulation
+            .service
+            .servers
+            .get_mut("b")
+            .expect("a replica")
+            .departed = true;
         let asked = 1 + (seed % 3) as NodeId;
         simulation.submit_request(
             asked,
