--- /dev/null
+++ b/crates/testing/simulation/src/days/concurrent_faults.rs
@@ -0,0 +1,134 @@
+//! Faults that strike in the same second as a loss of a control machine.
+
+use super::random::{number, pick};
+use super::{Entry, Site};
+use fastrand::Rng;
+
+/// A fault that the fault budget doesn't bound.
+#[derive(Clone, Copy)]
+enum ConcurrentFault {
+    ControlConnectionResets,
+    AllConnectionResets,
+    LostAcknowledgements,
+    LostAnswers,
+    ClockSteps,
+    PrimaryCrash,
+    PrimaryPartition,
+    ReplicationLag,
+    SlowMachines,
+    RouterPartitions,
+    ServerPartitions,
+    FlappingServers,
+    FalseHealthChecks,
+}
+
+/// A fault that begins in that second.
+pub(super) fn draw(rng: &mut Rng, at: f64, site: Site) -> Entry {
+    let mut among = vec![
+        ConcurrentFault::ControlConnectionResets,
+        ConcurrentFault::ControlConnectionResets,
+        ConcurrentFault::AllConnectionResets,
+        ConcurrentFault::LostAcknowledgements,
+        ConcurrentFault::LostAnswers,
+        ConcurrentFault::ClockSteps,
+        ConcurrentFault::PrimaryCrash,
+        ConcurrentFault::PrimaryCrash,
+        ConcurrentFault::PrimaryPartition,
+        ConcurrentFault::ReplicationLag,
+        ConcurrentFault::SlowMachines,
+        ConcurrentFault::RouterPartitions,
+        ConcurrentFault::ServerPartitions,
+    ];
+    if site == Site::Grown {
+        among.extend([
+            ConcurrentFault::FlappingServers,
+            ConcurrentFault::FalseHealthChecks,
+        ]);
+    }
+    let fault = pick(rng, &among);
+    entry(rng, at, fault)
+}
+
+fn entry(rng: &mut Rng, at: f64, fault: ConcurrentFault) -> Entry {
+    let seconds = number(rng, 1.0, 6.0);
+    match fault {
+        ConcurrentFault::ControlConnectionResets => Entry::new(at, "reset_conns")
+            .text("on", "core")
+            .number("share", 1.0)
+            .number("x", number(rng, 0.4, 1.0)),
+        ConcurrentFault::AllConnectionResets => Entry::new(at, "reset_conns")
+            .number("share", 0.6)
+            .number("x", number(rng, 0.3, 1.0)),
+        ConcurrentFault::LostAcknowledgements => Entry::new(at, "ack_lost")
+            .number("x", number(rng, 0.5, 1.0))
+            .lasting(seconds),
+        ConcurrentFault::LostAnswers => {
+            let how = pick(rng, &["", "primary", "reset primary"]);
+            Entry::new(at, "answer_lost")
+                .number("share", 0.5)
+                .number("x", 0.05)
+                .lasting(seconds)
+                .how(how)
+        }
+        ConcurrentFault::ClockSteps => {
+            let how = pick(rng, &["back", "ahead"]);
+            let step = Entry::new(at, "clock_step")
+                .number("share", 0.6)
+                .number("x", number(rng, 1000.0, 5000.0));
+            step.lasting(seconds).how(how)
+        }
+        ConcurrentFault::PrimaryCrash => {
+            let how = pick(rng, &["primary", "dark primary"]);
+            Entry::new(at, "srv_crash")
+                .lasting(number(rng, 5.0, 8.0))
+                .how(how)
+        }
+        ConcurrentFault::PrimaryPartition => {
+            let how = pick(rng, &["", "replicas", "core", "one_way"]);
+            Entry::new(at, "primary_cut")
+                .number("share", 0.5)
+                .lasting(seconds)
+                .how(how)
+        }
+        ConcurrentFault::ReplicationLag => {
+            let how = pick(rng, &["", "deaf", "deaf crash"]);
+            Entry::new(at, "replica_lag")
+                .count(1)
+                .number("x", 60.0)
+                .lasting(seconds)
+                .how(how)
+        }
+        ConcurrentFault::SlowMachines => Entry::new(at, "node_slow")
+            .number("share", 0.3)
+            .number("x", number(rng, 3.0, 6.0))
+            .lasting(seconds),
+        ConcurrentFault::RouterPartitions => {
+            let how = pick(rng, &["", "reset", "refuse"]);
+            Entry::new(at, "node_cut")
+                .number("share", 0.3)
+                .lasting(seconds)
+                .how(how)
+        }
+        ConcurrentFault::ServerPartitions => {
+            let how = pick(
+                rng,
+                &["", "fronts", "some", "some lossy", "one_way", "reset"],
+            );
+            let partition = Entry::new(at, "srv_cut")
+                .number("share", 0.4)
+                .number("x", 0.5);
+            partition.lasting(seconds).how(how)
+        }
+        ConcurrentFault::FlappingServers => Entry::new(at, "srv_flap")
+            .number("share", 0.1)
+            .number("gap_s", 1.4)
+            .lasting(seconds),
+        ConcurrentFault::FalseHealthChecks => {
+            let how = pick(rng, &["errors", "hang", "reset", "bad"]);
+            Entry::new(at, "srv_lying_health")
+                .number("share", 0.1)
+                .lasting(seconds)
+                .how(how)
+        }
+    }
+}
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -10,7 +10,7 @@
 /// Machines and fault budgets, of which the seed picks one if `--machines` isn't given.
 const SIZES: [(u32, usize); 4] = [(3, 1), (5, 2), (6, 2), (4, 1)];
 
-/// Plays the control side with faults by chance and checks safety and liveness.
+/// Plays the control side with random faults and checks safety and liveness.
 #[derive(Parser)]
 #[command(
     name = "badgerstream-simulate",
@@ -29,23 +29,26 @@
     /// Seconds of simulated time with faults in each run.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// Control machines; every combination of 3, 5 and 6 with its budget if it isn't told.
+    /// Control machines; every combination of 3, 5 and 6 with its budget if not given.
     #[arg(long)]
     machines: Option<u32>,
     /// How many may be lost at once.
     #[arg(long, default_value_t = 1)]
     budget: usize,
-    /// Any number of machines may be lost at once, and be cut into halves; only disks are kept to the budget.
+    /// Any number of machines may be lost at once, and be partitioned into halves; only losses of
+    /// disks are kept to the budget.
     #[arg(long)]
     beyond: bool,
-    /// Prints what each run was and its digest, in one line: of the same run always the same, also with other names in the code.
+    /// Prints the parameters and the digest of each run in one line. The digest of a run does not
+    /// depend on names in the code.
     #[arg(long)]
     digest: bool,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Prints a day for the bench, drawn from a seed: several troubles on the same machine within the same second.
+    /// Prints a day for the bench, drawn from a seed: several faults on the same machine within the
+    /// same second.
     Day {
         /// The kind of deployment that it is drawn for.
         #[arg(long)]
