--- a/crates/testing/simulation/src/simulation/queries.rs
+++ b/crates/testing/simulation/src/simulation/queries.rs
@@ -4,6 +4,7 @@
 use crate::digest::RunDigest;
 use crate::observer;
 use crate::oracle::liveness;
+use crate::service::Server;
 use badgerstream_control::NodeId;
 
 /// Writes count as acknowledged again if one was within so many seconds.
@@ -30,6 +31,24 @@
         self.edge.primary_in_use(self.now(), &self.service)
     }
 
+    /// The server with this id.
+    ///
+    /// # Panics
+    ///
+    /// If there never was one.
+    pub fn server(&self, id: &str) -> &Server {
+        &self.service.servers[id]
+    }
+
+    /// The server with this id, for a test to change.
+    ///
+    /// # Panics
+    ///
+    /// If there never was one.
+    pub fn server_mut(&mut self, id: &str) -> &mut Server {
+        self.service.server_mut(id)
+    }
+
     /// Whether a write was acknowledged a moment ago.
     pub fn acknowledges_writes(&self) -> bool {
         let last = self.service.acknowledgement_times.last();
--- a/crates/testing/simulation/src/tests/days.rs
+++ b/crates/testing/simulation/src/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days that are drawn: the same seed draws the same day, and the bench can read it.
+//! Drawn days: the same seed draws the same day, and the bench can read it.
 
 use crate::days::{Day, LENGTH_S, Site};
 use clap::ValueEnum;
@@ -37,7 +37,7 @@
     "srv_cut",
 ];
 
-/// Kinds of which the small sites know nothing.
+/// Kinds that only the grown site has.
 const ONLY_GROWN: [&str; 2] = ["srv_flap", "srv_lying_health"];
 
 fn days(site: Site) -> impl Iterator<Item = Day> {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_seed_always_draws_the_same_day() {
+fn same_seed_draws_the_same_day() {
     for site in Site::value_variants() {
         for day in days(*site).zip(days(*site)) {
             assert_eq!(day.0, day.1);
@@ -56,10 +56,10 @@
     }
 }
 
-/// The text of one seed stands here whole: who changes how days are drawn makes the seeds of old reports worthless, and
-/// has to say so.
+/// The full text of one seed: a change of how days are drawn makes the seeds of old reports
+/// worthless, and has to say so.
 #[test]
-fn the_text_of_a_seed_is_known() {
+fn text_of_a_seed_is_unchanged() {
     assert_eq!(
         Day::draw(Site::Control, 7).to_string(),
         include_str!("day-control-7.toml")
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn entries_stand_in_order_and_within_the_day() {
+fn entries_are_in_order_and_within_the_day() {
     for site in Site::value_variants() {
         for day in days(*site) {
             for entries in [day.plan(), day.faults()] {
@@ -105,9 +105,9 @@
     }
 }
 
-/// Orders are under way all day, and of the troubles several begin in the same second.
+/// Configuration changes go on all day, and several faults begin in the same second.
 #[test]
-fn troubles_meet_in_the_same_second() {
+fn faults_strike_in_the_same_second() {
     for site in Site::value_variants() {
         for day in days(*site) {
             assert!(
@@ -123,9 +123,10 @@
     }
 }
 
-/// Each line is a key with a value, or an entry of a list; brackets, braces and quotes are balanced.
+/// Each line is a key with a value, or an entry of a list; brackets, braces and quotes are
+/// balanced.
 #[test]
-fn the_text_has_the_shape_of_a_day() {
+fn text_has_the_form_of_a_day() {
     for site in Site::value_variants() {
         for day in days(*site) {
             let text = day.to_string();
--- a/crates/testing/simulation/tests/catch_up.rs
+++ b/crates/testing/simulation/tests/catch_up.rs
@@ -1,11 +1,11 @@
-//! Hundreds of changes, and machines that were away meanwhile.
+//! Machines that miss hundreds of configuration changes catch up.
 
 use badgerstream_control::NodeId;
 use badgerstream_simulation::Simulation;
 use badgerstream_simulation::oracle::CATCH_UP_S;
 use badgerstream_simulation::{DiskHealth, HEALTHY_DISK};
 
-fn busy(seed: u64, machines: u32, budget: usize) -> Simulation {
+fn busy_simulation(seed: u64, machines: u32, budget: usize) -> Simulation {
     let mut simulation = Simulation::control_only(seed, machines, budget);
     for _ in 0..6 {
         simulation.add_operator();
@@ -14,7 +14,7 @@
     simulation
 }
 
-fn newest(simulation: &Simulation) -> u64 {
+fn newest_version(simulation: &Simulation) -> u64 {
     simulation
         .control
         .machines
@@ -24,19 +24,19 @@
         .unwrap_or(0)
 }
 
-/// A machine that was away for hundreds of changes has them all once it has had its time, over a slow disk too, and then
-/// leads with nothing older.
+/// A machine that was down for hundreds of changes has them all after the catch-up time, with a
+/// slow disk too, and then leads with nothing older.
 #[test]
-fn who_was_away_for_hundreds_of_changes_leads_with_the_newest() {
+fn machine_that_missed_hundreds_of_changes_leads_with_the_newest_state() {
     for (seed, health) in [(1, HEALTHY_DISK), (2, DiskHealth::WriteLatency(0.06))] {
-        let mut simulation = busy(seed, 3, 1);
+        let mut simulation = busy_simulation(seed, 3, 1);
         let leader = simulation.leader().unwrap();
         let away = 1 + leader % 3;
         simulation.kill(away);
-        while newest(&simulation) < 300 {
+        while newest_version(&simulation) < 300 {
             simulation.run(1.0);
         }
-        let missed = newest(&simulation);
+        let missed = newest_version(&simulation);
         simulation.start(away);
         simulation.set_disk_health(away, health);
         simulation.run(CATCH_UP_S);
@@ -49,7 +49,7 @@
                 .version
                 >= missed
         );
-        // Only it and one other are left.
+        // Only this machine and one other are left.
         simulation.run(CATCH_UP_S);
         simulation.kill(leader);
         simulation.run(4.0);
@@ -57,12 +57,12 @@
     }
 }
 
-/// All restart again and again while changes go on: nobody leads with what is old, and each is up to date when it has had its
-/// time.
+/// All machines restart again and again while changes go on: nobody leads with an old state, and
+/// each is up to date after the catch-up time.
 #[test]
-fn restarts_through_hundreds_of_changes() {
+fn restarted_machines_catch_up_during_hundreds_of_changes() {
     for (seed, machines, budget) in [(3, 3, 1), (4, 5, 2), (5, 6, 2)] {
-        let mut simulation = busy(seed, machines, budget);
+        let mut simulation = busy_simulation(seed, machines, budget);
         for round in 0..12 {
             let nodes: Vec<NodeId> = (1..=machines).collect();
             let restarted = nodes[round % nodes.len()];
@@ -70,7 +70,7 @@
             simulation.run(0.7);
             simulation.start(restarted);
             simulation.run(CATCH_UP_S + 0.5);
-            let behind = newest(&simulation)
+            let behind = newest_version(&simulation)
                 - simulation.control.machines[&restarted]
                     .disk
                     .hard_state
@@ -78,16 +78,20 @@
                     .version;
             assert!(behind <= 3, "{behind} changes behind");
         }
-        assert!(newest(&simulation) > 300, "{}", newest(&simulation));
+        assert!(
+            newest_version(&simulation) > 300,
+            "{}",
+            newest_version(&simulation)
+        );
     }
 }
 
-/// A disk that takes no bytes again and again, on the leader and then on another one, ends neither for the life of its
-/// process.
+/// A disk that rejects writes for a while, at the leader and then at another machine, makes neither
+/// of them leave the voter set.
 #[test]
-fn disks_that_are_full_for_a_while_end_no_voter() {
+fn temporarily_full_disk_does_not_remove_a_voter() {
     for seed in 0..4 {
-        let mut simulation = busy(seed, 3, 1);
+        let mut simulation = busy_simulation(seed, 3, 1);
         for _ in 0..3 {
             let leader = simulation.leader().unwrap();
             for node in [leader, 1 + leader % 3] {
--- a/crates/testing/simulation/tests/losses.rs
+++ b/crates/testing/simulation/tests/consecutive_losses.rs
@@ -1,21 +1,21 @@
-//! A second loss right after a repair, as soon as the budget allows it: somebody leads, agrees and has all that was
-//! acknowledged.
+//! A second loss right after a recovery, as soon as the budget allows it: there is a leader, it
+//! commits changes and has everything that was acknowledged.
 
 use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::oracle::CATCH_UP_S;
 use badgerstream_simulation::{Isolation, Simulation};
 
-const SITES: [(u32, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
+const SIZES: [(u32, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
-fn settled(seed: u64, machines: u32, budget: usize) -> Simulation {
+fn settled_simulation(seed: u64, machines: u32, budget: usize) -> Simulation {
     let mut simulation = Simulation::control_only(seed, machines, budget);
     simulation.run(4.0);
     assert!(simulation.all_machines_vote());
     simulation
 }
 
-fn replace(simulation: &mut Simulation, number: u64, base: u64, epoch: u64) {
-    let leader = simulation.leader().expect("somebody leads");
+fn replace_config(simulation: &mut Simulation, number: u64, base: u64, epoch: u64) {
+    let leader = simulation.leader().expect("a leader");
     let body = format!("{{\"epoch\":{epoch}}}").into_bytes();
     simulation.submit_request(
         leader,
@@ -40,8 +40,8 @@
     );
 }
 
-/// Machines that aren't gone and run.
-fn running(simulation: &Simulation) -> Vec<NodeId> {
+/// Machines that run and were not removed.
+fn running_machines(simulation: &Simulation) -> Vec<NodeId> {
     let runs = simulation
         .control
         .machines
@@ -50,9 +50,9 @@
     runs.map(|(node, _)| *node).collect()
 }
 
-/// Every machine that runs reads the newest acknowledged configuration.
-fn all_read(simulation: &mut Simulation, number: u64, epoch: u64) {
-    for node in running(simulation) {
+/// Every running machine serves the newest acknowledged configuration.
+fn check_all_read(simulation: &mut Simulation, number: u64, epoch: u64) {
+    for node in running_machines(simulation) {
         let call = number + u64::from(node);
         simulation.submit_request(node, call, ControlRequest::ReadConfig);
         simulation.run(1.0);
@@ -66,115 +66,115 @@
     }
 }
 
-/// As many disks as the budget allows are lost at once, right behind an acknowledgement; as soon as the machines have had
-/// their time to catch up, as many others end, the leader first.
+/// As many disks as the budget allows are lost at once, right after an acknowledgement; after the
+/// catch-up time as many other machines are killed, the leader first.
 #[test]
-fn a_second_loss_after_lost_disks() {
-    for (machines, budget) in SITES {
+fn second_loss_after_lost_disks_loses_nothing() {
+    for (machines, budget) in SIZES {
         for seed in 0..6 {
-            let mut simulation = settled(seed, machines, budget);
-            replace(&mut simulation, 1, 0, 7);
+            let mut simulation = settled_simulation(seed, machines, budget);
+            replace_config(&mut simulation, 1, 0, 7);
             let leader = simulation.leader().unwrap();
-            let mut wiped: Vec<NodeId> = (0..machines)
+            let mut disks_lost: Vec<NodeId> = (0..machines)
                 .map(|at| 1 + (leader + at - 1) % machines)
                 .collect();
-            wiped.rotate_left(seed as usize % 2);
-            wiped.truncate(budget);
-            for node in &wiped {
+            disks_lost.rotate_left(seed as usize % 2);
+            disks_lost.truncate(budget);
+            for node in &disks_lost {
                 simulation.lose_disk(*node);
             }
             simulation.run(0.8);
-            for node in &wiped {
+            for node in &disks_lost {
                 simulation.start(*node);
             }
             simulation.run(CATCH_UP_S);
             assert!(simulation.all_machines_vote(), "{}", simulation.describe());
             let leader = simulation.leader().unwrap();
-            let others = (1..=machines).filter(|node| !wiped.contains(node));
-            let mut ends: Vec<NodeId> = others.collect();
-            ends.sort_by_key(|node| *node != leader);
-            for node in ends.iter().take(budget) {
+            let others = (1..=machines).filter(|node| !disks_lost.contains(node));
+            let mut killed: Vec<NodeId> = others.collect();
+            killed.sort_by_key(|node| *node != leader);
+            for node in killed.iter().take(budget) {
                 simulation.kill(*node);
             }
             simulation.run(2.5);
-            replace(&mut simulation, 2, 7, 9);
-            all_read(&mut simulation, 100, 9);
+            replace_config(&mut simulation, 2, 7, 9);
+            check_all_read(&mut simulation, 100, 9);
         }
     }
 }
 
-/// One machine is gone for good, another loses its disk meanwhile where the budget allows that; the successor comes, and
-/// as soon as it has had its time as many others end.
+/// One machine is removed, another loses its disk meanwhile where the budget allows that; a
+/// successor joins, and after the catch-up time as many others are killed as the budget allows.
 #[test]
-fn a_second_loss_after_a_replacement() {
-    for (machines, budget) in SITES {
+fn second_loss_after_a_replacement_loses_nothing() {
+    for (machines, budget) in SIZES {
         for seed in 0..6 {
-            let mut simulation = settled(seed, machines, budget);
-            replace(&mut simulation, 1, 0, 7);
+            let mut simulation = settled_simulation(seed, machines, budget);
+            replace_config(&mut simulation, 1, 0, 7);
             let leader = simulation.leader().unwrap();
-            let gone = if seed % 2 == 0 {
+            let removed_node = if seed % 2 == 0 {
                 leader
             } else {
                 1 + leader % machines
             };
-            simulation.remove(gone);
+            simulation.remove(removed_node);
             simulation.run(0.5);
             if budget > 1 {
-                let wiped = running(&simulation)[seed as usize % 3];
-                simulation.lose_disk(wiped);
+                let disks_lost = running_machines(&simulation)[seed as usize % 3];
+                simulation.lose_disk(disks_lost);
                 simulation.run(0.3);
-                simulation.start(wiped);
+                simulation.start(disks_lost);
             }
             simulation.run(0.5);
             simulation.add_and_start(20);
             simulation.run(CATCH_UP_S);
-            for node in running(&simulation).into_iter().rev().take(budget) {
+            for node in running_machines(&simulation).into_iter().rev().take(budget) {
                 simulation.kill(node);
             }
             simulation.run(2.5);
-            replace(&mut simulation, 2, 7, 9);
-            all_read(&mut simulation, 100, 9);
+            replace_config(&mut simulation, 2, 7, 9);
+            check_all_read(&mut simulation, 100, 9);
         }
     }
 }
 
-/// A machine that leaves has, with the leader, one of the few copies of the newest state; the leader's disk is lost right
-/// after it has left.
+/// A machine that shuts down has, with the leader, one of the few copies of the newest state; the
+/// leader's disk is lost right after its removal.
 #[test]
-fn a_member_that_leaves_takes_no_copy_with_it() {
+fn leaving_voter_leaves_enough_copies_behind() {
     for seed in 0..12 {
-        let mut simulation = settled(seed, 4, 1);
+        let mut simulation = settled_simulation(seed, 4, 1);
         let leader = simulation.leader().unwrap();
-        let lags = 1 + leader % 4;
-        let leaves = 1 + lags % 4;
-        // One of four knows nothing of the newest state when the next one asks to leave.
-        simulation.isolate(lags, Isolation::BothWays);
-        replace(&mut simulation, 1, 0, 7);
-        simulation.heal(lags);
-        simulation.request_shutdown(leaves);
-        simulation.run_until(1.5, "it may end", |w| {
-            w.control.machines[&leaves]
+        let lagging = 1 + leader % 4;
+        let leaving = 1 + lagging % 4;
+        // One of four doesn't have the newest state when the next one asks to leave.
+        simulation.isolate(lagging, Isolation::BothWays);
+        replace_config(&mut simulation, 1, 0, 7);
+        simulation.heal(lagging);
+        simulation.request_shutdown(leaving);
+        simulation.run_until(1.5, "it may end", |simulation| {
+            simulation.control.machines[&leaving]
                 .controller
                 .as_ref()
                 .is_some_and(badgerstream_control::Controller::may_shut_down)
         });
-        simulation.remove(leaves);
+        simulation.remove(leaving);
         simulation.lose_disk(leader);
         simulation.run(0.6);
         simulation.start(leader);
         simulation.run(CATCH_UP_S);
         assert!(simulation.leader().is_some(), "{}", simulation.describe());
-        all_read(&mut simulation, 100, 7);
-        replace(&mut simulation, 2, 7, 9);
+        check_all_read(&mut simulation, 100, 7);
+        replace_config(&mut simulation, 2, 7, 9);
     }
 }
 
-/// A new machine takes the place of one that is gone; the leader is lost at every event of that, in turn by a kill, a loss of
-/// power and a freeze, and is back a second later.
+/// A new machine takes the place of a removed one; the leader is lost at every event of that, in
+/// turn by a kill, a power loss and a freeze, and is back a second later.
 #[test]
-fn a_replacement_whose_leader_is_lost_at_every_event() {
-    let mut start = settled(5, 3, 1);
-    replace(&mut start, 1, 0, 7);
+fn replacement_survives_the_loss_of_the_leader_at_every_event() {
+    let mut start = settled_simulation(5, 3, 1);
+    replace_config(&mut start, 1, 0, 7);
     let leader = start.leader().unwrap();
     start.remove(1 + leader % 3);
     start.run(1.2);
@@ -205,21 +205,21 @@
                 .count(),
             3
         );
-        for lost in running(&simulation) {
+        for lost in running_machines(&simulation) {
             let mut simulation = simulation.clone();
             simulation.kill(lost);
             simulation.run(2.5);
-            replace(&mut simulation, 2, 7, 9);
+            replace_config(&mut simulation, 2, 7, 9);
         }
     }
 }
 
-/// The closing fault: as many disks as the budget allows are lost while all other machines lose power, at every moment
-/// around an acknowledgement.
+/// The fault at the end of a day: as many disks as the budget allows are lost while all other
+/// machines lose power, at every event around an acknowledgement.
 #[test]
-fn lost_disks_while_all_others_lose_power() {
-    for (machines, budget) in SITES {
-        let start = settled(3, machines, budget);
+fn lost_disks_during_a_power_loss_of_all_lose_nothing() {
+    for (machines, budget) in SIZES {
+        let start = settled_simulation(3, machines, budget);
         let leader = start.leader().unwrap();
         for at in 0..40 {
             let mut simulation = start.clone();
@@ -241,10 +241,10 @@
                 .get(&1)
                 .is_some_and(|reply| reply.0 == 200);
             for node in 1..=machines {
-                // The leader's disk among them, as often as not.
-                let wiped =
+                // Half of the time the leader's disk is among them.
+                let disks_lost =
                     (0..budget as u32).any(|more| 1 + (leader + at / 2 + more) % machines == node);
-                if wiped {
+                if disks_lost {
                     simulation.lose_disk(node);
                 } else {
                     simulation.power_off(node);
@@ -256,7 +256,7 @@
             }
             simulation.run(CATCH_UP_S);
             if acknowledged {
-                all_read(&mut simulation, 100, 7);
+                check_all_read(&mut simulation, 100, 7);
             }
             assert!(simulation.leader().is_some(), "{}", simulation.describe());
         }
--- a/crates/testing/simulation/tests/contact.rs
+++ b/crates/testing/simulation/tests/contact.rs
@@ -1,4 +1,4 @@
-//! A control machine that is cut off: it serves nothing old, confirms nothing and holds nobody up.
+//! An isolated control machine: it serves nothing old, acknowledges nothing and delays nobody.
 
 use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::service::heartbeat;
@@ -7,33 +7,40 @@
 
 const ISOLATIONS: [Isolation; 3] = [Isolation::BothWays, Isolation::Inbound, Isolation::Outbound];
 
-/// Control machines that have settled, and operators at work.
+/// Control machines with a leader, and operators at work.
 fn at_work(seed: u64, machines: u32, budget: usize) -> (Simulation, NodeId) {
     let mut simulation = Simulation::control_only(seed, machines, budget);
     for _ in 0..4 {
         simulation.add_operator();
     }
     simulation.run(6.0);
-    let leader = simulation.leader().expect("somebody leads");
+    let leader = simulation.leader().expect("a leader");
     (simulation, leader)
 }
 
-/// Cut off for twenty seconds, both ways or one way, the leader or a follower: the others go on, and the machine is a voter
-/// again when it is back.
+/// The leader or a follower is isolated for twenty seconds, both ways or one way: the others go on,
+/// and the machine is a voter again afterwards.
 #[test]
-fn a_machine_that_is_cut_off_for_twenty_seconds_holds_nobody_up() {
+fn isolated_machine_does_not_delay_the_others() {
     for (machines, budget) in [(3, 1), (5, 2), (6, 2)] {
         for isolation in ISOLATIONS {
             for leads in [true, false] {
                 let (mut simulation, leader) = at_work(11, machines, budget);
-                let cut = if leads { leader } else { 1 + leader % machines };
-                simulation.isolate(cut, isolation);
+                let isolated = if leads { leader } else { 1 + leader % machines };
+                simulation.isolate(isolated, isolation);
                 let before = simulation.oracle.safety.acknowledged_changes;
                 simulation.run(20.0);
-                assert!(simulation.leader().is_some_and(|now| now != cut || !leads));
+                assert!(
+                    simulation
+                        .leader()
+                        .is_some_and(|now| now != isolated || !leads)
+                );
                 let acknowledged = simulation.oracle.safety.acknowledged_changes - before;
-                assert!(acknowledged > 20, "{acknowledged} orders in twenty seconds");
-                simulation.heal(cut);
+                assert!(
+                    acknowledged > 20,
+                    "{acknowledged} changes in twenty seconds"
+                );
+                simulation.heal(isolated);
                 simulation.run(6.0);
                 assert!(simulation.all_machines_vote());
             }
@@ -41,25 +48,27 @@
     }
 }
 
-/// A leader that hears nobody, though it is heard, gives up the lead and says so: another one leads soon.
+/// A leader that receives nothing, though its messages arrive, resigns and says so: another one
+/// leads soon.
 #[test]
-fn a_leader_that_hears_nobody_makes_room_soon() {
+fn leader_that_receives_nothing_is_replaced_within_1600_ms() {
     for seed in 0..20 {
         for (machines, budget) in [(3, 1), (5, 2), (6, 2)] {
             let (mut simulation, leader) = at_work(seed, machines, budget);
             simulation.isolate(leader, Isolation::Inbound);
-            let leads = |w: &Simulation| w.leader().is_some_and(|now| now != leader);
+            let leads =
+                |simulation: &Simulation| simulation.leader().is_some_and(|now| now != leader);
             simulation.run_until(1.6, "another leads", leads);
         }
     }
 }
 
-fn calls() -> [(&'static str, ControlRequest); 4] {
+fn requests() -> [(&'static str, ControlRequest); 4] {
     let body = b"{\"epoch\":999999}".as_slice();
     [
         ("read", ControlRequest::ReadConfig),
         (
-            "order",
+            "change",
             ControlRequest::ReplaceConfig {
                 base_epoch: 0,
                 epoch: 999_999,
@@ -67,7 +76,7 @@
             },
         ),
         (
-            "beat",
+            "heartbeat",
             ControlRequest::Heartbeat {
                 server_id: "new".to_owned(),
                 heartbeat: heartbeat("10.0.9.9:1", 1, false),
@@ -82,19 +91,20 @@
     ]
 }
 
-/// Whatever is asked of a machine without contact, it confirms, refuses and serves nothing, and says so within a second.
+/// A machine without contact acknowledges, rejects and serves nothing, and responds within a
+/// second.
 #[test]
-fn a_machine_that_is_cut_off_answers_nothing_but_503() {
+fn isolated_machine_answers_only_503() {
     for isolation in ISOLATIONS {
         for leads in [true, false] {
             let (mut simulation, leader) = at_work(12, 3, 1);
-            let cut = if leads { leader } else { 1 + leader % 3 };
-            simulation.isolate(cut, isolation);
+            let isolated = if leads { leader } else { 1 + leader % 3 };
+            simulation.isolate(isolated, isolation);
             simulation.run(1.3);
             for round in 0..15 {
-                for (at, (what, call)) in calls().into_iter().enumerate() {
+                for (at, (what, request)) in requests().into_iter().enumerate() {
                     let number = 1 + 10 * round + at as u64;
-                    simulation.submit_request(cut, number, call);
+                    simulation.submit_request(isolated, number, request);
                     simulation.run(1.0);
                     let status = simulation.responses.get(&number).map(|reply| reply.0);
                     assert_eq!(status, Some(503), "{what}, leader {leads}, {isolation:?}");
@@ -104,20 +114,20 @@
     }
 }
 
-/// A follower that hears a leader which is cut off itself, with it, confirms nothing either.
+/// A follower that is isolated together with its leader acknowledges nothing either.
 #[test]
-fn a_follower_of_a_leader_that_is_cut_off_answers_nothing_but_503() {
+fn follower_of_an_isolated_leader_answers_only_503() {
     let (mut simulation, leader) = at_work(13, 5, 2);
-    let with_it = 1 + leader % 5;
-    for other in (1..=5).filter(|node| *node != leader && *node != with_it) {
-        for side in [leader, with_it] {
+    let follower = 1 + leader % 5;
+    for other in (1..=5).filter(|node| *node != leader && *node != follower) {
+        for side in [leader, follower] {
             simulation.control.network.block_both_ways(side, other);
         }
     }
     simulation.run(1.3);
-    for (at, (what, call)) in calls().into_iter().enumerate() {
-        for (node, number) in [(leader, 1 + at as u64), (with_it, 100 + at as u64)] {
-            simulation.submit_request(node, number, call.clone());
+    for (at, (what, request)) in requests().into_iter().enumerate() {
+        for (node, number) in [(leader, 1 + at as u64), (follower, 100 + at as u64)] {
+            simulation.submit_request(node, number, request.clone());
             simulation.run(1.0);
             assert_eq!(
                 simulation.responses.get(&number).map(|reply| reply.0),
@@ -128,10 +138,10 @@
     }
 }
 
-/// A leader stands still at every event around a read; when it wakes, others have changed the configuration: what it
-/// serves then is not from before.
+/// A leader is frozen at every event around a read; when it goes on, others have changed the
+/// configuration: it doesn't serve the one from before.
 #[test]
-fn what_is_read_after_a_standstill_is_not_from_before() {
+fn thawed_leader_serves_no_outdated_read() {
     let mut start = Simulation::control_only(14, 3, 1);
     start.run(3.0);
     let leader = start.leader().unwrap();
@@ -148,9 +158,9 @@
     start.run(0.5);
     assert_eq!(start.responses[&1].0, 200);
     for at in 0..40 {
-        for asked in 1..=3 {
+        for receiver in 1..=3 {
             let mut simulation = start.clone();
-            simulation.submit_request(asked, 2, ControlRequest::ReadConfig);
+            simulation.submit_request(receiver, 2, ControlRequest::ReadConfig);
             for _ in 0..at {
                 simulation.step();
             }
@@ -175,24 +185,24 @@
             let read = simulation.responses.get(&2).expect("an answer");
             assert!(
                 answered || read.0 == 503 || read.1 == second,
-                "{asked} at {at}: {read:?}"
+                "{receiver} at {at}: {read:?}"
             );
         }
     }
 }
 
-/// What one machine acknowledged for a server, here that it drains or is gone, is known to the next leader, though the
-/// machine that acknowledged it and the leader are lost at once.
+/// What one machine acknowledged for a server, here that it drains or departs, is known to the next
+/// leader, though the machine that acknowledged it and the leader lose their disks at once.
 #[test]
-fn what_was_acknowledged_for_a_server_outlives_two_machines() {
+fn acknowledged_drain_survives_the_loss_of_two_disks() {
     for depart in [false, true] {
         for at in 0..30 {
             let mut simulation = Simulation::control_only(15, 5, 2);
             simulation.run(4.0);
             let leader = simulation.leader().unwrap();
-            let asked = 1 + leader % 5;
+            let receiver = 1 + leader % 5;
             simulation.submit_request(
-                asked,
+                receiver,
                 1,
                 ControlRequest::Heartbeat {
                     server_id: "a".to_owned(),
@@ -201,7 +211,7 @@
             );
             simulation.run(0.5);
             assert_eq!(simulation.responses[&1].0, 200);
-            let call = match depart {
+            let request = match depart {
                 true => ControlRequest::Depart {
                     server_id: "a".to_owned(),
                 },
@@ -210,7 +220,7 @@
                     heartbeat: heartbeat("10.0.0.1:1", 2, true),
                 },
             };
-            simulation.submit_request(asked, 2, call);
+            simulation.submit_request(receiver, 2, request);
             for _ in 0..at {
                 simulation.step();
             }
@@ -218,7 +228,7 @@
                 .responses
                 .get(&2)
                 .is_some_and(|reply| reply.0 == 200);
-            simulation.lose_disk(asked);
+            simulation.lose_disk(receiver);
             simulation.lose_disk(leader);
             simulation.run(1.5);
             let next = simulation.leader().expect("three of five lead");
@@ -226,7 +236,8 @@
                 .controller
                 .as_ref()
                 .unwrap();
-            // Nobody listens at its address here, so one that left without having drained is known to have ended by now.
+            // Nobody listens at its address here, so a server that departed undrained is known to
+            // have ended by now.
             let mut members = controller
                 .members()
                 .all()
@@ -237,29 +248,29 @@
     }
 }
 
-/// What a server says is confirmed only once the leader and a majority know it: not by a machine whose news reaches nobody any
-/// more, nor where it reaches the leader alone, or a majority without the leader.
+/// A heartbeat is acknowledged only once the leader and a majority know it: not by a machine whose
+/// messages reach nobody, nor where they reach the leader alone, or a majority without the leader.
 #[test]
-fn nothing_is_confirmed_for_a_server_that_too_few_know() {
+fn heartbeat_known_to_too_few_is_not_acknowledged() {
     for draining in [false, true] {
         let (mut simulation, leader) = at_work(16, 5, 2);
-        let asked = 1 + leader % 5;
-        let others: Vec<NodeId> = (1..=5).filter(|node| *node != asked).collect();
+        let receiver = 1 + leader % 5;
+        let others: Vec<NodeId> = (1..=5).filter(|node| *node != receiver).collect();
         let only_leader: Vec<NodeId> = others
             .iter()
             .copied()
             .filter(|node| *node != leader)
             .collect();
-        for (number, unreached) in [(1, others.clone()), (2, only_leader), (3, vec![leader])] {
+        for (number, unreachable) in [(1, others.clone()), (2, only_leader), (3, vec![leader])] {
             let id = format!("server-{number}");
-            for node in &unreached {
-                simulation.control.network.blocked.insert((asked, *node));
+            for node in &unreachable {
+                simulation.control.network.blocked.insert((receiver, *node));
             }
-            let call = ControlRequest::Heartbeat {
+            let request = ControlRequest::Heartbeat {
                 server_id: id.clone(),
                 heartbeat: heartbeat("10.0.0.1:1", 1, draining),
             };
-            simulation.submit_request(asked, number, call);
+            simulation.submit_request(receiver, number, request);
             simulation.run(1.0);
             assert_eq!(
                 simulation.responses.get(&number).map(|reply| reply.0),
@@ -272,7 +283,7 @@
     }
 }
 
-/// A configuration of this epoch that is long enough for a change of it to be shorter.
+/// A configuration of this epoch that is long enough for a delta to be shorter.
 fn config(epoch: u64, by: &str) -> Rc<[u8]> {
     let routes: Vec<String> = (0..40)
         .map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}"))
@@ -285,16 +296,17 @@
     .into()
 }
 
-/// A router that lacks a version asks while the next one is being agreed on, at every moment of that: it is told only what is
-/// agreed on, also if the leader is cut off and another order wins under that number.
+/// A router that lacks an epoch requests it while the next one is being committed, at every moment
+/// of that: it receives only what is committed, also if the leader is isolated and another change
+/// of that epoch is committed.
 #[test]
-fn a_router_is_told_nothing_that_is_not_agreed_on() {
+fn router_receives_only_committed_configs() {
     for moment in 0..40 {
-        for cut in [false, true] {
+        for isolated in [false, true] {
             let mut simulation = Simulation::control_only(21, 3, 1);
             simulation.add_router();
             simulation.run(3.0);
-            let leader = simulation.leader().expect("somebody leads");
+            let leader = simulation.leader().expect("a leader");
             let replace = |base, epoch, by| ControlRequest::ReplaceConfig {
                 base_epoch: base,
                 epoch,
@@ -304,19 +316,19 @@
             simulation.run(0.5);
             assert_eq!(simulation.edge.routers[0].active_config_epoch, 1);
             simulation.freeze_router(0);
-            // The second version is on its way to it, so that the third one has to wait.
+            // The second epoch is in flight to the router, so that the third one has to wait.
             simulation.submit_request(leader, 2, replace(1, 2, "a"));
             simulation.run(0.1);
             simulation.submit_request(leader, 3, replace(2, 3, "a"));
             simulation.run(0.1);
-            if cut {
+            if isolated {
                 simulation.isolate(leader, Isolation::BothWays);
             }
             simulation.submit_request(leader, 4, replace(3, 4, "lost"));
             simulation.run(0.002 * f64::from(moment));
             simulation.thaw_router(0);
             simulation.run(2.0);
-            if cut {
+            if isolated {
                 let next = simulation
                     .leader()
                     .filter(|next| *next != leader)
--- a/crates/testing/simulation/tests/digest.rs
+++ b/crates/testing/simulation/tests/digest.rs
@@ -1,7 +1,9 @@
-//! What some dozens of runs decide, and when, stays the same to the last bit: their digests are held in a fixture.
+//! What some dozens of runs decide, and when, stays the same to the last bit: their digests are in
+//! a fixture.
 //!
-//! A change of the decisions or of the simulation changes digests, and says so in its commit; a change of names doesn't. The
-//! lines of runs with faults by chance are those that `badgerstream-simulate --digest` prints.
+//! A change of the decisions or of the simulation changes digests, and says so in its commit; a
+//! change of names doesn't. The lines of runs with random faults are those that
+//! `badgerstream-simulate --digest` prints.
 
 use badgerstream_simulation::Simulation;
 use badgerstream_simulation::faults::{FaultRun, LossPolicy};
@@ -9,14 +11,14 @@
 
 const FIXTURE: &str = include_str!("fixtures/digests.txt");
 
-/// What a line of the fixture says, by its keys.
+/// The values of a line of the fixture by their keys.
 fn fields(line: &str) -> HashMap<&str, &str> {
     line.split(' ')
         .map(|pair| pair.split_once('=').expect(line))
         .collect()
 }
 
-/// Plays the run that a line of the fixture names, and gives its digest.
+/// Plays the run that a line of the fixture names, and returns its digest.
 fn play(line: &str) -> String {
     let fields = fields(line);
     let number = |key: &str| fields[key].parse::<u64>().expect(line);
@@ -35,7 +37,7 @@
     run.simulation.digest().to_string()
 }
 
-/// A world with routers, servers and statements, in which the primary is lost or leaves.
+/// A simulation with routers, servers and statements, in which the primary is lost or departs.
 fn play_failover(scenario: &str, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
     for _ in 0..2 {
@@ -53,7 +55,7 @@
         "dark" => simulation.make_unresponsive("a"),
         "drain" => simulation.drain("a"),
         "both" => {
-            let leader = simulation.leader().expect("somebody leads");
+            let leader = simulation.leader().expect("a leader");
             simulation.kill(leader);
             simulation.crash("a");
         }
@@ -93,14 +95,14 @@
     );
 }
 
-/// What is to be told of a line whose run has another digest.
+/// The message for a line whose run has another digest.
 fn changed(line: &str) -> Option<String> {
     let found = play(line);
     (fields(line)["digest"] != found).then(|| format!("{line}, now {found}"))
 }
 
 #[test]
-fn runs_with_faults_by_chance_keep_their_digests() {
+fn runs_with_random_faults_keep_their_digests() {
     check(|line| !line.starts_with("scenario="));
 }
 
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn another_seed_has_another_digest() {
+fn all_digests_of_the_fixture_differ() {
     let digests: std::collections::HashSet<&str> =
         FIXTURE.lines().map(|line| fields(line)["digest"]).collect();
     assert_eq!(digests.len(), FIXTURE.lines().count());
--- a/crates/testing/simulation/tests/failover.rs
+++ b/crates/testing/simulation/tests/failover.rs
@@ -1,72 +1,68 @@
 //! Leases, primaries and promotions, in simulated time.
 
+mod common;
+
 use arbtest::arbtest;
 use badgerstream_simulation::{Health, Simulation};
-
-fn steady(seed: u64) -> Simulation {
-    let mut simulation = Simulation::new(seed);
-    simulation.run_until(6.0, "a primary in use at the start", |w| {
-        w.primary_in_use().as_deref() == Some("a")
-    });
-    simulation.run(4.0);
-    assert!(simulation.acknowledges_writes());
-    simulation
-}
+use common::{arbtest_budget_ms, steady_simulation};
 
 #[test]
-fn a_start_is_short() {
+fn writes_are_acknowledged_soon_after_the_start() {
     let mut simulation = Simulation::new(1);
     let took = simulation.run_until(3.0, "writes", Simulation::acknowledges_writes);
     assert!(took < 2.6, "{took}");
 }
 
 #[test]
-fn a_crashed_primary_is_replaced() {
+fn crashed_primary_is_replaced() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.crash("a");
         simulation.run(0.4);
         let took =
             0.4 + simulation.run_until(2.1, "writes at another", Simulation::acknowledges_writes);
         assert!(took < 2.4, "{took}");
         assert_eq!(simulation.service.promotions.len(), 1);
-        // Back, it follows.
+        // Once back, it is a replica.
         simulation.recover("a");
         simulation.run(3.0);
-        assert!(!simulation.service.servers["a"].is_primary && simulation.acknowledges_writes());
-        let length = simulation.service.servers[&simulation.service.promotions[0].server_id]
+        assert!(!simulation.server("a").is_primary && simulation.acknowledges_writes());
+        let length = simulation
+            .server(&simulation.service.promotions[0].server_id)
             .log
             .len();
-        assert!(simulation.service.servers["a"].log.len() + 9 > length);
+        assert!(simulation.server("a").log.len() + 9 > length);
     }
 }
 
 #[test]
-fn a_dark_primary_is_replaced() {
+fn unresponsive_primary_is_replaced() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.make_unresponsive("a");
         simulation.run(0.4);
         simulation.run_until(3.2, "writes at another", Simulation::acknowledges_writes);
         simulation.recover("a");
-        // It has not heard of the promote yet.
-        let server = simulation.service.servers.get_mut("a").unwrap();
+        // It doesn't know of the promotion yet.
+        let server = simulation.server_mut("a");
         (server.is_primary, server.primary_term) = (true, 1);
         simulation.run(3.0);
-        assert!(!simulation.service.servers["a"].is_primary && simulation.acknowledges_writes());
+        assert!(!simulation.server("a").is_primary && simulation.acknowledges_writes());
     }
 }
 
 #[test]
-fn the_primary_is_not_lost_with_the_leading_control_machine() {
+fn primary_is_kept_when_the_leader_is_lost() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         let leader = simulation.leader().unwrap();
         simulation.kill(leader);
         simulation.run(0.05);
-        simulation.run_until(1.2, "a new leader", |w| w.leader().is_some());
-        simulation.run_until(2.0, "the same primary", |w| {
-            w.primary_in_use().as_deref() == Some("a")
+        simulation.run_until(1.2, "a new leader", |simulation| {
+            simulation.leader().is_some()
+        });
+        simulation.run_until(2.0, "the same primary", |simulation| {
+            simulation.primary_in_use().as_deref() == Some("a")
         });
         assert!(simulation.service.promotions.is_empty());
         simulation.start(leader);
@@ -75,17 +71,20 @@
     }
 }
 
-/// A primary that was promoted and is in steady use needs no wait for old leases when another machine leads.
+/// For a primary that was promoted and is in steady use the next leader doesn't wait for old leases
+/// to end.
 #[test]
-fn a_settled_primary_is_granted_at_once() {
+fn next_leader_grants_a_steady_primary_at_once() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.crash("a");
         simulation.run(5.0);
         let primary = simulation.primary_in_use().expect("another primary");
         let leader = simulation.leader().unwrap();
         simulation.kill(leader);
-        let took = simulation.run_until(1.2, "a new leader", |w| w.leader().is_some());
+        let took = simulation.run_until(1.2, "a new leader", |simulation| {
+            simulation.leader().is_some()
+        });
         simulation.run(0.7);
         assert_eq!(
             simulation.primary_in_use(),
@@ -96,9 +95,9 @@
 }
 
 #[test]
-fn a_crash_of_both_comes_to_an_end() {
+fn crash_of_leader_and_primary_is_recovered() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         let leader = simulation.leader().unwrap();
         simulation.kill(leader);
         simulation.crash("a");
@@ -108,40 +107,32 @@
 }
 
 #[test]
-fn a_deaf_replica_is_never_promoted() {
+fn replica_that_receives_nothing_is_not_promoted() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
-        simulation
-            .service
-            .servers
-            .get_mut("b")
-            .unwrap()
-            .receives_nothing = true;
+        let mut simulation = steady_simulation(seed);
+        simulation.server_mut("b").receives_nothing = true;
         simulation.run(1.0);
         simulation.crash("a");
         simulation.run(0.4);
-        simulation.run_until(2.5, "another primary", |w| w.primary_in_use().is_some());
+        simulation.run_until(2.5, "another primary", |simulation| {
+            simulation.primary_in_use().is_some()
+        });
         assert_eq!(simulation.service.promotions[0].server_id, "c");
-        simulation
-            .service
-            .servers
-            .get_mut("b")
-            .unwrap()
-            .receives_nothing = false;
+        simulation.server_mut("b").receives_nothing = false;
         simulation.run_until(0.5, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
-fn a_dead_replica_does_not_hold_up_a_change() {
+fn crashed_replica_does_not_delay_a_failover() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.crash("b");
         simulation.run(2.5);
         simulation.crash("a");
         simulation.run(0.4);
-        simulation.run_until(3.5, "writes at another", |w| {
-            !w.service.promotions.is_empty()
+        simulation.run_until(3.5, "writes at another", |simulation| {
+            !simulation.service.promotions.is_empty()
         });
         assert_eq!(simulation.service.promotions[0].server_id, "c");
         // With one copy alone nothing is acknowledged.
@@ -151,36 +142,27 @@
 }
 
 #[test]
-fn two_that_die_at_once_are_waited_for() {
+fn nobody_is_promoted_while_two_servers_are_down() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
-        simulation
-            .service
-            .servers
-            .get_mut("c")
-            .unwrap()
-            .receives_nothing = true;
+        let mut simulation = steady_simulation(seed);
+        simulation.server_mut("c").receives_nothing = true;
         simulation.run(0.5);
         simulation.crash("b");
         simulation.crash("a");
         simulation.run(5.0);
         assert!(simulation.service.promotions.is_empty());
         simulation.recover(if seed % 2 == 0 { "a" } else { "b" });
-        simulation
-            .service
-            .servers
-            .get_mut("c")
-            .unwrap()
-            .receives_nothing = false;
+        simulation.server_mut("c").receives_nothing = false;
         simulation.run_until(3.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
-/// Runs until another primary than a is in use, and a little on: the longest time without a write that was acknowledged.
-fn gap_until_another_is_used(simulation: &mut Simulation) -> f64 {
+/// Runs until another primary than a is in use, and half a second longer. Returns the longest time
+/// without an acknowledged write, in seconds.
+fn longest_write_gap_until_failover(simulation: &mut Simulation) -> f64 {
     let begin = simulation.now();
-    simulation.run_until(4.0, "another in use", |w| {
-        w.primary_in_use().is_some_and(|p| p != "a")
+    simulation.run_until(4.0, "another in use", |simulation| {
+        simulation.primary_in_use().is_some_and(|p| p != "a")
     });
     simulation.run(0.5);
     let at: Vec<f64> = simulation
@@ -194,31 +176,31 @@
 }
 
 #[test]
-fn a_planned_change_has_hardly_a_gap() {
+fn planned_failover_interrupts_writes_for_less_than_a_second() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.drain("a");
-        let gap = gap_until_another_is_used(&mut simulation);
+        let gap = longest_write_gap_until_failover(&mut simulation);
         assert!(gap < 1.0, "{gap}");
-        assert!(!simulation.service.servers["a"].is_primary);
+        assert!(!simulation.server("a").is_primary);
         simulation.depart("a");
         simulation.run(1.0);
         assert!(simulation.acknowledges_writes() && simulation.service.promotions.len() == 1);
     }
 }
 
-/// One that says that it leaves before it has drained is replaced while it serves on, too.
+/// A primary that departs before it has drained is replaced while it serves on, too.
 #[test]
-fn a_primary_that_departs_first_is_replaced_while_it_serves() {
+fn undrained_departing_primary_is_replaced_while_it_serves() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.depart_while_serving("a");
-        let gap = gap_until_another_is_used(&mut simulation);
+        let gap = longest_write_gap_until_failover(&mut simulation);
         assert!(gap < 1.0, "{gap}");
         simulation.crash("a");
         simulation.run(2.0);
         assert!(simulation.acknowledges_writes() && simulation.service.promotions.len() == 1);
-        let leader = simulation.leader().expect("somebody leads");
+        let leader = simulation.leader().expect("a leader");
         let controller = simulation.control.machines[&leader]
             .controller
             .as_ref()
@@ -230,39 +212,38 @@
     }
 }
 
-/// A replica that leaves goes on receiving, and may alone have what the primary acknowledged: nobody is promoted without asking
-/// it, by the same leader or by the next one.
+/// A departing replica goes on receiving, and may alone have what the primary acknowledged: nobody
+/// is promoted without a query to it, by the same leader or by the next one.
 #[test]
-fn a_replica_that_departs_first_may_hold_the_only_copy() {
+fn undrained_departing_replica_may_hold_the_only_copy() {
     for seed in 0..8 {
         for leader_lost in [false, true] {
-            let mut simulation = steady(seed);
+            let mut simulation = steady_simulation(seed);
             simulation.depart_while_serving("b");
             simulation.run(1.0);
-            simulation
-                .service
-                .servers
-                .get_mut("c")
-                .expect("a replica")
-                .receives_nothing = true;
+            simulation.server_mut("c").receives_nothing = true;
             simulation.run(3.0);
             assert!(simulation.acknowledges_writes(), "b receives on");
             simulation.crash("a");
             if leader_lost {
-                let leader = simulation.leader().expect("somebody leads");
+                let leader = simulation.leader().expect("a leader");
                 simulation.kill(leader);
             }
-            // Promoting c would lose commits: the simulation looks for that.
-            simulation.run_until(7.0, "b leads", |w| {
-                w.service.promotions.iter().any(|p| p.server_id == "b")
+            // Promoting c would lose commits: the simulation checks that.
+            simulation.run_until(7.0, "b leads", |simulation| {
+                simulation
+                    .service
+                    .promotions
+                    .iter()
+                    .any(|p| p.server_id == "b")
             });
         }
     }
 }
 
 #[test]
-fn the_old_primary_is_kept_until_the_new_one_leads() {
-    let mut simulation = steady(3);
+fn old_primary_is_used_until_the_promotion_takes_effect() {
+    let mut simulation = steady_simulation(3);
     simulation.platform.scripted_statuses = vec![503; 4].into();
     simulation.drain("a");
     while simulation.service.promotions.is_empty() {
@@ -272,68 +253,56 @@
     }
 }
 
-/// A primary that leaves right after it was promoted is replaced in its turn; the one before it, which goes on until it is told,
-/// is told to follow meanwhile.
+/// A primary that drains right after its promotion is replaced in its turn; the one before it,
+/// which goes on until then, steps down meanwhile.
 #[test]
-fn two_primaries_leave_one_after_the_other() {
+fn promoted_primary_that_drains_at_once_is_replaced() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.drain("a");
         let begin = simulation.now();
-        simulation.run_until(3.0, "a promotion", |w| !w.service.promotions.is_empty());
+        simulation.run_until(3.0, "a promotion", |simulation| {
+            !simulation.service.promotions.is_empty()
+        });
         let promoted = simulation.service.promotions[0].server_id.clone();
         simulation.drain(&promoted);
-        simulation.run_until(0.8, "the first one follows", |w| {
-            !w.service.servers["a"].is_primary
+        simulation.run_until(0.8, "the first one follows", |simulation| {
+            !simulation.server("a").is_primary
         });
-        simulation.run_until(4.0, "a third one in use", |w| {
-            w.primary_in_use()
+        simulation.run_until(4.0, "a third one in use", |simulation| {
+            simulation
+                .primary_in_use()
                 .is_some_and(|p| p != "a" && p != promoted)
         });
         assert!(simulation.now() - begin < 5.0 && simulation.service.promotions.len() == 2);
     }
 }
 
-/// The server that is to be promoted ends before it is, with commits that the third one lacks, and the primary is back: that one
-/// has them all, and is promoted in its place.
+/// The promotion target crashes before it is promoted, with commits that the third server lacks,
+/// and the primary is back: it has them all, and is promoted instead.
 #[test]
-fn a_primary_that_is_back_takes_the_place_of_a_choice_that_ended() {
+fn recovered_primary_replaces_a_crashed_promotion_target() {
     for seed in 0..8 {
-        let mut simulation = steady(seed);
-        simulation
-            .service
-            .servers
-            .get_mut("b")
-            .expect("a replica")
-            .receives_nothing = true;
+        let mut simulation = steady_simulation(seed);
+        simulation.server_mut("b").receives_nothing = true;
         simulation.run(0.3);
         simulation.crash("a");
-        simulation.run_until(3.0, "the platform is asked", |w| {
-            !w.platform.promotion_requests.is_empty()
+        simulation.run_until(3.0, "the platform is asked", |simulation| {
+            !simulation.platform.promotion_requests.is_empty()
         });
         simulation.crash("c");
-        simulation
-            .service
-            .servers
-            .get_mut("c")
-            .expect("the choice")
-            .departed = true;
+        simulation.server_mut("c").departed = true;
         simulation.run(1.0);
-        simulation
-            .service
-            .servers
-            .get_mut("b")
-            .expect("a replica")
-            .receives_nothing = false;
+        simulation.server_mut("b").receives_nothing = false;
         simulation.recover("a");
         simulation.run_until(8.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
-fn a_release_replaces_all() {
+fn rolling_release_replaces_all_servers() {
     for seed in 0..6 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         for (old, new) in [("a", "d"), ("b", "e"), ("c", "f")] {
             simulation.add_server(new, &format!("10.0.1.{}:1", new.as_bytes()[0]), false);
             simulation.run(2.0);
@@ -349,9 +318,9 @@
 }
 
 #[test]
-fn a_release_at_the_old_addresses() {
+fn rolling_release_at_the_same_addresses() {
     for seed in 0..6 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         for (old, new) in [("a", "d"), ("b", "e"), ("c", "f")] {
             simulation.drain(old);
             simulation.run(7.2);
@@ -362,11 +331,11 @@
             simulation.depart(old);
             simulation.run(0.7);
             let (endpoint, log, term) = {
-                let s = &simulation.service.servers[old];
+                let s = &simulation.server(old);
                 (s.endpoint.clone(), s.log.clone(), s.primary_term)
             };
             simulation.add_server(new, &endpoint, false);
-            let server = simulation.service.servers.get_mut(new).unwrap();
+            let server = simulation.server_mut(new);
             (server.log, server.primary_term) = (log, term);
             simulation.run(3.0);
             assert!(simulation.acknowledges_writes(), "after {old}");
@@ -375,100 +344,76 @@
 }
 
 #[test]
-fn a_primary_that_restarts_with_a_new_id_is_found() {
+fn primary_restarted_with_a_new_id_is_found() {
     for seed in 0..6 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.crash("a");
         let (endpoint, log) = (
-            simulation.service.servers["a"].endpoint.clone(),
-            simulation.service.servers["a"].log.clone(),
+            simulation.server("a").endpoint.clone(),
+            simulation.server("a").log.clone(),
         );
         simulation.run(0.3);
-        simulation.service.servers.get_mut("a").unwrap().departed = true;
-        // It gets the log, and the lead, as nobody was promoted.
+        simulation.server_mut("a").departed = true;
+        // It has the log and is the primary, as nobody was promoted.
         simulation.add_server("d", &endpoint, true);
-        simulation.service.servers.get_mut("d").unwrap().log = log;
+        simulation.server_mut("d").log = log;
         simulation.run(5.0);
         assert!(simulation.primary_in_use().is_some() && simulation.acknowledges_writes());
     }
 }
 
-/// A primary that was promoted by us and a replica go one after the other, with commits that the third server lacks: the primary
-/// and the third one.
-/// A primary a is in use, and control has not reached the replica c for longer than after which the silent are forgotten.
-fn out_of_reach_of_control(seed: u64) -> Simulation {
+/// The primary a is in use, and control has not reached the replica c for longer than the member
+/// timeout.
+fn replica_out_of_reach_of_control(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
-    simulation.run_until(6.0, "a primary in use", |w| {
-        w.primary_in_use().as_deref() == Some("a")
+    simulation.run_until(6.0, "a primary in use", |simulation| {
+        simulation.primary_in_use().as_deref() == Some("a")
     });
     simulation.run(1.0);
     simulation
         .service
         .unresponsive_to_control
         .insert("c".to_owned());
-    simulation
-        .service
-        .servers
-        .get_mut("c")
-        .expect("it is there")
-        .sends_heartbeats = false;
+    simulation.server_mut("c").sends_heartbeats = false;
     simulation.run(6.5);
     simulation
 }
 
 /// Control reaches c again.
-fn reach_again(simulation: &mut Simulation) {
+fn restore_reachability(simulation: &mut Simulation) {
     simulation.service.unresponsive_to_control.clear();
-    simulation
-        .service
-        .servers
-        .get_mut("c")
-        .expect("it is there")
-        .sends_heartbeats = true;
+    simulation.server_mut("c").sends_heartbeats = true;
 }
 
-/// A replica that control alone can't reach, for longer than after which the silent are forgotten, is there: it receives, and commits
-/// rest on it. The primary is to leave; while the choice is promoted the other replica receives nothing.
+/// A replica that control alone doesn't reach, for longer than the member timeout, still receives,
+/// and acknowledged commits rest on it. The primary drains; while the target is promoted the other
+/// replica receives nothing.
 #[test]
-fn a_replica_that_only_control_does_not_reach_may_hold_the_newest_commits() {
+fn replica_unreachable_only_by_control_may_hold_the_newest_commits() {
     for seed in 0..20 {
-        let mut simulation = out_of_reach_of_control(seed);
+        let mut simulation = replica_out_of_reach_of_control(seed);
         simulation.drain("a");
         for _ in 0..800 {
             simulation.run(0.01);
             if simulation.phase() == "promoting" {
-                simulation
-                    .service
-                    .servers
-                    .get_mut("b")
-                    .expect("it is there")
-                    .receives_nothing = true;
+                simulation.server_mut("b").receives_nothing = true;
             }
         }
-        reach_again(&mut simulation);
-        simulation
-            .service
-            .servers
-            .get_mut("b")
-            .expect("it is there")
-            .receives_nothing = false;
-        simulation.run_until(8.0, "another primary in use", |w| {
-            w.primary_in_use().is_some_and(|id| id != "a")
+        restore_reachability(&mut simulation);
+        simulation.server_mut("b").receives_nothing = false;
+        simulation.run_until(8.0, "another primary in use", |simulation| {
+            simulation.primary_in_use().is_some_and(|id| id != "a")
         });
     }
 }
 
-/// The same, and the primary crashes: nobody is promoted before control reaches that replica, or the primary is back.
+/// The same, and the primary crashes: nobody is promoted before control reaches that replica, or
+/// the primary is back.
 #[test]
-fn a_crash_waits_for_a_replica_that_only_control_does_not_reach() {
+fn failover_waits_for_a_replica_unreachable_only_by_control() {
     for seed in 0..20 {
-        let mut simulation = out_of_reach_of_control(seed);
-        simulation
-            .service
-            .servers
-            .get_mut("b")
-            .expect("it is there")
-            .receives_nothing = true;
+        let mut simulation = replica_out_of_reach_of_control(seed);
+        simulation.server_mut("b").receives_nothing = true;
         simulation.run(0.4);
         simulation.crash("a");
         simulation.run(3.0);
@@ -477,33 +422,33 @@
             "{:?}",
             simulation.service.promotions
         );
-        reach_again(&mut simulation);
-        simulation.run_until(6.0, "another primary in use", |w| {
-            w.primary_in_use().as_deref() == Some("c")
+        restore_reachability(&mut simulation);
+        simulation.run_until(6.0, "another primary in use", |simulation| {
+            simulation.primary_in_use().as_deref() == Some("c")
         });
     }
 }
 
-/// A replica that nobody reaches, routers neither, keeps nobody waiting.
+/// A failover doesn't wait for a replica that routers don't reach either.
 #[test]
-fn a_crash_waits_for_no_replica_that_is_dark() {
+fn failover_does_not_wait_for_an_unresponsive_replica() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed);
-        simulation.run_until(6.0, "a primary in use", |w| {
-            w.primary_in_use().as_deref() == Some("a")
+        simulation.run_until(6.0, "a primary in use", |simulation| {
+            simulation.primary_in_use().as_deref() == Some("a")
         });
         simulation.run(1.0);
         simulation.make_unresponsive("c");
         simulation.run(3.0);
         simulation.crash("a");
-        simulation.run_until(4.0, "another primary in use", |w| {
-            w.primary_in_use().as_deref() == Some("b")
+        simulation.run_until(4.0, "another primary in use", |simulation| {
+            simulation.primary_in_use().as_deref() == Some("b")
         });
     }
 }
 
-fn two_of_three_lost(seed: u64) -> (Simulation, String, &'static str) {
-    let mut simulation = steady(seed);
+fn lose_two_of_three_servers(seed: u64) -> (Simulation, String, &'static str) {
+    let mut simulation = steady_simulation(seed);
     simulation.crash("a");
     simulation.run(0.5);
     simulation.run_until(4.0, "writes at another", Simulation::acknowledges_writes);
@@ -511,12 +456,7 @@
     simulation.run(2.0);
     let promoted = simulation.primary_in_use().expect("a primary");
     let behind = if promoted == "b" { "c" } else { "b" };
-    simulation
-        .service
-        .servers
-        .get_mut(behind)
-        .expect("a replica")
-        .receives_nothing = true;
+    simulation.server_mut(behind).receives_nothing = true;
     simulation.run(0.5);
     simulation.crash("a");
     simulation.run(0.2);
@@ -525,14 +465,15 @@
     (simulation, promoted, behind)
 }
 
-/// The same where it was promoted by us and alone has all commits, and where another control machine leads by then.
+/// The same for a primary that was promoted and alone has all commits, also with another leader by
+/// then.
 #[test]
-fn a_promoted_primary_that_restarts_with_a_new_id_is_found() {
+fn promoted_primary_restarted_with_a_new_id_is_found() {
     for seed in 0..6 {
         for leader_lost in [false, true] {
-            let (mut simulation, promoted, behind) = two_of_three_lost(seed);
+            let (mut simulation, promoted, behind) = lose_two_of_three_servers(seed);
             if leader_lost {
-                let leader = simulation.leader().expect("somebody leads");
+                let leader = simulation.leader().expect("a leader");
                 simulation.kill(leader);
             }
             simulation.run(1.0);
@@ -541,12 +482,7 @@
                 "it is waited for"
             );
             simulation.recover_with_new_id(&promoted, "d");
-            simulation
-                .service
-                .servers
-                .get_mut(behind)
-                .expect("a replica")
-                .receives_nothing = false;
+            simulation.server_mut(behind).receives_nothing = false;
             simulation.run_until(
                 if leader_lost { 5.0 } else { 2.0 },
                 "writes",
@@ -556,12 +492,13 @@
     }
 }
 
-/// Who is back at its address under another id has the log of who was there: nobody waits for the one that it was.
+/// A server that is back at its address under another id has the log of the former one: nobody
+/// waits for that.
 #[test]
-fn servers_that_are_back_under_new_ids_are_waited_for_no_longer() {
+fn failover_does_not_wait_for_servers_restarted_with_new_ids() {
     for seed in 0..6 {
-        let (mut simulation, promoted, behind) = two_of_three_lost(seed);
-        let leader = simulation.leader().expect("somebody leads");
+        let (mut simulation, promoted, behind) = lose_two_of_three_servers(seed);
+        let leader = simulation.leader().expect("a leader");
         simulation.kill(leader);
         simulation.run(3.0);
         assert!(
@@ -571,28 +508,18 @@
         simulation.recover_with_new_id("a", "d");
         simulation.run(0.5);
         simulation.recover_with_new_id(&promoted, "e");
-        // It was told to follow by a leader before.
-        simulation
-            .service
-            .servers
-            .get_mut("e")
-            .expect("it is back")
-            .is_primary = false;
-        simulation
-            .service
-            .servers
-            .get_mut(behind)
-            .expect("a replica")
-            .receives_nothing = false;
+        // A former leader made it step down.
+        simulation.server_mut("e").is_primary = false;
+        simulation.server_mut(behind).receives_nothing = false;
         simulation.start(leader);
         simulation.run_until(6.0, "writes", Simulation::acknowledges_writes);
     }
 }
 
 #[test]
-fn a_promote_whose_answer_is_lost() {
+fn promotion_whose_answer_is_lost_happens_once() {
     for seed in 0..6 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.platform.answers_lost_per_mille = 1000;
         simulation.crash("a");
         simulation.run(0.4);
@@ -603,9 +530,9 @@
 }
 
 #[test]
-fn a_platform_in_trouble_is_asked_again() {
+fn failed_promotion_request_is_retried() {
     for status in [429, 500, 503, 409] {
-        let mut simulation = steady(4);
+        let mut simulation = steady_simulation(4);
         simulation.platform.scripted_statuses = vec![status; 3].into();
         simulation.crash("a");
         simulation.run(0.4);
@@ -613,11 +540,11 @@
     }
 }
 
-/// The leading control machine is lost at every step of a planned change.
+/// The leader is lost at every step of a planned failover.
 #[test]
-fn a_planned_change_goes_on_under_another_leader() {
+fn next_leader_continues_a_planned_failover() {
     let mut seen = std::collections::BTreeSet::new();
-    let start = steady(5);
+    let start = steady_simulation(5);
     for step in 0..60 {
         let mut simulation = start.clone();
         simulation.drain("a");
@@ -626,8 +553,8 @@
         seen.insert(simulation.phase());
         simulation.kill(leader);
         simulation.run(0.05);
-        simulation.run_until(7.0, "a new primary", |w| {
-            w.primary_in_use().is_some_and(|p| p != "a")
+        simulation.run_until(7.0, "a new primary", |simulation| {
+            simulation.primary_in_use().is_some_and(|p| p != "a")
         });
         simulation.run(1.0);
         assert!(simulation.acknowledges_writes());
@@ -638,10 +565,10 @@
     );
 }
 
-/// The same with a leader that is frozen and wakes later.
+/// The same with a leader that is frozen and goes on later.
 #[test]
-fn a_frozen_leader_does_no_harm() {
-    let start = steady(6);
+fn frozen_leader_does_not_disturb_a_failover() {
+    let start = steady_simulation(6);
     for step in 0..40 {
         let mut simulation = start.clone();
         if step % 2 == 0 {
@@ -655,18 +582,18 @@
         simulation.run(0.3 + 0.05 * f64::from(step));
         simulation.thaw(leader);
         simulation.run(0.4);
-        simulation.run_until(9.0, "a new primary", |w| {
-            w.primary_in_use().is_some_and(|p| p != "a")
+        simulation.run_until(9.0, "a new primary", |simulation| {
+            simulation.primary_in_use().is_some_and(|p| p != "a")
         });
         simulation.run(1.0);
         assert!(simulation.acknowledges_writes());
     }
 }
 
-/// A crash whose handling is taken over at every step.
+/// The leader is lost at every step of a failover.
 #[test]
-fn a_crash_is_handled_under_another_leader() {
-    let start = steady(7);
+fn next_leader_completes_a_failover() {
+    let start = steady_simulation(7);
     for step in 0..40 {
         let mut simulation = start.clone();
         simulation.crash("a");
@@ -674,16 +601,19 @@
         let leader = simulation.leader().unwrap();
         simulation.kill(leader);
         simulation.run(0.05);
-        simulation.run_until(8.0, "a new primary", |w| w.primary_in_use().is_some());
+        simulation.run_until(8.0, "a new primary", |simulation| {
+            simulation.primary_in_use().is_some()
+        });
         simulation.run(1.0);
         assert!(simulation.acknowledges_writes());
     }
 }
 
-/// A primary that was silent for a while, and is back at every step of the change, is followed by all again.
+/// A primary that was unresponsive for a while and is back at every step of the failover is
+/// replicated by all again.
 #[test]
-fn a_primary_that_is_back_is_replicated() {
-    let start = steady(8);
+fn recovered_primary_is_replicated_again() {
+    let start = steady_simulation(8);
     for step in 0..40 {
         let mut simulation = start.clone();
         simulation.make_unresponsive("a");
@@ -701,15 +631,15 @@
                 .servers
                 .values()
                 .all(|s| s.paused_at_term.is_none()),
-            "step {step}: a replica is still held"
+            "step {step}: a replica is still paused"
         );
     }
 }
 
-/// The leader is lost while the replicas are paused, and the primary is well.
+/// The leader is lost while the replicas are paused, and the primary works.
 #[test]
-fn a_pause_does_not_outlive_its_leader() {
-    let start = steady(9);
+fn replicas_are_resumed_after_the_loss_of_the_leader() {
+    let start = steady_simulation(9);
     for step in 0..20 {
         let mut simulation = start.clone();
         simulation.make_unresponsive("a");
@@ -729,22 +659,18 @@
                 .servers
                 .values()
                 .all(|s| s.paused_at_term.is_none()),
-            "step {step}: a replica is still held"
+            "step {step}: a replica is still paused"
         );
     }
 }
 
-/// A leader before left the replicas paused: the next one finds the primary nevertheless, and lets them go.
+/// A former leader left the replicas paused: the next one finds the primary nevertheless, and
+/// resumes them.
 #[test]
-fn a_pause_of_a_leader_before_hides_no_primary() {
-    let mut simulation = steady(10);
+fn paused_replicas_do_not_hide_the_primary() {
+    let mut simulation = steady_simulation(10);
     for id in ["b", "c"] {
-        simulation
-            .service
-            .servers
-            .get_mut(id)
-            .unwrap()
-            .paused_at_term = Some(5);
+        simulation.server_mut(id).paused_at_term = Some(5);
     }
     let leader = simulation.leader().unwrap();
     simulation.kill(leader);
@@ -763,10 +689,11 @@
     );
 }
 
-/// It is agreed on another primary, the platform does nothing, and the old one is back under the next leader.
+/// Another primary is committed, the platform doesn't promote it, and the old one is back under the
+/// next leader.
 #[test]
-fn an_agreement_without_a_promote_comes_to_an_end() {
-    let start = steady(11);
+fn committed_primary_without_a_promotion_is_given_up() {
+    let start = steady_simulation(11);
     for step in 0..20 {
         let mut simulation = start.clone();
         simulation.platform.scripted_statuses = vec![503; 100].into();
@@ -777,86 +704,84 @@
         simulation.platform.scripted_statuses.clear();
         simulation.recover("a");
         simulation.run(0.4);
-        simulation.run_until(8.0, "a primary", |w| w.primary_in_use().is_some());
+        simulation.run_until(8.0, "a primary", |simulation| {
+            simulation.primary_in_use().is_some()
+        });
         simulation.run(1.0);
         assert!(simulation.acknowledges_writes(), "step {step}");
     }
 }
 
-/// The new primary leads, is silent before that is seen, and is back as primary.
+/// The new primary is promoted, is unresponsive before that is noticed, and is back as primary.
 #[test]
-fn a_primary_that_hides_after_its_promote_is_used() {
-    let mut simulation = steady(12);
+fn primary_unresponsive_after_its_promotion_is_used() {
+    let mut simulation = steady_simulation(12);
     simulation.crash("a");
-    simulation.run_until(2.0, "a promote", |w| !w.service.promotions.is_empty());
+    simulation.run_until(2.0, "a promote", |simulation| {
+        !simulation.service.promotions.is_empty()
+    });
     let new = simulation.service.promotions[0].server_id.clone();
     simulation.make_unresponsive(&new);
     simulation.run(0.9);
     simulation.recover(&new);
-    simulation.run_until(2.0, "the new primary in use", |w| {
-        w.primary_in_use().as_ref() == Some(&new)
+    simulation.run_until(2.0, "the new primary in use", |simulation| {
+        simulation.primary_in_use().as_ref() == Some(&new)
     });
     assert_eq!(simulation.service.promotions.len(), 1);
 }
 
-/// The platform says that the coming primary does not run, yet it leads a moment later: routers let go of the old one.
+/// The platform says that the promotion target doesn't run, yet it is promoted a moment later:
+/// routers stop using the old primary.
 #[test]
-fn a_refused_promote_that_happened_all_the_same() {
+fn rejected_promotion_that_took_effect_is_noticed() {
     for seed in 13..23 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.platform.scripted_statuses = vec![409].into();
         simulation.drain("a");
-        simulation.run_until(3.0, "a call", |w| !w.platform.promotion_requests.is_empty());
+        simulation.run_until(3.0, "a call", |simulation| {
+            !simulation.platform.promotion_requests.is_empty()
+        });
         simulation.run(0.01);
         let to = simulation.platform.promotion_requests[0].server_id.clone();
-        let server = simulation.service.servers.get_mut(&to).unwrap();
+        let server = simulation.server_mut(&to);
         (
             server.is_primary,
             server.primary_term,
             server.paused_at_term,
         ) = (true, 2, None);
-        simulation.run_until(4.0, "the new primary in use", |w| {
-            w.primary_in_use().as_ref() == Some(&to)
+        simulation.run_until(4.0, "the new primary in use", |simulation| {
+            simulation.primary_in_use().as_ref() == Some(&to)
         });
     }
 }
 
-/// A replica holds a term that nobody knew of: below it, it does not pause.
+/// A replica has seen a term that nobody knew of: it rejects a pause below it.
 #[test]
-fn a_higher_term_is_met_while_pausing() {
-    let mut simulation = steady(14);
-    simulation
-        .service
-        .servers
-        .get_mut("b")
-        .unwrap()
-        .paused_at_term = Some(9);
+fn pause_is_retried_above_a_higher_term() {
+    let mut simulation = steady_simulation(14);
+    simulation.server_mut("b").paused_at_term = Some(9);
     simulation.crash("a");
-    simulation.run_until(3.5, "another primary", |w| w.primary_in_use().is_some());
+    simulation.run_until(3.5, "another primary", |simulation| {
+        simulation.primary_in_use().is_some()
+    });
 
-    let mut simulation = steady(14);
+    let mut simulation = steady_simulation(14);
     simulation.crash("a");
-    simulation.run_until(1.0, "the end of the old grant", |w| w.phase() == "closing");
-    simulation
-        .service
-        .servers
-        .get_mut("b")
-        .unwrap()
-        .primary_term = 9;
-    simulation.run_until(3.5, "another primary", |w| w.primary_in_use().is_some());
+    simulation.run_until(1.0, "the end of the old grant", |simulation| {
+        simulation.phase() == "closing"
+    });
+    simulation.server_mut("b").primary_term = 9;
+    simulation.run_until(3.5, "another primary", |simulation| {
+        simulation.primary_in_use().is_some()
+    });
 }
 
-/// One replica is gone for so long that it is forgotten, the other has received nothing since before: the planned change
-/// waits until that one has what the other took with it.
+/// One replica is unresponsive for longer than the member timeout, the other has received nothing
+/// since before: the planned failover waits until the latter has the commits of the former.
 #[test]
-fn a_planned_change_waits_for_what_a_lost_replica_had() {
-    let mut simulation = steady(24);
-    simulation
-        .service
-        .servers
-        .get_mut("c")
-        .unwrap()
-        .receives_nothing = true;
+fn planned_failover_waits_for_commits_of_a_lost_replica() {
+    let mut simulation = steady_simulation(24);
+    simulation.server_mut("c").receives_nothing = true;
     simulation.run(1.0);
     simulation.make_unresponsive("b");
     simulation.run(6.5);
@@ -866,34 +791,33 @@
         simulation.service.promotions.is_empty()
             && simulation.primary_in_use().as_deref() == Some("a")
     );
-    simulation
-        .service
-        .servers
-        .get_mut("c")
-        .unwrap()
-        .receives_nothing = false;
-    simulation.run_until(3.0, "the new primary in use", |w| {
-        w.primary_in_use().as_deref() == Some("c")
+    simulation.server_mut("c").receives_nothing = false;
+    simulation.run_until(3.0, "the new primary in use", |simulation| {
+        simulation.primary_in_use().as_deref() == Some("c")
     });
 }
 
-/// The old primary is back as a replica, and counts as one: with it all that was acknowledged is there.
+/// The old primary is back as a replica and counts as one: with it every acknowledged commit is
+/// available.
 #[test]
-fn an_old_primary_counts_as_a_copy() {
-    let mut simulation = steady(15);
+fn former_primary_counts_as_a_copy() {
+    let mut simulation = steady_simulation(15);
     simulation.crash("a");
     simulation.crash("c");
     simulation.run(1.0);
-    simulation.service.servers.get_mut("a").unwrap().is_primary = false;
+    simulation.server_mut("a").is_primary = false;
     simulation.recover("a");
-    simulation.run_until(3.0, "a primary", |w| w.primary_in_use().is_some());
+    simulation.run_until(3.0, "a primary", |simulation| {
+        simulation.primary_in_use().is_some()
+    });
 }
 
-/// Frozen routers hold no lease when they wake, and hold nobody up for longer than their lease.
+/// A frozen router has no lease when it goes on, and delays a failover for no longer than its
+/// lease.
 #[test]
-fn a_frozen_router() {
+fn frozen_router_does_not_delay_a_failover() {
     for seed in 0..6 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.freeze_router(0);
         simulation.crash("a");
         simulation.run(0.4);
@@ -904,13 +828,16 @@
     }
 }
 
-/// All kinds of trouble, one after the other; the rules are checked at every event, and once all is calm writes go on.
-fn trouble(u: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
+/// All kinds of faults, one after the other: safety is checked at every event, and once all faults
+/// have ended writes are acknowledged again.
+fn play_random_faults(
+    u: &mut arbtest::arbitrary::Unstructured<'_>,
+) -> arbtest::arbitrary::Result<()> {
     let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
     simulation.service.reports_highest_term_seen = u.arbitrary()?;
     simulation.service.rejects_repeated_pause = u.arbitrary()?;
     simulation.platform.checks_fencing_tokens = u.arbitrary()?;
-    // Places in one region, or in three.
+    // Zones in one region, or three regions.
     (
         simulation.kernel.message_delay_s,
         simulation.platform.promotion_duration_s,
@@ -919,7 +846,7 @@
     simulation.platform.answers_lost_per_mille = u.int_in_range(0..=500)?;
     simulation.run(3.0);
     let mut next = b'd';
-    let mut reborn = 0;
+    let mut restarted_with_new_id = 0;
     for _ in 0..u.int_in_range(1..=8)? {
         let node = u.int_in_range(1..=3)?;
         let servers: Vec<String> = simulation
@@ -935,27 +862,22 @@
             1 if simulation.control.machines[&node].controller.is_none() => simulation.start(node),
             2 if simulation.control.machines[&node].controller.is_some() => simulation.freeze(node),
             3 if simulation.control.machines[&node].frozen => simulation.thaw(node),
-            4 if simulation.service.servers[&server].health == Health::Up => {
+            4 if simulation.server(&server).health == Health::Up => {
                 simulation.crash(&server);
             }
-            5 if simulation.service.servers[&server].health == Health::Up => {
+            5 if simulation.server(&server).health == Health::Up => {
                 simulation.make_unresponsive(&server);
             }
-            6 if simulation.service.servers[&server].health != Health::Up => {
+            6 if simulation.server(&server).health != Health::Up => {
                 simulation.recover(&server);
             }
             7 => {
-                let deaf = !simulation.service.servers[&server].receives_nothing;
-                simulation
-                    .service
-                    .servers
-                    .get_mut(&server)
-                    .unwrap()
-                    .receives_nothing = deaf;
+                let receives_nothing = !simulation.server(&server).receives_nothing;
+                simulation.server_mut(&server).receives_nothing = receives_nothing;
             }
             8 => simulation.drain(&server),
-            9 if simulation.service.servers[&server].draining
-                && simulation.service.servers[&server].health == Health::Up =>
+            9 if simulation.server(&server).draining
+                && simulation.server(&server).health == Health::Up =>
             {
                 let id = char::from(next).to_string();
                 next += 1;
@@ -973,11 +895,11 @@
             12 => {
                 simulation.control.cut_from_servers.insert(node);
             }
-            13 if simulation.service.servers[&server].health == Health::Down => {
+            13 if simulation.server(&server).health == Health::Down => {
                 let id = char::from(next).to_string();
                 next += 1;
                 simulation.recover_with_new_id(&server, &id);
-                reborn += 1;
+                restarted_with_new_id += 1;
             }
             _ => {
                 simulation.heal_all();
@@ -1004,7 +926,7 @@
     }
     let ids: Vec<String> = simulation.service.servers.keys().cloned().collect();
     for id in ids {
-        let server = simulation.service.servers.get_mut(&id).unwrap();
+        let server = simulation.server_mut(&id);
         server.receives_nothing = false;
         server.draining = false;
         if server.departed {
@@ -1015,14 +937,14 @@
             simulation.run(0.5);
         }
     }
-    // Of two that left in the midst of trouble nobody can tell what they took with them.
+    // If two servers departed during faults, nobody can tell which commits only they had.
     if simulation
         .service
         .servers
         .values()
         .filter(|s| s.departed)
         .count()
-        < 2 + reborn
+        < 2 + restarted_with_new_id
     {
         simulation.run(0.2);
         simulation.run_until(
@@ -1035,35 +957,27 @@
 }
 
 #[test]
-fn any_trouble() {
-    arbtest(trouble)
+fn failover_survives_random_faults() {
+    arbtest(play_random_faults)
         .size_min(64)
         .size_max(400)
-        .budget_ms(budget());
+        .budget_ms(arbtest_budget_ms());
 }
 
 #[test]
-fn a_draining_primary_is_let_go_of_in_time_though_the_platform_is_down() {
-    let mut simulation = steady(5);
+fn draining_primary_is_given_up_in_time_without_the_platform() {
+    let mut simulation = steady_simulation(5);
     simulation.platform.scripted_statuses = vec![503; 1000].into();
     simulation.drain("a");
-    let said = simulation.now();
-    simulation.run_until(9.0, "the primary is given up", |w| {
-        w.primary_in_use().is_none()
+    let drained_at = simulation.now();
+    simulation.run_until(9.0, "the primary is given up", |simulation| {
+        simulation.primary_in_use().is_none()
     });
-    let after = simulation.now() - said;
+    let after = simulation.now() - drained_at;
     assert!(after < 7.0, "after {after}");
     // It is replaced as soon as the platform is back.
     simulation.platform.scripted_statuses.clear();
-    simulation.run_until(5.0, "another is in use", |w| {
-        w.primary_in_use().is_some_and(|p| p != "a")
+    simulation.run_until(5.0, "another is in use", |simulation| {
+        simulation.primary_in_use().is_some_and(|p| p != "a")
     });
 }
-
-/// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
-fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS")
-        .ok()
-        .and_then(|ms| ms.parse().ok())
-        .unwrap_or(1500)
-}
--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -1,47 +1,30 @@
-//! Calls that change servers, and what becomes of them when they come late, in simulated time. The table that these tests
-//! hold to is in `docs/design/calls.md`.
+//! Promotions and commands that arrive late or twice. The table that these tests follow is in
+//! `docs/design/calls.md`.
+
+mod common;
 
 use arbtest::arbtest;
 use badgerstream_simulation::{Health, Simulation};
+use common::{arbtest_budget_ms, steady_simulation};
 
-fn steady(seed: u64) -> Simulation {
-    let mut simulation = Simulation::new(seed);
-    simulation.run_until(6.0, "a primary in use at the start", |w| {
-        w.primary_in_use().as_deref() == Some("a")
-    });
-    simulation.run(4.0);
-    assert!(simulation.acknowledges_writes());
-    simulation
-}
-
-fn held(simulation: &Simulation, id: &str) -> Option<u64> {
-    simulation.service.servers[id].paused_at_term
+fn paused_at(simulation: &Simulation, id: &str) -> Option<u64> {
+    simulation.server(id).paused_at_term
 }
 
-fn set_held(simulation: &mut Simulation, id: &str, term: Option<u64>) {
-    simulation
-        .service
-        .servers
-        .get_mut(id)
-        .unwrap()
-        .paused_at_term = term;
+fn set_paused_at(simulation: &mut Simulation, id: &str, term: Option<u64>) {
+    simulation.server_mut(id).paused_at_term = term;
 }
 
-fn set_deaf(simulation: &mut Simulation, id: &str, deaf: bool) {
-    simulation
-        .service
-        .servers
-        .get_mut(id)
-        .unwrap()
-        .receives_nothing = deaf;
+fn set_receives_nothing(simulation: &mut Simulation, id: &str, receives_nothing: bool) {
+    simulation.server_mut(id).receives_nothing = receives_nothing;
 }
 
 // ---- repeated promotions
 
 #[test]
-fn a_repeat_of_the_same_promotion_changes_nothing() {
+fn repeated_promotion_has_no_effect() {
     for (seed, fencing) in [(1, true), (2, false), (3, true), (4, false)] {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.platform.checks_fencing_tokens = fencing;
         simulation.platform.answers_lost_per_mille = 1000;
         simulation.crash("a");
@@ -52,39 +35,45 @@
     }
 }
 
-/// The first call is lost in a slow platform, its server goes silent, and the call takes effect after all: no other server may
-/// have been promoted before, as its commits would be lost then.
+/// The first request seems to fail in a slow platform, its server is unresponsive, and the
+/// promotion takes effect after all: no other server may have been promoted before, as its commits
+/// would be lost.
 #[test]
-fn a_late_promotion_takes_the_lead_from_nobody() {
+fn late_promotion_loses_no_commits() {
     for fencing in [true, false] {
         for late in [0.6, 0.75, 0.9] {
-            let mut simulation = steady(5);
+            let mut simulation = steady_simulation(5);
             simulation.platform.promotion_duration_s = 0.3;
             simulation.add_server("d", "10.0.0.200:1", false);
             simulation.run(2.0);
             simulation.platform.checks_fencing_tokens = fencing;
             simulation.platform.scripted_statuses = vec![503].into();
             simulation.crash("a");
-            simulation.run_until(3.0, "a call", |w| !w.platform.promotion_requests.is_empty());
+            simulation.run_until(3.0, "a call", |simulation| {
+                !simulation.platform.promotion_requests.is_empty()
+            });
             let first = simulation.platform.promotion_requests[0].server_id.clone();
             simulation.make_unresponsive(&first);
             simulation.run(late - 0.1);
-            // It is back, without what another one may have acknowledged meanwhile.
-            set_deaf(&mut simulation, &first, true);
+            // It is back, without the commits that another primary may have acknowledged meanwhile.
+            set_receives_nothing(&mut simulation, &first, true);
             simulation.recover(&first);
             simulation.run(0.1);
             simulation.promote(&first);
-            set_deaf(&mut simulation, &first, false);
-            simulation.run_until(5.0, "a primary in use", |w| w.primary_in_use().is_some());
+            set_receives_nothing(&mut simulation, &first, false);
+            simulation.run_until(5.0, "a primary in use", |simulation| {
+                simulation.primary_in_use().is_some()
+            });
             simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
         }
     }
 }
 
-/// A server that goes dark is refused by the platform before its silence is seen here: it isn't named again and again.
+/// The platform rejects the promotion of an unresponsive server before control notices: the request
+/// isn't repeated again and again.
 #[test]
-fn a_refusal_is_not_met_with_a_storm_of_calls() {
-    let mut simulation = steady(5);
+fn rejected_promotion_requests_are_paced() {
+    let mut simulation = steady_simulation(5);
     simulation.platform.scripted_statuses = vec![409; 1000].into();
     simulation.crash("a");
     simulation.run(3.0);
@@ -95,46 +84,50 @@
     );
 }
 
-/// A second copy is refused while the first one may still take effect: the old primary, which is not the one of record any
-/// more, goes on with the replicas paused, as what it acknowledged by them would be missing at the new one.
+/// A retry is rejected while the first request may still take effect: the old primary, which is no
+/// longer the committed one, goes on with the replicas paused, as the new one would lack the
+/// commits acknowledged with their help.
 #[test]
-fn a_refused_copy_does_not_let_the_old_primary_go_on_at_once() {
+fn rejected_retry_does_not_resume_the_old_primary_at_once() {
     for late in [0.15, 0.3, 0.6, 0.8] {
-        let mut simulation = steady(6);
+        let mut simulation = steady_simulation(6);
         simulation.platform.scripted_statuses = vec![503, 409].into();
         simulation.drain("a");
-        simulation.run_until(3.0, "the refusal of the second call", |w| {
-            w.platform.promotion_requests.len() == 2
+        simulation.run_until(3.0, "the refusal of the second call", |simulation| {
+            simulation.platform.promotion_requests.len() == 2
         });
         let to = simulation.platform.promotion_requests[0].server_id.clone();
-        set_deaf(&mut simulation, &to, true);
+        set_receives_nothing(&mut simulation, &to, true);
         simulation.run(late);
         simulation.promote(&to);
-        set_deaf(&mut simulation, &to, false);
-        simulation.run_until(4.0, "the new primary in use", |w| {
-            w.primary_in_use().as_ref() == Some(&to)
+        set_receives_nothing(&mut simulation, &to, false);
+        simulation.run_until(4.0, "the new primary in use", |simulation| {
+            simulation.primary_in_use().as_ref() == Some(&to)
         });
     }
 }
 
-/// The server that a former leader asked the platform for is taken again, if it is as far as any other.
+/// The server whose promotion a former leader requested is chosen again, if its log is as long as
+/// any other.
 #[test]
-fn the_next_leader_asks_for_the_same_server() {
-    let mut simulation = steady(7);
+fn next_leader_requests_the_same_promotion() {
+    let mut simulation = steady_simulation(7);
     simulation.edge.statements_enabled = false;
     simulation.run(0.2);
     simulation.crash("b");
     simulation.run(2.5);
     simulation.platform.scripted_statuses = vec![503; 1000].into();
     simulation.crash("a");
-    simulation.run_until(4.0, "a call", |w| !w.platform.promotion_requests.is_empty());
+    simulation.run_until(4.0, "a call", |simulation| {
+        !simulation.platform.promotion_requests.is_empty()
+    });
     assert_eq!(simulation.platform.promotion_requests[0].server_id, "c");
     let leader = simulation.leader().unwrap();
     simulation.kill(leader);
     simulation.recover("b");
     let before = simulation.platform.promotion_requests.len();
-    simulation.run_until(9.0, "a call of the next leader", |w| {
-        w.platform.promotion_requests.len() > before
+    simulation.run_until(9.0, "a call of the next leader", |simulation| {
+        simulation.platform.promotion_requests.len() > before
     });
     assert!(
         simulation.platform.promotion_requests[before].fencing_token
@@ -146,39 +139,41 @@
     );
 }
 
-// ---- statements that come late
+// ---- late commands
 
-/// A `RESUME` comes late, while the old primary still acknowledges what a frozen router sent: whoever went on because of it is
-/// further than the others, and takes over.
+/// A `RESUME` arrives late, while the old primary still acknowledges what a frozen router sent: the
+/// replica that it resumed has more commits than the others, and is promoted.
 #[test]
-fn a_late_resume_before_the_grant_is_given_back_loses_nothing() {
-    let mut start = steady(8);
+fn late_resume_before_the_revocation_loses_no_commits() {
+    let mut start = steady_simulation(8);
     for id in ["b", "c"] {
-        set_deaf(&mut start, id, true);
+        set_receives_nothing(&mut start, id, true);
     }
     start.run(0.2);
-    // From here on commits wait at the primary, which answers nobody but its replicas.
+    // From here on commits wait at the primary, which control doesn't reach.
     start.edge.statements_enabled = false;
     start.service.unresponsive_to_control.insert("a".to_owned());
     start.freeze_router(0);
-    start.run_until(2.0, "the replicas are paused", |w| {
-        held(w, "b").is_some() && held(w, "c").is_some()
+    start.run_until(2.0, "the replicas are paused", |simulation| {
+        paused_at(simulation, "b").is_some() && paused_at(simulation, "c").is_some()
     });
     for id in ["b", "c"] {
-        set_deaf(&mut start, id, false);
+        set_receives_nothing(&mut start, id, false);
     }
-    let lease_ends = start.edge.routers[0].lease_until - 7777.0;
+    let lease_ends = start.edge.routers[0].lease_until - start.edge.routers[0].clock_offset;
     for step in 1..60 {
         let mut simulation = start.clone();
         simulation.run((lease_ends - 0.005 * f64::from(step / 2) - simulation.now()).max(0.0));
         let before = simulation.service.acknowledged_commits.len();
-        set_held(&mut simulation, "c", None);
+        set_paused_at(&mut simulation, "c", None);
         if step % 2 == 0 {
-            // A late `PAUSE` follows, so that it looks as if nothing had been.
+            // A late `PAUSE` follows, so that the resumption can't be seen.
             simulation.run(0.008);
-            set_held(&mut simulation, "c", Some(50));
+            set_paused_at(&mut simulation, "c", Some(50));
         }
-        simulation.run_until(5.0, "a promotion", |w| !w.service.promotions.is_empty());
+        simulation.run_until(5.0, "a promotion", |simulation| {
+            !simulation.service.promotions.is_empty()
+        });
         assert!(
             simulation.service.acknowledged_commits.len() > before,
             "step {step}: the commits that waited were acknowledged"
@@ -186,42 +181,50 @@
     }
 }
 
-/// A `RESUME` of a server that was frozen runs right after the `PAUSE`: the planned change notices before it goes on.
+/// A `RESUME` of a server that was frozen runs right after the `PAUSE`: the planned failover
+/// notices before it goes on.
 #[test]
-fn a_resume_right_after_a_pause_is_noticed() {
-    let mut simulation = steady(9);
+fn resume_right_after_a_pause_is_noticed() {
+    let mut simulation = steady_simulation(9);
     simulation.drain("a");
-    while held(&simulation, "b").or(held(&simulation, "c")).is_none() {
+    while paused_at(&simulation, "b")
+        .or(paused_at(&simulation, "c"))
+        .is_none()
+    {
         simulation.run(0.0005);
         assert!(simulation.now() < 20.0);
     }
-    let paused = if held(&simulation, "b").is_some() {
+    let paused = if paused_at(&simulation, "b").is_some() {
         "b"
     } else {
         "c"
     };
     let to = if paused == "b" { "c" } else { "b" };
-    set_held(&mut simulation, paused, None);
-    simulation.run_until(2.0, "a call", |w| !w.platform.promotion_requests.is_empty());
-    // Nothing that only the other replica has may be acknowledged now.
-    set_deaf(&mut simulation, to, true);
+    set_paused_at(&mut simulation, paused, None);
+    simulation.run_until(2.0, "a call", |simulation| {
+        !simulation.platform.promotion_requests.is_empty()
+    });
+    // No commit that only the other replica has may be acknowledged now.
+    set_receives_nothing(&mut simulation, to, true);
     simulation.run(0.8);
     assert_eq!(simulation.service.promotions[0].server_id, to);
-    set_deaf(&mut simulation, to, false);
+    set_receives_nothing(&mut simulation, to, false);
     simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
 }
 
-/// A `PAUSE` comes after the `RESUME` that was to undo it.
+/// A `PAUSE` arrives after the `RESUME` that was to undo it.
 #[test]
-fn a_late_pause_is_undone() {
+fn late_pause_is_undone() {
     for seed in 10..14 {
-        let mut simulation = steady(seed);
+        let mut simulation = steady_simulation(seed);
         simulation.make_unresponsive("a");
-        simulation.run_until(2.0, "the replicas are paused", |w| {
-            held(w, "b").is_some() && held(w, "c").is_some()
+        simulation.run_until(2.0, "the replicas are paused", |simulation| {
+            paused_at(simulation, "b").is_some() && paused_at(simulation, "c").is_some()
         });
         simulation.recover("a");
-        simulation.run_until(3.0, "a primary in use", |w| w.primary_in_use().is_some());
+        simulation.run_until(3.0, "a primary in use", |simulation| {
+            simulation.primary_in_use().is_some()
+        });
         simulation.run(1.0);
         let replicas: Vec<String> = simulation
             .service
@@ -232,21 +235,24 @@
             .collect();
         assert_eq!(replicas.len(), 2);
         for id in &replicas {
-            set_held(&mut simulation, id, Some(90));
+            set_paused_at(&mut simulation, id, Some(90));
         }
         simulation.run(1.6);
         assert!(simulation.acknowledges_writes(), "seed {seed}");
         assert!(
-            replicas.iter().all(|id| held(&simulation, id).is_none()),
+            replicas
+                .iter()
+                .all(|id| paused_at(&simulation, id).is_none()),
             "seed {seed}"
         );
     }
 }
 
-/// `PAUSE` and `STEPDOWN` of former leaders arrive at any moment, while leaders and servers come and go: the rules hold (they are
-/// checked at every event), and once all is calm writes go on.
+/// `PAUSE` and `STEPDOWN` of former leaders arrive at any moment, while leaders and servers come
+/// and go: safety is checked at every event, and once all faults have ended writes are acknowledged
+/// again.
 #[test]
-fn late_pauses_and_step_downs_at_any_moment() {
+fn late_pauses_and_step_downs_lose_no_commits() {
     arbtest(|u| {
         let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
         simulation.platform.checks_fencing_tokens = u.arbitrary()?;
@@ -254,7 +260,7 @@
         simulation.run(3.0);
         for _ in 0..u.int_in_range(2..=10)? {
             let id = *u.choose(&["a", "b", "c"])?;
-            let up = simulation.service.servers[id].health == Health::Up;
+            let up = simulation.server(id).health == Health::Up;
             let top = simulation
                 .service
                 .servers
@@ -266,14 +272,14 @@
             match u.int_in_range(0..=6)? {
                 0 | 1
                     if up
-                        && !simulation.service.servers[id].is_primary
-                        && late > simulation.service.servers[id].paused_at_term.unwrap_or(top) =>
+                        && !simulation.server(id).is_primary
+                        && late > simulation.server(id).paused_at_term.unwrap_or(top) =>
                 {
-                    set_held(&mut simulation, id, Some(late));
+                    set_paused_at(&mut simulation, id, Some(late));
                 }
-                // The lowest term that turned it out, which is its own and one more.
-                2 if up && simulation.service.servers[id].is_primary => {
-                    simulation.service.servers.get_mut(id).unwrap().is_primary = false;
+                // As by a `STEPDOWN` of the lowest effective term, which is its own and one more.
+                2 if up && simulation.server(id).is_primary => {
+                    simulation.server_mut(id).is_primary = false;
                 }
                 3 if up
                     && simulation
@@ -299,8 +305,8 @@
             simulation.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
         }
         for id in ["a", "b", "c"] {
-            simulation.service.servers.get_mut(id).unwrap().draining = false;
-            if simulation.service.servers[id].health != Health::Up {
+            simulation.server_mut(id).draining = false;
+            if simulation.server(id).health != Health::Up {
                 simulation.recover(id);
             }
         }
@@ -311,8 +317,9 @@
             "writes once all is calm",
             Simulation::acknowledges_writes,
         );
-        simulation.run_until(4.0, "no replica is held", |w| {
-            w.service
+        simulation.run_until(4.0, "no replica is paused", |simulation| {
+            simulation
+                .service
                 .servers
                 .values()
                 .all(|s| s.is_primary || s.paused_at_term.is_none())
@@ -321,13 +328,5 @@
     })
     .size_min(64)
     .size_max(300)
-    .budget_ms(budget());
-}
-
-/// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
-fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS")
-        .ok()
-        .and_then(|ms| ms.parse().ok())
-        .unwrap_or(1500)
+    .budget_ms(arbtest_budget_ms());
 }
--- a/crates/testing/simulation/tests/random.rs
+++ b/crates/testing/simulation/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults by chance on fixed seeds; many more are played with `badgerstream-simulate`.
+//! Random faults on fixed seeds; `badgerstream-simulate` plays many more.
 
 use badgerstream_simulation::faults::{FaultRun, LossPolicy};
 
@@ -16,13 +16,14 @@
 }
 
 #[test]
-fn faults_by_chance() {
+fn random_faults_within_the_budget() {
     play(LossPolicy::WithinBudget, 0..120);
 }
 
-/// Any number of machines is lost at once, halves are cut from each other, and no more disks are lost than the budget allows: what
-/// holds for every machine, in touch or not, holds all along, and service is back `RECOVERY_S` behind the last return.
+/// Any number of machines is lost at once, halves are partitioned, and no more disks are lost than
+/// the budget allows: safety holds at every event, and service is back within `RECOVERY_S` of the
+/// return of the last machine.
 #[test]
-fn faults_beyond_the_budget() {
+fn random_faults_beyond_the_budget() {
     play(LossPolicy::BeyondBudget, 0..80);
 }
