--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,376 +1,372 @@
-//! Faults by chance: as many machines lost at a time as the budget allows, or any number of them as long as no more disks are lost
-//! than it allows; and some that strike all at once.
+//! Runs with random faults: as many machines lost at a time as the budget allows, or any number of
+//! them as long as no more disks are lost than it allows; and some faults of all machines at once.
+//!
+//! The injector draws from a random source of its own, so that it doesn't disturb the simulation's.
 
-use crate::disk::{DiskHealth, USUAL};
-use crate::oracle::{CATCH_UP, RECOVERY};
-use crate::schedule::Chance;
-use crate::world::World;
-use badgerstream_control::NodeId;
+mod kinds;
 
-/// Operators at work at once.
-const OPERATORS: usize = 6;
+pub use kinds::LossPolicy;
 
-/// Routers that are told of configurations.
-const ROUTERS: usize = 2;
+use crate::control::{ControlMachine, DiskHealth, HEALTHY_DISK, Isolation};
+use crate::kernel::RandomSource;
+use crate::oracle::{CATCH_UP_S, RECOVERY_S};
+use crate::simulation::Simulation;
+use badgerstream_control::NodeId;
+use kinds::{Fault, Recovery, ScheduledRecovery};
 
-/// What may happen.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fault {
-    Kill,
-    PowerOff,
-    Wipe,
-    Freeze,
-    Cut,
-    CutOneWay,
-    DiskFull,
-    DiskSlow,
-    DiskStall,
-    Replace,
-    ReplacePlanned,
-    Restart,
-    ResetLinks,
-    KillAll,
-    PowerOffAll,
-    WipeSome,
-    Halves,
-}
+/// Operators at work at once.
+const OPERATOR_COUNT: usize = 6;
 
-const FAULTS: [Fault; 17] = [
-    Fault::Kill,
-    Fault::PowerOff,
-    Fault::Wipe,
-    Fault::Freeze,
-    Fault::Cut,
-    Fault::CutOneWay,
-    Fault::DiskFull,
-    Fault::DiskSlow,
-    Fault::DiskStall,
-    Fault::Replace,
-    Fault::ReplacePlanned,
-    Fault::Restart,
-    Fault::ResetLinks,
-    Fault::KillAll,
-    Fault::PowerOffAll,
-    Fault::WipeSome,
-    Fault::Halves,
-];
+/// Routers that receive configurations.
+const ROUTER_COUNT: usize = 2;
 
-impl Fault {
-    /// Whether a disk is lost by it.
-    fn loses_a_disk(self) -> bool {
-        matches!(self, Fault::Wipe | Fault::Replace | Fault::ReplacePlanned)
-    }
-}
+/// What tells the injector's seed from the simulation's.
+const SEED_MASK: u64 = 0x5eed;
 
-/// How many machines may be lost at once.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Losses {
-    /// No more than the budget allows, until they have caught up.
-    WithinBudget,
-    /// Any number, and the links between two halves; but no more disks than the budget allows, until all machines decide again.
-    /// Service may rest meanwhile.
-    BeyondBudget,
-}
+/// The control machines start for so many seconds before the first fault.
+const START_S: f64 = 3.0;
 
-/// What is to be undone, and when.
-#[derive(Clone, Debug)]
-enum Undo {
-    Start(NodeId),
-    Thaw(NodeId),
-    Join(NodeId),
-    Heal(NodeId),
-    MendDisk(NodeId),
-    Remove(NodeId),
-    JoinHalves,
-}
+/// The most seconds between two decisions of the injector, mostly and in a burst.
+const USUAL_PAUSE_S: f64 = 3.0;
+const BURST_PAUSE_S: f64 = 0.3;
 
-/// A world with faults by chance.
+/// A simulation with random faults.
 pub struct FaultRun {
-    /// The world.
-    pub world: World,
-    chance: Chance,
-    undo: Vec<(f64, Undo)>,
+    /// The simulation.
+    pub simulation: Simulation,
+    random: RandomSource,
+    pending_recoveries: Vec<ScheduledRecovery>,
     next_node: NodeId,
-    losses: Losses,
-    /// Disks lost since all machines last decided.
+    loss_policy: LossPolicy,
+    /// Disks lost since all machines last voted.
     disks_lost: usize,
-    /// What happened, for a message.
-    pub story: Vec<String>,
+    /// What happened and when, for messages.
+    pub fault_log: Vec<String>,
 }
 
 impl FaultRun {
-    /// So many machines, of which so many may be lost at once, and a few operators.
-    pub fn new(seed: u64, machines: u32, budget: usize, losses: Losses) -> FaultRun {
-        let mut world = World::control_only(seed, machines, budget);
-        world.links.resets = if seed.is_multiple_of(3) { 2 } else { 0 };
-        world.lost_replies = (seed % 4) * 60;
-        world.delay = if seed.is_multiple_of(2) {
+    /// So many machines, of which `fault_budget` may be lost at once, and a few operators and
+    /// routers.
+    pub fn new(seed: u64, machines: u32, fault_budget: usize, loss_policy: LossPolicy) -> FaultRun {
+        let mut simulation = Simulation::control_only(seed, machines, fault_budget);
+        simulation.control.network.resets_per_mille = if seed.is_multiple_of(3) { 2 } else { 0 };
+        simulation.operators.responses_lost_per_mille = (seed % 4) * 60;
+        simulation.kernel.message_delay_s = if seed.is_multiple_of(2) {
             0.0015
         } else {
             0.012
         };
-        for _ in 0..OPERATORS {
-            world.add_operator();
+        for _ in 0..OPERATOR_COUNT {
+            simulation.add_operator();
         }
-        for at in 0..ROUTERS {
-            world.add_router(at);
+        for _ in 0..ROUTER_COUNT {
+            simulation.add_router();
         }
-        let next_node = machines + 1;
         FaultRun {
-            world,
-            chance: Chance::new(seed ^ 0x5eed),
-            undo: Vec::new(),
-            next_node,
-            losses,
+            simulation,
+            random: RandomSource::new(seed ^ SEED_MASK),
+            pending_recoveries: Vec::new(),
+            next_node: machines + 1,
+            loss_policy,
             disks_lost: 0,
-            story: Vec::new(),
+            fault_log: Vec::new(),
         }
     }
 
-    /// Plays faults for so many seconds, then waits until all is calm and something was acknowledged.
+    /// Injects faults for so many seconds, then waits until all have ended and control has had its
+    /// time to recover.
+    ///
+    /// # Panics
+    ///
+    /// If the oracle finds a violation, or nobody leads at the end.
     pub fn play(&mut self, seconds: f64) {
-        self.world.run(3.0);
-        let until = self.world.now + seconds;
-        while self.world.now < until {
-            self.undo_due();
-            let pause = if self.chance.of_thousand(300) {
-                0.3
+        self.simulation.run(START_S);
+        let until = self.simulation.now() + seconds;
+        while self.simulation.now() < until {
+            self.recover_due();
+            let longest_pause = if self.random.per_mille(300) {
+                BURST_PAUSE_S
             } else {
-                3.0
+                USUAL_PAUSE_S
             };
-            if self.chance.of_thousand(600) {
-                self.strike();
+            if self.random.per_mille(600) {
+                self.inject();
             }
-            let wait = self.chance.between(0.0, pause);
-            self.wait(wait);
+            let pause = self.random.between(0.0, longest_pause);
+            self.wait(pause);
         }
-        while !self.undo.is_empty() {
+        while !self.pending_recoveries.is_empty() {
             self.wait(0.1);
         }
-        self.world.run(RECOVERY + CATCH_UP);
+        self.simulation.run(RECOVERY_S + CATCH_UP_S);
         assert!(
-            self.world.leader().is_some(),
+            self.simulation.leader().is_some(),
             "nobody leads: {}",
-            self.world.describe()
+            self.simulation.describe()
         );
     }
 
+    /// Lets time pass, with the recoveries that are due in it.
     fn wait(&mut self, seconds: f64) {
-        let until = self.world.now + seconds;
-        while self.world.now < until {
-            let next = self.undo.iter().map(|(at, _)| *at).fold(until, f64::min);
-            self.world.run((next - self.world.now).max(0.001));
-            self.undo_due();
+        let until = self.simulation.now() + seconds;
+        while self.simulation.now() < until {
+            let due = self.pending_recoveries.iter().map(|pending| pending.at);
+            let next = due.fold(until, f64::min);
+            self.simulation
+                .run((next - self.simulation.now()).max(0.001));
+            self.recover_due();
         }
     }
 
-    fn undo_due(&mut self) {
-        let now = self.world.now;
-        let (due, kept) = std::mem::take(&mut self.undo)
+    fn recover_due(&mut self) {
+        let now = self.simulation.now();
+        let (due, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_recoveries)
             .into_iter()
-            .partition(|(at, _)| *at <= now);
-        self.undo = kept;
-        let due: Vec<(f64, Undo)> = due;
-        for (_, undo) in due {
-            self.tell(format!("{undo:?}"));
-            match undo {
-                Undo::Start(node) => self.world.start(node),
-                Undo::Thaw(node) => self.world.thaw(node),
-                Undo::Join(node) => self.world.join(node),
-                Undo::Heal(node) => self.world.heal(node),
-                Undo::MendDisk(node) => self.world.set_disk(node, USUAL),
-                Undo::Remove(node) => self.world.remove(node),
-                Undo::JoinHalves => self.world.join_halves(),
-            }
+            .partition(|pending| pending.at <= now);
+        self.pending_recoveries = pending;
+        for ScheduledRecovery { recovery, .. } in due {
+            self.log_fault(format!("{recovery:?}"));
+            self.recover(&recovery);
         }
     }
 
-    fn tell(&mut self, what: String) {
-        self.story.push(format!("{:.3} {what}", self.world.now));
+    fn recover(&mut self, recovery: &Recovery) {
+        let simulation = &mut self.simulation;
+        match recovery {
+            Recovery::Start(node) => simulation.start(*node),
+            Recovery::Thaw(node) => simulation.thaw(*node),
+            Recovery::Join(node) => simulation.add_and_start(*node),
+            Recovery::Heal(node) => simulation.heal(*node),
+            Recovery::RepairDisk(node) => simulation.set_disk_health(*node, HEALTHY_DISK),
+            Recovery::Remove(node) => simulation.remove(*node),
+            Recovery::RejoinHalves => simulation.rejoin_halves(),
+        }
     }
 
-    fn later(&mut self, low: f64, high: f64, undo: Undo) {
-        let at = self.world.now + self.chance.between(low, high);
-        self.undo.push((at, undo));
+    fn log_fault(&mut self, text: String) {
+        let now = self.simulation.now();
+        self.fault_log.push(format!("{now:.3} {text}"));
     }
 
-    /// One machine that may be lost, the leader as often as not.
-    fn victim(&mut self) -> Option<NodeId> {
-        let world = &self.world;
-        let within = self.losses == Losses::WithinBudget;
-        if within && world.lost() >= world.budget {
-            return None;
-        }
-        let fit = |node: &NodeId| {
-            if within {
-                !world.is_lost(*node)
-            } else {
-                world.is_well(*node)
-            }
-        };
-        let there = |node: &NodeId| !world.controls[node].removed && fit(node);
-        let fit: Vec<NodeId> = world.controls.keys().copied().filter(there).collect();
-        let leader = self.world.leader().filter(|leader| fit.contains(leader));
-        if self.chance.of_thousand(500) {
-            leader.or(self.chance.pick(&fit))
-        } else {
-            self.chance.pick(&fit)
-        }
+    /// Schedules a recovery between so many seconds from now.
+    fn schedule_recovery(&mut self, earliest_s: f64, latest_s: f64, recovery: Recovery) {
+        let at = self.simulation.now() + self.random.between(earliest_s, latest_s);
+        self.pending_recoveries
+            .push(ScheduledRecovery { at, recovery });
     }
 
-    fn strike(&mut self) {
-        let Some(fault) = self.chance.pick(&FAULTS) else {
+    fn inject(&mut self) {
+        let Some(fault) = self.random.pick(&Fault::ALL) else {
             return;
         };
-        if self.world.all_decide() && self.world.lost() == 0 {
+        if self.simulation.all_machines_vote() && self.simulation.lost_machines() == 0 {
             self.disks_lost = 0;
         }
         match fault {
-            Fault::Halves => self.cut_into_halves(),
-            _ if fault.loses_a_disk() && !self.may_lose_a_disk() => {}
-            Fault::KillAll | Fault::PowerOffAll | Fault::WipeSome => self.strike_all(fault),
-            Fault::ResetLinks => self.world.reset_links(),
+            Fault::PartitionHalves => self.partition_halves(),
+            _ if fault.loses_disk() && !self.may_lose_disk() => {}
+            Fault::KillAll | Fault::PowerOffAll | Fault::LoseSomeDisks => self.inject_on_all(fault),
+            Fault::ResetConnections => self.simulation.reset_connections(),
             _ => {
-                if let Some(node) = self.victim() {
-                    self.disks_lost += usize::from(fault.loses_a_disk());
-                    self.tell(format!("{fault:?} {node}"));
-                    self.strike_one(fault, node);
+                if let Some(node) = self.choose_victim() {
+                    self.disks_lost += usize::from(fault.loses_disk());
+                    self.log_fault(format!("{fault:?} {node}"));
+                    self.inject_on_machine(fault, node);
                 }
             }
         }
     }
 
+    fn is_within_budget(&self) -> bool {
+        self.loss_policy == LossPolicy::WithinBudget
+    }
+
     /// Whether the disk of one more machine may be lost now.
-    fn may_lose_a_disk(&self) -> bool {
-        self.losses == Losses::WithinBudget || self.disks_lost < self.world.budget
+    fn may_lose_disk(&self) -> bool {
+        self.is_within_budget() || self.disks_lost < self.simulation.control.fault_budget
     }
 
-    /// Half of the machines and the others don't reach each other for some seconds, whatever the budget is.
-    fn cut_into_halves(&mut self) {
-        if self.losses == Losses::WithinBudget || self.world.halves {
+    /// One machine that may be lost, the leader as often as not.
+    fn choose_victim(&mut self) -> Option<NodeId> {
+        let simulation = &self.simulation;
+        let is_within_budget = self.is_within_budget();
+        if is_within_budget && simulation.lost_machines() >= simulation.control.fault_budget {
+            return None;
+        }
+        let may_be_lost = |machine: &&ControlMachine| {
+            !machine.removed
+                && if is_within_budget {
+                    !simulation.is_lost(machine.node)
+                } else {
+                    simulation.control.is_healthy(machine.node)
+                }
+        };
+        let machines = simulation.control.machines.values().filter(may_be_lost);
+        let candidates: Vec<NodeId> = machines.map(|machine| machine.node).collect();
+        let leader = simulation
+            .leader()
+            .filter(|leader| candidates.contains(leader));
+        if self.random.per_mille(500) {
+            // Drawn in either case: the draws of a seed don't depend on whether somebody leads.
+            leader.or(self.random.pick(&candidates))
+        } else {
+            self.random.pick(&candidates)
+        }
+    }
+
+    /// Half of the machines and the others don't reach each other for some seconds, whatever the
+    /// budget is.
+    fn partition_halves(&mut self) {
+        if self.is_within_budget() || self.simulation.control.is_halved() {
             return;
         }
-        let mut others: Vec<NodeId> = self
-            .world
-            .controls
-            .iter()
-            .filter(|(_, m)| !m.removed)
-            .map(|(node, _)| *node)
-            .collect();
+        let machines = self.simulation.control.machines.values();
+        let present = machines.filter(|machine| !machine.removed);
+        let mut others: Vec<NodeId> = present.map(|machine| machine.node).collect();
         let mut half = Vec::new();
         for _ in 0..others.len() / 2 {
-            half.push(others.remove(self.chance.below(others.len() as u64) as usize));
+            let index = self.random.below(others.len() as u64) as usize;
+            half.push(others.remove(index));
         }
-        self.tell(format!("Halves {half:?} {others:?}"));
-        self.world.cut_halves(&half, &others);
-        self.later(0.2, 6.0, Undo::JoinHalves);
+        self.log_fault(format!("PartitionHalves {half:?} {others:?}"));
+        self.simulation.partition_halves(&half, &others);
+        self.schedule_recovery(0.2, 6.0, Recovery::RejoinHalves);
     }
 
-    fn strike_one(&mut self, fault: Fault, node: NodeId) {
+    fn inject_on_machine(&mut self, fault: Fault, node: NodeId) {
         match fault {
             Fault::Kill => {
-                self.world.kill(node);
-                self.later(0.05, 3.0, Undo::Start(node));
+                self.simulation.kill(node);
+                self.schedule_recovery(0.05, 3.0, Recovery::Start(node));
             }
             Fault::PowerOff => {
-                self.world.power_off(node);
-                self.later(0.5, 6.0, Undo::Start(node));
+                self.simulation.power_off(node);
+                self.schedule_recovery(0.5, 6.0, Recovery::Start(node));
             }
-            Fault::Wipe => {
-                self.world.wipe(node);
-                self.later(0.05, 3.0, Undo::Start(node));
+            Fault::LoseDisk => {
+                self.simulation.lose_disk(node);
+                self.schedule_recovery(0.05, 3.0, Recovery::Start(node));
             }
             Fault::Freeze => {
-                self.world.freeze(node);
-                self.later(0.05, 5.0, Undo::Thaw(node));
+                self.simulation.freeze(node);
+                self.schedule_recovery(0.05, 5.0, Recovery::Thaw(node));
             }
-            Fault::Cut => {
-                self.world.cut_off(node, true, true);
-                self.later(0.2, 20.0, Undo::Heal(node));
+            Fault::Isolate => self.inject_isolation(node, Isolation::BothWays),
+            Fault::IsolateOneWay => {
+                let isolation = if self.random.per_mille(500) {
+                    Isolation::Inbound
+                } else {
+                    Isolation::Outbound
+                };
+                self.inject_isolation(node, isolation);
             }
-            Fault::CutOneWay => {
-                let hears = self.chance.of_thousand(500);
-                self.world.cut_off(node, hears, !hears);
-                self.later(0.2, 20.0, Undo::Heal(node));
+            Fault::DiskFull | Fault::DiskSlow | Fault::DiskStall => {
+                self.inject_on_disk(fault, node);
             }
-            Fault::DiskFull => {
-                self.world.set_disk(node, DiskHealth::Full);
-                self.later(0.2, 5.0, Undo::MendDisk(node));
+            Fault::Replace | Fault::ReplacePlanned => self.inject_replacement(fault, node),
+            Fault::Restart => {
+                self.simulation.request_shutdown(node);
+                self.wait(0.5);
+                self.simulation.kill(node);
+                self.schedule_recovery(0.1, 1.0, Recovery::Start(node));
             }
+            Fault::ResetConnections
+            | Fault::KillAll
+            | Fault::PowerOffAll
+            | Fault::LoseSomeDisks
+            | Fault::PartitionHalves => unreachable!("{fault:?} strikes more than one machine"),
+        }
+    }
+
+    fn inject_isolation(&mut self, node: NodeId, isolation: Isolation) {
+        self.simulation.isolate(node, isolation);
+        self.schedule_recovery(0.2, 20.0, Recovery::Heal(node));
+    }
+
+    fn inject_on_disk(&mut self, fault: Fault, node: NodeId) {
+        let repair = Recovery::RepairDisk(node);
+        match fault {
             Fault::DiskSlow => {
-                let takes = self.chance.between(0.05, 0.5);
-                self.world.set_disk(node, DiskHealth::Takes(takes));
-                self.later(0.2, 5.0, Undo::MendDisk(node));
+                let latency = self.random.between(0.05, 0.5);
+                let health = DiskHealth::WriteLatency(latency);
+                self.simulation.set_disk_health(node, health);
+                self.schedule_recovery(0.2, 5.0, repair);
             }
             Fault::DiskStall => {
-                let stalled = self.chance.between(0.2, 4.0);
-                let until = self.world.now + stalled;
-                self.world.set_disk(node, DiskHealth::StalledUntil(until));
-                self.later(stalled, stalled + 0.01, Undo::MendDisk(node));
-            }
-            Fault::Replace => {
-                self.world.remove(node);
-                let successor = self.new_node();
-                self.world.seen_successor(node);
-                self.later(0.2, 3.0, Undo::Join(successor));
+                let stall_s = self.random.between(0.2, 4.0);
+                let until = self.simulation.now() + stall_s;
+                let health = DiskHealth::StalledUntil(until);
+                self.simulation.set_disk_health(node, health);
+                self.schedule_recovery(stall_s, stall_s + 0.01, repair);
             }
-            Fault::ReplacePlanned => {
-                let successor = self.new_node();
-                self.world.join(successor);
-                self.later(2.0, 6.0, Undo::Remove(node));
-                self.world.seen_successor(node);
-                self.world.leave_before_removal(node);
-            }
-            Fault::Restart => {
-                self.world.resign(node);
-                self.wait(0.5);
-                self.world.kill(node);
-                self.later(0.1, 1.0, Undo::Start(node));
+            _ => {
+                self.simulation.set_disk_health(node, DiskHealth::Full);
+                self.schedule_recovery(0.2, 5.0, repair);
             }
-            _ => {}
         }
     }
 
-    fn new_node(&mut self) -> NodeId {
+    fn inject_replacement(&mut self, fault: Fault, node: NodeId) {
+        let successor = self.next_node;
         self.next_node += 1;
-        self.next_node - 1
+        if fault == Fault::ReplacePlanned {
+            self.simulation.add_and_start(successor);
+            self.schedule_recovery(2.0, 6.0, Recovery::Remove(node));
+            self.simulation.expect_successor(node);
+            self.simulation.schedule_shutdown(node);
+        } else {
+            self.simulation.remove(node);
+            self.simulation.expect_successor(node);
+            self.schedule_recovery(0.2, 3.0, Recovery::Join(successor));
+        }
     }
 
     /// All processes or machines at once, and of some the disks besides.
-    fn strike_all(&mut self, fault: Fault) {
-        let within = self.losses == Losses::WithinBudget;
-        if within && (!self.undo.is_empty() || self.world.lost() > 0) {
+    fn inject_on_all(&mut self, fault: Fault) {
+        let is_calm = self.pending_recoveries.is_empty() && self.simulation.lost_machines() == 0;
+        if self.is_within_budget() && !is_calm {
             return;
         }
-        self.tell(format!("{fault:?}"));
-        let there = |node: &NodeId| within || self.world.is_well(*node);
-        let machines = self
-            .world
-            .controls
-            .iter()
-            .filter(|(_, m)| !m.removed)
-            .map(|(node, _)| *node);
-        let nodes: Vec<NodeId> = machines.filter(there).collect();
-        let disks = if within {
-            self.world.budget
-        } else {
-            self.world.budget - self.disks_lost
-        };
-        let mut wiped: Vec<NodeId> = nodes.clone();
-        while wiped.len() > disks {
-            let at = self.chance.below(wiped.len() as u64) as usize;
-            wiped.remove(at);
-        }
-        if fault == Fault::WipeSome {
+        self.log_fault(format!("{fault:?}"));
+        let nodes = self.machines_to_strike();
+        let wiped = self.choose_disks(&nodes);
+        if fault == Fault::LoseSomeDisks {
             self.disks_lost += wiped.len();
         }
         for node in nodes {
             match fault {
-                Fault::WipeSome if wiped.contains(&node) => self.world.wipe(node),
-                Fault::PowerOffAll | Fault::WipeSome => self.world.power_off(node),
-                _ => self.world.kill(node),
+                Fault::LoseSomeDisks if wiped.contains(&node) => self.simulation.lose_disk(node),
+                Fault::PowerOffAll | Fault::LoseSomeDisks => self.simulation.power_off(node),
+                _ => self.simulation.kill(node),
             }
-            self.later(0.3, 1.5, Undo::Start(node));
+            self.schedule_recovery(0.3, 1.5, Recovery::Start(node));
+        }
+    }
+
+    /// All machines; beyond the budget those that are healthy, as the others have faults already.
+    fn machines_to_strike(&self) -> Vec<NodeId> {
+        let control = &self.simulation.control;
+        let machines = control.machines.values();
+        machines
+            .filter(|machine| !machine.removed)
+            .map(|machine| machine.node)
+            .filter(|node| self.is_within_budget() || control.is_healthy(*node))
+            .collect()
+    }
+
+    /// As many of the machines as may lose their disks now.
+    fn choose_disks(&mut self, nodes: &[NodeId]) -> Vec<NodeId> {
+        let fault_budget = self.simulation.control.fault_budget;
+        let limit = if self.is_within_budget() {
+            fault_budget
+        } else {
+            fault_budget - self.disks_lost
+        };
+        let mut chosen = nodes.to_vec();
+        while chosen.len() > limit {
+            let index = self.random.below(chosen.len() as u64) as usize;
+            chosen.remove(index);
         }
+        chosen
     }
 }
--- /dev/null
+++ b/crates/testing/simulation/src/simulation.rs
@@ -0,0 +1,138 @@
+//! The simulation: the parts, and the loop that hands each event to the part it is for.
+//!
+//! [`Simulation`] owns all parts. What concerns one part is done there; here is what concerns
+//! several: the outputs of a control machine's decisions (`control_events`), a server's heartbeat
+//! or a response (`requests`), and what a test or the fault injector does (`actions`).
+
+mod actions;
+mod control_events;
+mod events;
+mod queries;
+mod requests;
+
+use crate::control::ControlCluster;
+use crate::edge::Edge;
+use crate::event::{OracleEvent, ServerEvent};
+use crate::kernel::Kernel;
+use crate::observer::ChangeObserver;
+use crate::operators::Operators;
+use crate::oracle::Oracle;
+use crate::oracle::liveness::CHECK_INTERVAL_S;
+use crate::platform::Platform;
+use crate::requests::{Requests, Responses};
+use crate::service::Service;
+
+/// The step in which [`Simulation::run_until`] looks for its condition, in seconds.
+const CONDITION_INTERVAL_S: f64 = 0.005;
+
+/// One run: all parts, in simulated time. A clone goes on as the original would.
+#[derive(Clone)]
+pub struct Simulation {
+    /// Clock, event queue and random source.
+    pub kernel: Kernel,
+    /// The control machines.
+    pub control: ControlCluster,
+    /// The routers.
+    pub edge: Edge,
+    /// The database servers.
+    pub service: Service,
+    /// The platform.
+    pub platform: Platform,
+    /// The operators.
+    pub operators: Operators,
+    /// What must hold.
+    pub oracle: Oracle,
+    /// Responses to requests of a test.
+    pub responses: Responses,
+    requests: Requests,
+    observer: ChangeObserver,
+}
+
+impl Simulation {
+    /// Three control machines, two routers, and the servers a (primary), b and c; nothing has run
+    /// yet.
+    pub fn new(seed: u64) -> Simulation {
+        let mut simulation = Simulation::control_only(seed, 3, 1);
+        for _ in 0..2 {
+            simulation.add_router();
+        }
+        for id in ["a", "b", "c"] {
+            let endpoint = format!("10.0.0.{}:1", id.as_bytes()[0]);
+            simulation.add_server(id, &endpoint, id == "a");
+        }
+        let kernel = &mut simulation.kernel;
+        kernel.schedule(0.0, ServerEvent::ReplicationDue);
+        simulation
+    }
+
+    /// So many control machines, of which `fault_budget` may be lost at once, and nothing else.
+    pub fn control_only(seed: u64, machines: u32, fault_budget: usize) -> Simulation {
+        let mut simulation = Simulation {
+            kernel: Kernel::new(seed),
+            control: ControlCluster::new(machines, fault_budget),
+            edge: Edge::default(),
+            service: Service::default(),
+            platform: Platform::default(),
+            operators: Operators::default(),
+            oracle: Oracle::default(),
+            responses: Responses::new(),
+            requests: Requests::default(),
+            observer: ChangeObserver::default(),
+        };
+        for node in 1..=machines {
+            simulation.control.add_founding_machine(node);
+            simulation.start(node);
+        }
+        let check = OracleEvent::LivenessCheckDue;
+        simulation.kernel.schedule(CHECK_INTERVAL_S, check);
+        simulation
+    }
+
+    /// Lets so many seconds pass.
+    pub fn run(&mut self, seconds: f64) {
+        let until = self.kernel.now() + seconds;
+        while let Some(event) = self.kernel.next_event(until) {
+            self.handle(event);
+            self.check_safety();
+        }
+        self.kernel.advance_to(until);
+    }
+
+    /// Lets the next event happen.
+    pub fn step(&mut self) {
+        if let Some(event) = self.kernel.next_event(f64::INFINITY) {
+            self.handle(event);
+            self.check_safety();
+        }
+    }
+
+    /// Runs until the condition holds; returns the seconds it took.
+    ///
+    /// # Panics
+    ///
+    /// If the condition doesn't hold within `limit_s` seconds; `what` names it.
+    pub fn run_until(
+        &mut self,
+        limit_s: f64,
+        what: &str,
+        condition: impl Fn(&Simulation) -> bool,
+    ) -> f64 {
+        let begin = self.kernel.now();
+        while !condition(self) {
+            assert!(
+                self.kernel.now() - begin < limit_s,
+                "not within {limit_s} s: {what} (phase {})",
+                self.phase()
+            );
+            self.run(CONDITION_INTERVAL_S);
+        }
+        self.kernel.now() - begin
+    }
+
+    fn check_safety(&mut self) {
+        let kernel = &mut self.kernel;
+        self.oracle
+            .check_safety(kernel, &self.control, &self.edge, &self.operators);
+        self.observer.observe(kernel, &self.control, &self.edge);
+    }
+}
--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -1,296 +1,332 @@
-//! Calls that change servers, and what becomes of them when they come late, in simulated time. The table that these tests
-//! hold to is in `docs/design/calls.md`.
+//! Promotions and commands that arrive late or twice. The table that these tests follow is in
+//! `docs/design/calls.md`.
 
-use arbtest::arbtest;
-use badgerstream_simulation::{Health, World};
+mod common;
 
-fn steady(seed: u64) -> World {
-    let mut world = World::new(seed);
-    world.run_until(6.0, "a primary in use at the start", |w| {
-        w.in_use().as_deref() == Some("a")
-    });
-    world.run(4.0);
-    assert!(world.writes());
-    world
-}
+use arbtest::arbtest;
+use badgerstream_simulation::{Health, Simulation};
+use common::{arbtest_budget_ms, steady_simulation};
 
-fn held(world: &World, id: &str) -> Option<u64> {
-    world.servers[id].held
+fn paused_at(simulation: &Simulation, id: &str) -> Option<u64> {
+    simulation.server(id).paused_at_term
 }
 
-fn set_held(world: &mut World, id: &str, term: Option<u64>) {
-    world.servers.get_mut(id).unwrap().held = term;
+fn set_paused_at(simulation: &mut Simulation, id: &str, term: Option<u64>) {
+    simulation.server_mut(id).paused_at_term = term;
 }
 
-fn set_deaf(world: &mut World, id: &str, deaf: bool) {
-    world.servers.get_mut(id).unwrap().deaf = deaf;
+fn set_receives_nothing(simulation: &mut Simulation, id: &str, receives_nothing: bool) {
+    simulation.server_mut(id).receives_nothing = receives_nothing;
 }
 
 // ---- repeated promotions
 
 #[test]
-fn a_repeat_of_the_same_promotion_changes_nothing() {
+fn repeated_promotion_has_no_effect() {
     for (seed, fencing) in [(1, true), (2, false), (3, true), (4, false)] {
-        let mut world = steady(seed);
-        world.fencing = fencing;
-        world.lost_posts = 1000;
-        world.crash("a");
-        world.run(0.4);
-        world.run_until(2.5, "writes at another", World::writes);
-        world.run(2.0);
-        assert_eq!(world.promoted.len(), 1);
+        let mut simulation = steady_simulation(seed);
+        simulation.platform.checks_fencing_tokens = fencing;
+        simulation.platform.answers_lost_per_mille = 1000;
+        simulation.crash("a");
+        simulation.run(0.4);
+        simulation.run_until(2.5, "writes at another", Simulation::acknowledges_writes);
+        simulation.run(2.0);
+        assert_eq!(simulation.service.promotions.len(), 1);
     }
 }
 
-/// The first call is lost in a slow platform, its server goes silent, and the call takes effect after all: no other server may
-/// have been promoted before, as its commits would be lost then.
+/// The first request seems to fail in a slow platform, its server is unresponsive, and the
+/// promotion takes effect after all: no other server may have been promoted before, as its commits
+/// would be lost.
 #[test]
-fn a_late_promotion_takes_the_lead_from_nobody() {
+fn late_promotion_loses_no_commits() {
     for fencing in [true, false] {
         for late in [0.6, 0.75, 0.9] {
-            let mut world = steady(5);
-            world.promote_s = 0.3;
-            world.add_server("d", "10.0.0.200:1", false);
-            world.run(2.0);
-            world.fencing = fencing;
-            world.statuses = vec![503];
-            world.crash("a");
-            world.run_until(3.0, "a call", |w| !w.posts.is_empty());
-            let first = world.posts[0].0.clone();
-            world.darken(&first);
-            world.run(late - 0.1);
-            // It is back, without what another one may have acknowledged meanwhile.
-            set_deaf(&mut world, &first, true);
-            world.recover(&first);
-            world.run(0.1);
-            world.promote(&first);
-            set_deaf(&mut world, &first, false);
-            world.run_until(5.0, "a primary in use", |w| w.in_use().is_some());
-            world.run_until(2.0, "writes", World::writes);
+            let mut simulation = steady_simulation(5);
+            simulation.platform.promotion_duration_s = 0.3;
+            simulation.add_server("d", "10.0.0.200:1", false);
+            simulation.run(2.0);
+            simulation.platform.checks_fencing_tokens = fencing;
+            simulation.platform.scripted_statuses = vec![503].into();
+            simulation.crash("a");
+            simulation.run_until(3.0, "a call", |simulation| {
+                !simulation.platform.promotion_requests.is_empty()
+            });
+            let first = simulation.platform.promotion_requests[0].server_id.clone();
+            simulation.make_unresponsive(&first);
+            simulation.run(late - 0.1);
+            // It is back, without the commits that another primary may have acknowledged meanwhile.
+            set_receives_nothing(&mut simulation, &first, true);
+            simulation.recover(&first);
+            simulation.run(0.1);
+            simulation.promote(&first);
+            set_receives_nothing(&mut simulation, &first, false);
+            simulation.run_until(5.0, "a primary in use", |simulation| {
+                simulation.primary_in_use().is_some()
+            });
+            simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
         }
     }
 }
 
-/// A server that goes dark is refused by the platform before its silence is seen here: it isn't named again and again.
+/// The platform rejects the promotion of an unresponsive server before control notices: the request
+/// isn't repeated again and again.
 #[test]
-fn a_refusal_is_not_met_with_a_storm_of_calls() {
-    let mut world = steady(5);
-    world.statuses = vec![409; 1000];
-    world.crash("a");
-    world.run(3.0);
-    assert!(world.posts.len() < 8, "{} calls", world.posts.len());
+fn rejected_promotion_requests_are_paced() {
+    let mut simulation = steady_simulation(5);
+    simulation.platform.scripted_statuses = vec![409; 1000].into();
+    simulation.crash("a");
+    simulation.run(3.0);
+    assert!(
+        simulation.platform.promotion_requests.len() < 8,
+        "{} calls",
+        simulation.platform.promotion_requests.len()
+    );
 }
 
-/// A second copy is refused while the first one may still take effect: the old primary, which is not the one of record any
-/// more, goes on with the replicas paused, as what it acknowledged by them would be missing at the new one.
+/// A retry is rejected while the first request may still take effect: the old primary, which is no
+/// longer the committed one, goes on with the replicas paused, as the new one would lack the
+/// commits acknowledged with their help.
 #[test]
-fn a_refused_copy_does_not_let_the_old_primary_go_on_at_once() {
+fn rejected_retry_does_not_resume_the_old_primary_at_once() {
     for late in [0.15, 0.3, 0.6, 0.8] {
-        let mut world = steady(6);
-        world.statuses = vec![503, 409];
-        world.drain("a");
-        world.run_until(3.0, "the refusal of the second call", |w| {
-            w.posts.len() == 2
+        let mut simulation = steady_simulation(6);
+        simulation.platform.scripted_statuses = vec![503, 409].into();
+        simulation.drain("a");
+        simulation.run_until(3.0, "the refusal of the second call", |simulation| {
+            simulation.platform.promotion_requests.len() == 2
         });
-        let to = world.posts[0].0.clone();
-        set_deaf(&mut world, &to, true);
-        world.run(late);
-        world.promote(&to);
-        set_deaf(&mut world, &to, false);
-        world.run_until(4.0, "the new primary in use", |w| {
-            w.in_use().as_ref() == Some(&to)
+        let to = simulation.platform.promotion_requests[0].server_id.clone();
+        set_receives_nothing(&mut simulation, &to, true);
+        simulation.run(late);
+        simulation.promote(&to);
+        set_receives_nothing(&mut simulation, &to, false);
+        simulation.run_until(4.0, "the new primary in use", |simulation| {
+            simulation.primary_in_use().as_ref() == Some(&to)
         });
     }
 }
 
-/// The server that a former leader asked the platform for is taken again, if it is as far as any other.
+/// The server whose promotion a former leader requested is chosen again, if its log is as long as
+/// any other.
 #[test]
-fn the_next_leader_asks_for_the_same_server() {
-    let mut world = steady(7);
-    world.traffic = false;
-    world.run(0.2);
-    world.crash("b");
-    world.run(2.5);
-    world.statuses = vec![503; 1000];
-    world.crash("a");
-    world.run_until(4.0, "a call", |w| !w.posts.is_empty());
-    assert_eq!(world.posts[0].0, "c");
-    let leader = world.leader().unwrap();
-    world.kill(leader);
-    world.recover("b");
-    let before = world.posts.len();
-    world.run_until(9.0, "a call of the next leader", |w| w.posts.len() > before);
-    assert!(world.posts[before].1 > world.posts[0].1);
-    assert_eq!(world.posts[before].0, "c");
+fn next_leader_requests_the_same_promotion() {
+    let mut simulation = steady_simulation(7);
+    simulation.edge.statements_enabled = false;
+    simulation.run(0.2);
+    simulation.crash("b");
+    simulation.run(2.5);
+    simulation.platform.scripted_statuses = vec![503; 1000].into();
+    simulation.crash("a");
+    simulation.run_until(4.0, "a call", |simulation| {
+        !simulation.platform.promotion_requests.is_empty()
+    });
+    assert_eq!(simulation.platform.promotion_requests[0].server_id, "c");
+    let leader = simulation.leader().unwrap();
+    simulation.kill(leader);
+    simulation.recover("b");
+    let before = simulation.platform.promotion_requests.len();
+    simulation.run_until(9.0, "a call of the next leader", |simulation| {
+        simulation.platform.promotion_requests.len() > before
+    });
+    assert!(
+        simulation.platform.promotion_requests[before].fencing_token
+            > simulation.platform.promotion_requests[0].fencing_token
+    );
+    assert_eq!(
+        simulation.platform.promotion_requests[before].server_id,
+        "c"
+    );
 }
 
-// ---- statements that come late
+// ---- late commands
 
-/// A `RESUME` comes late, while the old primary still acknowledges what a frozen router sent: whoever went on because of it is
-/// further than the others, and takes over.
+/// A `RESUME` arrives late, while the old primary still acknowledges what a frozen router sent: the
+/// replica that it resumed has more commits than the others, and is promoted.
 #[test]
-fn a_late_resume_before_the_grant_is_given_back_loses_nothing() {
-    let mut start = steady(8);
+fn late_resume_before_the_revocation_loses_no_commits() {
+    let mut start = steady_simulation(8);
     for id in ["b", "c"] {
-        set_deaf(&mut start, id, true);
+        set_receives_nothing(&mut start, id, true);
     }
     start.run(0.2);
-    // From here on commits wait at the primary, which answers nobody but its replicas.
-    start.traffic = false;
-    start.mute.insert("a".to_owned());
+    // From here on commits wait at the primary, which control doesn't reach.
+    start.edge.statements_enabled = false;
+    start.service.unresponsive_to_control.insert("a".to_owned());
     start.freeze_router(0);
-    start.run_until(2.0, "the replicas are paused", |w| {
-        held(w, "b").is_some() && held(w, "c").is_some()
+    start.run_until(2.0, "the replicas are paused", |simulation| {
+        paused_at(simulation, "b").is_some() && paused_at(simulation, "c").is_some()
     });
     for id in ["b", "c"] {
-        set_deaf(&mut start, id, false);
+        set_receives_nothing(&mut start, id, false);
     }
-    let lease_ends = start.routers[0].lease_until - 7777.0;
+    let lease_ends = start.edge.routers[0].lease_until - start.edge.routers[0].clock_offset;
     for step in 1..60 {
-        let mut world = start.clone();
-        world.run((lease_ends - 0.005 * f64::from(step / 2) - world.now).max(0.0));
-        let before = world.acked.len();
-        set_held(&mut world, "c", None);
+        let mut simulation = start.clone();
+        simulation.run((lease_ends - 0.005 * f64::from(step / 2) - simulation.now()).max(0.0));
+        let before = simulation.service.acknowledged_commits.len();
+        set_paused_at(&mut simulation, "c", None);
         if step % 2 == 0 {
-            // A late `PAUSE` follows, so that it looks as if nothing had been.
-            world.run(0.008);
-            set_held(&mut world, "c", Some(50));
+            // A late `PAUSE` follows, so that the resumption can't be seen.
+            simulation.run(0.008);
+            set_paused_at(&mut simulation, "c", Some(50));
         }
-        world.run_until(5.0, "a promotion", |w| !w.promoted.is_empty());
+        simulation.run_until(5.0, "a promotion", |simulation| {
+            !simulation.service.promotions.is_empty()
+        });
         assert!(
-            world.acked.len() > before,
+            simulation.service.acknowledged_commits.len() > before,
             "step {step}: the commits that waited were acknowledged"
         );
     }
 }
 
-/// A `RESUME` of a server that was frozen runs right after the `PAUSE`: the planned change notices before it goes on.
+/// A `RESUME` of a server that was frozen runs right after the `PAUSE`: the planned failover
+/// notices before it goes on.
 #[test]
-fn a_resume_right_after_a_pause_is_noticed() {
-    let mut world = steady(9);
-    world.drain("a");
-    while held(&world, "b").or(held(&world, "c")).is_none() {
-        world.run(0.0005);
-        assert!(world.now < 20.0);
+fn resume_right_after_a_pause_is_noticed() {
+    let mut simulation = steady_simulation(9);
+    simulation.drain("a");
+    while paused_at(&simulation, "b")
+        .or(paused_at(&simulation, "c"))
+        .is_none()
+    {
+        simulation.run(0.0005);
+        assert!(simulation.now() < 20.0);
     }
-    let paused = if held(&world, "b").is_some() {
+    let paused = if paused_at(&simulation, "b").is_some() {
         "b"
     } else {
         "c"
     };
     let to = if paused == "b" { "c" } else { "b" };
-    set_held(&mut world, paused, None);
-    world.run_until(2.0, "a call", |w| !w.posts.is_empty());
-    // Nothing that only the other replica has may be acknowledged now.
-    set_deaf(&mut world, to, true);
-    world.run(0.8);
-    assert_eq!(world.promoted[0].0, to);
-    set_deaf(&mut world, to, false);
-    world.run_until(2.0, "writes", World::writes);
+    set_paused_at(&mut simulation, paused, None);
+    simulation.run_until(2.0, "a call", |simulation| {
+        !simulation.platform.promotion_requests.is_empty()
+    });
+    // No commit that only the other replica has may be acknowledged now.
+    set_receives_nothing(&mut simulation, to, true);
+    simulation.run(0.8);
+    assert_eq!(simulation.service.promotions[0].server_id, to);
+    set_receives_nothing(&mut simulation, to, false);
+    simulation.run_until(2.0, "writes", Simulation::acknowledges_writes);
 }
 
-/// A `PAUSE` comes after the `RESUME` that was to undo it.
+/// A `PAUSE` arrives after the `RESUME` that was to undo it.
 #[test]
-fn a_late_pause_is_undone() {
+fn late_pause_is_undone() {
     for seed in 10..14 {
-        let mut world = steady(seed);
-        world.darken("a");
-        world.run_until(2.0, "the replicas are paused", |w| {
-            held(w, "b").is_some() && held(w, "c").is_some()
+        let mut simulation = steady_simulation(seed);
+        simulation.make_unresponsive("a");
+        simulation.run_until(2.0, "the replicas are paused", |simulation| {
+            paused_at(simulation, "b").is_some() && paused_at(simulation, "c").is_some()
+        });
+        simulation.recover("a");
+        simulation.run_until(3.0, "a primary in use", |simulation| {
+            simulation.primary_in_use().is_some()
         });
-        world.recover("a");
-        world.run_until(3.0, "a primary in use", |w| w.in_use().is_some());
-        world.run(1.0);
-        let replicas: Vec<String> = world
+        simulation.run(1.0);
+        let replicas: Vec<String> = simulation
+            .service
             .servers
             .values()
-            .filter(|s| !s.leader)
+            .filter(|s| !s.is_primary)
             .map(|s| s.id.clone())
             .collect();
         assert_eq!(replicas.len(), 2);
         for id in &replicas {
-            set_held(&mut world, id, Some(90));
+            set_paused_at(&mut simulation, id, Some(90));
         }
-        world.run(1.6);
-        assert!(world.writes(), "seed {seed}");
+        simulation.run(1.6);
+        assert!(simulation.acknowledges_writes(), "seed {seed}");
         assert!(
-            replicas.iter().all(|id| held(&world, id).is_none()),
+            replicas
+                .iter()
+                .all(|id| paused_at(&simulation, id).is_none()),
             "seed {seed}"
         );
     }
 }
 
-/// `PAUSE` and `STEPDOWN` of former leaders arrive at any moment, while leaders and servers come and go: the rules hold (they are
-/// checked at every event), and once all is calm writes go on.
+/// `PAUSE` and `STEPDOWN` of former leaders arrive at any moment, while leaders and servers come
+/// and go: safety is checked at every event, and once all faults have ended writes are acknowledged
+/// again.
 #[test]
-fn late_pauses_and_step_downs_at_any_moment() {
+fn late_pauses_and_step_downs_lose_no_commits() {
     arbtest(|u| {
-        let mut world = World::new(u.int_in_range(0..=1000)?);
-        world.fencing = u.arbitrary()?;
-        world.lost_posts = u.int_in_range(0..=300)?;
-        world.run(3.0);
+        let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
+        simulation.platform.checks_fencing_tokens = u.arbitrary()?;
+        simulation.platform.answers_lost_per_mille = u.int_in_range(0..=300)?;
+        simulation.run(3.0);
         for _ in 0..u.int_in_range(2..=10)? {
             let id = *u.choose(&["a", "b", "c"])?;
-            let up = world.servers[id].health == Health::Up;
-            let top = world.servers.values().map(|s| s.term).max().unwrap_or(0);
+            let up = simulation.server(id).health == Health::Up;
+            let top = simulation
+                .service
+                .servers
+                .values()
+                .map(|s| s.primary_term)
+                .max()
+                .unwrap_or(0);
             let late = top + u.int_in_range(0..=4)?;
             match u.int_in_range(0..=6)? {
                 0 | 1
                     if up
-                        && !world.servers[id].leader
-                        && late > world.servers[id].held.unwrap_or(top) =>
+                        && !simulation.server(id).is_primary
+                        && late > simulation.server(id).paused_at_term.unwrap_or(top) =>
                 {
-                    set_held(&mut world, id, Some(late));
+                    set_paused_at(&mut simulation, id, Some(late));
                 }
-                // The lowest term that turned it out, which is its own and one more.
-                2 if up && world.servers[id].leader => {
-                    world.servers.get_mut(id).unwrap().leader = false;
+                // As by a `STEPDOWN` of the lowest effective term, which is its own and one more.
+                2 if up && simulation.server(id).is_primary => {
+                    simulation.server_mut(id).is_primary = false;
                 }
                 3 if up
-                    && world
+                    && simulation
+                        .service
                         .servers
                         .values()
                         .filter(|s| s.health == Health::Up)
                         .count()
                         > 2 =>
                 {
-                    world.crash(id);
+                    simulation.crash(id);
                 }
-                4 if !up => world.recover(id),
-                5 => world.drain(id),
+                4 if !up => simulation.recover(id),
+                5 => simulation.drain(id),
                 _ => {
-                    if let Some(leader) = world.leader() {
-                        world.kill(leader);
-                        world.run(0.02);
-                        world.start(leader);
+                    if let Some(leader) = simulation.leader() {
+                        simulation.kill(leader);
+                        simulation.run(0.02);
+                        simulation.start(leader);
                     }
                 }
             }
-            world.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
+            simulation.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
         }
         for id in ["a", "b", "c"] {
-            world.servers.get_mut(id).unwrap().draining = false;
-            if world.servers[id].health != Health::Up {
-                world.recover(id);
+            simulation.server_mut(id).draining = false;
+            if simulation.server(id).health != Health::Up {
+                simulation.recover(id);
             }
         }
-        world.lost_posts = 0;
-        world.run(0.2);
-        world.run_until(25.0, "writes once all is calm", World::writes);
-        world.run_until(4.0, "no replica is held", |w| {
-            w.servers.values().all(|s| s.leader || s.held.is_none())
+        simulation.platform.answers_lost_per_mille = 0;
+        simulation.run(0.2);
+        simulation.run_until(
+            25.0,
+            "writes once all is calm",
+            Simulation::acknowledges_writes,
+        );
+        simulation.run_until(4.0, "no replica is paused", |simulation| {
+            simulation
+                .service
+                .servers
+                .values()
+                .all(|s| s.is_primary || s.paused_at_term.is_none())
         });
         Ok(())
     })
     .size_min(64)
     .size_max(300)
-    .budget_ms(budget());
-}
-
-/// Milliseconds for a random test; for hunts the variable of `arbtest` may give more.
-fn budget() -> u64 {
-    std::env::var("ARBTEST_BUDGET_MS")
-        .ok()
-        .and_then(|ms| ms.parse().ok())
-        .unwrap_or(1500)
+    .budget_ms(arbtest_budget_ms());
 }
