--- a/crates/protocol/control-api/src/tests/texts.rs
+++ b/crates/protocol/control-api/src/tests/texts.rs
@@ -2,7 +2,7 @@
 //! the code calls it.
 
 use badgerstream_http_codec::{RequestDecoder, encode_request};
-use badgerstream_pooler_config::config::{Config, Mode, without_effect};
+use badgerstream_pooler_config::config::{Config, Mode, fields_without_effect};
 use badgerstream_pooler_config::settings::Settings;
 use nanoserde::SerJson;
 
@@ -44,7 +44,7 @@
 #[test]
 fn every_field_of_a_configuration_is_parsed_under_its_name() {
     let config = Config::read(CONFIG.as_bytes()).expect("valid");
-    assert_eq!(without_effect(CONFIG.as_bytes()), Ok(Vec::new()));
+    assert_eq!(fields_without_effect(CONFIG.as_bytes()), Ok(Vec::new()));
     let ends: Vec<usize> = CONFIG.match_indices("\":").map(|(at, _)| at).collect();
     assert_eq!(ends.len(), 25);
     for end in ends {
@@ -54,13 +54,13 @@
             Some(&config),
             "{renamed}"
         );
-        let unknown = without_effect(renamed.as_bytes()).expect("JSON");
+        let unknown = fields_without_effect(renamed.as_bytes()).expect("JSON");
         assert!(
             unknown.len() == 1 && unknown[0].ends_with("_x"),
             "{unknown:?}"
         );
     }
-    let modes = [Mode::Leader, Mode::BoundedStaleness, Mode::InHouse].map(Mode::word);
+    let modes = [Mode::Leader, Mode::BoundedStaleness, Mode::InHouse].map(Mode::as_str);
     assert_eq!(modes, ["leader", "bounded_staleness", "in_house"]);
 }
 
--- a/crates/protocol/pooler-config/src/settings.rs
+++ b/crates/protocol/pooler-config/src/settings.rs
@@ -115,9 +115,11 @@
 pub struct Bounds {
     /// How stale callers' endpoint lists may be, in seconds; 3 by default.
     pub seed_stale_s: f64,
-    /// How soon another service's server may have the address of a departed one, in seconds; 2 by default.
+    /// How soon another service's server may have the address of a departed one, in seconds; 2 by
+    /// default.
     pub addr_reuse_s: f64,
-    /// For how long nothing must have happened to a machine to count it as in contact, in milliseconds; 4000 by default.
+    /// For how long nothing must have happened to a machine to count it as in contact, in
+    /// milliseconds; 4000 by default.
     pub quiet_ms: f64,
     /// Within what a configuration is acknowledged, in milliseconds; 5000 by default.
     pub ack_ms: f64,
@@ -127,14 +129,16 @@
     pub drain_ms: f64,
     /// How long after SIGTERM the process is killed, in seconds; 6 by default.
     pub grace_s: f64,
-    /// How long a request may go without an answer when a connection closes, in milliseconds; 200 by
-    /// default.
+    /// How long a request may go without an answer when a connection closes, in milliseconds; 200
+    /// by default.
     pub loss_slack_ms: f64,
     /// Within what an acknowledged configuration is applied, in milliseconds; 3000 by default.
     pub apply_ms: f64,
-    /// How long after a version's effect an older one may still show, in milliseconds; 250 by default.
+    /// How long after a version's effect an older one may still show, in milliseconds; 250 by
+    /// default.
     pub revert_slack_ms: f64,
-    /// By how much `apply_ms` is extended while the core is unsettled, in milliseconds; 12000 by default.
+    /// By how much `apply_ms` is extended while the core is unsettled, in milliseconds; 12000 by
+    /// default.
     pub stretch_ms: f64,
     /// Within what service is back after a loss, in seconds; 12 by default.
     pub recovery_s: f64,
@@ -154,7 +158,8 @@
     pub endpoint: SocketAddr,
     /// How many requests a second it takes; 50 by default.
     pub rate_per_s: f64,
-    /// How many requests for promotions a second it takes from all processes together; 50 by default.
+    /// How many requests for promotions a second it takes from all processes together; 50 by
+    /// default.
     pub duty_per_s: f64,
     /// The duties for which it is used, for example `failover`; none by default.
     pub duties: Vec<String>,
@@ -163,11 +168,11 @@
 /// Settings of this project's own, under `badgerstream.`; the bench sets none of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tuning {
-    /// The duration of a router's lease, in milliseconds; 1500 by default (`badgerstream.lease_ms`).
-    /// A failover waits as long for a router that can't be reached.
+    /// The duration of a router's lease, in milliseconds; 1500 by default
+    /// (`badgerstream.lease_ms`). A failover waits as long for a router that can't be reached.
     pub lease_ms: u64,
-    /// How often a lease is renewed, in milliseconds; 300 by default (`badgerstream.renew_ms`), below
-    /// `lease_ms`.
+    /// How often a lease is renewed, in milliseconds; 300 by default (`badgerstream.renew_ms`),
+    /// below `lease_ms`.
     pub renew_ms: u64,
     /// After how long without a message a process or a server is suspected, in milliseconds; 600 by
     /// default (`badgerstream.suspect_ms`).
--- a/crates/protocol/pooler-config/src/settings/properties.rs
+++ b/crates/protocol/pooler-config/src/settings/properties.rs
@@ -197,7 +197,8 @@
     is_integer.then_some(number as u64)
 }
 
-/// The text with `\\uXXXX` for what isn't ASCII: `java-properties` decodes its input as Windows-1252.
+/// The text with `\uXXXX` for what isn't ASCII: `java-properties` decodes its input as
+/// Windows-1252.
 fn escape_non_ascii(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for character in text.chars() {
--- a/crates/protocol/pooler-config/src/tests/config.rs
+++ b/crates/protocol/pooler-config/src/tests/config.rs
@@ -1,4 +1,4 @@
-use crate::config::{Config, ConfigError, Limits, Mode, diff, without_effect};
+use crate::config::{Config, ConfigError, Limits, Mode, diff, fields_without_effect};
 use arbtest::arbtest;
 
 /// The configuration on the users' page.
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_page_is_read() {
+fn configuration_on_the_users_page_is_parsed() {
     let config = page();
     assert_eq!(
         (config.epoch, config.routes.len(), config.services.len()),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_configuration_cut_anywhere_is_refused() {
+fn configuration_cut_anywhere_is_rejected() {
     for end in 0..PAGE.len() {
         assert!(
             Config::read(&PAGE.as_bytes()[..end]).is_err(),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_configuration_with_a_portion_missing_never_panics_or_hangs() {
+fn configuration_with_a_part_missing_never_panics_or_hangs() {
     arbtest(|u| {
         let start = u.choose_index(PAGE.len())?;
         let end = u.int_in_range(start..=PAGE.len())?;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_field_unknown_here_is_passed_over_wherever_it_stands() {
+fn unknown_field_is_ignored_anywhere() {
     let more = r#""more":{"a":[1,{"b":null}],"c":"]}"},"#;
     let text = PAGE
         .replace(r#""epoch""#, &format!(r#"{more}"epoch""#))
@@ -88,10 +88,11 @@
     }
 }
 
-/// Fields of contracts that are not in force are taken and have no effect, and so is a field that was mistyped: both are told.
+/// Fields of features that are not in force are taken and have no effect, as are mistyped ones:
+/// both are listed.
 #[test]
-fn fields_without_effect_are_told_by_place() {
-    assert_eq!(without_effect(PAGE.as_bytes()), Ok(Vec::new()));
+fn fields_without_effect_are_listed_by_path() {
+    assert_eq!(fields_without_effect(PAGE.as_bytes()), Ok(Vec::new()));
     let split = r#""split":[{"backend":"wuno96b","weight":3,"homes":["a"]}],"dedline_ms":5,"#;
     let text = PAGE
         .replace(r#""epoch""#, r#""tenants":{"t":{"quota":5}},"epoch""#)
@@ -105,14 +106,14 @@
         "tenants",
     ];
     assert_eq!(
-        without_effect(text.as_bytes()),
+        fields_without_effect(text.as_bytes()),
         Ok(told.map(str::to_owned).to_vec())
     );
-    assert!(without_effect(&text.as_bytes()[..text.len() - 1]).is_err());
+    assert!(fields_without_effect(&text.as_bytes()[..text.len() - 1]).is_err());
 }
 
 #[test]
-fn what_follows_makes_it_unreadable_and_blanks_do_not() {
+fn text_after_the_value_is_rejected_and_blanks_are_not() {
     assert_eq!(
         Config::read(format!(" \r\n{PAGE}\n\n").as_bytes()),
         Ok(page())
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn invalid_ones_are_told_by_route_and_field() {
+fn invalid_configurations_are_reported_by_route_and_field() {
     for (from, to, told) in [
         (
             r#""deadline_ms":1000"#,
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn nothing_is_refused_on_grounds_of_ones_own() {
+fn only_documented_grounds_reject_a_configuration() {
     for (from, to) in [
         (r#""staleness_ms":1500"#, r#""staleness_ms":0"#),
         (r#","staleness_ms":1500"#, ""),
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn of_several_prefixes_the_route_for_all_paths_is_meant() {
+fn route_for_all_paths_is_in_force_among_several_prefixes() {
     let text = PAGE
         .replacen(r#""path_prefix":"/""#, r#""path_prefix":"/b""#, 1)
         .replacen("xapu221ny95", "lepu270", 1);
@@ -233,7 +234,7 @@
 }
 
 #[test]
-fn differences_are_told_by_field() {
+fn differences_are_listed_by_field() {
     assert_eq!(diff(&page(), &page()), Vec::<String>::new());
     let text = PAGE
         .replacen(r#""epoch":7"#, r#""epoch":9"#, 1)
--- a/crates/protocol/pooler-config/src/tests/json.rs
+++ b/crates/protocol/pooler-config/src/tests/json.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn whole_values_pass_and_cut_ones_do_not() {
+fn complete_values_pass_and_cut_ones_do_not() {
     arbtest(|u| {
         let value = draw(u, 4)?;
         assert_eq!(check(value.as_bytes()), Ok(()), "{value}");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_not_json_is_refused_with_its_place() {
+fn invalid_json_is_rejected_with_its_offset() {
     let cases: [(&str, &str); 22] = [
         ("", "byte 0: breaks off"),
         ("{", "byte 1: breaks off"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn depth_is_bounded() {
+fn depth_is_limited() {
     let nested = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     assert_eq!(check(nested(32).as_bytes()), Ok(()));
     assert!(check(nested(33).as_bytes()).is_err());
--- a/crates/runtime/pooler/src/cli/config.rs
+++ b/crates/runtime/pooler/src/cli/config.rs
@@ -43,7 +43,11 @@
 
 /// The text of an error, with line and column if the configuration's syntax is wrong.
 fn with_line_and_column(error: &ConfigError, text: &[u8]) -> String {
-    let ConfigError::Unreadable(JsonError::Syntax(offset, reason)) = error else {
+    let ConfigError::Unreadable(JsonError::Syntax {
+        offset,
+        problem: reason,
+    }) = error
+    else {
         return error.to_string();
     };
     let before = &text[..(*offset).min(text.len())];
@@ -55,7 +59,7 @@
 /// Checks a configuration and prints the verdict.
 pub(super) fn check(file: &Path, json: bool, out: &mut impl Write) -> Result<(), CliError> {
     let ConfigFile { text, config } = read_config(file)?;
-    let without_effect = config::without_effect(&text).unwrap_or_default();
+    let without_effect = config::fields_without_effect(&text).unwrap_or_default();
     if json {
         let config_ref = config.as_ref();
         let verdict = ConfigVerdict {
