--- a/crates/testing/testbed/src/desk.rs
+++ b/crates/testing/testbed/src/admin_api.rs
@@ -1,6 +1,6 @@
 //! What answers HTTP: the platform, and the desk where people and scripts tell the stand-in what to do.
 
-use crate::serve::Stage;
+use crate::cluster_host::ClusterHost;
 use async_executor::LocalExecutor;
 use badgerstream_control_api::promotion::PROMOTIONS_PATH;
 use badgerstream_http_codec::{Request, encode_response};
@@ -14,7 +14,7 @@
 
 /// The platform.
 struct Platform {
-    stage: Rc<Stage>,
+    cluster_host: Rc<ClusterHost>,
     /// Calls that it takes a second.
     per_s: usize,
     calls: RefCell<VecDeque<f64>>,
@@ -48,12 +48,12 @@
         let Ok(asked) = Promotion::deserialize_json(&text) else {
             return 400;
         };
-        let status = self
-            .stage
-            .world
-            .borrow_mut()
-            .promote(now, &asked.backend, &asked.id, fence);
-        self.stage.changed.notify_waiters();
+        let status =
+            self.cluster_host
+                .cluster
+                .borrow_mut()
+                .promote(now, &asked.backend, &asked.id, fence);
+        self.cluster_host.changed.notify_waiters();
         log::info!(
             "event=promotion service={} id={} fence={fence} status={status}",
             asked.backend,
@@ -70,43 +70,46 @@
 }
 
 /// The desk.
-struct Desk {
-    stage: Rc<Stage>,
+struct AdminApi {
+    cluster_host: Rc<ClusterHost>,
 }
 
-impl Desk {
+impl AdminApi {
     fn act(&self, request: &Request) -> (u16, String) {
         let parts: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
-        let known = |id: &str| self.stage.world.borrow().status(id).is_some();
+        let known = |id: &str| self.cluster_host.cluster.borrow().status(id).is_some();
         match parts[..] {
             ["servers"] => {
-                let world = self.stage.world.borrow();
+                let cluster = self.cluster_host.cluster.borrow();
                 let line = |id: &String| {
-                    let at = world
+                    let at = cluster
                         .endpoint(id)
                         .map_or("down".to_owned(), |at| at.to_string());
                     format!(
                         "id={id} at={at} status={:?}\n",
-                        world.status(id).unwrap_or_default()
+                        cluster.status(id).unwrap_or_default()
                     )
                 };
-                (200, world.ids().iter().map(line).collect())
+                (200, cluster.ids().iter().map(line).collect())
             }
             ["ledger"] => (
                 200,
-                format!("{}\n", self.stage.world.borrow().ledger.line()),
+                format!(
+                    "{}\n",
+                    self.cluster_host.cluster.borrow().rule_checker.line()
+                ),
             ),
             [_, id] if !known(id) => (404, format!("{id}: no such server\n")),
             ["crash", id] => {
-                self.stage.crash(id);
+                self.cluster_host.crash(id);
                 (200, String::new())
             }
-            ["start", id] => match self.stage.revive(id) {
+            ["start", id] => match self.cluster_host.revive(id) {
                 Ok(()) => (200, String::new()),
                 Err(e) => (503, format!("{e}\n")),
             },
             ["drain", id] => {
-                self.stage.retire(id);
+                self.cluster_host.retire(id);
                 (200, String::new())
             }
             _ => (404, "there is no such call\n".to_owned()),
@@ -114,7 +117,7 @@
     }
 }
 
-impl Handler for Desk {
+impl Handler for AdminApi {
     async fn answer(self: Rc<Self>, request: Request) -> Vec<u8> {
         let (status, text) = self.act(&request);
         encode_response(
@@ -129,14 +132,14 @@
 /// Opens the platform at one address and the desk at the other.
 pub fn open(
     tasks: &Rc<LocalExecutor<'static>>,
-    stage: &Rc<Stage>,
+    cluster_host: &Rc<ClusterHost>,
     platform: SocketAddr,
-    desk: SocketAddr,
+    admin_api: SocketAddr,
     per_s: usize,
 ) -> Result<(), String> {
     let bind = |at: SocketAddr| http::listen(at).map_err(|e| format!("{at}: {e}"));
     let calls = Rc::new(Platform {
-        stage: stage.clone(),
+        cluster_host: cluster_host.clone(),
         per_s,
         calls: RefCell::default(),
     });
@@ -150,11 +153,17 @@
             none.clone(),
         ))
         .detach();
-    let orders = Rc::new(Desk {
-        stage: stage.clone(),
+    let orders = Rc::new(AdminApi {
+        cluster_host: cluster_host.clone(),
     });
     tasks
-        .spawn(http::serve(tasks.clone(), bind(desk)?, orders, 4096, none))
+        .spawn(http::serve(
+            tasks.clone(),
+            bind(admin_api)?,
+            orders,
+            4096,
+            none,
+        ))
         .detach();
     Ok(())
 }
--- a/crates/testing/testbed/src/children.rs
+++ b/crates/testing/testbed/src/child_processes.rs
@@ -12,11 +12,11 @@
 
 /// Children by name; those that still run are ended when this is dropped.
 #[derive(Default)]
-pub struct Children {
+pub struct ChildProcesses {
     running: Vec<(String, Child)>,
 }
 
-impl Children {
+impl ChildProcesses {
     /// Starts a process; what it writes goes into this file.
     pub fn start(
         &mut self,
@@ -92,7 +92,7 @@
     }
 }
 
-impl Drop for Children {
+impl Drop for ChildProcesses {
     fn drop(&mut self) {
         self.end();
     }
--- a/crates/testing/testbed/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -16,14 +16,14 @@
 
 /// The answer to one statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answered {
+pub struct StatementResponse {
     /// Its lines as they came.
     pub text: String,
     /// How it ended.
     pub outcome: StatementResult,
 }
 
-impl Answered {
+impl StatementResponse {
     /// The first row, if there is one.
     pub fn row(&self) -> Option<&str> {
         self.text.lines().find_map(|line| line.strip_prefix("ROW "))
@@ -59,7 +59,7 @@
     }
 
     /// Asks for one statement. After an error nobody knows whether it has run, and the session is of no more use.
-    pub async fn ask(&mut self, id: &str, text: &str) -> Result<Answered> {
+    pub async fn ask(&mut self, id: &str, text: &str) -> Result<StatementResponse> {
         let limit = self.limit;
         with_timeout(limit, async {
             self.stream
@@ -69,7 +69,7 @@
             loop {
                 if let Some(outcome) = answer.read(&mut self.lines).map_err(Error::other)? {
                     let text = String::from_utf8_lossy(&answer.raw).into_owned();
-                    return Ok(Answered { text, outcome });
+                    return Ok(StatementResponse { text, outcome });
                 }
                 self.read().await?;
             }
--- a/crates/testing/testbed/src/serve.rs
+++ b/crates/testing/testbed/src/cluster_host.rs
@@ -1,7 +1,7 @@
 //! The databases on sockets: the world with a clock, one task a connection.
 
-use crate::beats;
-use crate::world::{Conn, Out, World};
+use crate::database_cluster::{ConnectionId, ConnectionOutput, DatabaseCluster};
+use crate::heartbeats;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -25,9 +25,9 @@
 const BEGIN: f64 = 5.0;
 
 /// The world on sockets.
-pub struct Stage {
+pub struct ClusterHost {
     /// Its rules.
-    pub world: RefCell<World>,
+    pub cluster: RefCell<DatabaseCluster>,
     /// Rings when anything may have changed.
     pub changed: Notify,
     /// The `control` addresses, for beats.
@@ -37,23 +37,23 @@
     /// From the acknowledgement that a server drains until its end, in seconds.
     pub drain: f64,
     tasks: Rc<LocalExecutor<'static>>,
-    answers: RefCell<HashMap<Conn, Sender<String>>>,
+    answers: RefCell<HashMap<ConnectionId, Sender<String>>>,
     /// What runs for each server while it runs: its listener and its beats.
     servers: RefCell<HashMap<String, Vec<Task<()>>>>,
 }
 
-impl Stage {
+impl ClusterHost {
     /// Starts all servers. An error says which address can't be had.
     pub fn start(
         tasks: &Rc<LocalExecutor<'static>>,
-        world: World,
+        cluster: DatabaseCluster,
         seeds: Vec<SocketAddr>,
         heartbeat: f64,
         drain: f64,
     ) -> Result<Rc<Self>, String> {
-        let ids = world.ids();
-        let stage = Rc::new(Self {
-            world: RefCell::new(world),
+        let ids = cluster.ids();
+        let cluster_host = Rc::new(Self {
+            cluster: RefCell::new(cluster),
             changed: Notify::default(),
             seeds,
             heartbeat,
@@ -63,16 +63,16 @@
             servers: RefCell::default(),
         });
         for id in ids {
-            stage.listen(&id)?;
+            cluster_host.listen(&id)?;
         }
-        tasks.spawn(stage.clone().run()).detach();
-        Ok(stage)
+        tasks.spawn(cluster_host.clone().run()).detach();
+        Ok(cluster_host)
     }
 
     /// Ends a server's process: its address refuses, its connections break.
     pub fn crash(&self, id: &str) {
         self.servers.borrow_mut().remove(id);
-        self.world.borrow_mut().crash(clock::now(), id);
+        self.cluster.borrow_mut().crash(clock::now(), id);
         self.changed.notify_waiters();
     }
 
@@ -81,26 +81,28 @@
         if self.servers.borrow().contains_key(id) {
             return Ok(());
         }
-        self.world.borrow_mut().start(clock::now(), id);
+        self.cluster.borrow_mut().start(clock::now(), id);
         self.changed.notify_waiters();
         self.listen(id)
     }
 
     /// Plans the end of a server: it says that it drains, and ends when its time has come.
     pub fn retire(self: &Rc<Self>, id: &str) {
-        self.world.borrow_mut().drain(id);
+        self.cluster.borrow_mut().drain(id);
         self.changed.notify_waiters();
     }
 
     fn listen(self: &Rc<Self>, id: &str) -> Result<(), String> {
-        let Some(at) = self.world.borrow().endpoint(id) else {
+        let Some(at) = self.cluster.borrow().endpoint(id) else {
             return Err(format!("{id}: no such server"));
         };
         let listener = Async::<TcpListener>::bind(at).map_err(|e| format!("{at}: {e}"))?;
         let accept = self
             .tasks
             .spawn(self.clone().accept(id.to_owned(), listener));
-        let beat = self.tasks.spawn(beats::run(self.clone(), id.to_owned()));
+        let beat = self
+            .tasks
+            .spawn(heartbeats::run(self.clone(), id.to_owned()));
         self.servers
             .borrow_mut()
             .insert(id.to_owned(), vec![accept, beat]);
@@ -111,19 +113,19 @@
     async fn run(self: Rc<Self>) {
         loop {
             let generation = self.changed.generation();
-            let out = self.world.borrow_mut().step(clock::now());
+            let out = self.cluster.borrow_mut().step(clock::now());
             for one in out {
                 match one {
-                    Out::Say(conn, text) => {
+                    ConnectionOutput::Send(conn, text) => {
                         if let Some(answer) = self.answers.borrow().get(&conn) {
                             let _ = answer.try_send(text);
                         }
                     }
                     // The connection's task ends when it has taken what was sent before.
-                    Out::Close(conn) => drop(self.answers.borrow_mut().remove(&conn)),
+                    ConnectionOutput::Close(conn) => drop(self.answers.borrow_mut().remove(&conn)),
                 }
             }
-            let next = self.world.borrow().next();
+            let next = self.cluster.borrow().next();
             let pause = next.map_or(1.0, |at| (at - clock::now()).clamp(0.0, 1.0));
             let wait = async {
                 Timer::after(Duration::from_secs_f64(pause)).await;
@@ -161,7 +163,7 @@
         }
         let opened = match Request::parse(&first) {
             Ok(Request::Connect { database, caller }) => {
-                self.world
+                self.cluster
                     .borrow_mut()
                     .connect(clock::now(), &id, database, caller)
             }
@@ -178,13 +180,13 @@
         self.changed.notify_waiters();
         self.talk(conn, &mut stream, &mut lines, &answers).await;
         self.answers.borrow_mut().remove(&conn);
-        self.world.borrow_mut().closed(clock::now(), conn);
+        self.cluster.borrow_mut().closed(clock::now(), conn);
         self.changed.notify_waiters();
     }
 
     async fn talk(
         &self,
-        conn: Conn,
+        conn: ConnectionId,
         stream: &mut Async<TcpStream>,
         lines: &mut LineBuffer,
         answers: &Receiver<String>,
@@ -205,13 +207,13 @@
                 None
             });
             let Some(asked) = asked.await else { return };
-            self.world.borrow_mut().ask(clock::now(), conn, &asked);
+            self.cluster.borrow_mut().ask(clock::now(), conn, &asked);
             self.changed.notify_waiters();
         }
     }
 
     async fn health(&self, id: &str, stream: &mut Async<TcpStream>) {
-        let (_, draining) = self.world.borrow().tells(id);
+        let (_, draining) = self.cluster.borrow().tells(id);
         let answer = encode_response(
             if draining { 503 } else { 200 },
             &[("X-Instance-Id", id)],
--- a/crates/testing/testbed/src/world.rs
+++ b/crates/testing/testbed/src/database_cluster.rs
@@ -1,11 +1,11 @@
 //! The rules of the databases and of the platform, without sockets and clock: whoever owns those hands in seconds and
 //! what was said, and takes out what is answered.
 //!
-//! Time is taken in steps of its own: [`World::step`] does all that is due, in order, and [`World::next`] tells when it
+//! Time is taken in steps of its own: [`DatabaseCluster::step`] does all that is due, in order, and [`DatabaseCluster::next`] tells when it
 //! is to be called again.
 
-use crate::ledger::Ledger;
 use crate::replica::{Commit, Replica};
+use crate::rule_checker::RuleChecker;
 use badgerstream_control_api::members::{DbRole, Heartbeat, Phase};
 use badgerstream_line_protocol::{
     ErrorCode, ParsedStatement, Position, Request, StatementKind, TransactionState,
@@ -13,15 +13,15 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-mod primaries;
+mod failover;
 mod sessions;
 mod statements;
 
 /// Statements that wait for a slot of one server, at most; more are answered `RETRY`.
-const WAITING: usize = 200;
+const MAX_QUEUED_STATEMENTS: usize = 200;
 
 /// A connection to a server, by a number that is never used again.
-pub type Conn = u64;
+pub type ConnectionId = u64;
 
 /// Spans of the world, in seconds.
 #[derive(Debug, Clone, Copy)]
@@ -86,11 +86,11 @@
 
 /// What is to be done on a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Out {
+pub enum ConnectionOutput {
     /// To be written.
-    Say(Conn, String),
+    Send(ConnectionId, String),
     /// To be closed, once all before it is written.
-    Close(Conn),
+    Close(ConnectionId),
 }
 
 /// What a statement does while it occupies a slot.
@@ -98,14 +98,14 @@
 enum Work {
     Open,
     Status,
-    Read { thing: String },
+    ConfigRead { thing: String },
     Write { thing: String, data: String },
     Commit,
 }
 
 #[derive(Debug, Clone)]
 struct Job {
-    conn: Conn,
+    conn: ConnectionId,
     id: String,
     work: Work,
 }
@@ -131,8 +131,8 @@
 
 /// A commit whose answer waits for a replica.
 #[derive(Debug)]
-struct Unanswered {
-    conn: Conn,
+struct UnacknowledgedCommit {
+    conn: ConnectionId,
     position: Position,
     stamp: String,
     writes: u64,
@@ -156,7 +156,7 @@
     conns: usize,
     running_jobs: Vec<(f64, Job)>,
     waiting: VecDeque<Job>,
-    unanswered: VecDeque<Unanswered>,
+    unacknowledged: VecDeque<UnacknowledgedCommit>,
     call_seq: u64,
 }
 
@@ -174,25 +174,25 @@
 
 /// All services, and what the platform knows of them.
 #[derive(Debug)]
-pub struct World {
+pub struct DatabaseCluster {
     timing: Timing,
     fencing: bool,
     seed: u64,
     now: f64,
     services: BTreeMap<String, Service>,
     servers: BTreeMap<String, Server>,
-    sessions: HashMap<Conn, Session>,
-    next: Conn,
-    out: Vec<Out>,
+    sessions: HashMap<ConnectionId, Session>,
+    next: ConnectionId,
+    out: Vec<ConnectionOutput>,
     /// What was seen of the users' rules.
-    pub ledger: Ledger,
+    pub rule_checker: RuleChecker,
 }
 
-impl World {
+impl DatabaseCluster {
     /// All servers run, and each service's first one leads term 1. With `fencing` the platform refuses a fence below one
     /// that it has seen. The seed makes the stamps.
     pub fn new(services: Vec<ServiceSpec>, timing: Timing, fencing: bool, seed: u64) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             timing,
             fencing,
             seed,
@@ -202,7 +202,7 @@
             sessions: HashMap::new(),
             next: 0,
             out: Vec::new(),
-            ledger: Ledger::default(),
+            rule_checker: RuleChecker::default(),
         };
         for service in services {
             for (at, spec) in service.servers.iter().enumerate() {
@@ -220,10 +220,10 @@
                     conns: 0,
                     running_jobs: Vec::new(),
                     waiting: VecDeque::new(),
-                    unanswered: VecDeque::new(),
+                    unacknowledged: VecDeque::new(),
                     call_seq: 0,
                 };
-                world.servers.insert(spec.id.clone(), server);
+                cluster.servers.insert(spec.id.clone(), server);
             }
             let start = Position { term: 1, number: 0 };
             let name = service.name.clone();
@@ -234,9 +234,9 @@
                 fence: 0,
                 answered: start,
             };
-            world.services.insert(name, state);
+            cluster.services.insert(name, state);
         }
-        world
+        cluster
     }
 
     /// The ids of all servers, running or not.
@@ -309,7 +309,7 @@
             .map_or((false, false), |s| (s.leads, s.draining))
     }
 
-    /// When [`World::step`] has something to do.
+    /// When [`DatabaseCluster::step`] has something to do.
     pub fn next(&self) -> Option<f64> {
         if !self.out.is_empty() {
             return Some(self.now);
@@ -344,7 +344,7 @@
     }
 
     /// Does all that is due, and gives what is to be written.
-    pub fn step(&mut self, now: f64) -> Vec<Out> {
+    pub fn step(&mut self, now: f64) -> Vec<ConnectionOutput> {
         self.step_to(now);
         std::mem::take(&mut self.out)
     }
--- a/crates/testing/testbed/src/world/primaries.rs
+++ b/crates/testing/testbed/src/database_cluster/failover.rs
@@ -1,8 +1,8 @@
 //! How servers end, start and take the lead, and whom the others follow.
 
-use super::{Conn, Out, World};
+use super::{ConnectionId, ConnectionOutput, DatabaseCluster};
 
-impl World {
+impl DatabaseCluster {
     /// `POST /promotions`: the status of its answer.
     pub fn promote(&mut self, now: f64, name: &str, id: &str, fence: u64) -> u16 {
         self.step_to(now);
@@ -40,15 +40,16 @@
         server.paused = None;
         server.running_jobs.clear();
         server.waiting.clear();
-        server.unanswered.clear();
-        let mut broken: Vec<Conn> = Vec::new();
+        server.unacknowledged.clear();
+        let mut broken: Vec<ConnectionId> = Vec::new();
         self.sessions.retain(|conn, session| {
             let of = session.server == id;
             broken.extend(of.then_some(*conn));
             !of
         });
         broken.sort_unstable();
-        self.out.extend(broken.into_iter().map(Out::Close));
+        self.out
+            .extend(broken.into_iter().map(ConnectionOutput::Close));
         log::info!("event=server_ended id={id}");
     }
 
@@ -93,7 +94,7 @@
         log::info!("event=promoted service={name} id={id} term={term} position={had}");
         if service.answered > had {
             if service.spec.sync_replicas > 0 {
-                self.ledger.lost +=
+                self.rule_checker.lost +=
                     service.answered.number - had.number.min(service.answered.number);
                 log::warn!(
                     "event=commits_lost service={name} answered={} kept={had}",
@@ -113,7 +114,7 @@
                     .flat_map(|c| c.ids.iter().cloned())
             })
             .collect();
-        cut.iter().for_each(|id| self.ledger.cut(id));
+        cut.iter().for_each(|id| self.rule_checker.cut(id));
         let cut_s = self.timing.cut;
         let others: Vec<String> = self
             .servers
@@ -176,12 +177,13 @@
     pub(super) fn step_down(&mut self, id: &str) {
         let server = self.server(id);
         server.deposed = None;
-        let unanswered: Vec<Conn> = server.unanswered.drain(..).map(|u| u.conn).collect();
+        let unacknowledged: Vec<ConnectionId> =
+            server.unacknowledged.drain(..).map(|u| u.conn).collect();
         // The primary of the newest term may be down: this one doesn't lead any more all the same.
         self.server(id).leads = false;
         self.follow(id, false);
         // What it committed alone is gone.
-        for conn in unanswered {
+        for conn in unacknowledged {
             self.end(conn, "ERROR FAILED the lead was lost");
         }
         log::info!("event=stepped_down id={id}");
--- a/crates/testing/testbed/src/world/sessions.rs
+++ b/crates/testing/testbed/src/database_cluster/sessions.rs
@@ -1,19 +1,20 @@
 //! Connections to servers: their beginning and end, what they are answered, and the slots that their statements wait for.
 
 use super::{
-    BTreeMap, Conn, ErrorCode, Job, Out, Request, Session, TransactionState, WAITING, Work, World,
+    BTreeMap, ConnectionId, ConnectionOutput, DatabaseCluster, ErrorCode, Job,
+    MAX_QUEUED_STATEMENTS, Request, Session, TransactionState, Work,
 };
 
-impl World {
+impl DatabaseCluster {
     /// A caller has sent `CONNECT`, as the first line of its connection. An error is to be written, then the connection
-    /// closed; otherwise the answer comes as [`Out::Say`].
+    /// closed; otherwise the answer comes as [`ConnectionOutput::Send`].
     pub fn connect(
         &mut self,
         now: f64,
         at: &str,
         service: &str,
         who: &str,
-    ) -> Result<Conn, String> {
+    ) -> Result<ConnectionId, String> {
         self.step_to(now);
         let full = |code: ErrorCode, text: &str| Err(format!("ERROR {} {text}\r\n", code.as_str()));
         let Some(server) = self.servers.get_mut(at).filter(|s| s.running) else {
@@ -45,8 +46,8 @@
         Ok(conn)
     }
 
-    /// A caller has sent a line; its answer comes as [`Out::Say`]. To be called for one line of a connection at a time.
-    pub fn ask(&mut self, now: f64, conn: Conn, line: &[u8]) {
+    /// A caller has sent a line; its answer comes as [`ConnectionOutput::Send`]. To be called for one line of a connection at a time.
+    pub fn ask(&mut self, now: f64, conn: ConnectionId, line: &[u8]) {
         self.step_to(now);
         match Request::parse(line) {
             Ok(Request::Query { id, text }) => {
@@ -55,14 +56,14 @@
             }
             Ok(Request::Bye) => {
                 self.closed(now, conn);
-                self.out.push(Out::Close(conn));
+                self.out.push(ConnectionOutput::Close(conn));
             }
             _ => self.fail(conn, ErrorCode::Malformed, "not a request"),
         }
     }
 
     /// A caller has closed its connection: an open transaction is rolled back, what waits isn't run.
-    pub fn closed(&mut self, now: f64, conn: Conn) {
+    pub fn closed(&mut self, now: f64, conn: ConnectionId) {
         self.step_to(now);
         let Some(session) = self.sessions.remove(&conn) else {
             return;
@@ -72,10 +73,10 @@
         };
         server.conns -= 1;
         server.waiting.retain(|job| job.conn != conn);
-        server.unanswered.retain(|u| u.conn != conn);
+        server.unacknowledged.retain(|u| u.conn != conn);
     }
 
-    pub(super) fn idle(&self, conn: Conn) -> String {
+    pub(super) fn idle(&self, conn: ConnectionId) -> String {
         let Some(session) = self.sessions.get(&conn) else {
             return String::new();
         };
@@ -92,14 +93,14 @@
     }
 
     /// The rest of an answer, after any rows.
-    pub(super) fn end(&mut self, conn: Conn, line: &str) {
+    pub(super) fn end(&mut self, conn: ConnectionId, line: &str) {
         if self.sessions.contains_key(&conn) {
             let answer = format!("{line}\r\n{}", self.idle(conn));
-            self.out.push(Out::Say(conn, answer));
+            self.out.push(ConnectionOutput::Send(conn, answer));
         }
     }
 
-    pub(super) fn fail(&mut self, conn: Conn, code: ErrorCode, text: &str) {
+    pub(super) fn fail(&mut self, conn: ConnectionId, code: ErrorCode, text: &str) {
         if let Some(transaction) = self
             .sessions
             .get_mut(&conn)
@@ -110,11 +111,11 @@
         self.end(conn, &format!("ERROR {} {text}", code.as_str()));
     }
 
-    pub(super) fn enqueue(&mut self, conn: Conn, id: &str, work: Work) {
+    pub(super) fn enqueue(&mut self, conn: ConnectionId, id: &str, work: Work) {
         let Some(at) = self.sessions.get(&conn).map(|s| s.server.clone()) else {
             return;
         };
-        if self.servers[&at].waiting.len() >= WAITING {
+        if self.servers[&at].waiting.len() >= MAX_QUEUED_STATEMENTS {
             return self.fail(conn, ErrorCode::Retry, "20");
         }
         self.server(&at).waiting.push_back(Job {
--- a/crates/testing/testbed/src/world/statements.rs
+++ b/crates/testing/testbed/src/database_cluster/statements.rs
@@ -1,11 +1,11 @@
 //! What servers do with statements.
 
 use super::{
-    Commit, Conn, ErrorCode, Job, Out, ParsedStatement, Position, Server, StatementKind,
-    Transaction, Unanswered, Work, World,
+    Commit, ConnectionId, ConnectionOutput, DatabaseCluster, ErrorCode, Job, ParsedStatement,
+    Position, Server, StatementKind, Transaction, UnacknowledgedCommit, Work,
 };
 
-impl World {
+impl DatabaseCluster {
     pub(super) fn row(&self, server: &Server) -> String {
         let role = if server.leads { "leader" } else { "follower" };
         let lag = server
@@ -22,7 +22,7 @@
         )
     }
 
-    fn stamp(&self, conn: Conn, server: &Server, statement: u64) -> String {
+    fn stamp(&self, conn: ConnectionId, server: &Server, statement: u64) -> String {
         let number = server.copy.received().number;
         let mark = mix(self.seed ^ mix(conn) ^ mix(statement.rotate_left(32) ^ number));
         format!(
@@ -31,7 +31,7 @@
         )
     }
 
-    pub(super) fn query(&mut self, conn: Conn, id: &str, text: &str) {
+    pub(super) fn query(&mut self, conn: ConnectionId, id: &str, text: &str) {
         let Some(session) = self.sessions.get_mut(&conn) else {
             return;
         };
@@ -128,13 +128,13 @@
                 return self.end(conn, "COMPLETE -");
             }
             ParsedStatement::Commit => Work::Commit,
-            ParsedStatement::Fetch => Work::Read {
+            ParsedStatement::Fetch => Work::ConfigRead {
                 thing: rest[6..].to_owned(),
             },
             ParsedStatement::Put => put(&rest[4..]),
             ParsedStatement::Execute { name, arguments } => match session.prepared.get(name) {
                 None => return self.fail(conn, ErrorCode::Unknown, name),
-                Some((StatementKind::Fetch, _)) => Work::Read {
+                Some((StatementKind::Fetch, _)) => Work::ConfigRead {
                     thing: arguments.to_owned(),
                 },
                 Some((StatementKind::Put, _)) => put(arguments),
@@ -147,7 +147,7 @@
     }
 
     /// The words of administration; none for any other text.
-    fn administer(&mut self, conn: Conn, at: &str, text: &str) -> Option<()> {
+    fn administer(&mut self, conn: ConnectionId, at: &str, text: &str) -> Option<()> {
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         let newest = self.services[&self.servers[at].service].term;
         match word {
@@ -183,7 +183,7 @@
     }
 
     /// Whether this may not run here, on a server that doesn't lead or leads no more.
-    fn is_read_only(&self, conn: Conn, work: &Work) -> bool {
+    fn is_read_only(&self, conn: ConnectionId, work: &Work) -> bool {
         let Some(session) = self.sessions.get(&conn) else {
             return false;
         };
@@ -199,7 +199,7 @@
     }
 
     /// This is not run for want of the lead; a transaction whose end it was is over all the same.
-    fn refuse(&mut self, conn: Conn, at: &str, work: &Work) {
+    fn refuse(&mut self, conn: ConnectionId, at: &str, work: &Work) {
         if *work == Work::Commit
             && let Some(session) = self.sessions.get_mut(&conn)
         {
@@ -222,13 +222,13 @@
         match work {
             Work::Open => {
                 let idle = self.idle(conn);
-                self.out.push(Out::Say(conn, idle));
+                self.out.push(ConnectionOutput::Send(conn, idle));
             }
             Work::Status => {
                 let answer = format!("ROW {}\r\nCOMPLETE -", self.row(server));
                 self.end(conn, &answer);
             }
-            Work::Read { thing } => {
+            Work::ConfigRead { thing } => {
                 let own = session.transaction.iter().flat_map(|t| t.puts.iter().rev());
                 let own = own
                     .into_iter()
@@ -267,12 +267,12 @@
     fn commit(
         &mut self,
         at: &str,
-        conn: Conn,
+        conn: ConnectionId,
         ids: Vec<String>,
         puts: Vec<(String, String)>,
         stamp: String,
     ) {
-        ids.iter().for_each(|id| self.ledger.committed(id));
+        ids.iter().for_each(|id| self.rule_checker.committed(id));
         let now = self.now;
         let writes = ids.len() as u64;
         let server = self.server(at);
@@ -288,7 +288,7 @@
             received: now,
         });
         server.copy.apply();
-        server.unanswered.push_back(Unanswered {
+        server.unacknowledged.push_back(UnacknowledgedCommit {
             conn,
             position,
             stamp,
@@ -299,14 +299,14 @@
     /// Answers the commits that enough replicas have.
     pub(super) fn answer_commits(&mut self, id: &str) {
         let server = &self.servers[id];
-        if server.unanswered.is_empty() {
+        if server.unacknowledged.is_empty() {
             return;
         }
         let service = &self.services[&server.service];
         let needed = service.spec.sync_replicas as usize;
         let newest = service.term;
         let name = server.service.clone();
-        while let Some(first) = self.servers[id].unanswered.front() {
+        while let Some(first) = self.servers[id].unacknowledged.front() {
             let position = first.position;
             let has = |s: &&Server| {
                 s.service == name
@@ -318,12 +318,12 @@
             if self.servers.values().filter(has).count() < needed {
                 return;
             }
-            let Some(first) = self.server(id).unanswered.pop_front() else {
+            let Some(first) = self.server(id).unacknowledged.pop_front() else {
                 return;
             };
-            self.ledger.answered += first.writes;
+            self.rule_checker.answered += first.writes;
             if position.term < newest {
-                self.ledger.deposed += 1;
+                self.rule_checker.deposed += 1;
                 log::warn!("event=deposed_primary_committed id={id} position={position}");
             } else if let Some(service) = self.services.get_mut(&name) {
                 service.answered = service.answered.max(position);
--- a/crates/testing/testbed/src/plan.rs
+++ b/crates/testing/testbed/src/deployment.rs
@@ -1,6 +1,6 @@
 //! A small deployment on loopback: its addresses, its services, its settings files and its first configuration.
 
-use crate::world::{ServerSpec, ServiceSpec};
+use crate::database_cluster::{ServerSpec, ServiceSpec};
 use quick_error::quick_error;
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,7 +20,7 @@
 const READINESS: u16 = 8785;
 const CONTROL: u16 = 8782;
 const PLATFORM: u16 = 8783;
-const DESK: u16 = 8786;
+const ADMIN_API_PORT: u16 = 8786;
 const DATABASE: u16 = 5440;
 const PEER: u16 = 7440;
 /// Each machine tells its figures on this port.
@@ -29,9 +29,9 @@
 quick_error! {
     /// Why a deployment can't be planned.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum PlanError {
+    pub enum DeploymentError {
         /// The first three parts of the addresses aren't of loopback.
-        Net(text: String) {
+        LoopbackNet(text: String) {
             display("{text:?} is not the beginning of a loopback address, 127.1.0 say")
         }
         /// Too few or too many of these.
@@ -43,24 +43,24 @@
 
 /// The first three parts of all addresses of a deployment. Two deployments that run at a time differ in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Net(pub [u8; 3]);
+pub struct LoopbackNet(pub [u8; 3]);
 
-impl FromStr for Net {
-    type Err = PlanError;
+impl FromStr for LoopbackNet {
+    type Err = DeploymentError;
 
-    fn from_str(text: &str) -> Result<Self, PlanError> {
+    fn from_str(text: &str) -> Result<Self, DeploymentError> {
         let parts: Vec<u8> = text.split('.').filter_map(|p| p.parse().ok()).collect();
         match parts[..] {
             [127, b, c] if text.split('.').count() == 3 => Ok(Self([127, b, c])),
-            _ => Err(PlanError::Net(text.to_owned())),
+            _ => Err(DeploymentError::LoopbackNet(text.to_owned())),
         }
     }
 }
 
 /// A deployment.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    net: Net,
+pub struct Deployment {
+    net: LoopbackNet,
     services: usize,
     routers: usize,
     /// Between two beats of a database, in milliseconds.
@@ -68,22 +68,22 @@
     /// Whether the links between control machines lead over relays: each control machine then has a port of its own, and looks
     /// for the others at that port, where the relays are to be.
     pub peers_relayed: bool,
-    /// Whether control machines call the platform at [`Plan::platform_door`], where a relay is to be.
+    /// Whether control machines call the platform at [`Deployment::platform_door`], where a relay is to be.
     pub platform_relayed: bool,
-    /// Whether databases say that they are reached at [`Plan::database_door`], where relays are to be.
+    /// Whether databases say that they are reached at [`Deployment::database_door`], where relays are to be.
     pub databases_relayed: bool,
     /// Settings of the project's own for every process, `badgerstream.lease_ms=500` say.
     pub own: Vec<String>,
 }
 
-impl Plan {
+impl Deployment {
     /// So many services, each a primary and two replicas, and so many routers.
-    pub fn new(net: Net, services: usize, routers: usize) -> Result<Self, PlanError> {
+    pub fn new(net: LoopbackNet, services: usize, routers: usize) -> Result<Self, DeploymentError> {
         if !(1..=SERVICES).contains(&services) {
-            return Err(PlanError::Count("services", SERVICES));
+            return Err(DeploymentError::Count("services", SERVICES));
         }
         if !(1..=ROUTERS).contains(&routers) {
-            return Err(PlanError::Count("routers", ROUTERS));
+            return Err(DeploymentError::Count("routers", ROUTERS));
         }
         Ok(Self {
             net,
@@ -153,8 +153,8 @@
     }
 
     /// Where the stand-in itself is told what to do.
-    pub fn desk(&self) -> SocketAddr {
-        self.at(2, DESK)
+    pub fn admin_api(&self) -> SocketAddr {
+        self.at(2, ADMIN_API_PORT)
     }
 
     /// The relay before a database.
--- a/crates/testing/testbed/src/relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -18,11 +18,11 @@
 
 /// A way along a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From who calls to who is called.
     Requests,
     /// Back.
-    Answers,
+    Responses,
 }
 
 /// What befalls the bytes of one way.
@@ -81,7 +81,7 @@
     }
 
     /// Lays a fault on one way, or lifts it.
-    pub fn set(&self, way: Way, fault: Option<Fault>) {
+    pub fn set(&self, way: Direction, fault: Option<Fault>) {
         self.faults[way as usize].set(fault);
         if fault.is_none() {
             for connection in self.lossy.borrow_mut().drain(..) {
@@ -109,8 +109,8 @@
         }
         let (lossy, lifted) = bounded(1);
         let both = async {
-            let requests = self.pump(Way::Requests, &near, &far, &lossy);
-            let answers = self.pump(Way::Answers, &far, &near, &lossy);
+            let requests = self.pump(Direction::Requests, &near, &far, &lossy);
+            let answers = self.pump(Direction::Responses, &far, &near, &lossy);
             let (requests, answers) = future::zip(requests, answers).await;
             requests && answers
         };
@@ -127,7 +127,7 @@
     /// Carries one way until its end; false if the connection is to be reset.
     async fn pump(
         &self,
-        way: Way,
+        way: Direction,
         mut from: &Async<TcpStream>,
         mut to: &Async<TcpStream>,
         lossy: &Sender<()>,
@@ -160,7 +160,7 @@
             if to.write_all(part).await.is_err() {
                 return self.broken(lossy);
             }
-            if way == Way::Requests && passed == 0 && !part.is_empty() {
+            if way == Direction::Requests && passed == 0 && !part.is_empty() {
                 self.requests.set(self.requests.get() + 1);
                 self.changed.notify_waiters();
             }
--- a/crates/testing/testbed/src/beats.rs
+++ b/crates/testing/testbed/src/heartbeats.rs
@@ -1,7 +1,7 @@
 //! The beats of one server, from its start to its end.
 
-use crate::call;
-use crate::serve::Stage;
+use crate::cluster_host::ClusterHost;
+use crate::http_client;
 use async_io::Timer;
 use badgerstream_control_api::members::{
     DEPART_PATH, HEARTBEAT_PATH, HeartbeatResponse, MAX_HEARTBEAT_RESPONSE_BYTES, Phase,
@@ -20,24 +20,36 @@
 const UNHEARD: f64 = 5.0;
 
 /// Sends beats until the server ends; one that drains ends by itself.
-pub async fn run(stage: Rc<Stage>, id: String) {
+pub async fn run(cluster_host: Rc<ClusterHost>, id: String) {
     let mut turn = id.bytes().map(usize::from).sum::<usize>();
     let mut told_elsewhere: Option<SocketAddr> = None;
     let mut draining: Option<f64> = None;
     let mut acknowledged: Option<f64> = None;
     loop {
-        let generation = stage.changed.generation();
-        let Some(beat) = stage.world.borrow_mut().beat(&id) else {
+        let generation = cluster_host.changed.generation();
+        let Some(beat) = cluster_host.cluster.borrow_mut().beat(&id) else {
             return;
         };
-        let tells = stage.world.borrow().tells(&id);
+        let tells = cluster_host.cluster.borrow().tells(&id);
         let body = beat.serialize_json();
         let path = format!("{HEARTBEAT_PATH}{id}");
-        let to =
-            told_elsewhere.or_else(|| stage.seeds.get(turn % stage.seeds.len().max(1)).copied());
+        let to = told_elsewhere.or_else(|| {
+            cluster_host
+                .seeds
+                .get(turn % cluster_host.seeds.len().max(1))
+                .copied()
+        });
         let Some(to) = to else { return };
-        let answer = call::follow(to, ACKNOWLEDGED, "POST", &path, &[], body.as_bytes()).await;
-        let mut pause = stage.heartbeat;
+        let answer = http_client::send_following_redirects(
+            to,
+            ACKNOWLEDGED,
+            "POST",
+            &path,
+            &[],
+            body.as_bytes(),
+        )
+        .await;
+        let mut pause = cluster_host.heartbeat;
         let took = answer.ok().filter(|a| {
             (200..300).contains(&a.status) && a.body.len() <= MAX_HEARTBEAT_RESPONSE_BYTES
         });
@@ -64,14 +76,14 @@
             }
         }
         let ends = match (acknowledged, draining) {
-            (Some(at), _) => at + stage.drain + 0.5,
+            (Some(at), _) => at + cluster_host.drain + 0.5,
             (None, Some(at)) => at + UNHEARD,
             (None, None) => f64::INFINITY,
         };
         let until = ends.min(now + pause);
-        changed(&stage, &id, tells, generation, until).await;
+        changed(&cluster_host, &id, tells, generation, until).await;
         if clock::now() >= ends {
-            let _ = call::follow(
+            let _ = http_client::send_following_redirects(
                 to,
                 ACKNOWLEDGED,
                 "POST",
@@ -81,22 +93,28 @@
             )
             .await;
             // What ends this task is the end of the server: nothing may follow it.
-            let (stage, id) = (stage.clone(), id.clone());
-            return stage.crash(&id);
+            let (cluster_host, id) = (cluster_host.clone(), id.clone());
+            return cluster_host.crash(&id);
         }
     }
 }
 
 /// Waits until this second, or until the server has something new to tell.
-async fn changed(stage: &Stage, id: &str, told: (bool, bool), mut generation: u64, until: f64) {
+async fn changed(
+    cluster_host: &ClusterHost,
+    id: &str,
+    told: (bool, bool),
+    mut generation: u64,
+    until: f64,
+) {
     let left = (until - clock::now()).max(0.0);
     let late = async {
         Timer::after(Duration::from_secs_f64(left)).await;
     };
     let news = async {
-        while stage.world.borrow().tells(id) == told {
-            stage.changed.notified_since(generation).await;
-            generation = stage.changed.generation();
+        while cluster_host.cluster.borrow().tells(id) == told {
+            cluster_host.changed.notified_since(generation).await;
+            generation = cluster_host.changed.generation();
         }
     };
     future::or(late, news).await;
--- a/crates/testing/testbed/src/history.rs
+++ b/crates/testing/testbed/src/history.rs
@@ -25,14 +25,14 @@
     /// 200: it is taken.
     Acknowledged,
     /// A 4xx that ends the order: it isn't taken, and never will be.
-    Refused(u16),
+    Rejected(u16),
     /// A 5xx, a reset, or silence: it may be taken, now or later.
-    Unclear,
+    Unknown,
 }
 
 /// One try of an order.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Try {
+pub struct Attempt {
     /// When it was sent, in seconds.
     pub began: f64,
     /// When its answer was there, or it was given up.
@@ -43,18 +43,18 @@
 
 /// An order with all its tries.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Order {
+pub struct ConfigRequest {
     /// The version that it builds on; 0 for none.
     pub base: u64,
     /// The version that it brings.
     pub version: Version,
     /// One after the other.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
 }
 
 /// The newest version, read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Read {
+pub struct ConfigRead {
     /// When it was asked for, in seconds.
     pub began: f64,
     /// When the answer was there.
@@ -67,9 +67,9 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct History {
     /// Their orders.
-    pub orders: Vec<Order>,
+    pub orders: Vec<ConfigRequest>,
     /// What they read.
-    pub reads: Vec<Read>,
+    pub reads: Vec<ConfigRead>,
 }
 
 quick_error! {
@@ -77,7 +77,7 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Violation {
         /// A version was read or built on that nobody sent.
-        Unknown(epoch: u64) {
+        UnknownVersion(epoch: u64) {
             display("version {epoch} was read or built on, and nobody sent it so")
         }
         /// Two versions were taken of which neither builds on the other.
@@ -85,11 +85,11 @@
             display("versions {one} and {other} were both taken, and neither builds on the other")
         }
         /// A version was refused and taken.
-        RefusedAndTaken(epoch: u64) {
+        RejectedAndApplied(epoch: u64) {
             display("version {epoch} was refused and is taken")
         }
         /// It was refused though its base was the newest version all the while.
-        WronglyRefused(epoch: u64) {
+        WronglyRejected(epoch: u64) {
             display("version {epoch} was refused though it builds on the newest one")
         }
         /// An operation had ended before another one began, and stands behind it in the order of versions.
@@ -101,7 +101,7 @@
 
 /// Something that happened, at a place of the chain: version number `n` of it is written at `2n`, and in force at `2n + 1`.
 #[derive(Debug, Clone, PartialEq)]
-struct Placed {
+struct PlacedOperation {
     began: f64,
     ended: f64,
     place: usize,
@@ -110,17 +110,19 @@
 
 impl History {
     /// Finds the single order of versions that explains all of this; its numbers, or why there is none.
-    pub fn judge(&self) -> Result<Vec<u64>, Violation> {
+    pub fn linearize(&self) -> Result<Vec<u64>, Violation> {
         let chain = self.chain()?;
         let place_of = |version: &Version| chain.iter().position(|order| order.version == *version);
         let mut placed = Vec::new();
         for order in &self.orders {
             let refused = order
-                .tries
+                .attempts
                 .iter()
-                .any(|t| matches!(t.outcome, Outcome::Refused(_)));
+                .any(|t| matches!(t.outcome, Outcome::Rejected(_)));
             match place_of(&order.version) {
-                Some(_) if refused => return Err(Violation::RefusedAndTaken(order.version.epoch)),
+                Some(_) if refused => {
+                    return Err(Violation::RejectedAndApplied(order.version.epoch));
+                }
                 Some(place) => placed.extend(taken(order, 2 * (place + 1))),
                 None => {}
             }
@@ -129,14 +131,14 @@
             let place = match &read.version {
                 None => 1,
                 Some(version) => {
-                    2 * (place_of(version).ok_or(Violation::Unknown(version.epoch))? + 1) + 1
+                    2 * (place_of(version).ok_or(Violation::UnknownVersion(version.epoch))? + 1) + 1
                 }
             };
             let name = format!(
                 "the read of {}",
                 read.version.as_ref().map_or(0, |v| v.epoch)
             );
-            placed.push(Placed {
+            placed.push(PlacedOperation {
                 began: read.began,
                 ended: read.ended,
                 place,
@@ -149,11 +151,11 @@
     }
 
     /// The orders that were taken, as far as is known, in their order.
-    fn chain(&self) -> Result<Vec<&Order>, Violation> {
-        let mut known: BTreeMap<&Version, &Order> = BTreeMap::new();
+    fn chain(&self) -> Result<Vec<&ConfigRequest>, Violation> {
+        let mut known: BTreeMap<&Version, &ConfigRequest> = BTreeMap::new();
         for order in &self.orders {
             if order
-                .tries
+                .attempts
                 .iter()
                 .any(|t| t.outcome == Outcome::Acknowledged)
             {
@@ -162,7 +164,10 @@
         }
         for version in self.reads.iter().filter_map(|read| read.version.as_ref()) {
             let sent = self.orders.iter().find(|order| order.version == *version);
-            known.insert(version, sent.ok_or(Violation::Unknown(version.epoch))?);
+            known.insert(
+                version,
+                sent.ok_or(Violation::UnknownVersion(version.epoch))?,
+            );
         }
         let mut chain = Vec::new();
         let mut next = known
@@ -173,7 +178,7 @@
             chain.push(order);
             next = self.base_of(order, &known);
             if next.is_none() && order.base > 0 {
-                return Err(Violation::Unknown(order.base));
+                return Err(Violation::UnknownVersion(order.base));
             }
         }
         chain.reverse();
@@ -190,28 +195,33 @@
     /// The order that an order builds on: one that is known to have been taken, or else one that may have been.
     fn base_of<'a>(
         &'a self,
-        order: &Order,
-        known: &BTreeMap<&Version, &'a Order>,
-    ) -> Option<&'a Order> {
+        order: &ConfigRequest,
+        known: &BTreeMap<&Version, &'a ConfigRequest>,
+    ) -> Option<&'a ConfigRequest> {
         let taken = known
             .values()
             .find(|o| o.version.epoch == order.base)
             .copied();
-        let unclear = |o: &&Order| {
-            o.version.epoch == order.base && o.tries.iter().all(|t| t.outcome == Outcome::Unclear)
+        let unclear = |o: &&ConfigRequest| {
+            o.version.epoch == order.base
+                && o.attempts.iter().all(|t| t.outcome == Outcome::Unknown)
         };
         taken.or_else(|| self.orders.iter().find(unclear))
     }
 
     /// Places each refusal as early as may be: somewhere another version than its base must be in force.
-    fn refusals(&self, chain: &[&Order], mut placed: Vec<Placed>) -> Result<(), Violation> {
-        let mut refused: Vec<(&Order, &Try)> = Vec::new();
+    fn refusals(
+        &self,
+        chain: &[&ConfigRequest],
+        mut placed: Vec<PlacedOperation>,
+    ) -> Result<(), Violation> {
+        let mut refused: Vec<(&ConfigRequest, &Attempt)> = Vec::new();
         for order in &self.orders {
-            let tries = order
-                .tries
+            let attempts = order
+                .attempts
                 .iter()
-                .filter(|t| matches!(t.outcome, Outcome::Refused(_)));
-            refused.extend(tries.map(|t| (order, t)));
+                .filter(|t| matches!(t.outcome, Outcome::Rejected(_)));
+            refused.extend(attempts.map(|t| (order, t)));
         }
         refused.sort_by(|a, b| a.1.ended.total_cmp(&b.1.ended));
         for (order, refusal) in refused {
@@ -234,9 +244,9 @@
             let fits = |place: &usize| place % 2 == 1 && in_force(*place) != order.base;
             let last = 2 * chain.len() + 1;
             let place = (least..=most.unwrap_or(last).min(last)).find(fits);
-            let place = place.ok_or(Violation::WronglyRefused(order.version.epoch))?;
+            let place = place.ok_or(Violation::WronglyRejected(order.version.epoch))?;
             let name = format!("the refusal of {}", order.version.epoch);
-            placed.push(Placed {
+            placed.push(PlacedOperation {
                 began: refusal.began,
                 ended: refusal.ended,
                 place,
@@ -249,15 +259,15 @@
 
 /// What is known of when an order was taken: after it was first sent, and before it was first acknowledged. A try that had no
 /// clear answer may take effect at any later time, and an acknowledgement may be that of an earlier try.
-fn taken(order: &Order, place: usize) -> Option<Placed> {
-    let began = order.tries.first()?.began;
+fn taken(order: &ConfigRequest, place: usize) -> Option<PlacedOperation> {
+    let began = order.attempts.first()?.began;
     let acknowledged = order
-        .tries
+        .attempts
         .iter()
         .filter(|t| t.outcome == Outcome::Acknowledged)
         .map(|t| t.ended);
     let ended = acknowledged.fold(f64::INFINITY, f64::min);
-    Some(Placed {
+    Some(PlacedOperation {
         began,
         ended,
         place,
@@ -266,7 +276,7 @@
 }
 
 /// Whether none stands behind one that began only after its end.
-fn in_order(placed: &[Placed]) -> Result<(), Violation> {
+fn in_order(placed: &[PlacedOperation]) -> Result<(), Violation> {
     for first in placed {
         if let Some(second) = placed
             .iter()
--- a/crates/testing/testbed/src/call.rs
+++ b/crates/testing/testbed/src/http_client.rs
@@ -11,7 +11,7 @@
 const ANSWER_BYTES: usize = 4 << 20;
 
 /// A call to one address, on a connection of its own.
-pub async fn once(
+pub async fn send(
     to: SocketAddr,
     seconds: f64,
     method: &str,
@@ -52,7 +52,7 @@
 }
 
 /// Such a call, which follows a 307 twice.
-pub async fn follow(
+pub async fn send_following_redirects(
     mut to: SocketAddr,
     seconds: f64,
     method: &str,
@@ -61,7 +61,7 @@
     body: &[u8],
 ) -> Result<Response> {
     for _ in 0..2 {
-        let response = once(to, seconds, method, path, headers, body).await?;
+        let response = send(to, seconds, method, path, headers, body).await?;
         let elsewhere = response
             .header("Location")
             .filter(|_| response.status == 307)
@@ -74,5 +74,5 @@
             None => return Ok(response),
         }
     }
-    once(to, seconds, method, path, headers, body).await
+    send(to, seconds, method, path, headers, body).await
 }
--- a/crates/testing/testbed/src/lib.rs
+++ b/crates/testing/testbed/src/lib.rs
@@ -1,20 +1,20 @@
 //! A stand-in of the outside world on loopback, for tests and for the quick start: database services, their beats, the
 //! platform's `POST /promotions`, an operator and clients.
 
-pub mod beats;
-pub mod call;
-pub mod children;
+pub mod admin_api;
+pub mod child_processes;
 pub mod client;
-pub mod desk;
+pub mod cluster_host;
+pub mod database_cluster;
+pub mod deployment;
+pub mod fault_relay;
+pub mod heartbeats;
 pub mod history;
-pub mod ledger;
+pub mod http_client;
 pub mod operator;
-pub mod plan;
-pub mod relay;
 pub mod replica;
-pub mod serve;
+pub mod rule_checker;
 pub mod up;
-pub mod world;
 
 #[cfg(test)]
 mod tests;
--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -1,8 +1,8 @@
 //! `badgerstream-testbed`: the outside world on loopback, for the quick start and for trials.
 
 use badgerstream_testbed::client::Client;
-use badgerstream_testbed::plan::{Net, Plan};
-use badgerstream_testbed::{call, up};
+use badgerstream_testbed::deployment::{Deployment, LoopbackNet};
+use badgerstream_testbed::{http_client, up};
 use clap::{Parser, Subcommand};
 use futures_lite::future;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
         routers: usize,
         /// The first three parts of all addresses.
         #[arg(long, default_value = "127.1.0")]
-        net: Net,
+        net: LoopbackNet,
         /// The system's program; by default `badgerstream-pooler` beside this one.
         #[arg(long)]
         program: Option<PathBuf>,
@@ -94,7 +94,7 @@
             let Some(program) = program else {
                 return fail("tell --program");
             };
-            let plan = Plan::new(net, services, routers).map_err(|e| e.to_string());
+            let deployment = Deployment::new(net, services, routers).map_err(|e| e.to_string());
             // Processes are told where their files are from wherever they run.
             let new = || {
                 std::env::temp_dir().join(format!("badgerstream-testbed-{}", std::process::id()))
@@ -102,7 +102,7 @@
             let folder = folder.unwrap_or_else(new);
             let folder =
                 std::path::absolute(&folder).map_err(|e| format!("{}: {e}", folder.display()));
-            plan.and_then(|plan| up::run(&plan, &folder?, &program))
+            deployment.and_then(|deployment| up::run(&deployment, &folder?, &program))
         }
         What::Ask {
             address,
@@ -155,7 +155,7 @@
 
 async fn tell(address: SocketAddr, words: &[String]) -> Result<(), String> {
     let path = format!("/{}", words.join("/"));
-    let answer = call::once(address, 5.0, "POST", &path, &[], b"")
+    let answer = http_client::send(address, 5.0, "POST", &path, &[], b"")
         .await
         .map_err(|e| format!("{address}: {e}"))?;
     let text = String::from_utf8_lossy(&answer.body).into_owned();
--- a/crates/testing/testbed/src/operator.rs
+++ b/crates/testing/testbed/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator: sends configurations until they are taken or refused, reads them back, and writes down what came of it.
 
-use crate::call;
-use crate::history::{Order, Outcome, Read, Try, Version};
+use crate::history::{Attempt, ConfigRead, ConfigRequest, Outcome, Version};
+use crate::http_client;
 use async_io::Timer;
 use badgerstream_control_api::request::BASE_VERSION_HEADER;
 use badgerstream_pooler::clock;
@@ -39,18 +39,18 @@
     }
 
     /// Sends an order to one control machine after the other until there is a clear answer, or until that second.
-    pub async fn order(&self, base: u64, version: Version, until: f64) -> Order {
-        let mut order = Order {
+    pub async fn order(&self, base: u64, version: Version, until: f64) -> ConfigRequest {
+        let mut order = ConfigRequest {
             base,
             version,
-            tries: Vec::new(),
+            attempts: Vec::new(),
         };
         let mut pause = PAUSES_S.0;
         loop {
-            let one = self.try_order(self.next(), &order).await;
+            let one = self.send_once(self.next(), &order).await;
             let ended = one.ended;
-            let clear = one.outcome != Outcome::Unclear;
-            order.tries.push(one);
+            let clear = one.outcome != Outcome::Unknown;
+            order.attempts.push(one);
             if clear || ended >= until {
                 return order;
             }
@@ -60,30 +60,38 @@
     }
 
     /// Sends an order once.
-    pub async fn try_order(&self, to: SocketAddr, order: &Order) -> Try {
+    pub async fn send_once(&self, to: SocketAddr, order: &ConfigRequest) -> Attempt {
         let base = order.base.to_string();
         let headers = [(BASE_VERSION_HEADER, base.as_str())];
         let body = order.version.body.as_bytes();
         let began = clock::now();
-        let sent = call::follow(to, SILENCE_S, "POST", "/api/Config.Replace", &headers, body).await;
+        let sent = http_client::send_following_redirects(
+            to,
+            SILENCE_S,
+            "POST",
+            "/api/Config.Replace",
+            &headers,
+            body,
+        )
+        .await;
         let outcome = match sent {
             Ok(answer) if answer.status == 200 => Outcome::Acknowledged,
             Ok(answer) if matches!(answer.status, 400 | 409 | 412 | 413 | 422) => {
                 let text = String::from_utf8_lossy(&answer.body).trim().to_owned();
                 self.refusal
                     .set(format!("{to} answers {}: {text}", answer.status));
-                Outcome::Refused(answer.status)
+                Outcome::Rejected(answer.status)
             }
             Ok(answer) => {
                 log::debug!("event=order_unclear at={to} status={}", answer.status);
-                Outcome::Unclear
+                Outcome::Unknown
             }
             Err(e) => {
                 log::debug!("event=order_unclear at={to} error={e}");
-                Outcome::Unclear
+                Outcome::Unknown
             }
         };
-        Try {
+        Attempt {
             began,
             ended: clock::now(),
             outcome,
@@ -91,22 +99,29 @@
     }
 
     /// Reads the newest configuration from the next control machine; none if there is no clear answer.
-    pub async fn read(&self) -> Option<Read> {
+    pub async fn read(&self) -> Option<ConfigRead> {
         self.read_at(self.next()).await
     }
 
     /// Reads the newest configuration from this control machine.
-    pub async fn read_at(&self, at: SocketAddr) -> Option<Read> {
+    pub async fn read_at(&self, at: SocketAddr) -> Option<ConfigRead> {
         let began = clock::now();
-        let answer = call::follow(at, SILENCE_S, "GET", "/api/Config.Read", &[], b"")
-            .await
-            .ok()?;
+        let answer = http_client::send_following_redirects(
+            at,
+            SILENCE_S,
+            "GET",
+            "/api/Config.Read",
+            &[],
+            b"",
+        )
+        .await
+        .ok()?;
         let version = match answer.status {
             404 => None,
             200 => Some(read_version(&answer.body)?),
             _ => return None,
         };
-        Some(Read {
+        Some(ConfigRead {
             began,
             ended: clock::now(),
             version,
@@ -138,8 +153,8 @@
         body: body.to_owned(),
     };
     let order = operator.order(base, version, f64::INFINITY).await;
-    match order.tries.last().map(|last| last.outcome) {
-        Some(Outcome::Refused(_)) => Err(operator.refusal.take()),
+    match order.attempts.last().map(|last| last.outcome) {
+        Some(Outcome::Rejected(_)) => Err(operator.refusal.take()),
         _ => Ok(()),
     }
 }
--- a/crates/testing/testbed/src/replica.rs
+++ b/crates/testing/testbed/src/replica.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 /// Commits that are kept for those who are behind; whoever is further behind takes a whole copy.
-const KEPT: usize = 10_000;
+const MAX_RETAINED_COMMITS: usize = 10_000;
 
 /// One commit that writes.
 #[derive(Debug, Clone)]
@@ -62,7 +62,8 @@
     pub fn receive(&mut self, commit: Commit) {
         self.received = commit.position;
         self.commits.push_back(commit);
-        while self.commits.len() > KEPT && self.commits[0].position <= self.applied {
+        while self.commits.len() > MAX_RETAINED_COMMITS && self.commits[0].position <= self.applied
+        {
             self.commits.pop_front();
         }
     }
@@ -74,16 +75,16 @@
                 .received
                 .number
                 .checked_sub(number)
-                .filter(|n| self.kept(*n))?;
+                .filter(|n| self.retains_last(*n))?;
         self.commits.get(at as usize)
     }
 
     /// Whether all commits after this number are kept.
     pub fn reaches(&self, number: u64) -> bool {
-        self.kept(self.received.number.saturating_sub(number))
+        self.retains_last(self.received.number.saturating_sub(number))
     }
 
-    fn kept(&self, commits: u64) -> bool {
+    fn retains_last(&self, commits: u64) -> bool {
         commits <= self.commits.len() as u64
     }
 
--- a/crates/testing/testbed/src/ledger.rs
+++ b/crates/testing/testbed/src/rule_checker.rs
@@ -3,11 +3,11 @@
 use std::collections::{HashSet, VecDeque};
 
 /// Ids that are remembered.
-const KEPT: usize = 200_000;
+const MAX_REMEMBERED_IDS: usize = 200_000;
 
 /// Broken rules, as counts, and what they are found by.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct RuleChecker {
     /// Writes that a database answered with success.
     pub answered: u64,
     /// LOST: answered commits that a promoted server lacks.
@@ -20,7 +20,7 @@
     order: VecDeque<String>,
 }
 
-impl Ledger {
+impl RuleChecker {
     /// A write was committed.
     pub fn committed(&mut self, id: &str) {
         if !self.ids.insert(id.to_owned()) {
@@ -28,7 +28,7 @@
             return;
         }
         self.order.push_back(id.to_owned());
-        if self.order.len() > KEPT
+        if self.order.len() > MAX_REMEMBERED_IDS
             && let Some(oldest) = self.order.pop_front()
         {
             self.ids.remove(&oldest);
--- a/crates/testing/testbed/src/tests/plan.rs
+++ b/crates/testing/testbed/src/tests/deployment.rs
@@ -1,23 +1,24 @@
 //! What the stand-in hands to the system can be read by it.
 
-use crate::plan::{Net, Plan, PlanError};
+use crate::deployment::{Deployment, DeploymentError, LoopbackNet};
 use badgerstream_pooler_config::config::{Config, Mode};
 use badgerstream_pooler_config::settings::Settings;
 
-fn net() -> Net {
+fn net() -> LoopbackNet {
     "127.9.8".parse().unwrap()
 }
 
 #[test]
 fn the_configuration_is_valid_and_names_the_services() {
-    let plan = Plan::new(net(), 2, 2).unwrap();
-    let config = Config::read(plan.configuration(3).as_bytes()).unwrap();
+    let deployment = Deployment::new(net(), 2, 2).unwrap();
+    let config = Config::read(deployment.configuration(3).as_bytes()).unwrap();
     assert_eq!(
         (config.epoch, config.routes.len(), config.services.len()),
         (3, 6, 2)
     );
     assert!(
-        plan.databases()
+        deployment
+            .databases()
             .iter()
             .all(|name| config.route(name).is_some())
     );
@@ -26,17 +27,17 @@
         (own.mode, own.service.as_str(), own.staleness_ms),
         (Mode::InHouse, "db2", Some(2500))
     );
-    let named: Vec<String> = plan.services().into_iter().map(|s| s.name).collect();
+    let named: Vec<String> = deployment.services().into_iter().map(|s| s.name).collect();
     assert_eq!(named, ["db1", "db2"]);
 }
 
 #[test]
 fn the_settings_can_be_read_and_agree() {
-    let mut plan = Plan::new(net(), 1, 2).unwrap();
-    plan.own.push("badgerstream.lease_ms=500".to_owned());
+    let mut deployment = Deployment::new(net(), 1, 2).unwrap();
+    deployment.own.push("badgerstream.lease_ms=500".to_owned());
     let folder =
         std::env::temp_dir().join(format!("badgerstream-testbed-plan-{}", std::process::id()));
-    let written = plan.write(&folder, true).unwrap();
+    let written = deployment.write(&folder, true).unwrap();
     let read =
         |at: usize| Settings::read(&std::fs::read_to_string(&written[at].1).unwrap()).unwrap();
     let all: Vec<Settings> = (0..written.len()).map(read).collect();
@@ -44,19 +45,19 @@
     assert_eq!(all.len(), 5);
     assert!(
         all.iter()
-            .all(|s| s.seeds == plan.controls() && s.tuning.lease_ms == 500 && s.bootstrap)
+            .all(|s| s.seeds == deployment.controls() && s.tuning.lease_ms == 500 && s.bootstrap)
     );
     assert!(
         all.iter()
-            .all(|s| s.provider.as_ref().unwrap().endpoint == plan.platform())
+            .all(|s| s.provider.as_ref().unwrap().endpoint == deployment.platform())
     );
     assert_eq!(
         all.iter().filter_map(|s| s.control).collect::<Vec<_>>(),
-        plan.controls()
+        deployment.controls()
     );
     assert_eq!(
         all.iter().filter_map(|s| s.front).collect::<Vec<_>>(),
-        plan.fronts()
+        deployment.fronts()
     );
     assert!(
         all.iter()
@@ -67,23 +68,23 @@
 #[test]
 fn only_loopback_and_only_a_few() {
     assert_eq!(
-        "10.1.0".parse::<Net>(),
-        Err(PlanError::Net("10.1.0".to_owned()))
+        "10.1.0".parse::<LoopbackNet>(),
+        Err(DeploymentError::LoopbackNet("10.1.0".to_owned()))
     );
     assert_eq!(
-        "127.1.x".parse::<Net>(),
-        Err(PlanError::Net("127.1.x".to_owned()))
+        "127.1.x".parse::<LoopbackNet>(),
+        Err(DeploymentError::LoopbackNet("127.1.x".to_owned()))
     );
     assert_eq!(
-        "127.1.0.1".parse::<Net>(),
-        Err(PlanError::Net("127.1.0.1".to_owned()))
+        "127.1.0.1".parse::<LoopbackNet>(),
+        Err(DeploymentError::LoopbackNet("127.1.0.1".to_owned()))
     );
     assert_eq!(
-        Plan::new(net(), 0, 1).unwrap_err(),
-        PlanError::Count("services", 10)
+        Deployment::new(net(), 0, 1).unwrap_err(),
+        DeploymentError::Count("services", 10)
     );
     assert_eq!(
-        Plan::new(net(), 1, 61).unwrap_err(),
-        PlanError::Count("routers", 60)
+        Deployment::new(net(), 1, 61).unwrap_err(),
+        DeploymentError::Count("routers", 60)
     );
 }
--- a/crates/testing/testbed/src/tests/histories.rs
+++ b/crates/testing/testbed/src/tests/history.rs
@@ -1,7 +1,7 @@
 //! The judge finds what is wrong with a history, and nothing where all is well.
 
-use crate::history::{History, Order, Outcome, Read, Try, Violation};
-use crate::history::{Outcome::Acknowledged, Outcome::Refused, Outcome::Unclear, Version};
+use crate::history::{Attempt, ConfigRead, ConfigRequest, History, Outcome, Violation};
+use crate::history::{Outcome::Acknowledged, Outcome::Rejected, Outcome::Unknown, Version};
 use arbtest::{arbitrary, arbtest};
 
 fn version(epoch: u64) -> Version {
@@ -11,29 +11,29 @@
     }
 }
 
-fn order(base: u64, epoch: u64, tries: &[(f64, f64, Outcome)]) -> Order {
-    let tries = tries.iter().map(|(began, ended, outcome)| Try {
+fn order(base: u64, epoch: u64, attempts: &[(f64, f64, Outcome)]) -> ConfigRequest {
+    let attempts = attempts.iter().map(|(began, ended, outcome)| Attempt {
         began: *began,
         ended: *ended,
         outcome: *outcome,
     });
-    Order {
+    ConfigRequest {
         base,
         version: version(epoch),
-        tries: tries.collect(),
+        attempts: attempts.collect(),
     }
 }
 
-fn read(began: f64, ended: f64, epoch: u64) -> Read {
-    Read {
+fn read(began: f64, ended: f64, epoch: u64) -> ConfigRead {
+    ConfigRead {
         began,
         ended,
         version: (epoch > 0).then(|| version(epoch)),
     }
 }
 
-fn judge(orders: Vec<Order>, reads: Vec<Read>) -> Result<Vec<u64>, Violation> {
-    History { orders, reads }.judge()
+fn linearize(orders: Vec<ConfigRequest>, reads: Vec<ConfigRead>) -> Result<Vec<u64>, Violation> {
+    History { orders, reads }.linearize()
 }
 
 #[test]
@@ -41,12 +41,12 @@
     let orders = vec![
         order(0, 1, &[(0.0, 1.0, Acknowledged)]),
         // Taken without a word, and acknowledged when it was sent again.
-        order(1, 3, &[(1.0, 2.0, Unclear), (2.0, 2.5, Acknowledged)]),
+        order(1, 3, &[(1.0, 2.0, Unknown), (2.0, 2.5, Acknowledged)]),
         // Its base went while it was under way.
-        order(1, 2, &[(1.5, 3.0, Refused(412))]),
+        order(1, 2, &[(1.5, 3.0, Rejected(412))]),
         // Never acknowledged, and read later on.
-        order(3, 7, &[(4.0, 5.0, Unclear)]),
-        order(3, 8, &[(4.0, 5.0, Unclear), (9.0, 9.1, Refused(412))]),
+        order(3, 7, &[(4.0, 5.0, Unknown)]),
+        order(3, 8, &[(4.0, 5.0, Unknown), (9.0, 9.1, Rejected(412))]),
         order(7, 9, &[(10.0, 11.0, Acknowledged)]),
     ];
     let reads = vec![
@@ -56,8 +56,8 @@
         read(8.0, 8.1, 7),
         read(12.0, 12.1, 9),
     ];
-    assert_eq!(judge(orders, reads), Ok(vec![1, 3, 7, 9]));
-    assert_eq!(judge(vec![], vec![read(0.0, 1.0, 0)]), Ok(vec![]));
+    assert_eq!(linearize(orders, reads), Ok(vec![1, 3, 7, 9]));
+    assert_eq!(linearize(vec![], vec![read(0.0, 1.0, 0)]), Ok(vec![]));
 }
 
 #[test]
@@ -68,14 +68,14 @@
         order(1, 6, &[(1.0, 2.0, Acknowledged)]),
     );
     assert_eq!(
-        judge(vec![first.clone(), one.clone(), other], vec![]),
+        linearize(vec![first.clone(), one.clone(), other], vec![]),
         Err(Violation::Fork(5, 6))
     );
     // Two texts under one number.
     let mut same = order(1, 5, &[(1.0, 2.0, Acknowledged)]);
     same.version.body = "another".to_owned();
     assert_eq!(
-        judge(vec![first, one, same], vec![]),
+        linearize(vec![first, one, same], vec![]),
         Err(Violation::Fork(5, 5))
     );
 }
@@ -85,23 +85,23 @@
     let orders = || {
         vec![
             order(0, 1, &[(0.0, 1.0, Acknowledged)]),
-            order(1, 2, &[(1.0, 2.0, Unclear), (2.0, 3.0, Refused(412))]),
+            order(1, 2, &[(1.0, 2.0, Unknown), (2.0, 3.0, Rejected(412))]),
         ]
     };
     assert_eq!(
-        judge(orders(), vec![read(4.0, 4.1, 2)]),
-        Err(Violation::RefusedAndTaken(2))
+        linearize(orders(), vec![read(4.0, 4.1, 2)]),
+        Err(Violation::RejectedAndApplied(2))
     );
     // The base was the newest version all the while.
     assert_eq!(
-        judge(orders(), vec![read(4.0, 4.1, 1)]),
-        Err(Violation::WronglyRefused(2))
+        linearize(orders(), vec![read(4.0, 4.1, 1)]),
+        Err(Violation::WronglyRejected(2))
     );
     // One that was acknowledged is refused when it is sent again.
-    let again = order(0, 1, &[(0.0, 1.0, Acknowledged), (2.0, 3.0, Refused(412))]);
+    let again = order(0, 1, &[(0.0, 1.0, Acknowledged), (2.0, 3.0, Rejected(412))]);
     assert_eq!(
-        judge(vec![again], vec![]),
-        Err(Violation::RefusedAndTaken(1))
+        linearize(vec![again], vec![]),
+        Err(Violation::RejectedAndApplied(1))
     );
 }
 
@@ -113,7 +113,7 @@
             order(1, 2, &[(1.0, 2.0, Acknowledged)]),
         ]
     };
-    let late = |epoch| judge(orders(), vec![read(3.0, 4.0, epoch)]);
+    let late = |epoch| linearize(orders(), vec![read(3.0, 4.0, epoch)]);
     assert!(
         matches!(late(1), Err(Violation::OutOfOrder(..)))
             && matches!(late(0), Err(Violation::OutOfOrder(..)))
@@ -121,17 +121,17 @@
     assert_eq!(late(2), Ok(vec![1, 2]));
     let back = vec![read(1.1, 1.2, 2), read(1.3, 1.4, 1)];
     assert!(matches!(
-        judge(orders(), back),
+        linearize(orders(), back),
         Err(Violation::OutOfOrder(..))
     ));
     // Before it was sent at all.
     assert!(matches!(
-        judge(orders(), vec![read(0.1, 0.9, 2)]),
+        linearize(orders(), vec![read(0.1, 0.9, 2)]),
         Err(Violation::OutOfOrder(..))
     ));
     assert_eq!(
-        judge(orders(), vec![read(3.0, 4.0, 9)]),
-        Err(Violation::Unknown(9))
+        linearize(orders(), vec![read(3.0, 4.0, 9)]),
+        Err(Violation::UnknownVersion(9))
     );
 }
 
@@ -158,9 +158,9 @@
             };
             let won = base == current;
             let outcome = match (won, u.ratio(1, 4)?) {
-                (_, true) => Unclear,
+                (_, true) => Unknown,
                 (true, _) => Acknowledged,
-                (false, _) => Refused(412),
+                (false, _) => Rejected(412),
             };
             history
                 .orders
@@ -171,7 +171,7 @@
         }
         history.reads.push(read(now + 10.0, now + 11.0, current));
         let chain = history
-            .judge()
+            .linearize()
             .unwrap_or_else(|e| panic!("{e}: {history:?}"));
         assert_eq!(chain.last().copied().unwrap_or(0), current);
         alter(u, history, &chain)
@@ -186,10 +186,10 @@
     let refused = history
         .orders
         .iter()
-        .position(|o| matches!(o.tries[0].outcome, Refused(_)));
+        .position(|o| matches!(o.attempts[0].outcome, Rejected(_)));
     if let (Some(at), true) = (refused, u.arbitrary()?) {
-        history.orders[at].tries[0].outcome = Acknowledged;
-        assert!(history.judge().is_err(), "{history:?}");
+        history.orders[at].attempts[0].outcome = Acknowledged;
+        assert!(history.linearize().is_err(), "{history:?}");
     } else if chain.len() > 1 {
         // The last read came long after everything else.
         let end = history.reads.last().map_or(0.0, |r| r.ended);
@@ -198,7 +198,7 @@
             end + 2.0,
             chain[u.int_in_range(0..=chain.len() - 2)?],
         ));
-        assert!(history.judge().is_err(), "{history:?}");
+        assert!(history.linearize().is_err(), "{history:?}");
     }
     Ok(())
 }
--- a/crates/testing/testbed/src/tests/mod.rs
+++ b/crates/testing/testbed/src/tests/mod.rs
@@ -1,10 +1,12 @@
-mod days;
-mod histories;
-mod plan;
+mod deployment;
+mod failover;
+mod history;
+mod random_faults;
 mod statements;
-mod terms;
 
-use crate::world::{Conn, Out, ServerSpec, ServiceSpec, Timing, World};
+use crate::database_cluster::{
+    ConnectionId, ConnectionOutput, DatabaseCluster, ServerSpec, ServiceSpec, Timing,
+};
 
 /// A service `db` of three servers, `a` to `c`, of which `a` leads.
 fn service(sync_replicas: u32) -> ServiceSpec {
@@ -24,44 +26,49 @@
 }
 
 /// A world whose time passes as it is told.
-struct Play {
-    world: World,
+struct ClusterHarness {
+    cluster: DatabaseCluster,
     now: f64,
 }
 
-impl Play {
+impl ClusterHarness {
     fn new(sync_replicas: u32, fencing: bool) -> Self {
         Self {
-            world: World::new(vec![service(sync_replicas)], Timing::default(), fencing, 7),
+            cluster: DatabaseCluster::new(
+                vec![service(sync_replicas)],
+                Timing::default(),
+                fencing,
+                7,
+            ),
             now: 0.0,
         }
     }
 
     /// Lets time pass, and gives what was said and closed.
-    fn pass(&mut self, seconds: f64) -> Vec<Out> {
+    fn pass(&mut self, seconds: f64) -> Vec<ConnectionOutput> {
         self.now += seconds;
-        self.world.step(self.now)
+        self.cluster.step(self.now)
     }
 
-    fn open(&mut self, at: &str) -> Conn {
-        let conn = self.world.connect(self.now, at, "db", "test").unwrap();
+    fn open(&mut self, at: &str) -> ConnectionId {
+        let conn = self.cluster.connect(self.now, at, "db", "test").unwrap();
         assert!(
-            matches!(&self.pass(0.02)[..], [Out::Say(c, text)] if *c == conn && text.starts_with("IDLE I "))
+            matches!(&self.pass(0.02)[..], [ConnectionOutput::Send(c, text)] if *c == conn && text.starts_with("IDLE I "))
         );
         conn
     }
 
-    fn say(&mut self, conn: Conn, id: &str, text: &str) {
-        self.world
+    fn say(&mut self, conn: ConnectionId, id: &str, text: &str) {
+        self.cluster
             .ask(self.now, conn, format!("QUERY {id} {text}").as_bytes());
     }
 
     /// The answer within a moment, lines joined by `|`, marks of stamps left out; empty for none.
-    fn ask(&mut self, conn: Conn, text: &str) -> String {
+    fn ask(&mut self, conn: ConnectionId, text: &str) -> String {
         let id = format!("i{}-{}", conn, (self.now * 1e6) as u64);
         self.say(conn, &id, text);
         let said = self.pass(0.02).into_iter().find_map(|out| match out {
-            Out::Say(c, text) if c == conn => Some(text),
+            ConnectionOutput::Send(c, text) if c == conn => Some(text),
             _ => None,
         });
         let said = said.unwrap_or_default();
@@ -73,6 +80,6 @@
     }
 
     fn status(&self, id: &str) -> String {
-        self.world.status(id).unwrap()
+        self.cluster.status(id).unwrap()
     }
 }
--- a/crates/testing/testbed/src/tests/statements.rs
+++ b/crates/testing/testbed/src/tests/statements.rs
@@ -1,11 +1,11 @@
 //! What one server answers.
 
-use super::Play;
-use crate::world::Out;
+use super::ClusterHarness;
+use crate::database_cluster::ConnectionOutput;
 
 #[test]
 fn reads_writes_and_their_positions() {
-    let mut play = Play::new(1, false);
+    let mut play = ClusterHarness::new(1, false);
     let a = play.open("a");
     assert_eq!(play.ask(a, "FETCH x"), "COMPLETE +|IDLE I 1.0");
     assert_eq!(play.ask(a, "PUT x one two"), "COMPLETE +|IDLE I 1.1");
@@ -19,7 +19,7 @@
 
 #[test]
 fn prepared_names_last_until_released_or_reset() {
-    let mut play = Play::new(1, false);
+    let mut play = ClusterHarness::new(1, false);
     let a = play.open("a");
     play.ask(a, "PREPARE w PUT q1");
     play.ask(a, "PREPARE r FETCH q2");
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_transaction_is_kept_whole_or_not_at_all() {
-    let mut play = Play::new(1, false);
+    let mut play = ClusterHarness::new(1, false);
     let (a, b) = (play.open("a"), play.open("a"));
     assert_eq!(play.ask(a, "BEGIN"), "COMPLETE -|IDLE T 1.0");
     assert_eq!(play.ask(a, "PUT x 1"), "COMPLETE +|IDLE T 1.0");
@@ -47,7 +47,7 @@
     assert_eq!(play.ask(a, "ABORT"), "COMPLETE -|IDLE I 1.1");
     play.ask(a, "BEGIN");
     play.ask(a, "PUT x 9");
-    play.world.closed(play.now, a);
+    play.cluster.closed(play.now, a);
     assert_eq!(play.ask(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE I 1.1");
     assert_eq!(
         play.ask(b, "COMMIT"),
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_failed_transaction_takes_only_its_end() {
-    let mut play = Play::new(1, false);
+    let mut play = ClusterHarness::new(1, false);
     let a = play.open("a");
     play.ask(a, "BEGIN");
     play.ask(a, "PUT x 1");
@@ -78,7 +78,7 @@
 
 #[test]
 fn replicas_read_what_they_have_applied() {
-    let mut play = Play::new(1, false);
+    let mut play = ClusterHarness::new(1, false);
     let (a, b) = (play.open("a"), play.open("b"));
     assert_eq!(play.ask(b, "PUT x 1"), "ERROR READONLY b|IDLE I 1.0");
     assert_eq!(play.ask(b, "BEGIN"), "ERROR READONLY b|IDLE I 1.0");
@@ -113,28 +113,28 @@
 
 #[test]
 fn connections_are_counted_and_meant_for_one_server() {
-    let mut play = Play::new(1, false);
+    let mut play = ClusterHarness::new(1, false);
     assert_eq!(
-        play.world.connect(0.0, "a", "other", "x").unwrap_err(),
+        play.cluster.connect(0.0, "a", "other", "x").unwrap_err(),
         "ERROR WRONGNODE a\r\n"
     );
     assert_eq!(
-        play.world.connect(0.0, "a", "db", "x b").unwrap_err(),
+        play.cluster.connect(0.0, "a", "db", "x b").unwrap_err(),
         "ERROR WRONGNODE a\r\n"
     );
     let conns: Vec<_> = (0..4).map(|_| play.open("a")).collect();
     assert_eq!(
-        play.world.connect(play.now, "a", "db", "x").unwrap_err(),
+        play.cluster.connect(play.now, "a", "db", "x").unwrap_err(),
         "ERROR CONNLIMIT a\r\n"
     );
-    play.world.ask(play.now, conns[0], b"BYE");
-    assert_eq!(play.pass(0.0), [Out::Close(conns[0])]);
+    play.cluster.ask(play.now, conns[0], b"BYE");
+    assert_eq!(play.pass(0.0), [ConnectionOutput::Close(conns[0])]);
     play.open("a");
 }
 
 #[test]
 fn slots_are_shared_by_all() {
-    let mut play = Play::new(0, false);
+    let mut play = ClusterHarness::new(0, false);
     let conns: Vec<_> = (0..4).map(|_| play.open("a")).collect();
     for (n, conn) in conns.iter().enumerate() {
         play.say(*conn, &format!("i{n}"), "FETCH x");
--- a/crates/testing/testbed/src/up.rs
+++ b/crates/testing/testbed/src/up.rs
@@ -1,10 +1,10 @@
 //! The quick start: a whole system on loopback, in one folder.
 
-use crate::children::Children;
-use crate::plan::{METRICS_PORT, Plan};
-use crate::serve::Stage;
-use crate::world::{Timing, World};
-use crate::{call, desk, operator};
+use crate::child_processes::ChildProcesses;
+use crate::cluster_host::ClusterHost;
+use crate::database_cluster::{DatabaseCluster, Timing};
+use crate::deployment::{Deployment, METRICS_PORT};
+use crate::{admin_api, http_client, operator};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
@@ -20,20 +20,20 @@
 
 /// Starts a deployment and keeps it up until SIGINT or SIGTERM; an error tells why it can't go on. Whatever happens, no
 /// process that it started is left.
-pub fn run(plan: &Plan, folder: &Path, program: &Path) -> Result<(), String> {
+pub fn run(deployment: &Deployment, folder: &Path, program: &Path) -> Result<(), String> {
     let tasks = Rc::new(LocalExecutor::new());
-    future::block_on(start(&tasks, plan, folder, program))
+    future::block_on(start(&tasks, deployment, folder, program))
 }
 
 async fn start(
     tasks: &Rc<LocalExecutor<'static>>,
-    plan: &Plan,
+    deployment: &Deployment,
     folder: &Path,
     program: &Path,
 ) -> Result<(), String> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])
         .map_err(|e| format!("signals can't be heard: {e}"))?;
-    let mut children = Children::default();
+    let mut child_processes = ChildProcesses::default();
     let asked = async {
         signals.next().await;
         Ok(())
@@ -41,10 +41,10 @@
     let ended = tasks
         .run(future::or(
             asked,
-            keep(tasks, plan, folder, program, &mut children),
+            keep(tasks, deployment, folder, program, &mut child_processes),
         ))
         .await;
-    for (name, status) in children.end() {
+    for (name, status) in child_processes.end() {
         if !status.success() {
             println!(
                 "{name} ended with {status}; its log is {}",
@@ -61,15 +61,15 @@
 
 async fn keep(
     tasks: &Rc<LocalExecutor<'static>>,
-    plan: &Plan,
+    deployment: &Deployment,
     folder: &Path,
     program: &Path,
-    children: &mut Children,
+    child_processes: &mut ChildProcesses,
 ) -> Result<(), String> {
     if !program.is_file() {
         return Err(format!("{} isn't there: is it built?", program.display()));
     }
-    let stage = stage(tasks, plan)
+    let cluster_host = cluster_host(tasks, deployment)
         .map_err(|e| format!("{e} (is another one up? --net gives other addresses)"))?;
     let wrong = |e: std::io::Error| format!("{}: {e}", folder.display());
     if folder.join("control-1").exists() {
@@ -79,17 +79,17 @@
             folder.display()
         ));
     }
-    for (name, file) in plan.write(folder, true).map_err(wrong)? {
+    for (name, file) in deployment.write(folder, true).map_err(wrong)? {
         let settings = file.display().to_string();
         let metrics = METRICS_PORT.to_string();
         let arguments = ["serve", "--settings", &settings, "--metrics", &metrics];
-        children
+        child_processes
             .start(&name, program, &arguments, &log_file(folder, &name))
             .map_err(|e| format!("{}: {e}", program.display()))?;
     }
     let watch = async {
         loop {
-            if let Some((name, status)) = children.ended() {
+            if let Some((name, status)) = child_processes.ended() {
                 return Err(format!(
                     "{name} ended with {status}; its log is {}",
                     log_file(folder, &name).display()
@@ -106,40 +106,49 @@
                 folder.display()
             ))
         };
-        future::or(late, ready(plan)).await?;
-        greet(plan, folder);
-        let _stage = stage;
+        future::or(late, ready(deployment)).await?;
+        greet(deployment, folder);
+        let _stage = cluster_host;
         future::pending::<Result<(), String>>().await
     };
     future::or(watch, work).await
 }
 
 /// Starts the databases, the platform and the desk of this deployment.
-pub fn stage(tasks: &Rc<LocalExecutor<'static>>, plan: &Plan) -> Result<Rc<Stage>, String> {
-    let world = World::new(
-        plan.services(),
+pub fn cluster_host(
+    tasks: &Rc<LocalExecutor<'static>>,
+    deployment: &Deployment,
+) -> Result<Rc<ClusterHost>, String> {
+    let cluster = DatabaseCluster::new(
+        deployment.services(),
         Timing::default(),
         true,
         u64::from(std::process::id()),
     );
     clock::now();
-    let stage = Stage::start(
+    let cluster_host = ClusterHost::start(
         tasks,
-        world,
-        plan.controls(),
-        plan.heartbeat_ms as f64 / 1000.0,
+        cluster,
+        deployment.controls(),
+        deployment.heartbeat_ms as f64 / 1000.0,
         7.0,
     )?;
-    desk::open(tasks, &stage, plan.platform(), plan.desk(), 50)?;
-    Ok(stage)
+    admin_api::open(
+        tasks,
+        &cluster_host,
+        deployment.platform(),
+        deployment.admin_api(),
+        50,
+    )?;
+    Ok(cluster_host)
 }
 
 /// Sends the first configuration, and waits until all routers are ready.
-pub async fn ready(plan: &Plan) -> Result<(), String> {
-    operator::replace(&plan.controls(), 0, &plan.configuration(1)).await?;
+pub async fn ready(deployment: &Deployment) -> Result<(), String> {
+    operator::replace(&deployment.controls(), 0, &deployment.configuration(1)).await?;
     log::info!("event=configuration_taken epoch=1");
-    for router in plan.readiness() {
-        while !call::once(router, 1.0, "GET", "/api/readiness", &[], b"")
+    for router in deployment.readiness() {
+        while !http_client::send(router, 1.0, "GET", "/api/readiness", &[], b"")
             .await
             .is_ok_and(|a| a.status == 200)
         {
@@ -150,9 +159,13 @@
     Ok(())
 }
 
-fn greet(plan: &Plan, folder: &Path) {
-    let fronts: Vec<String> = plan.fronts().iter().map(ToString::to_string).collect();
-    println!("ready: {}", plan.databases().join(" "));
+fn greet(deployment: &Deployment, folder: &Path) {
+    let fronts: Vec<String> = deployment
+        .fronts()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
+    println!("ready: {}", deployment.databases().join(" "));
     println!("clients connect to {}", fronts.join(" or "));
     println!(
         "    badgerstream-testbed ask {} fresh1 'PUT a 1' 'FETCH a'",
@@ -160,9 +173,9 @@
     );
     println!(
         "the databases:   badgerstream-testbed tell {} servers    (also ledger, crash ID, start ID, drain ID)",
-        plan.desk()
+        deployment.admin_api()
     );
-    let asked = SocketAddr::new(plan.fronts()[0].ip(), METRICS_PORT);
+    let asked = SocketAddr::new(deployment.fronts()[0].ip(), METRICS_PORT);
     println!("the figures:     http://{asked}/metrics    (of each machine at its own address)");
     println!("the logs:        {}", folder.display());
     println!("Ctrl-C ends all of it");
--- a/crates/testing/testbed/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -7,12 +7,12 @@
 use badgerstream_control_api::status::Status;
 use badgerstream_http_codec::encode_request;
 use badgerstream_pooler::clock;
-use badgerstream_testbed::call;
-use badgerstream_testbed::children::Children;
-use badgerstream_testbed::history::{History, Order, Outcome, Version};
+use badgerstream_testbed::child_processes::ChildProcesses;
+use badgerstream_testbed::deployment::{CONTROLS, Deployment, LoopbackNet};
+use badgerstream_testbed::fault_relay::{Direction, Fault, Relay};
+use badgerstream_testbed::history::{ConfigRequest, History, Outcome, Version};
+use badgerstream_testbed::http_client;
 use badgerstream_testbed::operator::Operator;
-use badgerstream_testbed::plan::{CONTROLS, Net, Plan};
-use badgerstream_testbed::relay::{Fault, Relay, Way};
 use futures_lite::future;
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
@@ -32,10 +32,10 @@
 const CUT_S: f64 = 20.0;
 
 /// Three control machines as processes, with a relay on each link between them and before each for operators.
-struct Rig {
+struct TestSystem {
     tasks: Rc<LocalExecutor<'static>>,
-    plan: Plan,
-    children: RefCell<Children>,
+    deployment: Deployment,
+    child_processes: RefCell<ChildProcesses>,
     /// By who calls and who is called.
     peers: Vec<Vec<Option<Rc<Relay>>>>,
     /// Before each control machine.
@@ -48,42 +48,42 @@
     done: Rc<Cell<bool>>,
 }
 
-impl Rig {
-    fn start(tasks: &Rc<LocalExecutor<'static>>, number: u32) -> Rig {
+impl TestSystem {
+    fn start(tasks: &Rc<LocalExecutor<'static>>, number: u32) -> TestSystem {
         clock::now();
         let mark = std::process::id() * 8 + number;
-        let net = Net([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
-        let mut plan = Plan::new(net, 1, 1).unwrap();
-        plan.peers_relayed = true;
+        let net = LoopbackNet([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
+        let mut deployment = Deployment::new(net, 1, 1).unwrap();
+        deployment.peers_relayed = true;
         let folder = std::env::temp_dir().join(format!(
             "badgerstream-testbed-orders-{}-{number}",
             std::process::id()
         ));
         let relay = |at: SocketAddr, to: SocketAddr| Relay::start(tasks, at, to).unwrap();
         let peer = |from: usize, to: usize| {
-            (from != to).then(|| relay(plan.peer_door(from, to), plan.peer(to)))
+            (from != to).then(|| relay(deployment.peer_door(from, to), deployment.peer(to)))
         };
         let peers = (0..CONTROLS)
             .map(|from| (0..CONTROLS).map(|to| peer(from, to)).collect())
             .collect();
         let doors = (0..CONTROLS)
-            .map(|n| relay(plan.operator_door(n), plan.controls()[n]))
+            .map(|n| relay(deployment.operator_door(n), deployment.controls()[n]))
             .collect();
-        let mut children = Children::default();
-        for (name, file) in plan
+        let mut child_processes = ChildProcesses::default();
+        for (name, file) in deployment
             .write(&folder, true)
             .unwrap()
             .into_iter()
             .take(CONTROLS)
         {
-            start_node(&mut children, &name, &file, &folder);
+            start_node(&mut child_processes, &name, &file, &folder);
         }
         let (history, texts, done) = Default::default();
         let tasks = tasks.clone();
-        Rig {
+        TestSystem {
             tasks,
-            plan,
-            children: RefCell::new(children),
+            deployment,
+            child_processes: RefCell::new(child_processes),
             peers,
             doors,
             folder,
@@ -94,7 +94,9 @@
     }
 
     fn operator_doors(&self) -> Vec<SocketAddr> {
-        (0..CONTROLS).map(|n| self.plan.operator_door(n)).collect()
+        (0..CONTROLS)
+            .map(|n| self.deployment.operator_door(n))
+            .collect()
     }
 
     /// Lays a fault on the links from a control machine to the others, or on those from the others to it. Messages travel on
@@ -109,7 +111,7 @@
             self.peers[from][to]
                 .as_ref()
                 .unwrap()
-                .set(Way::Requests, fault);
+                .set(Direction::Requests, fault);
         }
     }
 
@@ -117,8 +119,8 @@
     async fn leader(&self) -> usize {
         let until = clock::now() + PATIENCE_S;
         loop {
-            for (n, at) in self.plan.controls().into_iter().enumerate() {
-                let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
+            for (n, at) in self.deployment.controls().into_iter().enumerate() {
+                let asked = http_client::send(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
                 let status = asked
                     .ok()
                     .and_then(|answer| Status::parse(&answer.body).ok());
@@ -136,7 +138,7 @@
         self.texts.set(self.texts.get() + 1);
         let idle = format!("\"idle_timeout_ms\":{}", 15_000 + self.texts.get());
         let body = self
-            .plan
+            .deployment
             .configuration(epoch)
             .replace("\"idle_timeout_ms\":15000", &idle);
         Version { epoch, body }
@@ -147,7 +149,10 @@
         let order = operator
             .order(base, version, clock::now() + PATIENCE_S)
             .await;
-        let outcome = order.tries.last().map_or(Outcome::Unclear, |t| t.outcome);
+        let outcome = order
+            .attempts
+            .last()
+            .map_or(Outcome::Unknown, |t| t.outcome);
         self.history.borrow_mut().orders.push(order);
         outcome
     }
@@ -194,15 +199,15 @@
     /// How many orders were acknowledged in this time.
     fn acknowledged(&self, from: f64, to: f64) -> usize {
         let history = self.history.borrow();
-        let tries = history.orders.iter().flat_map(|order| &order.tries);
+        let attempts = history.orders.iter().flat_map(|order| &order.attempts);
         let within = |ended: f64| (from..to).contains(&ended);
-        tries
+        attempts
             .filter(|t| t.outcome == Outcome::Acknowledged && within(t.ended))
             .count()
     }
 
     /// All machines say the same in the end, and one order of versions explains all that was said.
-    async fn judge(&self) {
+    async fn linearize(&self) {
         let reader = Operator::new(&self.operator_doors(), 0);
         let mut newest = Vec::new();
         for _ in 0..CONTROLS {
@@ -213,7 +218,7 @@
             history
                 .orders
                 .iter()
-                .flat_map(|o| &o.tries)
+                .flat_map(|o| &o.attempts)
                 .filter(|t| outcome(&t.outcome))
                 .count()
         };
@@ -221,11 +226,11 @@
             "orders={} acknowledged={} refused={} unclear={} reads={}",
             history.orders.len(),
             count(|o| *o == Outcome::Acknowledged),
-            count(|o| matches!(o, Outcome::Refused(_))),
-            count(|o| *o == Outcome::Unclear),
+            count(|o| matches!(o, Outcome::Rejected(_))),
+            count(|o| *o == Outcome::Unknown),
             history.reads.len()
         );
-        match history.judge() {
+        match history.linearize() {
             Ok(chain) => assert!(
                 newest.iter().all(|n| Some(n) == chain.last()),
                 "{newest:?} {chain:?}"
@@ -235,9 +240,9 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for TestSystem {
     fn drop(&mut self) {
-        let ended = self.children.borrow_mut().end();
+        let ended = self.child_processes.borrow_mut().end();
         if std::thread::panicking() {
             eprintln!("the logs are in {}: {ended:?}", self.folder.display());
         } else {
@@ -246,11 +251,11 @@
     }
 }
 
-fn start_node(children: &mut Children, name: &str, file: &Path, folder: &Path) {
+fn start_node(child_processes: &mut ChildProcesses, name: &str, file: &Path, folder: &Path) {
     let program = Path::new(env!("CARGO_BIN_EXE_badgerstream-testbed"));
     let settings = file.display().to_string();
     let log = folder.join(format!("{name}.log"));
-    children
+    child_processes
         .start(name, program, &["serve", "--settings", &settings], &log)
         .unwrap();
 }
@@ -260,39 +265,40 @@
 }
 
 /// Plays a test on a system that has taken its first configuration, and judges what was answered.
-fn play(number: u32, test: impl AsyncFnOnce(&Rig)) {
+fn play(number: u32, test: impl AsyncFnOnce(&TestSystem)) {
     let tasks = Rc::new(LocalExecutor::new());
-    let rig = Rig::start(&tasks, number);
+    let system = TestSystem::start(&tasks, number);
     let all = async {
-        let first = Operator::new(&rig.operator_doors(), 0);
+        let first = Operator::new(&system.operator_doors(), 0);
         assert_eq!(
-            rig.order(&first, 0, rig.version(1)).await,
+            system.order(&first, 0, system.version(1)).await,
             Outcome::Acknowledged
         );
-        test(&rig).await;
-        rig.judge().await;
+        test(&system).await;
+        system.linearize().await;
     };
     let late = async {
         pause(LIMIT_S).await;
         panic!("not done within {LIMIT_S} s");
     };
-    async_io::block_on(rig.tasks.run(future::or(all, late)));
+    async_io::block_on(system.tasks.run(future::or(all, late)));
 }
 
 #[test]
 fn the_leader_is_heard_by_nobody_for_twenty_seconds() {
-    play(0, async |rig| {
-        let leader = rig.leader().await;
+    play(0, async |system| {
+        let leader = system.leader().await;
         let cut = Cell::new(0.0);
-        rig.under_way(async {
-            pause(1.0).await;
-            rig.cut(leader, true, Some(Fault::Drop));
-            cut.set(clock::now());
-            pause(CUT_S).await;
-            rig.cut(leader, true, None);
-        })
-        .await;
-        let orders = rig.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
+        system
+            .under_way(async {
+                pause(1.0).await;
+                system.cut(leader, true, Some(Fault::Drop));
+                cut.set(clock::now());
+                pause(CUT_S).await;
+                system.cut(leader, true, None);
+            })
+            .await;
+        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
         assert!(
             orders >= ORDERS,
             "{orders} orders were acknowledged while the link was cut"
@@ -302,20 +308,21 @@
 
 #[test]
 fn the_leader_hears_nobody_and_answers_no_operator_for_twenty_seconds() {
-    play(1, async |rig| {
-        let leader = rig.leader().await;
+    play(1, async |system| {
+        let leader = system.leader().await;
         let cut = Cell::new(0.0);
-        rig.under_way(async {
-            pause(1.0).await;
-            rig.cut(leader, false, Some(Fault::Drop));
-            rig.doors[leader].set(Way::Answers, Some(Fault::Drop));
-            cut.set(clock::now());
-            pause(CUT_S).await;
-            rig.cut(leader, false, None);
-            rig.doors[leader].set(Way::Answers, None);
-        })
-        .await;
-        let orders = rig.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
+        system
+            .under_way(async {
+                pause(1.0).await;
+                system.cut(leader, false, Some(Fault::Drop));
+                system.doors[leader].set(Direction::Responses, Some(Fault::Drop));
+                cut.set(clock::now());
+                pause(CUT_S).await;
+                system.cut(leader, false, None);
+                system.doors[leader].set(Direction::Responses, None);
+            })
+            .await;
+        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
         assert!(
             orders >= ORDERS,
             "{orders} orders were acknowledged while the links were cut"
@@ -327,26 +334,27 @@
 /// doesn't know of.
 #[test]
 fn a_leader_that_is_cut_off_serves_nothing_old() {
-    play(5, async |rig| {
-        rig.under_way(async {
-            for _ in 0..4 {
-                let leader = rig.leader().await;
-                for outgoing in [true, false] {
-                    rig.cut(leader, outgoing, Some(Fault::Drop));
+    play(5, async |system| {
+        system
+            .under_way(async {
+                for _ in 0..4 {
+                    let leader = system.leader().await;
+                    for outgoing in [true, false] {
+                        system.cut(leader, outgoing, Some(Fault::Drop));
+                    }
+                    pause(2.5).await;
+                    for outgoing in [true, false] {
+                        system.cut(leader, outgoing, None);
+                    }
+                    pause(0.5).await;
                 }
-                pause(2.5).await;
-                for outgoing in [true, false] {
-                    rig.cut(leader, outgoing, None);
-                }
-                pause(0.5).await;
-            }
-        })
-        .await;
+            })
+            .await;
     });
 }
 
 /// The bytes of an order at this address.
-fn bytes_of(at: SocketAddr, order: &Order) -> usize {
+fn bytes_of(at: SocketAddr, order: &ConfigRequest) -> usize {
     let base = order.base.to_string();
     let headers = [(BASE_VERSION_HEADER, base.as_str())];
     let body = order.version.body.as_bytes();
@@ -362,43 +370,45 @@
 
 #[test]
 fn an_order_whose_connection_is_reset_at_any_stage_has_one_outcome() {
-    play(2, async |rig| {
+    play(2, async |system| {
         for node in 0..CONTROLS {
             for stage in 0..4 {
-                let at = rig.plan.operator_door(node);
-                let operator = Operator::new(&rig.operator_doors(), node + 1);
-                let base = rig.read(&operator).await;
-                let mut order = Order {
+                let at = system.deployment.operator_door(node);
+                let operator = Operator::new(&system.operator_doors(), node + 1);
+                let base = system.read(&operator).await;
+                let mut order = ConfigRequest {
                     base,
-                    version: rig.version(base + 2),
-                    tries: Vec::new(),
+                    version: system.version(base + 2),
+                    attempts: Vec::new(),
                 };
                 let whole = bytes_of(at, &order);
                 let (way, passes) = match stage {
-                    0 => (Way::Requests, 0),
-                    1 => (Way::Requests, whole / 2),
-                    2 => (Way::Requests, whole),
-                    _ => (Way::Answers, 0),
+                    0 => (Direction::Requests, 0),
+                    1 => (Direction::Requests, whole / 2),
+                    2 => (Direction::Requests, whole),
+                    _ => (Direction::Responses, 0),
                 };
-                let door = &rig.doors[node];
+                let door = &system.doors[node];
                 let resets = door.resets();
                 door.set(way, Some(Fault::ResetAfter(passes)));
-                let first = operator.try_order(at, &order).await;
+                let first = operator.send_once(at, &order).await;
                 door.set(way, None);
-                assert_eq!(first.outcome, Outcome::Unclear, "stage {stage}");
+                assert_eq!(first.outcome, Outcome::Unknown, "stage {stage}");
                 assert_eq!(door.resets(), resets + 1, "stage {stage}");
-                order.tries.push(first);
+                order.attempts.push(first);
                 // The same again, at the other machines: it is taken now, or was before.
                 let again = operator
                     .order(base, order.version.clone(), clock::now() + PATIENCE_S)
                     .await;
-                order.tries.extend(again.tries);
-                let ended = order.tries.last().map(|t| t.outcome);
-                rig.history.borrow_mut().orders.push(order);
+                order.attempts.extend(again.attempts);
+                let ended = order.attempts.last().map(|t| t.outcome);
+                system.history.borrow_mut().orders.push(order);
                 assert_eq!(ended, Some(Outcome::Acknowledged), "stage {stage}");
                 // Another one on that base comes too late.
-                let late = rig.order(&operator, base, rig.version(base + 3)).await;
-                assert_eq!(late, Outcome::Refused(412), "stage {stage}");
+                let late = system
+                    .order(&operator, base, system.version(base + 3))
+                    .await;
+                assert_eq!(late, Outcome::Rejected(412), "stage {stage}");
             }
         }
     });
@@ -406,34 +416,35 @@
 
 #[test]
 fn answers_that_come_late_by_seconds_reach_nobody_else() {
-    play(3, async |rig| {
-        let leader = rig.leader().await;
-        rig.under_way(async {
-            pause(0.5).await;
-            // An operator waits for a second.
-            rig.doors[leader].set(
-                Way::Answers,
-                Some(Fault::Delay(Duration::from_millis(2500))),
-            );
-            pause(3.0).await;
-            rig.doors[leader].set(Way::Answers, None);
-            let other = (leader + 1) % CONTROLS;
-            for (from, to) in [(leader, other), (other, leader)] {
-                let link = rig.peers[from][to].as_ref().unwrap();
-                link.set(
-                    Way::Requests,
-                    Some(Fault::Delay(Duration::from_millis(1500))),
+    play(3, async |system| {
+        let leader = system.leader().await;
+        system
+            .under_way(async {
+                pause(0.5).await;
+                // An operator waits for a second.
+                system.doors[leader].set(
+                    Direction::Responses,
+                    Some(Fault::Delay(Duration::from_millis(2500))),
                 );
-            }
-            pause(4.0).await;
-            for (from, to) in [(leader, other), (other, leader)] {
-                rig.peers[from][to]
-                    .as_ref()
-                    .unwrap()
-                    .set(Way::Requests, None);
-            }
-        })
-        .await;
+                pause(3.0).await;
+                system.doors[leader].set(Direction::Responses, None);
+                let other = (leader + 1) % CONTROLS;
+                for (from, to) in [(leader, other), (other, leader)] {
+                    let link = system.peers[from][to].as_ref().unwrap();
+                    link.set(
+                        Direction::Requests,
+                        Some(Fault::Delay(Duration::from_millis(1500))),
+                    );
+                }
+                pause(4.0).await;
+                for (from, to) in [(leader, other), (other, leader)] {
+                    system.peers[from][to]
+                        .as_ref()
+                        .unwrap()
+                        .set(Direction::Requests, None);
+                }
+            })
+            .await;
     });
 }
 
@@ -441,40 +452,44 @@
 /// machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_between_reading_and_answering() {
-    play(4, async |rig| {
+    play(4, async |system| {
         for _ in 0..2 {
-            let leader = rig.leader().await;
+            let leader = system.leader().await;
             let name = format!("control-{}", leader + 1);
-            let at = rig.plan.operator_door(leader);
-            let operator = Operator::new(&rig.operator_doors(), leader + 1);
-            let base = rig.read(&operator).await;
-            let mut order = Order {
+            let at = system.deployment.operator_door(leader);
+            let operator = Operator::new(&system.operator_doors(), leader + 1);
+            let base = system.read(&operator).await;
+            let mut order = ConfigRequest {
                 base,
-                version: rig.version(base + 2),
-                tries: Vec::new(),
+                version: system.version(base + 2),
+                attempts: Vec::new(),
             };
-            rig.cut(leader, true, Some(Fault::Drop));
-            let sent = operator.try_order(at, &order);
+            system.cut(leader, true, Some(Fault::Drop));
+            let sent = operator.send_once(at, &order);
             let stopped = async {
                 pause(0.25).await;
-                rig.children.borrow().signal(&name, Signal::STOP);
-                rig.cut(leader, true, None);
+                system.child_processes.borrow().signal(&name, Signal::STOP);
+                system.cut(leader, true, None);
             };
             let (first, ()) = future::zip(sent, stopped).await;
-            order.tries.push(first);
+            order.attempts.push(first);
             // Another one on the same base, while the first may be under way, and more on top of whichever won.
-            rig.order(&operator, base, rig.version(base + 3)).await;
-            let newest = rig.read(&operator).await;
-            rig.order(&operator, newest, rig.version(newest + 5)).await;
-            rig.children.borrow().signal(&name, Signal::CONT);
+            system
+                .order(&operator, base, system.version(base + 3))
+                .await;
+            let newest = system.read(&operator).await;
+            system
+                .order(&operator, newest, system.version(newest + 5))
+                .await;
+            system.child_processes.borrow().signal(&name, Signal::CONT);
             // What it read before it was stopped is answered, if at all, by what is in force now.
             let again = operator
                 .order(base, order.version.clone(), clock::now() + PATIENCE_S)
                 .await;
-            order.tries.extend(again.tries);
-            rig.history.borrow_mut().orders.push(order);
+            order.attempts.extend(again.attempts);
+            system.history.borrow_mut().orders.push(order);
             let direct = Operator::new(&[at], 0);
-            rig.read(&direct).await;
+            system.read(&direct).await;
         }
     });
 }
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -7,13 +7,13 @@
 use badgerstream_line_protocol::{ErrorCode, ExecutionOutcome};
 use badgerstream_pooler::clock;
 use badgerstream_pooler::notify::Notify;
-use badgerstream_testbed::children::Children;
+use badgerstream_testbed::child_processes::ChildProcesses;
 use badgerstream_testbed::client::Client;
-use badgerstream_testbed::plan::{METRICS_PORT, Net, Plan};
-use badgerstream_testbed::relay::{Fault, Relay, Way};
-use badgerstream_testbed::serve::Stage;
-use badgerstream_testbed::world::ServerSpec;
-use badgerstream_testbed::{call, up};
+use badgerstream_testbed::cluster_host::ClusterHost;
+use badgerstream_testbed::database_cluster::ServerSpec;
+use badgerstream_testbed::deployment::{Deployment, LoopbackNet, METRICS_PORT};
+use badgerstream_testbed::fault_relay::{Direction, Fault, Relay};
+use badgerstream_testbed::{http_client, up};
 use futures_lite::future;
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
@@ -35,15 +35,15 @@
 const WRITERS: usize = 6;
 
 /// A system under test.
-struct Rig {
+struct TestSystem {
     tasks: Rc<LocalExecutor<'static>>,
-    plan: Plan,
-    stage: Rc<Stage>,
+    deployment: Deployment,
+    cluster_host: Rc<ClusterHost>,
     /// Before the platform.
     platform: Rc<Relay>,
     /// Before each database, by its id.
     databases: Vec<(String, Rc<Relay>)>,
-    children: RefCell<Children>,
+    child_processes: RefCell<ChildProcesses>,
     folder: PathBuf,
 }
 
@@ -63,20 +63,21 @@
     gap: Cell<f64>,
     stale: RefCell<Vec<String>>,
     /// Writes whose connection ended without an answer.
-    unanswered: RefCell<Vec<String>>,
+    unacknowledged: RefCell<Vec<String>>,
     done: Cell<bool>,
     changed: Notify,
 }
 
-impl Rig {
+impl TestSystem {
     /// Addresses of this test alone, so that several may run at a time beside a quick start.
     fn start(tasks: &Rc<LocalExecutor<'static>>, number: u32) -> Self {
         let mark = std::process::id() * 2 + number;
-        let net = Net([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
-        let mut plan = Plan::new(net, 1, 2).unwrap();
-        (plan.platform_relayed, plan.databases_relayed) = (true, true);
-        let platform = Relay::start(tasks, plan.platform_door(), plan.platform()).unwrap();
-        let servers = plan
+        let net = LoopbackNet([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
+        let mut deployment = Deployment::new(net, 1, 2).unwrap();
+        (deployment.platform_relayed, deployment.databases_relayed) = (true, true);
+        let platform =
+            Relay::start(tasks, deployment.platform_door(), deployment.platform()).unwrap();
+        let servers = deployment
             .services()
             .into_iter()
             .flat_map(|service| service.servers);
@@ -91,33 +92,33 @@
             "badgerstream-testbed-system-{}-{number}",
             std::process::id()
         ));
-        let stage = up::stage(tasks, &plan).unwrap();
-        let mut children = Children::default();
-        for (name, file) in plan.write(&folder, true).unwrap() {
-            start_node(&mut children, &name, &file, &folder);
+        let cluster_host = up::cluster_host(tasks, &deployment).unwrap();
+        let mut child_processes = ChildProcesses::default();
+        for (name, file) in deployment.write(&folder, true).unwrap() {
+            start_node(&mut child_processes, &name, &file, &folder);
         }
-        let (tasks, children) = (tasks.clone(), RefCell::new(children));
+        let (tasks, child_processes) = (tasks.clone(), RefCell::new(child_processes));
         Self {
             tasks,
-            plan,
-            stage,
+            deployment,
+            cluster_host,
             platform,
             databases,
-            children,
+            child_processes,
             folder,
         }
     }
 
     fn client(&self, n: usize, seen: &Rc<Seen>) {
-        let front = self.plan.fronts()[n % 2];
+        let front = self.deployment.fronts()[n % 2];
         self.tasks.spawn(write(n, front, seen.clone())).detach();
         self.tasks.spawn(read(n, front, seen.clone())).detach();
     }
 }
 
-impl Drop for Rig {
+impl Drop for TestSystem {
     fn drop(&mut self) {
-        let ended = self.children.borrow_mut().end();
+        let ended = self.child_processes.borrow_mut().end();
         if std::thread::panicking() {
             eprintln!("the logs are in {}: {ended:?}", self.folder.display());
         } else {
@@ -126,12 +127,12 @@
     }
 }
 
-fn start_node(children: &mut Children, name: &str, file: &Path, folder: &Path) {
+fn start_node(child_processes: &mut ChildProcesses, name: &str, file: &Path, folder: &Path) {
     let program = Path::new(env!("CARGO_BIN_EXE_badgerstream-testbed"));
     let settings = file.display().to_string();
     let metrics = METRICS_PORT.to_string();
     let arguments = ["serve", "--settings", &settings, "--metrics", &metrics];
-    children
+    child_processes
         .start(
             name,
             program,
@@ -163,7 +164,7 @@
             Ok(Some(code)) if is_promise(code) => seen.refused.set(seen.refused.get() + 1),
             unclear => {
                 if unclear.is_err() {
-                    seen.unanswered.borrow_mut().push(id);
+                    seen.unacknowledged.borrow_mut().push(id);
                 }
                 seen.unclear.set(seen.unclear.get() + 1);
                 client = None;
@@ -253,12 +254,12 @@
     }
 
     /// Ends all clients, and compares what was acknowledged with what the primary holds.
-    fn settle(&self, rig: &Rig) {
+    fn settle(&self, system: &TestSystem) {
         self.done.set(true);
-        let world = rig.stage.world.borrow();
-        let primary = world.primary("db1").expect("somebody leads");
+        let cluster = system.cluster_host.cluster.borrow();
+        let primary = cluster.primary("db1").expect("somebody leads");
         for n in 0..WRITERS {
-            let held: u64 = world
+            let held: u64 = cluster
                 .read(primary, &format!("t{n}"))
                 .map_or(0, |v| v.parse().unwrap());
             let (acknowledged, sent) = (self.acknowledged[n].get(), self.sent[n].get());
@@ -267,26 +268,31 @@
                 "t{n}: {held} held, {acknowledged} acknowledged, {sent} sent"
             );
         }
-        assert_eq!(world.ledger.broken(), 0, "{}", world.ledger.line());
+        assert_eq!(
+            cluster.rule_checker.broken(),
+            0,
+            "{}",
+            cluster.rule_checker.line()
+        );
         assert_eq!(*self.stale.borrow(), Vec::<String>::new());
-        println!("{} {}", self.line(), world.ledger.line());
+        println!("{} {}", self.line(), cluster.rule_checker.line());
     }
 }
 
-fn play(number: u32, test: impl AsyncFnOnce(&Rig, &Rc<Seen>)) {
+fn play(number: u32, test: impl AsyncFnOnce(&TestSystem, &Rc<Seen>)) {
     play_within(LIMIT, number, test);
 }
 
-fn play_within(limit: f64, number: u32, test: impl AsyncFnOnce(&Rig, &Rc<Seen>)) {
+fn play_within(limit: f64, number: u32, test: impl AsyncFnOnce(&TestSystem, &Rc<Seen>)) {
     let tasks = Rc::new(LocalExecutor::new());
-    let rig = Rig::start(&tasks, number);
+    let system = TestSystem::start(&tasks, number);
     let seen = Rc::<Seen>::default();
     let all = async {
-        up::ready(&rig.plan).await.unwrap();
+        up::ready(&system.deployment).await.unwrap();
         seen.last.set(clock::now());
-        (0..WRITERS).for_each(|n| rig.client(n, &seen));
-        test(&rig, &seen).await;
-        seen.settle(&rig);
+        (0..WRITERS).for_each(|n| system.client(n, &seen));
+        test(&system, &seen).await;
+        seen.settle(&system);
     };
     let late = async {
         Timer::after(Duration::from_secs_f64(limit)).await;
@@ -297,28 +303,35 @@
 
 #[test]
 fn the_primary_is_killed_and_writes_go_on() {
-    play(0, async |rig, seen| {
+    play(0, async |system, seen| {
         seen.until(10.0, "300 writes", |s| s.writes.get() >= 300)
             .await;
-        let before = rig.stage.world.borrow().primary("db1").unwrap().to_owned();
-        rig.stage.crash(&before);
+        let before = system
+            .cluster_host
+            .cluster
+            .borrow()
+            .primary("db1")
+            .unwrap()
+            .to_owned();
+        system.cluster_host.crash(&before);
         let count = seen.writes.get();
         // A few may have been answered just before.
         let more = count + WRITERS as u64 + 1;
         seen.until(6.0, "a write after the kill", |s| s.writes.get() > more)
             .await;
         assert_ne!(
-            rig.stage.world.borrow().primary("db1"),
+            system.cluster_host.cluster.borrow().primary("db1"),
             Some(before.as_str())
         );
         // It comes back as a replica.
-        rig.stage.revive(&before).unwrap();
+        system.cluster_host.revive(&before).unwrap();
         let more = seen.writes.get() + 300;
         seen.until(10.0, "300 more writes", |s| s.writes.get() >= more)
             .await;
         assert!(
-            rig.stage
-                .world
+            system
+                .cluster_host
+                .cluster
                 .borrow()
                 .status(&before)
                 .unwrap()
@@ -329,18 +342,25 @@
 
 #[test]
 fn a_planned_change_and_the_loss_of_a_control_machine() {
-    play(1, async |rig, seen| {
+    play(1, async |system, seen| {
         seen.until(10.0, "200 writes", |s| s.writes.get() >= 200)
             .await;
-        rig.children.borrow_mut().kill("control-1");
+        system.child_processes.borrow_mut().kill("control-1");
         let more = seen.writes.get() + 200;
         seen.until(10.0, "writes after the loss", |s| s.writes.get() >= more)
             .await;
-        let before = rig.stage.world.borrow().primary("db1").unwrap().to_owned();
-        rig.stage.retire(&before);
+        let before = system
+            .cluster_host
+            .cluster
+            .borrow()
+            .primary("db1")
+            .unwrap()
+            .to_owned();
+        system.cluster_host.retire(&before);
         seen.until(8.0, "another leads", |_| {
-            rig.stage
-                .world
+            system
+                .cluster_host
+                .cluster
                 .borrow()
                 .primary("db1")
                 .is_some_and(|now| now != before)
@@ -352,10 +372,10 @@
     });
 }
 
-impl Rig {
+impl TestSystem {
     fn primary(&self) -> String {
-        self.stage
-            .world
+        self.cluster_host
+            .cluster
             .borrow()
             .primary("db1")
             .expect("somebody leads")
@@ -371,8 +391,8 @@
     /// The term of the primary.
     fn term(&self) -> u64 {
         let status = self
-            .stage
-            .world
+            .cluster_host
+            .cluster
             .borrow()
             .status(&self.primary())
             .expect("the primary runs");
@@ -386,8 +406,8 @@
     /// The name of the control machine that leads.
     async fn leader(&self) -> String {
         loop {
-            for (n, at) in self.plan.controls().into_iter().enumerate() {
-                let asked = call::once(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
+            for (n, at) in self.deployment.controls().into_iter().enumerate() {
+                let asked = http_client::send(at, 0.5, "GET", "/api/System.Status", &[], b"").await;
                 if asked
                     .ok()
                     .and_then(|a| Status::parse(&a.body).ok())
@@ -422,36 +442,37 @@
 /// written, and silence: one server is promoted each time, and no acknowledged write is lost.
 #[test]
 fn a_promotion_whose_call_breaks_off_at_any_stage_happens_once() {
-    play_within(LONG_LIMIT, 2, async |rig, seen| {
+    play_within(LONG_LIMIT, 2, async |system, seen| {
         let stages = [
-            (Way::Requests, Fault::ResetAfter(0)),
-            (Way::Requests, Fault::ResetAfter(60)),
-            (Way::Answers, Fault::ResetAfter(0)),
-            (Way::Answers, Fault::Drop),
+            (Direction::Requests, Fault::ResetAfter(0)),
+            (Direction::Requests, Fault::ResetAfter(60)),
+            (Direction::Responses, Fault::ResetAfter(0)),
+            (Direction::Responses, Fault::Drop),
         ];
         for (way, fault) in stages {
             let more = seen.writes.get() + 60;
             seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
                 .await;
-            let (before, term) = (rig.primary(), rig.term());
-            let (requests, resets) = (rig.platform.requests(), rig.platform.resets());
-            rig.platform.set(way, Some(fault));
-            rig.stage.crash(&before);
-            rig.platform_until(PATIENCE, "a call to the platform", |platform| match fault {
-                Fault::Drop => platform.requests() > requests,
-                _ => platform.resets() > resets,
-            })
-            .await;
+            let (before, term) = (system.primary(), system.term());
+            let (requests, resets) = (system.platform.requests(), system.platform.resets());
+            system.platform.set(way, Some(fault));
+            system.cluster_host.crash(&before);
+            system
+                .platform_until(PATIENCE, "a call to the platform", |platform| match fault {
+                    Fault::Drop => platform.requests() > requests,
+                    _ => platform.resets() > resets,
+                })
+                .await;
             let silence = if fault == Fault::Drop { 1.2 } else { 0.0 };
             Timer::after(Duration::from_secs_f64(silence)).await;
-            rig.platform.set(way, None);
+            system.platform.set(way, None);
             let more = seen.writes.get() + WRITERS as u64 + 1;
             seen.until(PATIENCE, "writes at another primary", |s| {
                 s.writes.get() > more
             })
             .await;
-            assert_eq!(rig.term(), term + 1, "{fault:?}");
-            rig.stage.revive(&before).unwrap();
+            assert_eq!(system.term(), term + 1, "{fault:?}");
+            system.cluster_host.revive(&before).unwrap();
         }
     });
 }
@@ -459,26 +480,36 @@
 /// The leader is stopped between its call to the platform and the answer, and goes on when another machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_in_the_middle_of_a_promotion() {
-    play_within(LONG_LIMIT, 3, async |rig, seen| {
+    play_within(LONG_LIMIT, 3, async |system, seen| {
         for _ in 0..2 {
             let more = seen.writes.get() + 60;
             seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
                 .await;
-            let (before, leader, requests) =
-                (rig.primary(), rig.leader().await, rig.platform.requests());
-            rig.stage.crash(&before);
-            rig.platform_until(PATIENCE, "a call to the platform", |platform| {
-                platform.requests() > requests
-            })
-            .await;
-            rig.children.borrow().signal(&leader, Signal::STOP);
+            let (before, leader, requests) = (
+                system.primary(),
+                system.leader().await,
+                system.platform.requests(),
+            );
+            system.cluster_host.crash(&before);
+            system
+                .platform_until(PATIENCE, "a call to the platform", |platform| {
+                    platform.requests() > requests
+                })
+                .await;
+            system
+                .child_processes
+                .borrow()
+                .signal(&leader, Signal::STOP);
             let more = seen.writes.get() + WRITERS as u64 + 1;
             seen.until(PATIENCE, "writes at another primary", |s| {
                 s.writes.get() > more
             })
             .await;
-            rig.children.borrow().signal(&leader, Signal::CONT);
-            rig.stage.revive(&before).unwrap();
+            system
+                .child_processes
+                .borrow()
+                .signal(&leader, Signal::CONT);
+            system.cluster_host.revive(&before).unwrap();
         }
     });
 }
@@ -487,26 +518,26 @@
 /// write takes effect twice, none that was acknowledged is lost, and what changes a server is not sent again.
 #[test]
 fn statements_whose_connection_is_reset_at_any_stage_run_at_most_once() {
-    play_within(LONG_LIMIT, 4, async |rig, seen| {
+    play_within(LONG_LIMIT, 4, async |system, seen| {
         let stages = [
-            (Way::Requests, Fault::ResetAfter(0)),
-            (Way::Requests, Fault::ResetAfter(30)),
-            (Way::Requests, Fault::ResetAfter(400)),
-            (Way::Answers, Fault::ResetAfter(0)),
-            (Way::Answers, Fault::ResetAfter(300)),
-            (Way::Answers, Fault::Drop),
+            (Direction::Requests, Fault::ResetAfter(0)),
+            (Direction::Requests, Fault::ResetAfter(30)),
+            (Direction::Requests, Fault::ResetAfter(400)),
+            (Direction::Responses, Fault::ResetAfter(0)),
+            (Direction::Responses, Fault::ResetAfter(300)),
+            (Direction::Responses, Fault::Drop),
         ];
         for (way, fault) in stages {
             let more = seen.writes.get() + 60;
             seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
                 .await;
-            let primary = rig.primary();
-            let resets = rig.relay(&primary).resets();
-            rig.relay(&primary).set(way, Some(fault));
+            let primary = system.primary();
+            let resets = system.relay(&primary).resets();
+            system.relay(&primary).set(way, Some(fault));
             Timer::after(Duration::from_secs_f64(0.4)).await;
-            rig.relay(&primary).set(way, None);
+            system.relay(&primary).set(way, None);
             assert!(
-                fault == Fault::Drop || rig.relay(&primary).resets() > resets,
+                fault == Fault::Drop || system.relay(&primary).resets() > resets,
                 "{fault:?}"
             );
         }
@@ -519,19 +550,22 @@
 /// The same of the replicas, while the primary is replaced: what they are asked breaks off at each stage, or is answered late.
 #[test]
 fn a_change_of_the_primary_whose_queries_break_off_loses_nothing() {
-    play_within(LONG_LIMIT, 5, async |rig, seen| {
+    play_within(LONG_LIMIT, 5, async |system, seen| {
         for (way, fault) in [
-            (Way::Requests, Fault::ResetAfter(30)),
-            (Way::Answers, Fault::ResetAfter(0)),
-            (Way::Answers, Fault::Delay(Duration::from_millis(900))),
+            (Direction::Requests, Fault::ResetAfter(30)),
+            (Direction::Responses, Fault::ResetAfter(0)),
+            (
+                Direction::Responses,
+                Fault::Delay(Duration::from_millis(900)),
+            ),
         ] {
             let more = seen.writes.get() + 60;
             seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
                 .await;
-            let before = rig.primary();
-            let replicas = rig.databases.iter().filter(|(id, _)| *id != before);
+            let before = system.primary();
+            let replicas = system.databases.iter().filter(|(id, _)| *id != before);
             let replicas: Vec<&Relay> = replicas.map(|(_, relay)| &**relay).collect();
-            rig.stage.crash(&before);
+            system.cluster_host.crash(&before);
             replicas
                 .iter()
                 .for_each(|relay| relay.set(way, Some(fault)));
@@ -542,7 +576,7 @@
                 s.writes.get() > more
             })
             .await;
-            rig.stage.revive(&before).unwrap();
+            system.cluster_host.revive(&before).unwrap();
         }
     });
 }
@@ -551,36 +585,41 @@
 /// answers, it says that it isn't ready from the first moment on, and it ends by itself within the grace period.
 #[test]
 fn a_router_that_is_asked_to_end_cuts_no_statement() {
-    play_within(LONG_LIMIT, 6, async |rig, seen| {
-        for (n, readiness) in rig.plan.readiness().into_iter().enumerate() {
+    play_within(LONG_LIMIT, 6, async |system, seen| {
+        for (n, readiness) in system.deployment.readiness().into_iter().enumerate() {
             let more = seen.writes.get() + 100;
             seen.until(PATIENCE, "100 writes", |s| s.writes.get() >= more)
                 .await;
             let name = format!("router-{}", n + 1);
-            rig.children.borrow().signal(&name, Signal::TERM);
-            rig.stage.retire(&rig.primary());
-            let ready = call::once(readiness, 0.5, "GET", "/api/readiness", &[], b"").await;
+            system.child_processes.borrow().signal(&name, Signal::TERM);
+            system.cluster_host.retire(&system.primary());
+            let ready = http_client::send(readiness, 0.5, "GET", "/api/readiness", &[], b"").await;
             assert!(
                 ready.is_ok_and(|answer| answer.status == 503),
                 "asked to end, it is still ready"
             );
             let asked = clock::now();
             let ended = loop {
-                if let Some(ended) = rig.children.borrow_mut().ended() {
+                if let Some(ended) = system.child_processes.borrow_mut().ended() {
                     break ended;
                 }
                 Timer::after(Duration::from_millis(5)).await;
             };
             assert!(ended.0 == name && ended.1.success(), "{ended:?}");
             assert!(clock::now() - asked < 6.0, "within the grace period");
-            let file = rig.folder.join(format!("{name}.conf"));
-            start_node(&mut rig.children.borrow_mut(), &name, &file, &rig.folder);
-            up::ready(&rig.plan).await.unwrap();
+            let file = system.folder.join(format!("{name}.conf"));
+            start_node(
+                &mut system.child_processes.borrow_mut(),
+                &name,
+                &file,
+                &system.folder,
+            );
+            up::ready(&system.deployment).await.unwrap();
         }
-        let world = rig.stage.world.borrow();
-        let cut = |id: &&String| world.ledger.has_committed(id);
-        let unanswered = seen.unanswered.borrow();
-        let cut: Vec<&String> = unanswered.iter().filter(cut).collect();
+        let cluster = system.cluster_host.cluster.borrow();
+        let cut = |id: &&String| cluster.rule_checker.has_committed(id);
+        let unacknowledged = seen.unacknowledged.borrow();
+        let cut: Vec<&String> = unacknowledged.iter().filter(cut).collect();
         assert!(
             cut.is_empty(),
             "they ran, and their clients were told nothing: {cut:?}"
@@ -591,17 +630,17 @@
 /// Each machine tells its figures, in their form, of what it does; and nothing else at that address.
 #[test]
 fn each_machine_tells_its_figures() {
-    play(7, async |rig, seen| {
+    play(7, async |system, seen| {
         seen.until(10.0, "100 writes", |s| s.writes.get() >= 100)
             .await;
         let ask = async |at: SocketAddr, path: &str| {
             let at = SocketAddr::new(at.ip(), METRICS_PORT);
-            call::once(at, 2.0, "GET", path, &[], b"")
+            http_client::send(at, 2.0, "GET", path, &[], b"")
                 .await
                 .expect("it answers")
         };
         let mut writes = 0.0;
-        for front in rig.plan.fronts() {
+        for front in system.deployment.fronts() {
             let answer = ask(front, "/metrics").await;
             assert!(
                 answer
@@ -620,7 +659,7 @@
         }
         assert!(writes >= 100.0, "{writes}");
         let mut leaders = 0.0;
-        for control in rig.plan.controls() {
+        for control in system.deployment.controls() {
             let text = String::from_utf8(ask(control, "/metrics").await.body).unwrap();
             leaders += figure(&text, "badgerstream_control_leads");
             assert_eq!(figure(&text, "badgerstream_control_voters"), 3.0);
