--- a/crates/testing/testbed/src/fault_relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -1,11 +1,11 @@
-//! A relay on the link between two processes, on which faults are laid, each way by itself.
-//!
-//! The relays of the cluster rig lie between routers and nodes and choose their own addresses; those of control machines must
-//! stand at given ones, as an address there is an identity.
+//! A TCP relay on the link between two processes, on which tests lay faults, each direction by itself.
+//! It listens at a given address, since the address of a control machine is its identity. It knows
+//! nothing of the protocols: it carries bytes of connections.
 
-use async_channel::{Receiver, Sender, bounded};
+use async_channel::{Sender, bounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
+use badgerstream_pooler::net::reset_on_close;
 use badgerstream_pooler::notify::Notify;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::cell::{Cell, RefCell};
@@ -13,76 +13,80 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What is carried at once, in bytes.
-const CHUNK: usize = 16 << 10;
+/// How much is read at once.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// A way along a link.
+/// From a failed accept to the next.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// A direction of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From who calls to who is called.
+    /// From the caller to the callee.
     Requests,
     /// Back.
     Responses,
 }
 
-/// What befalls the bytes of one way.
+/// What happens to the bytes of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// They vanish, and nobody is told: neither that they were lost nor that a connection has ended.
+    /// They are lost silently, the end of a connection too. Connections that lost bytes are reset once
+    /// the fault is lifted.
     Drop,
     /// They arrive later by so much.
     Delay(Duration),
-    /// So many of a connection pass, then both its ends are reset; with none, as soon as the first one is sent.
+    /// So many bytes of a connection pass, then both its ends are reset; with 0, as soon as the first
+    /// one is sent.
     ResetAfter(usize),
 }
 
-/// One link.
+/// How one direction of a connection has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PumpEnd {
+    /// The sender has closed it.
+    Closed,
+    /// It broke: the connection is to be reset.
+    Broken,
+}
+
+/// A relay on one link.
 pub struct Relay {
-    to: SocketAddr,
+    target: SocketAddr,
+    /// By [`Direction`].
     faults: [Cell<Option<Fault>>; 2],
-    /// Connections of which bytes have vanished; they are reset once the fault is lifted.
+    /// Connections that lost bytes; closing a channel resets its connection.
     lossy: RefCell<Vec<Sender<()>>>,
-    /// How many connections were reset because of [`Fault::ResetAfter`].
-    resets: Cell<usize>,
-    /// How many connections have brought a request.
-    requests: Cell<usize>,
-    /// Rings at each of these.
+    reset_count: Cell<usize>,
+    request_count: Cell<usize>,
+    /// Notified whenever one of the counts has changed.
     pub changed: Notify,
 }
 
 impl Relay {
-    /// Takes connections at one address and leads them to the other.
+    /// Relays connections made to `listen_address` to `target`, for as long as the executor runs.
     pub fn start(
-        tasks: &Rc<LocalExecutor<'static>>,
-        at: SocketAddr,
-        to: SocketAddr,
+        executor: &Rc<LocalExecutor<'static>>,
+        listen_address: SocketAddr,
+        target: SocketAddr,
     ) -> std::io::Result<Rc<Relay>> {
-        let listener = Async::<TcpListener>::bind(at)?;
+        let listener = Async::<TcpListener>::bind(listen_address)?;
         let relay = Rc::new(Relay {
-            to,
+            target,
             faults: Default::default(),
             lossy: RefCell::default(),
-            resets: Cell::new(0),
-            requests: Cell::new(0),
+            reset_count: Cell::new(0),
+            request_count: Cell::new(0),
             changed: Notify::default(),
         });
-        let (taking, spawner) = (relay.clone(), tasks.clone());
-        let take = async move {
-            loop {
-                let Ok((stream, _)) = listener.accept().await else {
-                    Timer::after(Duration::from_millis(20)).await;
-                    continue;
-                };
-                spawner.spawn(taking.clone().carry(stream)).detach();
-            }
-        };
-        tasks.spawn(take).detach();
+        let accept = relay.clone().accept(executor.clone(), listener);
+        executor.spawn(accept).detach();
         Ok(relay)
     }
 
-    /// Lays a fault on one way, or lifts it.
-    pub fn set(&self, way: Direction, fault: Option<Fault>) {
-        self.faults[way as usize].set(fault);
+    /// Lays a fault on one direction, or lifts it.
+    pub fn set(&self, direction: Direction, fault: Option<Fault>) {
+        self.faults[direction as usize].set(fault);
         if fault.is_none() {
             for connection in self.lossy.borrow_mut().drain(..) {
                 connection.close();
@@ -92,96 +96,125 @@
 
     /// How many connections were reset because of [`Fault::ResetAfter`].
     pub fn resets(&self) -> usize {
-        self.resets.get()
+        self.reset_count.get()
     }
 
-    /// How many connections have brought a request.
+    /// How many connections have carried a byte of a request.
     pub fn requests(&self) -> usize {
-        self.requests.get()
+        self.request_count.get()
     }
 
-    async fn carry(self: Rc<Self>, near: Async<TcpStream>) {
-        let Ok(far) = Async::<TcpStream>::connect(self.to).await else {
-            return reset(&near);
+    fn fault(&self, direction: Direction) -> Option<Fault> {
+        self.faults[direction as usize].get()
+    }
+
+    async fn accept(
+        self: Rc<Self>,
+        executor: Rc<LocalExecutor<'static>>,
+        listener: Async<TcpListener>,
+    ) {
+        loop {
+            match listener.accept().await {
+                Ok((caller, _)) => executor.spawn(self.clone().carry(caller)).detach(),
+                Err(_) => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
+            }
+        }
+    }
+
+    /// Carries both directions of a connection until its end.
+    async fn carry(self: Rc<Self>, caller: Async<TcpStream>) {
+        let Ok(callee) = Async::<TcpStream>::connect(self.target).await else {
+            return reset_on_close(&caller, true);
         };
-        for end in [&near, &far] {
+        for end in [&caller, &callee] {
             let _ = end.get_ref().set_nodelay(true);
         }
-        let (lossy, lifted) = bounded(1);
+        // Closed to reset the connection: by either direction, or when a lossy fault is lifted.
+        let (reset_sender, reset_receiver) = bounded::<()>(1);
         let both = async {
-            let requests = self.pump(Direction::Requests, &near, &far, &lossy);
-            let answers = self.pump(Direction::Responses, &far, &near, &lossy);
-            let (requests, answers) = future::zip(requests, answers).await;
-            requests && answers
+            let requests = self.pump(Direction::Requests, &caller, &callee, &reset_sender);
+            let responses = self.pump(Direction::Responses, &callee, &caller, &reset_sender);
+            let (requests, responses) = future::zip(requests, responses).await;
+            requests == PumpEnd::Closed && responses == PumpEnd::Closed
         };
-        let broken_off = async {
-            let _: Result<(), _> = Receiver::recv(&lifted).await;
+        let reset = async {
+            let _ = reset_receiver.recv().await;
             false
         };
-        if !future::or(both, broken_off).await {
-            reset(&near);
-            reset(&far);
+        let closed = future::or(both, reset).await;
+        if !closed {
+            reset_on_close(&caller, true);
+            reset_on_close(&callee, true);
         }
     }
 
-    /// Carries one way until its end; false if the connection is to be reset.
+    /// Carries one direction until its end; one that breaks closes `reset`, to end the other as well.
     async fn pump(
         &self,
-        way: Direction,
+        direction: Direction,
+        from: &Async<TcpStream>,
+        to: &Async<TcpStream>,
+        reset: &Sender<()>,
+    ) -> PumpEnd {
+        let end = self.pump_chunks(direction, from, to, reset).await;
+        if end == PumpEnd::Broken {
+            reset.close();
+        }
+        end
+    }
+
+    async fn pump_chunks(
+        &self,
+        direction: Direction,
         mut from: &Async<TcpStream>,
         mut to: &Async<TcpStream>,
-        lossy: &Sender<()>,
-    ) -> bool {
-        let mut bytes = vec![0; CHUNK];
-        let mut passed = 0;
+        reset: &Sender<()>,
+    ) -> PumpEnd {
+        let mut buffer = vec![0; CHUNK_BYTES];
+        let mut passed_bytes = 0;
         loop {
-            let Ok(count) = from.read(&mut bytes).await else {
-                return self.broken(lossy);
+            let Ok(count) = from.read(&mut buffer).await else {
+                return PumpEnd::Broken;
             };
-            let mut part = &bytes[..count];
-            match self.faults[way as usize].get() {
+            let mut chunk = &buffer[..count];
+            match self.fault(direction) {
                 Some(Fault::Drop) => {
-                    self.lossy.borrow_mut().push(lossy.clone());
+                    self.lossy.borrow_mut().push(reset.clone());
                     if count == 0 {
+                        // The end is lost too: only the reset ends this connection.
                         future::pending::<()>().await;
                     }
                     continue;
                 }
-                Some(Fault::Delay(late)) => drop(Timer::after(late).await),
-                Some(Fault::ResetAfter(most)) => {
-                    part = &part[..count.min(most.saturating_sub(passed))];
+                Some(Fault::Delay(delay)) => drop(Timer::after(delay).await),
+                Some(Fault::ResetAfter(limit)) => {
+                    chunk = &chunk[..count.min(limit.saturating_sub(passed_bytes))];
                 }
                 None => {}
             }
             if count == 0 {
                 let _ = to.get_ref().shutdown(Shutdown::Write);
-                return true;
+                return PumpEnd::Closed;
             }
-            if to.write_all(part).await.is_err() {
-                return self.broken(lossy);
+            if to.write_all(chunk).await.is_err() {
+                return PumpEnd::Broken;
             }
-            if way == Direction::Requests && passed == 0 && !part.is_empty() {
-                self.requests.set(self.requests.get() + 1);
-                self.changed.notify_waiters();
+            if direction == Direction::Requests && passed_bytes == 0 && !chunk.is_empty() {
+                self.count(&self.request_count);
             }
-            passed += part.len();
-            if matches!(self.faults[way as usize].get(), Some(Fault::ResetAfter(most)) if passed >= most)
+            passed_bytes += chunk.len();
+            // Read again: the fault may have been laid or lifted while the chunk was written.
+            if let Some(Fault::ResetAfter(limit)) = self.fault(direction)
+                && passed_bytes >= limit
             {
-                self.resets.set(self.resets.get() + 1);
-                self.changed.notify_waiters();
-                return self.broken(lossy);
+                self.count(&self.reset_count);
+                return PumpEnd::Broken;
             }
         }
     }
 
-    /// Ends the other way of this connection as well.
-    fn broken(&self, connection: &Sender<()>) -> bool {
-        connection.close();
-        false
+    fn count(&self, counter: &Cell<usize>) {
+        counter.set(counter.get() + 1);
+        self.changed.notify_waiters();
     }
 }
-
-/// Makes the end of a connection a reset.
-fn reset(stream: &Async<TcpStream>) {
-    badgerstream_pooler::net::reset_on_close(stream, true);
-}
--- a/crates/testing/testbed/src/tests/deployment.rs
+++ b/crates/testing/testbed/src/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! What the stand-in hands to the system can be read by it.
+//! The system's own parsers accept what a deployment writes.
 
 use crate::deployment::{Deployment, DeploymentError, LoopbackNet};
 use badgerstream_pooler_config::config::{Config, Mode};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_configuration_is_valid_and_names_the_services() {
+fn config_json_is_valid_and_names_all_services() {
     let deployment = Deployment::new(net(), 2, 2).unwrap();
     let config = Config::read(deployment.config_json(3).as_bytes()).unwrap();
     assert_eq!(
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_settings_can_be_read_and_agree() {
+fn settings_files_are_valid_and_agree() {
     let mut deployment = Deployment::new(net(), 1, 2).unwrap();
     deployment
         .extra_settings
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn only_loopback_and_only_a_few() {
+fn deployment_rejects_other_networks_and_excessive_counts() {
     assert_eq!(
         "10.1.0".parse::<LoopbackNet>(),
         Err(DeploymentError::LoopbackNet("10.1.0".to_owned()))
--- a/crates/testing/testbed/src/tests/history.rs
+++ b/crates/testing/testbed/src/tests/history.rs
@@ -1,4 +1,4 @@
-//! The judge finds what is wrong with a history, and nothing where all is well.
+//! The check finds each kind of violation in a history, and none in linearizable histories.
 
 use crate::history::{Attempt, ConfigRead, ConfigRequest, History, Outcome, Violation};
 use crate::history::{Outcome::Acknowledged, Outcome::Rejected, Outcome::Unknown, Version};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_may_be_is_let_pass() {
+fn linearizable_history_passes() {
     let orders = vec![
         order(0, 1, &[(0.0, 1.0, Acknowledged)]),
         // Taken without a word, and acknowledged when it was sent again.
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn two_on_one_base_are_a_fork() {
+fn two_versions_on_one_base_are_a_fork() {
     let first = order(0, 1, &[(0.0, 1.0, Acknowledged)]);
     let (one, other) = (
         order(1, 5, &[(1.0, 2.0, Acknowledged)]),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_was_refused_is_in_force_nowhere() {
+fn rejected_version_is_never_in_force() {
     let orders = || {
         vec![
             order(0, 1, &[(0.0, 1.0, Acknowledged)]),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn what_is_read_is_no_older_than_what_was_acknowledged_or_read() {
+fn reads_never_go_back_behind_acknowledged_or_read_versions() {
     let orders = || {
         vec![
             order(0, 1, &[(0.0, 1.0, Acknowledged)]),
@@ -139,10 +139,10 @@
     );
 }
 
-/// A register that is what it should be: what clients see of it always passes, however their calls overlap and are lost. With
-/// one answer changed to something older, or one refusal taken for an acknowledgement, it doesn't.
+/// What clients see of a correct register always passes, however their calls overlap and are lost. With
+/// one answer changed to an older one, or one rejection to an acknowledgement, it doesn't.
 #[test]
-fn histories_of_a_real_register_pass_and_altered_ones_do_not() {
+fn histories_of_a_register_pass_and_altered_ones_fail() {
     arbtest(|u| {
         let mut history = History::default();
         let (mut now, mut current, mut highest) = (0.0, 0, 0);
--- a/crates/testing/testbed/src/tests/mod.rs
+++ b/crates/testing/testbed/src/tests/mod.rs
@@ -8,7 +8,7 @@
     ConnectionId, ConnectionOutput, DatabaseCluster, ServerSpec, ServiceSpec, Timing,
 };
 
-/// A service `db` of three servers, `a` to `c`, of which `a` leads.
+/// A service `db` of three servers, `a` to `c`, of which `a` is the primary.
 fn service(sync_replicas: u32) -> ServiceSpec {
     let server = |n: u8| ServerSpec {
         id: char::from(b'a' + n).to_string(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// A world whose time passes as it is told.
+/// A cluster whose time passes as the test says.
 struct ClusterHarness {
     cluster: DatabaseCluster,
     now: f64,
@@ -44,39 +44,43 @@
         }
     }
 
-    /// Lets time pass, and gives what was said and closed.
-    fn pass(&mut self, seconds: f64) -> Vec<ConnectionOutput> {
+    /// Lets time pass, and returns the output.
+    fn advance(&mut self, seconds: f64) -> Vec<ConnectionOutput> {
         self.now += seconds;
         self.cluster.step(self.now)
     }
 
-    fn open(&mut self, at: &str) -> ConnectionId {
-        let conn = self.cluster.connect(self.now, at, "db", "test").unwrap();
+    fn connect_to(&mut self, at: &str) -> ConnectionId {
+        let connection = self.cluster.connect(self.now, at, "db", "test").unwrap();
         assert!(
-            matches!(&self.pass(0.02)[..], [ConnectionOutput::Send(c, text)] if *c == conn && text.starts_with("IDLE I "))
+            matches!(&self.advance(0.02)[..], [ConnectionOutput::Send(c, text)] if *c == connection && text.starts_with("IDLE I "))
         );
-        conn
+        connection
     }
 
-    fn say(&mut self, conn: ConnectionId, id: &str, text: &str) {
-        self.cluster
-            .receive_line(self.now, conn, format!("QUERY {id} {text}").as_bytes());
+    fn send(&mut self, connection: ConnectionId, id: &str, text: &str) {
+        self.cluster.receive_line(
+            self.now,
+            connection,
+            format!("QUERY {id} {text}").as_bytes(),
+        );
     }
 
-    /// The answer within a moment, lines joined by `|`, marks of stamps left out; empty for none.
-    fn ask(&mut self, conn: ConnectionId, text: &str) -> String {
-        let id = format!("i{}-{}", conn, (self.now * 1e6) as u64);
-        self.say(conn, &id, text);
-        let said = self.pass(0.02).into_iter().find_map(|out| match out {
-            ConnectionOutput::Send(c, text) if c == conn => Some(text),
+    /// The response to a statement within 20 ms, its lines joined by `|` and each stamp written as `+`;
+    /// empty without a response.
+    fn query(&mut self, connection: ConnectionId, text: &str) -> String {
+        let id = format!("i{}-{}", connection, (self.now * 1e6) as u64);
+        self.send(connection, &id, text);
+        let output = self.advance(0.02).into_iter().find_map(|out| match out {
+            ConnectionOutput::Send(c, text) if c == connection => Some(text),
             _ => None,
         });
-        let said = said.unwrap_or_default();
+        let output = output.unwrap_or_default();
         let line = |line: &str| match line.strip_prefix("COMPLETE ") {
             Some("-") | None => line.to_owned(),
             Some(_) => "COMPLETE +".to_owned(),
         };
-        said.lines().map(line).collect::<Vec<_>>().join("|")
+        output.lines().map(line).collect::<Vec<_>>().join("|")
     }
 
     fn status(&self, id: &str) -> String {
--- a/crates/testing/testbed/src/tests/statements.rs
+++ b/crates/testing/testbed/src/tests/statements.rs
@@ -1,154 +1,174 @@
-//! What one server answers.
+//! What one server answers to statements.
 
 use super::ClusterHarness;
 use crate::database_cluster::ConnectionOutput;
 
 #[test]
-fn reads_writes_and_their_positions() {
-    let mut play = ClusterHarness::new(1, false);
-    let a = play.open("a");
-    assert_eq!(play.ask(a, "FETCH x"), "COMPLETE +|IDLE I 1.0");
-    assert_eq!(play.ask(a, "PUT x one two"), "COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(a, "FETCH x"), "ROW one two|COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(a, "SET tz lima"), "COMPLETE -|IDLE I 1.1");
-    assert_eq!(
-        play.ask(a, "DROP x"),
+fn reads_and_writes_report_positions() {
+    let mut harness = ClusterHarness::new(1, false);
+    let a = harness.connect_to("a");
+    assert_eq!(harness.query(a, "FETCH x"), "COMPLETE +|IDLE I 1.0");
+    assert_eq!(harness.query(a, "PUT x one two"), "COMPLETE +|IDLE I 1.1");
+    assert_eq!(
+        harness.query(a, "FETCH x"),
+        "ROW one two|COMPLETE +|IDLE I 1.1"
+    );
+    assert_eq!(harness.query(a, "SET tz lima"), "COMPLETE -|IDLE I 1.1");
+    assert_eq!(
+        harness.query(a, "DROP x"),
         "ERROR MALFORMED unknown statement|IDLE I 1.1"
     );
 }
 
 #[test]
-fn prepared_names_last_until_released_or_reset() {
-    let mut play = ClusterHarness::new(1, false);
-    let a = play.open("a");
-    play.ask(a, "PREPARE w PUT q1");
-    play.ask(a, "PREPARE r FETCH q2");
-    assert_eq!(play.ask(a, "EXECUTE w x 1"), "COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(a, "EXECUTE r x"), "ROW 1|COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(a, "RELEASE w"), "COMPLETE -|IDLE I 1.1");
-    assert_eq!(play.ask(a, "EXECUTE w x 2"), "ERROR UNKNOWN w|IDLE I 1.1");
-    assert_eq!(play.ask(a, "RESET"), "COMPLETE -|IDLE I 1.1");
-    assert_eq!(play.ask(a, "EXECUTE r x"), "ERROR UNKNOWN r|IDLE I 1.1");
+fn prepared_statements_last_until_release_or_reset() {
+    let mut harness = ClusterHarness::new(1, false);
+    let a = harness.connect_to("a");
+    harness.query(a, "PREPARE w PUT q1");
+    harness.query(a, "PREPARE r FETCH q2");
+    assert_eq!(harness.query(a, "EXECUTE w x 1"), "COMPLETE +|IDLE I 1.1");
+    assert_eq!(
+        harness.query(a, "EXECUTE r x"),
+        "ROW 1|COMPLETE +|IDLE I 1.1"
+    );
+    assert_eq!(harness.query(a, "RELEASE w"), "COMPLETE -|IDLE I 1.1");
+    assert_eq!(
+        harness.query(a, "EXECUTE w x 2"),
+        "ERROR UNKNOWN w|IDLE I 1.1"
+    );
+    assert_eq!(harness.query(a, "RESET"), "COMPLETE -|IDLE I 1.1");
+    assert_eq!(
+        harness.query(a, "EXECUTE r x"),
+        "ERROR UNKNOWN r|IDLE I 1.1"
+    );
 }
 
 #[test]
-fn a_transaction_is_kept_whole_or_not_at_all() {
-    let mut play = ClusterHarness::new(1, false);
-    let (a, b) = (play.open("a"), play.open("a"));
-    assert_eq!(play.ask(a, "BEGIN"), "COMPLETE -|IDLE T 1.0");
-    assert_eq!(play.ask(a, "PUT x 1"), "COMPLETE +|IDLE T 1.0");
-    assert_eq!(play.ask(a, "FETCH x"), "ROW 1|COMPLETE +|IDLE T 1.0");
-    assert_eq!(play.ask(b, "FETCH x"), "COMPLETE +|IDLE I 1.0");
-    play.ask(a, "PUT y 2");
-    assert_eq!(play.ask(a, "COMMIT"), "COMPLETE +|IDLE I 1.1");
-    assert_eq!(play.ask(b, "FETCH y"), "ROW 2|COMPLETE +|IDLE I 1.1");
-    play.ask(a, "BEGIN");
-    play.ask(a, "PUT x 9");
-    assert_eq!(play.ask(a, "ABORT"), "COMPLETE -|IDLE I 1.1");
-    play.ask(a, "BEGIN");
-    play.ask(a, "PUT x 9");
-    play.cluster.close_connection(play.now, a);
-    assert_eq!(play.ask(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE I 1.1");
-    assert_eq!(
-        play.ask(b, "COMMIT"),
+fn transaction_is_atomic() {
+    let mut harness = ClusterHarness::new(1, false);
+    let (a, b) = (harness.connect_to("a"), harness.connect_to("a"));
+    assert_eq!(harness.query(a, "BEGIN"), "COMPLETE -|IDLE T 1.0");
+    assert_eq!(harness.query(a, "PUT x 1"), "COMPLETE +|IDLE T 1.0");
+    assert_eq!(harness.query(a, "FETCH x"), "ROW 1|COMPLETE +|IDLE T 1.0");
+    assert_eq!(harness.query(b, "FETCH x"), "COMPLETE +|IDLE I 1.0");
+    harness.query(a, "PUT y 2");
+    assert_eq!(harness.query(a, "COMMIT"), "COMPLETE +|IDLE I 1.1");
+    assert_eq!(harness.query(b, "FETCH y"), "ROW 2|COMPLETE +|IDLE I 1.1");
+    harness.query(a, "BEGIN");
+    harness.query(a, "PUT x 9");
+    assert_eq!(harness.query(a, "ABORT"), "COMPLETE -|IDLE I 1.1");
+    harness.query(a, "BEGIN");
+    harness.query(a, "PUT x 9");
+    harness.cluster.close_connection(harness.now, a);
+    assert_eq!(harness.query(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE I 1.1");
+    assert_eq!(
+        harness.query(b, "COMMIT"),
         "ERROR MALFORMED no transaction|IDLE I 1.1"
     );
 }
 
 #[test]
-fn a_failed_transaction_takes_only_its_end() {
-    let mut play = ClusterHarness::new(1, false);
-    let a = play.open("a");
-    play.ask(a, "BEGIN");
-    play.ask(a, "PUT x 1");
+fn failed_transaction_accepts_only_its_end() {
+    let mut harness = ClusterHarness::new(1, false);
+    let a = harness.connect_to("a");
+    harness.query(a, "BEGIN");
+    harness.query(a, "PUT x 1");
     assert_eq!(
-        play.ask(a, "EXECUTE none y"),
+        harness.query(a, "EXECUTE none y"),
         "ERROR UNKNOWN none|IDLE E 1.0"
     );
     assert_eq!(
-        play.ask(a, "FETCH x"),
+        harness.query(a, "FETCH x"),
         "ERROR MALFORMED the transaction has failed|IDLE E 1.0"
     );
     assert_eq!(
-        play.ask(a, "COMMIT"),
+        harness.query(a, "COMMIT"),
         "ERROR ABORTED the transaction had failed|IDLE I 1.0"
     );
-    assert_eq!(play.ask(a, "FETCH x"), "COMPLETE +|IDLE I 1.0");
+    assert_eq!(harness.query(a, "FETCH x"), "COMPLETE +|IDLE I 1.0");
 }
 
 #[test]
-fn replicas_read_what_they_have_applied() {
-    let mut play = ClusterHarness::new(1, false);
-    let (a, b) = (play.open("a"), play.open("b"));
-    assert_eq!(play.ask(b, "PUT x 1"), "ERROR READONLY b|IDLE I 1.0");
-    assert_eq!(play.ask(b, "BEGIN"), "ERROR READONLY b|IDLE I 1.0");
-    play.ask(a, "PUT x 1");
+fn replica_reads_see_applied_commits_only() {
+    let mut harness = ClusterHarness::new(1, false);
+    let (a, b) = (harness.connect_to("a"), harness.connect_to("b"));
+    assert_eq!(harness.query(b, "PUT x 1"), "ERROR READONLY b|IDLE I 1.0");
+    assert_eq!(harness.query(b, "BEGIN"), "ERROR READONLY b|IDLE I 1.0");
+    harness.query(a, "PUT x 1");
     // Received at once, applied after 60 ms.
-    assert!(play.status("b").starts_with("follower 1 1.1 0 "));
+    assert!(harness.status("b").starts_with("follower 1 1.1 0 "));
     assert_eq!(
-        play.ask(b, "WAITPOS 1.1 FETCH x"),
+        harness.query(b, "WAITPOS 1.1 FETCH x"),
         "ERROR LAGGING b|IDLE I 1.0"
     );
-    assert_eq!(play.ask(b, "FETCH x"), "COMPLETE +|IDLE I 1.0");
-    play.pass(0.1);
+    assert_eq!(harness.query(b, "FETCH x"), "COMPLETE +|IDLE I 1.0");
+    harness.advance(0.1);
     assert_eq!(
-        play.ask(b, "WAITPOS 1.1 FETCH x"),
+        harness.query(b, "WAITPOS 1.1 FETCH x"),
         "ROW 1|COMPLETE +|IDLE I 1.1"
     );
     assert_eq!(
-        play.ask(b, "WAITPOS 1.2 BEGIN FETCH"),
+        harness.query(b, "WAITPOS 1.2 BEGIN FETCH"),
         "ERROR LAGGING b|IDLE I 1.1"
     );
     assert_eq!(
-        play.ask(b, "WAITPOS 1.1 BEGIN FETCH"),
+        harness.query(b, "WAITPOS 1.1 BEGIN FETCH"),
         "COMPLETE -|IDLE T 1.1"
     );
-    assert_eq!(play.ask(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE T 1.1");
-    assert_eq!(play.ask(b, "COMMIT"), "COMPLETE +|IDLE I 1.1");
+    assert_eq!(harness.query(b, "FETCH x"), "ROW 1|COMPLETE +|IDLE T 1.1");
+    assert_eq!(harness.query(b, "COMMIT"), "COMPLETE +|IDLE I 1.1");
     assert_eq!(
-        play.ask(b, "WAITPOS 1.1 COMMIT"),
+        harness.query(b, "WAITPOS 1.1 COMMIT"),
         "ERROR MALFORMED WAITPOS goes before reads|IDLE I 1.1"
     );
 }
 
 #[test]
-fn connections_are_counted_and_meant_for_one_server() {
-    let mut play = ClusterHarness::new(1, false);
+fn connections_are_limited_and_bound_to_their_server() {
+    let mut harness = ClusterHarness::new(1, false);
     assert_eq!(
-        play.cluster
+        harness
+            .cluster
             .connect(0.0, "a", "other", "x")
             .unwrap_err()
             .response(),
         "ERROR WRONGNODE a\r\n"
     );
     assert_eq!(
-        play.cluster
+        harness
+            .cluster
             .connect(0.0, "a", "db", "x b")
             .unwrap_err()
             .response(),
         "ERROR WRONGNODE a\r\n"
     );
-    let conns: Vec<_> = (0..4).map(|_| play.open("a")).collect();
+    let connections: Vec<_> = (0..4).map(|_| harness.connect_to("a")).collect();
     assert_eq!(
-        play.cluster
-            .connect(play.now, "a", "db", "x")
+        harness
+            .cluster
+            .connect(harness.now, "a", "db", "x")
             .unwrap_err()
             .response(),
         "ERROR CONNLIMIT a\r\n"
     );
-    play.cluster.receive_line(play.now, conns[0], b"BYE");
-    assert_eq!(play.pass(0.0), [ConnectionOutput::Close(conns[0])]);
-    play.open("a");
+    harness
+        .cluster
+        .receive_line(harness.now, connections[0], b"BYE");
+    assert_eq!(
+        harness.advance(0.0),
+        [ConnectionOutput::Close(connections[0])]
+    );
+    harness.connect_to("a");
 }
 
 #[test]
-fn slots_are_shared_by_all() {
-    let mut play = ClusterHarness::new(0, false);
-    let conns: Vec<_> = (0..4).map(|_| play.open("a")).collect();
-    for (n, conn) in conns.iter().enumerate() {
-        play.say(*conn, &format!("i{n}"), "FETCH x");
+fn connections_share_the_slots_of_a_server() {
+    let mut harness = ClusterHarness::new(0, false);
+    let connections: Vec<_> = (0..4).map(|_| harness.connect_to("a")).collect();
+    for (n, connection) in connections.iter().enumerate() {
+        harness.send(*connection, &format!("i{n}"), "FETCH x");
     }
     // Two at a time, 4 ms each.
-    assert_eq!(play.pass(0.005).len(), 2);
-    assert_eq!(play.pass(0.004).len(), 2);
+    assert_eq!(harness.advance(0.005).len(), 2);
+    assert_eq!(harness.advance(0.004).len(), 2);
 }
--- a/crates/testing/testbed/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -1,5 +1,6 @@
-//! Orders of operators to control machines as processes, over links on which faults are laid; a judge looks for the single
-//! order of versions that explains all that was answered.
+//! Configuration requests of operators to control machines as processes, over links on which faults
+//! are laid. Each test ends with a check that a single order of versions explains all that was answered
+//! (`history`).
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -21,30 +22,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// No test takes longer, in seconds.
-const LIMIT_S: f64 = 58.0;
-/// What is to come about in a system in order comes about within so many seconds, also on a busy machine.
-const PATIENCE_S: f64 = 25.0;
-/// So many orders at least are acknowledged while links are cut; with a disk that is shared with other work a sync may take
-/// seconds, so that it is few.
-const ORDERS: usize = 3;
-/// So long links are cut, in seconds.
-const CUT_S: f64 = 20.0;
+/// A test that takes longer fails.
+const TEST_TIMEOUT_S: f64 = 58.0;
+/// What is waited for in a system without faults comes within so long, also on a busy machine.
+const STEP_TIMEOUT_S: f64 = 25.0;
+/// So many requests at least are acknowledged during a partition. They are few because a sync may take
+/// seconds on a disk that is shared with other work.
+const MIN_ACKNOWLEDGED_REQUESTS: usize = 3;
+/// How long a partition lasts.
+const PARTITION_S: f64 = 20.0;
 
-/// Three control machines as processes, with a relay on each link between them and before each for operators.
+/// Three control machines as processes, with a relay on each link between them, and one before each for
+/// operators.
 struct TestSystem {
     tasks: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
     child_processes: RefCell<ChildProcesses>,
-    /// By who calls and who is called.
+    /// By caller and callee.
     peers: Vec<Vec<Option<Rc<Relay>>>>,
-    /// Before each control machine.
+    /// Between operators and each control machine.
     operator_relays: Vec<Rc<Relay>>,
     folder: PathBuf,
     history: Rc<RefCell<History>>,
-    /// How many texts were written.
+    /// How many configurations were made.
     texts: Cell<u64>,
-    /// Operators end.
+    /// Set to end the operators.
     done: Rc<Cell<bool>>,
 }
 
@@ -114,9 +116,10 @@
             .collect()
     }
 
-    /// Lays a fault on the links from a control machine to the others, or on those from the others to it. Messages travel on
-    /// connections of who sends them, so that a way is a link here.
-    fn cut(&self, node: usize, outgoing: bool, fault: Option<Fault>) {
+    /// Lays a fault on the links from a control machine to the others (`outgoing`), or on those from the
+    /// others to it. Messages travel on connections of their sender: requests on a link are all that
+    /// goes its way.
+    fn set_fault(&self, node: usize, outgoing: bool, fault: Option<Fault>) {
         for other in (0..CONTROL_MACHINES).filter(|other| *other != node) {
             let (from, to) = if outgoing {
                 (node, other)
@@ -130,9 +133,9 @@
         }
     }
 
-    /// Waits for a control machine that leads, and says so to an operator.
+    /// Waits until a control machine says in its status that it leads; its number.
     async fn leader(&self) -> usize {
-        let until = clock::now() + PATIENCE_S;
+        let until = clock::now() + STEP_TIMEOUT_S;
         loop {
             for (n, at) in self.deployment.control_addresses().into_iter().enumerate() {
                 let asked =
@@ -149,7 +152,7 @@
         }
     }
 
-    /// A configuration of this number, with a text like no other's.
+    /// A configuration of this epoch, with a body like no other's.
     fn version(&self, epoch: u64) -> Version {
         self.texts.set(self.texts.get() + 1);
         let idle = format!("\"idle_timeout_ms\":{}", 15_000 + self.texts.get());
@@ -160,10 +163,10 @@
         Version { epoch, body }
     }
 
-    /// Sends an order until it has a clear answer, and writes it down.
-    async fn order(&self, operator: &Operator, base: u64, version: Version) -> Outcome {
+    /// Sends a configuration until there is a clear answer, and records it.
+    async fn replace_config(&self, operator: &Operator, base: u64, version: Version) -> Outcome {
         let order = operator
-            .replace_config(base, version, clock::now() + PATIENCE_S)
+            .replace_config(base, version, clock::now() + STEP_TIMEOUT_S)
             .await;
         let outcome = order
             .attempts
@@ -173,9 +176,9 @@
         outcome
     }
 
-    /// Reads until there is a clear answer, and writes it down; the version's number.
+    /// Reads until there is a clear answer, and records it; the version's epoch.
     async fn read(&self, operator: &Operator) -> u64 {
-        let until = clock::now() + PATIENCE_S;
+        let until = clock::now() + STEP_TIMEOUT_S;
         loop {
             if let Some(read) = operator.read_config().await {
                 let epoch = read.version.as_ref().map_or(0, |v| v.epoch);
@@ -187,32 +190,36 @@
         }
     }
 
-    /// An operator that reads, and orders on top of what it has read, until the end of the test.
-    async fn keep_ordering(&self, number: usize) {
+    /// An operator that reads, and sends a configuration on top of what it has read, until the end of
+    /// the test.
+    async fn replace_config_repeatedly(&self, number: usize) {
         let operator = Operator::new(&self.operator_relay_addresses(), number);
         let mut turn = 0;
         while !self.done.get() {
             let base = self.read(&operator).await;
-            // At times both take the same number.
+            // Now and then both operators choose the same epoch.
             turn += 1;
             let version = self.version(base + 1 + turn % 2);
-            self.order(&operator, base, version).await;
+            self.replace_config(&operator, base, version).await;
             pause(0.03).await;
         }
     }
 
-    /// Two operators at work while this passes, and a moment longer.
-    async fn under_way(&self, trouble: impl Future<Output = ()>) {
-        let operators = future::zip(self.keep_ordering(1), self.keep_ordering(2));
-        let trouble = async {
-            trouble.await;
+    /// Runs two operators while the faults come and go, and a moment longer.
+    async fn with_operators_at_work(&self, faults: impl Future<Output = ()>) {
+        let operators = future::zip(
+            self.replace_config_repeatedly(1),
+            self.replace_config_repeatedly(2),
+        );
+        let faults = async {
+            faults.await;
             pause(1.5).await;
             self.done.set(true);
         };
-        future::zip(operators, trouble).await;
+        future::zip(operators, faults).await;
     }
 
-    /// How many orders were acknowledged in this time.
+    /// How many requests were acknowledged in this time.
     fn acknowledged(&self, from: f64, to: f64) -> usize {
         let history = self.history.borrow();
         let attempts = history.requests.iter().flat_map(|order| &order.attempts);
@@ -222,8 +229,9 @@
             .count()
     }
 
-    /// All machines say the same in the end, and one order of versions explains all that was said.
-    async fn linearize(&self) {
+    /// Checks that all machines answer the same version in the end, and that one order of versions
+    /// explains all answers.
+    async fn check_history(&self) {
         let reader = Operator::new(&self.operator_relay_addresses(), 0);
         let mut newest = Vec::new();
         for _ in 0..CONTROL_MACHINES {
@@ -280,87 +288,87 @@
     Timer::after(Duration::from_secs_f64(seconds)).await;
 }
 
-/// Plays a test on a system that has taken its first configuration, and judges what was answered.
-fn play(number: u32, test: impl AsyncFnOnce(&TestSystem)) {
+/// Runs a test on a system that has applied its first configuration, and checks the history.
+fn run_test(number: u32, test: impl AsyncFnOnce(&TestSystem)) {
     let tasks = Rc::new(LocalExecutor::new());
     let system = TestSystem::start(&tasks, number);
     let all = async {
         let first = Operator::new(&system.operator_relay_addresses(), 0);
         assert_eq!(
-            system.order(&first, 0, system.version(1)).await,
+            system.replace_config(&first, 0, system.version(1)).await,
             Outcome::Acknowledged
         );
         test(&system).await;
-        system.linearize().await;
+        system.check_history().await;
     };
-    let late = async {
-        pause(LIMIT_S).await;
-        panic!("not done within {LIMIT_S} s");
+    let timed_out = async {
+        pause(TEST_TIMEOUT_S).await;
+        panic!("not done within {TEST_TIMEOUT_S} s");
     };
-    async_io::block_on(system.tasks.run(future::or(all, late)));
+    async_io::block_on(system.tasks.run(future::or(all, timed_out)));
 }
 
 #[test]
-fn the_leader_is_heard_by_nobody_for_twenty_seconds() {
-    play(0, async |system| {
+fn config_requests_succeed_while_leader_cannot_send() {
+    run_test(0, async |system| {
         let leader = system.leader().await;
         let cut = Cell::new(0.0);
         system
-            .under_way(async {
+            .with_operators_at_work(async {
                 pause(1.0).await;
-                system.cut(leader, true, Some(Fault::Drop));
+                system.set_fault(leader, true, Some(Fault::Drop));
                 cut.set(clock::now());
-                pause(CUT_S).await;
-                system.cut(leader, true, None);
+                pause(PARTITION_S).await;
+                system.set_fault(leader, true, None);
             })
             .await;
-        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
+        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
         assert!(
-            orders >= ORDERS,
+            orders >= MIN_ACKNOWLEDGED_REQUESTS,
             "{orders} orders were acknowledged while the link was cut"
         );
     });
 }
 
 #[test]
-fn the_leader_hears_nobody_and_answers_no_operator_for_twenty_seconds() {
-    play(1, async |system| {
+fn config_requests_succeed_while_leader_cannot_receive() {
+    run_test(1, async |system| {
         let leader = system.leader().await;
         let cut = Cell::new(0.0);
         system
-            .under_way(async {
+            .with_operators_at_work(async {
                 pause(1.0).await;
-                system.cut(leader, false, Some(Fault::Drop));
+                system.set_fault(leader, false, Some(Fault::Drop));
                 system.operator_relays[leader].set(Direction::Responses, Some(Fault::Drop));
                 cut.set(clock::now());
-                pause(CUT_S).await;
-                system.cut(leader, false, None);
+                pause(PARTITION_S).await;
+                system.set_fault(leader, false, None);
                 system.operator_relays[leader].set(Direction::Responses, None);
             })
             .await;
-        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + CUT_S);
+        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
         assert!(
-            orders >= ORDERS,
+            orders >= MIN_ACKNOWLEDGED_REQUESTS,
             "{orders} orders were acknowledged while the links were cut"
         );
     });
 }
 
-/// The leader is cut off both ways, again and again, while operators reach it: it confirms and hands out nothing that the next one
-/// doesn't know of.
+/// The leader is partitioned from the others in both directions, again and again, while operators reach
+/// it: it acknowledges and returns nothing that the next leader doesn't know of.
 #[test]
 fn a_leader_that_is_cut_off_serves_nothing_old() {
-    play(5, async |system| {
+    run_test(5, async |system| {
         system
-            .under_way(async {
+            .with_operators_at_work(async {
                 for _ in 0..4 {
                     let leader = system.leader().await;
                     for outgoing in [true, false] {
-                        system.cut(leader, outgoing, Some(Fault::Drop));
+                        system.set_fault(leader, outgoing, Some(Fault::Drop));
                     }
                     pause(2.5).await;
                     for outgoing in [true, false] {
-                        system.cut(leader, outgoing, None);
+                        system.set_fault(leader, outgoing, None);
                     }
                     pause(0.5).await;
                 }
@@ -369,8 +377,8 @@
     });
 }
 
-/// The bytes of an order at this address.
-fn bytes_of(at: SocketAddr, order: &ConfigRequest) -> usize {
+/// The length in bytes of a request to this address.
+fn encoded_length(at: SocketAddr, order: &ConfigRequest) -> usize {
     let base = order.base_epoch.to_string();
     let headers = [(BASE_VERSION_HEADER, base.as_str())];
     let body = order.version.body.as_bytes();
@@ -386,7 +394,7 @@
 
 #[test]
 fn an_order_whose_connection_is_reset_at_any_stage_has_one_outcome() {
-    play(2, async |system| {
+    run_test(2, async |system| {
         for node in 0..CONTROL_MACHINES {
             for stage in 0..4 {
                 let at = system.deployment.operator_relay_address(node);
@@ -397,47 +405,47 @@
                     version: system.version(base + 2),
                     attempts: Vec::new(),
                 };
-                let whole = bytes_of(at, &order);
-                let (way, passes) = match stage {
+                let request_bytes = encoded_length(at, &order);
+                let (direction, passes) = match stage {
                     0 => (Direction::Requests, 0),
-                    1 => (Direction::Requests, whole / 2),
-                    2 => (Direction::Requests, whole),
+                    1 => (Direction::Requests, request_bytes / 2),
+                    2 => (Direction::Requests, request_bytes),
                     _ => (Direction::Responses, 0),
                 };
                 let relay = &system.operator_relays[node];
                 let resets = relay.resets();
-                relay.set(way, Some(Fault::ResetAfter(passes)));
+                relay.set(direction, Some(Fault::ResetAfter(passes)));
                 let first = operator.send_once(at, &order).await;
-                relay.set(way, None);
+                relay.set(direction, None);
                 assert_eq!(first.outcome, Outcome::Unknown, "stage {stage}");
                 assert_eq!(relay.resets(), resets + 1, "stage {stage}");
                 order.attempts.push(first);
-                // The same again, at the other machines: it is taken now, or was before.
+                // The same request at the other machines: it is applied now, or was before.
                 let again = operator
-                    .replace_config(base, order.version.clone(), clock::now() + PATIENCE_S)
+                    .replace_config(base, order.version.clone(), clock::now() + STEP_TIMEOUT_S)
                     .await;
                 order.attempts.extend(again.attempts);
                 let ended = order.attempts.last().map(|t| t.outcome);
                 system.history.borrow_mut().requests.push(order);
                 assert_eq!(ended, Some(Outcome::Acknowledged), "stage {stage}");
-                // Another one on that base comes too late.
-                let late = system
-                    .order(&operator, base, system.version(base + 3))
+                // Another request on that base comes too late.
+                let late_request = system
+                    .replace_config(&operator, base, system.version(base + 3))
                     .await;
-                assert_eq!(late, Outcome::Rejected(412), "stage {stage}");
+                assert_eq!(late_request, Outcome::Rejected(412), "stage {stage}");
             }
         }
     });
 }
 
 #[test]
-fn answers_that_come_late_by_seconds_reach_nobody_else() {
-    play(3, async |system| {
+fn delayed_responses_reach_only_their_requests() {
+    run_test(3, async |system| {
         let leader = system.leader().await;
         system
-            .under_way(async {
+            .with_operators_at_work(async {
                 pause(0.5).await;
-                // An operator waits for a second.
+                // Longer than the second that an operator waits for an answer.
                 system.operator_relays[leader].set(
                     Direction::Responses,
                     Some(Fault::Delay(Duration::from_millis(2500))),
@@ -464,11 +472,11 @@
     });
 }
 
-/// The leader has read an order and can't answer it, as it reaches nobody; it is stopped there, and goes on once another
-/// machine has led for a while.
+/// The leader has received a request and can't answer it, as it reaches no other machine; it is stopped
+/// there, and continued once another machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_between_reading_and_answering() {
-    play(4, async |system| {
+    run_test(4, async |system| {
         for _ in 0..2 {
             let leader = system.leader().await;
             let name = format!("control-{}", leader + 1);
@@ -480,27 +488,28 @@
                 version: system.version(base + 2),
                 attempts: Vec::new(),
             };
-            system.cut(leader, true, Some(Fault::Drop));
+            system.set_fault(leader, true, Some(Fault::Drop));
             let sent = operator.send_once(at, &order);
             let stopped = async {
                 pause(0.25).await;
                 system.child_processes.borrow().signal(&name, Signal::STOP);
-                system.cut(leader, true, None);
+                system.set_fault(leader, true, None);
             };
             let (first, ()) = future::zip(sent, stopped).await;
             order.attempts.push(first);
-            // Another one on the same base, while the first may be under way, and more on top of whichever won.
+            // Another request on the same base, while the first may be in flight, and one on top of whichever
+            // was applied.
             system
-                .order(&operator, base, system.version(base + 3))
+                .replace_config(&operator, base, system.version(base + 3))
                 .await;
             let newest = system.read(&operator).await;
             system
-                .order(&operator, newest, system.version(newest + 5))
+                .replace_config(&operator, newest, system.version(newest + 5))
                 .await;
             system.child_processes.borrow().signal(&name, Signal::CONT);
-            // What it read before it was stopped is answered, if at all, by what is in force now.
+            // What it received before it was stopped is judged, if at all, by what is in force now.
             let again = operator
-                .replace_config(base, order.version.clone(), clock::now() + PATIENCE_S)
+                .replace_config(base, order.version.clone(), clock::now() + STEP_TIMEOUT_S)
                 .await;
             order.attempts.extend(again.attempts);
             system.history.borrow_mut().requests.push(order);
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -1,5 +1,6 @@
-//! The whole system as processes on loopback: three control machines and two routers, between databases, platform,
-//! operator and clients of this process. Whatever is waited for has a limit; nothing waits for a time to pass.
+//! The complete system as processes on loopback: three control machines and two routers, between the
+//! database servers, platform, operator and clients of this process. Tests wait for conditions, each
+//! with a time-out; only a fault that must last for some time waits for that time.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -23,16 +24,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// No test takes longer, in seconds.
-const LIMIT: f64 = 30.0;
+/// A test that takes longer fails.
+const TEST_TIMEOUT_S: f64 = 30.0;
 
-/// One of several rounds takes no longer, in seconds: each waits several times for what may take seconds on a busy machine.
-const LONG_LIMIT: f64 = 58.0;
+/// A test of several faults that takes longer fails: each fault may take seconds on a busy machine.
+const LONG_TEST_TIMEOUT_S: f64 = 58.0;
 
-/// What a round waits for comes within so many seconds, also where a sync of the disk takes some.
-const PATIENCE: f64 = 25.0;
+/// What is waited for after a fault comes within so long, also where a sync of the disk takes seconds.
+const STEP_TIMEOUT_S: f64 = 25.0;
 
-/// Writers, each of one thing of its own, and readers of these.
+/// How many writers there are, each of a key of its own, with a reader of that key.
 const WRITERS: usize = 6;
 
 /// A system under test.
@@ -40,37 +41,38 @@
     tasks: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
     cluster_host: Rc<ClusterHost>,
-    /// Before the platform.
+    /// The relay before the platform.
     platform: Rc<Relay>,
-    /// Before each database, by its id.
+    /// The relay before each database server, by the server's id.
     databases: Vec<(String, Rc<Relay>)>,
     child_processes: RefCell<ChildProcesses>,
     folder: PathBuf,
 }
 
-/// What clients have seen.
+/// What clients have observed.
 #[derive(Default)]
-struct Seen {
-    /// Of each writer the last value that was acknowledged, and the last that was sent.
+struct ClientObservations {
+    /// By writer, the last value that was acknowledged, and the last that was sent.
     acknowledged: [Cell<u64>; WRITERS],
     sent: [Cell<u64>; WRITERS],
     writes: Cell<u64>,
     reads: Cell<u64>,
-    /// Promises that nothing is kept, and answers that promise nothing.
-    refused: Cell<u64>,
-    unclear: Cell<u64>,
+    /// How many writes definitely have no effect, and how many may have one.
+    rejected: Cell<u64>,
+    unknown: Cell<u64>,
     /// When the last write was acknowledged, and the longest time between two.
-    last: Cell<f64>,
-    gap: Cell<f64>,
-    stale: RefCell<Vec<String>>,
-    /// Writes whose connection ended without an answer.
+    last_write_at_s: Cell<f64>,
+    longest_gap_s: Cell<f64>,
+    stale_reads: RefCell<Vec<String>>,
+    /// The ids of writes whose connection ended without a response.
     unacknowledged: RefCell<Vec<String>>,
     done: Cell<bool>,
     changed: Notify,
 }
 
 impl TestSystem {
-    /// Addresses of this test alone, so that several may run at a time beside a quick start.
+    /// Starts a system at addresses of its own, so that tests may run at a time, and beside a quick
+    /// start.
     fn start(tasks: &Rc<LocalExecutor<'static>>, number: u32) -> Self {
         let mark = std::process::id() * 2 + number;
         let net = LoopbackNet([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
@@ -119,10 +121,14 @@
         }
     }
 
-    fn client(&self, n: usize, seen: &Rc<Seen>) {
+    fn client(&self, n: usize, observations: &Rc<ClientObservations>) {
         let front = self.deployment.router_addresses()[n % 2];
-        self.tasks.spawn(write(n, front, seen.clone())).detach();
-        self.tasks.spawn(read(n, front, seen.clone())).detach();
+        self.tasks
+            .spawn(write(n, front, observations.clone()))
+            .detach();
+        self.tasks
+            .spawn(read(n, front, observations.clone()))
+            .detach();
     }
 }
 
@@ -152,69 +158,77 @@
         .unwrap();
 }
 
-/// Writes 1, 2, 3 and so on into its thing, each once; what was refused is written again as the next value.
-async fn write(n: usize, front: SocketAddr, seen: Rc<Seen>) {
+/// Writes 1, 2, 3 and so on to its key, each value once.
+async fn write(n: usize, front: SocketAddr, observations: Rc<ClientObservations>) {
     let mut client = None;
-    while !seen.done.get() {
+    while !observations.done.get() {
         let Some(session) = session(&mut client, front, "fresh1").await else {
             continue;
         };
-        let value = seen.sent[n].get() + 1;
-        seen.sent[n].set(value);
+        let value = observations.sent[n].get() + 1;
+        observations.sent[n].set(value);
         let id = format!("w{n}-{value}");
         let answered = session.query(&id, &format!("PUT t{n} {value}")).await;
         let now = clock::now();
         match answered.as_ref().map(|a| a.result.error) {
             Ok(None) => {
-                seen.acknowledged[n].set(value);
-                seen.writes.set(seen.writes.get() + 1);
-                seen.gap.set(seen.gap.get().max(now - seen.last.get()));
-                seen.last.set(now);
+                observations.acknowledged[n].set(value);
+                observations.writes.set(observations.writes.get() + 1);
+                observations.longest_gap_s.set(
+                    observations
+                        .longest_gap_s
+                        .get()
+                        .max(now - observations.last_write_at_s.get()),
+                );
+                observations.last_write_at_s.set(now);
             }
-            Ok(Some(code)) if is_promise(code) => seen.refused.set(seen.refused.get() + 1),
-            unclear => {
-                if unclear.is_err() {
-                    seen.unacknowledged.borrow_mut().push(id);
+            Ok(Some(code)) if is_definite_failure(code) => {
+                observations.rejected.set(observations.rejected.get() + 1);
+            }
+            unknown => {
+                if unknown.is_err() {
+                    observations.unacknowledged.borrow_mut().push(id);
                 }
-                seen.unclear.set(seen.unclear.get() + 1);
+                observations.unknown.set(observations.unknown.get() + 1);
                 client = None;
             }
         }
-        seen.changed.notify_waiters();
+        observations.changed.notify_waiters();
     }
 }
 
-/// Reads the thing of one writer: never less than was acknowledged before.
-async fn read(n: usize, front: SocketAddr, seen: Rc<Seen>) {
+/// Reads the key of one writer, and records values older than one acknowledged before the read.
+async fn read(n: usize, front: SocketAddr, observations: Rc<ClientObservations>) {
     let mut client = None;
     let mut count = 0;
-    while !seen.done.get() {
+    while !observations.done.get() {
         let Some(session) = session(&mut client, front, "fresh1").await else {
             continue;
         };
         count += 1;
-        let least = seen.acknowledged[n].get();
+        let least = observations.acknowledged[n].get();
         match session
             .query(&format!("r{n}-{count}"), &format!("FETCH t{n}"))
             .await
         {
             Ok(answered) if answered.result.error.is_none() => {
                 let value: u64 = answered.first_row().map_or(0, |row| row.parse().unwrap());
-                if value < least || value > seen.sent[n].get() {
-                    seen.stale
+                if value < least || value > observations.sent[n].get() {
+                    observations
+                        .stale_reads
                         .borrow_mut()
                         .push(format!("t{n}={value} after {least}"));
                 }
-                seen.reads.set(seen.reads.get() + 1);
+                observations.reads.set(observations.reads.get() + 1);
             }
             Ok(_) => {}
             Err(_) => client = None,
         }
-        seen.changed.notify_waiters();
+        observations.changed.notify_waiters();
     }
 }
 
-fn is_promise(code: ErrorCode) -> bool {
+fn is_definite_failure(code: ErrorCode) -> bool {
     code.execution_outcome() == ExecutionOutcome::NotRun || code == ErrorCode::Aborted
 }
 
@@ -233,14 +247,14 @@
     client.as_mut()
 }
 
-impl Seen {
-    /// Waits until this holds; the test fails when it takes longer than so many seconds.
+impl ClientObservations {
+    /// Waits until a condition holds; the test fails after so many seconds.
     async fn until(&self, seconds: f64, what: &str, holds: impl Fn(&Self) -> bool) {
-        let late = async {
+        let timed_out = async {
             Timer::after(Duration::from_secs_f64(seconds)).await;
             panic!("not within {seconds} s: {what}; {}", self.line());
         };
-        let held = async {
+        let condition_met = async {
             loop {
                 let generation = self.changed.generation();
                 if holds(self) {
@@ -249,7 +263,7 @@
                 self.changed.notified_since(generation).await;
             }
         };
-        future::or(held, late).await;
+        future::or(condition_met, timed_out).await;
     }
 
     fn line(&self) -> String {
@@ -257,25 +271,25 @@
             "writes={} reads={} refused={} unclear={} gap_s={:.2}",
             self.writes.get(),
             self.reads.get(),
-            self.refused.get(),
-            self.unclear.get(),
-            self.gap.get()
+            self.rejected.get(),
+            self.unknown.get(),
+            self.longest_gap_s.get()
         )
     }
 
-    /// Ends all clients, and compares what was acknowledged with what the primary holds.
-    fn settle(&self, system: &TestSystem) {
+    /// Ends all clients, and compares what was acknowledged with the data of the primary.
+    fn check(&self, system: &TestSystem) {
         self.done.set(true);
         let cluster = system.cluster_host.cluster.borrow();
         let primary = cluster.primary("db1").expect("somebody leads");
         for n in 0..WRITERS {
-            let held: u64 = cluster
+            let value_at_primary: u64 = cluster
                 .read(primary, &format!("t{n}"))
                 .map_or(0, |v| v.parse().unwrap());
             let (acknowledged, sent) = (self.acknowledged[n].get(), self.sent[n].get());
             assert!(
-                (acknowledged..=sent).contains(&held),
-                "t{n}: {held} held, {acknowledged} acknowledged, {sent} sent"
+                (acknowledged..=sent).contains(&value_at_primary),
+                "t{n}: {value_at_primary} held, {acknowledged} acknowledged, {sent} sent"
             );
         }
         assert_eq!(
@@ -284,37 +298,42 @@
             "{}",
             cluster.rule_checker.summary()
         );
-        assert_eq!(*self.stale.borrow(), Vec::<String>::new());
+        assert_eq!(*self.stale_reads.borrow(), Vec::<String>::new());
         println!("{} {}", self.line(), cluster.rule_checker.summary());
     }
 }
 
-fn play(number: u32, test: impl AsyncFnOnce(&TestSystem, &Rc<Seen>)) {
-    play_within(LIMIT, number, test);
+fn run_test(number: u32, test: impl AsyncFnOnce(&TestSystem, &Rc<ClientObservations>)) {
+    run_test_within(TEST_TIMEOUT_S, number, test);
 }
 
-fn play_within(limit: f64, number: u32, test: impl AsyncFnOnce(&TestSystem, &Rc<Seen>)) {
+fn run_test_within(
+    limit: f64,
+    number: u32,
+    test: impl AsyncFnOnce(&TestSystem, &Rc<ClientObservations>),
+) {
     let tasks = Rc::new(LocalExecutor::new());
     let system = TestSystem::start(&tasks, number);
-    let seen = Rc::<Seen>::default();
+    let observations = Rc::<ClientObservations>::default();
     let all = async {
         up::wait_until_ready(&system.deployment).await.unwrap();
-        seen.last.set(clock::now());
-        (0..WRITERS).for_each(|n| system.client(n, &seen));
-        test(&system, &seen).await;
-        seen.settle(&system);
+        observations.last_write_at_s.set(clock::now());
+        (0..WRITERS).for_each(|n| system.client(n, &observations));
+        test(&system, &observations).await;
+        observations.check(&system);
     };
-    let late = async {
+    let timed_out = async {
         Timer::after(Duration::from_secs_f64(limit)).await;
-        panic!("not done within {limit} s; {}", seen.line());
+        panic!("not done within {limit} s; {}", observations.line());
     };
-    async_io::block_on(tasks.run(future::or(all, late)));
+    async_io::block_on(tasks.run(future::or(all, timed_out)));
 }
 
 #[test]
-fn the_primary_is_killed_and_writes_go_on() {
-    play(0, async |system, seen| {
-        seen.until(10.0, "300 writes", |s| s.writes.get() >= 300)
+fn writes_continue_after_primary_crash() {
+    run_test(0, async |system, observations| {
+        observations
+            .until(10.0, "300 writes", |s| s.writes.get() >= 300)
             .await;
         let before = system
             .cluster_host
@@ -324,10 +343,11 @@
             .unwrap()
             .to_owned();
         system.cluster_host.crash_server(&before);
-        let count = seen.writes.get();
+        let count = observations.writes.get();
         // A few may have been answered just before.
         let more = count + WRITERS as u64 + 1;
-        seen.until(6.0, "a write after the kill", |s| s.writes.get() > more)
+        observations
+            .until(6.0, "a write after the kill", |s| s.writes.get() > more)
             .await;
         assert_ne!(
             system.cluster_host.cluster.borrow().primary("db1"),
@@ -335,8 +355,9 @@
         );
         // It comes back as a replica.
         system.cluster_host.restart_server(&before).unwrap();
-        let more = seen.writes.get() + 300;
-        seen.until(10.0, "300 more writes", |s| s.writes.get() >= more)
+        let more = observations.writes.get() + 300;
+        observations
+            .until(10.0, "300 more writes", |s| s.writes.get() >= more)
             .await;
         assert!(
             system
@@ -351,13 +372,15 @@
 }
 
 #[test]
-fn a_planned_change_and_the_loss_of_a_control_machine() {
-    play(1, async |system, seen| {
-        seen.until(10.0, "200 writes", |s| s.writes.get() >= 200)
+fn writes_continue_after_drain_of_primary_and_loss_of_control_machine() {
+    run_test(1, async |system, observations| {
+        observations
+            .until(10.0, "200 writes", |s| s.writes.get() >= 200)
             .await;
         system.child_processes.borrow_mut().kill("control-1");
-        let more = seen.writes.get() + 200;
-        seen.until(10.0, "writes after the loss", |s| s.writes.get() >= more)
+        let more = observations.writes.get() + 200;
+        observations
+            .until(10.0, "writes after the loss", |s| s.writes.get() >= more)
             .await;
         let before = system
             .cluster_host
@@ -367,17 +390,19 @@
             .unwrap()
             .to_owned();
         system.cluster_host.drain_server(&before);
-        seen.until(8.0, "another leads", |_| {
-            system
-                .cluster_host
-                .cluster
-                .borrow()
-                .primary("db1")
-                .is_some_and(|now| now != before)
-        })
-        .await;
-        let more = seen.writes.get() + 200;
-        seen.until(6.0, "writes after the change", |s| s.writes.get() >= more)
+        observations
+            .until(8.0, "another leads", |_| {
+                system
+                    .cluster_host
+                    .cluster
+                    .borrow()
+                    .primary("db1")
+                    .is_some_and(|now| now != before)
+            })
+            .await;
+        let more = observations.writes.get() + 200;
+        observations
+            .until(6.0, "writes after the change", |s| s.writes.get() >= more)
             .await;
     });
 }
@@ -392,13 +417,13 @@
             .to_owned()
     }
 
-    /// The relay before a database.
+    /// The relay before a database server.
     fn relay(&self, id: &str) -> &Relay {
         let found = self.databases.iter().find(|(of, _)| of == id);
         &found.expect("each database has a relay").1
     }
 
-    /// The term of the primary.
+    /// The primary term.
     fn term(&self) -> u64 {
         let status = self
             .cluster_host
@@ -430,13 +455,13 @@
         }
     }
 
-    /// Waits until the platform's relay is so; the test fails when it takes longer than so many seconds.
+    /// Waits until the platform's relay meets a condition; the test fails after so many seconds.
     async fn platform_until(&self, seconds: f64, what: &str, holds: impl Fn(&Relay) -> bool) {
-        let late = async {
+        let timed_out = async {
             Timer::after(Duration::from_secs_f64(seconds)).await;
             panic!("not within {seconds} s: {what}");
         };
-        let held = async {
+        let condition_met = async {
             loop {
                 let rings = self.platform.changed.generation();
                 if holds(&self.platform) {
@@ -445,56 +470,65 @@
                 self.platform.changed.notified_since(rings).await;
             }
         };
-        future::or(held, late).await;
+        future::or(condition_met, timed_out).await;
     }
 }
 
-/// The call that makes another server the primary meets a reset before its first byte, in its middle, and once its answer is
-/// written, and silence: one server is promoted each time, and no acknowledged write is lost.
+/// The call that promotes another server is reset before its first byte, in its middle and once its
+/// response is written, or its response is lost: one server is promoted each time, and no acknowledged
+/// write is lost.
 #[test]
 fn a_promotion_whose_call_breaks_off_at_any_stage_happens_once() {
-    play_within(LONG_LIMIT, 2, async |system, seen| {
-        let stages = [
+    run_test_within(LONG_TEST_TIMEOUT_S, 2, async |system, observations| {
+        let faults = [
             (Direction::Requests, Fault::ResetAfter(0)),
             (Direction::Requests, Fault::ResetAfter(60)),
             (Direction::Responses, Fault::ResetAfter(0)),
             (Direction::Responses, Fault::Drop),
         ];
-        for (way, fault) in stages {
-            let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+        for (direction, fault) in faults {
+            let more = observations.writes.get() + 60;
+            observations
+                .until(STEP_TIMEOUT_S, "60 writes", |s| s.writes.get() >= more)
                 .await;
             let (before, term) = (system.primary(), system.term());
             let (requests, resets) = (system.platform.requests(), system.platform.resets());
-            system.platform.set(way, Some(fault));
+            system.platform.set(direction, Some(fault));
             system.cluster_host.crash_server(&before);
             system
-                .platform_until(PATIENCE, "a call to the platform", |platform| match fault {
-                    Fault::Drop => platform.requests() > requests,
-                    _ => platform.resets() > resets,
-                })
+                .platform_until(
+                    STEP_TIMEOUT_S,
+                    "a call to the platform",
+                    |platform| match fault {
+                        Fault::Drop => platform.requests() > requests,
+                        _ => platform.resets() > resets,
+                    },
+                )
                 .await;
             let silence = if fault == Fault::Drop { 1.2 } else { 0.0 };
             Timer::after(Duration::from_secs_f64(silence)).await;
-            system.platform.set(way, None);
-            let more = seen.writes.get() + WRITERS as u64 + 1;
-            seen.until(PATIENCE, "writes at another primary", |s| {
-                s.writes.get() > more
-            })
-            .await;
+            system.platform.set(direction, None);
+            let more = observations.writes.get() + WRITERS as u64 + 1;
+            observations
+                .until(STEP_TIMEOUT_S, "writes at another primary", |s| {
+                    s.writes.get() > more
+                })
+                .await;
             assert_eq!(system.term(), term + 1, "{fault:?}");
             system.cluster_host.restart_server(&before).unwrap();
         }
     });
 }
 
-/// The leader is stopped between its call to the platform and the answer, and goes on when another machine has led for a while.
+/// The leader is stopped between its call to the platform and the response, and continued when another
+/// machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_in_the_middle_of_a_promotion() {
-    play_within(LONG_LIMIT, 3, async |system, seen| {
+    run_test_within(LONG_TEST_TIMEOUT_S, 3, async |system, observations| {
         for _ in 0..2 {
-            let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+            let more = observations.writes.get() + 60;
+            observations
+                .until(STEP_TIMEOUT_S, "60 writes", |s| s.writes.get() >= more)
                 .await;
             let (before, leader, requests) = (
                 system.primary(),
@@ -503,7 +537,7 @@
             );
             system.cluster_host.crash_server(&before);
             system
-                .platform_until(PATIENCE, "a call to the platform", |platform| {
+                .platform_until(STEP_TIMEOUT_S, "a call to the platform", |platform| {
                     platform.requests() > requests
                 })
                 .await;
@@ -511,11 +545,12 @@
                 .child_processes
                 .borrow()
                 .signal(&leader, Signal::STOP);
-            let more = seen.writes.get() + WRITERS as u64 + 1;
-            seen.until(PATIENCE, "writes at another primary", |s| {
-                s.writes.get() > more
-            })
-            .await;
+            let more = observations.writes.get() + WRITERS as u64 + 1;
+            observations
+                .until(STEP_TIMEOUT_S, "writes at another primary", |s| {
+                    s.writes.get() > more
+                })
+                .await;
             system
                 .child_processes
                 .borrow()
@@ -525,12 +560,12 @@
     });
 }
 
-/// Connections to the primary, of routers and of control, are reset at each stage of a statement, and its answers are held up: no
-/// write takes effect twice, none that was acknowledged is lost, and what changes a server is not sent again.
+/// Connections to the primary, of routers and of control, are reset at each stage of a statement, or
+/// its responses are lost: no write takes effect twice, and none that was acknowledged is lost.
 #[test]
 fn statements_whose_connection_is_reset_at_any_stage_run_at_most_once() {
-    play_within(LONG_LIMIT, 4, async |system, seen| {
-        let stages = [
+    run_test_within(LONG_TEST_TIMEOUT_S, 4, async |system, observations| {
+        let faults = [
             (Direction::Requests, Fault::ResetAfter(0)),
             (Direction::Requests, Fault::ResetAfter(30)),
             (Direction::Requests, Fault::ResetAfter(400)),
@@ -538,31 +573,35 @@
             (Direction::Responses, Fault::ResetAfter(300)),
             (Direction::Responses, Fault::Drop),
         ];
-        for (way, fault) in stages {
-            let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+        for (direction, fault) in faults {
+            let more = observations.writes.get() + 60;
+            observations
+                .until(STEP_TIMEOUT_S, "60 writes", |s| s.writes.get() >= more)
                 .await;
             let primary = system.primary();
             let resets = system.relay(&primary).resets();
-            system.relay(&primary).set(way, Some(fault));
+            system.relay(&primary).set(direction, Some(fault));
             Timer::after(Duration::from_secs_f64(0.4)).await;
-            system.relay(&primary).set(way, None);
+            system.relay(&primary).set(direction, None);
             assert!(
                 fault == Fault::Drop || system.relay(&primary).resets() > resets,
                 "{fault:?}"
             );
         }
-        let more = seen.writes.get() + 60;
-        seen.until(PATIENCE, "60 writes after all", |s| s.writes.get() >= more)
+        let more = observations.writes.get() + 60;
+        observations
+            .until(STEP_TIMEOUT_S, "60 writes after all", |s| {
+                s.writes.get() >= more
+            })
             .await;
     });
 }
 
-/// The same of the replicas, while the primary is replaced: what they are asked breaks off at each stage, or is answered late.
+/// Queries to replicas break off at each stage, or are answered late, while the primary is replaced.
 #[test]
-fn a_change_of_the_primary_whose_queries_break_off_loses_nothing() {
-    play_within(LONG_LIMIT, 5, async |system, seen| {
-        for (way, fault) in [
+fn failover_with_broken_replica_queries_loses_no_write() {
+    run_test_within(LONG_TEST_TIMEOUT_S, 5, async |system, observations| {
+        for (direction, fault) in [
             (Direction::Requests, Fault::ResetAfter(30)),
             (Direction::Responses, Fault::ResetAfter(0)),
             (
@@ -570,8 +609,9 @@
                 Fault::Delay(Duration::from_millis(900)),
             ),
         ] {
-            let more = seen.writes.get() + 60;
-            seen.until(PATIENCE, "60 writes", |s| s.writes.get() >= more)
+            let more = observations.writes.get() + 60;
+            observations
+                .until(STEP_TIMEOUT_S, "60 writes", |s| s.writes.get() >= more)
                 .await;
             let before = system.primary();
             let replicas = system.databases.iter().filter(|(id, _)| *id != before);
@@ -579,32 +619,35 @@
             system.cluster_host.crash_server(&before);
             replicas
                 .iter()
-                .for_each(|relay| relay.set(way, Some(fault)));
+                .for_each(|relay| relay.set(direction, Some(fault)));
             Timer::after(Duration::from_secs_f64(1.5)).await;
-            replicas.iter().for_each(|relay| relay.set(way, None));
-            let more = seen.writes.get() + WRITERS as u64 + 1;
-            seen.until(PATIENCE, "writes at another primary", |s| {
-                s.writes.get() > more
-            })
-            .await;
+            replicas.iter().for_each(|relay| relay.set(direction, None));
+            let more = observations.writes.get() + WRITERS as u64 + 1;
+            observations
+                .until(STEP_TIMEOUT_S, "writes at another primary", |s| {
+                    s.writes.get() > more
+                })
+                .await;
             system.cluster_host.restart_server(&before).unwrap();
         }
     });
 }
 
-/// Each router in its turn is asked to end while it answers, and a primary is to be replaced in the same moment: whatever it took it
-/// answers, it says that it isn't ready from the first moment on, and it ends by itself within the grace period.
+/// Each router in turn gets SIGTERM while it serves clients, and a primary is drained at the same time:
+/// the router answers every statement that it received, isn't ready from the first moment on, and ends
+/// by itself within the grace period.
 #[test]
 fn a_router_that_is_asked_to_end_cuts_no_statement() {
-    play_within(LONG_LIMIT, 6, async |system, seen| {
+    run_test_within(LONG_TEST_TIMEOUT_S, 6, async |system, observations| {
         for (n, readiness) in system
             .deployment
             .readiness_addresses()
             .into_iter()
             .enumerate()
         {
-            let more = seen.writes.get() + 100;
-            seen.until(PATIENCE, "100 writes", |s| s.writes.get() >= more)
+            let more = observations.writes.get() + 100;
+            observations
+                .until(STEP_TIMEOUT_S, "100 writes", |s| s.writes.get() >= more)
                 .await;
             let name = format!("router-{}", n + 1);
             system.child_processes.borrow().signal(&name, Signal::TERM);
@@ -635,7 +678,7 @@
         }
         let cluster = system.cluster_host.cluster.borrow();
         let cut = |id: &&String| cluster.rule_checker.has_committed(id);
-        let unacknowledged = seen.unacknowledged.borrow();
+        let unacknowledged = observations.unacknowledged.borrow();
         let cut: Vec<&String> = unacknowledged.iter().filter(cut).collect();
         assert!(
             cut.is_empty(),
@@ -644,11 +687,13 @@
     });
 }
 
-/// Each machine tells its figures, in their form, of what it does; and nothing else at that address.
+/// Each machine serves metrics of what it does, in the `OpenMetrics` format, and nothing else at that
+/// address.
 #[test]
-fn each_machine_tells_its_figures() {
-    play(7, async |system, seen| {
-        seen.until(10.0, "100 writes", |s| s.writes.get() >= 100)
+fn each_machine_serves_its_metrics() {
+    run_test(7, async |system, observations| {
+        observations
+            .until(10.0, "100 writes", |s| s.writes.get() >= 100)
             .await;
         let ask = async |at: SocketAddr, path: &str| {
             let at = SocketAddr::new(at.ip(), METRICS_PORT);
@@ -666,28 +711,28 @@
             );
             let text = String::from_utf8(answer.body).unwrap();
             assert!(text.ends_with("# EOF\n"), "{text}");
-            writes += figure(
+            writes += metric(
                 &text,
                 "badgerstream_router_statements_total{statement=\"PUT\",end=\"complete\"}",
             );
-            assert!(figure(&text, "badgerstream_router_lease_remaining_seconds") > 0.0);
-            assert_eq!(figure(&text, "badgerstream_router_grants"), 1.0);
+            assert!(metric(&text, "badgerstream_router_lease_remaining_seconds") > 0.0);
+            assert_eq!(metric(&text, "badgerstream_router_grants"), 1.0);
             assert_eq!(ask(front, "/").await.status, 404);
         }
         assert!(writes >= 100.0, "{writes}");
         let mut leaders = 0.0;
         for control in system.deployment.control_addresses() {
             let text = String::from_utf8(ask(control, "/metrics").await.body).unwrap();
-            leaders += figure(&text, "badgerstream_control_leads");
-            assert_eq!(figure(&text, "badgerstream_control_voters"), 3.0);
-            assert!(figure(&text, "badgerstream_control_save_seconds_count") > 0.0);
+            leaders += metric(&text, "badgerstream_control_leads");
+            assert_eq!(metric(&text, "badgerstream_control_voters"), 3.0);
+            assert!(metric(&text, "badgerstream_control_save_seconds_count") > 0.0);
         }
         assert_eq!(leaders, 1.0);
     });
 }
 
-/// The figure of this name and these labels.
-fn figure(text: &str, name: &str) -> f64 {
+/// The value of the metric with this name and these labels.
+fn metric(text: &str, name: &str) -> f64 {
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
