--- a/crates/testing/simulation/src/control.rs
+++ b/crates/testing/simulation/src/control.rs
@@ -12,6 +12,6 @@
 
 pub use cluster::{ControlCluster, Isolation, timing};
 pub use disk::{Disk, DiskHealth, HEALTHY_DISK, WriteOutcome};
-pub use machine::{ControlMachine, PendingWrite};
-pub use network::{OpenConnection, PeerEnvelope, PeerNetwork};
+pub use machine::ControlMachine;
+pub use network::{PeerEnvelope, PeerNetwork};
 pub(crate) use transport::Delivery;
--- a/crates/testing/simulation/src/control/machine.rs
+++ b/crates/testing/simulation/src/control/machine.rs
@@ -12,7 +12,7 @@
 
 /// A write of the hard state that the process waits for.
 #[derive(Clone, Debug)]
-pub struct PendingWrite {
+pub(super) struct PendingWrite {
     /// What is being written.
     pub(super) hard_state: HardState,
     /// The outputs behind it, which rely on it.
--- a/crates/testing/simulation/src/control/network.rs
+++ b/crates/testing/simulation/src/control/network.rs
@@ -52,11 +52,11 @@
 
 /// The connection on which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OpenConnection {
+pub(super) struct OpenConnection {
     /// Its number.
-    pub id: u64,
+    pub(super) id: u64,
     /// It was opened for this message.
-    pub is_new: bool,
+    pub(super) is_new: bool,
 }
 
 /// All links between control machines.
@@ -72,7 +72,7 @@
 
 impl PeerNetwork {
     /// Whether nothing passes from one to the other.
-    pub fn is_blocked(&self, from: NodeId, to: NodeId) -> bool {
+    pub(super) fn is_blocked(&self, from: NodeId, to: NodeId) -> bool {
         self.blocked.contains(&(from, to))
     }
 
@@ -83,13 +83,13 @@
     }
 
     /// Unblocks everything from and to this machine.
-    pub fn unblock_machine(&mut self, node: NodeId) {
+    pub(super) fn unblock_machine(&mut self, node: NodeId) {
         self.blocked
             .retain(|(from, to)| *from != node && *to != node);
     }
 
     /// The connection of this process to another machine; it is opened if there is none.
-    pub fn connection(&mut self, from: Process, to: NodeId) -> OpenConnection {
+    pub(super) fn connection(&mut self, from: Process, to: NodeId) -> OpenConnection {
         let id = LinkId {
             from: from.node,
             to,
@@ -108,7 +108,7 @@
     }
 
     /// Ends the connection: what is held back is lost, and the next message opens another one.
-    pub fn reset(&mut self, from: NodeId, to: NodeId) {
+    pub(super) fn reset(&mut self, from: NodeId, to: NodeId) {
         if let Some(link) = self.links.get_mut(&LinkId { from, to }) {
             link.connection = 0;
             link.held_back.clear();
@@ -123,14 +123,14 @@
     }
 
     /// When a message that is sent now with this delay arrives: none overtakes another.
-    pub fn arrival_time(&mut self, from: NodeId, to: NodeId, now: f64, delay: f64) -> f64 {
+    pub(super) fn arrival_time(&mut self, from: NodeId, to: NodeId, now: f64, delay: f64) -> f64 {
         let link = self.links.entry(LinkId { from, to }).or_default();
         link.last_arrival = (now + delay).max(link.last_arrival + ARRIVAL_SPACING_S);
         link.last_arrival
     }
 
     /// A partition holds this message back.
-    pub fn hold_back(&mut self, envelope: PeerEnvelope) {
+    pub(super) fn hold_back(&mut self, envelope: PeerEnvelope) {
         let id = LinkId {
             from: envelope.from.node,
             to: envelope.to.node(),
@@ -140,7 +140,7 @@
 
     /// Takes what was held back between these two, which are no longer blocked, in order: all
     /// of it, or a random part if the sender has given the connection up meanwhile.
-    pub fn release(
+    pub(super) fn release(
         &mut self,
         from: NodeId,
         to: NodeId,
@@ -165,7 +165,7 @@
     }
 
     /// Pairs between which something is held back and nothing is blocked any more.
-    pub fn releasable(&self) -> Vec<(NodeId, NodeId)> {
+    pub(super) fn releasable(&self) -> Vec<(NodeId, NodeId)> {
         self.links
             .iter()
             .filter(|(_, link)| !link.held_back.is_empty())
--- a/crates/testing/simulation/src/kernel.rs
+++ b/crates/testing/simulation/src/kernel.rs
@@ -49,17 +49,17 @@
     }
 
     /// Schedules an event in so many seconds.
-    pub fn schedule(&mut self, after_s: f64, event: impl Into<Event>) {
+    pub(crate) fn schedule(&mut self, after_s: f64, event: impl Into<Event>) {
         self.queue.push(self.now + after_s, event.into());
     }
 
     /// Whether an event for which this holds is scheduled.
-    pub fn is_scheduled(&self, matches: impl Fn(&Event) -> bool) -> bool {
+    pub(crate) fn is_scheduled(&self, matches: impl Fn(&Event) -> bool) -> bool {
         self.queue.pending().any(matches)
     }
 
     /// Takes the next event due no later than at that second, and advances the clock to it.
-    pub fn next_event(&mut self, until: f64) -> Option<Event> {
+    pub(crate) fn next_event(&mut self, until: f64) -> Option<Event> {
         let (at, event) = self.queue.pop_until(until)?;
         // An event may be due in the past: microseconds are cut off in the queue.
         self.now = self.now.max(at);
@@ -67,12 +67,12 @@
     }
 
     /// Sets the clock to that second.
-    pub fn advance_to(&mut self, second: f64) {
+    pub(crate) fn advance_to(&mut self, second: f64) {
         self.now = second;
     }
 
     /// Draws the one-way delay of a message, in seconds.
-    pub fn message_delay(&mut self) -> f64 {
+    pub(crate) fn message_delay(&mut self) -> f64 {
         self.message_delay_s * (0.8 + 0.004 * self.random.below(100) as f64)
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Writes a line to standard error if the run is traced.
-    pub fn trace(&self, text: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, text: impl FnOnce() -> String) {
         if self.traces {
             eprintln!("{:9.4} {}", self.now, text());
         }
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -31,8 +31,8 @@
 
 pub use control::{ControlMachine, DiskHealth, HEALTHY_DISK, Isolation};
 pub use health::Health;
-pub use requests::Responses;
-pub use service::{SERVICE, Server};
+pub use requests::{Response, Responses};
+pub use service::{SERVICE, Server, ServerRole};
 pub use simulation::Simulation;
 
 #[cfg(test)]
--- a/crates/testing/simulation/src/requests.rs
+++ b/crates/testing/simulation/src/requests.rs
@@ -44,5 +44,14 @@
     }
 }
 
-/// Status and body of the responses to a test's requests, by the requests' numbers.
-pub type Responses = BTreeMap<u64, (u16, Vec<u8>)>;
+/// The response to a request of a test.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Response {
+    /// The status, as in HTTP.
+    pub status: u16,
+    /// The body.
+    pub body: Vec<u8>,
+}
+
+/// The responses to a test's requests, by the requests' numbers.
+pub type Responses = BTreeMap<u64, Response>;
--- a/crates/testing/simulation/src/service.rs
+++ b/crates/testing/simulation/src/service.rs
@@ -5,4 +5,4 @@
 mod server;
 
 pub use replication::{Promotion, Service};
-pub use server::{LogEntry, SERVICE, Server, heartbeat};
+pub use server::{LogEntry, SERVICE, Server, ServerRole, heartbeat};
--- a/crates/testing/simulation/src/service/commands.rs
+++ b/crates/testing/simulation/src/service/commands.rs
@@ -5,7 +5,7 @@
 use crate::event::{CommandCall, ControlEvent, Event, ServerEvent};
 use crate::health::Health;
 use crate::kernel::Kernel;
-use badgerstream_control::{CommandOutcome, Heartbeat, ServerCommand};
+use badgerstream_control::{CommandOutcome, Heartbeat, MemberPhase, ServerCommand};
 
 /// A command without an answer times out after so many seconds.
 const COMMAND_TIMEOUT_S: f64 = 0.6;
@@ -17,29 +17,35 @@
 const REFUSAL_DELAY_S: f64 = 0.001;
 
 impl Service {
-    /// A control machine sends a command to the server at that address; without a network it times
-    /// out.
-    pub(crate) fn send_command(
-        &self,
-        kernel: &mut Kernel,
-        call: CommandCall,
-        endpoint: &str,
-        is_reachable: bool,
-    ) {
+    /// A control machine sends a command to the server at that address.
+    pub(crate) fn send_command(&self, kernel: &mut Kernel, call: CommandCall, endpoint: &str) {
         let server = self.servers.get(&call.server_id);
         let server = server.filter(|server| server.endpoint == endpoint);
         let health = server.map_or(Health::Down, |server| server.health);
-        let delay = kernel.message_delay();
-        let answers_control = !self.unresponsive_to_control.contains(&call.server_id);
-        if !is_reachable || !answers_control || health == Health::Unresponsive {
-            complete(kernel, COMMAND_TIMEOUT_S, call, CommandOutcome::TimedOut);
-        } else if health == Health::Down {
-            complete(kernel, 2.0 * delay, call, CommandOutcome::Refused);
-        } else {
-            kernel.schedule(delay, ServerEvent::CommandArrived(call));
+        if self.unresponsive_to_control.contains(&call.server_id) {
+            Service::lose_command(kernel, call);
+            return;
+        }
+        match health {
+            Health::Unresponsive => Service::lose_command(kernel, call),
+            Health::Down => {
+                let round_trip = 2.0 * kernel.message_delay();
+                complete(kernel, round_trip, call, CommandOutcome::Refused);
+            }
+            Health::Up => {
+                let delay = kernel.message_delay();
+                kernel.schedule(delay, ServerEvent::CommandArrived(call));
+            }
         }
     }
 
+    /// A control machine sends a command that doesn't arrive.
+    pub(crate) fn lose_command(kernel: &mut Kernel, call: CommandCall) {
+        // The delay is drawn for every command: what follows doesn't depend on its fate.
+        kernel.message_delay();
+        complete(kernel, COMMAND_TIMEOUT_S, call, CommandOutcome::TimedOut);
+    }
+
     /// A command arrives, and its answer leaves or is lost.
     pub(crate) fn command_arrived(&mut self, kernel: &mut Kernel, call: CommandCall) {
         let rules = CommandRules {
@@ -76,7 +82,12 @@
     pub(crate) fn next_heartbeat(&mut self, id: &str) -> Heartbeat {
         let server = self.server_mut(id);
         server.heartbeat_sequence += 1;
-        heartbeat(&server.endpoint, server.heartbeat_sequence, server.draining)
+        let phase = if server.draining {
+            MemberPhase::Draining
+        } else {
+            MemberPhase::Ready
+        };
+        heartbeat(&server.endpoint, server.heartbeat_sequence, phase)
     }
 
     /// Schedules the next heartbeat, unless one is scheduled: a server has one timer.
--- a/crates/testing/simulation/src/service/replication.rs
+++ b/crates/testing/simulation/src/service/replication.rs
@@ -3,7 +3,7 @@
 //! Logs hold the numbers of commits, so that what was acknowledged can be looked for: it is an error
 //! of the decisions under test if a promotion or an acknowledgement loses one.
 
-use super::server::{LogEntry, Server};
+use super::server::{LogEntry, Server, ServerRole};
 use crate::digest::EntryKind;
 use crate::event::{RouterEvent, ServerEvent, Statement, StatementKind};
 use crate::health::Health;
@@ -65,9 +65,9 @@
         kernel: &mut Kernel,
         id: &str,
         endpoint: &str,
-        is_primary: bool,
+        role: ServerRole,
     ) {
-        let server = Server::new(id, endpoint, is_primary);
+        let server = Server::new(id, endpoint, role);
         self.servers.insert(id.to_owned(), server);
         let delay = 0.01 * kernel.random.below(100) as f64;
         kernel.schedule(delay, ServerEvent::HeartbeatDue(id.to_owned()));
@@ -103,8 +103,12 @@
         old.health = Health::Down;
         let old = old.clone();
         let highest_term = self.highest_primary_term();
-        let is_primary = old.is_primary && old.primary_term == highest_term;
-        self.add_server(kernel, new_id, &old.endpoint, is_primary);
+        let role = if old.is_primary && old.primary_term == highest_term {
+            ServerRole::Primary
+        } else {
+            ServerRole::Replica
+        };
+        self.add_server(kernel, new_id, &old.endpoint, role);
         let new = self.server_mut(new_id);
         new.log = old.log;
         new.primary_term = highest_term;
--- a/crates/testing/simulation/src/service/server.rs
+++ b/crates/testing/simulation/src/service/server.rs
@@ -15,6 +15,15 @@
     pub commit: u64,
 }
 
+/// What a server is to its service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerRole {
+    /// It takes writes.
+    Primary,
+    /// It receives the primary's log.
+    Replica,
+}
+
 /// One database server.
 #[derive(Clone, Debug)]
 pub struct Server {
@@ -61,12 +70,12 @@
 
 impl Server {
     /// A server without commits, in primary term 1.
-    pub(super) fn new(id: &str, endpoint: &str, is_primary: bool) -> Server {
+    pub(super) fn new(id: &str, endpoint: &str, role: ServerRole) -> Server {
         Server {
             id: id.to_owned(),
             endpoint: endpoint.to_owned(),
             health: Health::Up,
-            is_primary,
+            is_primary: role == ServerRole::Primary,
             primary_term: 1,
             log: Vec::new(),
             paused_at_term: None,
@@ -161,12 +170,7 @@
 }
 
 /// A heartbeat of a server of the service.
-pub fn heartbeat(endpoint: &str, sequence: u64, draining: bool) -> Heartbeat {
-    let phase = if draining {
-        MemberPhase::Draining
-    } else {
-        MemberPhase::Ready
-    };
+pub fn heartbeat(endpoint: &str, sequence: u64, phase: MemberPhase) -> Heartbeat {
     Heartbeat {
         service: SERVICE.to_owned(),
         endpoint: endpoint.to_owned(),
--- a/crates/testing/simulation/src/simulation.rs
+++ b/crates/testing/simulation/src/simulation.rs
@@ -20,7 +20,7 @@
 use crate::oracle::liveness::CHECK_INTERVAL_S;
 use crate::platform::Platform;
 use crate::requests::{Requests, Responses};
-use crate::service::Service;
+use crate::service::{ServerRole, Service};
 
 /// The step in which [`Simulation::run_until`] looks for its condition, in seconds.
 const CONDITION_INTERVAL_S: f64 = 0.005;
@@ -56,9 +56,14 @@
         for _ in 0..2 {
             simulation.add_router();
         }
-        for id in ["a", "b", "c"] {
+        let roles = [
+            ("a", ServerRole::Primary),
+            ("b", ServerRole::Replica),
+            ("c", ServerRole::Replica),
+        ];
+        for (id, role) in roles {
             let endpoint = format!("10.0.0.{}:1", id.as_bytes()[0]);
-            simulation.add_server(id, &endpoint, id == "a");
+            simulation.add_server(id, &endpoint, role);
         }
         let kernel = &mut simulation.kernel;
         kernel.schedule(0.0, ServerEvent::ReplicationDue);
--- a/crates/testing/simulation/src/simulation/actions.rs
+++ b/crates/testing/simulation/src/simulation/actions.rs
@@ -4,6 +4,7 @@
 use crate::control::{DiskHealth, Isolation};
 use crate::event::{ControlEvent, ServerEvent};
 use crate::health::Health;
+use crate::service::ServerRole;
 use badgerstream_control::{ControlRequest, Controller, NodeId};
 
 /// A machine that will be removed gets SIGTERM after so many seconds.
@@ -189,9 +190,9 @@
 /// Database servers.
 impl Simulation {
     /// Adds a server.
-    pub fn add_server(&mut self, id: &str, endpoint: &str, is_primary: bool) {
+    pub fn add_server(&mut self, id: &str, endpoint: &str, role: ServerRole) {
         let kernel = &mut self.kernel;
-        self.service.add_server(kernel, id, endpoint, is_primary);
+        self.service.add_server(kernel, id, endpoint, role);
     }
 
     /// Ends the server's process.
--- a/crates/testing/simulation/src/simulation/control_events.rs
+++ b/crates/testing/simulation/src/simulation/control_events.rs
@@ -3,8 +3,10 @@
 use super::Simulation;
 use crate::control::{Delivery, PeerEnvelope};
 use crate::event::{CommandCall, ControlEvent, PlatformEvent, Process, PromotionCall};
-use crate::service::SERVICE;
-use badgerstream_control::{Controller, LeaseRequest, NodeId, Output, PromotionOutcome};
+use crate::service::{SERVICE, Service};
+use badgerstream_control::{
+    Controller, LeaseRequest, NodeId, Output, PromotionOutcome, ServerCommand,
+};
 use std::collections::VecDeque;
 
 /// A machine that leads is driven this often, in seconds.
@@ -195,6 +197,7 @@
         }
     }
 
+    /// Carries out an output that isn't a write.
     fn perform_output(&mut self, node: NodeId, output: Output) {
         let kernel = &mut self.kernel;
         let process = self.control.machines[&node].process();
@@ -219,36 +222,51 @@
                 endpoint,
                 command,
                 ..
-            } => {
-                let call = CommandCall {
-                    process,
-                    server_id,
-                    command,
-                    sent_at: self.control.machines[&node].clock(kernel.now()),
-                };
-                let is_reachable = !self.control.cut_from_servers.contains(&node);
-                self.service
-                    .send_command(kernel, call, &endpoint, is_reachable);
-            }
+            } => self.send_command(process, server_id, &endpoint, command),
             Output::Promote {
                 server_id,
                 fencing_token,
                 deadline,
                 ..
             } => {
-                let delay = kernel.message_delay();
                 let promotion = PromotionCall {
                     process,
                     server_id,
                     fencing_token,
                 };
-                let due = ControlEvent::PromotionDue {
-                    promotion,
-                    deadline,
-                };
-                kernel.schedule(delay, due);
+                self.schedule_promotion(promotion, deadline);
             }
             Output::Respond(request_id, response) => self.respond(node, request_id, response),
         }
     }
+
+    fn send_command(
+        &mut self,
+        process: Process,
+        server_id: String,
+        endpoint: &str,
+        command: ServerCommand,
+    ) {
+        let node = process.node;
+        let call = CommandCall {
+            process,
+            server_id,
+            command,
+            sent_at: self.control.machines[&node].clock(self.kernel.now()),
+        };
+        if self.control.cut_from_servers.contains(&node) {
+            Service::lose_command(&mut self.kernel, call);
+        } else {
+            self.service.send_command(&mut self.kernel, call, endpoint);
+        }
+    }
+
+    fn schedule_promotion(&mut self, promotion: PromotionCall, deadline: f64) {
+        let delay = self.kernel.message_delay();
+        let due = ControlEvent::PromotionDue {
+            promotion,
+            deadline,
+        };
+        self.kernel.schedule(delay, due);
+    }
 }
--- a/crates/testing/simulation/src/simulation/requests.rs
+++ b/crates/testing/simulation/src/simulation/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use crate::event::ServerEvent;
-use crate::requests::Requester;
+use crate::requests::{Requester, Response};
 use crate::service::Service;
 use badgerstream_control::{ControlRequest, ControlResponse, NodeId};
 use std::rc::Rc;
@@ -38,9 +38,11 @@
                 }
             }
             None => {
-                let body = response.body.to_vec();
                 let first = self.responses.entry(request_id);
-                first.or_insert((response.status, body));
+                first.or_insert_with(|| Response {
+                    status: response.status,
+                    body: response.body.to_vec(),
+                });
             }
         }
     }
--- a/crates/testing/simulation/tests/common/mod.rs
+++ b/crates/testing/simulation/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::Simulation;
+use badgerstream_simulation::{Response, Simulation};
 
 /// The step in which [`response_within`] looks for a response, in seconds.
 const RESPONSE_CHECK_INTERVAL_S: f64 = 0.005;
@@ -44,7 +44,7 @@
     node: NodeId,
     request_id: u64,
     request: ControlRequest,
-) -> Option<(u16, Vec<u8>)> {
+) -> Option<Response> {
     simulation.submit_request(node, request_id, request);
     for _ in 0..steps {
         simulation.run(RESPONSE_CHECK_INTERVAL_S);
@@ -54,3 +54,11 @@
     }
     None
 }
+
+/// A successful response with this body.
+pub(crate) fn ok(body: &[u8]) -> Response {
+    Response {
+        status: 200,
+        body: body.to_vec(),
+    }
+}
--- a/crates/testing/simulation/tests/config_changes.rs
+++ b/crates/testing/simulation/tests/config_changes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::{Isolation, Simulation};
-use common::{replace_config, response_within};
+use badgerstream_simulation::{Isolation, Response, Simulation};
+use common::{ok, replace_config, response_within};
 
 fn settled_simulation(seed: u64, machines: u32, budget: usize) -> Simulation {
     let mut simulation = Simulation::control_only(seed, machines, budget);
@@ -19,7 +19,7 @@
     node: NodeId,
     request_id: u64,
     request: ControlRequest,
-) -> Option<(u16, Vec<u8>)> {
+) -> Option<Response> {
     response_within(simulation, 400, node, request_id, request)
 }
 
@@ -29,12 +29,12 @@
     first: NodeId,
     request_id: &mut u64,
     request: &ControlRequest,
-) -> (u16, Vec<u8>) {
+) -> Response {
     for turn in 0..12 {
         let node = 1 + (first + turn) % 3;
         *request_id += 1;
-        if let Some(reply) =
-            response(simulation, node, *request_id, request.clone()).filter(|reply| reply.0 < 500)
+        if let Some(reply) = response(simulation, node, *request_id, request.clone())
+            .filter(|response| response.status < 500)
         {
             return reply;
         }
@@ -101,7 +101,8 @@
                 // Repeated while the first requests may still be in flight.
                 let mut request_id = 10;
                 let during = [0, 1].map(|change| {
-                    clear_response(&mut simulation, leader, &mut request_id, &changes[change]).0
+                    clear_response(&mut simulation, leader, &mut request_id, &changes[change])
+                        .status
                 });
                 recover(&mut simulation, leader, fault);
                 simulation.run(4.5);
@@ -112,7 +113,7 @@
                         &mut request_id,
                         &changes[change],
                     )
-                    .0
+                    .status
                 });
                 assert_eq!(
                     during, after,
@@ -122,7 +123,7 @@
                     let answer = simulation
                         .responses
                         .get(&(1 + change as u64))
-                        .map(|reply| reply.0);
+                        .map(|response| response.status);
                     assert!(
                         answer.is_none_or(|a| a == 503 || a == after[change]),
                         "{fault:?} at {at}: {answer:?}, then {}",
@@ -147,7 +148,7 @@
                     let ControlRequest::ReplaceConfig { body, .. } = &changes[won] else {
                         panic!("a change")
                     };
-                    assert_eq!(read, (200, body.to_vec()));
+                    assert_eq!(read, ok(body));
                 }
             }
         }
@@ -168,7 +169,7 @@
     }
     simulation.run(2.0);
     let statuses: Vec<u16> = (0..8)
-        .map(|at| simulation.responses[&(100 + at)].0)
+        .map(|at| simulation.responses[&(100 + at)].status)
         .collect();
     assert_eq!(
         statuses.iter().filter(|status| **status == 200).count(),
@@ -183,7 +184,7 @@
         let epoch = base + 1 + change % 3;
         let request = replace_config(base, epoch, &format!("{{\"epoch\":{epoch}}}"));
         assert_eq!(
-            clear_response(&mut simulation, 1, &mut request_id, &request).0,
+            clear_response(&mut simulation, 1, &mut request_id, &request).status,
             200
         );
         base = epoch;
@@ -198,7 +199,7 @@
     for node in 0..3 {
         for (at, request) in eight.iter().enumerate() {
             assert_eq!(
-                clear_response(&mut simulation, node, &mut request_id, request).0,
+                clear_response(&mut simulation, node, &mut request_id, request).status,
                 statuses[at]
             );
         }
--- a/crates/testing/simulation/tests/consecutive_losses.rs
+++ b/crates/testing/simulation/tests/consecutive_losses.rs
@@ -1,9 +1,12 @@
 //! A second loss right after a recovery, as soon as the budget allows it: there is a leader, it
 //! commits changes and has everything that was acknowledged.
 
+mod common;
+
 use badgerstream_control::{ControlRequest, NodeId};
 use badgerstream_simulation::oracle::CATCH_UP_S;
 use badgerstream_simulation::{Isolation, Simulation};
+use common::ok;
 
 const SIZES: [(u32, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 
@@ -33,7 +36,10 @@
         simulation.run(0.002);
     }
     assert_eq!(
-        simulation.responses.get(&number).map(|reply| reply.0),
+        simulation
+            .responses
+            .get(&number)
+            .map(|response| response.status),
         Some(200),
         "{}",
         simulation.describe()
@@ -56,7 +62,7 @@
         let call = number + u64::from(node);
         simulation.submit_request(node, call, ControlRequest::ReadConfig);
         simulation.run(1.0);
-        let expected = (200, format!("{{\"epoch\":{epoch}}}").into_bytes());
+        let expected = ok(format!("{{\"epoch\":{epoch}}}").as_bytes());
         assert_eq!(
             simulation.responses.get(&call),
             Some(&expected),
@@ -239,7 +245,7 @@
             let acknowledged = simulation
                 .responses
                 .get(&1)
-                .is_some_and(|reply| reply.0 == 200);
+                .is_some_and(|response| response.status == 200);
             for node in 1..=machines {
                 // Half of the time the leader's disk is among them.
                 let disks_lost =
--- a/crates/testing/simulation/tests/contact.rs
+++ b/crates/testing/simulation/tests/contact.rs
@@ -1,6 +1,6 @@
 //! An isolated control machine: it serves nothing old, acknowledges nothing and delays nobody.
 
-use badgerstream_control::{ControlRequest, NodeId};
+use badgerstream_control::{ControlRequest, MemberPhase, NodeId};
 use badgerstream_simulation::service::heartbeat;
 use badgerstream_simulation::{Isolation, Simulation};
 use std::rc::Rc;
@@ -79,7 +79,7 @@
             "heartbeat",
             ControlRequest::Heartbeat {
                 server_id: "new".to_owned(),
-                heartbeat: heartbeat("10.0.9.9:1", 1, false),
+                heartbeat: heartbeat("10.0.9.9:1", 1, MemberPhase::Ready),
             },
         ),
         (
@@ -106,7 +106,10 @@
                     let number = 1 + 10 * round + at as u64;
                     simulation.submit_request(isolated, number, request);
                     simulation.run(1.0);
-                    let status = simulation.responses.get(&number).map(|reply| reply.0);
+                    let status = simulation
+                        .responses
+                        .get(&number)
+                        .map(|response| response.status);
                     assert_eq!(status, Some(503), "{what}, leader {leads}, {isolation:?}");
                 }
             }
@@ -130,7 +133,10 @@
             simulation.submit_request(node, number, request.clone());
             simulation.run(1.0);
             assert_eq!(
-                simulation.responses.get(&number).map(|reply| reply.0),
+                simulation
+                    .responses
+                    .get(&number)
+                    .map(|response| response.status),
                 Some(503),
                 "{what} at {node}"
             );
@@ -156,7 +162,7 @@
         },
     );
     start.run(0.5);
-    assert_eq!(start.responses[&1].0, 200);
+    assert_eq!(start.responses[&1].status, 200);
     for at in 0..40 {
         for receiver in 1..=3 {
             let mut simulation = start.clone();
@@ -179,12 +185,12 @@
                 },
             );
             simulation.run(0.5);
-            assert_eq!(simulation.responses[&3].0, 200);
+            assert_eq!(simulation.responses[&3].status, 200);
             simulation.thaw(leader);
             simulation.run(1.5);
             let read = simulation.responses.get(&2).expect("an answer");
             assert!(
-                answered || read.0 == 503 || read.1 == second,
+                answered || read.status == 503 || read.body == second,
                 "{receiver} at {at}: {read:?}"
             );
         }
@@ -206,18 +212,18 @@
                 1,
                 ControlRequest::Heartbeat {
                     server_id: "a".to_owned(),
-                    heartbeat: heartbeat("10.0.0.1:1", 1, false),
+                    heartbeat: heartbeat("10.0.0.1:1", 1, MemberPhase::Ready),
                 },
             );
             simulation.run(0.5);
-            assert_eq!(simulation.responses[&1].0, 200);
+            assert_eq!(simulation.responses[&1].status, 200);
             let request = match depart {
                 true => ControlRequest::Depart {
                     server_id: "a".to_owned(),
                 },
                 false => ControlRequest::Heartbeat {
                     server_id: "a".to_owned(),
-                    heartbeat: heartbeat("10.0.0.1:1", 2, true),
+                    heartbeat: heartbeat("10.0.0.1:1", 2, MemberPhase::Draining),
                 },
             };
             simulation.submit_request(receiver, 2, request);
@@ -227,7 +233,7 @@
             let acknowledged = simulation
                 .responses
                 .get(&2)
-                .is_some_and(|reply| reply.0 == 200);
+                .is_some_and(|response| response.status == 200);
             simulation.lose_disk(receiver);
             simulation.lose_disk(leader);
             simulation.run(1.5);
@@ -252,7 +258,7 @@
 /// messages reach nobody, nor where they reach the leader alone, or a majority without the leader.
 #[test]
 fn heartbeat_known_to_too_few_is_not_acknowledged() {
-    for draining in [false, true] {
+    for phase in [MemberPhase::Ready, MemberPhase::Draining] {
         let (mut simulation, leader) = at_work(16, 5, 2);
         let receiver = 1 + leader % 5;
         let others: Vec<NodeId> = (1..=5).filter(|node| *node != receiver).collect();
@@ -268,12 +274,15 @@
             }
             let request = ControlRequest::Heartbeat {
                 server_id: id.clone(),
-                heartbeat: heartbeat("10.0.0.1:1", 1, draining),
+                heartbeat: heartbeat("10.0.0.1:1", 1, phase),
             };
             simulation.submit_request(receiver, number, request);
             simulation.run(1.0);
             assert_eq!(
-                simulation.responses.get(&number).map(|reply| reply.0),
+                simulation
+                    .responses
+                    .get(&number)
+                    .map(|response| response.status),
                 Some(503),
                 "{id}"
             );
--- a/crates/testing/simulation/tests/membership.rs
+++ b/crates/testing/simulation/tests/membership.rs
@@ -1,8 +1,8 @@
 //! What a new leader has to know of the members before it replaces a primary.
 
-use badgerstream_control::{ControlRequest, NodeId};
-use badgerstream_simulation::Simulation;
+use badgerstream_control::{ControlRequest, MemberPhase, NodeId};
 use badgerstream_simulation::service::heartbeat;
+use badgerstream_simulation::{ServerRole, Simulation};
 
 /// A new replica is known to the leader and to one follower only, and alone has the newest commits,
 /// when the primary and the leader are lost at once. The other follower takes over: it waits until
@@ -27,18 +27,18 @@
                 .blocked
                 .insert((other, next_leader));
         }
-        simulation.add_server("d", "10.0.0.200:1", false);
+        simulation.add_server("d", "10.0.0.200:1", ServerRole::Replica);
         simulation.server_mut("d").sends_heartbeats = false;
         simulation.submit_request(
             informed,
             9,
             ControlRequest::Heartbeat {
                 server_id: "d".to_owned(),
-                heartbeat: heartbeat("10.0.0.200:1", 1, false),
+                heartbeat: heartbeat("10.0.0.200:1", 1, MemberPhase::Ready),
             },
         );
         simulation.run(0.1);
-        assert_eq!(simulation.responses[&9].0, 200);
+        assert_eq!(simulation.responses[&9].status, 200);
         for id in ["b", "c"] {
             simulation.server_mut(id).receives_nothing = true;
         }
@@ -80,7 +80,7 @@
     while !simulation.responses.contains_key(&9) {
         simulation.step();
     }
-    assert_eq!(simulation.responses[&9].0, 200);
+    assert_eq!(simulation.responses[&9].status, 200);
     let leader = simulation.leader().expect("a leader");
     simulation.lose_disk(leader);
     for node in (1..=3).filter(|node| *node != leader) {
@@ -128,7 +128,7 @@
             9,
             ControlRequest::Heartbeat {
                 server_id: "b".to_owned(),
-                heartbeat: heartbeat(&endpoint, 1000, true),
+                heartbeat: heartbeat(&endpoint, 1000, MemberPhase::Draining),
             },
         );
         lose_all_after_acknowledgement(&mut simulation);
@@ -138,7 +138,7 @@
             10,
             ControlRequest::Heartbeat {
                 server_id: "b".to_owned(),
-                heartbeat: heartbeat(&endpoint, 999, false),
+                heartbeat: heartbeat(&endpoint, 999, MemberPhase::Ready),
             },
         );
         simulation.run(1.0);
--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use arbtest::arbtest;
-use badgerstream_simulation::{Health, Simulation};
+use badgerstream_simulation::{Health, ServerRole, Simulation};
 use common::{arbtest_budget_ms, steady_simulation};
 
 fn paused_at(simulation: &Simulation, id: &str) -> Option<u64> {
@@ -44,7 +44,7 @@
         for late in [0.6, 0.75, 0.9] {
             let mut simulation = steady_simulation(5);
             simulation.platform.promotion_duration_s = 0.3;
-            simulation.add_server("d", "10.0.0.200:1", false);
+            simulation.add_server("d", "10.0.0.200:1", ServerRole::Replica);
             simulation.run(2.0);
             simulation.platform.checks_fencing_tokens = fencing;
             simulation.platform.scripted_statuses = vec![503].into();
--- a/crates/testing/simulation/tests/requests.rs
+++ b/crates/testing/simulation/tests/requests.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use arbtest::arbtest;
-use badgerstream_control::ControlRequest;
-use badgerstream_simulation::Simulation;
-use common::{arbtest_budget_ms, replace_config, response_within};
+use badgerstream_control::{ControlRequest, MemberPhase};
+use badgerstream_simulation::{Response, Simulation};
+use common::{arbtest_budget_ms, ok, replace_config, response_within};
 
 fn simulation_with_leader() -> Simulation {
     let mut simulation = Simulation::new(1);
@@ -20,7 +20,7 @@
     node: u32,
     request_id: u64,
     request: ControlRequest,
-) -> Option<(u16, Vec<u8>)> {
+) -> Option<Response> {
     response_within(simulation, 600, node, request_id, request)
 }
 
@@ -38,7 +38,7 @@
                 replace_config(base, epoch, "x")
             )
             .unwrap()
-            .0,
+            .status,
             200
         );
         // A repeat at another machine.
@@ -50,7 +50,7 @@
                 replace_config(base, epoch, "x")
             )
             .unwrap()
-            .0,
+            .status,
             200
         );
         // Another change on the same base.
@@ -62,19 +62,19 @@
                 replace_config(base, epoch + 1, "y")
             )
             .unwrap()
-            .0,
+            .status,
             412
         );
     }
     assert_eq!(
         response(&mut simulation, 2, 30, replace_config(3, 3, "z"))
             .unwrap()
-            .0,
+            .status,
         400
     );
     assert_eq!(
         response(&mut simulation, 2, 31, ControlRequest::ReadConfig).unwrap(),
-        (200, b"x".to_vec())
+        ok(b"x")
     );
 }
 
@@ -86,13 +86,13 @@
     assert_eq!(
         response(&mut simulation, 2, 1, replace_config(0, 1, "x"))
             .unwrap()
-            .0,
+            .status,
         503
     );
     simulation.submit_request(2, 2, replace_config(0, 1, "x"));
     simulation.start(1);
     simulation.run(2.4);
-    assert_eq!(simulation.responses[&2].0, 200);
+    assert_eq!(simulation.responses[&2].status, 200);
 }
 
 /// Two operators send changes on one base while a machine restarts, at every moment: one of them is
@@ -115,8 +115,13 @@
             (1, replace_config(0, 5, "x")),
             (2, replace_config(0, 6, "y")),
         ] {
-            let first = simulation.responses.get(&at).map(|r| r.0);
-            let again = response(&mut simulation, 3, 10 + at, request).unwrap().0;
+            let first = simulation
+                .responses
+                .get(&at)
+                .map(|response| response.status);
+            let again = response(&mut simulation, 3, 10 + at, request)
+                .unwrap()
+                .status;
             assert!(again == 200 || again == 412, "step {step}: {again}");
             assert!(
                 first.is_none_or(|f| f == 503 || f == again),
@@ -134,8 +139,8 @@
             .config()
             .1
             .to_vec();
-        assert!(read == (200, b"x".to_vec()) || read == (200, b"y".to_vec()));
-        assert_eq!(read.1, won);
+        assert!(read == ok(b"x") || read == ok(b"y"));
+        assert_eq!(read.body, won);
     }
 }
 
@@ -153,7 +158,7 @@
             simulation.run(0.0002);
             waited += 1;
         }
-        assert_eq!(simulation.responses[&1].0, 200);
+        assert_eq!(simulation.responses[&1].status, 200);
         simulation.run(0.0005 * f64::from(step / 4));
         for node in 1..=3 {
             if node == disk_lost {
@@ -175,18 +180,18 @@
                 10 + u64::from(node),
                 ControlRequest::ReadConfig,
             );
-            assert_eq!(read, Some((200, b"x".to_vec())), "step {step}, node {node}");
+            assert_eq!(read, Some(ok(b"x")), "step {step}, node {node}");
         }
         assert_eq!(
             response(&mut simulation, 1, 20, replace_config(0, 5, "x"))
                 .unwrap()
-                .0,
+                .status,
             200
         );
         assert_eq!(
             response(&mut simulation, 1, 21, replace_config(0, 6, "y"))
                 .unwrap()
-                .0,
+                .status,
             412
         );
     }
@@ -244,7 +249,10 @@
             let wait: u16 = u.int_in_range(0..=1200)?;
             simulation.run(f64::from(wait) / 1000.0);
             for (number, base, epoch) in &sent {
-                if simulation.responses.get(number).is_some_and(|r| r.0 == 200)
+                if simulation
+                    .responses
+                    .get(number)
+                    .is_some_and(|response| response.status == 200)
                     && !acknowledged.contains(&(*base, *epoch))
                 {
                     assert!(
@@ -274,8 +282,8 @@
                 ControlRequest::ReadConfig,
             )
             .expect("an answer");
-            assert_eq!(read.0, 200);
-            let newest: u64 = String::from_utf8_lossy(&read.1)
+            assert_eq!(read.status, 200);
+            let newest: u64 = String::from_utf8_lossy(&read.body)
                 .trim_start_matches('c')
                 .parse()
                 .unwrap_or(0);
@@ -323,7 +331,11 @@
     let leader = simulation.leader().expect("a leader");
     let heartbeat_request = |seq: u64| ControlRequest::Heartbeat {
         server_id: "new".to_owned(),
-        heartbeat: badgerstream_simulation::service::heartbeat("10.0.9.9:1", seq, false),
+        heartbeat: badgerstream_simulation::service::heartbeat(
+            "10.0.9.9:1",
+            seq,
+            MemberPhase::Ready,
+        ),
     };
     let isolated = *simulation
         .control
@@ -332,7 +344,8 @@
         .find(|n| **n != leader)
         .expect("three control machines");
     assert_eq!(
-        response(&mut simulation, isolated, 901, heartbeat_request(1)).map(|a| a.0),
+        response(&mut simulation, isolated, 901, heartbeat_request(1))
+            .map(|response| response.status),
         Some(200)
     );
     for other in simulation
@@ -348,11 +361,13 @@
     simulation.run(2.0);
     // Only it would know of a replica on which acknowledged commits may rest.
     assert_eq!(
-        response(&mut simulation, isolated, 902, heartbeat_request(2)).map(|a| a.0),
+        response(&mut simulation, isolated, 902, heartbeat_request(2))
+            .map(|response| response.status),
         Some(503)
     );
     assert_eq!(
-        response(&mut simulation, leader, 903, heartbeat_request(3)).map(|a| a.0),
+        response(&mut simulation, leader, 903, heartbeat_request(3))
+            .map(|response| response.status),
         Some(200)
     );
 }
