--- a/crates/testing/simulation/src/days/losses.rs
+++ b/crates/testing/simulation/src/days/losses.rs
@@ -18,26 +18,46 @@
     DiskSlow,
 }
 
+/// What a loss is drawn from; what stands there twice is twice as likely.
+const LOSSES: [MachineLoss; 13] = [
+    MachineLoss::Kill,
+    MachineLoss::Freeze,
+    MachineLoss::Partition,
+    MachineLoss::Partition,
+    MachineLoss::Replacement,
+    MachineLoss::Replacement,
+    MachineLoss::KillAfterAcknowledgement,
+    MachineLoss::DiskLossAfterAcknowledgement,
+    MachineLoss::DiskLossAfterAcknowledgement,
+    MachineLoss::DiskFull,
+    MachineLoss::DiskFull,
+    MachineLoss::DiskStall,
+    MachineLoss::DiskSlow,
+];
+
+/// The bench's words for what a partition is between.
+const PARTITION_SIDES: [&str; 16] = [
+    "",
+    "",
+    "one_way",
+    "one_way",
+    "seeds",
+    "both",
+    "reset",
+    "refuse",
+    "split",
+    "split one_way",
+    "behind",
+    "lure",
+    "relieve",
+    "near",
+    "all",
+    "oldest",
+];
+
 /// A loss of control machines, most often of the leader's.
 pub(super) fn draw(rng: &mut Rng, at: f64, site: Site) -> Entry {
-    let kind = pick(
-        rng,
-        &[
-            MachineLoss::Kill,
-            MachineLoss::Freeze,
-            MachineLoss::Partition,
-            MachineLoss::Partition,
-            MachineLoss::Replacement,
-            MachineLoss::Replacement,
-            MachineLoss::KillAfterAcknowledgement,
-            MachineLoss::DiskLossAfterAcknowledgement,
-            MachineLoss::DiskLossAfterAcknowledgement,
-            MachineLoss::DiskFull,
-            MachineLoss::DiskFull,
-            MachineLoss::DiskStall,
-            MachineLoss::DiskSlow,
-        ],
-    );
+    let kind = pick(rng, &LOSSES);
     let count = rng.u64(1..=site.fault_budget());
     match kind {
         MachineLoss::Kill => {
@@ -91,27 +111,7 @@
     } else {
         number(rng, 0.5, 6.0)
     };
-    let side = pick(
-        rng,
-        &[
-            "",
-            "",
-            "one_way",
-            "one_way",
-            "seeds",
-            "both",
-            "reset",
-            "refuse",
-            "split",
-            "split one_way",
-            "behind",
-            "lure",
-            "relieve",
-            "near",
-            "all",
-            "oldest",
-        ],
-    );
+    let side = pick(rng, &PARTITION_SIDES);
     let how = join_words(&[&target(rng), side, &concurrent_work(rng)]);
     Entry::new(at, "core_cut")
         .count(count)
--- a/crates/testing/simulation/tests/config_changes.rs
+++ b/crates/testing/simulation/tests/config_changes.rs
@@ -23,15 +23,16 @@
     response_within(simulation, 400, node, request_id, request)
 }
 
-/// Repeats the request until there is a clear response, each time at another machine.
+/// Repeats the request until there is a clear response, each time at another machine; the first is
+/// the one after `previous`.
 fn clear_response(
     simulation: &mut Simulation,
-    first: NodeId,
+    previous: NodeId,
     request_id: &mut u64,
     request: &ControlRequest,
 ) -> Response {
     for turn in 0..12 {
-        let node = 1 + (first + turn) % 3;
+        let node = 1 + (previous + turn) % 3;
         *request_id += 1;
         if let Some(reply) = response(simulation, node, *request_id, request.clone())
             .filter(|response| response.status < 500)
@@ -51,6 +52,16 @@
     LoseDisk,
 }
 
+impl Fault {
+    const ALL: [Fault; 5] = [
+        Fault::Kill,
+        Fault::Freeze,
+        Fault::Isolate,
+        Fault::IsolateOneWay,
+        Fault::LoseDisk,
+    ];
+}
+
 fn inject(simulation: &mut Simulation, node: NodeId, fault: Fault) {
     match fault {
         Fault::Kill => simulation.kill(node),
@@ -69,6 +80,83 @@
     }
 }
 
+/// Two changes of one epoch on one base, and when the leader is lost.
+struct Race<'a> {
+    changes: &'a [ControlRequest; 2],
+    /// The machines that they are sent to.
+    nodes: [NodeId; 2],
+    leader: NodeId,
+    fault: Fault,
+    /// After so many events.
+    after_events: u32,
+}
+
+impl Race<'_> {
+    /// The statuses of clear responses to repeats of both changes; each is first sent to the
+    /// machine after the given one.
+    fn repeat(
+        &self,
+        simulation: &mut Simulation,
+        previous_nodes: [NodeId; 2],
+        request_id: &mut u64,
+    ) -> [u16; 2] {
+        [0, 1].map(|change| {
+            let request = &self.changes[change];
+            clear_response(simulation, previous_nodes[change], request_id, request).status
+        })
+    }
+
+    /// Plays the race; returns the index of the accepted change.
+    fn play(&self, mut simulation: Simulation) -> usize {
+        let (fault, at, nodes) = (self.fault, self.after_events, self.nodes);
+        simulation.submit_request(nodes[0], 1, self.changes[0].clone());
+        simulation.submit_request(nodes[1], 2, self.changes[1].clone());
+        for _ in 0..at {
+            simulation.step();
+        }
+        inject(&mut simulation, self.leader, fault);
+        simulation.run(1.4);
+        // Repeated while the first requests may still be in flight.
+        let mut request_id = 10;
+        let during = self.repeat(&mut simulation, [self.leader; 2], &mut request_id);
+        recover(&mut simulation, self.leader, fault);
+        simulation.run(4.5);
+        let after = self.repeat(&mut simulation, [0, 1], &mut request_id);
+        assert_eq!(
+            during, after,
+            "{fault:?} at {at}, sent to {} and {}",
+            nodes[0], nodes[1]
+        );
+        for (first_id, outcome) in [(1, after[0]), (2, after[1])] {
+            let response = simulation.responses.get(&first_id);
+            let status = response.map(|response| response.status);
+            assert!(
+                status.is_none_or(|status| status == 503 || status == outcome),
+                "{fault:?} at {at}: {status:?}, then {outcome}"
+            );
+        }
+        let accepted = after
+            .iter()
+            .position(|status| *status == 200)
+            .expect("one is accepted");
+        assert_eq!(after[1 - accepted], 412);
+        self.check_reads(&mut simulation, accepted, &mut request_id);
+        accepted
+    }
+
+    /// Every machine serves the accepted configuration.
+    fn check_reads(&self, simulation: &mut Simulation, accepted: usize, request_id: &mut u64) {
+        let ControlRequest::ReplaceConfig { body, .. } = &self.changes[accepted] else {
+            panic!("a change")
+        };
+        for node in 1..=3 {
+            *request_id += 1;
+            let read = response(simulation, node, *request_id, ControlRequest::ReadConfig);
+            assert_eq!(read, Some(ok(body)));
+        }
+    }
+}
+
 /// Two changes of one epoch on one base, at every pair of machines, and the leader lost in every
 /// way at every event from the first change on: one of the two is accepted, all clear responses to
 /// each agree, and the accepted one is read.
@@ -82,74 +170,16 @@
     let leader = start.leader().unwrap();
     let mut accepted = [0; 2];
     for (first, second) in (1..=3).flat_map(|a| (1..=3).map(move |b| (a, b))) {
-        for fault in [
-            Fault::Kill,
-            Fault::Freeze,
-            Fault::Isolate,
-            Fault::IsolateOneWay,
-            Fault::LoseDisk,
-        ] {
-            for at in 0..34 {
-                let mut simulation = start.clone();
-                simulation.submit_request(first, 1, changes[0].clone());
-                simulation.submit_request(second, 2, changes[1].clone());
-                for _ in 0..at {
-                    simulation.step();
-                }
-                inject(&mut simulation, leader, fault);
-                simulation.run(1.4);
-                // Repeated while the first requests may still be in flight.
-                let mut request_id = 10;
-                let during = [0, 1].map(|change| {
-                    clear_response(&mut simulation, leader, &mut request_id, &changes[change])
-                        .status
-                });
-                recover(&mut simulation, leader, fault);
-                simulation.run(4.5);
-                let after = [0, 1].map(|change| {
-                    clear_response(
-                        &mut simulation,
-                        change as NodeId,
-                        &mut request_id,
-                        &changes[change],
-                    )
-                    .status
-                });
-                assert_eq!(
-                    during, after,
-                    "{fault:?} at {at}, sent to {first} and {second}"
-                );
-                for change in [0, 1] {
-                    let answer = simulation
-                        .responses
-                        .get(&(1 + change as u64))
-                        .map(|response| response.status);
-                    assert!(
-                        answer.is_none_or(|a| a == 503 || a == after[change]),
-                        "{fault:?} at {at}: {answer:?}, then {}",
-                        after[change]
-                    );
-                }
-                let won = after
-                    .iter()
-                    .position(|status| *status == 200)
-                    .expect("one is accepted");
-                assert_eq!(after[1 - won], 412);
-                accepted[won] += 1;
-                for node in 1..=3 {
-                    request_id += 1;
-                    let read = response(
-                        &mut simulation,
-                        node,
-                        request_id,
-                        ControlRequest::ReadConfig,
-                    )
-                    .expect("an answer");
-                    let ControlRequest::ReplaceConfig { body, .. } = &changes[won] else {
-                        panic!("a change")
-                    };
-                    assert_eq!(read, ok(body));
-                }
+        for fault in Fault::ALL {
+            for after_events in 0..34 {
+                let race = Race {
+                    changes: &changes,
+                    nodes: [first, second],
+                    leader,
+                    fault,
+                    after_events,
+                };
+                accepted[race.play(start.clone())] += 1;
             }
         }
     }
--- a/crates/testing/simulation/tests/promotions.rs
+++ b/crates/testing/simulation/tests/promotions.rs
@@ -3,8 +3,9 @@
 
 mod common;
 
+use arbtest::arbitrary::{self, Unstructured};
 use arbtest::arbtest;
-use badgerstream_simulation::{Health, ServerRole, Simulation};
+use badgerstream_simulation::{ServerRole, Simulation};
 use common::{arbtest_budget_ms, steady_simulation};
 
 fn paused_at(simulation: &Simulation, id: &str) -> Option<u64> {
@@ -248,6 +249,36 @@
     }
 }
 
+/// A late command, a server that comes or goes, or a new leader.
+fn act_at_random(u: &mut Unstructured<'_>, simulation: &mut Simulation) -> arbitrary::Result<()> {
+    let id = *u.choose(&["a", "b", "c"])?;
+    let servers = simulation.service.servers.values();
+    let highest_term = servers.clone().map(|s| s.primary_term).max().unwrap_or(0);
+    let up_count = servers.filter(|s| s.is_up()).count();
+    let late_term = highest_term + u.int_in_range(0..=4)?;
+    let server = simulation.server_mut(id);
+    let is_up = server.is_up();
+    let is_above_pause = late_term > server.paused_at_term.unwrap_or(highest_term);
+    match u.int_in_range(0..=6)? {
+        0 | 1 if is_up && !server.is_primary && is_above_pause => {
+            server.paused_at_term = Some(late_term);
+        }
+        // As by a `STEPDOWN` of the lowest effective term, which is its own and one more.
+        2 if is_up && server.is_primary => server.is_primary = false,
+        3 if is_up && up_count > 2 => simulation.crash(id),
+        4 if !is_up => simulation.recover(id),
+        5 => simulation.drain(id),
+        _ => {
+            if let Some(leader) = simulation.leader() {
+                simulation.kill(leader);
+                simulation.run(0.02);
+                simulation.start(leader);
+            }
+        }
+    }
+    Ok(())
+}
+
 /// `PAUSE` and `STEPDOWN` of former leaders arrive at any moment, while leaders and servers come
 /// and go: safety is checked at every event, and once all faults have ended writes are acknowledged
 /// again.
@@ -259,54 +290,12 @@
         simulation.platform.answers_lost_per_mille = u.int_in_range(0..=300)?;
         simulation.run(3.0);
         for _ in 0..u.int_in_range(2..=10)? {
-            let id = *u.choose(&["a", "b", "c"])?;
-            let up = simulation.server(id).health == Health::Up;
-            let top = simulation
-                .service
-                .servers
-                .values()
-                .map(|s| s.primary_term)
-                .max()
-                .unwrap_or(0);
-            let late = top + u.int_in_range(0..=4)?;
-            match u.int_in_range(0..=6)? {
-                0 | 1
-                    if up
-                        && !simulation.server(id).is_primary
-                        && late > simulation.server(id).paused_at_term.unwrap_or(top) =>
-                {
-                    set_paused_at(&mut simulation, id, Some(late));
-                }
-                // As by a `STEPDOWN` of the lowest effective term, which is its own and one more.
-                2 if up && simulation.server(id).is_primary => {
-                    simulation.server_mut(id).is_primary = false;
-                }
-                3 if up
-                    && simulation
-                        .service
-                        .servers
-                        .values()
-                        .filter(|s| s.health == Health::Up)
-                        .count()
-                        > 2 =>
-                {
-                    simulation.crash(id);
-                }
-                4 if !up => simulation.recover(id),
-                5 => simulation.drain(id),
-                _ => {
-                    if let Some(leader) = simulation.leader() {
-                        simulation.kill(leader);
-                        simulation.run(0.02);
-                        simulation.start(leader);
-                    }
-                }
-            }
+            act_at_random(u, &mut simulation)?;
             simulation.run(f64::from(u.int_in_range(0..=1200u16)?) / 1000.0);
         }
         for id in ["a", "b", "c"] {
             simulation.server_mut(id).draining = false;
-            if simulation.server(id).health != Health::Up {
+            if !simulation.server(id).is_up() {
                 simulation.recover(id);
             }
         }
@@ -318,11 +307,8 @@
             Simulation::acknowledges_writes,
         );
         simulation.run_until(4.0, "no replica is paused", |simulation| {
-            simulation
-                .service
-                .servers
-                .values()
-                .all(|s| s.is_primary || s.paused_at_term.is_none())
+            let mut servers = simulation.service.servers.values();
+            servers.all(|s| s.is_primary || s.paused_at_term.is_none())
         });
         Ok(())
     })
--- a/crates/testing/simulation/tests/requests.rs
+++ b/crates/testing/simulation/tests/requests.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
+use arbtest::arbitrary::{self, Unstructured};
 use arbtest::arbtest;
-use badgerstream_control::{ControlRequest, MemberPhase};
+use badgerstream_control::{ControlRequest, MemberPhase, NodeId};
 use badgerstream_simulation::{Response, Simulation};
 use common::{arbtest_budget_ms, ok, replace_config, response_within};
 
@@ -197,6 +198,128 @@
     }
 }
 
+/// A configuration change that was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SentChange {
+    base_epoch: u64,
+    epoch: u64,
+    request_id: u64,
+}
+
+/// The changes of a random run.
+#[derive(Default)]
+struct Changes {
+    sent: Vec<SentChange>,
+    acknowledged: Vec<SentChange>,
+}
+
+impl Changes {
+    fn newest_acknowledged_epoch(&self) -> u64 {
+        self.acknowledged.last().map_or(0, |change| change.epoch)
+    }
+
+    /// Sends a change to each of two machines, unless it is frozen.
+    fn send(&mut self, simulation: &mut Simulation, node: NodeId) {
+        let base_epoch = self.newest_acknowledged_epoch();
+        for to in [node, 1 + node % 3] {
+            let number = self.sent.len() as u64 + 1;
+            let change = SentChange {
+                base_epoch,
+                epoch: number,
+                request_id: number,
+            };
+            self.sent.push(change);
+            if !simulation.control.machines[&to].frozen {
+                let request = replace_config(base_epoch, number, &format!("c{number}"));
+                simulation.submit_request(to, number, request);
+            }
+        }
+    }
+
+    /// Notes what was acknowledged meanwhile: one change of each base.
+    fn note_acknowledgements(&mut self, simulation: &Simulation) {
+        for change in &self.sent {
+            let response = simulation.responses.get(&change.request_id);
+            let is_acknowledged = response.is_some_and(|response| response.status == 200);
+            if !is_acknowledged || self.acknowledged.contains(change) {
+                continue;
+            }
+            assert!(
+                self.acknowledged
+                    .iter()
+                    .all(|other| other.base_epoch != change.base_epoch),
+                "two were acknowledged on {}: {:?} {}",
+                change.base_epoch,
+                self.acknowledged,
+                change.epoch
+            );
+            self.acknowledged.push(*change);
+        }
+        self.acknowledged.sort_unstable();
+    }
+}
+
+/// A random fault or the end of some, or two configuration changes.
+fn act_at_random(
+    u: &mut Unstructured<'_>,
+    simulation: &mut Simulation,
+    changes: &mut Changes,
+) -> arbitrary::Result<()> {
+    let node = u.int_in_range(1..=3)?;
+    let machine = &simulation.control.machines[&node];
+    let (runs, is_frozen) = (machine.controller.is_some(), machine.frozen);
+    // A second disk may be lost only once the machine that lost the first one is a voter again.
+    let all_vote = simulation.all_machines_vote();
+    match u.int_in_range(0..=9)? {
+        0 => simulation.kill(node),
+        1 if !runs => simulation.start(node),
+        2 if all_vote => {
+            simulation.lose_disk(node);
+            simulation.start(node);
+        }
+        3 if runs => simulation.freeze(node),
+        4 if is_frozen => simulation.thaw(node),
+        5 => {
+            let network = &mut simulation.control.network;
+            network.block_both_ways(node, 1 + node % 3);
+        }
+        6 => simulation.heal_all(),
+        _ => changes.send(simulation, node),
+    }
+    Ok(())
+}
+
+fn end_all_faults(simulation: &mut Simulation) {
+    simulation.heal_all();
+    for node in 1..=3 {
+        let machine = &simulation.control.machines[&node];
+        if machine.frozen {
+            simulation.thaw(node);
+        } else if machine.controller.is_none() {
+            simulation.start(node);
+        }
+    }
+}
+
+/// Every machine serves the newest acknowledged configuration, or a newer one.
+fn check_reads(simulation: &mut Simulation, changes: &Changes) {
+    for node in 1..=3 {
+        let request_id = 1000 + u64::from(node);
+        let read =
+            response(simulation, node, request_id, ControlRequest::ReadConfig).expect("a response");
+        assert_eq!(read.status, 200);
+        let newest: u64 = String::from_utf8_lossy(&read.body)
+            .trim_start_matches('c')
+            .parse()
+            .unwrap_or(0);
+        assert!(
+            newest >= changes.newest_acknowledged_epoch(),
+            "{:?}, but {newest} is read",
+            changes.acknowledged
+        );
+    }
+}
+
 /// No acknowledged configuration is lost or replaced by an older one, whatever is killed, frozen,
 /// partitioned or loses its disk.
 #[test]
@@ -205,93 +328,16 @@
         let mut simulation = Simulation::new(u.int_in_range(0..=1000)?);
         simulation.edge.statements_enabled = false;
         simulation.run(1.0);
-        let (mut number, mut epoch) = (0, 0);
-        let mut sent = Vec::new();
-        let mut acknowledged: Vec<(u64, u64)> = Vec::new();
+        let mut changes = Changes::default();
         for _ in 0..u.int_in_range(2..=14)? {
-            let node = u.int_in_range(1..=3)?;
-            let control = &simulation.control.machines[&node];
-            // A second disk may be lost only once the machine that lost the first one is a voter
-            // again.
-            let all_vote = simulation.all_machines_vote();
-            match u.int_in_range(0..=9)? {
-                0 => simulation.kill(node),
-                1 if control.controller.is_none() => simulation.start(node),
-                2 if all_vote => {
-                    simulation.lose_disk(node);
-                    simulation.start(node);
-                }
-                3 if control.controller.is_some() => simulation.freeze(node),
-                4 if control.frozen => simulation.thaw(node),
-                5 => {
-                    simulation
-                        .control
-                        .network
-                        .block_both_ways(node, 1 + node % 3);
-                }
-                6 => simulation.heal_all(),
-                _ => {
-                    let base = acknowledged.last().map_or(0, |a| a.1);
-                    for to in [node, 1 + node % 3] {
-                        number += 1;
-                        epoch += 1;
-                        sent.push((number, base, epoch));
-                        if !simulation.control.machines[&to].frozen {
-                            simulation.submit_request(
-                                to,
-                                number,
-                                replace_config(base, epoch, &format!("c{epoch}")),
-                            );
-                        }
-                    }
-                }
-            }
+            act_at_random(u, &mut simulation, &mut changes)?;
             let wait: u16 = u.int_in_range(0..=1200)?;
             simulation.run(f64::from(wait) / 1000.0);
-            for (number, base, epoch) in &sent {
-                if simulation
-                    .responses
-                    .get(number)
-                    .is_some_and(|response| response.status == 200)
-                    && !acknowledged.contains(&(*base, *epoch))
-                {
-                    assert!(
-                        acknowledged.iter().all(|a| a.0 != *base),
-                        "two were acknowledged on {base}: {acknowledged:?} {epoch}"
-                    );
-                    acknowledged.push((*base, *epoch));
-                }
-            }
-            acknowledged.sort_unstable();
-        }
-        simulation.heal_all();
-        for node in 1..=3 {
-            let control = &simulation.control.machines[&node];
-            if control.frozen {
-                simulation.thaw(node);
-            } else if control.controller.is_none() {
-                simulation.start(node);
-            }
+            changes.note_acknowledgements(&simulation);
         }
+        end_all_faults(&mut simulation);
         simulation.run(6.0);
-        for node in 1..=3 {
-            let read = response(
-                &mut simulation,
-                node,
-                1000 + u64::from(node),
-                ControlRequest::ReadConfig,
-            )
-            .expect("an answer");
-            assert_eq!(read.status, 200);
-            let newest: u64 = String::from_utf8_lossy(&read.body)
-                .trim_start_matches('c')
-                .parse()
-                .unwrap_or(0);
-            assert!(
-                newest >= acknowledged.last().map_or(0, |a| a.1),
-                "{acknowledged:?}, but {newest} is read"
-            );
-        }
+        check_reads(&mut simulation, &changes);
         Ok(())
     })
     .size_min(64)
