--- a/crates/testing/simulation/src/control.rs
+++ b/crates/testing/simulation/src/control.rs
@@ -7,11 +7,15 @@
 mod disk;
 mod machine;
 mod network;
+mod partitions;
 mod persistence;
+mod timing;
 mod transport;
 
-pub use cluster::{ControlCluster, Isolation, timing};
+pub use cluster::ControlCluster;
 pub use disk::{Disk, DiskHealth, HEALTHY_DISK, WriteOutcome};
 pub use machine::ControlMachine;
 pub use network::{PeerEnvelope, PeerNetwork};
+pub use partitions::Isolation;
+pub use timing::timing;
 pub(crate) use transport::Delivery;
--- a/crates/testing/simulation/src/control/cluster.rs
+++ b/crates/testing/simulation/src/control/cluster.rs
@@ -3,61 +3,17 @@
 use super::disk::Disk;
 use super::machine::ControlMachine;
 use super::network::PeerNetwork;
+use super::timing::timing;
 use crate::event::{ControlEvent, Process};
 use crate::health::Health;
 use crate::kernel::Kernel;
-use badgerstream_control::{
-    ControlConfig, Controller, FOUNDING_INCARNATION, FailoverConfig, NodeId, Output, State,
-};
+use badgerstream_control::{Controller, FOUNDING_INCARNATION, NodeId, Output, State};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
 /// Incarnations of disks and processes are drawn below this bound.
 const INCARNATION_BOUND: u64 = 1 << 40;
 
-/// The timings that the pooler process sets by default, with heartbeats of servers every 1.2 s.
-pub fn timing() -> ControlConfig {
-    let failover = FailoverConfig {
-        primary_poll_interval: 0.2,
-        replica_poll_interval: 1.0,
-        primary_timeout: 0.6,
-        query_timeout: 0.6,
-        heartbeat_interval: 1.2,
-        drain_timeout: 7.0,
-    };
-    ControlConfig {
-        lease_duration: 1.0,
-        election_timeout: 0.6,
-        contact_timeout: 1.0,
-        platform_call_timeout: 1.0,
-        duty_handover_delay: 0.0,
-        request_timeout: 0.9,
-        member_timeout: 4.8,
-        failover,
-    }
-}
-
-/// Which directions between a machine and all other control machines are blocked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Isolation {
-    /// Nothing passes either way.
-    BothWays,
-    /// The machine receives nothing; the others receive what it sends.
-    Inbound,
-    /// The others receive nothing of the machine; it receives what they send.
-    Outbound,
-}
-
-impl Isolation {
-    fn blocks_inbound(self) -> bool {
-        self != Isolation::Outbound
-    }
-
-    fn blocks_outbound(self) -> bool {
-        self != Isolation::Inbound
-    }
-}
-
 /// All control machines, and the network between them.
 #[derive(Clone)]
 pub struct ControlCluster {
@@ -70,13 +26,13 @@
     /// Connections between control machines.
     pub network: PeerNetwork,
     /// Control machines that are isolated from the others, in one direction at least.
-    isolated: BTreeSet<NodeId>,
+    pub(super) isolated: BTreeSet<NodeId>,
     /// The control machines are partitioned into two halves.
-    halved: bool,
+    pub(super) halved: bool,
     /// The newest connection on which a receiver (first) has had a message of a sender.
     pub(super) newest_connections: HashMap<(NodeId, NodeId), u64>,
     /// Control machines that reach no server.
-    pub cut_from_servers: HashSet<NodeId>,
+    pub partitioned_from_servers: HashSet<NodeId>,
 }
 
 impl ControlCluster {
@@ -90,7 +46,7 @@
             isolated: BTreeSet::new(),
             halved: false,
             newest_connections: HashMap::new(),
-            cut_from_servers: HashSet::new(),
+            partitioned_from_servers: HashSet::new(),
         }
     }
 
@@ -182,7 +138,7 @@
         machine.seed_nodes = seed_nodes;
     }
 
-    fn nodes_except(&self, node: NodeId) -> Vec<NodeId> {
+    pub(super) fn nodes_except(&self, node: NodeId) -> Vec<NodeId> {
         let nodes = self.machines.keys().copied();
         nodes.filter(|other| *other != node).collect()
     }
@@ -287,65 +243,12 @@
         let is_reachable = |machine: &&ControlMachine| {
             machine.controller.is_some()
                 && !machine.is_stalled()
-                && !self.cut_from_servers.contains(&machine.node)
+                && !self.partitioned_from_servers.contains(&machine.node)
         };
         let reachable = self.machines.values().filter(is_reachable);
         let reachable: Vec<NodeId> = reachable.map(|machine| machine.node).collect();
         kernel.random.pick(&reachable)
     }
-
-    /// Whether the control machines are partitioned into halves.
-    pub fn is_halved(&self) -> bool {
-        self.halved
-    }
-
-    /// Blocks the links of this machine to all others.
-    pub(crate) fn isolate(&mut self, node: NodeId, isolation: Isolation) {
-        self.isolated.insert(node);
-        for other in self.nodes_except(node) {
-            if isolation.blocks_inbound() {
-                self.network.blocked.insert((other, node));
-            }
-            if isolation.blocks_outbound() {
-                self.network.blocked.insert((node, other));
-            }
-        }
-    }
-
-    /// Unblocks all links of this machine.
-    pub(crate) fn heal(&mut self, kernel: &mut Kernel, node: NodeId) {
-        self.isolated.remove(&node);
-        self.network.unblock_machine(node);
-        self.release_held_back(kernel);
-    }
-
-    /// Blocks all links between the two groups.
-    pub(crate) fn partition_halves(&mut self, half: &[NodeId], other_half: &[NodeId]) {
-        self.halved = true;
-        for one in half {
-            for other in other_half {
-                self.network.block_both_ways(*one, *other);
-            }
-        }
-    }
-
-    /// Unblocks all links.
-    pub(crate) fn heal_all(&mut self, kernel: &mut Kernel) {
-        self.halved = false;
-        self.isolated.clear();
-        self.network.blocked.clear();
-        self.release_held_back(kernel);
-    }
-
-    /// Resets all connections between control machines.
-    pub(crate) fn reset_connections(&mut self) {
-        let nodes: Vec<NodeId> = self.machines.keys().copied().collect();
-        for from in &nodes {
-            for to in nodes.iter().filter(|to| *to != from) {
-                self.network.reset(*from, *to);
-            }
-        }
-    }
 }
 
 fn draw_disk_incarnation(kernel: &mut Kernel) -> u64 {
--- a/crates/testing/simulation/src/control/machine.rs
+++ b/crates/testing/simulation/src/control/machine.rs
@@ -46,7 +46,7 @@
     pub clock_offset: f64,
     /// The control machines that its settings name.
     pub seed_nodes: Vec<NodeId>,
-    /// Its process was asked to end.
+    /// Its process has got SIGTERM.
     pub shutting_down: bool,
     /// It was replaced: its process never comes back.
     pub removed: bool,
--- a/crates/testing/simulation/src/edge.rs
+++ b/crates/testing/simulation/src/edge.rs
@@ -2,6 +2,7 @@
 
 mod fleet;
 mod router;
+mod statements;
 
 pub use fleet::{ActivatedConfig, Edge};
 pub use router::Router;
--- a/crates/testing/simulation/src/edge/fleet.rs
+++ b/crates/testing/simulation/src/edge/fleet.rs
@@ -1,8 +1,8 @@
-//! All routers: their connections to control machines, and the statements that they send.
+//! All routers, and their connections to control machines.
 
 use super::router::{Router, RouterConnection};
 use crate::control::{ControlCluster, ControlMachine};
-use crate::event::{ControlEvent, Process, RouterEvent, ServerEvent, Statement, StatementKind};
+use crate::event::{ControlEvent, Process, RouterEvent};
 use crate::health::Health;
 use crate::kernel::Kernel;
 use crate::operators::config_epoch;
@@ -11,6 +11,10 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
+/// When a new router's timer first fires and its first statement is due, in seconds from now.
+const FIRST_TICK_S: f64 = 0.001;
+const FIRST_STATEMENT_S: f64 = 0.003;
+
 /// A router looks for something to do this often, in seconds.
 const TICK_INTERVAL_S: f64 = 0.01;
 
@@ -59,8 +63,8 @@
     pub(crate) fn add_router(&mut self, kernel: &mut Kernel, control_nodes: Vec<NodeId>) {
         let index = self.routers.len();
         self.routers.push(Router::new(index, control_nodes));
-        kernel.schedule(0.001, RouterEvent::Tick(index));
-        kernel.schedule(0.003, RouterEvent::StatementDue(index));
+        kernel.schedule(FIRST_TICK_S, RouterEvent::Tick(index));
+        kernel.schedule(FIRST_STATEMENT_S, RouterEvent::StatementDue(index));
     }
 
     /// The process of this control machine has ended, and its connections with it.
@@ -207,44 +211,6 @@
         })
     }
 
-    /// A router sends statements: reads to all replicas, one to the primary.
-    pub(crate) fn statement_due(&mut self, kernel: &mut Kernel, service: &Service, index: usize) {
-        if self.statements_enabled && !self.routers[index].frozen {
-            read_at_replicas(kernel, service, index);
-            self.send_statement(kernel, service, index);
-        }
-        let pause = 0.02 + 0.0002 * kernel.random.below(100) as f64;
-        kernel.schedule(pause, RouterEvent::StatementDue(index));
-    }
-
-    fn send_statement(&mut self, kernel: &mut Kernel, service: &Service, index: usize) {
-        let router = &self.routers[index];
-        let Some(grant) = router.usable_primary(router.clock(kernel.now())) else {
-            return;
-        };
-        let kind = if kernel.random.below(3) == 0 {
-            StatementKind::Write
-        } else {
-            StatementKind::Read
-        };
-        let statement = Statement {
-            router: index,
-            server_id: grant.server_id.clone(),
-            kind,
-            acknowledged_before: service.acknowledged_commits.len(),
-            sent_at: kernel.now(),
-        };
-        let delay = kernel.message_delay();
-        kernel.schedule(delay, ServerEvent::StatementArrived(statement));
-    }
-
-    /// A server's answer arrives at a router.
-    pub(crate) fn answer_arrived(&mut self, kernel: &Kernel, index: usize, server_id: String) {
-        let router = &mut self.routers[index];
-        let clock = router.clock(kernel.now());
-        router.last_answers.insert(server_id, clock);
-    }
-
     /// Wakes a frozen router; returns the messages that waited for it.
     pub(crate) fn thaw(&mut self, index: usize) -> Vec<RouterEvent> {
         let router = &mut self.routers[index];
@@ -270,15 +236,3 @@
         })
     }
 }
-
-/// Reads at all working replicas, of which only the answers count.
-fn read_at_replicas(kernel: &mut Kernel, service: &Service, index: usize) {
-    let servers = service.servers.values();
-    for replica in servers.filter(|server| server.is_up() && !server.is_primary) {
-        let answer = RouterEvent::AnswerArrived {
-            router: index,
-            server_id: replica.id.clone(),
-        };
-        kernel.schedule(2.0 * kernel.message_delay_s, answer);
-    }
-}
--- /dev/null
+++ b/crates/testing/simulation/src/edge/statements.rs
@@ -0,0 +1,65 @@
+//! The statements that routers send, and the servers' answers.
+
+use super::fleet::Edge;
+use crate::event::{RouterEvent, ServerEvent, Statement, StatementKind};
+use crate::kernel::Kernel;
+use crate::service::Service;
+
+/// The pause between a router's statements: at least so many seconds, and a random part of as many
+/// again.
+const STATEMENT_INTERVAL_S: f64 = 0.02;
+
+/// One statement of so many is a write.
+const STATEMENTS_PER_WRITE: u64 = 3;
+
+impl Edge {
+    /// A router sends statements: reads to all replicas, one to the primary.
+    pub(crate) fn statement_due(&mut self, kernel: &mut Kernel, service: &Service, index: usize) {
+        if self.statements_enabled && !self.routers[index].frozen {
+            read_at_replicas(kernel, service, index);
+            self.send_statement(kernel, service, index);
+        }
+        let pause = STATEMENT_INTERVAL_S + 0.0002 * kernel.random.below(100) as f64;
+        kernel.schedule(pause, RouterEvent::StatementDue(index));
+    }
+
+    fn send_statement(&mut self, kernel: &mut Kernel, service: &Service, index: usize) {
+        let router = &self.routers[index];
+        let Some(grant) = router.usable_primary(router.clock(kernel.now())) else {
+            return;
+        };
+        let kind = if kernel.random.below(STATEMENTS_PER_WRITE) == 0 {
+            StatementKind::Write
+        } else {
+            StatementKind::Read
+        };
+        let statement = Statement {
+            router: index,
+            server_id: grant.server_id.clone(),
+            kind,
+            acknowledged_before: service.acknowledged_commits.len(),
+            sent_at: kernel.now(),
+        };
+        let delay = kernel.message_delay();
+        kernel.schedule(delay, ServerEvent::StatementArrived(statement));
+    }
+
+    /// A server's answer arrives at a router.
+    pub(crate) fn answer_arrived(&mut self, kernel: &Kernel, index: usize, server_id: String) {
+        let router = &mut self.routers[index];
+        let clock = router.clock(kernel.now());
+        router.last_answers.insert(server_id, clock);
+    }
+}
+
+/// Reads at all working replicas, of which only the answers count.
+fn read_at_replicas(kernel: &mut Kernel, service: &Service, index: usize) {
+    let servers = service.servers.values();
+    for replica in servers.filter(|server| server.is_up() && !server.is_primary) {
+        let answer = RouterEvent::AnswerArrived {
+            router: index,
+            server_id: replica.id.clone(),
+        };
+        kernel.schedule(2.0 * kernel.message_delay_s, answer);
+    }
+}
--- a/crates/testing/simulation/src/event.rs
+++ b/crates/testing/simulation/src/event.rs
@@ -57,7 +57,7 @@
         node: NodeId,
         /// The number of the request.
         request_id: u64,
-        /// What it asks for.
+        /// The request.
         request: ControlRequest,
     },
     /// The process gets SIGTERM.
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -23,6 +23,9 @@
 /// What tells the injector's seed from the simulation's.
 const SEED_MASK: u64 = 0x5eed;
 
+/// The mean one-way delay of a message between regions, in seconds: every second seed has it.
+const MULTI_REGION_DELAY_S: f64 = 0.012;
+
 /// The control machines start for so many seconds before the first fault.
 const START_S: f64 = 3.0;
 
@@ -51,11 +54,9 @@
         let mut simulation = Simulation::control_only(seed, machines, fault_budget);
         simulation.control.network.resets_per_mille = if seed.is_multiple_of(3) { 2 } else { 0 };
         simulation.operators.responses_lost_per_mille = (seed % 4) * 60;
-        simulation.kernel.message_delay_s = if seed.is_multiple_of(2) {
-            0.0015
-        } else {
-            0.012
-        };
+        if !seed.is_multiple_of(2) {
+            simulation.kernel.message_delay_s = MULTI_REGION_DELAY_S;
+        }
         for _ in 0..OPERATOR_COUNT {
             simulation.add_operator();
         }
--- a/crates/testing/simulation/src/kernel.rs
+++ b/crates/testing/simulation/src/kernel.rs
@@ -16,6 +16,9 @@
 /// The environment variable that makes a run write what happens to standard error.
 const TRACE_VARIABLE: &str = "LOUD";
 
+/// The mean one-way delay of a message between zones of one region, in seconds.
+const DEFAULT_MESSAGE_DELAY_S: f64 = 0.0015;
+
 /// Clock, event queue and random source of one run.
 #[derive(Clone)]
 pub struct Kernel {
@@ -37,7 +40,7 @@
             now: 0.0,
             queue: EventQueue::default(),
             random: RandomSource::new(seed),
-            message_delay_s: 0.0015,
+            message_delay_s: DEFAULT_MESSAGE_DELAY_S,
             digest: RunDigest::default(),
             traces: std::env::var(TRACE_VARIABLE).is_ok(),
         }
--- a/crates/testing/simulation/src/oracle.rs
+++ b/crates/testing/simulation/src/oracle.rs
@@ -7,6 +7,7 @@
 //!
 //! It only looks at the parts; a violation ends the run by a panic that names the second.
 
+mod config_changes;
 pub mod liveness;
 pub mod losses;
 pub mod safety;
@@ -75,11 +76,11 @@
                 self.liveness.served(kernel.now());
             }
             Observation::Rejected { change, status } => {
-                safety::check_rejected(kernel, control, changes, change, status);
+                config_changes::check_rejected(kernel, control, changes, change, status);
             }
             Observation::Read { since, body } => {
                 self.liveness.served(kernel.now());
-                safety::check_read(kernel, changes, since, &body);
+                config_changes::check_read(kernel, changes, since, &body);
             }
         }
     }
--- a/crates/testing/simulation/src/oracle/safety.rs
+++ b/crates/testing/simulation/src/oracle/safety.rs
@@ -1,10 +1,11 @@
 //! What must hold at every event, for machines in contact or not.
 
+use super::config_changes::check_not_rejected;
 use crate::control::{ControlCluster, ControlMachine};
 use crate::digest::EntryKind;
 use crate::edge::{ActivatedConfig, Edge};
 use crate::kernel::Kernel;
-use crate::operators::{ChangeOutcome, ConfigChange, config_epoch};
+use crate::operators::ConfigChange;
 use badgerstream_control::{Digest, NodeId, State};
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
@@ -136,41 +137,6 @@
             "{now}: router {router} goes by {epoch}, which was not committed"
         );
     }
-
-    /// An acknowledged change was not rejected before, and no other one with its epoch or base was
-    /// acknowledged.
-    pub(super) fn check_acknowledged(
-        &mut self,
-        kernel: &mut Kernel,
-        changes: &mut [ConfigChange],
-        index: usize,
-    ) {
-        let now = kernel.now();
-        let change = &changes[index];
-        kernel.trace(|| format!("change {index} is acknowledged"));
-        let numbers = [index as u64, change.epoch];
-        kernel.record(EntryKind::ConfigChangeAcknowledged, &numbers);
-        assert_ne!(
-            change.outcome,
-            ChangeOutcome::Rejected,
-            "{now}: change {index} was rejected before"
-        );
-        let rival = changes.iter().enumerate().find(|(other, rival)| {
-            *other != index
-                && rival.outcome == ChangeOutcome::Acknowledged
-                && (rival.base_epoch == change.base_epoch || rival.epoch == change.epoch)
-        });
-        assert!(
-            rival.is_none(),
-            "{now}: changes {index} {change:?} and {rival:?} were both acknowledged"
-        );
-        let change = &mut changes[index];
-        if change.outcome == ChangeOutcome::Pending {
-            change.outcome = ChangeOutcome::Acknowledged;
-            change.acknowledged_at = now;
-            self.acknowledged_changes += 1;
-        }
-    }
 }
 
 /// Routers may use no more than one primary.
@@ -217,69 +183,3 @@
     kernel.record(EntryKind::StateCommitted, &numbers);
     kernel.digest.bytes(digest.bytes());
 }
-
-/// A rejected change is never committed.
-fn check_not_rejected(state: &State, changes: &[ConfigChange], now: f64) {
-    let rejected = changes.iter().find(|change| {
-        change.outcome == ChangeOutcome::Rejected
-            && change.epoch == state.config_epoch
-            && change.body == state.config
-    });
-    assert!(
-        rejected.is_none(),
-        "{now}: a rejected change is committed: {rejected:?}"
-    );
-}
-
-/// A rejected change was not acknowledged before, and is not the committed one.
-pub(super) fn check_rejected(
-    kernel: &mut Kernel,
-    control: &ControlCluster,
-    changes: &mut [ConfigChange],
-    index: usize,
-    status: u16,
-) {
-    let now = kernel.now();
-    kernel.trace(|| format!("change {index} is rejected with {status}"));
-    let change = &mut changes[index];
-    let numbers = [index as u64, change.epoch, u64::from(status)];
-    kernel.record(EntryKind::ConfigChangeRejected, &numbers);
-    assert_ne!(
-        change.outcome,
-        ChangeOutcome::Acknowledged,
-        "{now}: change {index} was acknowledged, and then {status}"
-    );
-    change.outcome = ChangeOutcome::Rejected;
-    let is_committed = control
-        .newest_committed_state()
-        .is_some_and(|state| state.config_epoch == change.epoch && state.config == change.body);
-    assert!(
-        !is_committed,
-        "{now}: change {index} is committed and rejected"
-    );
-}
-
-/// A read is no older than what was acknowledged before the request, and gives a change that was
-/// sent and not rejected.
-pub(super) fn check_read(kernel: &mut Kernel, changes: &[ConfigChange], since: f64, body: &[u8]) {
-    let now = kernel.now();
-    let epoch = config_epoch(body);
-    kernel.record(EntryKind::ConfigRead, &[epoch]);
-    let before = changes
-        .iter()
-        .filter(|change| change.acknowledged_at < since);
-    let newest = before.map(|change| change.epoch).max().unwrap_or(0);
-    assert!(
-        epoch >= newest,
-        "{now}: {epoch} is read, {newest} was acknowledged before"
-    );
-    let was_sent = changes.iter().any(|change| *change.body == *body);
-    assert!(epoch == 0 || was_sent, "{now}: what is read was never sent");
-    let rejected = changes
-        .iter()
-        .find(|change| change.outcome == ChangeOutcome::Rejected && *change.body == *body);
-    assert!(
-        rejected.is_none(),
-        "{now}: a rejected change is read: {rejected:?}"
-    );
-}
--- a/crates/testing/simulation/src/service/commands.rs
+++ b/crates/testing/simulation/src/service/commands.rs
@@ -1,6 +1,6 @@
 //! Commands of control machines to servers, and the servers' heartbeats.
 
-use super::replication::Service;
+use super::replicas::Service;
 use super::server::{CommandRules, heartbeat};
 use crate::event::{CommandCall, ControlEvent, Event, ServerEvent};
 use crate::health::Health;
--- a/crates/testing/simulation/src/service/replication.rs
+++ b/crates/testing/simulation/src/service/replication.rs
@@ -1,127 +1,21 @@
-//! The servers of the service: their start and end, replication and promotions.
+//! Statements at the servers, and replication.
 //!
 //! Logs hold the numbers of commits, so that what was acknowledged can be looked for: it is an error
-//! of the decisions under test if a promotion or an acknowledgement loses one.
+//! of the decisions under test if a read, an acknowledgement or a promotion misses one.
 
-use super::server::{LogEntry, Server, ServerRole};
+use super::replicas::Service;
+use super::server::LogEntry;
 use crate::digest::EntryKind;
 use crate::event::{RouterEvent, ServerEvent, Statement, StatementKind};
-use crate::health::Health;
 use crate::kernel::Kernel;
-use std::collections::{BTreeMap, HashSet};
 
 /// Primaries send their logs this often, in seconds.
 const REPLICATION_INTERVAL_S: f64 = 0.006;
 
-/// A server that comes back needs so long to find the primary, in seconds: a pause that comes at
-/// once finds it as it was.
-const RECONNECT_DELAY_S: f64 = 0.25;
-
-/// A former primary learns of its successor after so many seconds, and is told again until then.
-const DEMOTION_INTERVAL_S: f64 = 1.0;
-
 /// A read checks so many of the newest acknowledged commits: reads before it checked the others.
 const COMMITS_CHECKED_BY_READ: usize = 60;
 
-/// A promotion that took effect.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Promotion {
-    /// The server.
-    pub server_id: String,
-    /// When, in seconds of simulated time.
-    pub at: f64,
-}
-
-/// The servers, and what they acknowledged.
-#[derive(Clone, Default)]
-pub struct Service {
-    /// The servers by their ids, those that ended among them.
-    pub servers: BTreeMap<String, Server>,
-    /// Servers that answer no control machine, though they work.
-    pub unresponsive_to_control: HashSet<String>,
-    /// Of the commands so many are executed and their answers lost.
-    pub command_answers_lost_per_mille: u64,
-    /// A server reports the highest term seen, and keeps it; otherwise the term of its pause, or 0.
-    pub reports_highest_term_seen: bool,
-    /// A second `PAUSE` of the same term is rejected.
-    pub rejects_repeated_pause: bool,
-    /// Acknowledged commits, in the order of their acknowledgements.
-    pub acknowledged_commits: Vec<u64>,
-    /// When each of them was acknowledged, in seconds of simulated time.
-    pub acknowledgement_times: Vec<f64>,
-    /// Promotions that took effect, in order.
-    pub promotions: Vec<Promotion>,
-    last_commit: u64,
-}
-
 impl Service {
-    pub(crate) fn server_mut(&mut self, id: &str) -> &mut Server {
-        self.servers.get_mut(id).expect("the server exists")
-    }
-
-    /// Adds a server, which sends its first heartbeat within a second.
-    pub(crate) fn add_server(
-        &mut self,
-        kernel: &mut Kernel,
-        id: &str,
-        endpoint: &str,
-        role: ServerRole,
-    ) {
-        let server = Server::new(id, endpoint, role);
-        self.servers.insert(id.to_owned(), server);
-        let delay = 0.01 * kernel.random.below(100) as f64;
-        kernel.schedule(delay, ServerEvent::HeartbeatDue(id.to_owned()));
-    }
-
-    /// Ends the server's process.
-    pub(crate) fn crash(&mut self, id: &str) {
-        let server = self.server_mut(id);
-        server.health = Health::Down;
-        server.paused_at_term = None;
-    }
-
-    /// Brings the server back with its log, as a replica if another one was promoted meanwhile.
-    pub(crate) fn recover(&mut self, kernel: &mut Kernel, id: &str) {
-        let highest_term = self.highest_primary_term();
-        let server = self.server_mut(id);
-        server.health = Health::Up;
-        // It follows whoever was promoted last, and nobody before.
-        if server.primary_term < highest_term {
-            server.is_primary = false;
-            server.primary_term = highest_term;
-        }
-        server.paused_at_term = None;
-        server.reconnects_at = kernel.now() + RECONNECT_DELAY_S;
-        kernel.schedule(0.01, ServerEvent::HeartbeatDue(id.to_owned()));
-    }
-
-    /// Brings a server back at its address under another id, with its log; it is the primary if
-    /// nobody was promoted since.
-    pub(crate) fn recover_with_new_id(&mut self, kernel: &mut Kernel, old_id: &str, new_id: &str) {
-        let old = self.server_mut(old_id);
-        old.departed = true;
-        old.health = Health::Down;
-        let old = old.clone();
-        let highest_term = self.highest_primary_term();
-        let role = if old.is_primary && old.primary_term == highest_term {
-            ServerRole::Primary
-        } else {
-            ServerRole::Replica
-        };
-        self.add_server(kernel, new_id, &old.endpoint, role);
-        let new = self.server_mut(new_id);
-        new.log = old.log;
-        new.primary_term = highest_term;
-        new.acknowledged_length = old.acknowledged_length;
-        new.reconnects_at = kernel.now() + RECONNECT_DELAY_S;
-        self.server_mut(old_id).is_primary = false;
-    }
-
-    fn highest_primary_term(&self) -> u64 {
-        let terms = self.servers.values().map(|server| server.primary_term);
-        terms.max().unwrap_or(0)
-    }
-
     /// A statement of a router arrives.
     ///
     /// # Panics
@@ -280,96 +174,4 @@
             kernel.record(EntryKind::CommitAcknowledged, &[primary_term, *commit]);
         }
     }
-
-    /// A promotion takes effect: the server becomes the primary of the next term, unless it ended
-    /// or is the newest primary already.
-    ///
-    /// # Panics
-    ///
-    /// If the server lacks an acknowledged commit.
-    pub(crate) fn promote(&mut self, kernel: &mut Kernel, id: &str) {
-        let terms = self
-            .servers
-            .values()
-            .map(|server| server.primary_term.max(server.highest_term_seen));
-        let highest_term_seen = terms.max().unwrap_or(0);
-        let primaries = self.servers.values().filter(|server| server.is_primary);
-        let newest_primary_term = primaries.map(|s| s.primary_term).max().unwrap_or(0);
-        let server = self.server_mut(id);
-        if !server.is_up() || server.is_primary && server.primary_term >= newest_primary_term {
-            return;
-        }
-        server.is_primary = true;
-        server.primary_term = highest_term_seen + 1;
-        server.paused_at_term = None;
-        let primary_term = server.primary_term;
-        let log = server.log.clone();
-        kernel.trace(|| format!("server {id} leads term {primary_term}"));
-        self.check_promotion(kernel.now(), id, &log);
-        self.promotions.push(Promotion {
-            server_id: id.to_owned(),
-            at: kernel.now(),
-        });
-        kernel.record(EntryKind::Promoted, &[primary_term]);
-        kernel.digest.bytes(id.as_bytes());
-        self.follow_new_primary(kernel, id, primary_term, &log);
-    }
-
-    fn check_promotion(&self, now: f64, id: &str, log: &[LogEntry]) {
-        let has: HashSet<u64> = log.iter().map(|entry| entry.commit).collect();
-        let acknowledged = self.acknowledged_commits.iter();
-        let lost: Vec<&u64> = acknowledged.filter(|c| !has.contains(c)).collect();
-        assert!(
-            lost.is_empty(),
-            "{now}: {id} was promoted without acknowledged commits {lost:?}"
-        );
-    }
-
-    /// The other servers follow the new primary: replicas at once, former primaries later.
-    fn follow_new_primary(
-        &mut self,
-        kernel: &mut Kernel,
-        primary: &str,
-        primary_term: u64,
-        log: &[LogEntry],
-    ) {
-        for server in self.servers.values_mut().filter(|s| s.id != primary) {
-            if server.is_primary {
-                let demotion = ServerEvent::DemotionDue {
-                    server_id: server.id.clone(),
-                    primary_term,
-                };
-                kernel.schedule(DEMOTION_INTERVAL_S, demotion);
-            } else if server.is_up() {
-                server.primary_term = primary_term;
-                server.paused_at_term = None;
-                // A log that is ahead of the primary's, or differs, is cut back to what both have.
-                let entries = server.log.iter().zip(log);
-                let common = entries.take_while(|(own, new)| own == new).count();
-                server.log.truncate(common);
-            }
-        }
-    }
-
-    /// A former primary learns of its successor, unless it doesn't work.
-    pub(crate) fn demotion_due(
-        &mut self,
-        kernel: &mut Kernel,
-        server_id: String,
-        primary_term: u64,
-    ) {
-        let server = self.server_mut(&server_id);
-        if !server.is_primary || server.primary_term >= primary_term {
-            return;
-        }
-        if server.is_up() {
-            server.is_primary = false;
-        } else {
-            let again = ServerEvent::DemotionDue {
-                server_id,
-                primary_term,
-            };
-            kernel.schedule(DEMOTION_INTERVAL_S, again);
-        }
-    }
 }
--- a/crates/testing/simulation/src/simulation/actions.rs
+++ b/crates/testing/simulation/src/simulation/actions.rs
@@ -54,7 +54,7 @@
         self.control.replace_disk(&mut self.kernel, node);
     }
 
-    /// The machine is gone for good.
+    /// The machine loses power for good.
     pub fn remove(&mut self, node: NodeId) {
         self.power_off(node);
         self.control.machine_mut(node).removed = true;
--- a/crates/testing/simulation/src/simulation/control_events.rs
+++ b/crates/testing/simulation/src/simulation/control_events.rs
@@ -254,7 +254,7 @@
             command,
             sent_at: self.control.machines[&node].clock(self.kernel.now()),
         };
-        if self.control.cut_from_servers.contains(&node) {
+        if self.control.partitioned_from_servers.contains(&node) {
             Service::lose_command(&mut self.kernel, call);
         } else {
             self.service.send_command(&mut self.kernel, call, endpoint);
--- a/crates/testing/simulation/src/simulation/queries.rs
+++ b/crates/testing/simulation/src/simulation/queries.rs
@@ -1,4 +1,4 @@
-//! What a test or the fault injector asks of the simulation.
+//! What a test or the fault injector wants to know of the simulation.
 
 use super::Simulation;
 use crate::digest::RunDigest;
--- a/crates/testing/simulation/tests/failover.rs
+++ b/crates/testing/simulation/tests/failover.rs
@@ -904,7 +904,7 @@
         }
         11 => simulation.freeze_router(u.int_in_range(0..=1)?),
         12 => {
-            simulation.control.cut_from_servers.insert(node);
+            simulation.control.partitioned_from_servers.insert(node);
         }
         13 if health == Health::Down => {
             simulation.recover_with_new_id(&id, &new_servers.take_id());
@@ -912,7 +912,7 @@
         }
         _ => {
             simulation.heal_all();
-            simulation.control.cut_from_servers.clear();
+            simulation.control.partitioned_from_servers.clear();
             simulation.edge.blocked.clear();
         }
     }
@@ -922,7 +922,7 @@
 /// Ends all faults; servers that departed stay away.
 fn end_all_faults(simulation: &mut Simulation) {
     simulation.heal_all();
-    simulation.control.cut_from_servers.clear();
+    simulation.control.partitioned_from_servers.clear();
     simulation.service.command_answers_lost_per_mille = 0;
     simulation.platform.answers_lost_per_mille = 0;
     for router in 0..2 {
