--- a/crates/testing/testbed/src/admin_api.rs
+++ b/crates/testing/testbed/src/admin_api.rs
@@ -1,6 +1,6 @@
-//! The testbed's own control endpoint, for people and scripts (`badgerstream-testbed tell`): it lists
-//! servers, prints the counts of `rule_checker`, and crashes, starts and drains servers. The system
-//! under test never calls it.
+//! The testbed's own control endpoint, for people and scripts (`badgerstream-testbed tell`): it
+//! lists servers, prints the counts of `rule_checker`, and crashes, starts and drains servers. The
+//! system under test never calls it.
 
 use crate::cluster_host::{ClusterHost, ListenError, listen};
 use async_executor::LocalExecutor;
--- a/crates/testing/testbed/src/child_processes.rs
+++ b/crates/testing/testbed/src/child_processes.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Sends SIGTERM to all, waits for them, and kills those that exceed the grace period. Blocks the
-    /// thread meanwhile.
+    /// Sends SIGTERM to all, waits for them, and kills those that exceed the grace period. Blocks
+    /// the thread meanwhile.
     pub fn terminate_all(&mut self) -> Vec<ExitedProcess> {
         for process in &self.running {
             // A stopped process gets SIGTERM only once it is continued.
--- a/crates/testing/testbed/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -1,5 +1,5 @@
-//! A client of the line protocol: one session, one statement at a time. It never reconnects nor sends
-//! a statement again.
+//! A client of the line protocol: one session, one statement at a time. It never reconnects nor
+//! sends a statement again.
 
 use async_io::Async;
 use badgerstream_line_protocol::{LineBuffer, ResponseLine, ResponseReader, StatementResult};
--- a/crates/testing/testbed/src/cluster_host.rs
+++ b/crates/testing/testbed/src/cluster_host.rs
@@ -1,9 +1,9 @@
 //! The database servers on sockets: one listener and one task of heartbeats a server, one task a
 //! connection.
 //!
-//! [`ClusterHost`] owns the [`DatabaseCluster`], which decides what is answered, and gives it the time
-//! and the lines received; it decides nothing itself. All tasks run on one thread, so that a borrow of
-//! the cluster is never held across an `await`.
+//! [`ClusterHost`] owns the [`DatabaseCluster`], which decides what is answered, and gives it the
+//! time and the lines received; it decides nothing itself. All tasks run on one thread, so that a
+//! borrow of the cluster is never held across an `await`.
 
 use crate::database_cluster::{ConnectionId, ConnectionOutput, DatabaseCluster};
 use crate::heartbeats::{HeartbeatEnd, HeartbeatSender, HeartbeatSettings};
@@ -251,8 +251,8 @@
                 return;
             }
             let request = future::or(read_line(stream, lines), async {
-                // Without a request there is no response: this completes only when the cluster closes
-                // the connection, as at the end of the server's process.
+                // Without a request there is no response: this completes only when the cluster
+                // closes the connection, as at the end of the server's process.
                 let _ = responses.recv().await;
                 None
             });
--- a/crates/testing/testbed/src/database_cluster.rs
+++ b/crates/testing/testbed/src/database_cluster.rs
@@ -1,11 +1,11 @@
-//! What database servers and the platform do, without sockets or clock: commits and their replication,
-//! sessions and their statements, promotions, crashes.
+//! What database servers and the platform do, without sockets or clock: commits and their
+//! replication, sessions and their statements, promotions, crashes.
 //!
-//! `cluster_host` owns the one [`DatabaseCluster`] of a process and gives it the time, in seconds, and
-//! the lines received; the cluster returns what is to be written ([`ConnectionOutput`]). It is
+//! `cluster_host` owns the one [`DatabaseCluster`] of a process and gives it the time, in seconds,
+//! and the lines received; the cluster returns what is to be written ([`ConnectionOutput`]). It is
 //! deterministic: the same calls at the same times give the same output. Time passes in steps:
-//! [`DatabaseCluster::step`] does all that is due, in order, and [`DatabaseCluster::next_step_at_s`]
-//! tells when it is to be called again.
+//! [`DatabaseCluster::step`] does all that is due, in order, and
+//! [`DatabaseCluster::next_step_at_s`] tells when it is to be called again.
 //!
 //! | part | module |
 //! | --- | --- |
--- a/crates/testing/testbed/src/database_cluster/administration.rs
+++ b/crates/testing/testbed/src/database_cluster/administration.rs
@@ -1,6 +1,6 @@
-//! Statements that aren't of clients: control's `STATUS`, `PAUSE`, `RESUME` and `STEPDOWN`, which all
-//! answer with the server's status, and `RESET`, with which a router clears a session for another
-//! client.
+//! Statements that aren't of clients: control's `STATUS`, `PAUSE`, `RESUME` and `STEPDOWN`, which
+//! all answer with the server's status, and `RESET`, with which a router clears a session for
+//! another client.
 
 use super::model::{ConnectionId, DatabaseCluster, Rejection, Work};
 use super::sessions::NO_STATEMENT_ID;
--- a/crates/testing/testbed/src/database_cluster/failover.rs
+++ b/crates/testing/testbed/src/database_cluster/failover.rs
@@ -4,9 +4,9 @@
 use badgerstream_line_protocol::Position;
 
 impl DatabaseCluster {
-    /// The platform's `POST /promotions`, by the status of its answer: 404 for an unknown service, 409
-    /// for a fencing token below one seen and for a server that doesn't run, else 200. The promotion
-    /// itself takes place a moment later; that of the primary does nothing.
+    /// The platform's `POST /promotions`, by the status of its answer: 404 for an unknown service,
+    /// 409 for a fencing token below one seen and for a server that doesn't run, else 200. The
+    /// promotion itself takes place a moment later; that of the primary does nothing.
     pub fn request_promotion(
         &mut self,
         now: f64,
@@ -184,9 +184,9 @@
             .collect()
     }
 
-    /// A replica takes up the newest term, if its primary runs. Unless its log is known to be a prefix
-    /// of the primary's, it takes a snapshot: it may have commits that the primary lacks, under
-    /// numbers that the primary gives to others.
+    /// A replica takes up the newest term, if its primary runs. Unless its log is known to be a
+    /// prefix of the primary's, it takes a snapshot: it may have commits that the primary lacks,
+    /// under numbers that the primary gives to others.
     fn follow_primary(&mut self, id: &str, is_prefix: bool) {
         let server = &self.servers[id];
         if !self.has_other_primary(server) {
--- a/crates/testing/testbed/src/database_cluster/model.rs
+++ b/crates/testing/testbed/src/database_cluster/model.rs
@@ -262,8 +262,8 @@
 }
 
 impl DatabaseCluster {
-    /// A cluster whose servers all run, the first of each service as its primary. With `fencing` the
-    /// platform rejects a fencing token below one that it has seen. `seed` makes the stamps of
+    /// A cluster whose servers all run, the first of each service as its primary. With `fencing`
+    /// the platform rejects a fencing token below one that it has seen. `seed` makes the stamps of
     /// responses.
     pub fn new(specs: Vec<ServiceSpec>, timing: Timing, fencing: bool, seed: u64) -> Self {
         let mut services = BTreeMap::new();
--- a/crates/testing/testbed/src/database_cluster/sessions.rs
+++ b/crates/testing/testbed/src/database_cluster/sessions.rs
@@ -20,8 +20,8 @@
 pub(super) const NO_STATEMENT_ID: &str = "-";
 
 impl DatabaseCluster {
-    /// Handles `CONNECT`, the first line of a connection: to `service` at server `server_id`. After a
-    /// rejection the connection is to be closed; otherwise the response comes as
+    /// Handles `CONNECT`, the first line of a connection: to `service` at server `server_id`. After
+    /// a rejection the connection is to be closed; otherwise the response comes as
     /// [`ConnectionOutput::Send`]. A `caller` of two words names the server it means.
     pub fn connect(
         &mut self,
@@ -57,8 +57,8 @@
         Ok(connection)
     }
 
-    /// Handles a line of a session; the response comes as [`ConnectionOutput::Send`]. To be called for
-    /// one line of a connection at a time.
+    /// Handles a line of a session; the response comes as [`ConnectionOutput::Send`]. To be called
+    /// for one line of a connection at a time.
     pub fn receive_line(&mut self, now: f64, connection: ConnectionId, line: &[u8]) {
         self.advance(now);
         match Request::parse(line) {
--- a/crates/testing/testbed/src/database_cluster/statements.rs
+++ b/crates/testing/testbed/src/database_cluster/statements.rs
@@ -1,5 +1,6 @@
-//! Statements of clients: what is checked when they arrive, and what they do at the end of their time
-//! in a slot. Anything may have changed between the two, so that the right to run is checked at both.
+//! Statements of clients: what is checked when they arrive, and what they do at the end of their
+//! time in a slot. Anything may have changed between the two, so that the right to run is checked
+//! at both.
 
 use super::model::{
     ConnectionId, DatabaseCluster, Job, Rejection, Server, Session, Transaction, Work,
@@ -63,8 +64,8 @@
         accept_parsed(session, server, &statement)
     }
 
-    /// Whether work may not run at the session's server because that isn't the primary, or isn't any
-    /// more.
+    /// Whether work may not run at the session's server because that isn't the primary, or isn't
+    /// any more.
     fn is_read_only(&self, connection: ConnectionId, work: &Work) -> bool {
         let Some(session) = self.sessions.get(&connection) else {
             return false;
--- a/crates/testing/testbed/src/deployment.rs
+++ b/crates/testing/testbed/src/deployment.rs
@@ -60,8 +60,8 @@
     },
 }
 
-/// The first three parts of all addresses of a deployment: what keeps deployments that run at a time
-/// apart.
+/// The first three parts of all addresses of a deployment: what keeps deployments that run at a
+/// time apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoopbackNet(pub [u8; 3]);
 
@@ -89,8 +89,8 @@
     /// peer port of its own, and calls the others at that port, where the relays must listen
     /// ([`Deployment::peer_relay_address`]).
     pub peers_relayed: bool,
-    /// Whether control machines call the platform at [`Deployment::platform_relay_address`], where a
-    /// relay must listen.
+    /// Whether control machines call the platform at [`Deployment::platform_relay_address`], where
+    /// a relay must listen.
     pub platform_relayed: bool,
     /// Whether database servers advertise [`Deployment::database_relay_address`], where relays must
     /// listen.
@@ -187,8 +187,8 @@
         self.address(host_number::FIRST_CONTROL + n, self.peer_port(n))
     }
 
-    /// Where a relay on the link from one control machine to another listens: at the callee's address
-    /// and the caller's port.
+    /// Where a relay on the link from one control machine to another listens: at the callee's
+    /// address and the caller's port.
     pub fn peer_relay_address(&self, from: usize, to: usize) -> SocketAddr {
         self.address(host_number::FIRST_CONTROL + to, self.peer_port(from))
     }
--- a/crates/testing/testbed/src/fault_relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -1,6 +1,6 @@
-//! A TCP relay on the link between two processes, on which tests lay faults, each direction by itself.
-//! It listens at a given address, since the address of a control machine is its identity. It knows
-//! nothing of the protocols: it carries bytes of connections.
+//! A TCP relay on the link between two processes, on which tests lay faults, each direction by
+//! itself. It listens at a given address, since the address of a control machine is its identity.
+//! It knows nothing of the protocols: it carries bytes of connections.
 
 use async_channel::{Sender, bounded};
 use async_executor::LocalExecutor;
@@ -31,13 +31,13 @@
 /// What happens to the bytes of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// They are lost silently, the end of a connection too. Connections that lost bytes are reset once
-    /// the fault is lifted.
+    /// They are lost silently, the end of a connection too. Connections that lost bytes are reset
+    /// once the fault is lifted.
     Drop,
     /// They arrive later by so much.
     Delay(Duration),
-    /// So many bytes of a connection pass, then both its ends are reset; with 0, as soon as the first
-    /// one is sent.
+    /// So many bytes of a connection pass, then both its ends are reset; with 0, as soon as the
+    /// first one is sent.
     ResetAfter(usize),
 }
 
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Carries one direction until its end; one that breaks closes `reset`, to end the other as well.
+    /// Carries one direction until its end; one that breaks closes `reset`, to end the other as
+    /// well.
     async fn pump(
         &self,
         direction: Direction,
--- a/crates/testing/testbed/src/heartbeats.rs
+++ b/crates/testing/testbed/src/heartbeats.rs
@@ -150,8 +150,8 @@
         let _ = http_client::send_following_redirects(to, RESPONSE_TIMEOUT_S, &request).await;
     }
 
-    /// Waits until this second, or until the server's state is another than the last heartbeat said:
-    /// control is to learn of that without delay.
+    /// Waits until this second, or until the server's state is another than the last heartbeat
+    /// said: control is to learn of that without delay.
     async fn wait(&self, announced: AnnouncedState, mut generation: u64, until_s: f64) {
         let remaining_s = (until_s - clock::now()).max(0.0);
         let due = async {
--- a/crates/testing/testbed/src/history.rs
+++ b/crates/testing/testbed/src/history.rs
@@ -1,14 +1,14 @@
-//! What operators sent and were answered, and a check of it: is there a single order of versions that
-//! explains all of it (linearizability)? Tests fill a [`History`]; the check only reads it.
+//! What operators sent and were answered, and a check of it: is there a single order of versions
+//! that explains all of it (linearizability)? Tests fill a [`History`]; the check only reads it.
 //!
 //! The configuration is one register with conditional writes: a request takes effect only on top of
-//! the version that it names. A checker for registers in general searches the orders of writes; here no
-//! search is needed. Each request names its base, and no two versions have the same epoch, so the
-//! versions known to have been applied form a chain (bodies differ from request to request, so that
-//! what is read tells which one it was), and the chain is the order of all writes. What remains is to
-//! compare times. An operation belongs at one place of the chain (a rejection at any place where
-//! another version than its base is in force), and one that had ended before another was sent must not
-//! stand behind it.
+//! the version that it names. A checker for registers in general searches the orders of writes;
+//! here no search is needed. Each request names its base, and no two versions have the same epoch,
+//! so the versions known to have been applied form a chain (bodies differ from request to request,
+//! so that what is read tells which one it was), and the chain is the order of all writes. What
+//! remains is to compare times. An operation belongs at one place of the chain (a rejection at any
+//! place where another version than its base is in force), and one that had ended before another
+//! was sent must not stand behind it.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -110,14 +110,14 @@
     /// A version was rejected though its base was the newest version all the while.
     #[error("version {0} was refused though it builds on the newest one")]
     WronglyRejected(u64),
-    /// The first operation had ended before the second was sent, and stands behind it in the order of
-    /// versions.
+    /// The first operation had ended before the second was sent, and stands behind it in the order
+    /// of versions.
     #[error("{0} had ended before {1}, and stands behind it")]
     OutOfOrder(String, String),
 }
 
-/// An operation at its place in the chain: version number `n` of the chain, counted from 1, is written
-/// at place `2n` and in force at `2n + 1`. Place 1 is that of no version.
+/// An operation at its place in the chain: version number `n` of the chain, counted from 1, is
+/// written at place `2n` and in force at `2n + 1`. Place 1 is that of no version.
 #[derive(Debug, Clone, PartialEq)]
 struct PlacedOperation {
     sent_at_s: f64,
@@ -144,8 +144,8 @@
 }
 
 impl History {
-    /// Finds the single order of versions that explains all of this: their epochs, or why there is no
-    /// such order.
+    /// Finds the single order of versions that explains all of this: their epochs, or why there is
+    /// no such order.
     pub fn linearize(&self) -> Result<Vec<u64>, Violation> {
         let chain = self.chain()?;
         let mut placed = self.place_writes(&chain)?;
@@ -242,8 +242,8 @@
         reads.collect()
     }
 
-    /// Places each rejection, in the order of their ends, as early as the others allow, where another
-    /// version than its base is in force.
+    /// Places each rejection, in the order of their ends, as early as the others allow, where
+    /// another version than its base is in force.
     fn place_rejections(
         &self,
         chain: &[&ConfigRequest],
--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! `badgerstream-testbed`: the command line of the testbed, for the quick start and for trials. It reads
-//! arguments, prints results and sets the exit status; the library does the work.
+//! `badgerstream-testbed`: the command line of the testbed, for the quick start and for trials. It
+//! reads arguments, prints results and sets the exit status; the library does the work.
 
 use badgerstream_line_protocol::ErrorCode;
 use badgerstream_pooler::process::ProcessError;
@@ -27,7 +27,8 @@
 enum Command {
     /// Starts a whole system and keeps it up until Ctrl-C or SIGTERM.
     Up {
-        /// Where settings, logs and state go, made if it isn't there; by default a new one among the temporary files.
+        /// Where settings, logs and state go, made if it isn't there; by default a new one among
+        /// the temporary files.
         #[arg(long)]
         folder: Option<PathBuf>,
         /// Services, each a primary and two replicas.
--- a/crates/testing/testbed/src/operator.rs
+++ b/crates/testing/testbed/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: sends configurations until they are applied or rejected, reads them back, and records
-//! every attempt for [`crate::history`]. It never judges what it was answered.
+//! The operator: sends configurations until they are applied or rejected, reads them back, and
+//! records every attempt for [`crate::history`]. It never judges what it was answered.
 
 use crate::history::{Attempt, ConfigRead, ConfigRequest, Outcome, Version};
 use crate::http_client::{self, HttpRequest};
--- a/crates/testing/testbed/src/platform.rs
+++ b/crates/testing/testbed/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform as the system calls it: `POST /promotions`, limited in its rate. Whether a promotion
-//! takes place is decided by `database_cluster`.
+//! The platform as the system calls it: `POST /promotions`, limited in its rate. Whether a
+//! promotion takes place is decided by `database_cluster`.
 
 use crate::cluster_host::{ClusterHost, ListenError, listen};
 use async_executor::LocalExecutor;
@@ -31,8 +31,8 @@
 }
 
 impl Platform {
-    /// The status of the response: 404 for any other path, 429 above the rate, 400 for a call without
-    /// its headers or body, and else what the cluster answers.
+    /// The status of the response: 404 for any other path, 429 above the rate, 400 for a call
+    /// without its headers or body, and else what the cluster answers.
     fn promote(&self, request: &Request) -> u16 {
         if request.method != "POST" || request.path != PROMOTIONS_PATH {
             return 404;
--- a/crates/testing/testbed/src/replica.rs
+++ b/crates/testing/testbed/src/replica.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The commit that follows this number; `None` if there is none yet, or if it isn't retained any
-    /// more (see [`Replica::retains_all_after`]).
+    /// The commit that follows this number; `None` if there is none yet, or if it isn't retained
+    /// any more (see [`Replica::retains_all_after`]).
     pub fn commit_after(&self, number: u64) -> Option<&Commit> {
         let behind = self.received.number.checked_sub(number)?;
         let index = (self.commits.len() as u64).checked_sub(behind)?;
--- a/crates/testing/testbed/src/rule_checker.rs
+++ b/crates/testing/testbed/src/rule_checker.rs
@@ -1,6 +1,6 @@
-//! Checks the users' rules as far as they show at the database servers: no acknowledged commit is lost,
-//! no write takes effect twice, no replaced primary acknowledges. `database_cluster` owns the one
-//! instance and reports to it; nothing here changes what a server does.
+//! Checks the users' rules as far as they show at the database servers: no acknowledged commit is
+//! lost, no write takes effect twice, no replaced primary acknowledges. `database_cluster` owns the
+//! one instance and reports to it; nothing here changes what a server does.
 
 use std::collections::{HashSet, VecDeque};
 
--- a/crates/testing/testbed/src/tests/history.rs
+++ b/crates/testing/testbed/src/tests/history.rs
@@ -11,7 +11,7 @@
     }
 }
 
-fn order(base: u64, epoch: u64, attempts: &[(f64, f64, Outcome)]) -> ConfigRequest {
+fn request(base: u64, epoch: u64, attempts: &[(f64, f64, Outcome)]) -> ConfigRequest {
     let attempts = attempts.iter().map(|(began, ended, outcome)| Attempt {
         sent_at_s: *began,
         ended_at_s: *ended,
@@ -32,26 +32,22 @@
     }
 }
 
-fn linearize(orders: Vec<ConfigRequest>, reads: Vec<ConfigRead>) -> Result<Vec<u64>, Violation> {
-    History {
-        requests: orders,
-        reads,
-    }
-    .linearize()
+fn linearize(requests: Vec<ConfigRequest>, reads: Vec<ConfigRead>) -> Result<Vec<u64>, Violation> {
+    History { requests, reads }.linearize()
 }
 
 #[test]
 fn linearizable_history_passes() {
-    let orders = vec![
-        order(0, 1, &[(0.0, 1.0, Acknowledged)]),
+    let requests = vec![
+        request(0, 1, &[(0.0, 1.0, Acknowledged)]),
         // Taken without a word, and acknowledged when it was sent again.
-        order(1, 3, &[(1.0, 2.0, Unknown), (2.0, 2.5, Acknowledged)]),
+        request(1, 3, &[(1.0, 2.0, Unknown), (2.0, 2.5, Acknowledged)]),
         // Its base went while it was under way.
-        order(1, 2, &[(1.5, 3.0, Rejected(412))]),
+        request(1, 2, &[(1.5, 3.0, Rejected(412))]),
         // Never acknowledged, and read later on.
-        order(3, 7, &[(4.0, 5.0, Unknown)]),
-        order(3, 8, &[(4.0, 5.0, Unknown), (9.0, 9.1, Rejected(412))]),
-        order(7, 9, &[(10.0, 11.0, Acknowledged)]),
+        request(3, 7, &[(4.0, 5.0, Unknown)]),
+        request(3, 8, &[(4.0, 5.0, Unknown), (9.0, 9.1, Rejected(412))]),
+        request(7, 9, &[(10.0, 11.0, Acknowledged)]),
     ];
     let reads = vec![
         read(0.0, 0.5, 0),
@@ -60,23 +56,23 @@
         read(8.0, 8.1, 7),
         read(12.0, 12.1, 9),
     ];
-    assert_eq!(linearize(orders, reads), Ok(vec![1, 3, 7, 9]));
+    assert_eq!(linearize(requests, reads), Ok(vec![1, 3, 7, 9]));
     assert_eq!(linearize(vec![], vec![read(0.0, 1.0, 0)]), Ok(vec![]));
 }
 
 #[test]
 fn two_versions_on_one_base_are_a_fork() {
-    let first = order(0, 1, &[(0.0, 1.0, Acknowledged)]);
+    let first = request(0, 1, &[(0.0, 1.0, Acknowledged)]);
     let (one, other) = (
-        order(1, 5, &[(1.0, 2.0, Acknowledged)]),
-        order(1, 6, &[(1.0, 2.0, Acknowledged)]),
+        request(1, 5, &[(1.0, 2.0, Acknowledged)]),
+        request(1, 6, &[(1.0, 2.0, Acknowledged)]),
     );
     assert_eq!(
         linearize(vec![first.clone(), one.clone(), other], vec![]),
         Err(Violation::Fork(5, 6))
     );
     // Two texts under one number.
-    let mut same = order(1, 5, &[(1.0, 2.0, Acknowledged)]);
+    let mut same = request(1, 5, &[(1.0, 2.0, Acknowledged)]);
     same.version.body = "another".to_owned();
     assert_eq!(
         linearize(vec![first, one, same], vec![]),
@@ -86,23 +82,23 @@
 
 #[test]
 fn rejected_version_is_never_in_force() {
-    let orders = || {
+    let requests = || {
         vec![
-            order(0, 1, &[(0.0, 1.0, Acknowledged)]),
-            order(1, 2, &[(1.0, 2.0, Unknown), (2.0, 3.0, Rejected(412))]),
+            request(0, 1, &[(0.0, 1.0, Acknowledged)]),
+            request(1, 2, &[(1.0, 2.0, Unknown), (2.0, 3.0, Rejected(412))]),
         ]
     };
     assert_eq!(
-        linearize(orders(), vec![read(4.0, 4.1, 2)]),
+        linearize(requests(), vec![read(4.0, 4.1, 2)]),
         Err(Violation::RejectedAndApplied(2))
     );
     // The base was the newest version all the while.
     assert_eq!(
-        linearize(orders(), vec![read(4.0, 4.1, 1)]),
+        linearize(requests(), vec![read(4.0, 4.1, 1)]),
         Err(Violation::WronglyRejected(2))
     );
     // One that was acknowledged is refused when it is sent again.
-    let again = order(0, 1, &[(0.0, 1.0, Acknowledged), (2.0, 3.0, Rejected(412))]);
+    let again = request(0, 1, &[(0.0, 1.0, Acknowledged), (2.0, 3.0, Rejected(412))]);
     assert_eq!(
         linearize(vec![again], vec![]),
         Err(Violation::RejectedAndApplied(1))
@@ -111,13 +107,13 @@
 
 #[test]
 fn reads_never_go_back_behind_acknowledged_or_read_versions() {
-    let orders = || {
+    let requests = || {
         vec![
-            order(0, 1, &[(0.0, 1.0, Acknowledged)]),
-            order(1, 2, &[(1.0, 2.0, Acknowledged)]),
+            request(0, 1, &[(0.0, 1.0, Acknowledged)]),
+            request(1, 2, &[(1.0, 2.0, Acknowledged)]),
         ]
     };
-    let late = |epoch| linearize(orders(), vec![read(3.0, 4.0, epoch)]);
+    let late = |epoch| linearize(requests(), vec![read(3.0, 4.0, epoch)]);
     assert!(
         matches!(late(1), Err(Violation::OutOfOrder(..)))
             && matches!(late(0), Err(Violation::OutOfOrder(..)))
@@ -125,22 +121,22 @@
     assert_eq!(late(2), Ok(vec![1, 2]));
     let back = vec![read(1.1, 1.2, 2), read(1.3, 1.4, 1)];
     assert!(matches!(
-        linearize(orders(), back),
+        linearize(requests(), back),
         Err(Violation::OutOfOrder(..))
     ));
     // Before it was sent at all.
     assert!(matches!(
-        linearize(orders(), vec![read(0.1, 0.9, 2)]),
+        linearize(requests(), vec![read(0.1, 0.9, 2)]),
         Err(Violation::OutOfOrder(..))
     ));
     assert_eq!(
-        linearize(orders(), vec![read(3.0, 4.0, 9)]),
+        linearize(requests(), vec![read(3.0, 4.0, 9)]),
         Err(Violation::UnknownVersion(9))
     );
 }
 
-/// What clients see of a correct register always passes, however their calls overlap and are lost. With
-/// one answer changed to an older one, or one rejection to an acknowledgement, it doesn't.
+/// What clients see of a correct register always passes, however their calls overlap and are lost.
+/// With one answer changed to an older one, or one rejection to an acknowledgement, it doesn't.
 #[test]
 fn histories_of_a_register_pass_and_altered_ones_fail() {
     arbtest(|u| {
@@ -168,7 +164,7 @@
             };
             history
                 .requests
-                .push(order(base, highest, &[(began, at + 0.5, outcome)]));
+                .push(request(base, highest, &[(began, at + 0.5, outcome)]));
             if won {
                 current = highest;
             }
--- a/crates/testing/testbed/src/tests/mod.rs
+++ b/crates/testing/testbed/src/tests/mod.rs
@@ -66,8 +66,8 @@
         );
     }
 
-    /// The response to a statement within 20 ms, its lines joined by `|` and each stamp written as `+`;
-    /// empty without a response.
+    /// The response to a statement within 20 ms, its lines joined by `|` and each stamp written as
+    /// `+`; empty without a response.
     fn query(&mut self, connection: ConnectionId, text: &str) -> String {
         let id = format!("i{}-{}", connection, (self.now * 1e6) as u64);
         self.send(connection, &id, text);
--- a/crates/testing/testbed/src/tests/random_faults.rs
+++ b/crates/testing/testbed/src/tests/random_faults.rs
@@ -3,8 +3,8 @@
 use super::ClusterHarness;
 use arbtest::{arbitrary, arbtest};
 
-/// If only a server that has all acknowledged commits is promoted, nothing is lost whatever happens, and
-/// all replicas are the same in the end.
+/// If only a server that has all acknowledged commits is promoted, nothing is lost whatever
+/// happens, and all replicas are the same in the end.
 #[test]
 fn replicas_converge_after_random_faults() {
     arbtest(|u| {
--- a/crates/testing/testbed/src/up.rs
+++ b/crates/testing/testbed/src/up.rs
@@ -1,6 +1,6 @@
-//! The quick start (`badgerstream-testbed up`): a complete system on loopback, with its settings, logs
-//! and state in one folder. It owns the processes of control machines and routers; database servers,
-//! platform and operator run in this process.
+//! The quick start (`badgerstream-testbed up`): a complete system on loopback, with its settings,
+//! logs and state in one folder. It owns the processes of control machines and routers; database
+//! servers, platform and operator run in this process.
 
 use crate::child_processes::{ChildProcesses, ExitedProcess};
 use crate::cluster_host::{ClusterHost, ListenError, StartServerError};
@@ -97,8 +97,8 @@
     ReplaceConfig(#[from] ReplaceConfigError),
 }
 
-/// Starts a deployment and keeps it up until SIGINT or SIGTERM. Whatever ends it, no process that it
-/// started is left.
+/// Starts a deployment and keeps it up until SIGINT or SIGTERM. Whatever ends it, no process that
+/// it started is left.
 pub fn run(deployment: &Deployment, folder: &Path, program: &Path) -> Result<(), UpError> {
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(UpError::Signals)?;
     let executor = Rc::new(LocalExecutor::new());
--- a/crates/testing/testbed/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Configuration requests of operators to control machines as processes, over links on which faults
-//! are laid. Each test ends with a check that a single order of versions explains all that was answered
-//! (`history`).
+//! are laid. Each test ends with a check that a single order of versions explains all that was
+//! answered (`history`).
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -26,16 +26,16 @@
 const TEST_TIMEOUT_S: f64 = 58.0;
 /// What is waited for in a system without faults comes within so long, also on a busy machine.
 const STEP_TIMEOUT_S: f64 = 25.0;
-/// So many requests at least are acknowledged during a partition. They are few because a sync may take
-/// seconds on a disk that is shared with other work.
+/// So many requests at least are acknowledged during a partition. They are few because a sync may
+/// take seconds on a disk that is shared with other work.
 const MIN_ACKNOWLEDGED_REQUESTS: usize = 3;
 /// How long a partition lasts.
 const PARTITION_S: f64 = 20.0;
 
-/// Three control machines as processes, with a relay on each link between them, and one before each for
-/// operators.
+/// Three control machines as processes, with a relay on each link between them, and one before each
+/// for operators.
 struct TestSystem {
-    tasks: Rc<LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
     child_processes: RefCell<ChildProcesses>,
     /// By caller and callee.
@@ -51,7 +51,7 @@
 }
 
 impl TestSystem {
-    fn start(tasks: &Rc<LocalExecutor<'static>>, number: u32) -> TestSystem {
+    fn start(executor: &Rc<LocalExecutor<'static>>, number: u32) -> TestSystem {
         clock::now();
         let mark = std::process::id() * 8 + number;
         let net = LoopbackNet([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
@@ -61,7 +61,7 @@
             "badgerstream-testbed-orders-{}-{number}",
             std::process::id()
         ));
-        let relay = |at: SocketAddr, to: SocketAddr| Relay::start(tasks, at, to).unwrap();
+        let relay = |at: SocketAddr, to: SocketAddr| Relay::start(executor, at, to).unwrap();
         let peer = |from: usize, to: usize| {
             (from != to).then(|| {
                 relay(
@@ -96,9 +96,9 @@
             );
         }
         let (history, texts, done) = Default::default();
-        let tasks = tasks.clone();
+        let executor = executor.clone();
         TestSystem {
-            tasks,
+            executor,
             deployment,
             child_processes: RefCell::new(child_processes),
             peers,
@@ -116,9 +116,9 @@
             .collect()
     }
 
-    /// Lays a fault on the links from a control machine to the others (`outgoing`), or on those from the
-    /// others to it. Messages travel on connections of their sender: requests on a link are all that
-    /// goes its way.
+    /// Lays a fault on the links from a control machine to the others (`outgoing`), or on those
+    /// from the others to it. Messages travel on connections of their sender: requests on a link
+    /// are all that goes its way.
     fn set_fault(&self, node: usize, outgoing: bool, fault: Option<Fault>) {
         for other in (0..CONTROL_MACHINES).filter(|other| *other != node) {
             let (from, to) = if outgoing {
@@ -165,14 +165,14 @@
 
     /// Sends a configuration until there is a clear answer, and records it.
     async fn replace_config(&self, operator: &Operator, base: u64, version: Version) -> Outcome {
-        let order = operator
+        let request = operator
             .replace_config(base, version, clock::now() + STEP_TIMEOUT_S)
             .await;
-        let outcome = order
+        let outcome = request
             .attempts
             .last()
             .map_or(Outcome::Unknown, |t| t.outcome);
-        self.history.borrow_mut().requests.push(order);
+        self.history.borrow_mut().requests.push(request);
         outcome
     }
 
@@ -190,8 +190,8 @@
         }
     }
 
-    /// An operator that reads, and sends a configuration on top of what it has read, until the end of
-    /// the test.
+    /// An operator that reads, and sends a configuration on top of what it has read, until the end
+    /// of the test.
     async fn replace_config_repeatedly(&self, number: usize) {
         let operator = Operator::new(&self.operator_relay_addresses(), number);
         let mut turn = 0;
@@ -222,7 +222,10 @@
     /// How many requests were acknowledged in this time.
     fn acknowledged(&self, from: f64, to: f64) -> usize {
         let history = self.history.borrow();
-        let attempts = history.requests.iter().flat_map(|order| &order.attempts);
+        let attempts = history
+            .requests
+            .iter()
+            .flat_map(|request| &request.attempts);
         let within = |ended_at_s: f64| (from..to).contains(&ended_at_s);
         attempts
             .filter(|t| t.outcome == Outcome::Acknowledged && within(t.ended_at_s))
@@ -290,8 +293,8 @@
 
 /// Runs a test on a system that has applied its first configuration, and checks the history.
 fn run_test(number: u32, test: impl AsyncFnOnce(&TestSystem)) {
-    let tasks = Rc::new(LocalExecutor::new());
-    let system = TestSystem::start(&tasks, number);
+    let executor = Rc::new(LocalExecutor::new());
+    let system = TestSystem::start(&executor, number);
     let all = async {
         let first = Operator::new(&system.operator_relay_addresses(), 0);
         assert_eq!(
@@ -305,7 +308,7 @@
         pause(TEST_TIMEOUT_S).await;
         panic!("not done within {TEST_TIMEOUT_S} s");
     };
-    async_io::block_on(system.tasks.run(future::or(all, timed_out)));
+    async_io::block_on(system.executor.run(future::or(all, timed_out)));
 }
 
 #[test]
@@ -322,10 +325,10 @@
                 system.set_fault(leader, true, None);
             })
             .await;
-        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
+        let requests = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
         assert!(
-            orders >= MIN_ACKNOWLEDGED_REQUESTS,
-            "{orders} orders were acknowledged while the link was cut"
+            requests >= MIN_ACKNOWLEDGED_REQUESTS,
+            "{requests} orders were acknowledged while the link was cut"
         );
     });
 }
@@ -346,16 +349,16 @@
                 system.operator_relays[leader].set(Direction::Responses, None);
             })
             .await;
-        let orders = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
+        let requests = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
         assert!(
-            orders >= MIN_ACKNOWLEDGED_REQUESTS,
-            "{orders} orders were acknowledged while the links were cut"
+            requests >= MIN_ACKNOWLEDGED_REQUESTS,
+            "{requests} orders were acknowledged while the links were cut"
         );
     });
 }
 
-/// The leader is partitioned from the others in both directions, again and again, while operators reach
-/// it: it acknowledges and returns nothing that the next leader doesn't know of.
+/// The leader is partitioned from the others in both directions, again and again, while operators
+/// reach it: it acknowledges and returns nothing that the next leader doesn't know of.
 #[test]
 fn a_leader_that_is_cut_off_serves_nothing_old() {
     run_test(5, async |system| {
@@ -378,10 +381,10 @@
 }
 
 /// The length in bytes of a request to this address.
-fn encoded_length(at: SocketAddr, order: &ConfigRequest) -> usize {
-    let base = order.base_epoch.to_string();
+fn encoded_length(at: SocketAddr, request: &ConfigRequest) -> usize {
+    let base = request.base_epoch.to_string();
     let headers = [(BASE_VERSION_HEADER, base.as_str())];
-    let body = order.version.body.as_bytes();
+    let body = request.version.body.as_bytes();
     encode_request(
         "POST",
         "/api/Config.Replace",
@@ -400,12 +403,12 @@
                 let at = system.deployment.operator_relay_address(node);
                 let operator = Operator::new(&system.operator_relay_addresses(), node + 1);
                 let base = system.read(&operator).await;
-                let mut order = ConfigRequest {
+                let mut request = ConfigRequest {
                     base_epoch: base,
                     version: system.version(base + 2),
                     attempts: Vec::new(),
                 };
-                let request_bytes = encoded_length(at, &order);
+                let request_bytes = encoded_length(at, &request);
                 let (direction, passes) = match stage {
                     0 => (Direction::Requests, 0),
                     1 => (Direction::Requests, request_bytes / 2),
@@ -415,18 +418,18 @@
                 let relay = &system.operator_relays[node];
                 let resets = relay.resets();
                 relay.set(direction, Some(Fault::ResetAfter(passes)));
-                let first = operator.send_once(at, &order).await;
+                let first = operator.send_once(at, &request).await;
                 relay.set(direction, None);
                 assert_eq!(first.outcome, Outcome::Unknown, "stage {stage}");
                 assert_eq!(relay.resets(), resets + 1, "stage {stage}");
-                order.attempts.push(first);
+                request.attempts.push(first);
                 // The same request at the other machines: it is applied now, or was before.
                 let again = operator
-                    .replace_config(base, order.version.clone(), clock::now() + STEP_TIMEOUT_S)
+                    .replace_config(base, request.version.clone(), clock::now() + STEP_TIMEOUT_S)
                     .await;
-                order.attempts.extend(again.attempts);
-                let ended = order.attempts.last().map(|t| t.outcome);
-                system.history.borrow_mut().requests.push(order);
+                request.attempts.extend(again.attempts);
+                let ended = request.attempts.last().map(|t| t.outcome);
+                system.history.borrow_mut().requests.push(request);
                 assert_eq!(ended, Some(Outcome::Acknowledged), "stage {stage}");
                 // Another request on that base comes too late.
                 let late_request = system
@@ -472,8 +475,8 @@
     });
 }
 
-/// The leader has received a request and can't answer it, as it reaches no other machine; it is stopped
-/// there, and continued once another machine has led for a while.
+/// The leader has received a request and can't answer it, as it reaches no other machine; it is
+/// stopped there, and continued once another machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_between_reading_and_answering() {
     run_test(4, async |system| {
@@ -483,22 +486,22 @@
             let at = system.deployment.operator_relay_address(leader);
             let operator = Operator::new(&system.operator_relay_addresses(), leader + 1);
             let base = system.read(&operator).await;
-            let mut order = ConfigRequest {
+            let mut request = ConfigRequest {
                 base_epoch: base,
                 version: system.version(base + 2),
                 attempts: Vec::new(),
             };
             system.set_fault(leader, true, Some(Fault::Drop));
-            let sent = operator.send_once(at, &order);
+            let sent = operator.send_once(at, &request);
             let stopped = async {
                 pause(0.25).await;
                 system.child_processes.borrow().signal(&name, Signal::STOP);
                 system.set_fault(leader, true, None);
             };
             let (first, ()) = future::zip(sent, stopped).await;
-            order.attempts.push(first);
-            // Another request on the same base, while the first may be in flight, and one on top of whichever
-            // was applied.
+            request.attempts.push(first);
+            // Another request on the same base, while the first may be in flight, and one on top of
+            // whichever was applied.
             system
                 .replace_config(&operator, base, system.version(base + 3))
                 .await;
@@ -509,10 +512,10 @@
             system.child_processes.borrow().signal(&name, Signal::CONT);
             // What it received before it was stopped is judged, if at all, by what is in force now.
             let again = operator
-                .replace_config(base, order.version.clone(), clock::now() + STEP_TIMEOUT_S)
+                .replace_config(base, request.version.clone(), clock::now() + STEP_TIMEOUT_S)
                 .await;
-            order.attempts.extend(again.attempts);
-            system.history.borrow_mut().requests.push(order);
+            request.attempts.extend(again.attempts);
+            system.history.borrow_mut().requests.push(request);
             let direct = Operator::new(&[at], 0);
             system.read(&direct).await;
         }
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -1,6 +1,6 @@
-//! The complete system as processes on loopback: three control machines and two routers, between the
-//! database servers, platform, operator and clients of this process. Tests wait for conditions, each
-//! with a time-out; only a fault that must last for some time waits for that time.
+//! The complete system as processes on loopback: three control machines and two routers, between
+//! the database servers, platform, operator and clients of this process. Tests wait for conditions,
+//! each with a time-out; only a fault that must last for some time waits for that time.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -30,7 +30,8 @@
 /// A test of several faults that takes longer fails: each fault may take seconds on a busy machine.
 const LONG_TEST_TIMEOUT_S: f64 = 58.0;
 
-/// What is waited for after a fault comes within so long, also where a sync of the disk takes seconds.
+/// What is waited for after a fault comes within so long, also where a sync of the disk takes
+/// seconds.
 const STEP_TIMEOUT_S: f64 = 25.0;
 
 /// How many writers there are, each of a key of its own, with a reader of that key.
@@ -38,7 +39,7 @@
 
 /// A system under test.
 struct TestSystem {
-    tasks: Rc<LocalExecutor<'static>>,
+    executor: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
     cluster_host: Rc<ClusterHost>,
     /// The relay before the platform.
@@ -73,13 +74,13 @@
 impl TestSystem {
     /// Starts a system at addresses of its own, so that tests may run at a time, and beside a quick
     /// start.
-    fn start(tasks: &Rc<LocalExecutor<'static>>, number: u32) -> Self {
+    fn start(executor: &Rc<LocalExecutor<'static>>, number: u32) -> Self {
         let mark = std::process::id() * 2 + number;
         let net = LoopbackNet([127, 16 + (mark % 200) as u8, (mark / 200 % 250) as u8]);
         let mut deployment = Deployment::new(net, 1, 2).unwrap();
         (deployment.platform_relayed, deployment.databases_relayed) = (true, true);
         let platform = Relay::start(
-            tasks,
+            executor,
             deployment.platform_relay_address(),
             deployment.platform_address(),
         )
@@ -91,7 +92,7 @@
         let database = |server: ServerSpec| {
             (
                 server.id,
-                Relay::start(tasks, server.advertised_address, server.listen_address).unwrap(),
+                Relay::start(executor, server.advertised_address, server.listen_address).unwrap(),
             )
         };
         let databases = servers.map(database).collect();
@@ -99,7 +100,7 @@
             "badgerstream-testbed-system-{}-{number}",
             std::process::id()
         ));
-        let cluster_host = up::start_cluster_host(tasks, &deployment).unwrap();
+        let cluster_host = up::start_cluster_host(executor, &deployment).unwrap();
         let mut child_processes = ChildProcesses::default();
         for file in deployment.write_settings(&folder, true).unwrap() {
             start_node(
@@ -109,9 +110,9 @@
                 &folder,
             );
         }
-        let (tasks, child_processes) = (tasks.clone(), RefCell::new(child_processes));
+        let (executor, child_processes) = (executor.clone(), RefCell::new(child_processes));
         Self {
-            tasks,
+            executor,
             deployment,
             cluster_host,
             platform,
@@ -123,10 +124,10 @@
 
     fn client(&self, n: usize, observations: &Rc<ClientObservations>) {
         let front = self.deployment.router_addresses()[n % 2];
-        self.tasks
+        self.executor
             .spawn(write(n, front, observations.clone()))
             .detach();
-        self.tasks
+        self.executor
             .spawn(read(n, front, observations.clone()))
             .detach();
     }
@@ -312,8 +313,8 @@
     number: u32,
     test: impl AsyncFnOnce(&TestSystem, &Rc<ClientObservations>),
 ) {
-    let tasks = Rc::new(LocalExecutor::new());
-    let system = TestSystem::start(&tasks, number);
+    let executor = Rc::new(LocalExecutor::new());
+    let system = TestSystem::start(&executor, number);
     let observations = Rc::<ClientObservations>::default();
     let all = async {
         up::wait_until_ready(&system.deployment).await.unwrap();
@@ -326,7 +327,7 @@
         Timer::after(Duration::from_secs_f64(limit)).await;
         panic!("not done within {limit} s; {}", observations.line());
     };
-    async_io::block_on(tasks.run(future::or(all, timed_out)));
+    async_io::block_on(executor.run(future::or(all, timed_out)));
 }
 
 #[test]
@@ -475,8 +476,8 @@
 }
 
 /// The call that promotes another server is reset before its first byte, in its middle and once its
-/// response is written, or its response is lost: one server is promoted each time, and no acknowledged
-/// write is lost.
+/// response is written, or its response is lost: one server is promoted each time, and no
+/// acknowledged write is lost.
 #[test]
 fn a_promotion_whose_call_breaks_off_at_any_stage_happens_once() {
     run_test_within(LONG_TEST_TIMEOUT_S, 2, async |system, observations| {
@@ -520,8 +521,8 @@
     });
 }
 
-/// The leader is stopped between its call to the platform and the response, and continued when another
-/// machine has led for a while.
+/// The leader is stopped between its call to the platform and the response, and continued when
+/// another machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_in_the_middle_of_a_promotion() {
     run_test_within(LONG_TEST_TIMEOUT_S, 3, async |system, observations| {
@@ -560,8 +561,8 @@
     });
 }
 
-/// Connections to the primary, of routers and of control, are reset at each stage of a statement, or
-/// its responses are lost: no write takes effect twice, and none that was acknowledged is lost.
+/// Connections to the primary, of routers and of control, are reset at each stage of a statement,
+/// or its responses are lost: no write takes effect twice, and none that was acknowledged is lost.
 #[test]
 fn statements_whose_connection_is_reset_at_any_stage_run_at_most_once() {
     run_test_within(LONG_TEST_TIMEOUT_S, 4, async |system, observations| {
@@ -597,7 +598,8 @@
     });
 }
 
-/// Queries to replicas break off at each stage, or are answered late, while the primary is replaced.
+/// Queries to replicas break off at each stage, or are answered late, while the primary is
+/// replaced.
 #[test]
 fn failover_with_broken_replica_queries_loses_no_write() {
     run_test_within(LONG_TEST_TIMEOUT_S, 5, async |system, observations| {
@@ -633,9 +635,9 @@
     });
 }
 
-/// Each router in turn gets SIGTERM while it serves clients, and a primary is drained at the same time:
-/// the router answers every statement that it received, isn't ready from the first moment on, and ends
-/// by itself within the grace period.
+/// Each router in turn gets SIGTERM while it serves clients, and a primary is drained at the same
+/// time: the router answers every statement that it received, isn't ready from the first moment on,
+/// and ends by itself within the grace period.
 #[test]
 fn a_router_that_is_asked_to_end_cuts_no_statement() {
     run_test_within(LONG_TEST_TIMEOUT_S, 6, async |system, observations| {
@@ -687,8 +689,8 @@
     });
 }
 
-/// Each machine serves metrics of what it does, in the `OpenMetrics` format, and nothing else at that
-/// address.
+/// Each machine serves metrics of what it does, in the `OpenMetrics` format, and nothing else at
+/// that address.
 #[test]
 fn each_machine_serves_its_metrics() {
     run_test(7, async |system, observations| {
