--- a/crates/testing/simulation/src/days.rs
+++ b/crates/testing/simulation/src/days.rs
@@ -3,10 +3,10 @@
 //!
 //! A day that mixes faults at random seldom meets the moment that a mechanism of the control side
 //! depends on. The days drawn here consist of a few *moments* instead. Within half a second of a
-//! moment several faults strike, mostly the leader, while configuration changes of two operators are
-//! under way all day long. Further losses stand right behind the first one: the bench makes an entry
-//! wait until the fault budget allows it, so that each of them strikes as soon as the time to catch
-//! up after the one before is over.
+//! moment several faults strike, mostly the leader, while configuration changes of two operators
+//! are under way all day long. Further losses stand right behind the first one: the bench makes an
+//! entry wait until the fault budget allows it, so that each of them strikes as soon as the time to
+//! catch up after the one before is over.
 //!
 //! The order of draws and the texts of entries decide what a seed means: reports name days by their
 //! seeds, so neither changes. Nothing here uses the simulation.
@@ -25,7 +25,8 @@
 use random::{happens, number, pick};
 use std::fmt;
 
-/// Traffic lasts for so many seconds; nothing is drawn for the last ones, so that what is left behind shows.
+/// Traffic lasts for so many seconds; nothing is drawn for the last ones, so that what is left
+/// behind shows.
 pub const LENGTH_S: f64 = 34.0;
 
 /// The last second in which a fault of the day may begin.
--- a/crates/testing/simulation/src/faults/kinds.rs
+++ b/crates/testing/simulation/src/faults/kinds.rs
@@ -103,7 +103,7 @@
 pub enum LossPolicy {
     /// No more than the budget allows, until they have caught up.
     WithinBudget,
-    /// Any number, and the links between two halves; but no more disks than the budget allows, until
-    /// all machines vote again. Service may rest meanwhile.
+    /// Any number, and the links between two halves; but no more disks than the budget allows,
+    /// until all machines vote again. Service may rest meanwhile.
     BeyondBudget,
 }
--- a/crates/testing/simulation/src/oracle/safety.rs
+++ b/crates/testing/simulation/src/oracle/safety.rs
@@ -37,8 +37,8 @@
 }
 
 impl Safety {
-    /// There is one committed state of each version, and a machine that acts knows no older one than
-    /// another has known. Returns whether a newer configuration was committed.
+    /// There is one committed state of each version, and a machine that acts knows no older one
+    /// than another has known. Returns whether a newer configuration was committed.
     pub(super) fn check_committed_states(
         &mut self,
         kernel: &mut Kernel,
--- a/crates/testing/simulation/src/service/commands.rs
+++ b/crates/testing/simulation/src/service/commands.rs
@@ -92,7 +92,10 @@
 
     /// Schedules the next heartbeat, unless one is scheduled: a server has one timer.
     pub(crate) fn schedule_heartbeat(kernel: &mut Kernel, id: String) {
-        let is_same = |event: &Event| matches!(event, Event::Server(ServerEvent::HeartbeatDue(of)) if *of == id);
+        let is_same = |event: &Event| match event {
+            Event::Server(ServerEvent::HeartbeatDue(of)) => *of == id,
+            _ => false,
+        };
         if !kernel.is_scheduled(is_same) {
             kernel.schedule(HEARTBEAT_INTERVAL_S, ServerEvent::HeartbeatDue(id));
         }
--- a/crates/testing/simulation/src/service/promotion.rs
+++ b/crates/testing/simulation/src/service/promotion.rs
@@ -7,8 +7,8 @@
 use crate::kernel::Kernel;
 use std::collections::HashSet;
 
-/// A former primary learns of its successor after so many seconds; one that doesn't work then, after
-/// as many more.
+/// A former primary learns of its successor after so many seconds; one that doesn't work then,
+/// after as many more.
 const DEMOTION_INTERVAL_S: f64 = 1.0;
 
 /// A promotion that took effect.
--- a/crates/testing/simulation/src/service/replication.rs
+++ b/crates/testing/simulation/src/service/replication.rs
@@ -1,7 +1,7 @@
 //! Statements at the servers, and replication.
 //!
-//! Logs hold the numbers of commits, so that what was acknowledged can be looked for: it is an error
-//! of the decisions under test if a read, an acknowledgement or a promotion misses one.
+//! Logs hold the numbers of commits, so that what was acknowledged can be looked for: it is an
+//! error of the decisions under test if a read, an acknowledgement or a promotion misses one.
 
 use super::replicas::Service;
 use super::server::LogEntry;
@@ -118,8 +118,8 @@
         kernel.schedule(delay, acknowledged);
     }
 
-    /// A replica's acknowledgement arrives at the primary: with one replica a commit is acknowledged
-    /// to the client.
+    /// A replica's acknowledgement arrives at the primary: with one replica a commit is
+    /// acknowledged to the client.
     pub(crate) fn append_acknowledged(
         &mut self,
         kernel: &mut Kernel,
