--- a/days/hunt.sh
+++ b/days/hunt.sh
@@ -32,13 +32,13 @@
 shift $((OPTIND - 1))
 [ $# -eq 5 ] || usage
 bench=$1 kind=$2 sites=$3 first=$4 count=$5
-badgerstream-simulate=${BADGERSTREAM_SIMULATE:-$here/../target/release/badgerstream-simulate}
+simulate=${BADGERSTREAM_SIMULATE:-$here/../target/release/badgerstream-simulate}
 [ -n "$folder" ] || folder=$(mktemp -d)
 mkdir -p "$folder/days" "$folder/broken"
 
 seed=$first
 while [ "$seed" -lt $((first + count)) ]; do
-    "$badgerstream-simulate" day --site "$kind" --seed "$seed" >"$folder/days/drawn-$kind-$seed.toml"
+    "$simulate" day --site "$kind" --seed "$seed" >"$folder/days/drawn-$kind-$seed.toml"
     set -- "$@" "$folder/days/drawn-$kind-$seed.toml"
     seed=$((seed + 1))
 done
