--- a/crates/protocol/router-config/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -1,5 +1,7 @@
 //! The file that a router starts from, whole and with one thing wrong.
 
+mod setting_names;
+
 use crate::{Own, Pairs, Provision, instance};
 use badgerstream_routing::{Currency, Repeat, Within};
 use test_case::test_case;
--- /dev/null
+++ b/crates/protocol/router-config/src/tests/setting_names.rs
@@ -0,0 +1,149 @@
+//! Operators' files name the settings: each name is read into the field that it stands for. The values differ from
+//! each other and from the defaults, so that two names exchanged are seen.
+
+use crate::{Own, Pairs, instance};
+use badgerstream_routing::{Currency, Repeat, Within};
+
+const OWN_SETTINGS: &str = include_str!("setting_names.json5");
+const SETTINGS: &str = include_str!("setting_names.txt");
+
+#[test]
+fn each_name_of_the_settings_file_is_read_into_its_field() {
+    let own = Own::read(OWN_SETTINGS, 64 << 20).unwrap();
+    let s = own.succession.unwrap();
+    assert_eq!((s.hold.statements, s.hold.bytes), (11, 1012));
+    assert_eq!((s.hold_group.statements, s.hold_group.bytes), (13, 914));
+    assert_eq!(
+        (s.longest_hold_ms, s.expected_change_ms, s.least_chance),
+        (15.5, 16.5, 0.17)
+    );
+    assert_eq!((s.release_spread_ms, s.answered_kept), (18.5, 19));
+    assert!(s.outcomes);
+    assert_eq!(
+        (s.branch_field.as_str(), s.promoted_field.as_str()),
+        ("x20", "x21")
+    );
+    let r = own.recovery.unwrap();
+    assert_eq!(
+        (r.opens_in_100ms, r.routers.join(",")),
+        (31.0, "a,b".into())
+    );
+    assert_eq!(
+        (r.list_wait_ms, r.sounding_ms, r.handshake_ms),
+        (32.0, 33.0, 34.0)
+    );
+    assert_eq!((r.longest_handshake_ms, r.calm_ms), (35.0, 36.0));
+    assert_eq!((r.longest_ms, r.stood_still_ms), (37.0, 238.0));
+    assert_eq!((r.refused_ms, r.refused_most_ms), (39.0, 40.0));
+    assert_eq!(
+        (r.linger_ms, r.surplus_ms, r.turns_below),
+        (41.0, 142.0, 43)
+    );
+    assert_eq!(
+        (r.held_field.as_str(), r.opened_field.as_str()),
+        ("x44", "x45")
+    );
+    let f = own.fleet.unwrap();
+    assert_eq!((f.routers.join(","), f.forget_ms), ("c,d,e".into(), 151.0));
+    assert_eq!((f.idle_probes_per_s, f.searches_per_s), (52.0, 53.0));
+    assert_eq!((f.trials_per_s, f.first_sends_per_s), (54.0, 55.0));
+    assert_eq!((f.copies, f.repeats, f.subset), (0.56, 0.57, 58));
+    assert_eq!((f.little_per_s, f.held_field.as_str()), (59.0, "x60"));
+}
+
+#[test]
+fn a_changed_name_in_the_settings_file_is_refused() {
+    let mut names = 0;
+    for (at, _) in OWN_SETTINGS.match_indices(':') {
+        let begin = OWN_SETTINGS[..at]
+            .rfind(|c: char| !(c.is_ascii_alphanumeric() || c == '_'))
+            .unwrap();
+        let name = &OWN_SETTINGS[begin + 1..at];
+        let changed = format!("{}z{}", &OWN_SETTINGS[..at], &OWN_SETTINGS[at..]);
+        let fault = Own::read(&changed, 64 << 20).unwrap_err();
+        let expected = format!("unknown field `{name}z`");
+        assert!(fault.problem.contains(&expected), "{name}: {fault}");
+        names += 1;
+    }
+    assert_eq!(names, 3 + 14 + 16 + 11, "names in the file");
+}
+
+#[test]
+fn each_name_of_the_settings_of_an_instance_is_read_into_its_field() {
+    let (born, reading) = instance(1, &Pairs::from_lines(SETTINGS)).unwrap();
+    let [first, second, third] = &reading.workloads[..] else {
+        panic!("three workloads")
+    };
+    assert_eq!(
+        (first.slo, first.slo_stretch, first.timeout),
+        (0.4, 2.5, 1.9)
+    );
+    assert_eq!((first.importance, first.late_worth), (3.5, 0.15));
+    assert_eq!(
+        (first.repeat, first.currency),
+        (Repeat::Idempotent, Currency::Recent { bound: 0.7 })
+    );
+    let (within, memory) = (Within::Zone, 1.2);
+    assert_eq!(second.repeat, Repeat::Deduplicated { within, memory });
+    assert_eq!(second.currency, Currency::OwnWrites);
+    assert_eq!(
+        (third.repeat, third.currency),
+        (Repeat::NonIdempotent, Currency::Primary)
+    );
+    assert_eq!(
+        (reading.origin, reading.position_column, reading.role_column),
+        (1.25, Some(1), Some(2))
+    );
+    assert!(reading.subscribes);
+    assert_eq!(born.routers, 4.0);
+    assert_eq!((born.drain.grace, born.drain.only_draining), (0.26, true));
+    assert_eq!((born.cold.share, born.cold.lasts), (0.27, 18.0));
+    assert_eq!((born.cold.factor, born.cold.window), (3.25, 3.5));
+    let allowance = &born.allowance;
+    assert_eq!((allowance.executions, allowance.step), (7, 0.005));
+    assert_eq!(
+        (
+            allowance.second_copies,
+            allowance.cancelling,
+            allowance.probes
+        ),
+        (true, false, true)
+    );
+    assert_eq!(
+        (allowance.probe_price, allowance.retry_after),
+        (0.013, 2.125)
+    );
+    assert_eq!(
+        (
+            born.fairness.whole,
+            born.fairness.worst_workload,
+            born.fairness.worst_customer
+        ),
+        (0.41, 0.22, 0.12)
+    );
+}
+
+/// `instance` reads each of these names once or more; one that it no longer looks for would be passed over silently.
+#[test]
+fn a_required_name_that_is_missing_is_told_by_its_name() {
+    let mut missing = Vec::new();
+    for line in SETTINGS.lines() {
+        let name = line.split('=').next().unwrap();
+        let without: String = SETTINGS
+            .lines()
+            .filter(|other| *other != line)
+            .map(|other| format!("{other}\n"))
+            .collect();
+        match instance(1, &Pairs::from_lines(&without)) {
+            Ok(_) => {}
+            Err(problem) => {
+                assert!(problem.contains(name), "{name}: {problem}");
+                missing.push(name);
+            }
+        }
+    }
+    assert_eq!(
+        missing.join("\n") + "\n",
+        include_str!("required_setting_names.txt")
+    );
+}
--- /dev/null
+++ b/crates/runtime/router/tests/log_targets.rs
@@ -0,0 +1,55 @@
+//! Operators filter the log by its targets, and a command adds up the line of counts: target and keys are held here.
+
+use std::io::{BufRead, BufReader};
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+
+/// A router that is ended with its test.
+struct Serving(Child);
+
+impl Drop for Serving {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+/// The first line that a router writes with this filter of its log, without its time.
+fn first_line(filter: &str) -> String {
+    let free = || {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        listener.local_addr().unwrap().to_string()
+    };
+    let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../../examples/router.json");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
+    command
+        .arg("serve")
+        .env("RELAY_CONFIG", example)
+        .env("RELAY_LISTEN", free())
+        .env("RELAY_DISCOVERY", free())
+        .env("RELAY_NAME", "pinned-name")
+        .env("BADGERSTREAM_LOG", filter)
+        .stdin(Stdio::null())
+        .stderr(Stdio::piped());
+    let mut serving = Serving(command.spawn().unwrap());
+    let lines = BufReader::new(serving.0.stderr.take().unwrap()).lines();
+    let line = lines.map_while(Result::ok).next().unwrap_or_default();
+    let (_, rest) = line.split_once(' ').unwrap_or_default();
+    rest.trim_start().to_string()
+}
+
+#[test]
+fn counts_have_a_target_and_keys_of_their_own() {
+    assert_eq!(
+        first_line("off,badgerstream::tally=debug"),
+        "DEBUG badgerstream::tally: tally taken=0 sent=0 probes=0 given_up[] in_the_way[] waits_for[]"
+    );
+}
+
+#[test]
+fn the_program_logs_under_its_own_name() {
+    let line = first_line("off,badgerstream=info");
+    assert!(line.starts_with("INFO badgerstream: "), "{line}");
+    assert!(line.contains("pinned-name"), "{line}");
+}
--- a/crates/testing/bench-adapter/src/tests.rs
+++ b/crates/testing/bench-adapter/src/tests.rs
@@ -1,5 +1,7 @@
 //! Frames written from the wire's layout, its own worked examples among them.
 
+mod recorded_exchange;
+
 use crate::codec::{Batch, EVENT_BYTES, Fields, Reply};
 use crate::link::{Link, serve};
 use test_case::test_case;
