--- a/crates/runtime/router/tests/command.rs
+++ b/crates/runtime/router/tests/command.rs
@@ -124,16 +124,35 @@
     }
 }
 
+/// The address that a process listens at, by its descriptors and by the kernel's table of TCP sockets (proc(5), net/tcp).
+/// A router that listens at port 0 gets a free port from the kernel. A port that the test had looked for and released
+/// could be taken by another process before the router listens at it.
+fn listening_address(process: u32) -> String {
+    // The state of a socket that listens, TCP_LISTEN.
+    const LISTENS: &str = "0A";
+    let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap();
+    let sockets: Vec<String> = descriptors
+        .filter_map(|open| std::fs::read_link(open.unwrap().path()).ok())
+        .map(|open| open.to_string_lossy().into_owned())
+        .collect();
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let ports: Vec<u16> = table
+        .lines()
+        .map(|line| line.split_whitespace().collect::<Vec<_>>())
+        .filter(|fields| {
+            fields[3] == LISTENS && sockets.contains(&format!("socket:[{}]", fields[9]))
+        })
+        .map(|fields| u16::from_str_radix(fields[1].split_once(':').unwrap().1, 16).unwrap())
+        .collect();
+    assert_eq!(ports.len(), 1, "one listener: {ports:?}");
+    format!("127.0.0.1:{}", ports[0])
+}
+
 /// The fleet's terms: one process, no further program, no door for a Unix socket, no `io_uring`; and nothing of
 /// ours is needed or started by a default.
 #[test]
 fn it_serves_alone_without_settings_of_ours() {
-    let address = TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
-        .unwrap()
-        .to_string();
-    let place = file("alone-and-plain", "127.0.0.1:6432", &address);
+    let place = file("alone-and-plain", "127.0.0.1:6432", "127.0.0.1:0");
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
     command
         .arg("serve")
@@ -150,7 +169,9 @@
     let mut lines = BufReader::new(router.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    assert!(lines.any(|line| line.contains("serves on")));
+    let first = lines.next().unwrap_or_default();
+    assert!(first.contains("serves on"), "{first}");
+    let address = listening_address(router.id());
     // Once it answers, all of its tasks have begun: what listens for signals, too.
     let mut client = TcpStream::connect(&address).unwrap();
     let body = b"\0\x03\0\0user\0svc\0database\0main\0\0";
@@ -209,8 +230,8 @@
             .unwrap()
             .to_string()
     };
-    let (address, moved) = (free(), free());
-    let place = file("reloaded", "127.0.0.1:6432", &address);
+    let moved = free();
+    let place = file("reloaded", "127.0.0.1:6432", "127.0.0.1:0");
     let good = std::fs::read_to_string(&place).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
     command
@@ -239,6 +260,7 @@
         );
     };
     until("serves on");
+    let address = listening_address(router.id());
     let changed = good
         .replace("127.0.0.1:8500", &moved)
         .replace("\"siblings\": 1", "\"siblings\": 2");
--- a/crates/runtime/router/tests/log_targets.rs
+++ b/crates/runtime/router/tests/log_targets.rs
@@ -1,10 +1,12 @@
 //! Operators filter the log by its targets, and a command adds up the line of counts: target and keys are held here.
 
 use std::io::{BufRead, BufReader};
-use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
+/// The discard service (RFC 863), which test machines do not run: connections are refused.
+const NOBODY_LISTENS: &str = "127.0.0.1:9";
+
 /// A router that is ended with its test.
 struct Serving(Child);
 
@@ -17,17 +19,13 @@
 
 /// The first line that a router writes with this filter of its log, without its time.
 fn first_line(filter: &str) -> String {
-    let free = || {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        listener.local_addr().unwrap().to_string()
-    };
     let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../../examples/router.json");
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
     command
         .arg("serve")
         .env("RELAY_CONFIG", example)
-        .env("RELAY_LISTEN", free())
-        .env("RELAY_DISCOVERY", free())
+        .env("RELAY_LISTEN", "127.0.0.1:0")
+        .env("RELAY_DISCOVERY", NOBODY_LISTENS)
         .env("RELAY_NAME", "pinned-name")
         .env("BADGERSTREAM_LOG", filter)
         .stdin(Stdio::null())
