--- a/crates/core/control/src/change_history.rs
+++ b/crates/core/control/src/change_history.rs
@@ -1,5 +1,5 @@
-//! The newest changes of the state, so that a receiver with a recent state is sent a delta and not
-//! a snapshot.
+//! The newest changes of the state. With them, a receiver that has a recent state is sent a delta
+//! instead of a snapshot.
 
 use crate::digest::Digest;
 use crate::state::{ConfigPayload, State, StateChange};
@@ -7,34 +7,38 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Largest number of changes that are remembered.
+/// Maximum number of changes in the history.
 const MAX_CHANGES: usize = 512;
-/// Largest size of the remembered changes, in bytes.
-const MAX_BYTES: usize = 256 << 10;
-/// About how many bytes the fixed fields of a change take.
+/// Maximum size of all changes in the history, in bytes.
+const MAX_HISTORY_BYTES: usize = 256 << 10;
+/// Approximate encoded size of the fixed fields of a change, in bytes.
 const CHANGE_HEADER_BYTES: usize = 64;
 
+/// One change of the state.
 #[derive(Clone, Debug)]
 struct Entry {
-    /// The state to which the change was applied, and its configuration epoch.
+    /// The digest of the state to which the change was applied.
     digest_before: Digest,
+    /// The configuration epoch of that state.
     epoch_before: u64,
     change: Rc<StateChange>,
+    /// The approximate encoded size of the change, in bytes.
     bytes: usize,
 }
 
-/// Consecutive changes that lead to the present state, the oldest first. They are in memory only:
+/// Consecutive changes that lead to the present state, oldest first. They are kept in memory only:
 /// after a restart the history is empty.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeHistory {
     entries: VecDeque<Entry>,
+    /// The approximate encoded size of all entries, in bytes.
     bytes: usize,
 }
 
 impl ChangeHistory {
-    /// Records that `change` was applied to the state `before`, which makes the present state.
+    /// Records that `change` was applied to the state `before` and led to the present state.
     pub fn push(&mut self, before: &State, digest_before: Digest, change: Rc<StateChange>) {
-        let bytes = size(&change);
+        let bytes = estimated_change_bytes(&change);
         self.entries.push_back(Entry {
             digest_before,
             epoch_before: before.config_epoch,
@@ -42,7 +46,7 @@
             bytes,
         });
         self.bytes += bytes;
-        while self.entries.len() > MAX_CHANGES || self.bytes > MAX_BYTES {
+        while self.entries.len() > MAX_CHANGES || self.bytes > MAX_HISTORY_BYTES {
             let Some(oldest) = self.entries.pop_front() else {
                 break;
             };
@@ -50,28 +54,30 @@
         }
     }
 
-    /// Forgets all changes, as the present state didn't come from the one before by a known change.
+    /// Removes all changes. This is needed when the state is replaced without a known change from
+    /// the previous one.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.bytes = 0;
     }
 
-    /// The changes since the state with this digest; none if they are not all remembered.
-    pub fn since(&self, state: Digest) -> Option<Vec<Rc<StateChange>>> {
+    /// Returns the changes since the state with this digest, or `None` if the history doesn't reach
+    /// back to that state.
+    pub fn changes_since(&self, state_digest: Digest) -> Option<Vec<Rc<StateChange>>> {
         let first = self
             .entries
             .iter()
-            .position(|entry| entry.digest_before == state)?;
+            .position(|entry| entry.digest_before == state_digest)?;
         let changes = self.entries.range(first..);
         Some(changes.map(|entry| entry.change.clone()).collect())
     }
 
-    /// The deltas from the configuration of epoch `from` to that of epoch `to`; none if they are
-    /// not all remembered as deltas.
+    /// Returns the deltas from the configuration of `from_epoch` to that of `to_epoch`, or `None`
+    /// if the history doesn't have all of them as deltas.
     ///
-    /// `to` is needed as the present state may have a pending configuration, which must not be sent
-    /// to routers.
-    pub fn config_deltas(&self, from: u64, to: u64) -> Option<Vec<Rc<TextDelta>>> {
+    /// The caller names `to_epoch` because the present state may have a pending configuration,
+    /// which must not be sent to routers.
+    pub fn config_deltas(&self, from_epoch: u64, to_epoch: u64) -> Option<Vec<Rc<TextDelta>>> {
         let config_change = |entry: &Entry| match &*entry.change {
             StateChange::Config { epoch, config } => {
                 Some((entry.epoch_before, *epoch, config.clone()))
@@ -82,11 +88,11 @@
             .entries
             .iter()
             .filter_map(config_change)
-            .skip_while(|(epoch_before, _, _)| *epoch_before != from)
+            .skip_while(|(epoch_before, _, _)| *epoch_before != from_epoch)
             .map(|(_, epoch, config)| (epoch, config))
-            .take_while(|(epoch, _)| *epoch <= to)
+            .take_while(|(epoch, _)| *epoch <= to_epoch)
             .collect();
-        if changes.last().is_none_or(|(epoch, _)| *epoch != to) {
+        if changes.last().is_none_or(|(epoch, _)| *epoch != to_epoch) {
             return None;
         }
         let delta = |(_, config): (u64, ConfigPayload)| match config {
@@ -96,13 +102,17 @@
         changes.into_iter().map(delta).collect()
     }
 
-    /// About how many bytes these changes take when encoded.
-    pub fn size_of(changes: &[Rc<StateChange>]) -> usize {
-        changes.iter().map(|change| size(change)).sum()
+    /// Returns the approximate encoded size of `changes`, in bytes.
+    pub fn estimated_bytes(changes: &[Rc<StateChange>]) -> usize {
+        changes
+            .iter()
+            .map(|change| estimated_change_bytes(change))
+            .sum()
     }
 }
 
-fn size(change: &StateChange) -> usize {
+/// Returns the approximate encoded size of `change`, in bytes.
+fn estimated_change_bytes(change: &StateChange) -> usize {
     match change {
         StateChange::Config {
             config: ConfigPayload::Full(text),
@@ -111,11 +121,11 @@
         StateChange::Config {
             config: ConfigPayload::Delta(delta),
             ..
-        } => CHANGE_HEADER_BYTES + delta.size(),
+        } => CHANGE_HEADER_BYTES + delta.estimated_bytes(),
         StateChange::Primary { service, primary } => {
             CHANGE_HEADER_BYTES + service.len() + primary.server_id.len()
         }
-        // A voter set has a dozen bytes a voter.
+        // A voter set takes about a dozen bytes per voter.
         StateChange::Voters(_) => 4 * CHANGE_HEADER_BYTES,
     }
 }
--- a/crates/core/control/src/consensus/leader.rs
+++ b/crates/core/control/src/consensus/leader.rs
@@ -82,7 +82,7 @@
             Some(progress) => progress.answered_heartbeat_sent_at,
             None => f64::NEG_INFINITY,
         };
-        self.hard_state.state.voters.quorum_time(answered) + self.config.election_timeout
+        self.hard_state.state.voters.quorum_seen_at(answered) + self.config.election_timeout
     }
 
     /// The state, if this machine leads and no proposal is pending.
--- a/crates/core/control/src/consensus/replication.rs
+++ b/crates/core/control/src/consensus/replication.rs
@@ -85,9 +85,9 @@
         let steps = if receiver_digest == self.state_digest {
             Some(Vec::new())
         } else {
-            self.history.since(receiver_digest)
+            self.history.changes_since(receiver_digest)
         };
-        match steps.filter(|steps| ChangeHistory::size_of(steps) <= max_delta_bytes) {
+        match steps.filter(|steps| ChangeHistory::estimated_bytes(steps) <= max_delta_bytes) {
             Some(steps) => StatePayload::Delta {
                 base: receiver_digest,
                 steps,
--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -193,7 +193,7 @@
     pub fn leased_routers(&self, now: f64) -> usize {
         self.leadership
             .as_ref()
-            .map_or(0, |lead| lead.leases.active(now))
+            .map_or(0, |lead| lead.leases.active_count(now))
     }
 
     /// The configuration's epoch and text as committed, as far as is known here.
--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -329,7 +329,7 @@
             grant.revoking
         );
         let update_number = lead.updates.begin_update();
-        lead.leases.grant_changed(update_number);
+        lead.leases.record_grant_change(update_number);
         if let Some(failover) = lead.failovers.get_mut(&grant.service) {
             failover.grant_announced(update_number);
         }
--- a/crates/core/control/src/controller/router_updates.rs
+++ b/crates/core/control/src/controller/router_updates.rs
@@ -259,7 +259,12 @@
 /// known and shorter than the text.
 fn config_update(sources: &UpdateSources<'_>, epoch: u64) -> ConfigUpdate {
     let config = &sources.committed.config;
-    let size = |deltas: &[Rc<TextDelta>]| deltas.iter().map(|delta| delta.size()).sum::<usize>();
+    let size = |deltas: &[Rc<TextDelta>]| {
+        deltas
+            .iter()
+            .map(|delta| delta.estimated_bytes())
+            .sum::<usize>()
+    };
     sources
         .history
         .config_deltas(epoch, sources.committed.config_epoch)
@@ -296,7 +301,8 @@
             lead.updates.config_epoch = committed_epoch;
         }
         lead.updates.router_count = if now - lead.since >= ROUTERS_KNOWN_AFTER_S {
-            lead.leases.recently_seen(now, self.config.lease_duration) as u32
+            lead.leases
+                .recently_seen_count(now, self.config.lease_duration) as u32
         } else {
             0
         };
@@ -366,7 +372,7 @@
         };
         let (term, number) = request.update_watermark;
         let acknowledged = if term == lead.updates.term { number } else { 0 };
-        let earlier = lead.leases.acknowledged(router, incarnation);
+        let earlier = lead.leases.acknowledged_update(router, incarnation);
         let health_request_id = lead.updates.health_request_id;
         let session = lead.updates.sessions.entry(session_id).or_insert_with(|| {
             RouterSession::new(router.clone(), acknowledged, earlier, request.config_epoch)
--- a/crates/core/control/src/lib.rs
+++ b/crates/core/control/src/lib.rs
@@ -1,17 +1,19 @@
-//! The control plane's decisions: consensus, membership of servers, leases of routers, failover.
+//! The decisions of the control plane: consensus among the control machines, membership of database
+//! servers, leases of routers, and failover.
 //!
-//! No I/O and no clock, so that a simulation can run the same code. [`Controller`] is the entry
-//! point; the pooler process (`badgerstream-pooler`) owns one on each control machine and passes in
-//! messages, results and the seconds of the machine's steady clock. It gets a list of [`Output`]s
-//! to carry out in their order: a write to disk stands before all that relies on it.
+//! This crate does no I/O and reads no clock, so a simulation can run the same code as production.
+//! [`Controller`] is the entry point. The pooler process (`badgerstream-pooler`) owns one on each
+//! control machine. It passes in messages, results, and the time in seconds of the machine's steady
+//! (monotonic) clock, and gets back a list of [`Output`]s to carry out in order. A write to disk
+//! always precedes the outputs that rely on it.
 //!
-//! - `consensus`, `voter_set`, `term`: agreement on one [`State`], and who leads
-//! - `state`, `text_delta`, `change_history`, `digest`: the agreed state, its changes, and deltas
-//!   of it
-//! - `members`: the database servers by their heartbeats
+//! - `consensus`, `voter_set`, `term`: agreement on one [`State`], and election of the leader
+//! - `state`, `text_delta`, `change_history`, `digest`: the replicated state, its changes, and how
+//!   they are sent as deltas
+//! - `members`: the database servers, known from their heartbeats
 //! - `leases`: the leases of routers, which cover the grants of primaries
-//! - `failover`, `promotion`: the change of a service's primary
-//! - `controller`: what joins them
+//! - `failover`, `promotion`: replacement of a service's primary
+//! - `controller`: combines the modules above into one control machine
 //! - `message`: the messages between processes
 
 mod change_history;
--- a/crates/core/control/src/state.rs
+++ b/crates/core/control/src/state.rs
@@ -1,8 +1,10 @@
-//! The state that the control machines agree on, and the changes from one state to the next.
+//! The replicated state that the control machines agree on, and the changes from one state to the
+//! next.
 //!
-//! Only the leader changes it, by [`crate::Consensus::propose`]; a [`State`] itself is never
-//! modified, each change makes a new one. State and changes are encoded with bincode, on disk and
-//! between machines: the order of fields and variants is part of the format and must not change.
+//! Only the leader changes the state, with [`crate::Consensus::propose`]. A [`State`] is never
+//! modified: each change produces a new one. State and changes are encoded with bincode, both on
+//! disk and in messages, so the order of fields and variants is part of the format and must not
+//! change.
 
 use crate::digest::Digest;
 use crate::text_delta::TextDelta;
@@ -11,73 +13,74 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Number of applied configurations that are remembered, to tell a repeated request from an
+/// Maximum number of applied configurations in the state. They tell a repeated request from an
 /// outdated one.
 pub const MAX_APPLIED_CONFIGS: usize = 1024;
 
-/// Largest encoded state that is decoded, in bytes; it bounds what a damaged length can make us
-/// reserve.
-const MAX_ENCODED_BYTES: usize = 16 << 20;
+/// Maximum size of a state that is decoded, in bytes. It limits how much memory a corrupted length
+/// field can make the decoder reserve.
+const MAX_ENCODED_STATE_BYTES: usize = 16 << 20;
 
-/// The server that is, or is about to be, the primary of a service: it is, once it reports a
-/// primary term above `min_term`.
+/// The server that is, or is about to become, the primary of a service.
 ///
 /// The record is committed before the platform is asked to promote the server, so that the next
-/// leader knows of the promotion. It is committed again, with the server's own term, once the
-/// promotion is complete and no router can use another server as the primary.
+/// leader knows about the promotion. The promotion is known to be complete when the server reports a
+/// primary term above `min_term`. The record is then committed again, with the server's own primary
+/// term, once no router can use another server as the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PrimaryRecord {
     /// The server's id.
     pub server_id: String,
-    /// The highest primary term known when the server was chosen; its own primary term once the
-    /// promotion is complete.
+    /// The highest primary term that was known when the server was chosen. After the promotion, the
+    /// server's own primary term.
     pub min_term: u64,
 }
 
-/// A configuration that was applied.
+/// Identifies a configuration that was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AppliedConfig {
     /// The epoch of the configuration.
     pub epoch: u64,
-    /// The digest of the body of its request.
+    /// The digest of its text, which is the body of the request.
     pub digest: Digest,
 }
 
-/// The one value that the control machines agree on.
+/// The value that the control machines agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct State {
-    /// The number of the state: each change adds one.
+    /// The number of changes since the founding state.
     pub version: u64,
     /// The machines whose votes count.
     pub voters: VoterSet,
     /// The epoch of the configuration; 0 before the first one.
     pub config_epoch: u64,
-    /// The configuration, in JSON as the operator sent it.
+    /// The configuration: the JSON text as the operator sent it.
     pub config: Rc<[u8]>,
-    /// The newest configurations that were applied, the newest last; at most
-    /// [`MAX_APPLIED_CONFIGS`].
+    /// The newest [`MAX_APPLIED_CONFIGS`] applied configurations, newest last.
     pub applied_configs: Vec<AppliedConfig>,
-    /// Primaries by service, of the services whose primary this system has changed.
+    /// The primaries by service name. Only services whose primary was changed by this system have
+    /// an entry.
     pub primaries: BTreeMap<String, PrimaryRecord>,
 }
 
-/// What is to be done with a request to replace the configuration. See [`State::check_replace`].
+/// How to treat a request to replace the configuration. See [`State::check_replace`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplaceVerdict {
-    /// It is to be proposed.
+    /// The request is to be proposed.
     Apply,
-    /// The same configuration was applied before: the request is a retry and succeeds without
+    /// The same configuration was applied before. The request is a retry, and succeeds without
     /// effect.
     AlreadyApplied,
-    /// It builds on another configuration than the present one.
+    /// The request is based on a configuration that is not the present one.
     Conflict,
-    /// Its epoch is not above that of the present configuration.
+    /// The epoch of the request is not above that of the present configuration.
     Stale,
-    /// It is older than all remembered configurations, so whether it was applied is not known.
+    /// The epoch of the request is below those of all remembered configurations, so it is unknown
+    /// whether the request was applied.
     Unknown,
 }
 
-/// One change of the state, as it is proposed.
+/// One proposed change of the state.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum StateChange {
     /// Replaces the configuration.
@@ -98,17 +101,17 @@
     Voters(VoterSet),
 }
 
-/// The text of a configuration, complete or as a delta to one that the receiver has.
+/// The text of a configuration: either complete, or as a delta from a text that the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConfigPayload {
     /// The complete text.
     Full(Rc<[u8]>),
-    /// The delta from another configuration.
+    /// The delta from another configuration to this one.
     Delta(Rc<TextDelta>),
 }
 
 impl ConfigPayload {
-    /// The smaller form of `text`, for a receiver that has `base`.
+    /// Returns the smaller form of `text`, for a receiver that has `base`.
     pub fn relative_to(base: &[u8], text: &Rc<[u8]>) -> ConfigPayload {
         match TextDelta::between(base, text) {
             Some(delta) => ConfigPayload::Delta(Rc::new(delta)),
@@ -116,7 +119,8 @@
         }
     }
 
-    /// The complete text, for a receiver that has `base`; none if it is a delta from another text.
+    /// Returns the complete text, for a receiver that has `base`. Returns `None` if the payload is a
+    /// delta from another text.
     pub fn resolve(&self, base: &[u8]) -> Option<Rc<[u8]>> {
         match self {
             ConfigPayload::Full(text) => Some(text.clone()),
@@ -126,8 +130,8 @@
 }
 
 impl State {
-    /// The state on empty disks, of a system that starts for the first time with the voters
-    /// `nodes`.
+    /// Returns the initial state of a system that starts for the first time, on empty disks and with
+    /// `nodes` as the voters.
     pub fn founding(nodes: Vec<NodeId>) -> State {
         State {
             voters: VoterSet::founding(nodes),
@@ -135,11 +139,11 @@
         }
     }
 
-    /// What is to be done with a valid configuration of `epoch` that builds on the one of
-    /// `base_epoch`.
+    /// Returns how to treat a request that replaces the configuration of `base_epoch` by the valid
+    /// configuration `body` with `epoch`.
     ///
-    /// A retry is recognised first, so that a request whose answer was lost can be repeated however
-    /// much later.
+    /// Retries are checked for first. So a request whose response was lost can be repeated at any
+    /// later time, even after further changes.
     pub fn check_replace(&self, base_epoch: u64, epoch: u64, body: &[u8]) -> ReplaceVerdict {
         let digest = Digest::of(body);
         let oldest_epoch = self
@@ -163,7 +167,7 @@
         }
     }
 
-    /// The change that replaces the configuration by `body`.
+    /// Returns the change that replaces the configuration by `body`.
     pub fn config_change(&self, epoch: u64, body: &Rc<[u8]>) -> StateChange {
         StateChange::Config {
             epoch,
@@ -171,8 +175,8 @@
         }
     }
 
-    /// The state after `change`; none if the change holds a delta from another configuration than
-    /// this state has.
+    /// Returns the state after `change`, or `None` if the change is a delta from a configuration
+    /// that this state doesn't have.
     pub fn apply(&self, change: &StateChange) -> Option<State> {
         let mut next = State {
             version: self.version + 1,
@@ -200,10 +204,10 @@
         Some(next)
     }
 
-    /// The digest of the state: two states with the same digest are equal.
+    /// Computes the digest of the state. Two states with the same digest are equal.
     pub fn digest(&self) -> Digest {
-        // The configuration is left out, as the newest of the applied configurations has its
-        // digest.
+        // The text of the configuration is left out, because the newest entry of `applied_configs`
+        // has its digest.
         let parts = (
             self.version,
             &self.voters,
@@ -212,18 +216,18 @@
             &self.primaries,
         );
         let bytes = bincode::encode_to_vec(parts, bincode::config::standard());
-        Digest::of(&bytes.expect("a state has no type that bincode can't encode"))
+        Digest::of(&bytes.expect("bincode can encode every type in a state"))
     }
 
-    /// The state in bincode, as it is written to disk.
+    /// Encodes the state with bincode, as it is written to disk.
     pub fn encode(&self) -> Vec<u8> {
         bincode::encode_to_vec(self, bincode::config::standard())
-            .expect("a state has no type that bincode can't encode")
+            .expect("bincode can encode every type in a state")
     }
 
-    /// Decodes a state in bincode; none if `bytes` are not exactly one state.
+    /// Decodes a state from bincode. Returns `None` if `bytes` are not exactly one state.
     pub fn decode(bytes: &[u8]) -> Option<State> {
-        let limits = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
+        let limits = bincode::config::standard().with_limit::<MAX_ENCODED_STATE_BYTES>();
         let (state, read_bytes) = bincode::decode_from_slice(bytes, limits).ok()?;
         (read_bytes == bytes.len()).then_some(state)
     }
--- a/crates/core/control/src/tests/deltas.rs
+++ b/crates/core/control/src/tests/deltas.rs
@@ -28,9 +28,9 @@
     let (old, new) = (config(7, 300, 5), config(8, 300, 211));
     let delta = TextDelta::between(&old, &new).expect("the delta is smaller");
     assert!(
-        delta.size() < 300,
+        delta.estimated_bytes() < 300,
         "{} of {} bytes",
-        delta.size(),
+        delta.estimated_bytes(),
         new.len()
     );
     assert_eq!(delta.apply(&old).as_deref(), Some(&*new));
@@ -97,14 +97,14 @@
     let newest = states.last().unwrap().clone();
     for state in &states[..states.len() - 1] {
         let changes = history
-            .since(state.digest())
+            .changes_since(state.digest())
             .expect("all changes are remembered");
         let result = changes
             .iter()
             .try_fold(state.clone(), |state, change| state.apply(change));
         assert_eq!(result.as_ref(), Some(&newest));
     }
-    assert_eq!(history.since(Digest::of(b"another")), None);
+    assert_eq!(history.changes_since(Digest::of(b"another")), None);
     let deltas = |from: u64, to: u64| history.config_deltas(from, to).map(ConfigUpdate::Deltas);
     let all =
         deltas(states[3].config_epoch, newest.config_epoch).expect("all changes are remembered");
@@ -133,7 +133,7 @@
         config: config(5, 50, 1),
         ..State::default()
     };
-    let changes = history.since(states[6].digest()).unwrap();
+    let changes = history.changes_since(states[6].digest()).unwrap();
     assert!(
         changes
             .iter()
@@ -158,7 +158,7 @@
         history.push(&state, state.digest(), Rc::new(change));
         state = next;
     }
-    assert_eq!(history.since(first), None, "too many changes ago");
+    assert_eq!(history.changes_since(first), None, "too many changes ago");
     let bytes =
         bincode::encode_to_vec(format!("{history:?}"), bincode::config::standard()).unwrap();
     assert!(bytes.len() < 8 << 20);
--- a/crates/core/control/src/tests/members.rs
+++ b/crates/core/control/src/tests/members.rs
@@ -268,16 +268,16 @@
     assert!(
         !leases.all_acknowledged(1.5, 5)
             && leases.all_acknowledged(1.5, 4)
-            && leases.active(1.5) == 1
+            && leases.active_count(1.5) == 1
     );
     leases.renew(1.2, "r", 1, 5, 1.0);
     assert!(leases.all_acknowledged(1.5, 5));
     // A request that was overtaken takes no acknowledgement back, and prolongs the lease.
     leases.renew(1.6, "r", 1, 3, 1.0);
-    assert!(leases.all_acknowledged(1.7, 5) && leases.active(2.5) == 1);
+    assert!(leases.all_acknowledged(1.7, 5) && leases.active_count(2.5) == 1);
     // A new incarnation of the router has acknowledged nothing yet.
     leases.renew(2.0, "r", 2, 0, 1.0);
     assert!(!leases.all_acknowledged(2.9, 5) && leases.all_acknowledged(3.0, 5));
     leases.expire(100.0);
-    assert_eq!(leases.active(0.0), 0);
+    assert_eq!(leases.active_count(0.0), 0);
 }
--- a/crates/core/control/src/tests/voter_changes.rs
+++ b/crates/core/control/src/tests/voter_changes.rs
@@ -636,10 +636,10 @@
     assert_eq!(joint.finalized().voters(), [voter(1), voter(2), voter(4)]);
     assert_eq!(set.joint_with(set.voters().to_vec()), None, "no change");
     let last_seen = |v: Voter| f64::from(v.node);
-    assert_eq!(set.quorum_time(last_seen), 2.0);
-    assert_eq!(joint.quorum_time(last_seen), 2.0);
+    assert_eq!(set.quorum_seen_at(last_seen), 2.0);
+    assert_eq!(joint.quorum_seen_at(last_seen), 2.0);
     assert_eq!(
-        VoterSet::default().quorum_time(last_seen),
+        VoterSet::default().quorum_seen_at(last_seen),
         f64::NEG_INFINITY
     );
 }
--- a/crates/core/control/src/text_delta.rs
+++ b/crates/core/control/src/text_delta.rs
@@ -1,34 +1,34 @@
-//! Deltas between two versions of a text, so that a receiver that has one can make the other.
+//! Deltas between two versions of a text. A receiver that has one version can build the other.
 //!
-//! Configurations are large and mostly change in a few places. The controller sends them to routers
-//! and other control machines as deltas where those are smaller.
+//! Configurations are large, and most changes affect only a few places. The controller sends a
+//! delta to routers and other control machines where that is smaller than the complete text.
 
 use crate::digest::Digest;
 use bincode::{Decode, Encode};
 use similar::{Algorithm, DiffOp, capture_diff_slices};
 
-/// Texts with more tokens in sum are not compared, as that would take too long.
+/// Maximum number of tokens in the two texts together. Comparing longer texts would take too long.
 const MAX_COMPARED_TOKENS: usize = 100_000;
-/// Largest result of a delta, in bytes. A delta of a few bytes can claim to make a huge text, so
-/// the size is checked before memory is reserved.
+/// Maximum size of the result of a delta, in bytes. A delta of a few bytes can claim to build a huge
+/// text, so the size is checked before memory is reserved.
 const MAX_RESULT_BYTES: usize = 8 << 20;
-/// About how many bytes a copy operation takes when encoded.
-const COPY_BYTES: usize = 11;
-/// About how many bytes an insert operation takes besides its text.
-const INSERT_HEADER_BYTES: usize = 6;
-/// The bytes of the two digests.
-const DIGESTS_BYTES: usize = 32;
+/// Approximate encoded size of a copy operation, in bytes.
+const ENCODED_COPY_BYTES: usize = 11;
+/// Approximate encoded size of an insert operation without its text, in bytes.
+const ENCODED_INSERT_HEADER_BYTES: usize = 6;
+/// Encoded size of the two digests, in bytes.
+const ENCODED_DIGESTS_BYTES: usize = 32;
 
-/// One step in making the result, which is written from its start to its end.
+/// One step in building the result, which is written from start to end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 enum DeltaOperation {
-    /// Copies `length` bytes of the base from the offset `start`.
+    /// Appends `length` bytes of the base, beginning at the offset `start`.
     Copy { start: u32, length: u32 },
-    /// Inserts bytes that the base doesn't have there.
+    /// Appends these bytes, which are not copied from the base.
     Insert(Vec<u8>),
 }
 
-/// How to make one text, the result, from another one, the base.
+/// Instructions for building one text, the result, from another text, the base.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TextDelta {
     base: Digest,
@@ -37,8 +37,8 @@
 }
 
 impl TextDelta {
-    /// The delta from `base` to `result`; none if it isn't smaller than `result`, or the texts are
-    /// too long to compare.
+    /// Computes the delta from `base` to `result`. Returns `None` if the delta is not smaller than
+    /// `result`, or if the texts are too long to compare.
     pub fn between(base: &[u8], result: &[u8]) -> Option<TextDelta> {
         let (base_tokens, result_tokens) = (tokens(base), tokens(result));
         if base_tokens.len() + result_tokens.len() > MAX_COMPARED_TOKENS {
@@ -70,11 +70,11 @@
             result: Digest::of(result),
             operations: builder.operations,
         };
-        (delta.size() < result.len()).then_some(delta)
+        (delta.estimated_bytes() < result.len()).then_some(delta)
     }
 
-    /// The result; none if `base` is not the text that this delta applies to, or the delta is
-    /// malformed.
+    /// Builds the result. Returns `None` if `base` is not the text that this delta applies to, or if
+    /// the delta is malformed.
     pub fn apply(&self, base: &[u8]) -> Option<Vec<u8>> {
         let result_bytes = self.result_bytes();
         if Digest::of(base) != self.base || result_bytes > MAX_RESULT_BYTES {
@@ -94,25 +94,26 @@
         (Digest::of(&result) == self.result).then_some(result)
     }
 
-    /// The digest of the text that this applies to.
+    /// Returns the digest of the text that this delta applies to.
     pub fn base_digest(&self) -> Digest {
         self.base
     }
 
-    /// The digest of the text that this makes.
+    /// Returns the digest of the text that this delta builds.
     pub fn result_digest(&self) -> Digest {
         self.result
     }
 
-    /// About how many bytes the delta takes when encoded.
-    pub fn size(&self) -> usize {
-        let size = |operation: &DeltaOperation| match operation {
-            DeltaOperation::Copy { .. } => COPY_BYTES,
-            DeltaOperation::Insert(bytes) => bytes.len() + INSERT_HEADER_BYTES,
+    /// Returns the approximate encoded size of the delta, in bytes.
+    pub fn estimated_bytes(&self) -> usize {
+        let operation_bytes = |operation: &DeltaOperation| match operation {
+            DeltaOperation::Copy { .. } => ENCODED_COPY_BYTES,
+            DeltaOperation::Insert(bytes) => bytes.len() + ENCODED_INSERT_HEADER_BYTES,
         };
-        DIGESTS_BYTES + self.operations.iter().map(size).sum::<usize>()
+        ENCODED_DIGESTS_BYTES + self.operations.iter().map(operation_bytes).sum::<usize>()
     }
 
+    /// Returns the size of the result, in bytes, according to the operations.
     fn result_bytes(&self) -> usize {
         let length = |operation: &DeltaOperation| match operation {
             DeltaOperation::Copy { length, .. } => *length as usize,
@@ -122,14 +123,15 @@
     }
 }
 
-/// Collects operations, and merges neighbours of one kind.
+/// Collects operations, and merges adjacent operations where possible: two inserts, or two copies
+/// of adjacent ranges of the base.
 #[derive(Default)]
 struct OperationsBuilder {
     operations: Vec<DeltaOperation>,
 }
 
 impl OperationsBuilder {
-    /// Copies the bytes of the base from offset `from` to before `to`.
+    /// Appends the bytes of the base from offset `from` up to, but not including, `to`.
     fn copy(&mut self, from: usize, to: usize) {
         if let Some(DeltaOperation::Copy { start, length }) = self.operations.last_mut()
             && (*start + *length) as usize == from
@@ -143,22 +145,24 @@
         });
     }
 
+    /// Appends bytes that are not copied from the base.
     fn insert(&mut self, bytes: &[u8]) {
         match self.operations.last_mut() {
-            Some(DeltaOperation::Insert(before)) => before.extend_from_slice(bytes),
+            Some(DeltaOperation::Insert(previous)) => previous.extend_from_slice(bytes),
             _ => self.operations.push(DeltaOperation::Insert(bytes.to_vec())),
         }
     }
 }
 
-/// Cuts a JSON text about at its fields and objects. Any cut gives a correct delta; this one keeps
-/// together what usually changes together.
+/// Splits a JSON text after each comma and closing brace, which is roughly at its fields and
+/// objects. Any split gives a correct delta. This one keeps text that usually changes together in
+/// one token.
 fn tokens(text: &[u8]) -> Vec<&[u8]> {
     text.split_inclusive(|byte| matches!(byte, b',' | b'}'))
         .collect()
 }
 
-/// The offset at which each token starts, and the end of the last one.
+/// Returns the offset at which each token starts, followed by the end of the last token.
 fn token_offsets(tokens: &[&[u8]]) -> Vec<usize> {
     let ends = tokens.iter().scan(0, |end, token| {
         *end += token.len();
