--- a/crates/core/control/src/consensus/election.rs
+++ b/crates/core/control/src/consensus/election.rs
@@ -1,9 +1,9 @@
-//! Elections: phase 1 of Paxos (Paxos Made Simple, 2.2), which in Raft is `RequestVote`.
+//! Elections: phase 1 of Paxos (Paxos Made Simple, 2.2), which corresponds to Raft's `RequestVote`.
 //!
-//! A candidate requests votes for a term of its own. Each vote tells which state the voter has
-//! accepted, and brings that state if it is newer. With votes of a quorum the candidate leads, and
-//! adopts the newest state among them: whatever was committed lies with one of them, or a newer
-//! state does.
+//! A candidate requests votes for a term of its own. Each vote names the state that the voter has
+//! accepted, and carries that state if it is newer than the candidate's. With votes from a quorum,
+//! the candidate becomes the leader and adopts the newest of these states. At least one of the
+//! voters in the quorum has the newest committed state or a newer one.
 
 use super::leader::LeaderState;
 use super::message::MessageHeader;
@@ -15,29 +15,33 @@
 use crate::voter_set::Voter;
 use std::rc::Rc;
 
-/// A candidate without a quorum of votes gives up after so many seconds.
-const ELECTION_TIMEOUT_S: f64 = 0.6;
+/// Time after which a candidate without a quorum of votes gives up, in seconds.
+const CANDIDACY_TIMEOUT_S: f64 = 0.6;
 
-/// What a candidate knows.
+/// The data of a candidate.
 #[derive(Clone, Debug)]
 pub(super) struct CandidateState {
+    /// The term in which it requests votes.
     term: Term,
+    /// The votes received, including the candidate's own.
     votes: ByVoter<Vote>,
     started_at: f64,
     requests_sent_at: f64,
 }
 
+/// A vote for the candidate.
 #[derive(Clone, Debug)]
 struct Vote {
+    /// The state on the voter's disk.
     last_state: StateId,
     /// The voter's state, if it is newer than the candidate's own.
     newer_state: Option<Rc<State>>,
 }
 
 impl CandidateState {
-    /// The newest state that came with a vote; none if the candidate's own, with this digest, is
-    /// the newest. A vote for a state that equals the candidate's counts by the term under which
-    /// the voter accepted it.
+    /// Returns the newest state that came with a vote, or `None` if the candidate's own state, whose
+    /// digest is `own_digest`, is the newest. If a voter has the same state as the candidate, that
+    /// state ranks by the term in which the voter accepted it.
     fn newest_state(&self, own_digest: Digest) -> Option<&Rc<State>> {
         let known = self
             .votes
@@ -51,6 +55,7 @@
 }
 
 impl Consensus {
+    /// Starts an election in a new term of this machine's own.
     pub(super) fn become_candidate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let term = self.next_own_term();
         self.highest_seen_term = term;
@@ -65,8 +70,8 @@
         self.persist(None, out);
     }
 
-    /// Votes are requested only once the candidate's own is on disk: after a restart it could vote
-    /// for another one.
+    /// Requests votes from the others. This happens only once the candidate's own vote is on disk.
+    /// Otherwise it could vote for another candidate after a restart.
     pub(super) fn on_own_vote_persisted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let last_state = self.last_state();
         let Role::Candidate(candidate) = &mut self.role else {
@@ -91,7 +96,7 @@
         let Role::Candidate(candidate) = &mut self.role else {
             return;
         };
-        if now - candidate.started_at > ELECTION_TIMEOUT_S {
+        if now - candidate.started_at > CANDIDACY_TIMEOUT_S {
             log::info!("event=election_failed term={}", candidate.term.0);
             self.back_off_from_election(now);
             return;
@@ -100,8 +105,8 @@
             return;
         }
         candidate.requests_sent_at = now;
-        // Requests may be lost, and the newest state may have voters that this machine's own state
-        // doesn't have.
+        // Earlier requests may have been lost, and the newest known state may have voters that this
+        // machine's own state doesn't have.
         let newest_voters = candidate
             .newest_state(self.state_digest)
             .map(|state| state.voters.clone())
@@ -121,14 +126,15 @@
         out.extend(unanswered.map(|voter| ConsensusOutput::to_voter(voter, request.clone())));
     }
 
-    /// Whether a leader other than `candidate` may still act by what this machine answered, or this
-    /// machine leads itself. A vote before the lease has ended would break the lease (Raft thesis,
-    /// 4.2.3 and 6.4.1). The leader of the term that was voted for last may stand again: by that it
-    /// has given up its lease.
+    /// Returns whether a leader other than `candidate` may still hold a lease that relies on a
+    /// response of this machine, or whether this machine itself leads. A vote before that lease has
+    /// ended would violate it (Raft thesis, 4.2.3 and 6.4.1). The leader of the term that this
+    /// machine voted for last is an exception: by starting an election, it has given up its lease.
     pub(super) fn supports_another_leader(&self, now: f64, candidate: Voter) -> bool {
-        let is_own_leader =
+        let is_present_leader =
             Some(candidate) == self.leader || self.hard_state.voted_term.leader() == candidate.node;
-        let supports = !is_own_leader && now - self.leader_seen_at < self.config.election_timeout;
+        let supports =
+            !is_present_leader && now - self.leader_seen_at < self.config.election_timeout_s;
         let leads = matches!(&self.role, Role::Leader(_)) && self.authority_until() > now;
         supports || leads
     }
@@ -142,8 +148,8 @@
         let MessageHeader { now, from, term } = header;
         self.observe_term(term);
         let voted_term = self.hard_state.voted_term;
-        // The response may have been lost, so the candidate that has this vote may request it
-        // again.
+        // A candidate that already has this machine's vote may request it again, because the
+        // response may have been lost.
         let is_repeated = term == voted_term && term.leader() == from.node;
         let is_too_low = term < voted_term || term == voted_term && !is_repeated;
         if is_too_low || self.supports_another_leader(now, from) {
@@ -190,8 +196,7 @@
         }
     }
 
-    /// Becomes the leader if the votes are a quorum of the voters that the newest known state
-    /// names.
+    /// Becomes the leader if the votes are a quorum of the voter set in the newest known state.
     fn try_become_leader(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let Role::Candidate(candidate) = &self.role else {
             return;
--- a/crates/core/control/src/consensus/follower.rs
+++ b/crates/core/control/src/consensus/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: it accepts states and answers heartbeats of the leader.
+//! The follower: accepts states from the leader and answers its heartbeats.
 
 use super::message::MessageHeader;
 use super::{Consensus, ConsensusMessage, ConsensusOutput, HardState, Role, StateId, StatePayload};
@@ -6,10 +6,11 @@
 use crate::state::{State, StateChange};
 use std::rc::Rc;
 
-/// A state as it was received, and how it came about from the one that this machine had.
+/// A received state, and the changes that led to it from the state that this machine had.
 struct ReceivedState {
     state: Rc<State>,
     digest: Digest,
+    /// Empty if the state was received as a snapshot.
     steps: Vec<AppliedStep>,
 }
 
@@ -21,7 +22,7 @@
 }
 
 impl ReceivedState {
-    /// Applies one more change; none if it doesn't fit the state.
+    /// Applies one more change. Returns `None` if the change doesn't apply to the state.
     fn apply(mut self, change: Rc<StateChange>) -> Option<ReceivedState> {
         let state = Rc::new(self.state.apply(&change)?);
         let digest = state.digest();
@@ -39,6 +40,7 @@
 }
 
 impl Consensus {
+    /// Becomes a follower. A leader that could act reports that it stepped down.
     pub(super) fn become_follower(&mut self, out: &mut Vec<ConsensusOutput>) {
         if let Role::Leader(leader) = &self.role {
             if leader.committed_version.is_some() {
@@ -49,14 +51,14 @@
         self.role = Role::Follower;
     }
 
-    /// Follows the sender of a message that only the leader of its term can send.
+    /// Follows the sender of a message that only the leader of that term can send.
     fn follow_leader(&mut self, header: MessageHeader, out: &mut Vec<ConsensusOutput>) {
-        let gives_way = match &self.role {
+        let must_step_down = match &self.role {
             Role::Leader(leader) => leader.term < header.term,
             Role::Candidate(_) | Role::PreCandidate(_) => true,
             Role::Follower => false,
         };
-        if gives_way {
+        if must_step_down {
             self.become_follower(out);
         }
         if self.leader != Some(header.from) {
@@ -88,7 +90,7 @@
             out.push(ConsensusOutput::to_voter(header.from, mismatch));
             return;
         };
-        // An older state that was overtaken on its way must not replace a newer one.
+        // An older state that arrives after a newer one must not replace it.
         let is_outdated = self.hard_state.accepted_term == term
             && received.state.version <= self.hard_state.state.version;
         if is_outdated {
@@ -100,7 +102,7 @@
         self.accept(header, received, out);
     }
 
-    /// Accepts a state; the leader is told once it is on disk.
+    /// Accepts a state. The response to the leader is sent once the state is on disk.
     fn accept(
         &mut self,
         header: MessageHeader,
@@ -131,8 +133,8 @@
         self.persist(Some(ConsensusOutput::to_voter(header.from, response)), out);
     }
 
-    /// The state that a payload stands for; none if it is a delta to another state than this
-    /// machine has.
+    /// Returns the state that a payload describes, or `None` if the payload is a delta that doesn't
+    /// apply to this machine's state or doesn't lead to the state that it names.
     fn resolve_payload(&self, payload: StatePayload) -> Option<ReceivedState> {
         match payload {
             StatePayload::Snapshot(state) => Some(ReceivedState {
@@ -168,7 +170,7 @@
         }
         self.follow_leader(header, out);
         if let Some(confirmed_at) = confirmed_answer_at {
-            let contact_until = confirmed_at + self.config.contact_timeout;
+            let contact_until = confirmed_at + self.config.contact_timeout_s;
             self.contact_until = self.contact_until.max(contact_until);
         }
         let response = ConsensusMessage::HeartbeatResponse {
@@ -178,8 +180,8 @@
             last_state: self.last_state(),
         };
         let response = ConsensusOutput::to_voter(from, response);
-        // A voter takes part in a term as if it had voted for it, also where its vote request was
-        // lost.
+        // By answering the heartbeat, this machine takes part in the term as if it had voted for
+        // it, even if it never received the vote request.
         if term > self.hard_state.voted_term {
             self.hard_state.voted_term = term;
             self.persist(Some(response), out);
@@ -189,13 +191,13 @@
     }
 
     pub(super) fn on_resign(&mut self, header: MessageHeader) {
-        // The leader no longer acts by what this machine answered, so nobody need wait for its
-        // lease to end.
+        // The leader no longer relies on this machine's responses, so an election need not wait for
+        // its lease to end.
         if self.leader == Some(header.from) && header.term == self.hard_state.voted_term {
             self.leader = None;
             self.contact_until = f64::NEG_INFINITY;
             self.leader_seen_at = f64::NEG_INFINITY;
-            self.reset_election_timer(header.now - self.config.election_timeout);
+            self.reset_election_timer(header.now - self.config.election_timeout_s);
         }
     }
 }
--- a/crates/core/control/src/consensus/join_leave.rs
+++ b/crates/core/control/src/consensus/join_leave.rs
@@ -1,42 +1,43 @@
-//! A machine that wants to join the voters, or shuts down and leaves them: its requests, and the
-//! answers to them.
+//! Requests of a machine that joins the voters, or that leaves them because it shuts down, and the
+//! responses to these requests.
 
 use super::{Consensus, ConsensusMessage, ConsensusOutput, Role, StateId};
 use crate::voter_set::{NodeId, Voter};
 
-/// Between two join requests of a machine that is no voter or has no leader, in seconds.
+/// Interval between two join requests of a machine that is not a voter or has no leader, in seconds.
 const JOIN_REQUEST_INTERVAL_S: f64 = 0.25;
-/// Between two leave requests of a machine that shuts down, in seconds.
+/// Interval between two leave requests of a machine that shuts down, in seconds.
 const LEAVE_REQUEST_INTERVAL_S: f64 = 0.1;
 
 impl Consensus {
-    /// Sets the addresses that are asked to join besides those of the known voters.
+    /// Sets the addresses to which join requests are sent in addition to those of the known voters.
     pub fn set_seeds(&mut self, seeds: Vec<NodeId>) {
         self.voter_changes.seeds = seeds;
     }
 
-    /// Remembers that a control machine has this address.
+    /// Remembers the address of a control machine that was discovered.
     pub fn peer_discovered(&mut self, node: NodeId) {
         self.voter_changes.add_peer(node);
     }
 
-    /// Begins the shutdown of this machine: it gives up leadership, stands in no election, and asks
-    /// to be removed from the voter set. It may end once [`Consensus::may_shut_down`].
+    /// Begins the shutdown of this machine: it gives up leadership, no longer starts elections, and
+    /// asks to be removed from the voter set. The process may end once [`Consensus::may_shut_down`]
+    /// returns true.
     pub fn resign(&mut self, out: &mut Vec<ConsensusOutput>) {
         self.voter_changes.shutting_down = true;
         self.give_up_leadership(out);
     }
 
-    /// Whether this machine need not wait for its removal: it is no voter, or too few would be left
-    /// to remove it.
+    /// Returns whether this machine may end without waiting for its removal from the voter set: it
+    /// is not a voter, or it can't be removed because too few voters would remain.
     pub fn may_shut_down(&self) -> bool {
         let voters = &self.hard_state.state.voters;
         let stays_voter = !voters.is_joint() && !self.can_remove_voter();
         self.voter_changes.removal_confirmed || !voters.contains(self.me) || stays_voter
     }
 
-    /// Asks all known control machines to be taken in as a voter. Voters without a leader ask as
-    /// well: the voter set that they know may be an old one.
+    /// Asks all known control machines to be added as a voter. Voters without a leader ask too,
+    /// because the voter set that they know may be outdated.
     pub(super) fn request_join(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let is_settled = self.voters().contains(&self.me) && self.has_recent_leader(now);
         if is_settled
@@ -53,13 +54,15 @@
         out.extend(self.known_peers().into_iter().map(send));
     }
 
+    /// Returns whether this machine leads or has a leader that it heard from recently.
     fn has_recent_leader(&self, now: f64) -> bool {
-        let last_sign = self.leader_seen_at.max(self.election_timer.started_at());
-        let follows = self.leader.is_some() && now - last_sign < 2.0 * JOIN_REQUEST_INTERVAL_S;
+        let last_seen_at = self.leader_seen_at.max(self.election_timer.started_at());
+        let follows = self.leader.is_some() && now - last_seen_at < 2.0 * JOIN_REQUEST_INTERVAL_S;
         follows || matches!(self.role, Role::Leader(_))
     }
 
-    /// Addresses of all control machines that this one knows of, in order, each once.
+    /// Returns the addresses of all control machines known to this one, in ascending order and
+    /// without duplicates.
     fn known_peers(&self) -> Vec<NodeId> {
         let voters = self.hard_state.state.voters.all().map(|voter| voter.node);
         let seeds = self.voter_changes.seeds.iter().copied();
@@ -74,7 +77,7 @@
         nodes
     }
 
-    /// Asks the voters to remove this machine, which shuts down.
+    /// Asks the voters to remove this machine, if it is shutting down.
     pub(super) fn request_leave(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         if !self.voter_changes.is_shutting_down()
             || self.may_shut_down()
@@ -101,9 +104,11 @@
             return;
         }
         let voter_changes = &mut self.voter_changes;
-        // A machine that asks to join has restarted since it asked to leave.
+        // A machine that asks to join has restarted since it asked to leave, so its leave request
+        // is obsolete.
         voter_changes.leave_requests.retain(|voter| *voter != from);
-        // A machine with a new incarnation of its disk no longer has what its former one had.
+        // A machine with a new incarnation of its disk has lost the state of its former
+        // incarnations, so their join requests are obsolete.
         voter_changes
             .join_requests
             .retain(|voter, _| voter.node != from.node || *voter == from);
@@ -126,8 +131,8 @@
             return;
         }
         self.voter_changes.join_requests.remove(&from);
-        // Only a committed state proves the removal: a pending one may still be replaced by one of
-        // another leader.
+        // Only a committed state proves the removal. A pending state may still be replaced by a
+        // state of another leader.
         let is_removed =
             !self.hard_state.state.voters.contains(from) && self.committed_state().is_some();
         if is_removed {
--- a/crates/core/control/src/consensus/leader.rs
+++ b/crates/core/control/src/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: its lease, its heartbeats, and what is committed.
+//! The leader: its lease, its heartbeats, and how it commits states.
 
 use super::message::{HeartbeatTimes, MessageHeader};
 use super::progress::Progress;
@@ -9,23 +9,26 @@
 use crate::voter_set::Voter;
 use std::rc::Rc;
 
-/// Between two heartbeats of the leader, in seconds.
+/// Interval between two heartbeats of the leader, in seconds.
 const HEARTBEAT_INTERVAL_S: f64 = 0.15;
 
-/// What a leader knows.
+/// The data of a leader.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderState {
     pub(super) term: Term,
     pub(super) elected_at: f64,
-    /// The version of the newest committed state; none before the state found at the election is
-    /// committed.
+    /// The version of the newest committed state, or `None` until the state adopted at the election
+    /// is committed.
     pub(super) committed_version: Option<u64>,
+    /// What the leader knows about each machine, including itself.
     pub(super) progress: ByVoter<Progress>,
+    /// When heartbeats were last sent; minus infinity if none were.
     heartbeats_sent_at: f64,
 }
 
 impl LeaderState {
-    /// A leader elected at `now` by voters that have accepted the states of these digests.
+    /// Creates the data of a leader that was elected at `now`. `accepted` gives the voters that
+    /// elected it and the digests of their states.
     pub(super) fn new(
         term: Term,
         now: f64,
@@ -42,6 +45,7 @@
         }
     }
 
+    /// Returns the progress of a machine, and begins to track it if necessary.
     pub(super) fn progress_mut(&mut self, voter: Voter) -> &mut Progress {
         let elected_at = self.elected_at;
         self.progress
@@ -49,15 +53,15 @@
             .or_insert_with(|| Progress::new(elected_at))
     }
 
-    /// Forgets what was known of a machine that joins anew.
+    /// Discards what was known about a machine that asks to join.
     pub(super) fn reset_progress(&mut self, voter: Voter, now: f64) {
         self.progress.insert(voter, Progress::new(now));
     }
 }
 
 impl Consensus {
-    /// The term under which this machine leads; none before the state found at its election is
-    /// committed.
+    /// Returns the term in which this machine leads, or `None` until the state adopted at its
+    /// election is committed.
     pub fn leader_term(&self) -> Option<Term> {
         match &self.role {
             Role::Leader(leader) if leader.committed_version.is_some() => Some(leader.term),
@@ -65,11 +69,11 @@
         }
     }
 
-    /// Until when this machine may act as the leader: no other machine can have been elected
-    /// before. Minus infinity if it doesn't lead.
+    /// Returns the time until which this machine may act as the leader, because no other machine can
+    /// be elected before then. Returns minus infinity if this machine doesn't lead.
     ///
-    /// The lease runs from when a heartbeat was sent, not from when its answers arrived, as the
-    /// voters keep from voting for others only from when they received it (Raft thesis, 6.4.1).
+    /// The lease begins when a heartbeat is sent, not when its responses arrive: a voter refuses to
+    /// vote for others only for a limited time after it received the heartbeat (Raft thesis, 6.4.1).
     pub fn authority_until(&self) -> f64 {
         let Role::Leader(leader) = &self.role else {
             return f64::NEG_INFINITY;
@@ -77,15 +81,19 @@
         if leader.committed_version.is_none() {
             return f64::NEG_INFINITY;
         }
-        let answered = |voter| match leader.progress.get(&voter) {
+        let heartbeat_sent_at = |voter| match leader.progress.get(&voter) {
             _ if voter == self.me => f64::INFINITY,
             Some(progress) => progress.answered_heartbeat_sent_at,
             None => f64::NEG_INFINITY,
         };
-        self.hard_state.state.voters.quorum_seen_at(answered) + self.config.election_timeout
+        self.hard_state
+            .state
+            .voters
+            .quorum_seen_at(heartbeat_sent_at)
+            + self.config.election_timeout_s
     }
 
-    /// The state, if this machine leads and no proposal is pending.
+    /// Returns the state if this machine leads and no proposal is pending.
     pub fn committed_state(&self) -> Option<&Rc<State>> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -94,9 +102,10 @@
             .then_some(&self.hard_state.state)
     }
 
-    /// Proposes a change and returns the version of the state to which it leads;
-    /// [`ConsensusOutput::Committed`] follows. None if another proposal is pending, this machine
-    /// doesn't lead, or the change doesn't fit the state.
+    /// Proposes a change and returns the version of the resulting state.
+    /// [`ConsensusOutput::Committed`] follows once it is committed. Returns `None` if another
+    /// proposal is pending, if this machine doesn't lead, or if the change doesn't apply to the
+    /// state.
     pub fn propose(
         &mut self,
         now: f64,
@@ -117,8 +126,8 @@
         Some(version)
     }
 
-    /// Adopts `state`, the newest of its voters', and proposes it under its own term. It acts as
-    /// the leader only once that is committed.
+    /// Becomes the leader, adopts `state`, which is the newest state among its voters, and proposes
+    /// it in the new term. The machine may act as the leader only once that state is committed.
     pub(super) fn become_leader(
         &mut self,
         now: f64,
@@ -137,7 +146,8 @@
         self.replicate(now, out);
     }
 
-    /// The leader's own disk counts for the quorum like any other.
+    /// Records that the leader's own disk has the state. It counts towards the quorum like any
+    /// other disk.
     pub(super) fn on_own_state_persisted(&mut self, out: &mut Vec<ConsensusOutput>) {
         let version = self.hard_state.state.version;
         if let Role::Leader(leader) = &mut self.role {
@@ -171,23 +181,23 @@
         });
     }
 
-    /// Check quorum (Raft thesis, 6.2): whether the leader has been without a lease for a whole
-    /// election time-out. If its heartbeats still arrive, but no answers, it would keep the others
-    /// from an election.
+    /// Check quorum (Raft thesis, 6.2): returns whether the leader has been without a lease for a
+    /// whole election timeout. A leader whose heartbeats still arrive, but which receives no
+    /// responses, would otherwise prevent the others from starting an election.
     fn has_lost_quorum(&self, now: f64) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
         let authority_until = self
             .authority_until()
-            .max(leader.elected_at + self.config.election_timeout);
-        now > authority_until + self.config.election_timeout
+            .max(leader.elected_at + self.config.election_timeout_s);
+        now > authority_until + self.config.election_timeout_s
     }
 
     pub(super) fn tick_leader(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         if self.has_lost_quorum(now) {
             log::info!("event=quorum_lost");
-            // Those that still receive from it need not wait for the election time-out.
+            // Machines that still receive its messages need not wait for the election timeout.
             self.give_up_leadership(out);
             self.election_timer.restart(now);
             return;
@@ -238,8 +248,8 @@
         let newest_answer_at = progress.newest_answer_at;
         progress.newest_answer_at =
             Some(newest_answer_at.map_or(times.answered_at, |known| known.max(times.answered_at)));
-        // Messages keep their order on a connection: a state that was sent before this heartbeat
-        // and isn't there is lost.
+        // A connection keeps the order of messages. So a state that was sent before this heartbeat,
+        // and that the follower doesn't have, was lost.
         let has_lost_state = (last_state.digest != digest || last_state.accepted_term != term)
             && progress.state_sent_at < times.heartbeat_sent_at;
         self.record_accepted(from, term, last_state);
@@ -249,8 +259,8 @@
         self.advance_commit(out);
     }
 
-    /// Ends leadership and tells the other voters, so that they need not wait for the election
-    /// time-out. No effect on a machine that doesn't lead.
+    /// Gives up leadership and notifies the other voters, so that they need not wait for the
+    /// election timeout. Has no effect on a machine that doesn't lead.
     pub(super) fn give_up_leadership(&mut self, out: &mut Vec<ConsensusOutput>) {
         let Role::Leader(leader) = &self.role else {
             return;
--- a/crates/core/control/src/consensus/mod.rs
+++ b/crates/core/control/src/consensus/mod.rs
@@ -1,36 +1,36 @@
-//! Consensus of the control machines on one value, [`crate::State`], with one of them as the
-//! leader.
+//! Consensus of the control machines on one value, [`crate::State`], with one machine as the leader.
 //!
 //! The protocol is Paxos on a single register. There is no log: each accepted state replaces the
-//! one before. The names are those of Raft, which most readers know better; they map like this:
+//! previous one. The names are those of Raft, because more readers know them ("thesis" below is
+//! Diego Ongaro's thesis on Raft). They map as follows:
 //!
-//! - term: [`Term`], a Paxos ballot. Its low bits name its only possible leader, so a vote needs no
-//!   "voted for".
-//! - `RequestVote`: [`ConsensusMessage::VoteRequest`] (Paxos 1a). The response (1b) brings a newer
-//!   state, if any.
-//! - election restriction (thesis, 3.6.1): none. The winner adopts the newest state of its quorum
-//!   instead (Paxos Made Simple, 2.2).
-//! - `AppendEntries`, log: [`ConsensusMessage::AppendRequest`] (Paxos 2a), with a snapshot, or the
-//!   delta to a known state.
-//! - commit index: the version of the state that a quorum has accepted under the leader's term.
+//! - term: [`Term`], a Paxos ballot. Its low bits name the only machine that can lead in it, so a
+//!   vote needs no "voted for" field.
+//! - `RequestVote`: [`ConsensusMessage::VoteRequest`] (Paxos 1a). The response (1b) carries the
+//!   voter's state if that is newer.
+//! - election restriction (thesis, 3.6.1): none. Instead, the winner adopts the newest state of its
+//!   quorum (Paxos Made Simple, 2.2).
+//! - `AppendEntries`, log: [`ConsensusMessage::AppendRequest`] (Paxos 2a), which carries a snapshot,
+//!   or a delta from a state that the receiver has.
+//! - commit index: the version of the state that a quorum has accepted in the leader's term.
 //! - pre-vote (thesis, 9.6): the same, [`ConsensusMessage::PreVoteRequest`].
-//! - check quorum, leader lease (thesis, 6.2 and 6.4.1): [`Consensus::authority_until`], from the
-//!   answers to heartbeats.
+//! - check quorum, leader lease (thesis, 6.2 and 6.4.1): [`Consensus::authority_until`], computed
+//!   from the responses to heartbeats.
 //! - joint consensus (thesis, 4.3): the same, one voter at a time; see [`crate::voter_set`].
-//! - server: a [`Voter`], which is a machine in one incarnation of its disk. A machine that lost
-//!   its disk joins as a new voter, so nobody votes twice in a term.
+//! - server: a [`Voter`], which is a machine together with the incarnation of its disk. A machine
+//!   that lost its disk joins as a new voter, so no voter votes twice in a term.
 //!
 //! [`Consensus`] does no I/O and reads no clock. Its owner, [`crate::Controller`], passes in
-//! messages and the seconds of the machine's steady clock, and carries out the [`ConsensusOutput`]s
-//! in their order. Nothing counts before it is on disk (thesis, 3.8): what relies on a write is
-//! withheld until [`Consensus::persisted`].
+//! messages and the time, and carries out the [`ConsensusOutput`]s in order. All times are `f64`
+//! seconds of a machine's steady (monotonic) clock. Nothing counts before it is on disk (thesis,
+//! 3.8): outputs that rely on a write are withheld until [`Consensus::persisted`] is called.
 //!
-//! - `election_timer`, `pre_vote`, `election`: who becomes the leader; `follower`: what it accepts
-//!   from one
-//! - `leader`, `replication`, `progress`: what a leader knows of the others and sends to them
+//! - `election_timer`, `pre_vote`, `election`: how a machine becomes the leader
+//! - `follower`: what a machine accepts from the leader
+//! - `leader`, `replication`, `progress`: what the leader knows about the others and sends to them
 //! - `voter_changes`, `join_leave`: changes of the voter set, at the leader and at the machine that
-//!   wants one
-//! - `persistence`: the writes to disk, and their failures
+//!   requests one
+//! - `persistence`: writes to disk and their failures
 
 mod election;
 mod election_timer;
@@ -58,24 +58,25 @@
 use message::{HeartbeatTimes, MessageHeader};
 use std::collections::BTreeMap;
 
-/// So many seconds of the election time-out are left at the start of a machine that voted for no
-/// other machine: where the whole system starts, nobody leads, and the first voter need not wait.
+/// Remainder of the election timeout when a machine starts that never voted for another machine, in
+/// seconds. It is short because no machine leads when the whole system starts, so the first voter
+/// need not wait for a leader.
 const INITIAL_ELECTION_WAIT_S: f64 = 0.05;
-/// Values by voter; iterated in the order of the voters, so that runs can be repeated exactly.
+/// Values by voter. Iteration follows the order of the voters, so that runs are reproducible.
 type ByVoter<T> = BTreeMap<Voter, T>;
 
-/// Time-outs, in seconds of the machine's clock.
+/// Timeouts, in seconds of the machine's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ConsensusConfig {
-    /// A follower that had no message of a leader for so long starts an election. A leader may act
-    /// for as long after it sent a heartbeat that a quorum answered.
-    pub election_timeout: f64,
-    /// A follower is in contact with a quorum for so long after it sent an answer that a leader in
-    /// contact confirmed.
-    pub contact_timeout: f64,
+    /// A follower that has received nothing from a leader for this time starts an election. A
+    /// leader may act for this time after it sent a heartbeat that a quorum answered.
+    pub election_timeout_s: f64,
+    /// A follower counts as in contact with a quorum for this time after it sent a response, if a
+    /// leader that is itself in contact confirmed that response.
+    pub contact_timeout_s: f64,
 }
 
-/// The role of this machine, with what it knows only in that role.
+/// The role of this machine, with the data that exists only in that role.
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
@@ -89,37 +90,42 @@
 pub struct Consensus {
     me: Voter,
     config: ConsensusConfig,
-    /// What is to be on disk; ahead of `persisted_state` only while a write is in flight.
+    /// What should be on disk. It is ahead of `persisted_state` only while a write is in flight.
     hard_state: HardState,
+    /// What is known to be on disk.
     persisted_state: HardState,
-    /// The digests of the states in `hard_state` and in `persisted_state`.
+    /// The digest of the state in `hard_state`.
     state_digest: Digest,
+    /// The digest of the state in `persisted_state`.
     persisted_digest: Digest,
     history: ChangeHistory,
-    /// While a write is in flight no message and no tick is processed.
+    /// Whether a write is in flight. Meanwhile no message and no tick is processed.
     persist_in_flight: bool,
-    /// Outputs that must not be seen before the write in flight has succeeded.
+    /// Outputs to be released once the write in flight has succeeded.
     outputs_after_persist: Vec<ConsensusOutput>,
-    /// The last write failed and the disk has not been reopened: this machine takes no part.
+    /// Whether the last write failed and the disk has not been reopened since. Meanwhile this
+    /// machine doesn't take part in consensus.
     disk_failed: bool,
     role: Role,
     leader: Option<Voter>,
     election_timer: ElectionTimer,
-    /// When a leader that may rely on our answer last sent something. A machine that restarts may
-    /// have answered one just before it ended, and doesn't know.
+    /// When a leader that may rely on this machine's response last sent a message. A machine that
+    /// restarts may have responded to one just before it ended and doesn't know, so it assumes that
+    /// it did.
     leader_seen_at: f64,
-    /// Until when a follower knows that its leader was in contact with a quorum.
+    /// The time until which a follower counts as in contact with a quorum, as confirmed by its
+    /// leader.
     contact_until: f64,
-    /// The highest term that was seen in any message; a candidate goes above it.
+    /// The highest term seen in any message. A candidate chooses a higher one.
     highest_seen_term: Term,
-    /// A newer state than the one on this disk has this machine not among its voters.
+    /// Whether a state newer than the one on this disk doesn't have this machine as a voter.
     removed_by_newer_state: bool,
     voter_changes: voter_changes::VoterChanges,
 }
 
 impl Consensus {
-    /// A machine that starts at `now` with `hard_state` on its disk. `seed` sets its random
-    /// election delays.
+    /// Creates a machine that starts at `now` with `hard_state` on its disk. `seed` determines its
+    /// random election delays.
     pub fn new(
         me: Voter,
         hard_state: HardState,
@@ -129,12 +135,12 @@
     ) -> Consensus {
         let digest = hard_state.state.digest();
         let voted_term = hard_state.voted_term;
-        // A leader may still hold its lease by what this machine answered before it restarted.
+        // A leader may still hold a lease that relies on a response from before the restart.
         let may_have_leader = voted_term != Term::default() && voted_term.leader() != me.node;
         let timer_started_at = if may_have_leader {
             now
         } else {
-            now - config.election_timeout + INITIAL_ELECTION_WAIT_S
+            now - config.election_timeout_s + INITIAL_ELECTION_WAIT_S
         };
         let rank = rank(hard_state.state.voters.voters(), me);
         Consensus {
@@ -163,37 +169,39 @@
         }
     }
 
-    /// This machine, in the incarnation of its disk.
+    /// Returns this machine together with the incarnation of its disk.
     pub fn me(&self) -> Voter {
         self.me
     }
 
-    /// The voters as far as this machine knows them; while a change is under way, those to come.
+    /// Returns the voters as known to this machine. While a change is in progress, these are the
+    /// incoming ones.
     pub fn voters(&self) -> &[Voter] {
         self.hard_state.state.voters.voters()
     }
 
-    /// What is on disk, or is being written to it.
+    /// Returns the hard state that is on disk or is being written to it.
     pub fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// Whether this machine's vote counts: its disk works, and it is in the voter set.
+    /// Returns whether this machine's vote counts: its disk works, and it is in the voter set.
     pub fn is_voter(&self) -> bool {
         !self.disk_failed && self.hard_state.state.voters.contains(self.me)
     }
 
-    /// Whether the last write failed and the disk has not been reopened since.
+    /// Returns whether the last write failed and the disk has not been reopened since.
     pub fn disk_failed(&self) -> bool {
         self.disk_failed
     }
 
-    /// The machine believed to be the leader.
+    /// Returns the machine that this one believes to be the leader.
     pub fn leader(&self) -> Option<Voter> {
         self.leader
     }
 
-    /// Whether this machine, or its leader as it confirmed, had answers of a quorum a moment ago.
+    /// Returns whether this machine was recently in contact with a quorum: as the leader through the
+    /// responses to its heartbeats, or as a follower through a confirmation by its leader.
     pub fn in_contact(&self, now: f64) -> bool {
         match self.role {
             Role::Leader(_) => now < self.authority_until(),
@@ -201,8 +209,8 @@
         }
     }
 
-    /// Until when contact with a quorum is known, in seconds of this machine's clock; minus
-    /// infinity if it never was.
+    /// Returns the time until which this machine counts as in contact with a quorum, in seconds of
+    /// its clock, or minus infinity if no contact is known.
     pub fn contact_until(&self) -> f64 {
         match self.role {
             Role::Leader(_) => self.authority_until(),
@@ -210,12 +218,12 @@
         }
     }
 
-    /// The newest changes of the state, for a receiver that holds an earlier one.
+    /// Returns the newest changes of the state, for receivers that have an earlier state.
     pub fn history(&self) -> &ChangeHistory {
         &self.history
     }
 
-    /// Runs the timers; to be called every few hundredths of a second.
+    /// Processes timers. To be called every few hundredths of a second.
     pub fn tick(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         if self.persist_in_flight || self.disk_failed {
             return;
@@ -231,7 +239,7 @@
         }
     }
 
-    /// Processes a message that came from `from` at `now`.
+    /// Processes a message that was received from `from` at `now`.
     pub fn step(
         &mut self,
         now: f64,
@@ -300,27 +308,30 @@
         }
     }
 
-    /// This machine's position among the voters.
+    /// Returns this machine's position among the voters, or 0 if it is not a voter.
     fn rank(&self) -> usize {
         rank(self.voters(), self.me)
     }
 
+    /// Restarts the election timeout from `now`, with a newly drawn delay.
     fn reset_election_timer(&mut self, now: f64) {
         let rank = self.rank();
         self.election_timer.restart_with_new_delay(now, rank);
     }
 
+    /// Records that `term` was seen in a message or on disk.
     fn observe_term(&mut self, term: Term) {
         self.highest_seen_term = self.highest_seen_term.max(term);
     }
 
-    /// Everybody whose vote may count, except this machine.
+    /// Returns every voter whose vote may count, except this machine.
     fn other_voters(&self) -> impl Iterator<Item = Voter> {
         let voters = &self.hard_state.state.voters;
         voters.all().filter(|voter| *voter != self.me)
     }
 
-    /// Rejects what `header` brought, as a higher term was voted for or another machine leads.
+    /// Rejects the message of `header`, because this machine voted for a higher term or supports
+    /// another leader.
     fn reject_term(&self, header: MessageHeader, out: &mut Vec<ConsensusOutput>) {
         let rejection = ConsensusMessage::TermRejected {
             term: header.term,
@@ -330,7 +341,7 @@
     }
 }
 
-/// The position of `me` among the voters; 0 if it is no voter.
+/// Returns the position of `me` among the voters, or 0 if it is not a voter.
 fn rank(voters: &[Voter], me: Voter) -> usize {
     voters.iter().position(|voter| *voter == me).unwrap_or(0)
 }
--- a/crates/core/control/src/consensus/output.rs
+++ b/crates/core/control/src/consensus/output.rs
@@ -1,19 +1,19 @@
-//! What the owner of a [`Consensus`](super::Consensus) has to do for it.
+//! The actions that a [`Consensus`](super::Consensus) requests from its owner.
 
 use super::message::ConsensusMessage;
 use crate::voter_set::{NodeId, Voter};
 use bincode::{Decode, Encode};
 
-/// One thing to do; outputs are to be carried out in the order in which they come.
+/// One action for the owner. Outputs must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsensusOutput {
     /// Write [`hard_state`](super::Consensus::hard_state) to disk, then call
     /// [`persisted`](super::Consensus::persisted) or
-    /// [`persist_failed`](super::Consensus::persist_failed) before anything else.
+    /// [`persist_failed`](super::Consensus::persist_failed) before any other call.
     Persist,
     /// Send a message to another control machine.
     Send(Recipient, ConsensusMessage),
-    /// This machine leads from now on, and the state as it is now is committed.
+    /// This machine leads from now on, and its present state is committed.
     BecameLeader,
     /// This machine no longer leads.
     SteppedDown,
@@ -22,28 +22,29 @@
 }
 
 impl ConsensusOutput {
-    /// A message to `voter`, in this incarnation of its disk only.
+    /// Returns an output that sends a message to `voter`, in this incarnation of its disk only.
     pub(super) fn to_voter(voter: Voter, message: ConsensusMessage) -> ConsensusOutput {
         ConsensusOutput::Send(Recipient::Voter(voter), message)
     }
 
-    /// A message to whoever has the address `node`.
+    /// Returns an output that sends a message to the machine at the address `node`.
     pub(super) fn to_node(node: NodeId, message: ConsensusMessage) -> ConsensusOutput {
         ConsensusOutput::Send(Recipient::Node(node), message)
     }
 }
 
-/// To whom a message goes.
+/// The recipient of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Recipient {
-    /// To this voter; a machine at its address in another incarnation must not process the message.
+    /// This voter only. A machine at the same address with another incarnation must not process the
+    /// message.
     Voter(Voter),
-    /// To whoever has this address.
+    /// The machine at this address, in any incarnation.
     Node(NodeId),
 }
 
 impl Recipient {
-    /// The address to send to.
+    /// Returns the address to send to.
     pub fn node(self) -> NodeId {
         match self {
             Recipient::Voter(voter) => voter.node,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Whether `voter` is to process the message.
+    /// Returns whether `voter` should process the message.
     pub fn matches(self, voter: Voter) -> bool {
         match self {
             Recipient::Voter(recipient) => recipient == voter,
--- a/crates/core/control/src/consensus/persistence.rs
+++ b/crates/core/control/src/consensus/persistence.rs
@@ -1,9 +1,9 @@
-//! Writes of the hard state: what waits for them, and what happens if one fails.
+//! Writes of the hard state: outputs that wait for a write, and recovery from a failed write.
 
 use super::{Consensus, ConsensusOutput, HardState, Role, StateId};
 
 impl Consensus {
-    /// To be called when the write that [`ConsensusOutput::Persist`] asked for has succeeded.
+    /// To be called when the write requested by [`ConsensusOutput::Persist`] has succeeded.
     pub fn persisted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         self.persist_in_flight = false;
         self.mark_persisted();
@@ -15,9 +15,9 @@
         }
     }
 
-    /// To be called when that write has failed. What relied on it is dropped. Whether the old or
-    /// the new hard state is on disk isn't known, so this machine takes no part until
-    /// [`Consensus::disk_reopened`].
+    /// To be called when the write requested by [`ConsensusOutput::Persist`] has failed. Outputs
+    /// that relied on the write are dropped. It is unknown whether the old or the new hard state is
+    /// on disk, so this machine doesn't take part in consensus until [`Consensus::disk_reopened`].
     pub fn persist_failed(&mut self, out: &mut Vec<ConsensusOutput>) {
         self.persist_in_flight = false;
         self.outputs_after_persist.clear();
@@ -28,8 +28,8 @@
         self.disk_failed = true;
     }
 
-    /// To be called when the disk works again after [`Consensus::persist_failed`] and was found to
-    /// hold `hard_state`.
+    /// To be called when the disk works again after [`Consensus::persist_failed`]. `hard_state` is
+    /// what was read from the disk.
     pub fn disk_reopened(&mut self, now: f64, hard_state: HardState) {
         self.restore(hard_state);
         self.mark_persisted();
@@ -38,20 +38,20 @@
         self.reset_election_timer(now);
     }
 
-    /// Asks for a write of the hard state, and withholds `then` until it has succeeded.
+    /// Requests a write of the hard state, and withholds `deferred` until it has succeeded.
     pub(super) fn persist(
         &mut self,
-        then: Option<ConsensusOutput>,
+        deferred: Option<ConsensusOutput>,
         out: &mut Vec<ConsensusOutput>,
     ) {
-        self.outputs_after_persist.extend(then);
+        self.outputs_after_persist.extend(deferred);
         if !self.persist_in_flight {
             self.persist_in_flight = true;
             out.push(ConsensusOutput::Persist);
         }
     }
 
-    /// What is on this machine's disk.
+    /// Identifies the state on this machine's disk.
     pub(super) fn last_state(&self) -> StateId {
         StateId {
             accepted_term: self.persisted_state.accepted_term,
@@ -60,11 +60,13 @@
         }
     }
 
+    /// Records that the present hard state is on disk.
     fn mark_persisted(&mut self) {
         self.persisted_state = self.hard_state.clone();
         self.persisted_digest = self.state_digest;
     }
 
+    /// Replaces the present hard state by one that is on disk.
     fn restore(&mut self, hard_state: HardState) {
         let digest = hard_state.state.digest();
         if digest != self.state_digest {
--- a/crates/core/control/src/consensus/pre_vote.rs
+++ b/crates/core/control/src/consensus/pre_vote.rs
@@ -1,6 +1,6 @@
-//! Pre-vote (Raft thesis, 9.6): before a machine raises its term it asks whether an election could
-//! succeed. So a machine that was partitioned or removed doesn't depose a working leader when it
-//! comes back.
+//! Pre-vote (Raft thesis, 9.6): before a machine raises its term, it asks whether it could win an
+//! election. So a machine that was partitioned or removed doesn't depose a working leader when it
+//! returns.
 
 use super::message::MessageHeader;
 use super::{Consensus, ConsensusMessage, ConsensusOutput, Role, StateId};
@@ -8,27 +8,29 @@
 use crate::voter_set::Voter;
 use std::collections::BTreeSet;
 
-/// Between two pre-vote requests to a voter that has not granted one, in seconds.
+/// Interval between two requests for a vote or pre-vote to a voter that has not granted it, in
+/// seconds.
 pub(super) const VOTE_REQUEST_INTERVAL_S: f64 = 0.1;
-/// A pre-vote without a quorum is given up after so many seconds.
+/// Time after which a pre-vote without a quorum is abandoned, in seconds.
 const PRE_VOTE_TIMEOUT_S: f64 = 0.35;
 
-/// What a pre-candidate knows.
+/// The data of a pre-candidate.
 #[derive(Clone, Debug)]
 pub(super) struct PreCandidateState {
-    /// The term for which votes would be requested.
+    /// The term in which it would request votes.
     term: Term,
+    /// The voters that granted the pre-vote.
     granted: BTreeSet<Voter>,
     started_at: f64,
     requests_sent_at: f64,
 }
 
 impl Consensus {
-    /// A follower starts a pre-vote once the election time-out has passed without a leader.
+    /// Starts a pre-vote if the election timeout has passed without a message of a leader.
     pub(super) fn tick_follower(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let timed_out = self
             .election_timer
-            .has_expired(now, self.config.election_timeout);
+            .has_expired(now, self.config.election_timeout_s);
         let may_stand =
             self.hard_state.state.voters.contains(self.me) && !self.removed_by_newer_state;
         if timed_out && may_stand && !self.voter_changes.is_shutting_down() {
@@ -54,7 +56,7 @@
         self.start_election_if_granted(now, out);
     }
 
-    /// The lowest term above all seen that this machine may lead.
+    /// Returns the lowest term above all terms seen in which this machine may lead.
     pub(super) fn next_own_term(&self) -> Term {
         self.highest_seen_term
             .max(self.hard_state.voted_term)
@@ -83,13 +85,14 @@
         out.extend(unanswered.map(|voter| ConsensusOutput::to_voter(voter, request.clone())));
     }
 
-    /// Becomes a follower that tries again after the election delay alone, a little longer than
-    /// usual so that others get their chance first.
+    /// Becomes a follower after a failed pre-vote or election. It tries again after the election
+    /// delay alone, without the election timeout. The delay is a little longer than usual, so that
+    /// other machines can try first.
     pub(super) fn back_off_from_election(&mut self, now: f64) {
         self.role = Role::Follower;
         let rank = self.rank();
         self.election_timer
-            .back_off(now, self.config.election_timeout, rank);
+            .back_off(now, self.config.election_timeout_s, rank);
     }
 
     pub(super) fn on_pre_vote_request(
@@ -99,8 +102,8 @@
         out: &mut Vec<ConsensusOutput>,
     ) {
         let voted_term = self.hard_state.voted_term;
-        // A machine that was removed while it was away doesn't know, and would disturb the others
-        // with elections that it can't win (thesis, 4.2.3).
+        // A machine that was removed while it was down doesn't know it. It would disturb the others
+        // with elections that it can't win (Raft thesis, 4.2.3).
         let was_removed = !self.hard_state.state.voters.contains(header.from)
             && self.last_state().rank() > candidate_state.rank();
         let granted = header.term > voted_term
@@ -131,6 +134,7 @@
         }
     }
 
+    /// Starts an election if a quorum has granted the pre-vote.
     fn start_election_if_granted(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let Role::PreCandidate(pre_candidate) = &self.role else {
             return;
--- a/crates/core/control/src/consensus/replication.rs
+++ b/crates/core/control/src/consensus/replication.rs
@@ -1,5 +1,5 @@
-//! How the leader brings its state to the others: phase 2 of Paxos, which in Raft is
-//! `AppendEntries`.
+//! Replication of the leader's state to the other machines: phase 2 of Paxos, which corresponds to
+//! Raft's `AppendEntries`.
 
 use super::message::MessageHeader;
 use super::{Consensus, ConsensusMessage, ConsensusOutput, Role, StateId, StatePayload};
@@ -8,13 +8,13 @@
 use crate::term::Term;
 use crate::voter_set::Voter;
 
-/// A delta may be so many bytes larger than the configuration, which is most of a snapshot; else a
-/// snapshot is sent.
+/// Maximum number of bytes by which a delta may exceed the configuration, which makes up most of a
+/// snapshot. If the delta is larger, a snapshot is sent instead.
 const MAX_DELTA_EXCESS_BYTES: usize = 1024;
 
 impl Consensus {
-    /// Sends the state to everybody whose present state is known, and writes it to this machine's
-    /// disk meanwhile.
+    /// Sends the state to every machine whose present state is known. In parallel, writes it to this
+    /// machine's disk.
     pub(super) fn replicate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -32,8 +32,8 @@
         self.persist(None, out);
     }
 
-    /// Everybody who is to have the state, except this machine: the voters, and those that ask to
-    /// join.
+    /// Returns every machine that should have the state, except this one: the voters and the
+    /// machines that ask to join.
     pub(super) fn replicas(&self) -> Vec<Voter> {
         let voters = &self.hard_state.state.voters;
         let joining = self.voter_changes.joining();
@@ -41,8 +41,8 @@
         self.other_voters().chain(joining).collect()
     }
 
-    /// Sends the state to a machine that asks to join. It must have the state before its vote
-    /// counts (Raft thesis, 4.2.1).
+    /// Sends the state to a machine that asks to join. The machine must have the state before its
+    /// vote counts (Raft thesis, 4.2.1).
     pub(super) fn send_state_to_joiner(
         &mut self,
         now: f64,
@@ -56,7 +56,7 @@
         self.send_state(now, to, last_state.digest, out);
     }
 
-    /// Sends the state to a machine that has the one of `receiver_digest`.
+    /// Sends the state to a machine that has the state with the digest `receiver_digest`.
     pub(super) fn send_state(
         &mut self,
         now: f64,
@@ -79,7 +79,8 @@
         out.push(ConsensusOutput::to_voter(to, request));
     }
 
-    /// The smaller of a delta, if the changes since that state are known, and a snapshot.
+    /// Returns a delta from the receiver's state if the changes since that state are known and small
+    /// enough, and a snapshot otherwise.
     fn payload_for(&self, receiver_digest: Digest) -> StatePayload {
         let max_delta_bytes = self.hard_state.state.config.len() + MAX_DELTA_EXCESS_BYTES;
         let steps = if receiver_digest == self.state_digest {
@@ -107,7 +108,7 @@
         self.advance_commit(out);
     }
 
-    /// Records what a voter has accepted, if it was under this leader's term.
+    /// Records which state a machine has accepted, if it accepted it in this leader's term.
     pub(super) fn record_accepted(&mut self, from: Voter, term: Term, last_state: StateId) {
         let Role::Leader(leader) = &mut self.role else {
             return;
--- a/crates/core/control/src/consensus/voter_changes.rs
+++ b/crates/core/control/src/consensus/voter_changes.rs
@@ -1,56 +1,59 @@
-//! Changes of the voter set, at the leader: by joint consensus (Raft thesis, 4.3), one voter at a
-//! time.
+//! Changes of the voter set, at the leader. They use joint consensus (Raft thesis, 4.3) and change
+//! one voter at a time.
 //!
-//! A machine that asks to join replaces its own former incarnation or a voter that no longer
-//! answers, or is added. A voter that shuts down or no longer answers is removed, as long as enough
-//! are left for the fault budget.
+//! A machine that asks to join replaces its own former incarnation, or a voter that no longer
+//! answers. If there is neither, it is added. A voter that shuts down or no longer answers is
+//! removed, as long as enough voters remain for the fault budget.
 
 use super::{Consensus, ConsensusOutput, Role};
 use crate::state::StateChange;
 use crate::voter_set::{NodeId, Voter};
 use std::collections::BTreeMap;
 
-/// A machine that has not repeated its join request for so many seconds no longer wants to join.
+/// Time after which a join request expires that was not repeated, in seconds.
 const JOIN_REQUEST_TTL_S: f64 = 0.8;
-/// A voter that answered no heartbeat for so many seconds may be replaced by a machine that asks to
-/// join.
-const REPLACEABLE_AFTER_S: f64 = 1.0;
-/// A voter is added only while all voters answered a heartbeat within so many seconds: one more
-/// voter makes a larger quorum, which must not depend on absent ones.
-const ALL_PRESENT_WITHIN_S: f64 = 0.5;
-/// A voter that answered no heartbeat for so many seconds is removed, if enough are left.
-const REMOVED_AFTER_S: f64 = 3.0;
-/// Between two changes of the voter set, in seconds: other proposals get their turn.
-const CHANGE_INTERVAL_S: f64 = 0.1;
-/// Largest voter set; each voter makes every proposal more expensive.
+/// Time without an answered heartbeat after which a voter may be replaced by a machine that asks to
+/// join, in seconds.
+const REPLACEMENT_TIMEOUT_S: f64 = 1.0;
+/// Maximum time since each voter last answered a heartbeat for a voter to be added, in seconds. One
+/// more voter can make the quorum larger, and that quorum must not depend on voters that are absent.
+const PRESENCE_TIMEOUT_S: f64 = 0.5;
+/// Time without an answered heartbeat after which a voter is removed if enough voters remain, in
+/// seconds.
+const REMOVAL_TIMEOUT_S: f64 = 3.0;
+/// Minimum interval between two changes of the voter set, in seconds. It leaves room for other
+/// proposals.
+const MIN_CHANGE_INTERVAL_S: f64 = 0.1;
+/// Maximum number of voters. Each voter makes every proposal more expensive.
 const MAX_VOTERS: usize = 9;
-/// Smallest voter set that a removal may leave, whatever the fault budget.
+/// Minimum number of voters after a removal, regardless of the fault budget.
 const MIN_VOTERS: usize = 3;
-/// Number of addresses of control machines that are remembered besides those of the voters and the
-/// seeds.
+/// Maximum number of addresses of control machines that are remembered in addition to those of the
+/// voters and the seeds.
 const MAX_PEERS: usize = 32;
 
-/// What is known of changes to come: at the leader the requests of others, elsewhere what this
-/// machine wants itself.
+/// Requested changes of the voter set: at the leader the requests of other machines, elsewhere the
+/// requests of this machine.
 #[derive(Clone, Debug)]
 pub(super) struct VoterChanges {
-    /// Addresses of control machines that the settings name.
+    /// Addresses of control machines that are named in the settings.
     pub(super) seeds: Vec<NodeId>,
-    /// Addresses of control machines that sent a message or were named in one, the oldest first.
+    /// Addresses of control machines that sent a message or were named in one, oldest first.
     pub(super) peers: Vec<NodeId>,
-    /// Machines that ask to join, and when each asked last.
+    /// Machines that ask to join, and when each of them asked last.
     pub(super) join_requests: BTreeMap<Voter, f64>,
     /// Voters that ask to be removed.
     pub(super) leave_requests: Vec<Voter>,
     /// When this machine last asked to join or to leave.
     pub(super) last_request_at: f64,
-    /// This machine shuts down.
+    /// Whether this machine is shutting down.
     pub(super) shutting_down: bool,
-    /// A leader has confirmed that this machine, which shuts down, is no voter.
+    /// Whether a leader has confirmed that this machine, which is shutting down, is not a voter.
     pub(super) removal_confirmed: bool,
     /// When the last change of the voter set was completed.
     last_change_at: f64,
-    /// No removal leaves fewer voters: a quorum of them survives the fault budget.
+    /// Minimum number of voters after a removal. If as many of them fail as the fault budget allows,
+    /// the rest are still a quorum.
     min_voters: usize,
 }
 
@@ -73,13 +76,13 @@
         self.shutting_down
     }
 
-    /// A leader says that this machine is no voter; an answer from before this start counts for
-    /// nothing.
+    /// Records a leader's confirmation that this machine is not a voter. It is ignored unless this
+    /// machine is shutting down: a late response to a request from before a restart has no effect.
     pub(super) fn confirm_removal(&mut self) {
         self.removal_confirmed = self.shutting_down;
     }
 
-    /// Machines that ask to join.
+    /// Returns the machines that ask to join.
     pub(super) fn joining(&self) -> impl Iterator<Item = Voter> {
         self.join_requests.keys().copied()
     }
@@ -104,17 +107,18 @@
 }
 
 impl Consensus {
-    /// Sets how many voters may be lost at once: no removal leaves fewer than twice as many and
-    /// one.
+    /// Sets how many voters may fail at the same time. A removal leaves at least
+    /// `2 * fault_budget + 1` voters.
     pub fn set_fault_budget(&mut self, fault_budget: usize) {
         self.voter_changes.min_voters = (2 * fault_budget + 1).max(MIN_VOTERS);
     }
 
+    /// Returns whether enough voters remain if one is removed.
     pub(super) fn can_remove_voter(&self) -> bool {
         self.voters().len() > self.voter_changes.min_voters
     }
 
-    /// Proposes the next change of the voter set, if this machine leads and there is one to make.
+    /// Proposes the next change of the voter set, if this machine leads and a change is needed.
     pub fn advance_voter_change(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let Some(state) = self.committed_state().cloned() else {
             return;
@@ -123,8 +127,9 @@
             return;
         }
         if !state.voters.contains(self.me) {
-            // A former leader began to remove this machine, which has completed that: it leads
-            // until the set without it is committed (Raft thesis, 4.2.2).
+            // A former leader began to remove this machine, and this machine has completed the
+            // change as the leader. It leads until the set without it is committed (Raft thesis,
+            // 4.2.2).
             self.give_up_leadership(out);
             self.election_timer.restart(now);
             return;
@@ -133,7 +138,7 @@
         let next = if state.voters.is_joint() {
             self.voter_changes.last_change_at = now;
             Some(state.voters.finalized())
-        } else if now - self.voter_changes.last_change_at < CHANGE_INTERVAL_S {
+        } else if now - self.voter_changes.last_change_at < MIN_CHANGE_INTERVAL_S {
             None
         } else {
             let voters = self.next_addition(now).or_else(|| self.next_removal(now));
@@ -149,6 +154,7 @@
         }
     }
 
+    /// Removes join requests that were not repeated in time, and those of machines that are voters.
     fn expire_join_requests(&mut self, now: f64) {
         let voters = self.hard_state.state.voters.voters();
         self.voter_changes
@@ -158,8 +164,10 @@
             });
     }
 
-    /// The voters with one more that asks to join and has the state, in place of another one where
-    /// there is one to replace; none if nobody asks, or there is no room.
+    /// Returns the voters with one more machine, which asks to join and has the state. The machine
+    /// takes the place of its former incarnation or of a voter that no longer answers, if there is
+    /// one. Returns `None` if no machine can join, or if there is neither a voter to replace nor
+    /// room for another one.
     fn next_addition(&self, now: f64) -> Option<Vec<Voter>> {
         let voters = self.voters();
         let is_ready = |voter: &Voter| self.has_accepted_state(*voter) && !voters.contains(voter);
@@ -169,10 +177,10 @@
         let replaceable = voters
             .iter()
             .max_by(|a, b| unanswered(a).total_cmp(&unanswered(b)))
-            .filter(|voter| unanswered(voter) > REPLACEABLE_AFTER_S);
+            .filter(|voter| unanswered(voter) > REPLACEMENT_TIMEOUT_S);
         let all_present = voters
             .iter()
-            .all(|voter| unanswered(voter) < ALL_PRESENT_WITHIN_S);
+            .all(|voter| unanswered(voter) < PRESENCE_TIMEOUT_S);
         let removed = former_incarnation.or(replaceable).copied();
         let has_room = all_present && voters.len() < MAX_VOTERS;
         (removed.is_some() || has_room).then(|| {
@@ -183,8 +191,8 @@
         })
     }
 
-    /// The voters without one that asks to leave or no longer answers; none if there is no such
-    /// voter, or too few would be left.
+    /// Returns the voters without one that asks to leave or no longer answers, or `None` if there is
+    /// no such voter or too few voters would remain.
     fn next_removal(&mut self, now: f64) -> Option<Vec<Voter>> {
         let voters = self.voters().to_vec();
         self.voter_changes
@@ -195,12 +203,13 @@
             return None;
         }
         let leaving = self.voter_changes.leave_requests.pop();
-        let is_absent = |voter: &Voter| self.seconds_unanswered(now, *voter) > REMOVED_AFTER_S;
+        let is_absent = |voter: &Voter| self.seconds_unanswered(now, *voter) > REMOVAL_TIMEOUT_S;
         let removed = leaving.or_else(|| voters.into_iter().find(is_absent))?;
         Some(self.hard_state.state.voters.replacing(None, Some(removed)))
     }
 
-    /// For how many seconds a voter has answered no heartbeat of this leader.
+    /// Returns the time in seconds since this leader sent the newest heartbeat that a voter
+    /// answered. If the voter answered none, the time counts from when the leader began to track it.
     fn seconds_unanswered(&self, now: f64, voter: Voter) -> f64 {
         let Role::Leader(leader) = &self.role else {
             return 0.0;
@@ -219,7 +228,7 @@
         now - last_answered
     }
 
-    /// Whether a machine has accepted a state under this leader's term.
+    /// Returns whether a machine has accepted a state in this leader's term.
     fn has_accepted_state(&self, voter: Voter) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -90,8 +90,8 @@
         config: ControlConfig,
     ) -> Controller {
         let consensus_config = ConsensusConfig {
-            election_timeout: config.election_timeout,
-            contact_timeout: config.contact_timeout,
+            election_timeout_s: config.election_timeout,
+            contact_timeout_s: config.contact_timeout,
         };
         Controller {
             node: me.node,
--- a/crates/core/control/src/tests/common.rs
+++ b/crates/core/control/src/tests/common.rs
@@ -8,8 +8,8 @@
 
 /// The time-outs that the pooler sets by default.
 pub(super) const CONSENSUS_CONFIG: ConsensusConfig = ConsensusConfig {
-    election_timeout: 0.6,
-    contact_timeout: 1.0,
+    election_timeout_s: 0.6,
+    contact_timeout_s: 1.0,
 };
 
 /// The voter `node` of a system that started for the first time.
--- a/crates/core/control/src/tests/consensus_safety.rs
+++ b/crates/core/control/src/tests/consensus_safety.rs
@@ -60,7 +60,7 @@
             next.restart(node);
             explore(&next, depth - 1, faults - 1, count);
             let mut next = network.clone();
-            next.now += CONSENSUS_CONFIG.election_timeout + 0.5;
+            next.now += CONSENSUS_CONFIG.election_timeout_s + 0.5;
             next.tick(node);
             explore(&next, depth - 1, faults - 1, count);
         }
@@ -282,11 +282,11 @@
         }
     }
     assert!(
-        leader_contact_at <= partitioned_at + CONSENSUS_CONFIG.election_timeout,
+        leader_contact_at <= partitioned_at + CONSENSUS_CONFIG.election_timeout_s,
         "{leader_contact_at} after {partitioned_at}"
     );
     assert!(
-        follower_contact_at <= leader_contact_at + CONSENSUS_CONFIG.contact_timeout,
+        follower_contact_at <= leader_contact_at + CONSENSUS_CONFIG.contact_timeout_s,
         "{follower_contact_at} after {leader_contact_at}"
     );
     assert!(
--- a/crates/core/control/src/tests/consensus_steps.rs
+++ b/crates/core/control/src/tests/consensus_steps.rs
@@ -302,7 +302,7 @@
     );
     assert_eq!(
         (machine.authority_until(), machine.leader_term()),
-        (5.0 + CONSENSUS_CONFIG.election_timeout, Some(term))
+        (5.0 + CONSENSUS_CONFIG.election_timeout_s, Some(term))
     );
 }
 
@@ -333,12 +333,12 @@
     );
     assert_eq!(
         machine.authority_until(),
-        5.0 + CONSENSUS_CONFIG.election_timeout
+        5.0 + CONSENSUS_CONFIG.election_timeout_s
     );
     receive(&mut machine, 5.4, 1, heartbeat_response(term, 5.3));
     assert_eq!(
         machine.authority_until(),
-        5.3 + CONSENSUS_CONFIG.election_timeout
+        5.3 + CONSENSUS_CONFIG.election_timeout_s
     );
 }
 
