--- a/crates/core/control/src/tests/common.rs
+++ b/crates/core/control/src/tests/common.rs
@@ -1,4 +1,4 @@
-//! Values that many tests of consensus share.
+//! Values and helpers shared by the tests of consensus.
 
 use crate::consensus::{ConsensusConfig, HardState, StateId};
 use crate::state::State;
@@ -6,13 +6,13 @@
 use crate::voter_set::{FOUNDING_INCARNATION, NodeId, Voter};
 use std::rc::Rc;
 
-/// The time-outs that the pooler sets by default.
+/// The default timeouts of the pooler.
 pub(super) const CONSENSUS_CONFIG: ConsensusConfig = ConsensusConfig {
     election_timeout_s: 0.6,
     contact_timeout_s: 1.0,
 };
 
-/// The voter `node` of a system that started for the first time.
+/// Returns the founding voter at the address `node`.
 pub(super) fn founder(node: NodeId) -> Voter {
     Voter {
         node,
@@ -20,7 +20,7 @@
     }
 }
 
-/// The hard state of an empty disk, with `nodes` as the founding voters.
+/// Returns the hard state of an empty disk, with `nodes` as the founding voters.
 pub(super) fn founding_hard_state(nodes: &[NodeId]) -> HardState {
     HardState {
         state: Rc::new(State::founding(nodes.to_vec())),
@@ -28,12 +28,12 @@
     }
 }
 
-/// The term of `leader` with this counter.
+/// Returns the term of `leader` with this counter.
 pub(super) fn term(counter: u64, leader: NodeId) -> Term {
     (0..counter).fold(Term::default(), |term, _| term.next_for(leader))
 }
 
-/// What a machine reports of its disk when that holds `hard_state`.
+/// Returns the id of the state in `hard_state`, as a machine with that hard state reports it.
 pub(super) fn state_id(hard_state: &HardState) -> StateId {
     StateId {
         accepted_term: hard_state.accepted_term,
@@ -42,7 +42,8 @@
     }
 }
 
-/// Milliseconds for a randomized test; `ARBTEST_BUDGET_MS` gives longer hunts more.
+/// Returns the time budget of a randomized test, in milliseconds. The environment variable
+/// `ARBTEST_BUDGET_MS` overrides the default, for longer searches.
 pub(super) fn arbtest_budget_ms() -> u64 {
     std::env::var("ARBTEST_BUDGET_MS")
         .ok()
--- a/crates/core/control/src/tests/consensus_safety.rs
+++ b/crates/core/control/src/tests/consensus_safety.rs
@@ -1,5 +1,6 @@
-//! Safety and liveness of consensus: every order of a few messages, and long random runs. What was
-//! committed is never lost or forked; the harness checks that after every step.
+//! Safety and liveness of consensus, tested with every order of a few messages and with long random
+//! runs. After every step, the harness checks that no committed state was lost, and that no two
+//! different states were committed with the same version.
 
 use super::common::{CONSENSUS_CONFIG, arbtest_budget_ms, founder, founding_hard_state};
 use super::network::{Envelope, Network};
@@ -15,7 +16,7 @@
     for seed in 0..20 {
         let mut network = Network::new(seed);
         network.run(0.8);
-        let leader = network.leader().expect("a leader");
+        let leader = network.leader().expect("a leader is elected");
         assert!(network.propose(leader));
         network.run(0.1);
         assert_eq!(network.committed.len(), 1);
@@ -37,16 +38,16 @@
     }
 }
 
-/// Explores every run of `depth` steps, where a step delivers a message in flight, and up to `faults`
-/// times restarts a machine from its disk, lets an election time-out pass, or proposes. A message
-/// that a run doesn't deliver is as good as lost.
+/// Explores every run of up to `depth` steps, and counts the states visited. A step delivers a
+/// message in flight. Up to `faults` steps of a run instead restart a machine from its disk, let an
+/// election timeout pass, or propose a change. A message that a run doesn't deliver counts as lost.
 fn explore(network: &Network, depth: u32, faults: u32, count: &mut u64) {
     *count += 1;
     if depth == 0 {
         return;
     }
     for index in 0..network.in_flight.len() {
-        // Equal messages lead to equal successors.
+        // Equal messages lead to equal states, so only the first of them is delivered.
         if network.in_flight[..index].contains(&network.in_flight[index]) {
             continue;
         }
@@ -79,8 +80,8 @@
     network.now = 0.5;
     network.tick(1);
     network.tick(2);
-    // Both send pre-vote requests, and each becomes a candidate as soon as one voter grants its
-    // own.
+    // Machines 1 and 2 send pre-vote requests. Each becomes a candidate as soon as one other voter
+    // grants it the pre-vote.
     for node in [1, 2] {
         let pre_vote_request = |network: &Network| {
             network.in_flight.iter().position(|envelope| {
@@ -88,7 +89,7 @@
                     && matches!(envelope.message, ConsensusMessage::PreVoteRequest { .. })
             })
         };
-        let index = pre_vote_request(&network).expect("it sends requests");
+        let index = pre_vote_request(&network).expect("the machine sends pre-vote requests");
         network.deliver(index);
     }
     network
@@ -112,8 +113,8 @@
     assert!(count > 5_000, "{count}");
 }
 
-/// Partitions begin at any moment of the leader's lease: nobody is elected while the former leader
-/// may rely on an answer.
+/// A partition may begin at any moment of the leader's lease. No other machine may be elected while
+/// the former leader's lease may rely on a response.
 #[test]
 fn no_election_succeeds_during_the_lease_of_a_leader() {
     for partition_tick in 0..60 {
@@ -121,8 +122,8 @@
         network.run(0.8);
         let leader = network.leader().unwrap();
         let others: Vec<NodeId> = (1..=3).filter(|n| *n != leader).collect();
-        // One follower receives nothing from the leader; the other one answers until the partition
-        // begins.
+        // One follower receives nothing from the leader. The other one receives its messages and
+        // answers them until the partition begins.
         let until = network.now + 3.0;
         let started_at = network.now;
         while network.now < until {
@@ -138,8 +139,8 @@
     }
 }
 
-/// A machine that answered its leader and restarted votes for nobody else while the leader may rely
-/// on that answer.
+/// A machine that answered its leader and then restarted must not vote for another machine while the
+/// leader's lease may rely on that response.
 #[test]
 fn restarted_follower_respects_the_lease_that_it_granted() {
     let mut network = Network::new(4);
@@ -148,7 +149,8 @@
     let others: Vec<NodeId> = (1..=3).filter(|n| *n != leader).collect();
     for (candidate, restarted) in [(others[0], others[1]), (others[1], others[0])] {
         let mut network = network.clone();
-        // The candidate-to-be has received nothing from the leader for long.
+        // For longer than the election timeout, the future candidate receives nothing from the
+        // leader, and nothing that it sends arrives.
         for _ in 0..80 {
             network.now += 0.01;
             network.tick_all();
@@ -167,8 +169,8 @@
     }
 }
 
-/// A leader whose process was suspended has no authority when it resumes, whatever messages wait
-/// for it.
+/// A leader whose process was suspended has no authority when it resumes, even if messages that were
+/// sent before the suspension arrive then.
 #[test]
 fn suspended_leader_resumes_without_authority() {
     let mut network = Network::new(5);
@@ -190,8 +192,8 @@
     assert!(network.machines[&leader].consensus.leader_term().is_none());
 }
 
-/// A machine that can send but not receive doesn't raise the term, so the leader stays when the
-/// fault is over.
+/// A machine that can send but not receive doesn't raise the term, so the leader is not deposed when
+/// the fault ends.
 #[test]
 fn machine_that_cannot_receive_does_not_depose_the_leader() {
     let mut network = Network::new(5);
@@ -211,8 +213,8 @@
     );
 }
 
-/// A machine that receives nothing from the leader alone gets no pre-votes of the others, so it
-/// doesn't raise the term.
+/// If a machine receives the messages of all others except the leader, the others don't grant it a
+/// pre-vote, so it doesn't raise the term.
 #[test]
 fn machine_without_a_link_from_the_leader_does_not_depose_it() {
     let mut network = Network::new(5);
@@ -234,9 +236,8 @@
     );
 }
 
-/// A leader that is partitioned from a majority sends heartbeats for a while longer. A follower
-/// that still receives them is out of contact no later than the contact time-out after the leader
-/// was.
+/// A leader that is partitioned from a majority still sends heartbeats for a while. A follower that
+/// receives them must lose contact no later than the contact timeout after the leader lost it.
 #[test]
 fn contact_of_follower_ends_after_that_of_its_leader() {
     let mut network = Network::new(5);
@@ -246,7 +247,7 @@
         network.machine_mut(node).consensus.set_fault_budget(2);
     }
     network.run(3.0);
-    let leader = network.leader().expect("a leader");
+    let leader = network.leader().expect("a leader is elected");
     let follower = 1 + leader % 5;
     let partitioned_at = network.now;
     let mut leader_contact_at = partitioned_at;
@@ -283,19 +284,20 @@
     }
     assert!(
         leader_contact_at <= partitioned_at + CONSENSUS_CONFIG.election_timeout_s,
-        "{leader_contact_at} after {partitioned_at}"
+        "the leader was in contact until {leader_contact_at}, partitioned at {partitioned_at}"
     );
     assert!(
         follower_contact_at <= leader_contact_at + CONSENSUS_CONFIG.contact_timeout_s,
-        "{follower_contact_at} after {leader_contact_at}"
+        "the follower was in contact until {follower_contact_at}, the leader until \
+         {leader_contact_at}"
     );
     assert!(
         last_heartbeat_at > leader_contact_at + 0.2,
-        "the leader sent no more heartbeats, so the test shows nothing"
+        "the leader sent no heartbeats after it lost contact, so the test proves nothing"
     );
 }
 
-/// The only voter commits nothing before it is on its disk.
+/// A single voter commits a change only once it is on its disk.
 #[test]
 fn single_voter_commits_after_its_write() {
     let disk = founding_hard_state(&[1]);
@@ -323,8 +325,7 @@
     assert_eq!(after_write, [ConsensusOutput::Committed]);
 }
 
-/// A machine that lost its disk doesn't vote before the others have made its new incarnation a
-/// voter.
+/// A machine that lost its disk doesn't vote until the others have made its new incarnation a voter.
 #[test]
 fn machine_with_empty_disk_does_not_vote() {
     for lost_disk in 1..=3 {
@@ -333,7 +334,8 @@
         let leader = network.leader().unwrap();
         network.propose(leader);
         network.run(0.3);
-        // All lose power, and one its disk: with it, one of the others is no quorum.
+        // All machines lose power, and one of them loses its disk. That machine and one of the
+        // others are not a quorum.
         network.restart_all(lost_disk);
         let down = if lost_disk == 1 { 2 } else { 1 };
         network.stop(down);
@@ -341,7 +343,7 @@
         assert!(network.leader().is_none() && !network.machines[&lost_disk].consensus.is_voter());
         network.restart(down);
         network.run(3.0);
-        let leader = network.leader().expect("a leader");
+        let leader = network.leader().expect("a leader is elected");
         assert!(network.propose(leader));
         network.run(0.3);
         assert!(network.machines[&lost_disk].consensus.is_voter());
@@ -349,7 +351,8 @@
     }
 }
 
-/// It gets the state although nothing is proposed meanwhile, and counts for quorums from then on.
+/// A machine that lost its disk receives the state even if nothing is proposed meanwhile, and counts
+/// for quorums from then on.
 #[test]
 fn machine_with_empty_disk_catches_up() {
     for lost_disk in 1..=3 {
@@ -362,14 +365,14 @@
             "{}",
             network.trace_text()
         );
-        // So the loss of another one is survived.
+        // So the failure of another machine is tolerated.
         network.stop(1 + lost_disk % 3);
         network.run(2.0);
         assert!(network.leader().is_some());
     }
 }
 
-/// Two disks had the newest state and one of them is lost: the state is found on the other one.
+/// If two disks have the newest state and one of them is lost, the state is recovered from the other.
 #[test]
 fn committed_state_survives_the_loss_of_a_disk() {
     for follower in 1..=3 {
@@ -415,15 +418,15 @@
     }
 }
 
-/// Long random runs, with lost and duplicated messages, restarts, failed writes, and one disk lost
-/// at a time.
+/// Long random runs with lost and duplicated messages, restarts, failed writes, and lost disks, of
+/// which one at a time is lost.
 #[test]
-fn random_faults_lose_nothing_committed() {
+fn random_faults_lose_no_committed_state() {
     arbtest(|u| {
         let mut network = Network::new(u.int_in_range(0..=1000)?);
         let loses_disks: bool = u.arbitrary()?;
         for node in 1..=3 {
-            network.machine_mut(node).clock_offset = f64::from(u.int_in_range(0..=1000)?);
+            network.machine_mut(node).clock_offset_s = f64::from(u.int_in_range(0..=1000)?);
         }
         for node in 1..=3 {
             network.restart(node);
@@ -477,7 +480,7 @@
         network.run(6.0);
         let leader = network.leader();
         assert!(leader.is_some(), "no leader\n{}", network.trace_text());
-        let newest = network.newest_committed();
+        let newest = network.newest_committed_version();
         for machine in network.machines.values() {
             assert!(
                 machine.disk.state.version >= newest,
@@ -487,7 +490,7 @@
         }
         assert!(
             network.all_are_voters(),
-            "a machine is no voter\n{}",
+            "a running machine is not a voter\n{}",
             network.trace_text()
         );
         Ok(())
@@ -521,11 +524,12 @@
     assert_eq!(
         third.check_replace(0, 5, b"x"),
         ReplaceVerdict::AlreadyApplied,
-        "it was applied, though it is not the present one any more"
+        "it was applied earlier, although it is no longer the present one"
     );
     assert_eq!(State::decode(&third.encode()), Some(third.clone()));
     assert_eq!(State::decode(&third.encode()[1..]), None);
-    // The newest thousand are remembered; of an older one the verdict says neither yes nor no.
+    // Only the newest MAX_APPLIED_CONFIGS are remembered. Whether an older one was applied is
+    // unknown.
     let mut many = third;
     for epoch in 10..9 + MAX_APPLIED_CONFIGS as u64 {
         many = replace(&many, epoch, b"m");
--- a/crates/core/control/src/tests/consensus_steps.rs
+++ b/crates/core/control/src/tests/consensus_steps.rs
@@ -1,5 +1,5 @@
-//! The steps of one machine, message by message: rules that a run of several machines would show
-//! only with a rare order of messages.
+//! Tests of one machine, message by message. They cover rules that matter only for orders of
+//! messages that rarely occur in runs of several machines.
 
 use super::common::{CONSENSUS_CONFIG, founder, founding_hard_state, state_id, term};
 use super::network::Network;
@@ -11,13 +11,13 @@
 use crate::voter_set::{NodeId, Voter};
 use std::rc::Rc;
 
-/// Machine 2 of these voters, a follower that has received nothing yet.
+/// Returns machine 2 of these voters, a follower that has not received a message yet.
 fn follower(nodes: &[NodeId]) -> Consensus {
     let disk = founding_hard_state(nodes);
     Consensus::new(founder(2), disk, 0.0, 7, CONSENSUS_CONFIG)
 }
 
-/// Lets a message arrive; a write that it needs is left in flight.
+/// Lets a machine process a message. If the message leads to a write, that write stays in flight.
 fn receive(
     consensus: &mut Consensus,
     now: f64,
@@ -29,7 +29,7 @@
     outputs
 }
 
-/// Completes the write in flight.
+/// Reports that the write in flight has succeeded.
 fn complete_write(consensus: &mut Consensus, now: f64) -> Vec<ConsensusOutput> {
     let mut outputs = Vec::new();
     consensus.persisted(now, &mut outputs);
@@ -62,8 +62,9 @@
     matches!(message, ConsensusMessage::HeartbeatResponse { .. })
 }
 
-/// A pre-vote that was granted before another machine was elected may be followed by a vote request
-/// after it. The request is rejected while the leader may rely on an answer of this machine.
+/// A candidate may get a pre-vote before another machine is elected, and send its vote request only
+/// after that election. The request must be rejected while the leader's lease may rely on a response
+/// of this machine.
 #[test]
 fn no_vote_during_the_lease_of_a_leader() {
     let mut machine = follower(&[1, 2, 3]);
@@ -85,7 +86,7 @@
     assert!(sends(&complete_write(&mut machine, 10.61), is_vote));
 }
 
-/// A vote is sent once it is on disk, and not at all if the write fails.
+/// A vote is sent only once it is on disk, and not at all if the write fails.
 #[test]
 fn vote_is_sent_only_after_its_write() {
     let mut machine = follower(&[1, 2, 3]);
@@ -106,8 +107,8 @@
     );
 }
 
-/// The answer to a heartbeat of a higher term says that lower terms are rejected from now on, so
-/// the term is on disk first.
+/// By answering a heartbeat of a higher term, a machine commits to rejecting lower terms. So the
+/// term must be on disk before the response is sent.
 #[test]
 fn heartbeat_of_higher_term_is_answered_only_after_its_write() {
     let mut machine = follower(&[1, 2, 3]);
@@ -122,16 +123,16 @@
             &receive(&mut machine, 5.1, 3, heartbeat(term(4, 3), 1.1)),
             is_heartbeat_response
         ),
-        "the term is on disk by now"
+        "the term is on disk, so the response needs no write"
     );
 }
 
-/// A leader votes for nobody during its own lease, whatever the others did.
+/// A leader doesn't vote for another machine during its own lease, even in a higher term.
 #[test]
 fn leader_does_not_vote_during_its_lease() {
     let mut network = Network::new(3);
     network.run(1.0);
-    let leader = network.leader().expect("a leader");
+    let leader = network.leader().expect("a leader is elected");
     let other = 1 + leader % 3;
     let higher = network.highest_voted_term().next_for(other);
     let now = network.now;
@@ -148,8 +149,9 @@
     );
 }
 
-/// A leader resigned and was elected again, and its resignation arrives late: it is still
-/// supported, as another machine could be elected during its lease otherwise.
+/// A leader resigns and is elected again, and its resignation of the earlier term arrives late. A
+/// follower must still support the leader. Otherwise another machine could be elected during the
+/// leader's lease.
 #[test]
 fn resignation_of_an_earlier_term_has_no_effect() {
     let mut machine = follower(&[1, 2, 3]);
@@ -169,7 +171,7 @@
         &receive(&mut machine, 9.2, 1, vote_request.clone()),
         is_rejection
     ));
-    // One of its present term has.
+    // A resignation of the present term has an effect.
     receive(
         &mut machine,
         9.3,
@@ -179,8 +181,8 @@
     assert!(receive(&mut machine, 9.3, 1, vote_request).contains(&ConsensusOutput::Persist));
 }
 
-/// A machine that was removed from the voters, as its older state shows, is granted no pre-vote; a
-/// voter is.
+/// A machine that is not a voter and has an older state was removed, so it gets no pre-vote. A voter
+/// with the same older state does.
 #[test]
 fn removed_voter_gets_no_pre_vote() {
     let state = Rc::new(State {
@@ -214,7 +216,7 @@
     }
 }
 
-/// A state that arrives after a newer one of the same leader has no effect.
+/// A state that arrives after a newer one of the same leader is ignored.
 #[test]
 fn outdated_append_request_does_not_replace_a_newer_state() {
     let mut machine = follower(&[1, 2, 3]);
@@ -232,7 +234,7 @@
     complete_write(&mut machine, 5.0);
     let outputs = receive(&mut machine, 5.1, 3, append_request(7));
     assert!(!outputs.contains(&ConsensusOutput::Persist), "{outputs:?}");
-    // It reports the newer state that it has.
+    // The response reports the newer state that the machine has.
     let reports_newer_state = |message: &ConsensusMessage| match message {
         ConsensusMessage::AppendResponse { last_state, .. } => last_state.version == 8,
         _ => false,
@@ -243,8 +245,8 @@
     );
 }
 
-/// Machine 2 after its election by two votes, its own among them; the state that it found isn't
-/// committed yet.
+/// Returns machine 2 after its election by two votes, including its own, and its term. The state
+/// that it adopted is not committed yet.
 fn elected_leader() -> (Consensus, Term) {
     let mut machine = follower(&[1, 2, 3]);
     let mut outputs = Vec::new();
@@ -253,7 +255,7 @@
         ConsensusOutput::Send(_, ConsensusMessage::PreVoteRequest { term, .. }) => Some(*term),
         _ => None,
     });
-    let term = pre_vote_term.expect("a pre-vote request");
+    let term = pre_vote_term.expect("the machine sends a pre-vote request");
     let granted = ConsensusMessage::PreVoteResponse {
         term,
         granted: true,
@@ -276,8 +278,8 @@
     (machine, term)
 }
 
-/// An elected leader may act once the state that it found is committed under its term, not already
-/// when it is answered.
+/// An elected leader may act only once the state that it adopted is committed in its term. Answered
+/// heartbeats alone are not enough.
 #[test]
 fn no_authority_before_the_first_commit() {
     let (mut machine, term) = elected_leader();
@@ -306,8 +308,8 @@
     );
 }
 
-/// An answer to a heartbeat of an earlier term doesn't extend the lease: its sender may have voted
-/// for another leader since.
+/// A response to a heartbeat of an earlier term must not extend the lease, because its sender may
+/// have voted for another leader since.
 #[test]
 fn heartbeat_response_of_an_earlier_term_does_not_extend_the_lease() {
     let (mut machine, term) = elected_leader();
@@ -342,8 +344,8 @@
     );
 }
 
-/// Contact that one leader confirmed ends when another one leads, until that one confirms contact
-/// itself.
+/// If another machine becomes the leader, a follower no longer counts as in contact until the new
+/// leader confirms it.
 #[test]
 fn contact_ends_with_the_leader_that_confirmed_it() {
     let mut machine = follower(&[1, 2, 3]);
@@ -362,8 +364,8 @@
     assert!(machine.in_contact(9.5));
 }
 
-/// A state in flight isn't sent again, however many heartbeats are answered meanwhile, until a
-/// heartbeat that was sent after it is answered by a machine without it.
+/// A state in flight isn't sent again, no matter how many heartbeats are answered meanwhile. It is
+/// sent again only when a machine that doesn't have it answers a heartbeat that was sent after it.
 #[test]
 fn state_in_flight_is_not_sent_again() {
     let (mut machine, term) = elected_leader();
@@ -390,7 +392,7 @@
     }
     assert!(
         sends_state(&receive(&mut machine, 5.3, 1, heartbeat_response(5.2))),
-        "a later heartbeat arrived, and the state didn't"
+        "a later heartbeat arrived, but the state did not"
     );
     assert!(!sends_state(&receive(
         &mut machine,
@@ -400,8 +402,8 @@
     )));
 }
 
-/// No message is processed while a write is in flight, as its answer must not rely on a state that
-/// may not reach the disk.
+/// No message is processed while a write is in flight, because a response must not rely on a state
+/// that may never reach the disk.
 #[test]
 fn no_message_is_processed_during_a_write() {
     let mut machine = follower(&[1, 2, 3]);
@@ -420,7 +422,8 @@
     );
 }
 
-/// Messages of a leader whose term is below the voted one are rejected, and it is not followed.
+/// Messages of a leader whose term is below the voted term are rejected, and that leader is not
+/// followed.
 #[test]
 fn leader_of_a_lower_term_is_rejected() {
     let mut machine = follower(&[1, 2, 3]);
@@ -447,10 +450,10 @@
     }
 }
 
-/// A leader gives way to a vote for a higher term; a rejection of an earlier term of its own has no
-/// effect.
+/// A leader steps down when its term is rejected because of a vote for a higher term. A rejection of
+/// one of its earlier terms has no effect.
 #[test]
-fn leader_gives_way_to_a_higher_voted_term() {
+fn leader_steps_down_for_a_higher_voted_term() {
     let (mut machine, term) = elected_leader();
     let last_state = state_id(machine.hard_state());
     receive(
@@ -472,9 +475,9 @@
     );
 }
 
-/// A message to a voter is for no other incarnation at its address.
+/// A message to a voter must not be processed by another incarnation at the same address.
 #[test]
-fn message_is_for_one_incarnation() {
+fn message_to_a_voter_is_for_one_incarnation_only() {
     let recipient = Voter {
         node: 2,
         incarnation: 7,
--- a/crates/core/control/src/tests/deltas.rs
+++ b/crates/core/control/src/tests/deltas.rs
@@ -1,4 +1,4 @@
-//! Deltas between texts, and the history of changes.
+//! Tests of the deltas between texts and of the history of changes.
 
 use super::common::arbtest_budget_ms;
 use crate::change_history::ChangeHistory;
@@ -9,7 +9,8 @@
 use arbtest::arbtest;
 use std::rc::Rc;
 
-/// A configuration of so many routes, of which the one at `changed` has a deadline of its own.
+/// Returns a configuration with `routes` routes. The route at the index `changed` has a deadline
+/// that differs from that of the others.
 fn config(epoch: u64, routes: usize, changed: usize) -> Rc<[u8]> {
     let route = |index: usize| {
         let deadline = if index == changed { 1000 + epoch } else { 1000 };
@@ -34,14 +35,14 @@
         new.len()
     );
     assert_eq!(delta.apply(&old).as_deref(), Some(&*new));
-    assert_eq!(delta.apply(&new), None, "it applies to the other text");
+    assert_eq!(delta.apply(&new), None, "the delta has another base");
     let ConfigPayload::Delta(_) = ConfigPayload::relative_to(&old, &new) else {
         panic!("not a delta")
     };
     assert_eq!(
         ConfigPayload::relative_to(b"", &new),
         ConfigPayload::Full(new.clone()),
-        "the receiver has nothing"
+        "a receiver without a text is sent the complete text"
     );
 }
 
@@ -56,7 +57,10 @@
         let decoded =
             bincode::decode_from_slice::<TextDelta, _>(&corrupted, bincode::config::standard());
         let result = decoded.ok().and_then(|(delta, _)| delta.apply(&old));
-        assert!(result.is_none_or(|result| result == *new), "byte {index}");
+        assert!(
+            result.is_none_or(|result| result == *new),
+            "the delta with a corrupted byte {index} gives another text"
+        );
     }
 }
 
@@ -71,7 +75,7 @@
     .budget_ms(arbtest_budget_ms());
 }
 
-/// The remembered changes lead from every earlier state to the newest one.
+/// The changes in the history lead from every earlier state to the newest one.
 #[test]
 fn history_leads_from_every_remembered_state_to_the_newest() {
     let mut history = ChangeHistory::default();
@@ -98,7 +102,7 @@
     for state in &states[..states.len() - 1] {
         let changes = history
             .changes_since(state.digest())
-            .expect("all changes are remembered");
+            .expect("the history has all changes");
         let result = changes
             .iter()
             .try_fold(state.clone(), |state, change| state.apply(change));
@@ -107,7 +111,7 @@
     assert_eq!(history.changes_since(Digest::of(b"another")), None);
     let deltas = |from: u64, to: u64| history.config_deltas(from, to).map(ConfigUpdate::Deltas);
     let all =
-        deltas(states[3].config_epoch, newest.config_epoch).expect("all changes are remembered");
+        deltas(states[3].config_epoch, newest.config_epoch).expect("the history has all changes");
     assert_eq!(
         all.resolve(&states[3].config).as_ref(),
         Some(&newest.config)
@@ -117,9 +121,9 @@
         None,
         "the deltas are from another configuration"
     );
-    // Up to an earlier epoch: newer changes are left out.
-    let some =
-        deltas(states[3].config_epoch, states[7].config_epoch).expect("all changes are remembered");
+    // The deltas up to an earlier epoch leave out newer changes.
+    let some = deltas(states[3].config_epoch, states[7].config_epoch)
+        .expect("the history has all changes");
     assert_eq!(
         some.resolve(&states[3].config).as_ref(),
         Some(&states[7].config)
@@ -127,7 +131,7 @@
     assert_eq!(deltas(999, newest.config_epoch), None);
     assert_eq!(deltas(states[3].config_epoch, 999), None);
     assert_eq!(deltas(states[7].config_epoch, states[3].config_epoch), None);
-    // The deltas of one state can't be applied to another one.
+    // Deltas from one state can't be applied to another state.
     let other = State {
         config_epoch: 5,
         config: config(5, 50, 1),
@@ -142,7 +146,7 @@
     );
 }
 
-/// The history forgets the oldest changes beyond its bounds.
+/// The history removes the oldest changes when it exceeds its limits.
 #[test]
 fn history_is_bounded() {
     let mut history = ChangeHistory::default();
@@ -158,7 +162,11 @@
         history.push(&state, state.digest(), Rc::new(change));
         state = next;
     }
-    assert_eq!(history.changes_since(first), None, "too many changes ago");
+    assert_eq!(
+        history.changes_since(first),
+        None,
+        "the oldest change has been removed"
+    );
     let bytes =
         bincode::encode_to_vec(format!("{history:?}"), bincode::config::standard()).unwrap();
     assert!(bytes.len() < 8 << 20);
--- a/crates/core/control/src/tests/elections.rs
+++ b/crates/core/control/src/tests/elections.rs
@@ -1,4 +1,4 @@
-//! One candidate, message by message: which votes elect it, and which state it adopts.
+//! Tests of one candidate, message by message: which votes elect it, and which state it adopts.
 
 use super::common::{CONSENSUS_CONFIG, founder, term};
 use crate::consensus::{
@@ -9,7 +9,7 @@
 use crate::voter_set::{NodeId, Voter, VoterSet};
 use std::rc::Rc;
 
-/// Machine 1 while it waits for votes.
+/// Machine 1 while it is a candidate and waits for votes.
 struct Candidate {
     consensus: Consensus,
     now: f64,
@@ -17,19 +17,19 @@
 }
 
 impl Candidate {
-    /// Machine 1 with this hard state, once its pre-vote has succeeded.
+    /// Returns machine 1 with this hard state, after its pre-vote has succeeded.
     fn new(hard_state: HardState) -> Candidate {
         let mut consensus = Consensus::new(founder(1), hard_state, 0.0, 7, CONSENSUS_CONFIG);
         let mut now = 0.0;
         let mut term = None;
         while term.is_none() {
             now += 0.02;
-            assert!(now < 5.0, "it starts no pre-vote");
+            assert!(now < 5.0, "the machine starts no pre-vote within 5 s");
             let mut outputs = Vec::new();
             consensus.tick(now, &mut outputs);
             term = outputs.iter().find_map(pre_vote_term);
         }
-        let term = term.expect("a pre-vote request");
+        let term = term.expect("the machine sends a pre-vote request");
         let others: Vec<Voter> = consensus
             .voters()
             .iter()
@@ -53,7 +53,7 @@
         candidate
     }
 
-    /// Lets a message arrive, and the writes that it leads to succeed.
+    /// Lets the candidate process a message. Writes that it leads to succeed immediately.
     fn receive(&mut self, from: Voter, message: ConsensusMessage) -> Vec<ConsensusOutput> {
         let mut outputs = Vec::new();
         self.consensus.step(self.now, from, message, &mut outputs);
@@ -67,7 +67,7 @@
         outputs
     }
 
-    /// Lets a vote of a machine arrive that has accepted `state` under `accepted_term`.
+    /// Lets the candidate process a vote of a machine that accepted `state` in `accepted_term`.
     fn receive_vote(
         &mut self,
         from: NodeId,
@@ -97,7 +97,7 @@
     }
 }
 
-/// The state that an elected leader sends.
+/// Returns the first state that an elected leader sends, if any.
 fn sent_state(outputs: &[ConsensusOutput]) -> Option<&StatePayload> {
     outputs.iter().find_map(|output| match output {
         ConsensusOutput::Send(_, ConsensusMessage::AppendRequest { payload, .. }) => Some(payload),
@@ -115,14 +115,14 @@
     Rc::new(
         state
             .apply(&StateChange::Voters(next))
-            .expect("the change fits"),
+            .expect("the change applies to the state"),
     )
 }
 
-/// The candidate has votes of two of the three voters that it knows, but one of them knows of a
-/// newer set of five: three of these are needed.
+/// The candidate has votes of two of the three voters that it knows, but one of them reports a newer
+/// voter set of five. So it needs the votes of three of these five.
 #[test]
-fn newest_known_voter_set_elects() {
+fn election_needs_a_quorum_of_the_newest_known_voter_set() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
     let newer = with_voters(&first, &[1, 2, 4, 5, 6]);
     let mut candidate = Candidate::new(HardState {
@@ -132,25 +132,26 @@
     assert_eq!(
         sent_state(&candidate.receive_vote(2, term(3, 2), &newer)),
         None,
-        "two of five"
+        "two votes of five are no quorum"
     );
     assert!(
         sent_state(&candidate.receive_vote(4, term(3, 2), &newer)).is_some(),
-        "three of five"
+        "three votes of five are a quorum"
     );
     assert_eq!(candidate.consensus.hard_state().state, newer);
 }
 
-/// While a change is under way, majorities of the outgoing and of the incoming voters are needed.
+/// While a change of the voter set is in progress, an election needs a majority of the outgoing
+/// voters and a majority of the incoming ones.
 #[test]
 fn election_in_a_joint_voter_set_needs_both_majorities() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
     let voters = [1, 4, 5].map(founder).to_vec();
-    let joint = first.voters.joint_with(voters).expect("another set");
+    let joint = first.voters.joint_with(voters).expect("the voters differ");
     let newer = Rc::new(
         first
             .apply(&StateChange::Voters(joint))
-            .expect("the change fits"),
+            .expect("the change applies to the state"),
     );
     let mut candidate = Candidate::new(HardState {
         state: first,
@@ -159,13 +160,13 @@
     assert_eq!(
         sent_state(&candidate.receive_vote(2, term(3, 2), &newer)),
         None,
-        "one of the incoming three"
+        "one vote of three incoming voters is no majority"
     );
     assert!(sent_state(&candidate.receive_vote(5, term(3, 2), &newer)).is_some());
 }
 
-/// The state that was accepted under the highest term is adopted, also if it equals the one that
-/// the candidate has from a lower term.
+/// The candidate adopts the state that was accepted in the highest term, even if that is the state
+/// that the candidate itself accepted in a lower term.
 #[test]
 fn state_of_the_highest_accepted_term_is_adopted() {
     let first = State::founding(vec![1, 2, 3, 4, 5]);
@@ -179,7 +180,8 @@
         let mut candidate = Candidate::new(hard_state.clone());
         let mut outputs = Vec::new();
         for node in order {
-            // 2 accepted the candidate's own state under a higher term than 3 the other one.
+            // Machine 2 accepted the candidate's own state in a higher term than machine 3 accepted
+            // the other state in.
             let (accepted_term, state) = if node == 2 {
                 (term(3, 2), &own)
             } else {
@@ -187,13 +189,16 @@
             };
             outputs = candidate.receive_vote(node, accepted_term, state);
         }
-        assert!(sent_state(&outputs).is_some(), "three of five");
+        assert!(
+            sent_state(&outputs).is_some(),
+            "three votes of five are a quorum"
+        );
         assert_eq!(candidate.consensus.hard_state().state, own, "{order:?}");
     }
 }
 
-/// A candidate that learns from a vote that it is no voter any more doesn't lead, although it has
-/// the votes of a majority.
+/// A candidate that learns from a vote that it is no longer a voter doesn't become the leader, even
+/// with votes of a majority.
 #[test]
 fn removed_voter_is_not_elected() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
@@ -208,10 +213,10 @@
     assert_eq!(candidate.consensus.leader_term(), None);
 }
 
-/// A delta is accepted only by a machine that has its base, and only if it leads to the state whose
-/// digest it names.
+/// A machine accepts a delta only if it has the base state, and only if the resulting state has the
+/// digest that the delta names.
 #[test]
-fn delta_of_another_state_is_rejected() {
+fn delta_with_another_base_or_result_is_rejected() {
     let first = State::founding(vec![1, 2, 3]);
     let (seven, eight) = (with_config(&first, 7), with_config(&first, 8));
     let change = Rc::new(first.config_change(9, &Rc::from(*b"9")));
--- a/crates/core/control/src/tests/network.rs
+++ b/crates/core/control/src/tests/network.rs
@@ -1,9 +1,9 @@
-//! A test harness for consensus: control machines with fake disks and clocks, and the messages
-//! between them in flight.
+//! A test harness for consensus: control machines with simulated disks and clocks, and the messages
+//! in flight between them.
 //!
-//! The test moves the time and chooses what arrives. After every step the harness checks what must
-//! always hold: no two leaders may act at once, no two states of one version are committed, and a
-//! new leader has all that was committed.
+//! The test advances the time and chooses which messages arrive. After every step, the harness
+//! checks the invariants: two leaders never may act at the same time, two different states of one
+//! version are never committed, and a new leader has everything that was committed.
 
 use super::common::{CONSENSUS_CONFIG, founder, founding_hard_state};
 use crate::consensus::{Consensus, ConsensusMessage, ConsensusOutput, HardState, Recipient};
@@ -13,21 +13,22 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const FOUNDERS: [NodeId; 3] = [1, 2, 3];
-/// Between two ticks while the network runs, in seconds.
+/// Interval between two ticks while the network runs, in seconds.
 const TICK_INTERVAL_S: f64 = 0.02;
 
-/// A control machine.
+/// A simulated control machine.
 #[derive(Clone)]
 pub(super) struct Machine {
     pub(super) consensus: Consensus,
-    /// What is on its disk.
+    /// The content of its disk.
     pub(super) disk: HardState,
+    /// The incarnation of its disk.
     pub(super) incarnation: u64,
     pub(super) is_running: bool,
-    /// Writes to its disk fail.
+    /// Whether its disk is full, so that writes fail.
     pub(super) disk_full: bool,
-    /// What its clock shows more than `Network::now`, in seconds.
-    pub(super) clock_offset: f64,
+    /// How far its clock is ahead of `Network::now`, in seconds.
+    pub(super) clock_offset_s: f64,
 }
 
 impl Machine {
@@ -35,8 +36,9 @@
         self.consensus.me()
     }
 
+    /// Returns whether the machine runs and may act as the leader.
     fn may_act(&self, now: f64) -> bool {
-        self.is_running && self.consensus.authority_until() > now + self.clock_offset
+        self.is_running && self.consensus.authority_until() > now + self.clock_offset_s
     }
 }
 
@@ -49,38 +51,39 @@
 }
 
 impl Envelope {
-    /// Whether it is from this machine or to it.
+    /// Returns whether the message is from or to this machine.
     pub(super) fn involves(&self, node: NodeId) -> bool {
         self.from.node == node || self.to.node() == node
     }
 }
 
-/// What was committed under a version of the state.
+/// The state that was committed with a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CommittedState {
     pub(super) digest: Digest,
     pub(super) config_epoch: u64,
 }
 
-/// A machine that was elected, and when.
+/// The election of a leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Election {
     pub(super) at: f64,
     pub(super) leader: NodeId,
 }
 
-/// The machines and the messages between them.
+/// The machines, and the messages between them.
 #[derive(Clone)]
 pub(super) struct Network {
     pub(super) machines: BTreeMap<NodeId, Machine>,
-    /// In the order in which they were sent.
+    /// Messages in the order in which they were sent.
     pub(super) in_flight: Vec<Envelope>,
+    /// The simulated time in seconds.
     pub(super) now: f64,
-    /// By version.
+    /// The committed states by version.
     pub(super) committed: BTreeMap<u64, CommittedState>,
     pub(super) elections: Vec<Election>,
-    proposals: u64,
-    /// What happened, for the messages of failing tests.
+    proposal_count: u64,
+    /// Events for the messages of failing tests.
     trace: Vec<String>,
     is_tracing: bool,
     last_incarnation: u64,
@@ -88,7 +91,7 @@
 }
 
 impl Network {
-    /// Machines 1 to 3, which start for the first time.
+    /// Creates a network with the machines 1 to 3, which start for the first time.
     pub(super) fn new(seed: u64) -> Network {
         let mut network = Network {
             machines: BTreeMap::new(),
@@ -96,7 +99,7 @@
             now: 0.0,
             committed: BTreeMap::new(),
             elections: Vec::new(),
-            proposals: 0,
+            proposal_count: 0,
             trace: Vec::new(),
             is_tracing: true,
             last_incarnation: 100,
@@ -116,7 +119,7 @@
             incarnation: me.incarnation,
             is_running: true,
             disk_full: false,
-            clock_offset: 0.0,
+            clock_offset_s: 0.0,
         };
         self.machines.insert(me.node, machine);
     }
@@ -128,7 +131,7 @@
         consensus
     }
 
-    /// Starts a machine with an empty disk, which asks to join.
+    /// Starts a new machine with an empty disk, which asks to join.
     pub(super) fn add_empty_machine(&mut self, node: NodeId) {
         self.last_incarnation += 1;
         self.add_machine(Voter {
@@ -141,12 +144,12 @@
         self.machines.get_mut(&node).expect("the machine exists")
     }
 
-    /// Stops a machine's process; what is in flight stays so.
+    /// Stops a machine's process. Messages in flight are kept.
     pub(super) fn stop(&mut self, node: NodeId) {
         self.machine_mut(node).is_running = false;
     }
 
-    /// Restarts a machine's process with what is on its disk.
+    /// Restarts a machine's process from its disk.
     pub(super) fn restart(&mut self, node: NodeId) {
         let now = self.now;
         self.trace(|| format!("{now:.3} {node} restarts"));
@@ -165,7 +168,7 @@
         self.start_process(node);
     }
 
-    /// Restarts all machines, the one at `lost_disk` with an empty disk.
+    /// Restarts all machines, the machine `lost_disk` with an empty disk.
     pub(super) fn restart_all(&mut self, lost_disk: NodeId) {
         for node in self.machines.keys().copied().collect::<Vec<_>>() {
             if node == lost_disk {
@@ -176,15 +179,16 @@
         }
     }
 
+    /// Starts a machine's process from its disk.
     fn start_process(&mut self, node: NodeId) {
-        // Its connections break, so what is in flight on them is lost.
+        // The machine's connections break, so messages in flight on them are lost.
         self.in_flight.retain(|envelope| !envelope.involves(node));
         let machine = &self.machines[&node];
         let me = Voter {
             node,
             incarnation: machine.incarnation,
         };
-        let clock = self.now + machine.clock_offset;
+        let clock = self.now + machine.clock_offset_s;
         let consensus = self.start_consensus(me, &machine.disk, clock);
         let machine = self.machine_mut(node);
         machine.consensus = consensus;
@@ -198,7 +202,7 @@
         self.perform(node, outputs);
     }
 
-    /// Carries out what a machine's consensus asks for.
+    /// Carries out the outputs of a machine's consensus.
     pub(super) fn perform(&mut self, node: NodeId, outputs: Vec<ConsensusOutput>) {
         let mut pending = VecDeque::from(outputs);
         while let Some(output) = pending.pop_front() {
@@ -211,7 +215,7 @@
                         machine.consensus.persist_failed(&mut next);
                     } else {
                         machine.disk = machine.consensus.hard_state().clone();
-                        let clock = now + machine.clock_offset;
+                        let clock = now + machine.clock_offset_s;
                         machine.consensus.persisted(clock, &mut next);
                     }
                     next.into_iter()
@@ -237,6 +241,7 @@
         self.check_single_leader();
     }
 
+    /// Checks that no other state was committed with the version that a leader has just committed.
     fn check_commit(&mut self, node: NodeId) {
         let state = self.machines[&node].consensus.hard_state().state.clone();
         self.trace(|| {
@@ -252,24 +257,24 @@
         let other = self.committed.insert(state.version, committed);
         assert!(
             other.is_none_or(|other| other == committed),
-            "forked at {}: {other:?}\n{}",
+            "two states are committed with version {}: {other:?} and {committed:?}\n{}",
             state.version,
             self.trace_text()
         );
     }
 
-    /// A new leader has all that was committed.
+    /// Checks that a new leader has everything that was committed.
     fn check_new_leader(&mut self, node: NodeId) {
         let state = self.machines[&node].consensus.hard_state().state.clone();
-        let newest = self.newest_committed();
+        let newest = self.newest_committed_version();
         assert!(
             state.version >= newest,
-            "{node} was elected with {} after {newest}\n{}",
+            "{node} was elected with version {}, but version {newest} was committed\n{}",
             state.version,
             self.trace_text()
         );
-        // By its election the state that it found is committed, except the founding one, which
-        // nobody proposed.
+        // The state that the leader adopted at its election is committed by now. The founding state
+        // is not recorded, because nobody proposed it.
         let committed = CommittedState {
             digest: state.digest(),
             config_epoch: state.config_epoch,
@@ -281,13 +286,13 @@
         };
         assert!(
             other.is_none_or(|other| other.digest == committed.digest),
-            "{node} was elected with another {}\n{}",
+            "{node} was elected with another state of version {}: {other:?} and {committed:?}\n{}",
             state.version,
             self.trace_text()
         );
     }
 
-    /// At most one machine may act as the leader.
+    /// Checks that at most one machine may act as the leader.
     pub(super) fn check_single_leader(&self) {
         let acting: Vec<NodeId> = self
             .machines
@@ -297,7 +302,7 @@
             .collect();
         assert!(
             acting.len() < 2,
-            "{}: {acting:?} may act\n{}",
+            "at {} s, the machines {acting:?} may all act as the leader\n{}",
             self.now,
             self.trace_text()
         );
@@ -313,18 +318,18 @@
         self.trace.join("\n")
     }
 
-    /// Ends the trace, for tests of so many steps that it would take too long.
+    /// Disables the trace, for tests with so many steps that tracing would take too long.
     pub(super) fn disable_trace(&mut self) {
         self.is_tracing = false;
         self.trace.clear();
     }
 
-    /// Reopens the disk of a machine after a failed write, if it is no longer full.
+    /// Reopens a machine's disk after a failed write, unless the disk is still full.
     pub(super) fn reopen_disk(&mut self, node: NodeId) {
         let now = self.now;
         let machine = self.machine_mut(node);
         if machine.consensus.disk_failed() && !machine.disk_full {
-            let (clock, disk) = (now + machine.clock_offset, machine.disk.clone());
+            let (clock, disk) = (now + machine.clock_offset_s, machine.disk.clone());
             machine.consensus.disk_reopened(clock, disk);
         }
     }
@@ -333,7 +338,7 @@
         let now = self.now;
         let machine = self.machine_mut(node);
         if machine.is_running {
-            let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset);
+            let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset_s);
             machine.consensus.tick(clock, &mut outputs);
             self.perform(node, outputs);
         }
@@ -345,19 +350,20 @@
         }
     }
 
-    /// Lets the message at `index` arrive.
+    /// Delivers the message at `index`.
     pub(super) fn deliver(&mut self, index: usize) {
         let envelope = self.in_flight.remove(index);
-        self.arrive(envelope);
+        self.process(envelope);
     }
 
-    /// Lets a copy of the message at `index` arrive, which stays in flight.
+    /// Delivers a copy of the message at `index`, which stays in flight.
     pub(super) fn deliver_copy(&mut self, index: usize) {
         let envelope = self.in_flight[index].clone();
-        self.arrive(envelope);
+        self.process(envelope);
     }
 
-    fn arrive(&mut self, envelope: Envelope) {
+    /// Lets the recipient process a message, if it is running.
+    fn process(&mut self, envelope: Envelope) {
         let now = self.now;
         self.trace(|| {
             format!(
@@ -371,7 +377,7 @@
             return;
         };
         if envelope.to.matches(machine.voter()) {
-            let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset);
+            let (mut outputs, clock) = (Vec::new(), now + machine.clock_offset_s);
             machine
                 .consensus
                 .step(clock, envelope.from, envelope.message, &mut outputs);
@@ -379,8 +385,8 @@
         }
     }
 
-    /// Lets everything in flight arrive in order, also what is sent meanwhile, except what
-    /// `is_lost` drops.
+    /// Delivers all messages in flight in order, including those that are sent meanwhile. Messages
+    /// for which `is_lost` returns true are dropped.
     pub(super) fn deliver_all(&mut self, is_lost: impl Fn(&Envelope) -> bool) {
         while let Some(envelope) = self.in_flight.first() {
             if is_lost(envelope) {
@@ -391,12 +397,12 @@
         }
     }
 
-    /// The leader `node` proposes a configuration of an epoch that nobody else uses. False if it
-    /// may not act.
+    /// Lets the leader `node` propose a configuration with an epoch that is not used otherwise.
+    /// Returns false if the machine may not act as the leader or another proposal is pending.
     pub(super) fn propose(&mut self, node: NodeId) -> bool {
         let now = self.now;
-        self.proposals += 1;
-        let epoch = self.proposals * 10 + u64::from(node);
+        self.proposal_count += 1;
+        let epoch = self.proposal_count * 10 + u64::from(node);
         let machine = self.machine_mut(node);
         if !machine.may_act(now) {
             return false;
@@ -404,7 +410,7 @@
         let Some(state) = machine.consensus.committed_state().cloned() else {
             return false;
         };
-        let clock = now + machine.clock_offset;
+        let clock = now + machine.clock_offset_s;
         let mut outputs = Vec::new();
         let change = state.config_change(epoch, &epoch.to_string().into_bytes().into());
         machine.consensus.propose(clock, change, &mut outputs);
@@ -413,12 +419,12 @@
         true
     }
 
-    /// Lets so many seconds pass in which everything arrives in order.
+    /// Advances the time by this many seconds, and delivers all messages in order.
     pub(super) fn run(&mut self, seconds: f64) {
         self.run_with_loss(seconds, |_| false);
     }
 
-    /// The same, except that messages for which `is_lost` is true are lost.
+    /// Like [`Network::run`], but drops messages for which `is_lost` returns true.
     pub(super) fn run_with_loss(&mut self, seconds: f64, is_lost: impl Fn(&Envelope) -> bool) {
         let until = self.now + seconds;
         while self.now < until {
@@ -428,7 +434,7 @@
         }
     }
 
-    /// The machine that may act as the leader.
+    /// Returns the machine that may act as the leader.
     pub(super) fn leader(&self) -> Option<NodeId> {
         self.machines
             .iter()
@@ -440,15 +446,15 @@
         self.machines.get(&self.leader()?)
     }
 
-    /// Addresses of the voters as the leader has them.
+    /// Returns the addresses of the voters according to the leader. Empty if there is no leader.
     pub(super) fn voters(&self) -> Vec<NodeId> {
         self.leader_machine()
             .map(|leader| leader.consensus.voters().iter().map(|v| v.node).collect())
             .unwrap_or_default()
     }
 
-    /// Whether every running machine is a voter, in the incarnation of its disk, as the leader has
-    /// it.
+    /// Returns whether every running machine, in the incarnation of its disk, is a voter according
+    /// to the leader.
     pub(super) fn all_are_voters(&self) -> bool {
         let Some(leader) = self.leader_machine() else {
             return false;
@@ -460,13 +466,13 @@
             .all(|machine| voters.contains(&machine.voter()))
     }
 
-    /// Whether a change of the voter set is under way at the leader.
+    /// Returns whether the leader has a change of the voter set in progress.
     pub(super) fn is_joint(&self) -> bool {
         self.leader_machine()
             .is_some_and(|leader| leader.consensus.hard_state().state.voters.is_joint())
     }
 
-    /// The highest term that any machine voted for.
+    /// Returns the highest term that any machine voted for.
     pub(super) fn highest_voted_term(&self) -> Term {
         self.machines
             .values()
@@ -475,8 +481,8 @@
             .unwrap_or_default()
     }
 
-    /// The version of the newest committed state; 0 if none is.
-    pub(super) fn newest_committed(&self) -> u64 {
+    /// Returns the version of the newest committed state, or 0 if none is committed.
+    pub(super) fn newest_committed_version(&self) -> u64 {
         self.committed.keys().max().copied().unwrap_or(0)
     }
 }
--- a/crates/core/control/tests/encoding.rs
+++ b/crates/core/control/tests/encoding.rs
@@ -1,9 +1,9 @@
-//! The encoding of every type that processes exchange or keep on disk, held by fixtures.
+//! Checks the encoding of every type that processes exchange or store on disk against fixtures.
 //!
-//! Control machines, routers and disks of different releases read each other's bytes, so renaming
-//! or moving a type must not change its encoding. Each line of `fixtures/encoding.txt` is a name
-//! and the bytes, in hexadecimal, of the sample with that name. An intended change of the encoding
-//! needs a new line under a new name, written by hand.
+//! Control machines and routers of different releases read each other's messages, and a release
+//! reads the disks that another one wrote. So renaming or moving a type must not change its encoding.
+//! Each line of `fixtures/encoding.txt` has the name of a sample and its bytes in hexadecimal. An
+//! intended change of the encoding needs a new line with a new name, written by hand.
 
 use badgerstream_control::{
     AppliedConfig, ConfigPayload, ConfigUpdate, ConsensusMessage, Digest, HealthReport,
@@ -19,17 +19,18 @@
 
 const FIXTURES: &str = include_str!("fixtures/encoding.txt");
 
-/// Compares the bytes of a fixture with a value, in both directions.
+/// Compares the bytes of a fixture with a value, by both decoding and encoding.
 type Check = dyn Fn(&[u8]);
 
-/// A value whose encoding is pinned.
+/// A value whose encoding is pinned by a fixture.
 struct Sample {
+    /// The name of its line in the fixture file.
     name: &'static str,
     check: Box<Check>,
 }
 
-/// The sample of this name. Decoding must consume all bytes and give the value; encoding the
-/// decoded value must give the same bytes.
+/// Creates the sample `name`. Decoding its fixture must consume all bytes and give `value`. Encoding
+/// the decoded value must give the same bytes again.
 fn sample<T: Encode + Decode<()> + PartialEq + Debug + 'static>(
     name: &'static str,
     value: T,
@@ -37,7 +38,7 @@
     let check = move |bytes: &[u8]| {
         let (decoded, used): (T, usize) = bincode::decode_from_slice(bytes, standard())
             .unwrap_or_else(|e| panic!("{name} cannot be decoded: {e}"));
-        assert_eq!(used, bytes.len(), "{name} leaves bytes undecoded");
+        assert_eq!(used, bytes.len(), "{name}: bytes are left after decoding");
         assert_eq!(decoded, value, "{name} decodes to another value");
         let encoded = bincode::encode_to_vec(&decoded, standard()).unwrap();
         assert_eq!(hex(&encoded), hex(bytes), "{name} encodes to other bytes");
@@ -48,31 +49,35 @@
     }
 }
 
-/// Bytes in hexadecimal.
+/// Formats bytes in hexadecimal.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes written by [`hex`].
-fn unhex(text: &str) -> Vec<u8> {
-    assert!(text.len().is_multiple_of(2), "an odd number of digits");
+/// Parses bytes that were formatted by [`hex`].
+fn parse_hex(text: &str) -> Vec<u8> {
+    assert!(
+        text.len().is_multiple_of(2),
+        "odd number of hexadecimal digits: {}",
+        text.len()
+    );
     let digits = (0..text.len()).step_by(2);
     digits
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits"))
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits"))
         .collect()
 }
 
-/// A term whose varint takes nine bytes.
+/// Returns a term whose varint takes nine bytes.
 fn term() -> Term {
     Term(0x0102_0304_0506_0708)
 }
 
-/// Another term than [`term`], for the second term of a message.
+/// Returns a term higher than [`term`], for the second term of a message.
 fn higher_term() -> Term {
     Term(0x1112_1314_1516_1718)
 }
 
-/// A voter whose address takes five bytes and whose incarnation takes nine.
+/// Returns a voter whose address takes five bytes and whose incarnation takes nine.
 fn voter() -> Voter {
     Voter {
         node: 0x0A01_0203,
@@ -80,7 +85,7 @@
     }
 }
 
-/// Another voter, one of the founders.
+/// Returns a founding voter.
 fn founder() -> Voter {
     Voter {
         node: 0x0A01_0204,
@@ -88,7 +93,7 @@
     }
 }
 
-/// A state id whose version takes three bytes.
+/// Returns a state id whose version takes three bytes.
 fn state_id() -> StateId {
     StateId {
         accepted_term: Term(0x2122_2324_2526_2728),
@@ -97,16 +102,16 @@
     }
 }
 
-/// Three founders, no change under way.
+/// Returns a set of three founding voters, with no change in progress.
 fn single_set() -> VoterSet {
     VoterSet::founding([0x0A01_0204, 0x0A01_0205, 7])
 }
 
-/// The change that replaces a founder by another voter, both sets counted for the quorum.
+/// Returns the joint set of a change that replaces a founding voter by another voter.
 fn joint_set() -> VoterSet {
     let founders = single_set();
     let next = founders.replacing(Some(voter()), Some(founder()));
-    founders.joint_with(next).expect("a change of the voters")
+    founders.joint_with(next).expect("the voters differ")
 }
 
 fn primary() -> PrimaryRecord {
@@ -123,7 +128,7 @@
     }
 }
 
-/// A state with every collection filled.
+/// Returns a state in which no collection is empty.
 fn state() -> State {
     let other = PrimaryRecord {
         server_id: "i-0b".to_owned(),
@@ -146,17 +151,17 @@
     }
 }
 
-/// A short configuration text.
+/// Returns a short configuration text.
 fn config() -> Rc<[u8]> {
     Rc::from(&b"{\"a\":1}"[..])
 }
 
-/// A delta with a copy and an insert operation; the length of the copy takes three bytes.
+/// Returns a delta with a copy and an insert operation. The length of the copy takes three bytes.
 fn text_delta() -> Rc<TextDelta> {
     let base = "\"field\":\"value\",".repeat(40);
     let new = format!("{base}\"added\":\"text\",");
     let delta = TextDelta::between(base.as_bytes(), new.as_bytes());
-    Rc::new(delta.expect("a delta smaller than the text"))
+    Rc::new(delta.expect("the delta is smaller than the text"))
 }
 
 fn request_id() -> RequestId {
@@ -166,7 +171,7 @@
     }
 }
 
-/// A server that drains.
+/// Returns a server that is draining.
 fn draining_server() -> MemberInfo {
     MemberInfo {
         id: "i-0c".to_owned(),
@@ -180,7 +185,7 @@
     }
 }
 
-/// A server that has left.
+/// Returns a server that has departed.
 fn departed_server() -> MemberInfo {
     MemberInfo {
         id: "i-0d".to_owned(),
@@ -211,7 +216,7 @@
     }
 }
 
-/// The types of which messages and the stored state consist.
+/// Samples of the types of which messages and the stored state consist.
 fn components() -> Vec<Sample> {
     vec![
         sample("Term", term()),
@@ -282,7 +287,7 @@
     }
 }
 
-/// Every message of the consensus.
+/// Samples of every message of the consensus protocol.
 fn consensus_messages() -> Vec<Sample> {
     use ConsensusMessage::*;
     let term = term();
@@ -376,7 +381,7 @@
     ]
 }
 
-/// Every message between control machines.
+/// Samples of every message between control machines.
 fn peer_messages() -> Vec<Sample> {
     use PeerMessage::*;
     let members = || vec![draining_server(), departed_server()];
@@ -433,7 +438,7 @@
     ]
 }
 
-/// Every message between control machines and routers.
+/// Samples of every message between control machines and routers.
 fn router_messages() -> Vec<Sample> {
     let lease_request = LeaseRequest {
         router: "router-1".to_owned(),
@@ -483,14 +488,14 @@
     ]
 }
 
-/// The lines of the fixture file by name.
+/// Returns the bytes in the fixture file by sample name.
 fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
     let mut lines = BTreeMap::new();
     for line in FIXTURES.lines() {
-        let (name, bytes) = line.split_once(' ').expect("a name and its bytes");
+        let (name, bytes) = line.split_once(' ').expect("the line has a name and bytes");
         assert!(
-            lines.insert(name, unhex(bytes)).is_none(),
-            "{name} has two lines"
+            lines.insert(name, parse_hex(bytes)).is_none(),
+            "{name} has two lines in the fixture file"
         );
     }
     lines
@@ -507,20 +512,25 @@
     let samples: Vec<Sample> = groups.into_iter().flatten().collect();
     let lines = fixtures();
     let names: BTreeSet<&str> = samples.iter().map(|sample| sample.name).collect();
-    assert_eq!(names.len(), samples.len(), "two samples share a name");
+    assert_eq!(names.len(), samples.len(), "two samples have the same name");
     let pinned: BTreeSet<&str> = lines.keys().copied().collect();
-    assert_eq!(names, pinned, "samples and lines do not match");
+    assert_eq!(
+        names, pinned,
+        "the samples and the lines of the fixture file have different names"
+    );
     for sample in &samples {
         (sample.check)(&lines[sample.name]);
     }
 }
 
-/// The operations of a delta are private, so the sample of one is also applied.
+/// The fields of a delta are private, so this test also applies the pinned delta to its base.
 #[test]
 fn pinned_delta_still_applies() {
     let bytes = &fixtures()["TextDelta"];
     let (delta, _): (TextDelta, usize) = bincode::decode_from_slice(bytes, standard()).unwrap();
     let base = "\"field\":\"value\",".repeat(40);
-    let result = delta.apply(base.as_bytes()).expect("a delta to the base");
+    let result = delta
+        .apply(base.as_bytes())
+        .expect("the delta applies to the base");
     assert_eq!(result, format!("{base}\"added\":\"text\",").into_bytes());
 }
