--- a/crates/core/control/src/consensus/election.rs
+++ b/crates/core/control/src/consensus/election.rs
@@ -39,9 +39,9 @@
 }
 
 impl CandidateState {
-    /// Returns the newest state that came with a vote, or `None` if the candidate's own state, whose
-    /// digest is `own_digest`, is the newest. If a voter has the same state as the candidate, that
-    /// state ranks by the term in which the voter accepted it.
+    /// Returns the newest state that came with a vote, or `None` if the candidate's own state,
+    /// whose digest is `own_digest`, is the newest. If a voter has the same state as the candidate,
+    /// that state ranks by the term in which the voter accepted it.
     fn newest_state(&self, own_digest: Digest) -> Option<&Rc<State>> {
         let known = self
             .votes
--- a/crates/core/control/src/consensus/election_timer.rs
+++ b/crates/core/control/src/consensus/election_timer.rs
@@ -1,5 +1,5 @@
-//! The election timer (Raft thesis, 3.4): how long a follower waits for a leader before it starts an
-//! election.
+//! The election timer (Raft thesis, 3.4): how long a follower waits for a leader before it starts
+//! an election.
 
 /// Difference between the delays of two adjacent voters in the voter set, in seconds. It keeps them
 /// from becoming candidates at the same time in most cases.
@@ -76,8 +76,8 @@
     }
 
     fn draw_delay(&mut self, rank: usize) {
-        // Knuth's linear congruential generator (MMIX). Only its high bits are used, because its low
-        // bits are less random.
+        // Knuth's linear congruential generator (MMIX). Only its high bits are used, because its
+        // low bits are less random.
         self.rng_state = self
             .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
--- a/crates/core/control/src/consensus/join_leave.rs
+++ b/crates/core/control/src/consensus/join_leave.rs
@@ -4,7 +4,8 @@
 use super::{Consensus, ConsensusMessage, ConsensusOutput, Role, StateId};
 use crate::voter_set::{NodeId, Voter};
 
-/// Interval between two join requests of a machine that is not a voter or has no leader, in seconds.
+/// Interval between two join requests of a machine that is not a voter or has no leader, in
+/// seconds.
 const JOIN_REQUEST_INTERVAL_S: f64 = 0.25;
 /// Interval between two leave requests of a machine that shuts down, in seconds.
 const LEAVE_REQUEST_INTERVAL_S: f64 = 0.1;
--- a/crates/core/control/src/consensus/leader.rs
+++ b/crates/core/control/src/consensus/leader.rs
@@ -69,11 +69,12 @@
         }
     }
 
-    /// Returns the time until which this machine may act as the leader, because no other machine can
-    /// be elected before then. Returns minus infinity if this machine doesn't lead.
+    /// Returns the time until which this machine may act as the leader, because no other machine
+    /// can be elected before then. Returns minus infinity if this machine doesn't lead.
     ///
     /// The lease begins when a heartbeat is sent, not when its responses arrive: a voter refuses to
-    /// vote for others only for a limited time after it received the heartbeat (Raft thesis, 6.4.1).
+    /// vote for others only for a limited time after it received the heartbeat (Raft thesis,
+    /// 6.4.1).
     pub fn authority_until(&self) -> f64 {
         let Role::Leader(leader) = &self.role else {
             return f64::NEG_INFINITY;
--- a/crates/core/control/src/consensus/message.rs
+++ b/crates/core/control/src/consensus/message.rs
@@ -22,8 +22,8 @@
 }
 
 impl StateId {
-    /// Returns the key by which accepted states are ordered. A candidate adopts the highest state of
-    /// its quorum (Paxos Made Simple, 2.2).
+    /// Returns the key by which accepted states are ordered. A candidate adopts the highest state
+    /// of its quorum (Paxos Made Simple, 2.2).
     pub fn rank(&self) -> (Term, u64) {
         (self.accepted_term, self.version)
     }
@@ -120,8 +120,8 @@
         /// When the heartbeat was sent, in seconds of the leader's clock.
         sent_at: f64,
         /// When the receiver sent the newest heartbeat response that the leader has received from
-        /// it, in seconds of the receiver's clock. `None` if there is no such response or the leader
-        /// is not in contact with a quorum.
+        /// it, in seconds of the receiver's clock. `None` if there is no such response or the
+        /// leader is not in contact with a quorum.
         confirmed_answer_at: Option<f64>,
     },
     /// Response to a heartbeat.
--- a/crates/core/control/src/consensus/mod.rs
+++ b/crates/core/control/src/consensus/mod.rs
@@ -1,4 +1,5 @@
-//! Consensus of the control machines on one value, [`crate::State`], with one machine as the leader.
+//! Consensus of the control machines on one value, [`crate::State`], with one machine as the
+//! leader.
 //!
 //! The protocol is Paxos on a single register. There is no log: each accepted state replaces the
 //! previous one. The names are those of Raft, because more readers know them ("thesis" below is
@@ -10,8 +11,8 @@
 //!   voter's state if that is newer.
 //! - election restriction (thesis, 3.6.1): none. Instead, the winner adopts the newest state of its
 //!   quorum (Paxos Made Simple, 2.2).
-//! - `AppendEntries`, log: [`ConsensusMessage::AppendRequest`] (Paxos 2a), which carries a snapshot,
-//!   or a delta from a state that the receiver has.
+//! - `AppendEntries`, log: [`ConsensusMessage::AppendRequest`] (Paxos 2a), which carries a
+//!   snapshot, or a delta from a state that the receiver has.
 //! - commit index: the version of the state that a quorum has accepted in the leader's term.
 //! - pre-vote (thesis, 9.6): the same, [`ConsensusMessage::PreVoteRequest`].
 //! - check quorum, leader lease (thesis, 6.2 and 6.4.1): [`Consensus::authority_until`], computed
@@ -200,8 +201,8 @@
         self.leader
     }
 
-    /// Returns whether this machine was recently in contact with a quorum: as the leader through the
-    /// responses to its heartbeats, or as a follower through a confirmation by its leader.
+    /// Returns whether this machine was recently in contact with a quorum: as the leader through
+    /// the responses to its heartbeats, or as a follower through a confirmation by its leader.
     pub fn in_contact(&self, now: f64) -> bool {
         match self.role {
             Role::Leader(_) => now < self.authority_until(),
@@ -313,10 +314,10 @@
         rank(self.voters(), self.me)
     }
 
-    /// Restarts the election timeout from `now`, with a newly drawn delay.
-    fn reset_election_timer(&mut self, now: f64) {
+    /// Restarts the election timeout at `started_at`, with a newly drawn delay.
+    fn reset_election_timer(&mut self, started_at: f64) {
         let rank = self.rank();
-        self.election_timer.restart_with_new_delay(now, rank);
+        self.election_timer.restart_with_new_delay(started_at, rank);
     }
 
     /// Records that `term` was seen in a message or on disk.
--- a/crates/core/control/src/consensus/replication.rs
+++ b/crates/core/control/src/consensus/replication.rs
@@ -13,8 +13,8 @@
 const MAX_DELTA_EXCESS_BYTES: usize = 1024;
 
 impl Consensus {
-    /// Sends the state to every machine whose present state is known. In parallel, writes it to this
-    /// machine's disk.
+    /// Sends the state to every machine whose present state is known. In parallel, writes it to
+    /// this machine's disk.
     pub(super) fn replicate(&mut self, now: f64, out: &mut Vec<ConsensusOutput>) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -79,8 +79,8 @@
         out.push(ConsensusOutput::to_voter(to, request));
     }
 
-    /// Returns a delta from the receiver's state if the changes since that state are known and small
-    /// enough, and a snapshot otherwise.
+    /// Returns a delta from the receiver's state if the changes since that state are known and
+    /// small enough, and a snapshot otherwise.
     fn payload_for(&self, receiver_digest: Digest) -> StatePayload {
         let max_delta_bytes = self.hard_state.state.config.len() + MAX_DELTA_EXCESS_BYTES;
         let steps = if receiver_digest == self.state_digest {
--- a/crates/core/control/src/consensus/voter_changes.rs
+++ b/crates/core/control/src/consensus/voter_changes.rs
@@ -16,7 +16,8 @@
 /// join, in seconds.
 const REPLACEMENT_TIMEOUT_S: f64 = 1.0;
 /// Maximum time since each voter last answered a heartbeat for a voter to be added, in seconds. One
-/// more voter can make the quorum larger, and that quorum must not depend on voters that are absent.
+/// more voter can make the quorum larger, and that quorum must not depend on voters that are
+/// absent.
 const PRESENCE_TIMEOUT_S: f64 = 0.5;
 /// Time without an answered heartbeat after which a voter is removed if enough voters remain, in
 /// seconds.
@@ -52,8 +53,8 @@
     pub(super) removal_confirmed: bool,
     /// When the last change of the voter set was completed.
     last_change_at: f64,
-    /// Minimum number of voters after a removal. If as many of them fail as the fault budget allows,
-    /// the rest are still a quorum.
+    /// Minimum number of voters after a removal. If as many of them fail as the fault budget
+    /// allows, the rest are still a quorum.
     min_voters: usize,
 }
 
@@ -191,8 +192,8 @@
         })
     }
 
-    /// Returns the voters without one that asks to leave or no longer answers, or `None` if there is
-    /// no such voter or too few voters would remain.
+    /// Returns the voters without one that asks to leave or no longer answers, or `None` if there
+    /// is no such voter or too few voters would remain.
     fn next_removal(&mut self, now: f64) -> Option<Vec<Voter>> {
         let voters = self.voters().to_vec();
         self.voter_changes
@@ -209,7 +210,8 @@
     }
 
     /// Returns the time in seconds since this leader sent the newest heartbeat that a voter
-    /// answered. If the voter answered none, the time counts from when the leader began to track it.
+    /// answered. If the voter answered none, the time counts from when the leader began to track
+    /// it.
     fn seconds_unanswered(&self, now: f64, voter: Voter) -> f64 {
         let Role::Leader(leader) = &self.role else {
             return 0.0;
--- a/crates/core/control/src/leases.rs
+++ b/crates/core/control/src/leases.rs
@@ -51,8 +51,8 @@
     }
 
     /// Records a request from a router that has acknowledged all updates up to
-    /// `acknowledged_update`, and gives the router a lease of `lease_duration_s` seconds from `now`;
-    /// 0 gives no lease.
+    /// `acknowledged_update`, and gives the router a lease of `lease_duration_s` seconds from
+    /// `now`; 0 gives no lease.
     pub fn renew(
         &mut self,
         now: f64,
@@ -140,7 +140,7 @@
         self.former_leases_until
     }
 
-    /// Removes the sessions whose leases expired at least [`SESSION_TTL_S`] ago.
+    /// Removes the sessions whose leases expired at least `SESSION_TTL_S` ago.
     pub fn expire(&mut self, now: f64) {
         self.sessions
             .retain(|_, session| now - session.lease_until < SESSION_TTL_S);
--- a/crates/core/control/src/state.rs
+++ b/crates/core/control/src/state.rs
@@ -24,15 +24,15 @@
 /// The server that is, or is about to become, the primary of a service.
 ///
 /// The record is committed before the platform is asked to promote the server, so that the next
-/// leader knows about the promotion. The promotion is known to be complete when the server reports a
-/// primary term above `min_term`. The record is then committed again, with the server's own primary
-/// term, once no router can use another server as the primary.
+/// leader knows about the promotion. The server is the primary once it reports a primary term above
+/// `min_term`. The record is committed again, with the server's own primary term, once the
+/// promotion is complete and no router can use another server as the primary.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PrimaryRecord {
     /// The server's id.
     pub server_id: String,
-    /// The highest primary term that was known when the server was chosen. After the promotion, the
-    /// server's own primary term.
+    /// The highest primary term that was known when the server was chosen. Once the promotion is
+    /// complete, the server's own primary term.
     pub min_term: u64,
 }
 
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Returns the complete text, for a receiver that has `base`. Returns `None` if the payload is a
-    /// delta from another text.
+    /// Returns the complete text, for a receiver that has `base`. Returns `None` if the payload is
+    /// a delta from another text.
     pub fn resolve(&self, base: &[u8]) -> Option<Rc<[u8]>> {
         match self {
             ConfigPayload::Full(text) => Some(text.clone()),
@@ -130,8 +130,8 @@
 }
 
 impl State {
-    /// Returns the initial state of a system that starts for the first time, on empty disks and with
-    /// `nodes` as the voters.
+    /// Returns the initial state of a system that starts for the first time, on empty disks and
+    /// with `nodes` as the voters.
     pub fn founding(nodes: Vec<NodeId>) -> State {
         State {
             voters: VoterSet::founding(nodes),
--- a/crates/core/control/src/tests/consensus_safety.rs
+++ b/crates/core/control/src/tests/consensus_safety.rs
@@ -139,8 +139,8 @@
     }
 }
 
-/// A machine that answered its leader and then restarted must not vote for another machine while the
-/// leader's lease may rely on that response.
+/// A machine that answered its leader and then restarted must not vote for another machine while
+/// the leader's lease may rely on that response.
 #[test]
 fn restarted_follower_respects_the_lease_that_it_granted() {
     let mut network = Network::new(4);
@@ -169,8 +169,8 @@
     }
 }
 
-/// A leader whose process was suspended has no authority when it resumes, even if messages that were
-/// sent before the suspension arrive then.
+/// A leader whose process was suspended has no authority when it resumes, even if messages that
+/// were sent before the suspension arrive then.
 #[test]
 fn suspended_leader_resumes_without_authority() {
     let mut network = Network::new(5);
@@ -192,8 +192,8 @@
     assert!(network.machines[&leader].consensus.leader_term().is_none());
 }
 
-/// A machine that can send but not receive doesn't raise the term, so the leader is not deposed when
-/// the fault ends.
+/// A machine that can send but not receive doesn't raise the term, so the leader is not deposed
+/// when the fault ends.
 #[test]
 fn machine_that_cannot_receive_does_not_depose_the_leader() {
     let mut network = Network::new(5);
@@ -325,7 +325,8 @@
     assert_eq!(after_write, [ConsensusOutput::Committed]);
 }
 
-/// A machine that lost its disk doesn't vote until the others have made its new incarnation a voter.
+/// A machine that lost its disk doesn't vote until the others have made its new incarnation a
+/// voter.
 #[test]
 fn machine_with_empty_disk_does_not_vote() {
     for lost_disk in 1..=3 {
@@ -351,8 +352,8 @@
     }
 }
 
-/// A machine that lost its disk receives the state even if nothing is proposed meanwhile, and counts
-/// for quorums from then on.
+/// A machine that lost its disk receives the state even if nothing is proposed meanwhile, and
+/// counts for quorums from then on.
 #[test]
 fn machine_with_empty_disk_catches_up() {
     for lost_disk in 1..=3 {
@@ -372,7 +373,8 @@
     }
 }
 
-/// If two disks have the newest state and one of them is lost, the state is recovered from the other.
+/// If two disks have the newest state and one of them is lost, the state is recovered from the
+/// other.
 #[test]
 fn committed_state_survives_the_loss_of_a_disk() {
     for follower in 1..=3 {
--- a/crates/core/control/src/tests/consensus_steps.rs
+++ b/crates/core/control/src/tests/consensus_steps.rs
@@ -63,8 +63,8 @@
 }
 
 /// A candidate may get a pre-vote before another machine is elected, and send its vote request only
-/// after that election. The request must be rejected while the leader's lease may rely on a response
-/// of this machine.
+/// after that election. The request must be rejected while the leader's lease may rely on a
+/// response of this machine.
 #[test]
 fn no_vote_during_the_lease_of_a_leader() {
     let mut machine = follower(&[1, 2, 3]);
@@ -181,8 +181,8 @@
     assert!(receive(&mut machine, 9.3, 1, vote_request).contains(&ConsensusOutput::Persist));
 }
 
-/// A machine that is not a voter and has an older state was removed, so it gets no pre-vote. A voter
-/// with the same older state does.
+/// A machine that is not a voter and has an older state was removed, so it gets no pre-vote. A
+/// voter with the same older state does.
 #[test]
 fn removed_voter_gets_no_pre_vote() {
     let state = Rc::new(State {
@@ -450,8 +450,8 @@
     }
 }
 
-/// A leader steps down when its term is rejected because of a vote for a higher term. A rejection of
-/// one of its earlier terms has no effect.
+/// A leader steps down when its term is rejected because of a vote for a higher term. A rejection
+/// of one of its earlier terms has no effect.
 #[test]
 fn leader_steps_down_for_a_higher_voted_term() {
     let (mut machine, term) = elected_leader();
--- a/crates/core/control/src/tests/elections.rs
+++ b/crates/core/control/src/tests/elections.rs
@@ -119,8 +119,8 @@
     )
 }
 
-/// The candidate has votes of two of the three voters that it knows, but one of them reports a newer
-/// voter set of five. So it needs the votes of three of these five.
+/// The candidate has votes of two of the three voters that it knows, but one of them reports a
+/// newer voter set of five. So it needs the votes of three of these five.
 #[test]
 fn election_needs_a_quorum_of_the_newest_known_voter_set() {
     let first = Rc::new(State::founding(vec![1, 2, 3]));
--- a/crates/core/control/src/tests/voter_changes.rs
+++ b/crates/core/control/src/tests/voter_changes.rs
@@ -1,6 +1,6 @@
 //! Changes of the voter set: machines join, leave, resign and are replaced. No committed state is
-//! lost, no two different states are committed with the same version, and a leader can be elected as
-//! long as no more machines fail than the fault budget allows.
+//! lost, no two different states are committed with the same version, and a leader can be elected
+//! as long as no more machines fail than the fault budget allows.
 
 use super::common::arbtest_budget_ms;
 use super::network::{Election, Network};
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn quorum_of_an_outdated_voter_set_elects_nobody() {
+fn quorum_of_an_outdated_voter_set_elects_no_leader() {
     let mut network = Network::new(7);
     network.run(1.0);
     let outdated = network.machines[&1].disk.clone();
@@ -100,8 +100,8 @@
     network.run(0.5);
     let newest = network.newest_committed_version();
     assert!(newest > 0, "the proposal was committed");
-    // Machine 1 restarts with its outdated disk, and machine 2 with its present one. They are two of
-    // the three voters that machine 1 knows.
+    // Machine 1 restarts with its outdated disk, and machine 2 with its present one. They are two
+    // of the three voters that machine 1 knows.
     for node in [3, 4, 5] {
         network.stop(node);
     }
@@ -196,8 +196,8 @@
     assert!(network.machines[&1].consensus.leader_term().is_some());
 }
 
-/// Two of five voters lose their disks at the same time. Both become voters again soon, and then two
-/// more failures are tolerated.
+/// Two of five voters lose their disks at the same time. Both become voters again soon, and then
+/// two more failures are tolerated.
 #[test]
 fn two_voters_with_lost_disks_rejoin() {
     let mut network = Network::new(3);
@@ -299,8 +299,8 @@
     );
 }
 
-/// Runs this many steps. A step delivers the oldest message in flight, or advances the time if there
-/// is none.
+/// Runs this many steps. A step delivers the oldest message in flight, or advances the time if
+/// there is none.
 fn run_steps(network: &mut Network, steps: u32) {
     for _ in 0..steps {
         if network.in_flight.is_empty() {
@@ -362,7 +362,8 @@
 }
 
 /// A voter is removed while it is down, and the leader fails during that change. The next leader
-/// completes the change, even if it is the removed voter itself. Then the removed voter joins again.
+/// completes the change, even if it is the removed voter itself. Then the removed voter joins
+/// again.
 #[test]
 fn leader_that_removes_itself_gives_up_leadership() {
     let mut led_count = 0;
@@ -446,7 +447,7 @@
 /// A voter that was removed while it was down, and doesn't know it, doesn't become the leader and
 /// doesn't disturb the others.
 #[test]
-fn removed_voter_that_restarts_disturbs_nobody() {
+fn removed_voter_that_restarts_does_not_disturb_the_others() {
     let mut network = Network::new(8);
     network.add_empty_machine(4);
     network.run(3.0);
@@ -510,7 +511,8 @@
     );
 }
 
-/// A leader whose write fails gives up leadership. Its own disk must not have counted for the quorum.
+/// A leader whose write fails gives up leadership. Its own disk must not have counted for the
+/// quorum.
 #[test]
 fn leader_counts_its_own_disk_only_after_the_write() {
     let mut network = Network::new(10);
--- a/crates/core/control/src/text_delta.rs
+++ b/crates/core/control/src/text_delta.rs
@@ -9,8 +9,8 @@
 
 /// Maximum number of tokens in the two texts together. Comparing longer texts would take too long.
 const MAX_COMPARED_TOKENS: usize = 100_000;
-/// Maximum size of the result of a delta, in bytes. A delta of a few bytes can claim to build a huge
-/// text, so the size is checked before memory is reserved.
+/// Maximum size of the result of a delta, in bytes. A delta of a few bytes can claim to build a
+/// huge text, so the size is checked before memory is reserved.
 const MAX_RESULT_BYTES: usize = 8 << 20;
 /// Approximate encoded size of a copy operation, in bytes.
 const ENCODED_COPY_BYTES: usize = 11;
@@ -73,8 +73,8 @@
         (delta.estimated_bytes() < result.len()).then_some(delta)
     }
 
-    /// Builds the result. Returns `None` if `base` is not the text that this delta applies to, or if
-    /// the delta is malformed.
+    /// Builds the result. Returns `None` if `base` is not the text that this delta applies to, or
+    /// if the delta is malformed.
     pub fn apply(&self, base: &[u8]) -> Option<Vec<u8>> {
         let result_bytes = self.result_bytes();
         if Digest::of(base) != self.base || result_bytes > MAX_RESULT_BYTES {
--- a/crates/core/control/tests/encoding.rs
+++ b/crates/core/control/tests/encoding.rs
@@ -1,9 +1,10 @@
 //! Checks the encoding of every type that processes exchange or store on disk against fixtures.
 //!
 //! Control machines and routers of different releases read each other's messages, and a release
-//! reads the disks that another one wrote. So renaming or moving a type must not change its encoding.
-//! Each line of `fixtures/encoding.txt` has the name of a sample and its bytes in hexadecimal. An
-//! intended change of the encoding needs a new line with a new name, written by hand.
+//! reads the disks that another one wrote. So renaming or moving a type must not change its
+//! encoding. Each line of `fixtures/encoding.txt` has the name of a sample and its bytes in
+//! hexadecimal. An intended change of the encoding needs a new line with a new name, written by
+//! hand.
 
 use badgerstream_control::{
     AppliedConfig, ConfigPayload, ConfigUpdate, ConsensusMessage, Digest, HealthReport,
@@ -29,8 +30,8 @@
     check: Box<Check>,
 }
 
-/// Creates the sample `name`. Decoding its fixture must consume all bytes and give `value`. Encoding
-/// the decoded value must give the same bytes again.
+/// Creates the sample `name`. Decoding its fixture must consume all bytes and give `value`.
+/// Encoding the decoded value must give the same bytes again.
 fn sample<T: Encode + Decode<()> + PartialEq + Debug + 'static>(
     name: &'static str,
     value: T,
