--- a/crates/core/control/src/consensus/voter_changes.rs
+++ b/crates/core/control/src/consensus/voter_changes.rs
@@ -10,14 +10,13 @@
 use crate::voter_set::{NodeId, Voter};
 use std::collections::BTreeMap;
 
-/// Time after which a join request expires that was not repeated, in seconds.
+/// Time after which a join request expires unless it is repeated, in seconds.
 const JOIN_REQUEST_TTL_S: f64 = 0.8;
 /// Time without an answered heartbeat after which a voter may be replaced by a machine that asks to
 /// join, in seconds.
 const REPLACEMENT_TIMEOUT_S: f64 = 1.0;
-/// Maximum time since each voter last answered a heartbeat for a voter to be added, in seconds. One
-/// more voter can make the quorum larger, and that quorum must not depend on voters that are
-/// absent.
+/// A voter is added only if every voter answered a heartbeat within this time, in seconds. One more
+/// voter may make the quorum larger, and that quorum must not depend on voters that are absent.
 const PRESENCE_TIMEOUT_S: f64 = 0.5;
 /// Time without an answered heartbeat after which a voter is removed if enough voters remain, in
 /// seconds.
@@ -109,7 +108,7 @@
 
 impl Consensus {
     /// Sets how many voters may fail at the same time. A removal leaves at least
-    /// `2 * fault_budget + 1` voters.
+    /// `2 * fault_budget + 1` voters, and never fewer than three.
     pub fn set_fault_budget(&mut self, fault_budget: usize) {
         self.voter_changes.min_voters = (2 * fault_budget + 1).max(MIN_VOTERS);
     }
