--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -90,8 +90,8 @@
         config: ControlConfig,
     ) -> Controller {
         let consensus_config = ConsensusConfig {
-            election_timeout: config.election_timeout,
-            contact_timeout: config.contact_timeout,
+            election_timeout_s: config.election_timeout,
+            contact_timeout_s: config.contact_timeout,
         };
         Controller {
             node: me.node,
@@ -193,7 +193,7 @@
     pub fn leased_routers(&self, now: f64) -> usize {
         self.leadership
             .as_ref()
-            .map_or(0, |lead| lead.leases.active(now))
+            .map_or(0, |lead| lead.leases.active_count(now))
     }
 
     /// The configuration's epoch and text as committed, as far as is known here.
