--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -172,7 +172,7 @@
             members: &members,
             departed: &departed,
             recorded_primary: self.committed.primaries.get(service),
-            succeeds: &|old, new| self.members.succeeds(old, new),
+            is_replaced_by: &|old, new| self.members.succeeds(old, new),
             same_address: &|one, other| self.members.share_an_address(one, other),
             all_acknowledged: &|number| leases.all_acknowledged(now, number),
             leading_since: lead.since,
@@ -354,7 +354,7 @@
 fn services_to_report_on(now: f64, failovers: &BTreeMap<String, Failover>) -> Vec<String> {
     let mut unresponsive: Vec<((UnresponsiveRole, f64), &String)> = failovers
         .iter()
-        .filter_map(|(service, failover)| Some((failover.unresponsive(now)?, service)))
+        .filter_map(|(service, failover)| Some((failover.unresponsive_server(now)?, service)))
         .collect();
     unresponsive.sort_by(|((role, seconds), _), ((other_role, other_seconds), _)| {
         other_role.cmp(role).then(other_seconds.total_cmp(seconds))
--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -1,41 +1,45 @@
-//! The failover of one service: which server is its primary, when that primary is replaced, and
-//! by which replica.
+//! The failover of one service: decides which server is its primary, when that primary is
+//! replaced, and which replica replaces it.
 //!
-//! [`Failover`] is a state machine without I/O and without a clock. The leading control machine
-//! owns one for each service (see `controller::failover_driver`), calls [`Failover::tick`] with a
-//! [`FailoverContext`], carries out the [`FailoverAction`]s that come back, and reports what came
-//! of them. It never sends anything, never decides about leases, and keeps nothing on disk: what
-//! must outlive this leader is proposed as a [`PrimaryRecord`](crate::state::PrimaryRecord).
+//! [`Failover`] is a state machine without I/O and without a clock; all times are seconds of the
+//! caller's steady clock. The leading control machine owns one `Failover` for each service (see
+//! `controller::failover_driver`): it calls [`Failover::tick`] with a [`FailoverContext`], carries
+//! out the returned [`FailoverAction`]s, and reports their outcomes. A `Failover` sends nothing,
+//! decides nothing about leases, and stores nothing on disk: what must outlive this leader is
+//! proposed as a [`PrimaryRecord`](crate::state::PrimaryRecord).
 //!
 //! # When a primary is replaced
 //!
 //! No server reports its own death. A primary counts as dead when it refuses connections, or when
-//! neither this machine nor any router has had an answer from it for the primary time-out. Before
-//! another server is promoted, every router has acknowledged that the grant is revoked (or its
-//! lease has ended), and all other replicas are paused and queried for their position: every write
-//! that was acknowledged to a client is then on the replica that is furthest ahead.
+//! neither this machine nor any router has received an answer from it within the primary time-out.
+//! Before another server is promoted, every router must have acknowledged the revocation of the
+//! grant (or its lease must have expired), and all other replicas must have been paused and queried
+//! for their log position. Every write that was acknowledged to a client is then on the replica
+//! that is furthest ahead.
 //!
-//! A draining primary is replaced while it still serves. All replicas but the target are paused,
-//! so that whatever is acknowledged from then on is on the target; only once the target is primary
-//! do routers give up the old one.
+//! A draining primary is replaced while it still serves. All replicas except the target are
+//! paused, so that every write acknowledged after that is on the target. Routers stop using the old
+//! primary only after the target has become primary.
 //!
 //! # Phases
 //!
-//! - `Discovering`: to `Steady` when a usable primary is found, to `Revoking` when none turns up
-//!   in time.
-//! - `Steady`: to `Revoking` when the primary is dead or its drain ends, to `Handover` when it
-//!   drains, to `Discovering` when it reports that it isn't primary any more.
-//! - `Revoking`: to `Steady` when the primary is back or another is found, to `Proposing` when a
-//!   replica is chosen.
-//! - `Handover`: to `Proposing` when the target has caught up, to `Steady` when it hasn't in time,
-//!   to `Revoking` when the primary dies.
-//! - `Proposing`: to `Promoting` when the target is committed, to `Discovering` when it isn't.
-//! - `Promoting`: when the target is primary, to `Steady`, or to `Completing` if the promotion is
-//!   planned; when the platform refuses, to `Revoking`, or to `Discovering` if it is planned; to
-//!   `Revoking` when the target is lost.
-//! - `Completing`: to `Steady` when all routers have given up the old primary.
+//! - `Discovering`: changes to `Steady` when a usable primary is found, and to `Revoking` when none
+//!   is found in time.
+//! - `Steady`: changes to `Revoking` when the primary is dead or its drain is about to end, to
+//!   `Handover` when the primary drains, and to `Discovering` when the primary reports that it is
+//!   no longer the primary of its term.
+//! - `Revoking`: changes to `Steady` when the primary is back or another primary is found, and to
+//!   `Proposing` when a replica is chosen as the promotion target.
+//! - `Handover`: changes to `Proposing` when the target has caught up, to `Steady` when it hasn't
+//!   caught up in time, and to `Revoking` when the primary dies.
+//! - `Proposing`: changes to `Promoting` when the target is committed, and to `Discovering` when
+//!   the proposal fails.
+//! - `Promoting`: when the target has become primary, changes to `Steady`, or to `Completing` if
+//!   the promotion is planned. When the platform refuses, changes to `Revoking`, or to
+//!   `Discovering` if the promotion is planned. Changes to `Revoking` when the target is lost.
+//! - `Completing`: changes to `Steady` when no router can use the old primary any more.
 //!
-//! Each phase has its module, with the method that [`Failover::tick`] calls in that phase.
+//! Each phase has a module with the method that [`Failover::tick`] calls in that phase.
 
 mod completing;
 mod discovering;
@@ -59,59 +63,62 @@
 use revocation::Revocation;
 use std::collections::BTreeMap;
 
-/// A server that is the primary of a primary term.
+/// A server, and the primary term in which it is the primary.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Primary {
     server_id: String,
     primary_term: u64,
 }
 
-/// The server that is to be the next primary.
+/// The server that is to become the next primary.
 #[derive(Clone, Debug, PartialEq)]
 struct PromotionTarget {
     server_id: String,
     /// The target counts as promoted once it is the primary of a term above this one.
     after_term: u64,
-    /// The old primary still serves while this target takes its place.
+    /// Whether the old primary keeps serving until the target is primary (it drains), as opposed to
+    /// a promotion after the old primary was given up.
     planned: bool,
 }
 
-/// The requests to the platform for one promotion target.
+/// The requests to the platform to promote one target.
 #[derive(Clone, Debug, PartialEq)]
 struct PromotionAttempt {
     target: PromotionTarget,
-    /// The next request follows `promoting::REQUEST_INTERVAL_S` after this second. That is when
-    /// the last request was sent, moved by the platform's answer.
+    /// The next request is sent `promoting::REQUEST_INTERVAL_S` after this time: the time of the
+    /// last request, shifted according to the platform's answer.
     backoff_from: f64,
-    /// When the first request was sent.
+    /// Time of the first request.
     started_at: f64,
 }
 
-/// A draining primary that is being replaced while it serves.
+/// The replacement of a draining primary while it still serves.
 #[derive(Clone, Debug, PartialEq)]
 struct Handover {
     target_id: String,
-    /// The primary term at which the other replicas are paused.
+    /// The primary term at which the replicas other than the target are paused.
     pause_term: u64,
     started_at: f64,
 }
 
-/// Where the failover of a service stands.
+/// The phase of a service's failover.
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
     /// The primary isn't known; all servers are queried.
     Discovering,
-    /// Routers may use a primary, whose health is watched.
+    /// Routers may use the primary, and its health is monitored.
     Steady,
-    /// The primary is given up: its grant is revoked, and the replicas are paused at this term.
+    /// The primary was given up: its grant is being revoked, and the replicas are being paused at
+    /// this term.
     Revoking { pause_term: u64 },
-    /// The primary drains: all replicas but the target are paused while it serves on.
+    /// The primary drains: all replicas except the target are paused while it still serves.
     Handover(Handover),
     /// The control machines are committing the promotion target.
     Proposing(PromotionTarget),
-    /// The platform is requested to promote the target.
+    /// The platform is being requested to promote the target.
     Promoting(PromotionAttempt),
-    /// The target of a planned promotion is primary; routers are giving up the old one.
+    /// The target of a planned promotion, given here, is primary. The grant of the old primary is
+    /// being revoked.
     Completing(Primary),
 }
 
@@ -121,27 +128,28 @@
     config: FailoverConfig,
     phase: Phase,
     observations: BTreeMap<String, Observation>,
-    /// The primary that routers may use, or used last.
+    /// The primary that was last granted to routers.
     primary: Option<Primary>,
-    /// How far the revocation of its grant has come.
+    /// The state of the revocation of that primary's grant.
     revocation: Revocation,
-    /// When the primary last answered any router, as far as routers have reported.
+    /// Time of the primary's last answer to any router, according to the routers' reports, or time
+    /// of the grant if that is later.
     primary_reported_at: f64,
-    /// The newest positions of the primary, oldest first.
+    /// The newest log positions of the primary, oldest first.
     primary_positions: Vec<PositionSample>,
-    /// No planned replacement and no new discovery ends before this second.
+    /// Until this time no handover begins, and no primary counts as missing.
     retry_at: f64,
-    /// The completed change of the primary is proposed again after this second.
+    /// Until this time the completed change of the primary is not proposed again.
     record_retry_at: f64,
     polling_delay: PollingDelay,
     /// The requests to the platform that may still take effect.
     pending_promotion: PendingPromotion,
-    /// Since when the revocation has been complete.
+    /// When this machine found the revocation complete; `None` while it isn't.
     revoked_since: Option<f64>,
 }
 
 impl Failover {
-    /// The failover of a service of which nothing is known yet.
+    /// Creates the failover of a service about which nothing is known yet.
     pub(crate) fn new(config: FailoverConfig) -> Failover {
         Failover {
             config,
@@ -159,12 +167,13 @@
         }
     }
 
-    /// The name of the phase for operators: in the `primaries` JSON, metric labels and log lines.
+    /// Returns the name of the phase for operators, used in the `primaries` JSON, in metric labels
+    /// and in log lines.
     ///
-    /// These words are documented output (users' pages, dashboards and tests rely on them), and
-    /// therefore older than the names in the code: `finding` is [`Phase::Discovering`], `closing`
-    /// [`Phase::Revoking`], `handing` [`Phase::Handover`], `agreeing` [`Phase::Proposing`], and
-    /// `switching` [`Phase::Completing`].
+    /// These names are documented output that users' pages, dashboards and tests rely on, so they
+    /// stay although the code uses other names: `finding` is [`Phase::Discovering`], `closing` is
+    /// [`Phase::Revoking`], `handing` is [`Phase::Handover`], `agreeing` is [`Phase::Proposing`],
+    /// and `switching` is [`Phase::Completing`].
     pub(crate) fn phase(&self) -> &'static str {
         match self.phase {
             Phase::Discovering => "finding",
@@ -177,12 +186,12 @@
         }
     }
 
-    /// Whether a primary is in use and no change is under way.
+    /// Returns whether a primary is in use and no change is under way.
     pub(crate) fn is_steady(&self) -> bool {
         self.phase == Phase::Steady
     }
 
-    /// Whether exactly this primary is in use and no change is under way.
+    /// Returns whether this server, at this term, is the primary in use and no change is under way.
     pub(crate) fn is_steady_with(&self, server_id: &str, primary_term: u64) -> bool {
         self.is_steady()
             && self.primary.as_ref().is_some_and(|primary| {
@@ -190,10 +199,10 @@
             })
     }
 
-    /// Advances the failover to the second `context.now`, and returns what is to be done.
+    /// Advances the failover to the time `context.now`, and returns the actions to carry out.
     pub(crate) fn tick(&mut self, context: &FailoverContext<'_>) -> Vec<FailoverAction> {
         let mut actions = Vec::new();
-        self.forget_former_members(context);
+        self.discard_former_members(context);
         match self.phase.clone() {
             Phase::Discovering => self.tick_discovering(context, &mut actions),
             Phase::Steady => self.tick_steady(context, &mut actions),
@@ -209,23 +218,23 @@
         actions
     }
 
-    /// Drops what was observed of servers that are no members any more, except of the primary: its
-    /// position decides which replica may be promoted.
-    fn forget_former_members(&mut self, context: &FailoverContext<'_>) {
+    /// Discards the observations of servers that are no longer members. The primary's are kept,
+    /// because its log position decides which replica may be promoted.
+    fn discard_former_members(&mut self, context: &FailoverContext<'_>) {
         let primary = self.primary.as_ref();
         self.observations.retain(|id, _| {
             context.is_member(id) || primary.is_some_and(|primary| primary.server_id == *id)
         });
     }
 
-    /// Whether this server is the primary that routers may use, or used last.
+    /// Returns whether this server is the primary that was last granted to routers.
     fn is_primary(&self, server_id: &str) -> bool {
         self.primary
             .as_ref()
             .is_some_and(|primary| primary.server_id == server_id)
     }
 
-    /// The term of the primary that routers may use, or used last; 0 before the first.
+    /// Returns the term of the primary that was last granted to routers; 0 before the first grant.
     fn current_primary_term(&self) -> u64 {
         self.primary
             .as_ref()
--- a/crates/core/control/src/failover/completing.rs
+++ b/crates/core/control/src/failover/completing.rs
@@ -1,5 +1,5 @@
 //! The phase [`Phase::Completing`](super::Phase::Completing): the target of a planned promotion is
-//! primary, and routers are giving up the old one.
+//! primary, and the grant of the old primary is being revoked.
 
 use super::{Failover, FailoverAction, FailoverContext, Primary, ServerCommand};
 
--- a/crates/core/control/src/failover/discovering.rs
+++ b/crates/core/control/src/failover/discovering.rs
@@ -1,13 +1,13 @@
 //! The phase [`Phase::Discovering`](super::Phase::Discovering): no primary is known, and all
-//! servers are queried for one.
+//! servers are queried to find it.
 
 use super::{Failover, FailoverAction, FailoverContext, Primary, Revocation, ServerCommand};
 
-/// A primary counts as missing only after this many heartbeat intervals.
-const MISSING_AFTER_HEARTBEATS: f64 = 2.5;
-/// The last answer of a server that is taken for the primary is no older than this.
+/// The primary counts as missing after this many heartbeat intervals at the earliest.
+const PRIMARY_MISSING_AFTER_HEARTBEATS: f64 = 2.5;
+/// Maximum age of the last answer of a server that is accepted as the primary.
 const ANSWER_MAX_AGE_S: f64 = 1.0;
-/// How long servers that don't answer are waited for, if no primary is recorded.
+/// Maximum time to wait for members that don't report a status, if no primary is recorded.
 const UNREACHABLE_WAIT_S: f64 = 1.0;
 
 impl Failover {
@@ -32,7 +32,8 @@
             self.adopt_primary(context, found, actions);
         } else if self.is_primary_missing(context) {
             if self.primary.is_none() && self.revocation == Revocation::None {
-                // This leader has granted nothing, and the grants of former leaders have ended.
+                // This leader has granted nothing, and the leases on grants of former leaders have
+                // expired.
                 self.revocation = Revocation::Announced(0);
             }
             log::info!(
@@ -43,19 +44,19 @@
         }
     }
 
-    /// Whether another server is to be promoted, as no usable primary turned up in the time that
-    /// the heartbeats of all servers need to come in.
+    /// Returns whether the primary counts as missing, so that another server is to be promoted: no
+    /// usable primary was found in the time within which the heartbeats of all servers arrive.
     fn is_primary_missing(&self, context: &FailoverContext<'_>) -> bool {
         let timeout = self
             .config
             .primary_timeout
-            .max(MISSING_AFTER_HEARTBEATS * self.config.heartbeat_interval);
+            .max(PRIMARY_MISSING_AFTER_HEARTBEATS * self.config.heartbeat_interval);
         context.now - self.polling_since(context) > timeout
             && context.now > context.not_before
             && context.now > self.retry_at
     }
 
-    /// Grants the primary that was found, once routers can't use another.
+    /// Grants the primary that was found, as soon as no router can use another one.
     fn adopt_primary(
         &mut self,
         context: &FailoverContext<'_>,
@@ -63,11 +64,11 @@
         actions: &mut Vec<FailoverAction>,
     ) {
         match (&self.primary, self.revocation) {
-            // Routers may still use the one before.
+            // Routers may still use the previous primary.
             (Some(old), Revocation::None) if *old != found => self.revoke_grant(actions),
-            // Routers may have used another under the former leader until a moment ago.
+            // Routers may still hold leases of the former leader that cover another primary.
             (None, Revocation::None)
-                if context.records_another(&found.server_id, found.primary_term)
+                if context.is_other_primary_recorded(&found.server_id, found.primary_term)
                     && !(context.all_acknowledged)(0) => {}
             (_, Revocation::Unannounced | Revocation::Announced(_))
                 if !self.is_revoked(context) => {}
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The server that is primary and may be used as such.
+    /// Returns the server that is primary, if routers may use it.
     pub(super) fn find_primary(&self, context: &FailoverContext<'_>) -> Option<Primary> {
         let highest_log_term = self.highest_log_term();
         let found = context.members.iter().find_map(|member| {
@@ -90,9 +91,9 @@
             })
         })?;
         let may_be_used = match context.recorded_primary {
-            Some(_) => context.is_recorded(&found.server_id, found.primary_term),
-            // Control machines have promoted nobody: whichever server is primary may be used, once
-            // all members had the time to report that they are.
+            Some(_) => context.is_recorded_primary(&found.server_id, found.primary_term),
+            // The control machines haven't promoted any server, so whichever server is primary may
+            // be used, once all members have had time to report whether they are primary.
             None => {
                 self.all_reported(context)
                     || context.now - self.polling_since(context) > UNREACHABLE_WAIT_S
@@ -101,7 +102,7 @@
         may_be_used.then_some(found)
     }
 
-    /// Whether all members have reported a status.
+    /// Returns whether all members have reported a status.
     fn all_reported(&self, context: &FailoverContext<'_>) -> bool {
         context
             .members
--- a/crates/core/control/src/failover/handover.rs
+++ b/crates/core/control/src/failover/handover.rs
@@ -1,33 +1,34 @@
-//! The phase [`Phase::Handover`]: the primary drains, and another server
-//! is made ready to take its place while it serves.
+//! The phase [`Phase::Handover`]: the primary drains but still serves, while another server is
+//! prepared to replace it.
 
 use super::{
     Failover, FailoverAction, FailoverContext, Handover, Phase, Position, PromotionTarget,
     ServerCommand,
 };
 
-/// Between two attempts to pause a replica.
+/// Interval between two attempts to pause a replica.
 const PAUSE_INTERVAL_S: f64 = 0.05;
-/// Between two queries to a paused replica, until one confirms the pause.
+/// Interval between two queries to a paused replica until an answer confirms the pause.
 const CONFIRM_INTERVAL_S: f64 = 0.02;
-/// Between two queries to the target.
+/// Interval between two queries to the target.
 const TARGET_QUERY_INTERVAL_S: f64 = 0.04;
-/// The target must be ready within this time.
+/// Maximum time for pausing the other replicas and for the target to catch up.
 const HANDOVER_TIMEOUT_S: f64 = 1.5;
-/// Between a handover that timed out and the next.
+/// Minimum time between a handover that timed out and the next one.
 const RETRY_BACKOFF_S: f64 = 0.5;
 
-/// How far the pausing of the replicas other than the target has come.
+/// The state of pausing the replicas other than the target.
 struct PauseProgress {
+    /// Every such replica is paused.
     complete: bool,
-    /// The furthest position of the paused replicas.
+    /// The position of the paused replica that is furthest ahead.
     furthest: Position,
-    /// When the last of them answered.
+    /// Time of the latest answer of any of the paused replicas.
     last_answered_at: f64,
 }
 
 impl Failover {
-    /// Begins a handover, if any server can take the primary's place.
+    /// Begins a handover, if any server can replace the primary.
     pub(super) fn begin_handover(
         &mut self,
         context: &FailoverContext<'_>,
@@ -37,8 +38,8 @@
             return;
         };
         if context.sync_replicas == 0 {
-            // Pausing replicas doesn't keep this primary from acknowledging writes: routers must
-            // give it up first.
+            // Writes are acknowledged without replicas, so pausing them doesn't keep this primary
+            // from acknowledging writes. Its grant must be revoked first.
             self.abandon_primary(actions);
             return;
         }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Queries the primary and the target, and pauses the others.
+    /// Queries the primary and the target, and pauses the other replicas.
     fn prepare_servers(
         &mut self,
         context: &FailoverContext<'_>,
@@ -107,7 +108,7 @@
             ServerCommand::Status,
             actions,
         );
-        let progress = self.pause_bystanders(context, primary_id, handover, actions);
+        let progress = self.pause_other_replicas(context, primary_id, handover, actions);
         self.send_command(
             context.now,
             &handover.target_id,
@@ -118,8 +119,8 @@
         progress
     }
 
-    /// Pauses all replicas but the target.
-    fn pause_bystanders(
+    /// Pauses all replicas except the target.
+    fn pause_other_replicas(
         &mut self,
         context: &FailoverContext<'_>,
         primary_id: &str,
@@ -131,10 +132,10 @@
             furthest: (0, 0),
             last_answered_at: f64::NEG_INFINITY,
         };
-        let bystanders = context
+        let other_replicas = context
             .members_except(Some(primary_id))
             .filter(|member| member.id != handover.target_id);
-        for member in bystanders {
+        for member in other_replicas {
             let observation = self.observed(&member.id);
             match observation.paused {
                 Some(pause) if pause.term == handover.pause_term => {
@@ -153,8 +154,8 @@
                     }
                 }
                 _ => {
-                    progress.complete &= self.is_represented(context, &member.id);
-                    let command = self.bystander_command(&member.id, handover.pause_term);
+                    progress.complete &= self.is_paused_under_other_id(context, &member.id);
+                    let command = self.fencing_command(&member.id, handover.pause_term);
                     self.send_command(context.now, &member.id, PAUSE_INTERVAL_S, command, actions);
                 }
             }
@@ -162,9 +163,10 @@
         progress
     }
 
-    /// The command that has a server receive nothing more while the target takes over. A former
-    /// primary that doesn't know yet that it was replaced can't be paused, and steps down first.
-    fn bystander_command(&self, server_id: &str, pause_term: u64) -> ServerCommand {
+    /// Returns the command that keeps a server other than the target from receiving more of the log
+    /// during the handover. A former primary that doesn't know yet that it was replaced can't be
+    /// paused; it must step down first.
+    fn fencing_command(&self, server_id: &str, pause_term: u64) -> ServerCommand {
         let observation = self.observed(server_id);
         let primary_term = self.current_primary_term();
         if observation.claims_primary() && observation.is_deposed_by(primary_term) {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Whether the target has all that the paused replicas have, by a status that was queried
-    /// after they were paused.
+    /// Returns whether the target has everything that the paused replicas have, according to a
+    /// status that was queried after their last answers.
     fn has_caught_up(&self, target_id: &str, progress: &PauseProgress) -> bool {
         let observation = self.observed(target_id);
         observation.failing_since.is_none()
@@ -186,8 +188,8 @@
                 || progress.furthest == (0, 0))
     }
 
-    /// Whether the target has all that departed servers had. They may have had writes that no
-    /// server has now but the primary.
+    /// Returns whether the target has all writes that departed servers had. No member except the
+    /// primary may have some of these writes.
     fn has_writes_of_departed(
         &self,
         context: &FailoverContext<'_>,
@@ -202,6 +204,6 @@
             .departed
             .iter()
             .filter(|departed| departed.id != primary_id)
-            .all(|departed| self.is_covered(departed.inactive_since, received))
+            .all(|departed| self.primary_was_at_or_before(received, departed.inactive_since))
     }
 }
--- a/crates/core/control/src/failover/interface.rs
+++ b/crates/core/control/src/failover/interface.rs
@@ -1,140 +1,144 @@
-//! What goes into and comes out of a [`Failover`](super::Failover): its settings, the members and
-//! leadership that it goes by, the commands that it sends to servers, and their outcomes.
+//! The inputs and outputs of a [`Failover`](super::Failover): its settings, the context of each
+//! step, the commands to servers with their outcomes, and the actions for its owner.
 
 use crate::members::DepartedMember;
 use crate::state::PrimaryRecord;
 
-/// A position in a service's log: primary term and number within it, compared in that order.
+/// A position in a service's log: the primary term and the number within that term, compared in
+/// that order.
 pub type Position = (u64, u64);
 
-/// The status that a server reports of itself.
+/// The status that a server reports about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// The server sees itself as the primary.
+    /// Whether the server considers itself the primary.
     pub is_primary: bool,
-    /// The primary term of its log.
+    /// Primary term of the server's log.
     pub primary_term: u64,
-    /// The end of its log.
+    /// End of the server's log.
     pub received: Position,
-    /// The highest primary term that it has seen, in its log or in a command.
+    /// Highest primary term that the server has seen, in its log or in a command.
     pub highest_term: u64,
 }
 
-/// A command to a server. The commands and their answers are described in the users' wire page.
+/// A command to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerCommand {
-    /// Report the status; changes nothing.
+    /// Report the status, and change nothing.
     Status,
-    /// Receive nothing more of the log until a promotion or [`ServerCommand::Resume`]; from then
-    /// on the server holds this primary term.
+    /// Stop receiving the log until a promotion or [`ServerCommand::Resume`], and hold this primary
+    /// term: report it as the highest term seen.
     Pause(u64),
-    /// Receive the log again.
+    /// Start receiving the log again.
     Resume,
-    /// Become a replica if the own primary term is below this one.
+    /// Become a replica if the server's own primary term is below this one.
     StepDown(u64),
 }
 
-/// What came of a command to a server.
+/// The outcome of a command to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandOutcome {
     /// The server answered with its status.
     Status {
-        /// The command that it answered.
+        /// The command that was answered.
         command: ServerCommand,
-        /// Its status.
+        /// The status in the answer.
         status: ServerStatus,
-        /// When the command was sent, in seconds of this machine's clock.
+        /// Time at which the command was sent, in seconds of this machine's steady clock.
         sent_at: f64,
     },
     /// The server answered, but without a status.
     Busy,
-    /// No answer in time, or the connection broke.
+    /// The server didn't answer in time, or the connection broke.
     TimedOut,
     /// Nothing listens at the server's address, or another server does.
     Refused,
-    /// The command was not sent, since this machine may no longer act as the leader.
+    /// The command was not sent, because this machine may no longer act as the leader.
     NotSent,
 }
 
-/// The settings of failover; all spans in seconds.
+/// The settings of failover; all durations are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct FailoverConfig {
-    /// Between two status queries to a primary.
+    /// Interval between two status queries to a primary.
     pub primary_poll_interval: f64,
-    /// Between two status queries to a replica.
+    /// Interval between two status queries to a replica.
     pub replica_poll_interval: f64,
-    /// A primary that has answered nobody for this long counts as dead.
+    /// A primary that has answered neither the leader nor any router for this long counts as dead.
     pub primary_timeout: f64,
-    /// How long an answer to a command is awaited.
+    /// Maximum time to wait for the answer to a command.
     pub query_timeout: f64,
-    /// Between two heartbeats of a server.
+    /// Interval between two heartbeats of a server.
     pub heartbeat_interval: f64,
-    /// How long a draining server may be used, from when it first reported that it drains.
+    /// Maximum time for which a draining server may be used after its first report that it drains.
     pub drain_timeout: f64,
 }
 
-/// A member of the service, as far as failover needs to know it.
+/// What failover needs to know about a member of the service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerCandidate {
-    /// The member's server id.
+    /// The server's id.
     pub id: String,
-    /// Since when it has been draining.
+    /// Time since which the server has been draining.
     pub draining_since: Option<f64>,
-    /// When any control machine or router last saw it alive.
+    /// Time at which the server was last seen alive by a control machine or a router.
     pub last_seen: f64,
 }
 
-/// Everything outside the service's own state that a step depends on.
+/// Everything outside the [`Failover`](super::Failover) itself that a step depends on. Times are
+/// seconds of this machine's steady clock.
 pub(crate) struct FailoverContext<'a> {
-    /// The current second of this machine's clock.
+    /// Current time.
     pub now: f64,
     /// The members of the service.
     pub members: &'a [ServerCandidate],
-    /// Former members that left or timed out a while ago.
+    /// Former members that left or timed out and are still remembered.
     pub departed: &'a [DepartedMember],
-    /// The primary that the control machines committed last. Its term is a lower bound until the
-    /// change is complete, that is, until no router can use another server any more.
+    /// The primary that the control machines committed last. The record's term is a lower bound
+    /// until the change is complete, that is, until no router can use another server any more.
     pub recorded_primary: Option<&'a PrimaryRecord>,
-    /// Whether the second server has replaced the first one at its address, and so has its log.
-    pub succeeds: &'a dyn Fn(&str, &str) -> bool,
-    /// Whether two ids of the service stand for one address, and so for one log.
+    /// Returns whether the first server was replaced by the second one at its address. The second
+    /// server then has the first one's log.
+    pub is_replaced_by: &'a dyn Fn(&str, &str) -> bool,
+    /// Returns whether two server ids of the service have the same address, and so the same log.
     pub same_address: &'a dyn Fn(&str, &str) -> bool,
-    /// Whether every router that holds a lease has acknowledged the updates up to this number.
+    /// Returns whether every router that holds a lease has acknowledged all updates up to and
+    /// including this number.
     pub all_acknowledged: &'a dyn Fn(u64) -> bool,
-    /// Since when this machine has been the leader.
+    /// Time since which this machine has been the leader.
     pub leading_since: f64,
-    /// Until then leases and platform requests of former leaders may be in force, and nothing may
-    /// be changed; infinite while the members may not all be known.
+    /// Until this time, leases and platform requests of former leaders may be in force, and nothing
+    /// may be changed. Infinite while this leader may not know all members.
     pub not_before: f64,
-    /// How many replicas have a write before it is acknowledged to the client.
+    /// Number of replicas that have a write before it is acknowledged to the client.
     pub sync_replicas: u32,
 }
 
 impl FailoverContext<'_> {
-    /// The member with this id.
+    /// Returns the member with this id.
     fn member(&self, server_id: &str) -> Option<&ServerCandidate> {
         self.members.iter().find(|member| member.id == server_id)
     }
 
-    /// Whether this server is a member of the service.
+    /// Returns whether this server is a member of the service.
     pub(super) fn is_member(&self, server_id: &str) -> bool {
         self.member(server_id).is_some()
     }
 
-    /// Since when this member has been draining.
+    /// Returns the time since which this member has been draining.
     pub(super) fn draining_since(&self, server_id: &str) -> Option<f64> {
         self.member(server_id)
             .and_then(|member| member.draining_since)
     }
 
-    /// Whether a member has replaced this server at its address, and so has its log.
-    pub(super) fn has_successor(&self, server_id: &str) -> bool {
+    /// Returns whether a member has replaced this server at its address, and so has its log.
+    pub(super) fn has_replacement(&self, server_id: &str) -> bool {
         self.members
             .iter()
-            .any(|member| (self.succeeds)(server_id, &member.id))
+            .any(|member| (self.is_replaced_by)(server_id, &member.id))
     }
 
-    /// All members but this one.
+    /// Returns all members except this one.
     pub(super) fn members_except<'c>(
         &'c self,
         excluded_id: Option<&'c str>,
@@ -144,23 +148,24 @@
             .filter(move |member| Some(member.id.as_str()) != excluded_id)
     }
 
-    /// Whether this primary is the recorded one: itself or its successor at the address, at the
-    /// recorded term or a later one.
-    pub(super) fn is_recorded(&self, server_id: &str, primary_term: u64) -> bool {
+    /// Returns whether this primary matches the recorded one: it is the recorded server or the one
+    /// that replaced it at its address, and its term isn't below the recorded one.
+    pub(super) fn is_recorded_primary(&self, server_id: &str, primary_term: u64) -> bool {
         self.recorded_primary.is_some_and(|record| {
             primary_term >= record.min_term
-                && (record.server_id == server_id || (self.succeeds)(&record.server_id, server_id))
+                && (record.server_id == server_id
+                    || (self.is_replaced_by)(&record.server_id, server_id))
         })
     }
 
-    /// Whether a primary is recorded, and it isn't exactly this one.
-    pub(super) fn records_another(&self, server_id: &str, primary_term: u64) -> bool {
+    /// Returns whether a primary is recorded that differs from this one, in server or term.
+    pub(super) fn is_other_primary_recorded(&self, server_id: &str, primary_term: u64) -> bool {
         self.recorded_primary
             .is_some_and(|record| record.server_id != server_id || record.min_term != primary_term)
     }
 }
 
-/// What a step of the failover asks its owner to do.
+/// What the owner of a [`Failover`](super::Failover) is to do after a step.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum FailoverAction {
     /// Send a command to a server, and report the outcome with
@@ -169,10 +174,11 @@
         server_id: String,
         command: ServerCommand,
     },
-    /// Have the control machines commit that this server is to be the primary of a term above
-    /// `after_term`, and call [`Failover::proposal_decided`](super::Failover::proposal_decided).
+    /// Propose to the control machines that this server becomes the primary of a term above
+    /// `after_term`, and report the result with
+    /// [`Failover::proposal_decided`](super::Failover::proposal_decided).
     ProposePrimary { server_id: String, after_term: u64 },
-    /// Have the control machines commit that the change to this primary is complete.
+    /// Propose to the control machines to record that the change to this primary is complete.
     RecordComplete {
         server_id: String,
         primary_term: u64,
@@ -180,12 +186,12 @@
     /// Request the platform to promote this server, and report the outcome with
     /// [`Failover::promotion_completed`](super::Failover::promotion_completed).
     Promote { server_id: String },
-    /// Publish the grant of the service, and call
+    /// Publish this grant to the routers, and report the number of the update that contains it with
     /// [`Failover::grant_announced`](super::Failover::grant_announced).
     Grant {
         server_id: String,
         primary_term: u64,
-        /// The grant is taken back: routers must not use the server any more.
+        /// Whether the grant is revoked: routers must not use the server any more.
         revoking: bool,
     },
 }
--- a/crates/core/control/src/failover/observation.rs
+++ b/crates/core/control/src/failover/observation.rs
@@ -1,60 +1,62 @@
-//! What was observed of each server: the commands that were sent to it, and its answers.
+//! What is known about each server from the commands that were sent to it and from its answers.
 
 use super::polling::PositionSample;
 use super::{CommandOutcome, Failover, FailoverAction, Position, ServerCommand, ServerStatus};
 
-/// How many positions of the primary are kept.
-const PRIMARY_POSITIONS_KEPT: usize = 32;
+/// Maximum number of log positions of the primary that are kept.
+const MAX_PRIMARY_POSITIONS: usize = 32;
 
-/// A pause of a replica.
+/// The pause of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Pause {
-    /// The primary term at which it is paused.
+    /// The primary term at which the replica is paused.
     pub(super) term: u64,
-    /// The end of its log.
+    /// The end of the replica's log, as last reported while paused.
     pub(super) position: Position,
 }
 
-/// What was observed of one server.
+/// What was observed of one server. Times are seconds of this machine's steady clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Observation {
-    /// The last status that it reported.
+    /// The last status that the server reported.
     pub(super) status: Option<ServerStatus>,
-    /// When the command was sent that was answered with that status.
+    /// Time at which the command answered by `status` was sent.
     pub(super) status_queried_at: f64,
-    /// When it last answered this machine, with or without a status.
+    /// Time of the server's last answer to this machine, with or without a status.
     pub(super) answered_at: f64,
-    /// When it last answered any router, as far as routers have reported.
+    /// Time of the server's last answer to any router, according to the routers' reports.
     pub(super) answered_router_at: f64,
-    /// Since when it hasn't answered this machine.
+    /// Time of the first of the latest consecutive failures to get an answer; `None` if the last
+    /// command was answered.
     pub(super) failing_since: Option<f64>,
-    /// Its address refused the last command.
+    /// Whether the last failure was a refused connection.
     pub(super) refused: bool,
-    /// When the last command was sent to it.
+    /// Time at which the last command was sent to the server.
     pub(super) commanded_at: f64,
-    /// The answer to that command is awaited.
+    /// Whether the outcome of that command is still awaited.
     pub(super) awaiting_answer: bool,
-    /// It is paused.
+    /// The pause of the server, if it is known to be paused.
     pub(super) paused: Option<Pause>,
-    /// A pause at this term was sent, and may have taken effect whatever came back.
+    /// The term of a pause that was sent. It may have taken effect even if no answer arrived.
     pub(super) pause_requested_term: Option<u64>,
-    /// Its status reports the term at which it is paused. Not all servers do.
+    /// Whether the server's status reports the term at which it is paused. Not all servers do.
     reports_pause_term: bool,
-    /// It answered the last command without a status.
+    /// Whether the server answered the last command without a status.
     pub(super) busy: bool,
-    /// When the query was sent that, after the answer to the pause, showed it still paused.
+    /// Time at which the latest query was sent whose answer, after the answer to the pause, showed
+    /// the server still paused.
     pub(super) pause_confirmed_at: Option<f64>,
-    /// It was resumed, and its answer showed that it holds this term.
+    /// The highest term that the server reported in its answer to `RESUME`.
     pub(super) resumed_term: Option<u64>,
 }
 
 impl Observation {
-    /// The server is reachable and sees itself as the primary.
+    /// Returns whether the server is reachable and considers itself the primary.
     pub(super) fn claims_primary(&self) -> bool {
         self.failing_since.is_none() && self.status.is_some_and(|status| status.is_primary)
     }
 
-    /// The server answered a command that was sent at `sent_at` with a status.
+    /// Records that the server answered a command, sent at `sent_at`, with a status.
     fn record_status(
         &mut self,
         now: f64,
@@ -67,7 +69,7 @@
         self.status_queried_at = sent_at;
         self.busy = false;
         match command {
-            // A primary can't be paused, and reports that it is primary.
+            // A primary can't be paused; its answer reports that it is the primary.
             ServerCommand::Pause(_) if status.is_primary => self.clear_pause(),
             ServerCommand::Pause(term) => {
                 self.begin_pause(term, status.received);
@@ -83,18 +85,19 @@
         }
     }
 
-    /// Concludes from the term that a status reports whether the server is paused.
+    /// Updates whether the server is paused, according to the term that its status reports.
     fn update_pause(&mut self, status: ServerStatus, sent_at: f64) {
         let lost_pause = |term: u64| self.reports_pause_term && status.highest_term < term;
         match (self.pause_requested_term, self.paused) {
-            // The answer to the pause was lost, or another attempt paused it.
+            // The answer to the pause was lost, or another attempt paused the server.
             (Some(term), None) if !status.is_primary && status.highest_term >= term => {
                 self.begin_pause(term, status.received);
             }
-            // It restarted, or was resumed by another leader.
+            // The server restarted, or another leader resumed it.
             (_, Some(pause)) if lost_pause(pause.term) => self.clear_pause(),
             (Some(term), None) if lost_pause(term) => self.pause_requested_term = None,
-            // The position of now counts: a late `RESUME` may have let it go on for a moment.
+            // The latest position counts: a late `RESUME` may have let the server receive more of
+            // the log for a moment.
             (_, Some(pause)) if !status.is_primary => {
                 self.paused = Some(Pause {
                     term: pause.term,
@@ -122,8 +125,8 @@
         self.refused = false;
     }
 
-    /// The server didn't answer. One that refuses connections has ended or restarted, and isn't
-    /// paused any more; one that times out may still be.
+    /// Records that the server didn't answer. A server that refuses connections has ended or
+    /// restarted, so it isn't paused any more; a server that times out may still be paused.
     fn record_failure(&mut self, now: f64, refused: bool) {
         self.paused = None;
         self.busy = false;
@@ -136,7 +139,7 @@
 }
 
 impl Failover {
-    /// A router reported that this server answered it at that second.
+    /// Records a router's report that this server answered it at the time `answered_at`.
     pub(crate) fn health_reported(&mut self, server_id: &str, answered_at: f64) {
         if self.is_primary(server_id) {
             self.primary_reported_at = self.primary_reported_at.max(answered_at);
@@ -146,7 +149,7 @@
         }
     }
 
-    /// A command of [`FailoverAction::SendCommand`] has ended.
+    /// Records the outcome of a command of [`FailoverAction::SendCommand`].
     pub(crate) fn command_completed(&mut self, now: f64, server_id: &str, outcome: CommandOutcome) {
         let observation = self.observations.entry(server_id.to_owned()).or_default();
         observation.awaiting_answer = false;
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Records the position that a status reports, if it is the primary's.
+    /// Records the log position of a status, if it is the status of the current primary at its
+    /// term.
     fn record_primary_position(&mut self, server_id: &str, status: ServerStatus, sent_at: f64) {
         let is_current = self.primary.as_ref().is_some_and(|primary| {
             primary.server_id == server_id && primary.primary_term == status.primary_term
@@ -181,13 +185,13 @@
             queried_at: sent_at,
             position: status.received,
         });
-        if self.primary_positions.len() > PRIMARY_POSITIONS_KEPT {
+        if self.primary_positions.len() > MAX_PRIMARY_POSITIONS {
             self.primary_positions.remove(0);
         }
     }
 
-    /// Sends a command to a server, unless an answer of it is awaited or the last command was sent
-    /// less than `interval` seconds ago.
+    /// Sends a command to a server, unless the outcome of the last command is still awaited or that
+    /// command was sent less than `interval` seconds ago.
     pub(super) fn send_command(
         &mut self,
         now: f64,
@@ -212,7 +216,7 @@
         });
     }
 
-    /// What was observed of this server.
+    /// Returns what was observed of this server.
     pub(super) fn observed(&self, server_id: &str) -> Observation {
         self.observations
             .get(server_id)
@@ -226,24 +230,26 @@
             .filter_map(|observation| observation.status)
     }
 
-    /// The highest primary term that any server holds, be it by a pause.
+    /// Returns the highest primary term that any server reports, in its log or as the highest term
+    /// that it has seen, such as that of a pause.
     pub(super) fn highest_held_term(&self) -> u64 {
         self.statuses()
             .map(|status| status.primary_term.max(status.highest_term))
             .fold(self.current_primary_term(), u64::max)
     }
 
-    /// The highest primary term in the log of any server. A pause raises the term that a server
-    /// holds, and leaves that of its log.
+    /// Returns the highest primary term in the log of any server. A pause raises the highest term
+    /// that a server has seen, but not the term of its log.
     pub(super) fn highest_log_term(&self) -> u64 {
         self.statuses()
             .map(|status| status.primary_term)
             .fold(self.current_primary_term(), u64::max)
     }
 
-    /// Whether the primary, queried after the second `since`, had no more than this position: a
-    /// server that was down by then has nothing that a replica with this position lacks.
-    pub(super) fn is_covered(&self, since: f64, position: Position) -> bool {
+    /// Returns whether the primary, at a query sent after the time `since`, was not ahead of
+    /// `position`. A server that was down by that time has nothing that a replica at `position`
+    /// lacks.
+    pub(super) fn primary_was_at_or_before(&self, position: Position, since: f64) -> bool {
         self.primary_positions
             .iter()
             .any(|sample| sample.queried_at > since && sample.position <= position)
--- a/crates/core/control/src/failover/polling.rs
+++ b/crates/core/control/src/failover/polling.rs
@@ -1,43 +1,44 @@
-//! How the failovers of many services share the leader's time: their polling slows down with the
-//! number of services, late steps don't count as time-outs, and routers report on the health of
-//! servers only where that is wanted.
+//! What a failover needs to share the leader with the failovers of many other services: late steps
+//! must not count as time-outs of servers, and routers report on the health of servers only for
+//! services that need it.
 
 use super::{Failover, FailoverConfig, FailoverContext, Phase, Position};
 
-/// If two steps are further apart than this, servers were not queried in between, and their
-/// silence proves nothing.
-const LATE_STEP_S: f64 = 0.1;
-/// For how long a late step extends the primary time-out.
+/// A step is late if it follows the previous one by more than this. Servers were not queried in
+/// between, so their silence proves nothing.
+const LATE_STEP_THRESHOLD_S: f64 = 0.1;
+/// A late step extends the primary time-out for this long.
 const LATE_STEP_EFFECT_S: f64 = 1.0;
 
-/// A position of the primary.
+/// A log position that the primary reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PositionSample {
-    /// When the query was sent that the primary answered with this position.
+    /// Time at which the query was sent that the primary answered with this position.
     pub(super) queried_at: f64,
     pub(super) position: Position,
 }
 
-/// The role of a server of the service that doesn't answer; the greater one matters more.
+/// The role of a server that doesn't answer; the greater role is reported on first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum UnresponsiveRole {
     Replica,
-    /// The primary that routers use.
+    /// The primary that is granted to routers.
     Primary,
 }
 
-/// How regularly this failover is stepped.
+/// Tracks how late the steps of this failover are.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PollingDelay {
     first_step_at: f64,
     last_step_at: Option<f64>,
-    /// The longest recent time between two steps, and when the later of them was.
+    /// The longest recent time between two steps in seconds, and the time of the later step.
     longest_gap: f64,
     longest_gap_ended_at: f64,
 }
 
 impl PollingDelay {
-    /// A step begins; returns by how many seconds late steps extend the primary time-out.
+    /// Records the start of a step. Returns the number of seconds by which late steps extend the
+    /// primary time-out.
     fn begin_step(&mut self, now: f64) -> f64 {
         if self.last_step_at.is_none() {
             self.first_step_at = now;
@@ -50,7 +51,7 @@
             self.longest_gap = gap;
             self.longest_gap_ended_at = now;
         }
-        if self.longest_gap > LATE_STEP_S {
+        if self.longest_gap > LATE_STEP_THRESHOLD_S {
             self.longest_gap
         } else {
             0.0
@@ -59,7 +60,7 @@
 }
 
 impl Failover {
-    /// A step begins that goes by this configuration.
+    /// Starts a step with this configuration, whose primary time-out is extended by late steps.
     pub(crate) fn begin_step(&mut self, now: f64, config: FailoverConfig) {
         let delay = self.polling_delay.begin_step(now);
         self.config = FailoverConfig {
@@ -68,14 +69,15 @@
         };
     }
 
-    /// Since when this machine has been the leader and has polled this service.
+    /// Returns the time since which this machine has both been the leader and polled this service.
     pub(super) fn polling_since(&self, context: &FailoverContext<'_>) -> f64 {
         context.leading_since.max(self.polling_delay.first_step_at)
     }
 
-    /// If routers are to report on this service's servers: the role of the one that doesn't
-    /// answer, and for how many seconds it has answered nobody.
-    pub(crate) fn unresponsive(&self, now: f64) -> Option<(UnresponsiveRole, f64)> {
+    /// If routers are to report on this service's servers, returns the role of the server that
+    /// doesn't answer and the number of seconds for which it has answered neither this machine nor
+    /// any router.
+    pub(crate) fn unresponsive_server(&self, now: f64) -> Option<(UnresponsiveRole, f64)> {
         if let Some(seconds) = self.primary_unresponsive_for(now) {
             return Some((UnresponsiveRole::Primary, seconds));
         }
@@ -83,8 +85,8 @@
         Some((UnresponsiveRole::Replica, seconds))
     }
 
-    /// If this machine has had no answer of the primary in use for half the time-out: for how
-    /// many seconds nobody has had one.
+    /// If the primary in use hasn't answered this machine for half the primary time-out, returns
+    /// the number of seconds for which it has answered neither this machine nor any router.
     fn primary_unresponsive_for(&self, now: f64) -> Option<f64> {
         if !matches!(self.phase, Phase::Steady | Phase::Handover(_)) {
             return None;
@@ -98,9 +100,9 @@
         (now - answered_at > 0.5 * self.config.primary_timeout).then_some(unanswered)
     }
 
-    /// For how many seconds a replica that this machine can't reach has answered nobody, the
-    /// longest of all. Such a replica may go on, and be the only one with what the primary
-    /// acknowledged; routers can tell.
+    /// Returns the longest time in seconds for which a replica that this machine can't reach has
+    /// answered neither this machine nor any router. Such a replica may still run and be the only
+    /// one that has all writes which the primary acknowledged; routers can tell whether it runs.
     fn replica_unresponsive_for(&self, now: f64) -> Option<f64> {
         self.observations
             .iter()
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -1,5 +1,5 @@
 //! The phases [`Phase::Proposing`] and [`Phase::Promoting`]: the control machines commit the
-//! promotion target, and the platform is requested to promote it.
+//! promotion target, and then the platform is requested to promote it.
 
 use super::{
     Failover, FailoverAction, FailoverContext, Phase, Primary, PromotionAttempt, PromotionTarget,
@@ -7,21 +7,22 @@
 };
 use crate::promotion::PromotionOutcome;
 
-/// Between two queries to the target.
+/// Interval between two queries to the target.
 const TARGET_QUERY_INTERVAL_S: f64 = 0.025;
-/// Between two commands to each of the other servers.
+/// Interval between two commands to each of the other servers.
 const OTHERS_COMMAND_INTERVAL_S: f64 = 0.1;
-/// Between two requests to the platform.
+/// Interval between two requests to the platform, counted from `PromotionAttempt::backoff_from`.
 const REQUEST_INTERVAL_S: f64 = 1.0;
-/// By how much the next request is later if the platform has accepted the last.
+/// The next request is sent this much later if the platform accepted the last one.
 const ACCEPTED_DELAY_S: f64 = 1.0;
-/// By how much it is sooner if the platform was overloaded or failed.
+/// The next request is sent this much sooner if the platform was overloaded, couldn't be reached or
+/// gave no clear answer.
 const FAILED_ADVANCE_S: f64 = 0.8;
-/// Between a promotion that the platform refused and the next planned one.
+/// Minimum time between a promotion that the platform refused and the next planned one.
 const RETRY_BACKOFF_S: f64 = 1.0;
 
 impl Failover {
-    /// The proposal of the target was committed, or came to nothing. Returns what is to be done.
+    /// Records whether the proposal of the target was committed. Returns the action to carry out.
     pub(crate) fn proposal_decided(&mut self, now: f64, committed: bool) -> Option<FailoverAction> {
         let Phase::Proposing(target) = &self.phase else {
             return None;
@@ -41,7 +42,7 @@
         Some(FailoverAction::Promote { server_id })
     }
 
-    /// A request to the platform to promote this server has ended.
+    /// Records the outcome of a request to the platform to promote this server.
     pub(crate) fn promotion_completed(
         &mut self,
         now: f64,
@@ -63,7 +64,7 @@
             return;
         };
         match outcome {
-            // The target isn't running: another is chosen.
+            // The platform refused the target, so another server is chosen.
             PromotionOutcome::Refused => {
                 self.retry_at = now + RETRY_BACKOFF_S;
                 self.phase = if target.planned {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Requests the platform once more to promote the target.
+    /// Repeats the request to the platform to promote the target.
     fn retry_promotion(
         &mut self,
         now: f64,
@@ -141,7 +142,7 @@
         });
     }
 
-    /// The target is primary of this term.
+    /// Continues after the target has become the primary of this term.
     fn conclude_promotion(
         &mut self,
         context: &FailoverContext<'_>,
@@ -169,8 +170,8 @@
         }
     }
 
-    /// If the target isn't primary when the old primary's drain is about to end, nothing new may
-    /// reach the old one any more.
+    /// Revokes the grant if the drain of the old primary is about to end before the target is
+    /// primary: no new work may reach the old primary any more.
     fn revoke_at_drain_end(
         &mut self,
         context: &FailoverContext<'_>,
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Keeps all other servers from acknowledging anything that the target would lack: an old
-    /// primary that is back, and replicas that are back or new.
+    /// Keeps all other servers from acknowledging writes that the target would lack: an old primary
+    /// that is back, and replicas that are back or new.
     fn fence_others(
         &mut self,
         context: &FailoverContext<'_>,
@@ -203,7 +204,7 @@
         for member in context.members_except(Some(&target.server_id)) {
             let observation = self.observed(&member.id);
             let command = if self.is_primary(&member.id) {
-                // In a planned promotion it serves until the target is primary.
+                // In a planned promotion the old primary serves until the target is primary.
                 observation
                     .step_down_command()
                     .filter(|_| !target.planned)
--- a/crates/core/control/src/failover/promotion_target.rs
+++ b/crates/core/control/src/failover/promotion_target.rs
@@ -1,37 +1,38 @@
-//! Which server is promoted: the one that is furthest ahead, once it is known to have every write
-//! that was acknowledged.
+//! Chooses the server to promote: the one whose log is furthest ahead, once that server is known to
+//! have every acknowledged write.
 
 use super::{
     Failover, FailoverAction, FailoverContext, Phase, Position, PromotionTarget, ServerCandidate,
 };
 use std::cmp::Reverse;
 
-/// A server that can't be reached may have received the log for this long after its last answer.
+/// A server that can't be reached may have received more of the log until this long after it began
+/// to fail, or after it last answered a router.
 const FAILING_GRACE_S: f64 = 0.5;
-/// A server that departed this long before this machine led was outlived by others that have
-/// followed the primary since.
+/// A server that departed this long before this machine became the leader is ignored if this leader
+/// has no position of the primary: other replicas have followed the primary since.
 const LONG_DEPARTED_S: f64 = 5.0;
 
-/// A server that could be promoted.
+/// A server that could be promoted, with the end of its log.
 pub(super) struct RankedCandidate<'a> {
     pub(super) server_id: &'a str,
     pub(super) position: Position,
 }
 
-/// What decides between candidates at the same position; the greatest is preferred.
+/// Orders candidates at the same position; the greatest is preferred.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Preference<'a> {
-    /// The platform hasn't just refused to promote it.
+    /// The platform hasn't refused a moment ago to promote the server.
     not_refused: bool,
-    /// It is the recorded primary: a former leader may have requested its promotion, and a second
-    /// request for the same server does no harm.
+    /// The server is the recorded primary: a former leader may have requested its promotion, and a
+    /// second request for the same server is harmless.
     is_recorded: bool,
     not_draining: bool,
     lowest_id: Reverse<&'a str>,
 }
 
 impl Failover {
-    /// The server that is furthest ahead, of those that answer and are `eligible`.
+    /// Returns the server whose log is furthest ahead, among those that answer and are `eligible`.
     pub(super) fn furthest_candidate<'a>(
         &self,
         context: &'a FailoverContext<'_>,
@@ -49,7 +50,7 @@
             })
     }
 
-    /// The end of a server's log, if it answers.
+    /// Returns the end of a server's log, if the server answers.
     fn candidate_position(&self, server_id: &str) -> Option<Position> {
         let observation = self.observations.get(server_id)?;
         let status = observation
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Proposes the furthest of the paused replicas, if it is known to have all acknowledged
+    /// Proposes the paused replica that is furthest ahead, if it is known to have all acknowledged
     /// writes.
     pub(super) fn choose_target(
         &mut self,
@@ -93,7 +94,9 @@
         else {
             return;
         };
-        if context.sync_replicas > 0 && self.spare_replicas(context, old_primary_id, position) < 0 {
+        if context.sync_replicas > 0
+            && self.spare_replica_count(context, old_primary_id, position) < 0
+        {
             return;
         }
         if !self.pending_promotion.permits(context.now, server_id) {
@@ -128,9 +131,13 @@
         self.phase = Phase::Proposing(target);
     }
 
-    /// Whether another id at the address of this server is paused. Whichever process answers
-    /// there has the log, no matter which of the ids sent the last heartbeat.
-    pub(super) fn is_represented(&self, context: &FailoverContext<'_>, server_id: &str) -> bool {
+    /// Returns whether a server with another id at the address of this one is paused. The process
+    /// that answers at the address has the log, whichever of the ids sent the last heartbeat.
+    pub(super) fn is_paused_under_other_id(
+        &self,
+        context: &FailoverContext<'_>,
+        server_id: &str,
+    ) -> bool {
         context
             .members
             .iter()
@@ -138,16 +145,16 @@
             .any(|member| self.observed(&member.id).paused.is_some())
     }
 
-    /// How many more replicas could be out of reach without an acknowledged write being lost, if
-    /// the replica at this position is promoted; below zero, one may be lost.
+    /// Returns how many more replicas could be unreachable without loss of an acknowledged write,
+    /// if the replica at this position is promoted. Below zero, such a write may be lost.
     ///
-    /// A write is acknowledged once `sync_replicas` replicas have it besides the primary. If no
-    /// more servers than that are out of reach, the furthest of the others has every such write.
-    /// A server out of reach doesn't count if it is known that it had nothing which the chosen one
-    /// lacks: the primary had no more when that server was already down, or after nothing was
-    /// acknowledged any more. A server that answers routers isn't down, though it doesn't answer
-    /// this machine.
-    fn spare_replicas(
+    /// A write is acknowledged once `sync_replicas` replicas have it in addition to the primary. If
+    /// no more servers than that are unreachable, the furthest of the others has every acknowledged
+    /// write. An unreachable server doesn't count if it is known to have nothing that the chosen
+    /// one lacks: the primary had no more at a time when that server was already down, or when no
+    /// writes were acknowledged any more. A server that answers routers isn't down, even if it
+    /// doesn't answer this machine.
+    fn spare_replica_count(
         &self,
         context: &FailoverContext<'_>,
         old_primary_id: Option<&str>,
@@ -155,7 +162,7 @@
     ) -> i64 {
         let unreachable = context
             .members_except(old_primary_id)
-            .filter(|member| self.may_have_more(context, member, position))
+            .filter(|member| self.may_have_later_writes(context, member, position))
             .count();
         let departed = context
             .departed
@@ -164,8 +171,8 @@
             .filter(|departed| {
                 let long_departed = self.primary_positions.is_empty()
                     && departed.inactive_since < context.leading_since - LONG_DEPARTED_S;
-                !self.is_covered(self.unchanged_since(departed.inactive_since), position)
-                    && !long_departed
+                let unchanged_since = self.unchanged_since(departed.inactive_since);
+                !self.primary_was_at_or_before(position, unchanged_since) && !long_departed
             })
             .count();
         i64::from(context.sync_replicas)
@@ -174,15 +181,16 @@
             - departed as i64
     }
 
-    /// Whether this member isn't paused and may have acknowledged writes beyond this position.
-    fn may_have_more(
+    /// Returns whether this member isn't paused and may have acknowledged writes beyond this
+    /// position.
+    fn may_have_later_writes(
         &self,
         context: &FailoverContext<'_>,
         member: &ServerCandidate,
         position: Position,
     ) -> bool {
         let observation = self.observed(&member.id);
-        if observation.paused.is_some() || self.is_represented(context, &member.id) {
+        if observation.paused.is_some() || self.is_paused_under_other_id(context, &member.id) {
             return false;
         }
         let down_since = observation
@@ -190,11 +198,12 @@
             .unwrap_or(context.now)
             .max(observation.answered_router_at)
             + FAILING_GRACE_S;
-        !self.is_covered(self.unchanged_since(down_since), position)
+        !self.primary_was_at_or_before(position, self.unchanged_since(down_since))
     }
 
-    /// From when on a server that is down since then had no new acknowledged writes: since it is
-    /// down, or since the revocation, after which no router gets an acknowledgement.
+    /// Returns the time since which a server that has been down since `down_since` can't have
+    /// received new acknowledged writes: that time, or the time when the revocation was complete
+    /// if that is earlier, since no router gets an acknowledgement after it.
     fn unchanged_since(&self, down_since: f64) -> f64 {
         self.revoked_since
             .map_or(down_since, |revoked_since| down_since.min(revoked_since))
--- a/crates/core/control/src/failover/revocation.rs
+++ b/crates/core/control/src/failover/revocation.rs
@@ -1,30 +1,31 @@
-//! The grant of a service's primary: how it is given to routers and taken back from them.
+//! Grants a service's primary to the routers, and revokes the grant.
 //!
-//! A router may use a primary only under a lease that covers the grant. Taking a grant back is
-//! therefore complete once every router has acknowledged the revocation, or holds no lease.
+//! A router may use a primary only while it holds a lease that covers the grant. A revocation is
+//! therefore complete once every router either has acknowledged it or holds no lease.
 
 use super::{Failover, FailoverAction, FailoverContext, Phase, Primary};
 
-/// How far the revocation of the primary's grant has come.
+/// The state of the revocation of the primary's grant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Revocation {
-    /// The grant stands, or none was given yet.
+    /// The grant is in force, or no primary was granted yet.
     None,
-    /// The revocation was decided on, and has no update number yet.
+    /// The revocation was decided, but isn't part of an update to routers yet.
     Unannounced,
-    /// The revocation is part of the update with this number.
+    /// The revocation is part of the update to routers with this number.
     Announced(u64),
 }
 
 impl Failover {
-    /// The grant of the last [`FailoverAction::Grant`] is part of the update with this number.
+    /// Records that the grant of the last [`FailoverAction::Grant`] is part of the update to
+    /// routers with this number.
     pub(crate) fn grant_announced(&mut self, update_number: u64) {
         if self.revocation == Revocation::Unannounced {
             self.revocation = Revocation::Announced(update_number);
         }
     }
 
-    /// Lets routers use this primary, and enters [`Phase::Steady`].
+    /// Grants this primary to the routers, and enters [`Phase::Steady`].
     pub(super) fn grant_primary(
         &mut self,
         now: f64,
@@ -34,7 +35,7 @@
         if self.primary.as_ref() != Some(&primary) {
             self.primary_positions.clear();
         }
-        // Where the logs of paused replicas ended under another primary decides nothing any more.
+        // The log positions at which replicas were paused under an earlier primary are obsolete.
         for observation in self.observations.values_mut() {
             observation.paused = None;
         }
@@ -48,12 +49,12 @@
         });
         self.primary = Some(primary);
         self.revocation = Revocation::None;
-        // The time-out begins now, as routers have had no occasion to report on it.
+        // The primary time-out starts now, as routers couldn't report on this primary before.
         self.primary_reported_at = now;
         self.phase = Phase::Steady;
     }
 
-    /// Takes the grant back, unless that was done already.
+    /// Revokes the grant, unless that was done already.
     pub(super) fn revoke_grant(&mut self, actions: &mut Vec<FailoverAction>) {
         if self.revocation != Revocation::None {
             return;
@@ -70,7 +71,7 @@
         });
     }
 
-    /// Takes the grant back and enters [`Phase::Revoking`]: another server is to be promoted.
+    /// Revokes the grant and enters [`Phase::Revoking`], so that another server is promoted.
     pub(super) fn abandon_primary(&mut self, actions: &mut Vec<FailoverAction>) {
         let pause_term = self.highest_held_term() + 1;
         self.revoke_grant(actions);
@@ -78,7 +79,7 @@
         self.phase = Phase::Revoking { pause_term };
     }
 
-    /// Whether no router can use the primary any more.
+    /// Returns whether no router can use the primary any more.
     pub(super) fn is_revoked(&self, context: &FailoverContext<'_>) -> bool {
         let acknowledged = match self.revocation {
             Revocation::None => self.primary.is_none(),
--- a/crates/core/control/src/failover/revoking.rs
+++ b/crates/core/control/src/failover/revoking.rs
@@ -1,33 +1,36 @@
-//! The phase [`Phase::Revoking`]: the primary is given up. Its grant is
-//! being revoked, and all other replicas are paused and queried for how far their logs go, until
-//! one of them can be promoted or a primary turns up that may be used.
+//! The phase [`Phase::Revoking`]: the primary was given up. Its grant is being revoked, and all
+//! other servers are paused and queried for their log positions, until one of them can be promoted
+//! or a usable primary is found.
 
 use super::{
     Failover, FailoverAction, FailoverContext, Observation, Phase, Primary, ServerCandidate,
     ServerCommand,
 };
 
-/// Between two queries to the primary that was given up.
+/// Interval between two queries to the primary that was given up.
 const PRIMARY_QUERY_INTERVAL_S: f64 = 0.1;
-/// Between two attempts to pause a replica.
+/// Interval between two attempts to pause a replica.
 const PAUSE_INTERVAL_S: f64 = 0.05;
-/// Between two queries to a paused replica, until one confirms the pause.
+/// Interval between two queries to a paused replica until an answer confirms the pause.
 const CONFIRM_INTERVAL_S: f64 = 0.02;
-/// A primary is back if its last answer is no older than this.
+/// Maximum age of the last answer of a primary that counts as back.
 const RETURNED_ANSWER_MAX_AGE_S: f64 = 0.3;
-/// The same for the time at which that answer's query was sent.
+/// Maximum age of the query that a primary that counts as back has answered with its last status.
 const RETURNED_QUERY_MAX_AGE_S: f64 = 0.5;
-/// The status by which a former primary counts as a replica is no older than this.
+/// Maximum age of the query whose status shows that a former primary is a replica, or that it is
+/// back.
 const STATUS_MAX_AGE_S: f64 = 1.0;
-/// A replica that hasn't answered for this long may be left out.
-const UNREACHABLE_EXCUSED_AFTER_S: f64 = 0.5;
+/// A replica that hasn't answered for longer than this need not be paused before a promotion.
+const UNREACHABLE_EXEMPT_AFTER_S: f64 = 0.5;
 
-/// How far the pausing of the replicas has come.
+/// The state of pausing the replicas.
 struct PauseProgress {
-    /// All that must be paused are, and none has received anything since the revocation.
+    /// All replicas that must be paused are paused, and none has received any of the log since the
+    /// revocation was complete.
     complete: bool,
-    /// A server holds the pause term or a higher one, at which it can't be paused.
-    outrun: bool,
+    /// A reachable server already reports the pause term or a higher one, so it can't be paused at
+    /// that term.
+    pause_term_too_low: bool,
 }
 
 impl Failover {
@@ -40,10 +43,10 @@
         if self.reinstate_primary(context, actions) {
             return;
         }
-        let old_primary_id = self.unreplaced_primary(context);
+        let old_primary_id = self.old_primary_to_leave_unpaused(context);
         let old_primary_id = old_primary_id.as_deref();
         let is_revoked = self.is_revoked(context);
-        // A server that was promoted before may be primary by now.
+        // A server whose promotion was requested earlier may be primary by now.
         if let Some(found) = self.find_primary(context)
             && Some(found.server_id.as_str()) != old_primary_id
             && is_revoked
@@ -62,7 +65,7 @@
             None
         };
         let progress = self.pause_replicas(context, old_primary_id, pause_term, actions);
-        if progress.outrun {
+        if progress.pause_term_too_low {
             self.phase = Phase::Revoking {
                 pause_term: self.highest_held_term() + 1,
             };
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Uses the primary again if it is back, with all that it had. Returns whether it is.
+    /// Grants the primary again if it is back with its log. Returns whether it is.
     fn reinstate_primary(
         &mut self,
         context: &FailoverContext<'_>,
@@ -97,7 +100,8 @@
         true
     }
 
-    /// Whether the primary answers again as what it was, and nothing speaks against using it.
+    /// Returns whether the primary answers again as the primary of the same term, and may be used:
+    /// no other server is recorded as primary, it doesn't drain, and no log has a later term.
     fn is_primary_back(&self, context: &FailoverContext<'_>, primary: &Primary) -> bool {
         let observation = self.observed(&primary.server_id);
         let answers = observation.failing_since.is_none()
@@ -117,17 +121,19 @@
             && self.highest_log_term() <= primary.primary_term
     }
 
-    /// The old primary, unless it is to be paused and may be chosen like any replica.
-    fn unreplaced_primary(&self, context: &FailoverContext<'_>) -> Option<String> {
+    /// Returns the id of the old primary, unless that server is to be paused and may be promoted
+    /// like any replica.
+    fn old_primary_to_leave_unpaused(&self, context: &FailoverContext<'_>) -> Option<String> {
         let id = &self.primary.as_ref()?.server_id;
         let counts_as_replica = self.is_replica(id, context.now)
-            || context.has_successor(id)
+            || context.has_replacement(id)
             || self.must_step_down(context, id);
         (!counts_as_replica).then(|| id.clone())
     }
 
-    /// Whether the old primary is back, but another server was committed as primary meanwhile and
-    /// may have been promoted: it is made a replica, and counts as one.
+    /// Returns whether the old primary is back, but another server was committed as primary in the
+    /// meantime and may have been promoted. The old primary is then made a replica, and counts as
+    /// one.
     fn must_step_down(&self, context: &FailoverContext<'_>, server_id: &str) -> bool {
         let observation = self.observed(server_id);
         let is_back = observation.claims_primary()
@@ -148,7 +154,7 @@
             && observation.status.is_some_and(|status| !status.is_primary)
     }
 
-    /// Pauses all replicas, that is, all servers but the old primary.
+    /// Pauses all replicas, that is, all members except the old primary.
     fn pause_replicas(
         &mut self,
         context: &FailoverContext<'_>,
@@ -159,7 +165,7 @@
         let is_revoked = self.revoked_since.is_some();
         let mut progress = PauseProgress {
             complete: true,
-            outrun: false,
+            pause_term_too_low: false,
         };
         for member in context.members_except(old_primary_id) {
             let observation = self.observed(&member.id);
@@ -170,14 +176,15 @@
                 progress.complete &= self.confirm_pause(context.now, member, is_revoked, actions);
                 continue;
             }
-            progress.complete &= is_excused(context, member, &observation)
+            progress.complete &= is_exempt_from_pause(context, member, &observation)
                 || self.is_primary_position_final(&observation)
-                || self.is_represented(context, &member.id);
-            progress.outrun |= observation.failing_since.is_none()
+                || self.is_paused_under_other_id(context, &member.id);
+            progress.pause_term_too_low |= observation.failing_since.is_none()
                 && observation.status.is_some_and(|status| {
                     status.primary_term.max(status.highest_term) >= pause_term
                 });
-            // A primary can't be paused; while routers may use it, it isn't stepped down either.
+            // A primary can't be paused. While routers may still use it, it isn't stepped down
+            // either.
             let step_down = observation.step_down_command().filter(|_| is_revoked);
             let command = step_down.unwrap_or_else(|| observation.pause_command(pause_term));
             self.send_command(context.now, &member.id, PAUSE_INTERVAL_S, command, actions);
@@ -185,8 +192,9 @@
         progress
     }
 
-    /// Queries a paused replica. Returns whether it is known to have been paused still when the
-    /// revocation was complete: it then has what the old primary acknowledged to any router.
+    /// Queries a paused replica. Returns whether an answer has shown that the replica was still
+    /// paused after the revocation was complete: its reported position is then final, and no router
+    /// gets an acknowledgement of a later write.
     fn confirm_pause(
         &mut self,
         now: f64,
@@ -205,8 +213,9 @@
         is_confirmed
     }
 
-    /// Whether this replica, which doesn't answer, may be left out since the primary reported its
-    /// position after the revocation: whichever replica is chosen must have all of that.
+    /// Returns whether this replica, which doesn't answer, need not be paused because the old
+    /// primary has reported its position after the revocation was complete: whichever replica is
+    /// promoted must have everything up to that position.
     fn is_primary_position_final(&self, observation: &Observation) -> bool {
         observation.failing_since.is_some()
             && self.revoked_since.is_some_and(|revoked_since| {
@@ -217,15 +226,15 @@
     }
 }
 
-/// Whether a replica that can't be reached may be left out, as it has been down for a while and
-/// the primary went on without it.
-fn is_excused(
+/// Returns whether an unreachable replica need not be paused, because it has been down for a while
+/// and neither control machines nor routers have seen it alive since.
+fn is_exempt_from_pause(
     context: &FailoverContext<'_>,
     member: &ServerCandidate,
     observation: &Observation,
 ) -> bool {
     observation.failing_since.is_some_and(|failing_since| {
-        member.last_seen < failing_since + UNREACHABLE_EXCUSED_AFTER_S
-            && context.now - failing_since > UNREACHABLE_EXCUSED_AFTER_S
+        member.last_seen < failing_since + UNREACHABLE_EXEMPT_AFTER_S
+            && context.now - failing_since > UNREACHABLE_EXEMPT_AFTER_S
     })
 }
--- a/crates/core/control/src/failover/steady.rs
+++ b/crates/core/control/src/failover/steady.rs
@@ -1,28 +1,29 @@
-//! The phase [`Phase::Steady`]: routers use a primary, whose health is
-//! watched, and its replicas are kept following it.
+//! The phase [`Phase::Steady`]: routers use a primary. Its health is monitored, and replicas that
+//! don't follow it are made to do so.
 
 use super::{
     Failover, FailoverAction, FailoverContext, Phase, Primary, ServerCommand, ServerStatus,
 };
 
-/// Between two commands to a replica that doesn't follow.
+/// Interval between two commands to a replica that doesn't follow the primary.
 const REPLICA_COMMAND_INTERVAL_S: f64 = 0.1;
-/// Between two proposals that record the completed change.
+/// Interval between two proposals to record the completed change.
 const RECORD_INTERVAL_S: f64 = 1.0;
-/// A draining primary is given up this long before its drain time-out.
+/// A draining primary that hasn't been replaced is given up this long before its drain time-out.
 const DRAIN_MARGIN_S: f64 = 0.7;
 
 /// Why a primary counts as dead.
 pub(super) struct PrimaryDeath {
-    /// Its address refuses connections.
+    /// Whether its address refuses connections.
     refused: bool,
-    /// For how long it has answered nobody.
+    /// Seconds for which it has answered neither this machine nor any router.
     silent_s: f64,
 }
 
-/// A command, and the seconds between two of the kind.
+/// A command to be repeated.
 struct ScheduledCommand {
     command: ServerCommand,
+    /// Seconds between two such commands.
     interval: f64,
 }
 
@@ -37,7 +38,7 @@
             return;
         };
         self.poll_servers(context, &primary, actions);
-        if let Some(status) = self.status_of_changed_primary(&primary) {
+        if let Some(status) = self.status_of_former_primary(&primary) {
             log::info!(
                 "event=primary_changed_itself server={} term={}",
                 primary.server_id,
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Queries the primary and its replicas, and has replicas follow that don't.
+    /// Queries the primary and its replicas, and sends commands to replicas that don't follow the
+    /// primary.
     fn poll_servers(
         &mut self,
         context: &FailoverContext<'_>,
@@ -80,10 +82,11 @@
         }
     }
 
-    /// What is sent to a replica of a primary of this term.
+    /// Returns the command to send to a replica of a primary of this term.
     fn replica_command(&self, server_id: &str, primary_term: u64) -> ScheduledCommand {
         let observation = self.observed(server_id);
-        // A server that holds a term above the primary's was paused, by this leader or a former.
+        // A replica that reports a highest term above the primary's was paused, by this leader or a
+        // former one, unless it still reported that term after it was resumed.
         let unpaused_term = observation
             .resumed_term
             .map_or(primary_term, |held| held.max(primary_term));
@@ -109,9 +112,9 @@
         }
     }
 
-    /// The status by which the primary is none any more in its term, unless routers have had
-    /// answers of it since.
-    fn status_of_changed_primary(&self, primary: &Primary) -> Option<ServerStatus> {
+    /// Returns the status with which the server reported that it is no longer the primary of its
+    /// term, unless a router has received an answer from the server since that status was queried.
+    fn status_of_former_primary(&self, primary: &Primary) -> Option<ServerStatus> {
         let observation = self.observed(&primary.server_id);
         let status = observation
             .status
@@ -121,14 +124,14 @@
         is_newest.then_some(status)
     }
 
-    /// Proposes that the change to this primary is complete, unless it is recorded as such.
+    /// Proposes to record that the change to this primary is complete, unless that is recorded.
     fn record_completed_change(
         &mut self,
         context: &FailoverContext<'_>,
         primary: &Primary,
         actions: &mut Vec<FailoverAction>,
     ) {
-        if context.records_another(&primary.server_id, primary.primary_term)
+        if context.is_other_primary_recorded(&primary.server_id, primary.primary_term)
             && context.now > self.record_retry_at
         {
             self.record_retry_at = context.now + RECORD_INTERVAL_S;
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Whether the primary counts as dead: it refuses connections, or has answered neither this
-    /// machine nor any router within the time-out.
+    /// Returns why the primary counts as dead, if it does: it refuses connections, or has answered
+    /// neither this machine nor any router within the primary time-out.
     pub(super) fn primary_death(&self, now: f64) -> Option<PrimaryDeath> {
         let primary_id = self
             .primary
@@ -148,7 +151,8 @@
             .map_or("", |primary| primary.server_id.as_str());
         let observation = self.observed(primary_id);
         let silent_s = now - observation.answered_at.max(self.primary_reported_at);
-        // A router may have had an answer after this machine was refused, by a restarted server.
+        // A router may have received an answer after this machine was refused: the server may have
+        // restarted in between.
         let refused = observation.refused
             && observation
                 .failing_since
@@ -157,7 +161,7 @@
             .then_some(PrimaryDeath { refused, silent_s })
     }
 
-    /// Begins to replace a primary that has been draining since that second.
+    /// Begins to replace a primary that has been draining since the time `draining_since`.
     fn replace_draining(
         &mut self,
         context: &FailoverContext<'_>,
@@ -173,7 +177,8 @@
         }
     }
 
-    /// Whether a server that has been draining since that second is about to end.
+    /// Returns whether a server that has been draining since the time `draining_since` is about to
+    /// reach its drain time-out.
     pub(super) fn is_drain_ending(&self, now: f64, draining_since: f64) -> bool {
         now - draining_since > self.config.drain_timeout - DRAIN_MARGIN_S
     }
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -121,7 +121,7 @@
             members: &self.members,
             departed: &[],
             recorded_primary: Some(&record),
-            succeeds: &|_, _| false,
+            is_replaced_by: &|_, _| false,
             same_address: &|_, _| false,
             all_acknowledged: &|_| true,
             leading_since: 0.0,
