--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -144,7 +144,7 @@
         self.leadership.is_some()
     }
 
-    /// Returns whether this machine leads and no other machine can lead at this time.
+    /// Returns whether this machine leads and knows that no other machine does.
     pub fn may_act(&self, now: f64) -> bool {
         self.is_leader() && now < self.consensus.authority_until()
     }
--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -41,9 +41,9 @@
             .is_some_and(|lead| lead.fencing_token == fencing_token)
     }
 
-    /// Returns whether this machine leads with this fencing token and no other machine can lead at
-    /// this time. The driver checks this just before it sends anything that a former leader must
-    /// not send.
+    /// Returns whether this machine leads with this fencing token and knows that no other machine
+    /// leads. The driver checks this just before it sends anything that a former leader must not
+    /// send.
     pub fn may_act_with(&self, now: f64, fencing_token: u64) -> bool {
         self.leads_with(fencing_token) && self.may_act(now)
     }
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Handles that nothing listens at the address of this server: if it was departing, it has
-    /// ended.
+    /// Handles that nothing listens at the address of this server: if the server departs undrained,
+    /// it has ended.
     fn handle_refused_connection(&mut self, now: f64, server_id: &str) {
         let update_number = self.next_update_number();
         if let Some(departed) = self
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Steps the failovers of services with an answer since their last step while not steady, and
-    /// then of the services that have their turn in this tick.
+    /// Steps failovers that don't wait for their turn, because a server has answered while the
+    /// failover isn't steady, and then the failovers that have their turn in this tick.
     pub(super) fn step_failovers(&mut self, now: f64, out: &mut Vec<Output>) {
         let Some(lead) = &mut self.leadership else {
             return;
--- a/crates/core/control/src/failover/handover.rs
+++ b/crates/core/control/src/failover/handover.rs
@@ -19,7 +19,7 @@
 
 /// The state of pausing the replicas other than the target.
 struct PauseProgress {
-    /// Every such replica is paused.
+    /// Every such replica is paused, and an answer has confirmed that.
     complete: bool,
     /// The position of the paused replica that is furthest ahead.
     furthest: Position,
--- a/crates/core/control/src/failover/interface.rs
+++ b/crates/core/control/src/failover/interface.rs
@@ -21,7 +21,7 @@
     pub highest_term: u64,
 }
 
-/// A command to a server.
+/// A command to a server. The users' wire page documents the commands and their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerCommand {
     /// Report the status, and change nothing.
--- a/crates/core/control/src/failover/observation.rs
+++ b/crates/core/control/src/failover/observation.rs
@@ -26,8 +26,8 @@
     pub(super) answered_at: f64,
     /// Time of the server's last answer to any router, according to the routers' reports.
     pub(super) answered_router_at: f64,
-    /// Time of the first of the latest consecutive failures to get an answer; `None` if the last
-    /// command was answered.
+    /// Time since which the server has failed to answer this machine; `None` if it answered the
+    /// last command.
     pub(super) failing_since: Option<f64>,
     /// Whether the last failure was a refused connection.
     pub(super) refused: bool,
--- a/crates/core/control/src/failover/revoking.rs
+++ b/crates/core/control/src/failover/revoking.rs
@@ -193,8 +193,8 @@
     }
 
     /// Queries a paused replica. Returns whether an answer has shown that the replica was still
-    /// paused after the revocation was complete: its reported position is then final, and no router
-    /// gets an acknowledgement of a later write.
+    /// paused after the revocation was complete. Its reported position then covers every write that
+    /// it received and that the old primary acknowledged to any router.
     fn confirm_pause(
         &mut self,
         now: f64,
@@ -226,8 +226,8 @@
     }
 }
 
-/// Returns whether an unreachable replica need not be paused, because it has been down for a while
-/// and neither control machines nor routers have seen it alive since.
+/// Returns whether an unreachable replica need not be paused, because it has been down for a while,
+/// not seen alive by any control machine or router, and the primary continued without it.
 fn is_exempt_from_pause(
     context: &FailoverContext<'_>,
     member: &ServerCandidate,
--- a/crates/core/control/src/tests/fleet.rs
+++ b/crates/core/control/src/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! One leading control machine beside many routers and many services, in a time that the test
-//! moves: what it sends to whom is counted, and any of it can be delayed.
+//! A harness with one leading control machine, many routers and many services. The test advances
+//! the time; what the machine sends is counted by recipient, and routers can read it late.
 
 use crate::controller::ControlConfig;
 use crate::controller::{ControlRequest, Controller, Output};
@@ -11,15 +11,15 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Between two ticks, in seconds, unless a test says otherwise.
-pub(crate) const TICK: f64 = 0.02;
-/// Between two lease requests of a router.
+/// Interval between two ticks of the controller, unless a test uses another one.
+pub(crate) const TICK_INTERVAL_S: f64 = 0.02;
+/// Interval between two lease requests of a router.
 const LEASE_REQUEST_INTERVAL_S: f64 = 0.3;
-/// Between two heartbeats of a server.
+/// Interval between two heartbeats of a server.
 const HEARTBEAT_INTERVAL_S: f64 = 1.2;
 const SERVERS_PER_SERVICE: usize = 3;
 
-/// The program's default settings, with heartbeats of 1.2 s.
+/// Returns the program's default settings, with a heartbeat interval of 1.2 s.
 pub(crate) fn timing() -> ControlConfig {
     let failover = FailoverConfig {
         primary_poll_interval: 0.2,
@@ -41,58 +41,58 @@
     }
 }
 
-/// A router, as far as its session with the leader goes.
+/// A router's side of its session with the leader.
 #[derive(Default)]
 pub(crate) struct Router {
-    /// The last update that it has applied.
+    /// The newest update that the router has applied.
     pub watermark: (Term, u64),
     pub config_epoch: u64,
     config_text: Vec<u8>,
     pub lease_until: f64,
     pub grants: HashMap<String, PrimaryGrant>,
     pub members: BTreeSet<String>,
-    /// It reads updates from this second on: its link is slow.
+    /// The router reads no updates before this time, as over a slow link.
     pub reads_updates_from: f64,
-    /// It neither reads updates nor requests leases.
+    /// The router neither reads updates nor requests leases.
     pub silent: bool,
-    /// Updates that it hasn't read yet.
+    /// Updates that the router hasn't read yet.
     pub unread_updates: Vec<Rc<RouterMessage>>,
     lease_requested_at: f64,
-    /// Responses to its lease requests, the newest last.
+    /// Responses to the router's lease requests, the newest last.
     pub responses: Vec<RouterMessage>,
-    /// What it could report of servers; it reports what is wanted.
+    /// Reports that the router could send; it sends those that the leader requested.
     pub health_reports: Vec<HealthReport>,
     pub health_reports_wanted: Vec<String>,
 }
 
-/// What the leader put out in a tick, and in response to the lease requests after it.
+/// The outputs of the leader in a tick.
 #[derive(Default)]
 pub(crate) struct TickOutputs {
-    /// The updates, with the router that each went to.
+    /// The updates, each with the index of its router.
     pub updates: Vec<(usize, Rc<RouterMessage>)>,
-    /// The commands, with the server that each went to.
+    /// The commands, each with the id of its server.
     pub commands: Vec<(String, ServerCommand)>,
-    /// How many requests went to the platform.
+    /// Number of promotion requests to the platform.
     pub promotions: usize,
 }
 
-/// The machine with all its routers and servers.
+/// The control machine with all its routers and servers.
 pub(crate) struct Fleet {
     pub now: f64,
     pub controller: Controller,
     pub routers: Vec<Router>,
-    /// Services by server id; the first server of each service is its primary.
+    /// The service of each server, by server id. The first server of each service is its primary.
     servers: BTreeMap<String, String>,
-    /// These servers answer no command.
+    /// Servers that answer no command.
     pub unresponsive_servers: BTreeSet<String>,
-    /// How many requests went to the platform so far; none is answered.
+    /// Number of promotion requests to the platform so far; none is answered.
     pub promotion_requests: usize,
     request_count: u64,
     heartbeats_sent_at: f64,
 }
 
 impl Fleet {
-    /// A machine that leads, and has a heartbeat of all servers.
+    /// Creates a control machine that leads and has received a heartbeat from each server.
     pub(crate) fn new(routers: usize, services: usize) -> Fleet {
         let hard_state = HardState {
             state: Rc::new(State::founding(vec![1])),
@@ -117,7 +117,7 @@
             heartbeats_sent_at: f64::NEG_INFINITY,
         };
         while !fleet.controller.is_leader() {
-            fleet.now += TICK;
+            fleet.now += TICK_INTERVAL_S;
             let out = fleet.controller.tick(fleet.now);
             fleet.perform(out);
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A server sends a heartbeat; returns what the machine puts out.
+    /// Sends a heartbeat of a server, and returns the outputs of the machine.
     pub(crate) fn heartbeat(&mut self, id: &str, phase: MemberPhase) -> Vec<Output> {
         self.request_count += 1;
         let heartbeat = Heartbeat {
@@ -151,7 +151,7 @@
             .handle_request(self.now, self.request_count, request)
     }
 
-    /// An operator replaces the configuration; a single machine commits it at once.
+    /// Replaces the configuration as an operator does; a single machine commits it at once.
     pub(crate) fn configure(&mut self, epoch: u64, body: &[u8]) -> TickOutputs {
         self.request_count += 1;
         let request = ControlRequest::ReplaceConfig {
@@ -199,7 +199,8 @@
         performed
     }
 
-    /// A tick after this time, the answers of servers, and the lease requests of routers.
+    /// Advances the time by this many seconds, and runs a tick, the answers of servers, and the
+    /// lease requests of routers. Returns the outputs of the tick.
     pub(crate) fn tick_after(&mut self, seconds: f64) -> TickOutputs {
         self.now += seconds;
         if self.now - self.heartbeats_sent_at >= HEARTBEAT_INTERVAL_S {
@@ -217,7 +218,7 @@
     }
 
     pub(crate) fn tick(&mut self) -> TickOutputs {
-        self.tick_after(TICK)
+        self.tick_after(TICK_INTERVAL_S)
     }
 
     fn answer_command(&mut self, id: &str, command: ServerCommand) {
@@ -240,7 +241,8 @@
             .command_completed(self.now, &service, id, outcome);
     }
 
-    /// The router reads its updates, and requests its lease if that or the time calls for it.
+    /// Lets the router read its updates, and request its lease if it has read any or the request is
+    /// due.
     fn step_router(&mut self, index: usize) {
         let router = &mut self.routers[index];
         if router.silent {
@@ -258,7 +260,7 @@
         }
     }
 
-    /// The router requests its lease.
+    /// Lets the router request its lease.
     pub(crate) fn request_lease(&mut self, index: usize) {
         let router = &mut self.routers[index];
         router.lease_requested_at = self.now;
@@ -283,21 +285,25 @@
         let performed = self.perform(out);
         assert!(
             performed.updates.is_empty(),
-            "a response brings no update with it"
+            "the response to a lease request came with an update"
         );
     }
 
-    /// Ticks until the condition holds, for this time at most; returns all that was put out.
+    /// Runs ticks until the condition holds, and returns all outputs. Panics with the expectation
+    /// if that takes longer than this many seconds.
     pub(crate) fn run_until(
         &mut self,
         seconds: f64,
-        what: &str,
+        expected: &str,
         condition: impl Fn(&Fleet) -> bool,
     ) -> TickOutputs {
         let end = self.now + seconds;
         let mut all = TickOutputs::default();
         while !condition(self) {
-            assert!(self.now < end, "{what} within {seconds} s");
+            assert!(
+                self.now < end,
+                "expected within {seconds} s, but not met: {expected}"
+            );
             let performed = self.tick();
             all.updates.extend(performed.updates);
             all.commands.extend(performed.commands);
@@ -306,7 +312,8 @@
         all
     }
 
-    /// How many routers hold a lease and may use the primaries of so many services.
+    /// Returns the number of routers that hold a lease and may use the primaries of exactly this
+    /// number of services.
     pub(crate) fn routers_serving(&self, services: usize) -> usize {
         self.routers
             .iter()
@@ -319,13 +326,13 @@
 }
 
 impl Router {
-    /// It can't use its configuration any more.
-    pub(crate) fn forget_config(&mut self) {
+    /// Lets the router lose its configuration.
+    pub(crate) fn lose_config(&mut self) {
         self.config_epoch = 0;
         self.config_text.clear();
     }
 
-    /// The router applies an update, or the response to a lease request.
+    /// Lets the router apply an update or the response to a lease request.
     pub(crate) fn apply(&mut self, message: &RouterMessage) {
         let RouterMessage::Update {
             update_watermark,
@@ -356,7 +363,7 @@
             .as_ref()
             .and_then(|update| update.resolve(&self.config_text))
         {
-            // The tests take a configuration's length for its epoch.
+            // In these tests, the epoch of a configuration is the length of its text.
             self.config_epoch = text.len() as u64;
             self.config_text = text.to_vec();
         }
--- a/crates/core/control/src/tests/forwarded_requests.rs
+++ b/crates/core/control/src/tests/forwarded_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that a control machine forwards to the leader: each answer reaches the one client that
-//! waits for it.
+//! Requests that a control machine forwards to the leader: each response reaches exactly the client
+//! that waits for it.
 
 use super::common::{founder, founding_hard_state};
 use super::fleet::timing;
@@ -13,7 +13,7 @@
 
 const PROCESS_INCARNATION: u64 = 77;
 
-/// Machine 2, which follows machine 1.
+/// Creates machine 2, which follows machine 1.
 fn follower() -> Controller {
     let disk = founding_hard_state(&[1, 2, 3]);
     let mut controller = Controller::new(founder(2), disk, 0.0, PROCESS_INCARNATION, timing());
@@ -27,7 +27,7 @@
     controller
 }
 
-/// The request that was forwarded to the leader, machine 1.
+/// Returns the request that was forwarded to the leader, machine 1.
 fn forwarded(outputs: &[Output]) -> (RequestId, LeaderRequest) {
     let forwarded = outputs.iter().find_map(|output| match output {
         Output::SendToPeer(Recipient::Voter(to), PeerMessage::ForwardedRequest { id, request })
@@ -48,10 +48,10 @@
     }
 }
 
-/// The clients that were answered, with the HTTP status.
+/// Returns the ids of the answered client requests, with the HTTP status of each response.
 fn responses(outputs: &[Output]) -> Vec<(u64, u16)> {
     let response = |output: &Output| match output {
-        Output::Respond(client, response) => Some((*client, response.status)),
+        Output::Respond(request_id, response) => Some((*request_id, response.status)),
         _ => None,
     };
     outputs.iter().filter_map(response).collect()
@@ -67,19 +67,19 @@
         process_incarnation: PROCESS_INCARNATION + 1,
         ..first
     };
-    let with_lost_disk = Voter {
+    let leader_with_new_disk = Voter {
         node: 1,
         incarnation: 9,
     };
     assert_eq!(
         responses(&controller.handle_peer_message(0.3, founder(3), response(first, 200))),
         [],
-        "from another machine"
+        "a response from a machine that isn't the leader was accepted"
     );
     assert_eq!(
-        responses(&controller.handle_peer_message(0.3, with_lost_disk, response(first, 200))),
+        responses(&controller.handle_peer_message(0.3, leader_with_new_disk, response(first, 200))),
         [],
-        "from another incarnation"
+        "a response from another incarnation of the leader was accepted"
     );
     assert_eq!(
         responses(&controller.handle_peer_message(
@@ -88,7 +88,7 @@
             response(of_other_incarnation, 200)
         )),
         [],
-        "of another process incarnation"
+        "a response to another incarnation of this process was accepted"
     );
     assert_eq!(
         responses(&controller.handle_peer_message(0.3, founder(1), response(second, 412))),
@@ -97,7 +97,7 @@
     assert_eq!(
         responses(&controller.handle_peer_message(0.3, founder(1), response(second, 200))),
         [],
-        "once only"
+        "a second response to the same request was accepted"
     );
     assert_eq!(
         responses(&controller.handle_peer_message(0.3, founder(1), response(first, 200))),
@@ -114,12 +114,12 @@
     assert_eq!(
         responses(&controller.handle_peer_message(1.2, founder(1), response(id, 200))),
         [],
-        "it was answered already"
+        "a response after the time-out was accepted"
     );
 }
 
-/// The configuration is forwarded as a delta, and again with the complete text if the leader asks
-/// for it, but nobody else.
+/// A configuration is forwarded as a delta. It is forwarded again with the complete text if the
+/// leader asks for that, but not if another machine does.
 #[test]
 fn configuration_is_forwarded_in_full_on_request_of_the_leader() {
     let mut controller = follower();
--- a/crates/core/control/src/tests/leader_authority.rs
+++ b/crates/core/control/src/tests/leader_authority.rs
@@ -1,5 +1,5 @@
-//! A controller that leads three machines, with one follower that answers for as long as a test
-//! wants: what it does only while it has authority, and only once it knows enough.
+//! A controller that leads three machines, one of which is a follower that answers until a test
+//! stops it: what the leader does only while it has authority, and only after it knows enough.
 
 use super::common::{founder, founding_hard_state};
 use super::fleet::timing;
@@ -11,36 +11,37 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Between two ticks of the controller, in seconds.
+/// Interval between two ticks of the controller.
 const TICK_INTERVAL_S: f64 = 0.02;
 
-/// Machine 1, which leads, and what machine 2 does; machine 3 is down.
+/// Machine 1, which leads, and a simulated machine 2, which follows; machine 3 is down.
 struct LeaderHarness {
     controller: Controller,
     now: f64,
-    /// Machine 2 answers messages of consensus.
+    /// Whether machine 2 answers consensus messages.
     follower_answers: bool,
-    /// Its answers in flight.
+    /// Answers of machine 2 that are still to be delivered.
     in_flight: Vec<ConsensusMessage>,
-    /// The primary terms at which servers are paused.
+    /// The primary terms at which servers are paused, by server id.
     paused_at: HashMap<String, u64>,
-    /// From then on the primary, `a`, refuses connections.
+    /// Time from which the primary, `a`, refuses connections.
     refuses_from: f64,
+    /// Number of promotion requests to the platform.
     promotions: usize,
-    /// The number of updates that were sent to routers.
+    /// Number of updates that were sent to routers.
     updates: usize,
-    /// By number of the request.
+    /// The responses, each with the id of its request.
     responses: Vec<(u64, ControlResponse)>,
     router_messages: Vec<RouterMessage>,
 }
 
 impl LeaderHarness {
-    /// A leader of a service of three servers whose primary is `a`.
+    /// Creates a leader with the default settings.
     fn new() -> LeaderHarness {
         LeaderHarness::with_config(timing())
     }
 
-    /// The same with other time-outs.
+    /// Creates a leader with these settings.
     fn with_config(timing: ControlConfig) -> LeaderHarness {
         let disk = founding_hard_state(&[1, 2, 3]);
         let mut leader = LeaderHarness {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// What machine 2 answers.
+    /// Returns the answer of machine 2 to a consensus message.
     fn follower_answer(
         &self,
         to: Recipient,
@@ -150,7 +151,7 @@
         })
     }
 
-    /// Lets a server run a command; `a` is the primary.
+    /// Lets a server run a command, where `a` is the primary.
     fn run_command(&mut self, service: &str, id: &str, command: ServerCommand) {
         let is_primary = id == "a";
         match command {
@@ -218,7 +219,7 @@
         self.perform(outputs);
     }
 
-    /// The response to a request of a client within two ticks.
+    /// Sends a client's request, and returns its response if it arrives within two ticks.
     fn request(&mut self, number: u64, request: ControlRequest) -> Option<ControlResponse> {
         let outputs = self.controller.handle_request(self.now, number, request);
         self.perform(outputs);
@@ -238,8 +239,8 @@
     }
 }
 
-/// A process may be suspended between a decision and its response, so a response that relies on
-/// contact says until when it is valid.
+/// A process may be suspended between a decision and sending its response. A response that relies
+/// on contact with a majority therefore carries the time until which it is valid.
 #[test]
 fn response_that_needs_contact_is_valid_no_longer_than_the_authority() {
     let mut leader = LeaderHarness::new();
@@ -247,7 +248,7 @@
     assert_eq!(
         (applied.status, applied.valid_until),
         (200, f64::INFINITY),
-        "what is committed is valid for good"
+        "the response to a commit has a limited validity"
     );
     for (number, request, status) in [
         (2, ControlRequest::ReadConfig, 200),
@@ -264,8 +265,8 @@
     }
 }
 
-/// Once its authority has ended, a leader that doesn't know it yet gives no lease, sends no update,
-/// and makes no call that a former leader must not make.
+/// After its authority has ended, a leader that hasn't noticed this yet grants no leases, sends no
+/// updates, and makes no call that a former leader must not make.
 #[test]
 fn nothing_is_sent_after_the_end_of_the_authority() {
     let mut leader = LeaderHarness::new();
@@ -277,11 +278,12 @@
         .0;
     leader.renew_lease((Term(fencing_token), 0));
     leader.run(0.1);
-    assert!(leader.updates > 0, "the router is sent updates");
+    assert!(leader.updates > 0, "the router was sent no update");
     leader.renew_lease((Term(fencing_token), 1));
     leader.heartbeat("a", 1);
     leader.run(0.1);
-    // It has acknowledged everything, so only the lack of authority can keep a new update from it.
+    // The router has acknowledged everything, so only the lack of authority can prevent a new
+    // update.
     leader.renew_lease((Term(fencing_token), 50));
     let lease_duration = |messages: &[RouterMessage]| match messages.last() {
         Some(RouterMessage::Update { lease_duration, .. }) => *lease_duration,
@@ -299,7 +301,10 @@
     );
     leader.follower_answers = false;
     leader.run(timing().election_timeout + 0.1);
-    assert!(leader.controller.is_leader(), "it doesn't know it yet");
+    assert!(
+        leader.controller.is_leader(),
+        "the leader stepped down before the test could check it without authority"
+    );
     leader.renew_lease((Term(fencing_token), 50));
     assert_eq!(lease_duration(&leader.router_messages), 0.0);
     assert!(!leader.controller.may_act_with(leader.now, fencing_token));
@@ -309,7 +314,7 @@
     assert_eq!(leader.updates, updates);
 }
 
-/// Clients that wait for a commit get 503 when the leader loses its leadership.
+/// Clients that wait for a commit get status 503 when the leader loses its leadership.
 #[test]
 fn pending_requests_fail_when_leadership_is_lost() {
     let mut leader = LeaderHarness::new();
@@ -317,7 +322,7 @@
     leader.run(timing().election_timeout + 0.3);
     assert!(
         leader.controller.is_leader() && leader.request(1, replace(0, 5)).is_none(),
-        "nothing can be committed"
+        "the machine doesn't lead, or committed without a majority"
     );
     leader.run(0.6);
     assert!(!leader.controller.is_leader());
@@ -329,8 +334,8 @@
     assert_eq!(status, Some(503));
 }
 
-/// A new leader promotes no server before it has the membership snapshots of a majority, however
-/// long that takes.
+/// A new leader promotes no server before it has received the membership snapshots of a majority,
+/// however long that takes.
 #[test]
 fn no_promotion_before_the_membership_snapshots_of_a_majority() {
     let mut leader = LeaderHarness::new();
@@ -362,9 +367,10 @@
     assert!(leader.promotions > 0, "{:?}", leader.controller.primaries());
 }
 
-/// A new leader promotes no server before it has led for the handover delay of the settings.
+/// A new leader promotes no server before it has led for the platform handover delay of its
+/// settings.
 #[test]
-fn no_promotion_before_the_handover_delay() {
+fn no_promotion_before_the_platform_handover_delay() {
     for (handover_delay, is_delayed) in [(0.0, false), (9.0, true)] {
         let mut leader = LeaderHarness::with_config(ControlConfig {
             platform_handover_delay: handover_delay,
@@ -393,7 +399,11 @@
             leader.heartbeat("b", call_seq);
             leader.heartbeat("c", call_seq);
         }
-        assert_eq!(leader.promotions == 0, is_delayed, "{handover_delay}");
+        assert_eq!(
+            leader.promotions == 0,
+            is_delayed,
+            "with a delay of {handover_delay} s"
+        );
         leader.run(4.0);
         assert!(leader.promotions > 0);
     }
--- a/crates/core/control/src/tests/load.rs
+++ b/crates/core/control/src/tests/load.rs
@@ -1,8 +1,8 @@
 //! The leader under load: many routers that connect at once, slow routers, hundreds of services,
-//! late ticks. Its work in one tick is bounded, and leases go before everything else.
+//! late ticks. Its work in one tick is bounded, and leases have priority over everything else.
 
 use super::common::{founder, founding_hard_state};
-use super::fleet::{Fleet, TICK, timing};
+use super::fleet::{Fleet, TICK_INTERVAL_S, timing};
 use crate::controller::{
     ControlRequest, MAX_COMMANDS_PER_TICK, MAX_HEALTH_REPORT_SERVICES, MAX_SERVICES_PER_TICK,
     MAX_UPDATED_SESSIONS_PER_TICK, Output,
@@ -25,7 +25,7 @@
     }
 }
 
-/// An answer to a lease request is small, also for a router that knows nothing yet.
+/// The response to a lease request is small, even for a router that knows nothing yet.
 #[test]
 fn lease_response_carries_no_changes() {
     let mut fleet = Fleet::new(1, 20);
@@ -51,8 +51,8 @@
     }
 }
 
-/// A router without a snapshot of this leader gets no lease: it would cover grants of a former
-/// leader.
+/// A router without a snapshot of this leader gets no lease, because the lease would cover grants
+/// of a former leader.
 #[test]
 fn first_lease_needs_an_acknowledged_snapshot() {
     let mut fleet = Fleet::new(1, 2);
@@ -63,11 +63,11 @@
     assert!(
         fleet.routers[0].responses.len() > 1 && !fleet.routers[0].responses.iter().any(gives_lease)
     );
-    fleet.run_until(1.0, "a lease", |f| f.routers_serving(2) == 1);
+    fleet.run_until(1.0, "the router has a lease", |f| f.routers_serving(2) == 1);
 }
 
-/// Five hundred routers connect at once. Each gets one snapshot, a bounded number per tick, and all
-/// share the same ones.
+/// More than five hundred routers connect at once. A bounded number of them get a snapshot in each
+/// tick, each router gets one, and all share the same one or two.
 #[test]
 fn snapshots_for_many_routers_are_paced_and_shared() {
     let mut fleet = Fleet::new(530, 20);
@@ -88,21 +88,27 @@
         let outcome = fleet.tick();
         assert!(
             outcome.updates.len() <= MAX_UPDATED_SESSIONS_PER_TICK,
-            "{} in one tick",
+            "{} updates in one tick",
             outcome.updates.len()
         );
         sent.extend(outcome.updates.iter().map(|(router, _)| *router));
         shared.extend(outcome.updates.iter().map(|(_, update)| Rc::as_ptr(update)));
     }
     sent.sort_unstable();
-    assert_eq!(sent, (0..530).collect::<Vec<_>>(), "each gets it once");
+    assert_eq!(
+        sent,
+        (0..530).collect::<Vec<_>>(),
+        "not every router got exactly one snapshot"
+    );
     assert!(shared.len() <= 2, "{} different snapshots", shared.len());
-    fleet.run_until(0.1, "leases", |f| f.routers_serving(20) == 530);
+    fleet.run_until(0.1, "all routers have leases", |f| {
+        f.routers_serving(20) == 530
+    });
 }
 
-/// A router reads no updates for three seconds, while a hundred things change: it is sent its last
-/// update again at most after one second and after two more. It keeps its lease, and gets all the
-/// rest in one update.
+/// A router reads no updates for three seconds, while 150 changes happen. It is sent its last
+/// update again only after one second and after two more. It keeps its lease, and gets the
+/// remaining changes soon after it reads again.
 #[test]
 fn slow_router_has_one_update_in_flight() {
     let mut fleet = Fleet::new(2, 5);
@@ -121,16 +127,22 @@
         }
         assert!(
             fleet.now < fleet.routers[0].lease_until,
-            "it lost its lease"
+            "the slow router lost its lease"
         );
     }
-    assert!(sent[1] > 100, "the other router gets each change: {sent:?}");
+    assert!(
+        sent[1] > 100,
+        "the other router didn't get most changes: {sent:?}"
+    );
     assert!((1..=3).contains(&sent[0]), "{sent:?}");
     let last = fleet.routers[1].watermark;
-    fleet.run_until(1.0, "the rest", |f| f.routers[0].watermark >= last);
+    fleet.run_until(1.0, "the slow router has all changes", |f| {
+        f.routers[0].watermark >= last
+    });
 }
 
-/// A router gets leases while a configuration is in flight to it, and the configuration only once.
+/// A router gets leases while a configuration is in flight to it, and is sent the configuration
+/// only once.
 #[test]
 fn leases_are_renewed_while_a_configuration_is_in_flight() {
     let mut fleet = Fleet::new(1, 2);
@@ -147,7 +159,8 @@
     );
 }
 
-/// A configuration text of `epoch` bytes: the fake routers take its length for its epoch.
+/// Returns a configuration text of `epoch` bytes: the simulated routers use its length as its
+/// epoch.
 fn text(epoch: u64) -> Vec<u8> {
     let mut text: Vec<u8> = (0..)
         .flat_map(|n: u32| format!("{n},").into_bytes())
@@ -177,7 +190,7 @@
     fleet.configure(5000, &text(5000));
     let first = configs(
         &fleet
-            .run_until(3.0, "the first", |f| {
+            .run_until(3.0, "all routers have the first configuration", |f| {
                 f.routers.iter().all(|r| r.config_epoch == 5000)
             })
             .updates,
@@ -189,20 +202,22 @@
                 .all(|(_, config)| matches!(config, ConfigUpdate::Full(_)))
     );
     // One router loses its configuration.
-    fleet.routers[7].forget_config();
-    fleet.run_until(0.5, "it says so", |f| f.routers[7].config_epoch == 5000);
+    fleet.routers[7].lose_config();
+    fleet.run_until(0.5, "the router has the configuration again", |f| {
+        f.routers[7].config_epoch == 5000
+    });
     let mut bytes = 0;
     for epoch in 5001..5004 {
         let mut updates = fleet.configure(epoch, &text(epoch)).updates;
         updates.extend(
             fleet
-                .run_until(3.0, "the next", |f| {
+                .run_until(3.0, "all routers have the next configuration", |f| {
                     f.routers.iter().all(|r| r.config_epoch == epoch)
                 })
                 .updates,
         );
         let sent = configs(&updates);
-        assert_eq!(sent.len(), 30, "each gets it once");
+        assert_eq!(sent.len(), 30, "each router is sent one configuration");
         assert!(
             sent.iter()
                 .all(|(_, config)| matches!(config, ConfigUpdate::Deltas(_)))
@@ -220,17 +235,18 @@
     bincode::encode_to_vec(message, bincode::config::standard()).map_or(0, |bytes| bytes.len())
 }
 
-/// A revocation waits for the acknowledgement of the router, although its lease is renewed
-/// meanwhile.
+/// A revocation waits for the router's acknowledgement, although the router's lease is renewed in
+/// the meantime.
 #[test]
 fn renewed_lease_does_not_acknowledge_updates_in_flight() {
     let mut fleet = Fleet::new(1, 1);
     fleet.run_until(2.0, "primaries", |f| f.routers_serving(1) == 1);
     fleet.routers[0].reads_updates_from = fleet.now + 2.0;
-    // The primary fails: its grant is revoked, and no server is promoted before the router knows.
+    // The primary fails. Its grant is revoked, and no server is promoted before the router has
+    // acknowledged that.
     fleet.unresponsive_servers.insert("server-0".to_owned());
     let mut promotions = 0;
-    while fleet.now < fleet.routers[0].reads_updates_from - TICK {
+    while fleet.now < fleet.routers[0].reads_updates_from - TICK_INTERVAL_S {
         promotions += fleet.tick().promotions;
     }
     assert!(!fleet.routers[0].unread_updates.is_empty() && promotions == 0);
@@ -244,21 +260,23 @@
     );
 }
 
-/// The lease of a router had expired when a primary was replaced: it gets a new one only when it
-/// knows of that, although its session goes on with older updates.
+/// A router's lease expires before a primary is replaced. The router gets a new lease only after it
+/// has received the revocation, although its session continues with older updates.
 #[test]
 fn expired_lease_is_renewed_only_with_all_grants_known() {
     let mut fleet = Fleet::new(2, 1);
     fleet.run_until(2.0, "primaries", |f| f.routers_serving(1) == 2);
-    // One router neither sends nor reads for a while; an update of a member is sent to it before
-    // the revocation.
+    // One router neither sends nor reads for a while. It is sent an update of a member before the
+    // revocation.
     fleet.routers[0].silent = true;
     fleet.heartbeat("server-1", MemberPhase::Draining);
     for _ in 0..20 {
         fleet.tick();
     }
     fleet.unresponsive_servers.insert("server-0".to_owned());
-    fleet.run_until(5.0, "the primary is given up", |f| f.promotion_requests > 0);
+    fleet.run_until(5.0, "a promotion is requested", |f| {
+        f.promotion_requests > 0
+    });
     assert!(fleet.now > fleet.routers[0].lease_until);
     let before = fleet.routers[0].unread_updates.remove(0);
     let later = std::mem::take(&mut fleet.routers[0].unread_updates);
@@ -268,7 +286,7 @@
     let router = &fleet.routers[0];
     assert!(
         !router.grants["service-0000"].revoking,
-        "it has the grant from before"
+        "the router already knows the revocation"
     );
     assert!(
         router
@@ -277,27 +295,28 @@
             .is_some_and(|answer| !gives_lease(answer))
             && router.lease_until < fleet.now
     );
-    // With the rest of the updates it gets one.
+    // After the remaining updates it gets a lease.
     fleet.routers[0].unread_updates = later;
-    fleet.run_until(3.0, "a lease", |f| f.now < f.routers[0].lease_until);
+    fleet.run_until(3.0, "the router has a lease", |f| {
+        f.now < f.routers[0].lease_until
+    });
     assert!(fleet.routers[0].grants["service-0000"].revoking);
 }
 
-/// Four hundred services under a new leader: the number of queries per tick is bounded, also when
-/// ticks are late, and no service is taken to have lost its primary before its servers were
-/// queried.
+/// Four hundred services under a new leader: the number of queries per tick is bounded, even when
+/// ticks are late, and no service's primary counts as missing before its servers were queried.
 #[test]
 fn queries_for_many_services_are_paced() {
     const SERVICES: usize = 400;
-    for tick in [TICK, 0.2] {
+    for tick_interval in [TICK_INTERVAL_S, 0.2] {
         let mut fleet = Fleet::new(1, SERVICES);
         let started_at = fleet.now;
         while fleet.routers_serving(SERVICES) == 0 {
-            let outcome = fleet.tick_after(tick);
-            // The last service of a tick queries all of its servers, even beyond the bound.
+            let outcome = fleet.tick_after(tick_interval);
+            // The last service of a tick queries all of its servers, even beyond the limit.
             assert!(
                 outcome.commands.len() <= MAX_COMMANDS_PER_TICK + 2,
-                "{} questions",
+                "{} commands in one tick",
                 outcome.commands.len()
             );
             let given_up = fleet
@@ -313,44 +332,47 @@
             );
             assert!(
                 fleet.now - started_at < 12.0,
-                "{} primaries",
+                "after 12 s the router knows only {} primaries",
                 fleet.routers[0].grants.len()
             );
         }
     }
 }
 
-/// Four hundred services without faults: queries are as rare as planned, and no primary times
-/// out because of that.
+/// Four hundred services without faults: servers are queried less often, as planned, and no primary
+/// times out because of that.
 #[test]
 fn query_interval_grows_with_the_number_of_services() {
     let mut fleet = Fleet::new(1, 400);
     fleet.run_until(3.0, "primaries", |f| f.routers_serving(400) == 1);
     let mut commands = 0;
-    for _ in 0..(5.0 / TICK) as usize {
+    for _ in 0..(5.0 / TICK_INTERVAL_S) as usize {
         commands += fleet.tick().commands.len();
         assert_eq!(fleet.routers_serving(400), 1);
     }
-    // Each primary every 0.4 s, each replica every 7 s. With the interval of few services it would
-    // be 7,500.
+    // Each primary is queried every 0.4 s, and each replica every 7 s. With the intervals for few
+    // services there would be 7,500 commands.
     assert!(
         (5_000..6_500).contains(&commands),
-        "{commands} in five seconds"
+        "{commands} commands in five seconds"
     );
 }
 
-/// With few services, every tick handles all of them.
+/// With few services, every tick steps all of them.
 #[test]
 fn few_services_are_all_handled_in_every_tick() {
     let services = MAX_SERVICES_PER_TICK / 4;
     let mut fleet = Fleet::new(1, services);
-    let asked: usize = (0..10).map(|_| fleet.tick().commands.len()).sum();
-    assert!(asked >= 3 * services, "{asked}");
+    let commands: usize = (0..10).map(|_| fleet.tick().commands.len()).sum();
+    assert!(
+        commands >= 3 * services,
+        "{commands} commands in ten ticks for {services} services"
+    );
     fleet.run_until(0.5, "primaries", |f| f.routers_serving(services) == 1);
 }
 
-/// A leader that was suspended for two seconds sent no queries meanwhile, so no primary times
-/// out.
+/// A leader that was suspended for two seconds sent no queries during that time, so no primary
+/// times out.
 #[test]
 fn late_tick_does_not_time_out_primaries() {
     let mut fleet = Fleet::new(1, 10);
@@ -366,20 +388,20 @@
         .filter(|primary| primary.phase == "steady")
         .count();
     assert_eq!(steady, 10);
-    // Once ticks are punctual again, primaries time out as before.
+    // After ticks are punctual again, primaries time out as before.
     for _ in 0..60 {
         fleet.tick();
     }
     fleet.unresponsive_servers.insert("server-0".to_owned());
     let started_at = fleet.now;
-    fleet.run_until(0.8, "one times out", |f| {
+    fleet.run_until(0.8, "the primary times out", |f| {
         f.controller.primaries()[0].phase != "steady"
     });
     assert!(fleet.now - started_at > 0.4);
 }
 
-/// Routers are asked for health reports only of primaries that don't answer the leader, and their
-/// reports keep these in use.
+/// The leader requests health reports from routers only for services whose primary doesn't answer
+/// it, and such a primary stays in use while routers report answers from it.
 #[test]
 fn health_reports_are_requested_for_silent_primaries() {
     let mut fleet = Fleet::new(1, 3);
@@ -403,12 +425,13 @@
         assert_eq!(fleet.controller.primaries()[1].phase, "steady");
     }
     fleet.routers[0].health_reports.clear();
-    fleet.run_until(1.0, "it times out", |f| {
+    fleet.run_until(1.0, "the primary times out", |f| {
         f.controller.primaries()[1].phase != "steady"
     });
 }
 
-/// However many primaries are silent, a response requests a bounded number of health reports.
+/// However many primaries are silent, the leader requests health reports for a bounded number of
+/// services.
 #[test]
 fn number_of_requested_health_reports_is_bounded() {
     let services = 2 * MAX_HEALTH_REPORT_SERVICES;
@@ -420,14 +443,14 @@
     });
 }
 
-/// New servers are sent to the other machines in one batch, and acknowledged once a quorum has
-/// them. Heartbeats without changes are batched, four times a second, and acknowledged at once. A
-/// server that drains is sent at once.
+/// New servers are replicated to the other machines in one batch, and acknowledged after the leader
+/// and a quorum know them. Heartbeats without changes are replicated in batches, four times a
+/// second, and acknowledged at once. The report that a server drains is replicated at once.
 #[test]
 fn heartbeats_are_batched() {
     let disk = founding_hard_state(&[1, 2, 3]);
     let mut controller = Controller::new(founder(1), disk, 0.0, 7, timing());
-    // The updates of members to machine 2: their number, and how many servers each has.
+    // The member updates to machine 2: the id and the number of servers of each.
     let member_updates = |outputs: &[Output]| {
         let updates = outputs.iter().filter_map(|output| match output {
             Output::SendToPeer(
@@ -481,7 +504,7 @@
         let outputs = send_heartbeat(&mut controller, 0.0, id, MemberPhase::Ready);
         assert!(
             member_updates(&outputs).is_empty() && acknowledged(&outputs) == 0,
-            "it waits for the batch"
+            "a new server was replicated or acknowledged before the batch"
         );
     }
     let updates = member_updates(&controller.tick(0.0));
@@ -495,7 +518,7 @@
             PeerMessage::MembersUpdateAck { update_id }
         )),
         0,
-        "the leader has not acknowledged it"
+        "acknowledged to servers before the leader knows them"
     );
     assert_eq!(
         acknowledged(&controller.handle_peer_message(
@@ -505,28 +528,28 @@
         )),
         10
     );
-    let (mut frames, mut servers) = (0, 0);
+    let (mut batches, mut servers) = (0, 0);
     for tick in 1..=100 {
-        let now = f64::from(tick) * TICK;
+        let now = f64::from(tick) * TICK_INTERVAL_S;
         receive_leader_heartbeat(&mut controller, now);
         for id in 0..10 {
             let outputs = send_heartbeat(&mut controller, now, id, MemberPhase::Ready);
             assert!(
                 member_updates(&outputs).is_empty() && acknowledged(&outputs) == 1,
-                "nothing new"
+                "a heartbeat without changes was replicated at once, or not acknowledged"
             );
         }
         let updates = member_updates(&controller.tick(now));
-        frames += updates.len();
+        batches += updates.len();
         servers += updates.iter().map(|(_, count)| count).sum::<usize>();
     }
     assert!(
-        (7..=9).contains(&frames) && servers > 800,
-        "{frames} frames with {servers}"
+        (7..=9).contains(&batches) && servers > 800,
+        "{batches} batches with {servers} servers"
     );
     let outputs = send_heartbeat(&mut controller, 2.0, 4, MemberPhase::Draining);
     let [Output::PersistMembers(after_write)] = &outputs[..] else {
-        panic!("nothing is sent before it is on disk: {outputs:?}")
+        panic!("expected nothing except a write to disk: {outputs:?}")
     };
     assert!(
         matches!(member_updates(after_write)[..], [(Some(_), 1)]) && acknowledged(after_write) == 0
--- a/crates/core/control/src/tests/members.rs
+++ b/crates/core/control/src/tests/members.rs
@@ -1,5 +1,5 @@
-//! The member registry: late and repeated heartbeats, departures, time-outs, restarts and servers
-//! that share an address; and the leases of routers by themselves.
+//! The member registry: late and repeated heartbeats, departures, time-outs, restarts, and servers
+//! that share an address. Also the leases of routers, without a controller.
 
 use crate::leases::Leases;
 use crate::members::{DepartedMember, Heartbeat, MemberPhase, MemberRegistry};
@@ -38,7 +38,7 @@
     members.get("a").map(|member| member.info.draining)
 }
 
-/// All orders of the numbers below `count`.
+/// Returns all permutations of the numbers below `count`.
 fn permutations(count: usize) -> Vec<Vec<usize>> {
     let mut orders = vec![vec![]];
     for _ in 0..count {
@@ -98,7 +98,7 @@
     );
     assert!(members.get("a").is_none() && members.services().is_empty());
     assert_eq!(departed_of_service(&members), [departed("a", 1.1)]);
-    // Nor does a late update of another control machine.
+    // A late update of another control machine doesn't revive it either.
     let late = MemberInfo {
         departed: false,
         call_seq: 12,
@@ -109,7 +109,7 @@
     assert_eq!(members.all().count(), 0);
 }
 
-/// A server that departs without having drained goes on serving: it is a draining member until
+/// A server that departs without having drained keeps serving. It is a draining member until
 /// nothing listens at its address any more.
 #[test]
 fn undrained_departure_counts_as_draining_until_the_server_ends() {
@@ -131,24 +131,24 @@
             .is_none()
     );
     assert_eq!(draining(&members), Some(true));
-    // Without heartbeats it stays a member for longer than it runs.
+    // Without heartbeats it stays a member for longer than it can run.
     assert!(!members.expire(19.0, MEMBER_TIMEOUT_S, 4));
     assert_eq!(
         members.to_persist()[0].call_seq,
         departure.call_seq,
-        "heartbeats don't count after a restart either"
+        "heartbeats must be ignored after a restart too"
     );
     let end = members.connection_refused(19.1, "a", 5).expect("a change");
     assert!(end.departed && members.get("a").is_none());
     assert_eq!(departed_of_service(&members), [departed("a", 19.1 + 0.1)]);
     assert!(members.connection_refused(19.2, "a", 5).is_none());
-    // A refused connection to a server that hasn't departed is no end.
+    // A refused connection to a server that isn't departing doesn't mean that it has ended.
     members.heartbeat(20.0, "b", &heartbeat(1, MemberPhase::Ready), 6);
     assert!(members.connection_refused(20.1, "b", 6).is_none());
 }
 
-/// Of a draining server its call number is persisted, so that no older heartbeat revives it; of
-/// other servers nothing that would keep a heartbeat from counting.
+/// The call number of a draining server is persisted, so that no older heartbeat revives it. The
+/// call numbers of other servers aren't persisted, so that any heartbeat counts.
 #[test]
 fn draining_is_restored_by_the_next_process_incarnation() {
     let mut members = MemberRegistry::default();
@@ -165,7 +165,7 @@
     assert_eq!(
         restored.get("a").unwrap().draining_since,
         Some(97.0),
-        "for how long isn't known"
+        "counts as having drained for the 3 s passed to `restore`"
     );
     assert!(
         restored
@@ -192,7 +192,7 @@
         members
             .heartbeat(5.1, "a", &heartbeat(1, MemberPhase::Ready), 3)
             .is_none(),
-        "a repeated heartbeat is no sign of life"
+        "a repeated heartbeat revived the server"
     );
     assert!(
         members
@@ -203,10 +203,10 @@
     assert!(departed_of_service(&members).is_empty());
 }
 
-/// A new server at the address of another one of its service has that one's log: the other doesn't
-/// count as departed any more, until it is seen itself again.
+/// A new server at the address of a departed server of its service has that server's log. The
+/// replaced server is not listed as departed, until it is seen again itself.
 #[test]
-fn new_server_at_an_address_succeeds_the_one_before() {
+fn new_server_at_an_address_replaces_the_previous_one() {
     let ready_at = |endpoint: &str, call_seq| heartbeat_at(endpoint, call_seq, MemberPhase::Ready);
     let mut members = MemberRegistry::default();
     members.heartbeat(0.0, "a", &ready_at("10.0.0.1:1", 1), 1);
@@ -228,7 +228,7 @@
     );
     members.heartbeat(12.0, "d", &ready_at("10.0.0.1:1", 1), 5);
     assert_eq!(departed_of_service(&members), [departed("b", 2.4)]);
-    // A server that is seen itself again is succeeded no more.
+    // A server that is seen again itself doesn't count as replaced any more.
     members.heartbeat(13.0, "a", &ready_at("10.0.0.1:1", 2), 6);
     assert!(!members.is_replaced_by("a", "d") && members.is_replaced_by("d", "a"));
     // A server of another service at the address doesn't have the log.
@@ -249,12 +249,12 @@
     assert!(members.get("a").is_some());
     assert!(
         members.expire(9.0, MEMBER_TIMEOUT_S, 3),
-        "it does once it doesn't answer either"
+        "a server without heartbeats and answers didn't time out"
     );
     members.seen_alive(9.1, "a");
     assert!(
         members.get("a").is_none(),
-        "only a heartbeat revives a departed server"
+        "an answer revived a departed server, which only a heartbeat may do"
     );
 }
 
@@ -263,7 +263,7 @@
     let mut leases = Leases::new(1.0);
     assert!(
         !leases.all_acknowledged(0.9, 5),
-        "leases of the former leader may still run"
+        "leases of the former leader, which may still run, were ignored"
     );
     assert!(leases.all_acknowledged(1.0, 5));
     leases.renew(1.0, "r", 1, 4, 1.0);
@@ -274,7 +274,8 @@
     );
     leases.renew(1.2, "r", 1, 5, 1.0);
     assert!(leases.all_acknowledged(1.5, 5));
-    // A request that was overtaken takes no acknowledgement back, and prolongs the lease.
+    // A late request with an older acknowledgement doesn't undo the newer one, and extends the
+    // lease.
     leases.renew(1.6, "r", 1, 3, 1.0);
     assert!(leases.all_acknowledged(1.7, 5) && leases.active(2.5) == 1);
     // A new incarnation of the router has acknowledged nothing yet.
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -1,5 +1,5 @@
-//! Calls that change servers, and what late ones can do: `POST /promotions`, `PAUSE`, `RESUME` and
-//! `STEPDOWN`. The table behind these tests is in `docs/design/calls.md`.
+//! Calls that change servers, and the effects of late ones: `POST /promotions`, `PAUSE`, `RESUME`
+//! and `STEPDOWN`. These tests follow the table in `docs/design/calls.md`.
 
 use crate::failover::{Failover, FailoverAction, FailoverContext, ServerCandidate};
 use crate::promotion::{PendingPromotion, PromotionOutcome};
@@ -16,7 +16,7 @@
     drain_timeout: 7.0,
 };
 
-// ---- What the outcome of a call to the platform proves.
+// ---- What the outcome of a call to the platform proves
 
 #[test]
 fn http_status_maps_to_promotion_and_execution_outcome() {
@@ -44,11 +44,11 @@
     assert!(pending.permits(0.5, "b") && !pending.permits(1.9, "c"));
     assert!(pending.record_outcome(1.0, "b", PromotionOutcome::Unknown));
     assert!(pending.permits(1.0, "b") && !pending.permits(1.9, "c") && pending.permits(2.1, "c"));
-    // The refusal of a second call proves nothing of the first one.
+    // The refusal of a second call proves nothing about the first one.
     pending.record_sent(1.2, "b");
     assert!(pending.record_outcome(1.3, "b", PromotionOutcome::Refused));
     assert!(!pending.permits(1.9, "c") && pending.permits(2.1, "c"));
-    // After a refusal the same server is tried again only later.
+    // After a refusal, the same server is tried again only after the back-off time.
     assert!(!pending.permits(2.2, "b") && pending.permits(2.4, "b"));
 }
 
@@ -76,11 +76,11 @@
     assert!(pending.record_outcome(3.1, "c", PromotionOutcome::Accepted));
     assert!(
         !pending.record_outcome(3.2, "c", PromotionOutcome::Accepted),
-        "no call is pending"
+        "an outcome was accepted although no call is pending"
     );
 }
 
-// ---- The failover of one service alone, with servers that answer at once.
+// ---- The failover of one service without a controller, with servers that answer at once
 
 /// The failover of a service with three servers, `a`, `b` and `c`.
 struct FailoverHarness {
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Lets a tenth of a second pass. Queries are answered with what `status` gives, or refused if it
-    /// gives none. Returns all actions of the failover.
+    /// Advances the time by 0.1 s and steps the failover. Commands are answered with what `status`
+    /// returns, or refused if it returns `None`. Returns all actions of the failover.
     fn step(
         &mut self,
         record: (&str, u64),
@@ -151,7 +151,7 @@
     }
 }
 
-/// What a server reports of itself; `highest_term` is that of a `PAUSE`.
+/// Returns the status that a server reports; `highest_term` is the term of a `PAUSE`.
 fn status(is_primary: bool, primary_term: u64, highest_term: u64) -> ServerStatus {
     ServerStatus {
         is_primary,
@@ -161,16 +161,16 @@
     }
 }
 
-/// A late `STEPDOWN` must not depose a primary of a higher term, so it carries the lowest primary
-/// term that serves.
+/// A late `STEPDOWN` must not depose a primary of a higher term, so it carries the lowest term that
+/// suffices.
 #[test]
 fn step_down_carries_the_lowest_sufficient_term() {
     let mut harness = FailoverHarness::new();
     let mut terms = Vec::new();
     for step in 0..40 {
         let actions = harness.step(("a", 0), |id, _| match id {
-            // `c` was paused at term 7, `b` believes to be the primary of an old term, `a` fails
-            // after a second.
+            // `c` was paused at term 7, `b` considers itself the primary of an old term, and `a`
+            // fails after a second.
             "a" => (step < 10).then(|| status(true, 2, 0)),
             "b" => Some(status(true, 1, 0)),
             _ => Some(status(false, 2, 7)),
@@ -183,14 +183,14 @@
             _ => None,
         }));
     }
-    // The term of the primary, 2; without a primary, the lowest that deposes `b`.
+    // This is the term of the primary, 2; after the primary has failed, it is the lowest term that
+    // deposes `b`, which is also 2.
     assert!(
         terms.len() > 2 && terms.iter().all(|primary_term| *primary_term == 2),
         "{terms:?}"
     );
 }
 
-/// The outcome of a call for another server has no effect.
 #[test]
 fn outcome_for_another_server_has_no_effect() {
     let mut harness = FailoverHarness::new();
@@ -227,8 +227,8 @@
     assert_eq!(harness.failover.phase(), "closing");
 }
 
-/// A replaced primary that doesn't know it can't be paused: it gets `STEPDOWN`, also while its
-/// successor drains.
+/// A replaced primary that doesn't know that it was replaced can't be paused. It is sent
+/// `STEPDOWN`, even while its successor drains.
 #[test]
 fn deposed_primary_steps_down_while_its_successor_drains() {
     let mut harness = FailoverHarness::new();
