--- a/crates/core/control/src/controller.rs
+++ b/crates/core/control/src/controller.rs
@@ -275,7 +275,7 @@
         out
     }
 
-    /// Marks members as departed that haven't been seen alive within the member time-out.
+    /// Marks members as departed that haven't been seen alive within the member timeout.
     fn expire_members(&mut self, now: f64) {
         if now - self.last_member_expiry_at < MEMBER_EXPIRY_INTERVAL_S {
             return;
--- a/crates/core/control/src/controller/failover_driver.rs
+++ b/crates/core/control/src/controller/failover_driver.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Handles that nothing listens at the address of this server: if the server departs undrained,
-    /// it has ended.
+    /// Handles a refused connection to a server. Nothing listens at the server's address, so it has
+    /// ended if it departs undrained.
     fn handle_refused_connection(&mut self, now: f64, server_id: &str) {
         let update_number = self.next_update_number();
         if let Some(departed) = self
--- a/crates/core/control/src/controller/heartbeat_batch.rs
+++ b/crates/core/control/src/controller/heartbeat_batch.rs
@@ -5,7 +5,7 @@
 use crate::consensus::Recipient;
 use crate::message::{MemberInfo, PeerMessage};
 
-/// Interval between two batches; far below the member time-out.
+/// Interval between two batches; far below the member timeout.
 const BATCH_INTERVAL_S: f64 = 0.25;
 
 /// The servers that were seen again since the last batch was sent.
--- a/crates/core/control/src/controller/leadership.rs
+++ b/crates/core/control/src/controller/leadership.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Handles that the state in the hard state is committed.
+    /// Handles the commit of the hard state's state: completes the proposal that it contains, and
+    /// continues with voter changes, proposals and updates to routers.
     fn handle_commit(&mut self, now: f64, out: &mut Vec<Output>) {
         self.committed = self.consensus.hard_state().state.clone();
         let Some(lead) = &mut self.leadership else {
--- a/crates/core/control/src/controller/member_replication.rs
+++ b/crates/core/control/src/controller/member_replication.rs
@@ -143,8 +143,8 @@
         self.members.restore(now, persisted, draining_s);
     }
 
-    /// Handles that another control machine has connected. It may have missed updates, so it is
-    /// sent all members.
+    /// Handles the connection of another control machine. It may have missed updates, so it is sent
+    /// all members.
     pub fn peer_connected(&mut self, node: NodeId) -> Vec<Output> {
         let members = self.all_members();
         if members.is_empty() {
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Handles the acknowledgement of another machine that it knows the changes of this update.
+    /// Handles another machine's acknowledgement of an update.
     pub(super) fn handle_members_update_ack(
         &mut self,
         from: Voter,
--- a/crates/core/control/src/controller/proposals.rs
+++ b/crates/core/control/src/controller/proposals.rs
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Handles that a proposal was committed.
+    /// Completes a proposal that was committed.
     pub(super) fn proposal_committed(
         &mut self,
         now: f64,
--- a/crates/core/control/src/controller/router_updates.rs
+++ b/crates/core/control/src/controller/router_updates.rs
@@ -28,7 +28,7 @@
 const MAX_CACHED_UPDATES: usize = 8;
 /// A leader knows the number of routers after this time: by then each router has requested a lease.
 const ROUTER_COUNT_KNOWN_AFTER_S: f64 = 2.0;
-/// A leader whose authority ended this many election time-outs ago tells its routers that it isn't
+/// A leader whose authority ended this many election timeouts ago tells its routers that it isn't
 /// the leader, so that they look for another one.
 const LOST_CONTACT_ELECTION_TIMEOUTS: f64 = 0.5;
 
--- a/crates/core/control/src/controller/service_scheduler.rs
+++ b/crates/core/control/src/controller/service_scheduler.rs
@@ -87,7 +87,7 @@
 }
 
 /// Returns the configuration of failovers for this number of services. With many services, servers
-/// are polled less often, and the primary time-out is longer.
+/// are polled less often, and the primary timeout is longer.
 pub(super) fn scaled_config(config: FailoverConfig, services: usize) -> FailoverConfig {
     let services = services as f64;
     let factor = (services / MAX_PRIMARY_POLLS_PER_S / config.primary_poll_interval).max(1.0);
--- a/crates/core/control/src/failover.rs
+++ b/crates/core/control/src/failover.rs
@@ -11,7 +11,7 @@
 //! # When a primary is replaced
 //!
 //! No server reports its own death. A primary counts as dead when it refuses connections, or when
-//! neither this machine nor any router has received an answer from it within the primary time-out.
+//! neither this machine nor any router has received an answer from it within the primary timeout.
 //! Before another server is promoted, every router must have acknowledged the revocation of the
 //! grant (or its lease must have expired), and all other replicas must have been paused and queried
 //! for their log position. Every write that was acknowledged to a client is then on the replica
--- a/crates/core/control/src/failover/handover.rs
+++ b/crates/core/control/src/failover/handover.rs
@@ -188,8 +188,8 @@
                 || progress.furthest == (0, 0))
     }
 
-    /// Returns whether the target has all writes that departed servers had. No member except the
-    /// primary may have some of these writes.
+    /// Returns whether the target has all writes that departed servers had. Possibly no member
+    /// except the primary still has some of these writes.
     fn has_writes_of_departed(
         &self,
         context: &FailoverContext<'_>,
--- a/crates/core/control/src/failover/polling.rs
+++ b/crates/core/control/src/failover/polling.rs
@@ -1,5 +1,5 @@
 //! What a failover needs to share the leader with the failovers of many other services: late steps
-//! must not count as time-outs of servers, and routers report on the health of servers only for
+//! must not count as timeouts of servers, and routers report on the health of servers only for
 //! services that need it.
 
 use super::{Failover, FailoverConfig, FailoverContext, Phase, Position};
@@ -7,7 +7,7 @@
 /// A step is late if it follows the previous one by more than this. Servers were not queried in
 /// between, so their silence proves nothing.
 const LATE_STEP_THRESHOLD_S: f64 = 0.1;
-/// A late step extends the primary time-out for this long.
+/// A late step extends the primary timeout for this long.
 const LATE_STEP_EFFECT_S: f64 = 1.0;
 
 /// A log position that the primary reported.
@@ -38,7 +38,7 @@
 
 impl PollingDelay {
     /// Records the start of a step. Returns the number of seconds by which late steps extend the
-    /// primary time-out.
+    /// primary timeout.
     fn begin_step(&mut self, now: f64) -> f64 {
         if self.last_step_at.is_none() {
             self.first_step_at = now;
@@ -60,7 +60,7 @@
 }
 
 impl Failover {
-    /// Starts a step with this configuration, whose primary time-out is extended by late steps.
+    /// Starts a step with this configuration, whose primary timeout is extended by late steps.
     pub(crate) fn begin_step(&mut self, now: f64, config: FailoverConfig) {
         let delay = self.polling_delay.begin_step(now);
         self.config = FailoverConfig {
@@ -85,7 +85,7 @@
         Some((UnresponsiveRole::Replica, seconds))
     }
 
-    /// If the primary in use hasn't answered this machine for half the primary time-out, returns
+    /// If the primary in use hasn't answered this machine for half the primary timeout, returns
     /// the number of seconds for which it has answered neither this machine nor any router.
     fn primary_unresponsive_for(&self, now: f64) -> Option<f64> {
         if !matches!(self.phase, Phase::Steady | Phase::Handover(_)) {
--- a/crates/core/control/src/failover/promoting.rs
+++ b/crates/core/control/src/failover/promoting.rs
@@ -64,7 +64,8 @@
             return;
         };
         match outcome {
-            // The platform refused the target, so another server is chosen.
+            // The platform refused the target, usually because it isn't running: another server is
+            // chosen.
             PromotionOutcome::Refused => {
                 self.retry_at = now + RETRY_BACKOFF_S;
                 self.phase = if target.planned {
--- a/crates/core/control/src/failover/steady.rs
+++ b/crates/core/control/src/failover/steady.rs
@@ -9,7 +9,7 @@
 const REPLICA_COMMAND_INTERVAL_S: f64 = 0.1;
 /// Interval between two proposals to record the completed change.
 const RECORD_INTERVAL_S: f64 = 1.0;
-/// A draining primary that hasn't been replaced is given up this long before its drain time-out.
+/// A draining primary that hasn't been replaced is given up this long before its drain timeout.
 const DRAIN_MARGIN_S: f64 = 0.7;
 
 /// Why a primary counts as dead.
@@ -143,7 +143,7 @@
     }
 
     /// Returns why the primary counts as dead, if it does: it refuses connections, or has answered
-    /// neither this machine nor any router within the primary time-out.
+    /// neither this machine nor any router within the primary timeout.
     pub(super) fn primary_death(&self, now: f64) -> Option<PrimaryDeath> {
         let primary_id = self
             .primary
@@ -178,7 +178,7 @@
     }
 
     /// Returns whether a server that has been draining since the time `draining_since` is about to
-    /// reach its drain time-out.
+    /// reach its drain timeout.
     pub(super) fn is_drain_ending(&self, now: f64, draining_since: f64) -> bool {
         now - draining_since > self.config.drain_timeout - DRAIN_MARGIN_S
     }
--- a/crates/core/control/src/members.rs
+++ b/crates/core/control/src/members.rs
@@ -14,8 +14,8 @@
 const UNDRAINED_DEPARTURE_SEQ: u64 = u64::MAX - 1;
 /// Call number assigned to a server that has ended. After it, all reports are ignored.
 const ENDED_SEQ: u64 = u64::MAX;
-/// Factor by which the member time-out is longer for a server that departs undrained. Its
-/// heartbeats are ignored, and it has ended by the end of the longer time-out.
+/// Factor by which the member timeout is longer for a server that departs undrained. Its
+/// heartbeats are ignored, and it has ended by the end of the longer timeout.
 const UNDRAINED_TIMEOUT_FACTOR: f64 = 4.0;
 /// A running server is seen again within this many heartbeat intervals.
 const SEEN_WITHIN_HEARTBEATS: f64 = 2.0;
@@ -199,8 +199,8 @@
         self.merge_and_return(now, info, update_number)
     }
 
-    /// Applies that nothing listens at the address of this server: if it departed undrained, it has
-    /// ended. Returns the changed description, if there is a change.
+    /// Applies a refused connection to a server. Nothing listens at the server's address, so it has
+    /// ended if it departed undrained. Returns the changed description, if there is a change.
     pub(crate) fn connection_refused(
         &mut self,
         now: f64,
--- a/crates/core/control/src/promotion.rs
+++ b/crates/core/control/src/promotion.rs
@@ -44,7 +44,7 @@
             200..300 => PromotionOutcome::Accepted,
             409 => PromotionOutcome::Refused,
             429 => PromotionOutcome::RateLimited,
-            // A proxy may answer 408 (time-out) while the platform still runs the call.
+            // A proxy may answer 408 (timeout) while the platform still runs the call.
             408 => PromotionOutcome::Unknown,
             400..500 => PromotionOutcome::Rejected,
             _ => PromotionOutcome::Unknown,
@@ -127,7 +127,7 @@
         is_in_flight || now < self.late_effect_until
     }
 
-    /// Returns whether the platform refused to promote `server` less than the back-off time ago.
+    /// Returns whether the platform refused to promote `server` less than the backoff time ago.
     pub(crate) fn is_refused(&self, now: f64, server: &str) -> bool {
         self.refusals
             .get(server)
--- a/crates/core/control/src/tests/forwarded_requests.rs
+++ b/crates/core/control/src/tests/forwarded_requests.rs
@@ -114,7 +114,7 @@
     assert_eq!(
         responses(&controller.handle_peer_message(1.2, founder(1), response(id, 200))),
         [],
-        "a response after the time-out was accepted"
+        "a response after the timeout was accepted"
     );
 }
 
--- a/crates/core/control/src/tests/members.rs
+++ b/crates/core/control/src/tests/members.rs
@@ -1,4 +1,4 @@
-//! The member registry: late and repeated heartbeats, departures, time-outs, restarts, and servers
+//! The member registry: late and repeated heartbeats, departures, timeouts, restarts, and servers
 //! that share an address. Also the leases of routers, without a controller.
 
 use crate::leases::Leases;
--- a/crates/core/control/src/tests/promotions.rs
+++ b/crates/core/control/src/tests/promotions.rs
@@ -48,7 +48,7 @@
     pending.record_sent(1.2, "b");
     assert!(pending.record_outcome(1.3, "b", PromotionOutcome::Refused));
     assert!(!pending.permits(1.9, "c") && pending.permits(2.1, "c"));
-    // After a refusal, the same server is tried again only after the back-off time.
+    // After a refusal, the same server is tried again only after the backoff time.
     assert!(!pending.permits(2.2, "b") && pending.permits(2.4, "b"));
 }
 
