--- a/crates/core/pooling/src/choice.rs
+++ b/crates/core/pooling/src/choice.rs
@@ -1,58 +1,61 @@
-//! The destination of a statement: the primary, or a replica that is proven fresh enough.
+//! Chooses the destination of a statement: the primary, or a replica that is proven fresh enough.
 //!
-//! The data plane calls [`choose`] each time it looks for a server. This module never knows which
-//! replicas there are; it only says which position a replica must have.
+//! The data plane calls [`choose`] each time it looks for a server. This module does not know which
+//! replicas exist; it only determines the log position that a replica must have reached.
 
 use crate::freshness::PositionHistory;
 use crate::session::Session;
 use badgerstream_line_protocol::Position;
 
-/// The consistency that a route demands of its reads (`mode` of the configuration).
+/// The consistency that a route requires for its reads (`mode` in the configuration).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Consistency {
-    /// Linearizable: every acknowledged commit is seen (`leader`).
+    /// Linearizable: a read sees every acknowledged commit (`leader`).
     Strong,
-    /// Every commit is seen that was acknowledged more than this many seconds before the read
+    /// A read sees every commit that was acknowledged more than this many seconds before the read
     /// arrived (`bounded_staleness`).
     Bounded(f64),
-    /// As `Bounded`, and every commit of the session itself (`in_house`).
+    /// As `Bounded`, and a read also sees every commit of its own session (`in_house`).
     ReadYourWrites(f64),
 }
 
 /// Whether a statement, or a transaction, reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// A read, or the beginning of a read-only transaction.
+    /// A read, or the start of a read-only transaction.
     Read,
-    /// A write, or the beginning of a transaction that may write.
+    /// A write, or the start of a transaction that may write.
     Write,
 }
 
-/// Where a statement may go.
+/// The servers that may run a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Destination {
-    /// The primary, under the lease.
+    /// Only the primary, while its lease is valid.
     Primary,
-    /// Any replica whose log has reached this position; the primary if there is none.
+    /// Any replica whose log has reached this position; the primary if there is no such replica.
     Replica(Position),
 }
 
-/// What the choice depends on besides the session and the history.
+/// The input of [`choose`] besides the session and the position history.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChoiceInput {
     /// The consistency of the route.
     pub consistency: Consistency,
-    /// Whether the statement or its transaction reads or writes.
+    /// Whether the statement, or its transaction, reads or writes.
     pub access: Access,
-    /// When its first byte, or that of its transaction, arrived.
+    /// When the first byte of the statement, or of its transaction, arrived, in seconds.
     pub arrived_at: f64,
-    /// The primary is unknown, saturated or failing, or was tried for this statement already.
+    /// Whether to avoid the primary: it is unknown, saturated or failing, or this statement was
+    /// already tried there.
     pub avoid_primary: bool,
 }
 
-/// Chooses the destination. Writes and `Strong` reads always go to the primary; so do reads of a
-/// session with primary affinity, unless the primary is to be avoided. All other reads go to a
-/// replica if there is a freshness proof, and to the primary otherwise.
+/// Chooses the destination of a statement at time `now`, in seconds.
+///
+/// Writes and `Strong` reads always go to the primary. Reads of a session with primary affinity also
+/// go there, unless the primary is to be avoided. All other reads go to a replica if there is a
+/// freshness proof, and to the primary otherwise.
 pub fn choose(
     input: &ChoiceInput,
     session: &Session,
--- a/crates/core/pooling/src/connection.rs
+++ b/crates/core/pooling/src/connection.rs
@@ -1,38 +1,39 @@
-//! The session state that a server connection holds, and what brings it to that of a session.
+//! The session state that a server connection holds, and the changes that make it match a session.
 //!
-//! Connections are pooled between statements (transaction pooling), so before a statement runs the
-//! connection must hold exactly its session's values and know its prepared statement. The data
-//! plane owns one [`ConnectionState`] a connection, sends the changes and records which of them the
-//! server acknowledged.
+//! Connections are shared between sessions (transaction pooling). Before a statement runs, its
+//! connection must therefore hold exactly the session's values and know the session's prepared
+//! statement. The data plane owns one [`ConnectionState`] per connection, sends the changes and
+//! records which of them the server acknowledged.
 
 use crate::session::{Shape, Values};
 
-/// The most prepared statements that a connection keeps; before the next it is reset.
-pub const MAX_SHAPES: usize = 128;
+/// Maximum number of prepared statements on a connection. At this number, the connection is reset
+/// before another statement is prepared.
+pub const MAX_PREPARED_STATEMENTS: usize = 128;
 
-/// A statement of the router itself that changes what a connection holds.
+/// A statement that the router itself sends to change the session state of a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StateChange {
     /// Drops all values and prepared statements.
     Reset,
     /// Sets a session value.
     Set {
-        /// Its name.
+        /// Name of the value.
         name: Box<str>,
-        /// The value.
+        /// The new value.
         value: Box<str>,
     },
-    /// Prepares a statement under a name of the router, `p<number>`.
+    /// Prepares a statement under a name that the router assigns: `p<number>`.
     Prepare {
         /// The number in that name.
         number: u32,
-        /// The statement.
+        /// The statement, without its name.
         shape: Shape,
     },
 }
 
 impl StateChange {
-    /// The text of its `QUERY` in the line protocol.
+    /// Returns the statement text that a `QUERY` of the line protocol carries for this change.
     pub fn text(&self) -> String {
         match self {
             Self::Reset => "RESET".to_owned(),
@@ -44,35 +45,38 @@
     }
 }
 
-/// How far a connection's values are from a session's, cheapest first.
+/// What it takes to make a connection's values match a session's, in order of increasing cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// It holds exactly the session's values.
+    /// The connection holds exactly the session's values.
     Same,
-    /// It holds no others, and some must be set.
+    /// Some of the session's values are missing or different on the connection, which holds no
+    /// values of other names: setting values is enough.
     ValuesMissing,
-    /// It holds a value that the session doesn't, or its state is uncertain.
+    /// The connection holds a value whose name the session doesn't have, or its state is uncertain.
     ResetNeeded,
 }
 
-/// A prepared statement of a connection.
+/// A prepared statement on a connection.
 #[derive(Debug)]
-struct PreparedShape {
+struct PreparedStatement {
     shape: Shape,
+    /// The number in the router's name for it, `p<number>`.
     number: u32,
 }
 
-/// The session state that a connection is known to hold.
+/// The session state that a connection holds, as far as the server acknowledged it.
 #[derive(Debug, Default)]
 pub struct ConnectionState {
     values: Values,
-    prepared: Vec<PreparedShape>,
+    prepared: Vec<PreparedStatement>,
+    /// The highest number used on this connection; never reused, not even after a reset.
     last_number: u32,
     is_uncertain: bool,
 }
 
 impl ConnectionState {
-    /// How far the connection is from these values.
+    /// Returns what it takes to make the connection hold exactly these values.
     pub fn distance(&self, values: &Values) -> Distance {
         if self.is_uncertain {
             return Distance::ResetNeeded;
@@ -80,25 +84,25 @@
         if self.values == *values {
             return Distance::Same;
         }
-        let holds_no_other = self
+        let holds_no_other_name = self
             .values
             .iter()
             .all(|(name, _)| values.get(name).is_some());
-        if holds_no_other {
+        if holds_no_other_name {
             Distance::ValuesMissing
         } else {
             Distance::ResetNeeded
         }
     }
 
-    /// The changes, in order, after which the connection holds exactly these values and knows this
-    /// shape. None of them is a reset inside a transaction that began with the session's own
-    /// values.
+    /// Returns the changes, in order, after which the connection holds exactly these values and has
+    /// this statement prepared. Within a transaction that began with the session's own values, none
+    /// of them is a reset.
     pub fn changes(&self, values: &Values, shape: Option<&Shape>) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let is_prepared = shape.is_none_or(|shape| self.prepared_number(shape).is_some());
         let needs_reset = self.distance(values) == Distance::ResetNeeded
-            || !is_prepared && self.prepared.len() >= MAX_SHAPES;
+            || !is_prepared && self.prepared.len() >= MAX_PREPARED_STATEMENTS;
         if needs_reset {
             changes.push(StateChange::Reset);
         }
@@ -119,7 +123,7 @@
         changes
     }
 
-    /// The server has acknowledged this change.
+    /// Records that the server acknowledged this change.
     pub fn record_acknowledged(&mut self, change: &StateChange) {
         match change {
             StateChange::Reset => {
@@ -130,7 +134,7 @@
             StateChange::Set { name, value } => self.values.set(name, value),
             StateChange::Prepare { number, shape } => {
                 self.last_number = *number;
-                self.prepared.push(PreparedShape {
+                self.prepared.push(PreparedStatement {
                     shape: shape.clone(),
                     number: *number,
                 });
@@ -138,13 +142,14 @@
         }
     }
 
-    /// What the connection holds is no longer known, as after the rollback of a transaction in
-    /// which it was changed. It must be reset before its next use.
+    /// Marks the state as unknown, for example after the rollback of a transaction in which it was
+    /// changed. The connection must be reset before its next use.
     pub fn mark_uncertain(&mut self) {
         self.is_uncertain = true;
     }
 
-    /// The number in the router's name for this shape, if the connection knows it.
+    /// Returns the number in the router's name `p<number>` for this statement, or `None` if it is
+    /// not prepared on the connection.
     pub fn prepared_number(&self, shape: &Shape) -> Option<u32> {
         self.prepared
             .iter()
--- a/crates/core/pooling/src/freshness.rs
+++ b/crates/core/pooling/src/freshness.rs
@@ -1,36 +1,41 @@
-//! Freshness proofs: which position a replica must have for a read with bounded staleness.
+//! Freshness proofs: the log position that a replica must have for a read with bounded staleness.
 //!
-//! The data plane keeps one [`PositionHistory`] a service and records what the primary answered.
+//! The data plane keeps one [`PositionHistory`] per service and records the positions that the
+//! primary reports.
 
 use badgerstream_line_protocol::Position;
 use std::collections::VecDeque;
 
-/// The least distance between the query times of two samples, in seconds.
+/// Minimum time between the query times of two samples, in seconds.
 pub const MIN_SAMPLE_SPACING_S: f64 = 0.05;
-/// The most samples kept of one service: with the spacing, some four seconds of a busy one.
+/// Maximum number of samples kept per service. With the minimum spacing they cover about four
+/// seconds of a busy service.
 pub const MAX_SAMPLES: usize = 80;
 
-/// The log of the primary had reached `position` when it was queried at `queried_at`, under a valid
-/// lease.
+/// The primary's log had reached `position` when the primary, under a valid lease, answered a query
+/// that was sent at `queried_at` (seconds).
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     queried_at: f64,
     position: Position,
 }
 
-/// Positions of one service's primary over time. As the lease was valid when a sample was queried,
-/// its position covers every commit that was acknowledged before that second.
+/// Log positions of one service's primary over time.
+///
+/// Because the lease was valid when a sample was queried, the position of the sample covers every
+/// commit that was acknowledged before that time.
 #[derive(Debug, Default)]
 pub struct PositionHistory {
-    /// Query times and positions both rise strictly.
+    /// In strictly rising order of query times and also of positions.
     samples: VecDeque<Sample>,
 }
 
 impl PositionHistory {
-    /// Records that the primary, queried at `queried_at` seconds while the lease was valid,
-    /// answered this position. Answers may come in any order.
+    /// Records the position that the primary reported in response to a query sent at `queried_at`
+    /// (seconds) while the lease was valid. Responses may be recorded in any order.
     pub fn record(&mut self, queried_at: f64, position: Position) {
-        // A sample queried no earlier, at a position no later, proves all that this one does.
+        // A sample with the same or a later query time and the same or a lower position proves at
+        // least as much as this one.
         let after = self.samples.partition_point(|s| s.queried_at < queried_at);
         if self
             .samples
@@ -39,7 +44,8 @@
         {
             return;
         }
-        // Earlier samples at a position no earlier prove less than this one: it replaces them.
+        // Earlier samples with the same or a higher position prove less than this one, which
+        // replaces them.
         let from = self
             .samples
             .partition_point(|s| s.position < position)
@@ -65,14 +71,15 @@
         }
     }
 
-    /// The smallest position known to cover every commit acknowledged before `since` (seconds):
-    /// what `WAITPOS` must demand of a replica. None if no sample is as young as that.
+    /// Returns the lowest position known to cover every commit acknowledged before `since` (seconds),
+    /// which a read requires of a replica with `WAITPOS`. Returns `None` if no sample was queried at
+    /// or after `since`.
     pub fn proof(&self, since: f64) -> Option<Position> {
         let first = self.samples.partition_point(|s| s.queried_at < since);
         self.samples.get(first).map(|s| s.position)
     }
 
-    /// When the newest sample was queried, in seconds.
+    /// Returns the query time of the newest sample, in seconds.
     pub fn newest_query_at(&self) -> Option<f64> {
         self.samples.back().map(|s| s.queried_at)
     }
--- a/crates/core/pooling/src/health.rs
+++ b/crates/core/pooling/src/health.rs
@@ -1,17 +1,20 @@
-//! A server's health as its answers and failures show it: whether to send it anything now.
+//! The health of a server, which decides whether statements are sent to it now.
 //!
-//! The pool of a server owns one [`Health`]; nothing is probed for it.
+//! Health is derived only from responses and failures of regular traffic; there are no probes. The
+//! pool of each server owns one [`Health`].
 
 use badgerstream_line_protocol::Position;
 
-/// The first backoff after a failure, in seconds; it doubles up to [`MAX_BACKOFF_S`].
+/// Backoff after the first failure, in seconds; it doubles with each failure up to
+/// [`MAX_BACKOFF_S`].
 pub const MIN_BACKOFF_S: f64 = 0.05;
-/// The longest backoff after failures, in seconds.
+/// Maximum backoff after repeated failures, in seconds.
 pub const MAX_BACKOFF_S: f64 = 1.0;
-/// For how long reads that a replica lagged behind avoid it, in seconds.
+/// How long reads avoid a replica that lacked the position they require, in seconds.
 pub const LAG_BACKOFF_S: f64 = 0.2;
 
-/// A position that a replica did not have, and until when reads of it avoid the replica.
+/// A position that a replica lacked, and until when (seconds) reads that require this position or a
+/// higher one avoid the replica.
 #[derive(Debug, Clone, Copy)]
 struct Lag {
     position: Position,
@@ -21,16 +24,19 @@
 /// The health of one server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// The highest position that it answered.
+    /// The highest log position that the server reported.
     confirmed_position: Option<Position>,
     last_lag: Option<Lag>,
+    /// End of the current backoff, in seconds; 0 if there is none.
     down_until: f64,
+    /// Length of the latest backoff; 0 after a response.
     backoff_s: f64,
 }
 
 impl Health {
-    /// The server answered, with its log at this position if the answer says so. Ends a backoff.
-    pub fn record_answer(&mut self, position: Option<Position>) {
+    /// Records a response of the server, with the log position if the response reports one. Ends a
+    /// backoff.
+    pub fn record_response(&mut self, position: Option<Position>) {
         self.backoff_s = 0.0;
         self.down_until = 0.0;
         if position > self.confirmed_position {
@@ -38,7 +44,8 @@
         }
     }
 
-    /// The server answered `LAGGING`: it lacks this position.
+    /// Records that the server responded with `LAGGING` at time `now`, in seconds: its log lacks this
+    /// position.
     pub fn record_lag(&mut self, now: f64, position: Position) {
         self.last_lag = Some(Lag {
             position,
@@ -46,8 +53,9 @@
         });
     }
 
-    /// The server could not be reached, or refused a connection. Failures within a backoff do not
-    /// extend it: they were attempted before it began.
+    /// Records that, at time `now` in seconds, the server could not be reached or refused a
+    /// connection. Failures during a backoff do not extend it, because their attempts began before
+    /// it.
     pub fn record_failure(&mut self, now: f64) {
         if now < self.down_until {
             return;
@@ -56,13 +64,14 @@
         self.down_until = now + self.backoff_s;
     }
 
-    /// Whether the server is not in a backoff.
+    /// Returns whether the server is outside of any backoff at time `now`, in seconds.
     pub fn is_up(&self, now: f64) -> bool {
         now >= self.down_until
     }
 
-    /// Whether the server has this position, or nothing speaks against it. `WAITPOS` has the
-    /// server check it, so a wrong guess costs a round trip and never consistency.
+    /// Returns whether the server's log has reached this position, as far as is known at time `now`,
+    /// in seconds. The server checks the position itself (`WAITPOS`), so a wrong guess costs a round
+    /// trip and never consistency.
     pub fn may_have_position(&self, position: Position, now: f64) -> bool {
         let is_confirmed = self
             .confirmed_position
--- a/crates/core/pooling/src/latency.rs
+++ b/crates/core/pooling/src/latency.rs
@@ -1,93 +1,103 @@
-//! A server's latency, when an answer is overdue, and which retry delay a client is given.
+//! The latency of a server, when one of its responses is overdue, and the retry delay for clients.
 //!
-//! The pool of a server owns one [`Latency`]; the data plane owns one [`RefusalStreak`] a service.
+//! The pool of each server owns one [`Latency`]. The data plane owns one [`RefusalStreak`] per
+//! service.
 
-/// An answer is never overdue before this many seconds.
+/// Minimum time after which a response is overdue, in seconds.
 pub const MIN_OVERDUE_S: f64 = 0.025;
-/// No retry delay that a client is given is shorter, in seconds.
+/// Minimum retry delay that a client is given, in seconds.
 pub const MIN_RETRY_AFTER_S: f64 = 0.05;
-/// A streak of refusals ends after this many seconds without one.
+/// A streak of refusals ends after this many seconds without a refusal.
 pub const REFUSAL_STREAK_GAP_S: f64 = 1.0;
 
-/// The longest that [`Latency::network_stretch`] gets.
-const MAX_NETWORK_STRETCH: f64 = 8.0;
+/// Maximum of [`Latency::network_overhead_factor`].
+const MAX_NETWORK_OVERHEAD_FACTOR: f64 = 8.0;
 
-/// Moving averages of the time from a statement to its answer, in seconds (as TCP's estimators of
-/// the round-trip time, RFC 6298: gains of 1/8 and 1/4).
+/// Moving averages of the time from sending a statement to its response, in seconds. They are
+/// computed like TCP's estimators of the round-trip time (RFC 6298), with gains of 1/8 for the mean
+/// and 1/4 for the deviation.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Latency {
-    mean: Option<f64>,
-    /// The mean deviation from the mean.
-    deviation: f64,
-    /// The time of the network alone.
-    round_trip: Option<f64>,
+    /// `None` before the first response.
+    mean_s: Option<f64>,
+    /// Mean absolute deviation from the mean.
+    deviation_s: f64,
+    /// Round-trip time of the network alone; `None` before the first measurement.
+    round_trip_s: Option<f64>,
 }
 
 impl Latency {
-    /// A statement was answered after `elapsed_s` seconds.
-    pub fn record_answer(&mut self, elapsed_s: f64) {
-        match &mut self.mean {
+    /// Records that the response to a statement came after `elapsed_s` seconds.
+    pub fn record_response(&mut self, elapsed_s: f64) {
+        match &mut self.mean_s {
             None => {
-                self.mean = Some(elapsed_s);
-                self.deviation = elapsed_s / 2.0;
+                self.mean_s = Some(elapsed_s);
+                self.deviation_s = elapsed_s / 2.0;
             }
-            Some(mean) => {
-                self.deviation += ((elapsed_s - *mean).abs() - self.deviation) / 4.0;
-                *mean += (elapsed_s - *mean) / 8.0;
+            Some(mean_s) => {
+                self.deviation_s += ((elapsed_s - *mean_s).abs() - self.deviation_s) / 4.0;
+                *mean_s += (elapsed_s - *mean_s) / 8.0;
             }
         }
     }
 
-    /// A statement that takes no slot of the server was answered after `elapsed_s` seconds, which
-    /// is an upper bound of the round trip. Falls at once, rises slowly.
+    /// Records that the response to a statement that takes no slot of the server came after
+    /// `elapsed_s` seconds, which is an upper bound of the network's round-trip time. The estimate
+    /// falls at once and rises slowly.
     pub fn record_round_trip(&mut self, elapsed_s: f64) {
-        let round_trip = self.round_trip.map_or(elapsed_s, |round_trip| {
-            elapsed_s.min(round_trip + (elapsed_s - round_trip) / 16.0)
+        let round_trip_s = self.round_trip_s.map_or(elapsed_s, |round_trip_s| {
+            elapsed_s.min(round_trip_s + (elapsed_s - round_trip_s) / 16.0)
         });
-        self.round_trip = Some(round_trip);
+        self.round_trip_s = Some(round_trip_s);
     }
 
-    /// How many times as long a statement takes for the router as for the server, because of the
-    /// network: from 1, also while that isn't known, to 8.
-    pub fn network_stretch(&self) -> f64 {
-        match (self.mean, self.round_trip) {
-            (Some(mean), Some(round_trip)) => {
-                let server_time = (mean - round_trip).max(mean / MAX_NETWORK_STRETCH);
-                (mean / server_time).max(1.0)
+    /// Returns the mean time that a statement takes as the router sees it, divided by the time that
+    /// it takes at the server, without the network: between 1 and 8, and 1 while either is unknown.
+    pub fn network_overhead_factor(&self) -> f64 {
+        match (self.mean_s, self.round_trip_s) {
+            (Some(mean_s), Some(round_trip_s)) => {
+                let server_s = (mean_s - round_trip_s).max(mean_s / MAX_NETWORK_OVERHEAD_FACTOR);
+                (mean_s / server_s).max(1.0)
             }
             _ => 1.0,
         }
     }
 
-    /// The mean, in seconds; 0 before the first answer.
-    pub fn mean(&self) -> f64 {
-        self.mean.unwrap_or(0.0)
+    /// Returns the mean time to a response, in seconds; 0 before the first response.
+    pub fn mean_s(&self) -> f64 {
+        self.mean_s.unwrap_or(0.0)
     }
 
-    /// How many seconds after it was sent the answer of a statement with this latency target
-    /// (seconds) is overdue. If the server has answered what was sent later, it is probably lost.
-    pub fn overdue_after(&self, target_s: f64) -> f64 {
-        let usual = (4.0 * self.mean()).max(self.mean() + 4.0 * self.deviation);
-        usual.max(target_s / 4.0).max(MIN_OVERDUE_S)
+    /// Returns how many seconds after sending it the response to a statement with this latency target
+    /// is overdue. If the server has responded to a statement that was sent later, an overdue
+    /// response is probably lost.
+    pub fn overdue_after_s(&self, target_s: f64) -> f64 {
+        let usual_s = (4.0 * self.mean_s()).max(self.mean_s() + 4.0 * self.deviation_s);
+        usual_s.max(target_s / 4.0).max(MIN_OVERDUE_S)
     }
 
-    /// The estimated wait, in seconds, behind `ahead` others where `limit` are admitted at once.
-    pub fn queue_wait(&self, ahead: usize, limit: usize) -> f64 {
-        (ahead + 1) as f64 * self.mean() / limit.max(1) as f64
+    /// Returns the estimated wait in the admission queue, in seconds, with `entries_ahead` entries
+    /// ahead and `limit` statements admitted at a time.
+    pub fn queue_wait_s(&self, entries_ahead: usize, limit: usize) -> f64 {
+        (entries_ahead + 1) as f64 * self.mean_s() / limit.max(1) as f64
     }
 }
 
-/// For how long statements of a service have been refused without a gap. What has lasted so long is
-/// likely to last as long again, so retry delays grow with it.
+/// How long statements of a service have been refused without a gap.
+///
+/// A streak that has lasted for some time is likely to last as long again, so retry delays grow with
+/// its length.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RefusalStreak {
+    /// Time of the first refusal of the streak, in seconds.
     began_at: f64,
+    /// Time of the latest refusal, in seconds.
     last_at: Option<f64>,
 }
 
 impl RefusalStreak {
-    /// A statement is refused that would have to wait `wait_s` seconds. Returns the retry delay
-    /// for its client, in seconds.
+    /// Records that a statement was refused at time `now`, in seconds, because it would have to wait
+    /// for `wait_s` seconds. Returns the retry delay for its client, in seconds.
     pub fn record_refusal(&mut self, now: f64, wait_s: f64) -> f64 {
         if self
             .last_at
--- a/crates/core/pooling/src/lib.rs
+++ b/crates/core/pooling/src/lib.rs
@@ -1,14 +1,18 @@
-//! Decisions of the data plane: where a statement goes, when it is admitted, and what a pooled
-//! connection must hold before it runs.
+//! Decisions of the data plane: which server runs a statement, when the statement is admitted, and
+//! which session state a pooled connection must hold before the statement runs.
 //!
 //! - [`session`]: the state of a client's session;
 //! - [`choice`]: primary or replica, by the route's consistency and a proof of [`freshness`];
-//! - [`queue`], [`connection_quota`]: how much one router may have open and in flight at a server;
-//! - [`health`], [`latency`]: what a server's answers say of it;
-//! - [`connection`]: the session state that a server connection holds.
+//! - [`queue`]: the order in which waiting statements are admitted to a server;
+//! - [`connection_quota`]: how many connections and in-flight statements one router may have at a
+//!   server;
+//! - [`health`], [`latency`]: whether a server is usable and how fast it is, judged by its
+//!   responses;
+//! - [`connection`]: the session state that a server connection holds, and how to change it.
 //!
-//! The data plane of `badgerstream-pooler` owns all of these values and calls them from one thread.
-//! Nothing here does I/O or reads a clock: times are seconds of the caller's steady clock, as `f64`.
+//! The data plane of `badgerstream-pooler` owns all of these values and uses them from one thread.
+//! Nothing here does I/O or reads a clock: every time is an `f64` in seconds on the caller's steady
+//! clock, and every duration is an `f64` in seconds.
 
 pub mod choice;
 pub mod connection;
--- a/crates/core/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -1,48 +1,52 @@
 //! The state of a client's session: values, prepared statements, transaction, last write and
-//! affinity to the primary.
+//! primary affinity.
 //!
-//! The task that serves the client owns its [`Session`]. What a client sets or prepares is answered
-//! by the router itself; it reaches a server only with the statement that needs it
-//! ([`crate::connection`]).
+//! The task that serves the client owns its [`Session`]. The router itself responds when a client
+//! sets a value or prepares a statement. Values and prepared statements are sent to a server only
+//! when a statement needs them ([`crate::connection`]).
 
 use badgerstream_line_protocol::{Position, StatementKind, TransactionState};
 use badgerstream_routing::Mark;
 use thiserror::Error;
 
-/// The most names of one sort that a session may hold.
-pub const MAX_NAMES: usize = 512;
-/// The most bytes that a session's values, or its prepared statements, may take.
-pub const MAX_BYTES: usize = 256 * 1024;
+/// Maximum number of values, and separately of prepared statements, in a session.
+pub const MAX_NAMES_PER_KIND: usize = 512;
+/// Maximum total size of a session's values, and separately of its prepared statements, in bytes;
+/// names count too.
+pub const MAX_BYTES_PER_KIND: usize = 256 * 1024;
 
-/// Why a session can't take a value, or take or drop a prepared name.
+/// Why a session rejected a change to its values or prepared statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SessionError {
-    /// It would hold more than [`MAX_NAMES`] or [`MAX_BYTES`].
-    #[error("the session holds too much")]
-    Full,
-    /// It has no prepared statement of that name.
-    #[error("no such name")]
-    Unknown,
+    /// The session would exceed [`MAX_NAMES_PER_KIND`] or [`MAX_BYTES_PER_KIND`].
+    #[error(
+        "session limit exceeded: at most {MAX_NAMES_PER_KIND} names and {MAX_BYTES_PER_KIND} bytes \
+         of values, and as many of prepared statements"
+    )]
+    LimitExceeded,
+    /// The session has no prepared statement of that name.
+    #[error("the session has no prepared statement of this name")]
+    UnknownStatement,
 }
 
-/// Session values, sorted by name.
+/// The values of a session, sorted by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Values(Vec<(Box<str>, Box<str>)>);
 
 impl Values {
-    /// Sets a value.
+    /// Sets a value, and replaces an older value of this name.
     pub fn set(&mut self, name: &str, value: &str) {
         match self.0.binary_search_by(|(n, _)| (**n).cmp(name)) {
             Ok(at) => self.0[at].1 = value.into(),
             Err(at) => {
-                // Most sessions hold few values and there are many sessions: no spare capacity.
+                // No spare capacity: there are many sessions, and most hold few values.
                 self.0.reserve_exact(1);
                 self.0.insert(at, (name.into(), value.into()));
             }
         }
     }
 
-    /// The value of this name.
+    /// Returns the value of this name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .binary_search_by(|(n, _)| (**n).cmp(name))
@@ -50,22 +54,22 @@
             .map(|at| &*self.0[at].1)
     }
 
-    /// Names and values, in order of names.
+    /// Iterates over names and values, in order of names.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(n, v)| (&**n, &**v))
     }
 
-    /// How many there are.
+    /// Returns the number of values.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no values.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Removes all.
+    /// Removes all values.
     pub fn clear(&mut self) {
         self.0.clear();
     }
@@ -75,13 +79,13 @@
     }
 }
 
-/// A prepared statement without the name that a client gave it, so that clients can share it on a
-/// connection.
+/// The definition of a prepared statement without the name that a client gave it, so that clients
+/// can share the statement on a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Shape {
-    /// Whether it reads or writes.
+    /// Whether the statement reads or writes.
     pub kind: StatementKind,
-    /// What follows the name and the kind in its `PREPARE`.
+    /// The text that follows the name and the kind in `PREPARE`.
     pub text: Box<str>,
 }
 
@@ -93,19 +97,19 @@
     None,
     /// A transaction is open.
     Open {
-        /// It was begun with `BEGIN FETCH`, and only reads.
+        /// Whether it was started with `BEGIN FETCH`, and so only reads.
         read_only: bool,
-        /// When its `BEGIN` arrived, in seconds: its reads must be as fresh as that.
+        /// When its `BEGIN` arrived, in seconds. The staleness of its reads is measured from here.
         arrived_at: f64,
-        /// A write was sent to a server in it.
+        /// Whether a write of this transaction was sent to a server.
         has_written: bool,
     },
-    /// It failed: nothing of it is kept, and only its end is accepted.
+    /// The transaction failed: none of its writes is kept, and the session accepts only its end.
     Failed,
 }
 
 impl Transaction {
-    /// The state that answers to the client carry.
+    /// Returns the transaction state that responses to the client carry.
     pub fn state(&self) -> TransactionState {
         match self {
             Self::None => TransactionState::Idle,
@@ -115,7 +119,7 @@
     }
 }
 
-/// A prepared statement under the client's name for it.
+/// A prepared statement of a session, under the client's name for it.
 #[derive(Debug)]
 struct PreparedStatement {
     name: Box<str>,
@@ -125,36 +129,42 @@
 /// The state of a client's session.
 #[derive(Debug, Default)]
 pub struct Session {
-    /// The values that were acknowledged to the client.
+    /// The values whose setting was acknowledged to the client.
     pub values: Values,
     prepared: Vec<PreparedStatement>,
-    /// The state of its transaction.
+    /// The state of the session's transaction.
     pub transaction: Transaction,
-    /// The position of the log after its last write: reads of its own must be as fresh.
+    /// The log position after the session's last write. With read-your-writes consistency, the
+    /// session's reads require at least this position.
     pub last_write: Option<Position>,
-    /// When it last used a primary; its reads keep to the primary for a while.
+    /// Marks when the session last used the primary; its reads go to the primary for a while after
+    /// that.
     pub primary_affinity: Mark,
 }
 
 impl Session {
-    /// Sets a value.
+    /// Sets a value, and replaces an older value of this name. The limits are checked as if the name
+    /// were new.
     ///
     /// # Errors
-    /// [`SessionError::Full`] beyond the bounds.
+    ///
+    /// [`SessionError::LimitExceeded`].
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), SessionError> {
-        if self.values.len() >= MAX_NAMES
-            || self.values.bytes() + name.len() + value.len() > MAX_BYTES
+        if self.values.len() >= MAX_NAMES_PER_KIND
+            || self.values.bytes() + name.len() + value.len() > MAX_BYTES_PER_KIND
         {
-            return Err(SessionError::Full);
+            return Err(SessionError::LimitExceeded);
         }
         self.values.set(name, value);
         Ok(())
     }
 
-    /// Adds a prepared statement; it replaces an older one of that name.
+    /// Adds a prepared statement, and replaces an older one of this name. The size limit is checked
+    /// as if the name were new.
     ///
     /// # Errors
-    /// [`SessionError::Full`] beyond the bounds.
+    ///
+    /// [`SessionError::LimitExceeded`].
     pub fn prepare(
         &mut self,
         name: &str,
@@ -166,8 +176,8 @@
             .iter()
             .map(|prepared| prepared.name.len() + prepared.shape.text.len())
             .sum();
-        if bytes + name.len() + text.len() > MAX_BYTES {
-            return Err(SessionError::Full);
+        if bytes + name.len() + text.len() > MAX_BYTES_PER_KIND {
+            return Err(SessionError::LimitExceeded);
         }
         let shape = Shape {
             kind,
@@ -175,7 +185,9 @@
         };
         match self.index_of(name) {
             Some(index) => self.prepared[index].shape = shape,
-            None if self.prepared.len() >= MAX_NAMES => return Err(SessionError::Full),
+            None if self.prepared.len() >= MAX_NAMES_PER_KIND => {
+                return Err(SessionError::LimitExceeded);
+            }
             None => {
                 self.prepared.reserve_exact(1);
                 self.prepared.push(PreparedStatement {
@@ -187,7 +199,7 @@
         Ok(())
     }
 
-    /// The prepared statement of this name.
+    /// Returns the definition of the prepared statement of this name.
     pub fn shape(&self, name: &str) -> Option<&Shape> {
         self.index_of(name).map(|index| &self.prepared[index].shape)
     }
@@ -195,9 +207,10 @@
     /// Removes a prepared statement.
     ///
     /// # Errors
-    /// [`SessionError::Unknown`] if there is none of this name.
+    ///
+    /// [`SessionError::UnknownStatement`] if the session has no prepared statement of this name.
     pub fn deallocate(&mut self, name: &str) -> Result<(), SessionError> {
-        let index = self.index_of(name).ok_or(SessionError::Unknown)?;
+        let index = self.index_of(name).ok_or(SessionError::UnknownStatement)?;
         self.prepared.swap_remove(index);
         Ok(())
     }
@@ -208,7 +221,8 @@
             .position(|prepared| *prepared.name == *name)
     }
 
-    /// A write of this session was acknowledged, with the log at this position.
+    /// Records that a server acknowledged a write of this session, with its log at this position.
+    /// `last_write` never goes back.
     pub fn record_write(&mut self, position: Option<Position>) {
         self.last_write = self.last_write.max(position);
     }
--- a/crates/core/pooling/src/tests/choices.rs
+++ b/crates/core/pooling/src/tests/choices.rs
@@ -1,4 +1,5 @@
-//! The destination of a statement by consistency, proof, affinity and health.
+//! Tests of the destination of a statement, which depends on consistency, freshness proof and
+//! primary affinity, and of the health of a server.
 
 use crate::choice::{Access, ChoiceInput, Consistency, Destination, choose};
 use crate::freshness::PositionHistory;
@@ -47,7 +48,7 @@
         choose(&fresh, &session, &history(), 10.0),
         Destination::Primary
     );
-    // Also when it is to be avoided: no replica can prove that it has every commit.
+    // Even if the primary is to be avoided: no replica can prove that it has every commit.
     fresh.avoid_primary = true;
     assert_eq!(
         choose(&fresh, &session, &history(), 10.0),
@@ -68,7 +69,7 @@
     };
     assert_eq!(read(1.5, 10.0), Destination::Replica(position(50)));
     assert_eq!(read(0.7, 10.0), Destination::Replica(position(60)));
-    // No sample is young enough for this staleness.
+    // No sample is recent enough for this staleness.
     assert_eq!(read(0.4, 10.0), Destination::Primary);
 }
 
@@ -85,7 +86,7 @@
         choose(&read, &session, &history(), 7.5 + MARK_S),
         Destination::Replica(position(50))
     );
-    // A saturated primary is avoided for a replica that has the write of the session.
+    // If the primary is to be avoided, the read goes to a replica that has the session's write.
     session.record_write(Some(position(70)));
     read.avoid_primary = true;
     assert_eq!(
@@ -132,7 +133,7 @@
     assert!(!health.may_have_position(position(6), 1.0));
     assert!(health.may_have_position(position(4), 1.0));
     assert!(health.may_have_position(position(6), 1.0 + LAG_BACKOFF_S));
-    health.record_answer(Some(position(6)));
+    health.record_response(Some(position(6)));
     assert!(health.may_have_position(position(6), 1.0));
 
     health.record_failure(2.0);
@@ -141,6 +142,6 @@
     assert!(health.is_up(2.0 + MIN_BACKOFF_S));
     health.record_failure(3.0);
     assert!(!health.is_up(3.0 + MIN_BACKOFF_S));
-    health.record_answer(None);
+    health.record_response(None);
     assert!(health.is_up(3.0));
 }
--- a/crates/core/pooling/src/tests/connection_state.rs
+++ b/crates/core/pooling/src/tests/connection_state.rs
@@ -1,12 +1,14 @@
-//! Sessions of several clients on pooled connections, against a server that records what it holds.
+//! Tests of several sessions on pooled connections, against a model of the server that records the
+//! session state of each connection.
 
 use crate::connection::{ConnectionState, Distance, StateChange};
-use crate::session::{MAX_NAMES, Session, SessionError};
+use crate::session::{MAX_NAMES_PER_KIND, Session, SessionError};
 use arbtest::arbtest;
 use badgerstream_line_protocol::{ParsedStatement, StatementKind};
 use std::collections::BTreeMap;
 
-/// What a connection holds at the server, by the statements that it received.
+/// Model of the session state that the server keeps for a connection, built from the statements
+/// that it received.
 #[derive(Default)]
 struct ServerState {
     values: BTreeMap<String, String>,
@@ -78,11 +80,15 @@
                         .collect();
                     assert_eq!(server.values, expected);
                     if let Some(shape) = shape {
-                        let ours = format!("p{}", connection.prepared_number(&shape).unwrap());
-                        assert_eq!(server.prepared[&ours], (shape.kind, shape.text.to_string()));
+                        let router_name =
+                            format!("p{}", connection.prepared_number(&shape).unwrap());
+                        assert_eq!(
+                            server.prepared[&router_name],
+                            (shape.kind, shape.text.to_string())
+                        );
                     }
                     if u.ratio(1, 8)? {
-                        // A rollback may have undone any of the changes.
+                        // A rollback may undo any of the changes; the model drops all of them.
                         server.values.clear();
                         server.prepared.clear();
                         connection.mark_uncertain();
@@ -110,7 +116,7 @@
 }
 
 #[test]
-fn connection_with_too_many_shapes_is_reset() {
+fn connection_with_too_many_prepared_statements_is_reset() {
     let mut connection = ConnectionState::default();
     let mut resets = 0;
     for i in 0..400 {
@@ -132,20 +138,20 @@
 }
 
 #[test]
-fn session_rejects_names_beyond_its_bounds() {
+fn session_rejects_names_above_its_limit() {
     let mut session = Session::default();
-    for i in 0..MAX_NAMES {
+    for i in 0..MAX_NAMES_PER_KIND {
         session.set(&format!("n{i}"), "v").unwrap();
         session
             .prepare(&format!("n{i}"), StatementKind::Put, "q")
             .unwrap();
     }
-    assert_eq!(session.set("more", "v"), Err(SessionError::Full));
+    assert_eq!(session.set("more", "v"), Err(SessionError::LimitExceeded));
     assert_eq!(
         session.prepare("more", StatementKind::Put, "q"),
-        Err(SessionError::Full)
+        Err(SessionError::LimitExceeded)
     );
-    // An older name is replaced all the same.
+    // A prepared statement of an existing name is still replaced at the limit.
     assert_eq!(session.prepare("n1", StatementKind::Fetch, "q2"), Ok(()));
     assert_eq!(session.shape("n1").unwrap().kind, StatementKind::Fetch);
 }
--- a/crates/core/pooling/src/tests/freshness.rs
+++ b/crates/core/pooling/src/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Freshness proofs from samples of the position of the primary.
+//! Tests of freshness proofs, which are built from samples of the primary's log position.
 
 use crate::freshness::{MAX_SAMPLES, PositionHistory};
 use arbtest::arbtest;
@@ -8,7 +8,8 @@
     Position { term: 3, number }
 }
 
-/// Commits at random times, and samples whose answers come in any order: every proof must hold.
+/// Commits happen at random times and samples are recorded in any order. Every proof must cover all
+/// commits acknowledged before the requested time.
 #[test]
 fn proof_covers_every_commit_acknowledged_before() {
     arbtest(|u| {
@@ -22,11 +23,11 @@
         let mut history = PositionHistory::default();
         let mut samples = Vec::new();
         for _ in 0..u.int_in_range(0..=120)? {
-            let asked = f64::from(u.int_in_range(0..=6000u32)?) / 1000.0;
-            // The position is that of the moment at which the server answered.
-            let answered = asked + f64::from(u.int_in_range(0..=500u32)?) / 1000.0;
-            history.record(asked, position(position_number_at(answered)));
-            samples.push((asked, position_number_at(answered)));
+            let queried_at = f64::from(u.int_in_range(0..=6000u32)?) / 1000.0;
+            // The server reports its position at the time of its response.
+            let answered_at = queried_at + f64::from(u.int_in_range(0..=500u32)?) / 1000.0;
+            history.record(queried_at, position(position_number_at(answered_at)));
+            samples.push((queried_at, position_number_at(answered_at)));
         }
         for _ in 0..10 {
             let since = f64::from(u.int_in_range(0..=6000u32)?) / 1000.0;
@@ -52,7 +53,8 @@
     for i in 0..100u64 {
         history.record(i as f64 / 10.0, position(i));
     }
-    // Samples beyond the bound are dropped, never extrapolated.
+    // Only the newest MAX_SAMPLES samples are kept. Without an older one, the proof is the position
+    // of the oldest sample kept; it is never extrapolated.
     assert_eq!(history.proof(0.0), Some(position(100 - MAX_SAMPLES as u64)));
     assert_eq!(history.proof(5.0), Some(position(50)));
     assert_eq!(history.proof(5.01), Some(position(51)));
@@ -68,7 +70,7 @@
     }
     assert!(history.proof(1.0).is_some());
     assert!(history.proof(1.94).is_some());
-    // While the position stays the same, the newest query time is kept.
+    // While the position stays the same, the latest query time is kept.
     let mut quiet = PositionHistory::default();
     quiet.record(1.0, position(7));
     quiet.record(1.01, position(7));
--- a/crates/core/pooling/src/tests/queue_and_limits.rs
+++ b/crates/core/pooling/src/tests/queue_and_limits.rs
@@ -1,4 +1,5 @@
-//! Admission by rank and latest start, and the limits, latencies and delays around it.
+//! Tests of admission by rank and latest start, in-flight limits, connection quotas, latencies and
+//! retry delays.
 
 use crate::connection_quota::{ConnectionQuota, in_flight_limit};
 use crate::latency::{Latency, RefusalStreak};
@@ -22,11 +23,11 @@
 }
 
 #[test]
-fn never_exceeds_limit_and_forgets_no_entry() {
+fn never_exceeds_limit_and_loses_no_entry() {
     arbtest(|u| {
         let limit = u.int_in_range(1..=4)?;
         let mut queue = Queue::new(limit);
-        let (mut inside, mut waiting, mut now) = (0usize, Vec::new(), 0.0);
+        let (mut admitted, mut waiting, mut now) = (0usize, Vec::new(), 0.0);
         for _ in 0..u.int_in_range(0..=60)? {
             match u.int_in_range(0..=3)? {
                 0 => {
@@ -36,20 +37,20 @@
                     );
                     let ahead = queue.entries_ahead(rank, latest_start, now);
                     match queue.enter(rank, latest_start) {
-                        None => inside += 1,
+                        None => admitted += 1,
                         Some(entry) => {
-                            let before = |&&(p, a): &&(QueueEntry, f64)| {
-                                (a < now, p) < (latest_start < now, entry)
+                            let is_ahead = |&&(other, other_start): &&(QueueEntry, f64)| {
+                                (other_start < now, other) < (latest_start < now, entry)
                             };
-                            assert_eq!(ahead, waiting.iter().filter(before).count());
+                            assert_eq!(ahead, waiting.iter().filter(is_ahead).count());
                             waiting.push((entry, latest_start));
                         }
                     }
                 }
                 3 => now += 1.0,
-                1 if inside > 0 => {
+                1 if admitted > 0 => {
                     queue.release();
-                    inside -= 1;
+                    admitted -= 1;
                 }
                 2 if !waiting.is_empty() => {
                     let (entry, _) = waiting.remove(u.choose_index(waiting.len())?);
@@ -58,17 +59,18 @@
                 _ => {}
             }
             while let Some(entry) = queue.admit_next(now) {
-                // Entries past their latest start come last; then rank and arrival decide.
+                // Entries past their latest start come last. Within both groups, rank and arrival
+                // decide.
                 let next = waiting
                     .iter()
                     .copied()
-                    .min_by_key(|(p, latest_start)| (*latest_start < now, *p));
-                assert_eq!(next.map(|(p, _)| p), Some(entry));
-                waiting.retain(|(p, _)| *p != entry);
-                inside += 1;
+                    .min_by_key(|(other, latest_start)| (*latest_start < now, *other));
+                assert_eq!(next.map(|(other, _)| other), Some(entry));
+                waiting.retain(|(other, _)| *other != entry);
+                admitted += 1;
             }
-            assert_eq!(queue.admitted(), inside);
-            assert!(inside <= limit && (inside == limit || waiting.is_empty()));
+            assert_eq!(queue.admitted(), admitted);
+            assert!(admitted <= limit && (admitted == limit || waiting.is_empty()));
         }
         Ok(())
     });
@@ -87,7 +89,8 @@
         (connection_quota.limit(1.0), connection_quota.limit(6.0)),
         (3, 6)
     );
-    // All quotas together stay below what the server takes, wherever that leaves two for each.
+    // The quotas of all routers together stay below the server's maximum as long as the maximum
+    // allows at least two connections per router.
     for routers in 1..=30 {
         connection_quota.update(80, routers);
         assert!(connection_quota.limit(6.0) * routers < 80);
@@ -107,7 +110,8 @@
     assert_eq!(queue.enter(0, 9.0), None);
     let missed = queue.enter(0, 1.0).unwrap();
     let low = queue.enter(2, 9.0).unwrap();
-    // Until its latest start it is ahead of those of lower rank; afterwards it is behind them.
+    // Until its latest start, the entry of rank 0 is ahead of entries of higher rank numbers;
+    // afterwards it is behind them.
     assert_eq!(
         (
             queue.entries_ahead(1, 9.0, 0.5),
@@ -136,23 +140,23 @@
         (1, 9),
         (0, 0),
     ]
-    .map(|(s, r)| in_flight_limit(s, r, 1.0));
+    .map(|(slots, routers)| in_flight_limit(slots, routers, 1.0));
     assert_eq!(limits, [2, 3, 4, 2, 3, 4, 2, 2]);
-    // Across a slow network more are in flight, but never more than the server has slots.
+    // Across a slow network more statements are in flight, but not more than the server has slots.
     assert_eq!(
-        [1.0, 2.0, 3.0, 8.0].map(|stretch| in_flight_limit(7, 9, stretch)),
+        [1.0, 2.0, 3.0, 8.0].map(|factor| in_flight_limit(7, 9, factor)),
         [2, 4, 5, 7]
     );
     let mut latency = Latency::default();
-    assert_eq!(latency.network_stretch(), 1.0);
-    latency.record_answer(0.034);
+    assert_eq!(latency.network_overhead_factor(), 1.0);
+    latency.record_response(0.034);
     latency.record_round_trip(0.026);
-    assert!((latency.network_stretch() - 4.25).abs() < 1e-6);
-    // The shortest round trip counts at once, a longer one only slowly.
+    assert!((latency.network_overhead_factor() - 4.25).abs() < 1e-6);
+    // A shorter round trip lowers the estimate at once; a longer one raises it slowly.
     latency.record_round_trip(0.017);
-    assert!((latency.network_stretch() - 2.0).abs() < 1e-6);
+    assert!((latency.network_overhead_factor() - 2.0).abs() < 1e-6);
     latency.record_round_trip(0.033);
-    assert!(latency.network_stretch() < 2.2);
+    assert!(latency.network_overhead_factor() < 2.2);
 }
 
 #[test]
@@ -160,24 +164,25 @@
     let mut latency = Latency::default();
     assert_eq!(
         (
-            latency.mean(),
-            latency.overdue_after(0.04),
-            latency.overdue_after(0.4)
+            latency.mean_s(),
+            latency.overdue_after_s(0.04),
+            latency.overdue_after_s(0.4)
         ),
         (0.0, 0.025, 0.1)
     );
     for _ in 0..100 {
-        latency.record_answer(0.02);
+        latency.record_response(0.02);
     }
     assert!(
-        (latency.mean() - 0.02).abs() < 1e-6 && (latency.overdue_after(0.12) - 0.08).abs() < 1e-3
+        (latency.mean_s() - 0.02).abs() < 1e-6
+            && (latency.overdue_after_s(0.12) - 0.08).abs() < 1e-3
     );
-    assert!((latency.queue_wait(9, 2) - 0.1).abs() < 1e-6);
+    assert!((latency.queue_wait_s(9, 2) - 0.1).abs() < 1e-6);
     // The threshold rises when a server becomes slow.
     for _ in 0..12 {
-        latency.record_answer(0.12);
+        latency.record_response(0.12);
     }
-    assert!(latency.overdue_after(0.12) > 0.3);
+    assert!(latency.overdue_after_s(0.12) > 0.3);
 }
 
 #[test]
@@ -191,6 +196,6 @@
         (7.75, 0.25),
     ];
     let retry_delays = retry_delays.map(|(now, wait)| refusals.record_refusal(now, wait));
-    // After a gap of a second a new streak begins.
+    // After a gap of more than a second, a new streak begins.
     assert_eq!(retry_delays, [0.2, 0.5, 1.25, 3.0, 0.25]);
 }
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -95,7 +95,7 @@
 impl PlacementRequest<'_> {
     /// How it waits for admission at this server, until `give_up_at` at most.
     pub(super) fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
-        let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean();
+        let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean_s();
         AdmissionTerms {
             // Rank 0 is kept for what has begun already.
             rank: self.terms.rank.saturating_add(1),
--- a/crates/runtime/pooler/src/data_plane/pool.rs
+++ b/crates/runtime/pooler/src/data_plane/pool.rs
@@ -130,7 +130,7 @@
         let limit = in_flight_limit(
             self.server.slots as usize,
             self.router_count.get(),
-            self.latency.get().network_stretch(),
+            self.latency.get().network_overhead_factor(),
         );
         if limit != self.slot_admission.limit() {
             self.slot_admission.set_limit(limit);
@@ -146,7 +146,7 @@
     pub(super) fn estimated_wait(&self, terms: &AdmissionTerms, now: f64) -> f64 {
         let ahead =
             |queue: &AdmissionQueue| queue.entries_ahead(terms.rank, terms.latest_start, now);
-        self.latency.get().queue_wait(
+        self.latency.get().queue_wait_s(
             ahead(&self.connection_admission) + ahead(&self.slot_admission),
             self.slot_admission.limit(),
         )
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -90,8 +90,9 @@
         give_up_at: f64,
         forward: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<StatementResult, ExchangeError> {
-        let overdue_at =
-            |now: f64, pool: &Pool| (now + pool.latency().overdue_after(target_s)).min(give_up_at);
+        let overdue_at = |now: f64, pool: &Pool| {
+            (now + pool.latency().overdue_after_s(target_s)).min(give_up_at)
+        };
         let first_check = overdue_at(clock::now(), &self.pool);
         let mut outcome = self.exchange(line, answer, first_check, &forward).await;
         while outcome == Err(ExchangeError::TimedOut) {
--- a/crates/runtime/pooler/src/data_plane/pool/health.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/health.rs
@@ -48,7 +48,7 @@
     /// The server answered something.
     pub(super) fn mark_answered(&self, position: Option<Position>) {
         let mut health = self.health.get();
-        health.record_answer(position);
+        health.record_response(position);
         self.health.set(health);
         self.last_answer_at.set(clock::now());
         self.failing_since.set(None);
@@ -57,7 +57,7 @@
     /// The server answered a statement that was sent at this second.
     pub(super) fn record_answer(&self, sent_at: f64) {
         let mut latency = self.latency.get();
-        latency.record_answer(clock::now() - sent_at);
+        latency.record_response(clock::now() - sent_at);
         self.latency.set(latency);
         self.update_in_flight_limit();
         self.newest_answered_sent_at
--- a/crates/runtime/pooler/src/data_plane/pool/prepare.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/prepare.rs
@@ -103,7 +103,7 @@
 /// same.
 async fn fail_when_overtaken(pool: &Pool, sent_at: f64) -> Result<(), PrepareFailed> {
     loop {
-        sleep_until(clock::now() + pool.latency().overdue_after(0.0)).await;
+        sleep_until(clock::now() + pool.latency().overdue_after_s(0.0)).await;
         if pool.newest_answered_sent_at.get() > sent_at {
             return Err(PrepareFailed);
         }
