--- a/crates/core/pooling/src/connection.rs
+++ b/crates/core/pooling/src/connection.rs
@@ -96,8 +96,8 @@
     }
 
     /// Returns the changes, in order, after which the connection holds exactly these values and has
-    /// this statement prepared. Within a transaction that began with the session's own values, none
-    /// of them is a reset.
+    /// this statement prepared. Within a transaction that began with the session's own values, they
+    /// include a reset only if the connection already has [`MAX_PREPARED_STATEMENTS`].
     pub fn changes(&self, values: &Values, shape: Option<&Shape>) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let is_prepared = shape.is_none_or(|shape| self.prepared_number(shape).is_some());
--- a/crates/protocol/line-protocol/src/error_code.rs
+++ b/crates/protocol/line-protocol/src/error_code.rs
@@ -2,39 +2,39 @@
 
 use crate::ExecutionOutcome;
 
-/// The code of an `ERROR` line, by its word in the protocol.
+/// The code of an `ERROR` line; each variant names its word in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorCode {
-    /// `RETRY`: try again, here or elsewhere.
+    /// `RETRY`: the sender should try again, here or elsewhere.
     Retry,
-    /// `UNKNOWN`: the server doesn't know the prepared statement.
+    /// `UNKNOWN`: there is no prepared statement of this name.
     Unknown,
-    /// `LAGGING`: the replica doesn't have the position that was asked for.
+    /// `LAGGING`: the replica's log has not reached the required position.
     Lagging,
-    /// `READONLY`: a replica was sent what only the primary does.
+    /// `READONLY`: a replica received a statement that only the primary runs.
     ReadOnly,
-    /// `WRONGNODE`: another server is at this address than the one that was meant.
+    /// `WRONGNODE`: the server at this address is not the intended one.
     WrongNode,
-    /// `CONNLIMIT`: the server has as many connections as it takes.
+    /// `CONNLIMIT`: the server has reached its maximum number of connections.
     ConnLimit,
-    /// `FAILED`: the statement was executed without success.
+    /// `FAILED`: the statement was executed and failed.
     Failed,
     /// `TIMEOUT`: the deadline passed.
     Timeout,
     /// `ABORTED`: the transaction was rolled back.
     Aborted,
-    /// `INDOUBT`: a write may or may not be kept.
+    /// `INDOUBT`: it is unknown whether a write was committed.
     InDoubt,
-    /// `MALFORMED`: the request breaks the protocol.
+    /// `MALFORMED`: the request violates the protocol.
     Malformed,
     /// `NODB`: there is no such database.
     NoDb,
-    /// A word that this program does not know.
+    /// Any other word, which this version does not know.
     Other,
 }
 
 impl ErrorCode {
-    /// The code of this word.
+    /// Returns the code for a word of the protocol.
     pub fn parse(word: &str) -> Self {
         match word {
             "RETRY" => Self::Retry,
@@ -53,7 +53,8 @@
         }
     }
 
-    /// The word in the protocol; an unknown one was not kept and becomes `FAILED`.
+    /// Returns the word in the protocol. The word of [`ErrorCode::Other`] is not stored, so `FAILED`
+    /// is returned for it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Retry => "RETRY",
@@ -71,7 +72,8 @@
         }
     }
 
-    /// What this code proves of a statement to which a server responded with it.
+    /// Returns what is known about the execution of a statement to which a server responded with this
+    /// code.
     pub fn execution_outcome(self) -> ExecutionOutcome {
         match self {
             Self::Retry
--- a/crates/protocol/line-protocol/src/execution_outcome.rs
+++ b/crates/protocol/line-protocol/src/execution_outcome.rs
@@ -1,21 +1,23 @@
-//! Whether a request was executed where it was sent, and whether it may be sent again.
+//! Whether a request was executed by its receiver, and whether it may be sent again.
 
-/// What the sender of a request knows of its execution once the exchange has ended, with a response
-/// or without one.
+/// What the sender of a request knows about its execution once the exchange has ended, with or
+/// without a response.
 ///
-/// The table of all calls and of what each end of an exchange proves is in `docs/design/calls.md`.
+/// `docs/design/calls.md` lists all calls, and what each end of an exchange proves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// It has not run and never will: it never left this process, or its receiver rejected it.
+    /// The request has not run and never will: it never left this process, or its receiver rejected
+    /// it.
     NotRun,
-    /// It has run, with success or without: its receiver says so.
+    /// The request has run, successfully or not, as its receiver confirmed.
     Ran,
-    /// It may have run, or may run yet: it was sent, and no clear response came.
+    /// The request may have run, or may still run: it was sent, and no conclusive response came.
     MayHaveRun,
 }
 
 impl ExecutionOutcome {
-    /// Whether the request may be sent again: one that isn't idempotent only if it has not run.
+    /// Returns whether the request may be sent again. A request that isn't idempotent may be sent
+    /// again only if it has not run.
     pub fn permits_retry(self, is_idempotent: bool) -> bool {
         self == ExecutionOutcome::NotRun || is_idempotent
     }
--- a/crates/protocol/line-protocol/src/lib.rs
+++ b/crates/protocol/line-protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! The line protocol between clients, routers and servers, as the users' page PROTOCOL gives it.
+//! Codec of the line protocol between clients, routers and servers, which the users' page PROTOCOL
+//! specifies.
 //!
-//! No I/O: whoever owns the socket feeds what arrived, split anywhere, and takes out complete
-//! lines, requests and responses. The pooler decodes both ends with it, the testbed's servers too.
-//! Rows and statements are never changed: routers forward them as they came.
+//! The codec does no I/O. The owner of a socket feeds the received bytes, split at any point, and
+//! takes out complete lines, requests and responses. The pooler uses the codec for clients and
+//! servers, and so do the servers of the testbed. Routers forward rows and statements byte for byte.
 
 mod error_code;
 mod execution_outcome;
--- a/crates/protocol/line-protocol/src/position.rs
+++ b/crates/protocol/line-protocol/src/position.rs
@@ -1,4 +1,4 @@
-//! Positions in a service's log.
+//! Positions in the log of a service.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,18 +6,18 @@
 use thiserror::Error;
 
 /// A position in the log of a service: the number of a commit, and the term of the primary that
-/// gave it. Ordered by term first.
+/// assigned the number. Positions are ordered by term first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Position {
-    /// The primary term; rises with every change of the primary.
+    /// Term of the primary; rises with every change of the primary.
     pub term: u64,
-    /// Rises with every commit that writes.
+    /// Number of the commit; rises with every commit that contains a write.
     pub number: u64,
 }
 
-/// The text is no position, `TERM.NUMBER` in decimal digits of 64 bits.
+/// The text is not a position: `TERM.NUMBER`, two unsigned 64-bit integers in decimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("not a position (TERM.NUMBER)")]
+#[error("not a log position (expected TERM.NUMBER, two unsigned 64-bit integers)")]
 pub struct PositionError;
 
 impl fmt::Display for Position {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A number without a sign, which `u64::from_str` would take.
+/// Parses an integer without a sign; `u64::from_str` would accept a leading `+`.
 fn parse_digits(text: &str) -> Result<u64, PositionError> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(PositionError);
--- a/crates/protocol/line-protocol/src/request.rs
+++ b/crates/protocol/line-protocol/src/request.rs
@@ -1,36 +1,37 @@
-//! The requests of a client to a router, and of a router to a server.
+//! The requests that clients send to routers, and routers to servers.
 
 use thiserror::Error;
 
-/// Why a line is no request.
+/// Why a line is not a valid request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// It holds bytes that no request may hold.
-    #[error("not text, or a bare CR or LF in it")]
+    /// The line contains bytes that are not allowed in a request.
+    #[error("request is not valid UTF-8, or contains a bare CR or LF")]
     InvalidBytes,
-    /// Its word is none of the protocol's, or fields are missing.
-    #[error("not a request")]
+    /// The line starts with an unknown word, or its fields are invalid.
+    #[error("unknown request, or missing or extra fields (expected CONNECT, QUERY or BYE)")]
     InvalidForm,
 }
 
-/// One request, which is one line.
+/// A request, which is one line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request<'a> {
-    /// `CONNECT`: the beginning of a session.
+    /// `CONNECT`: starts a session.
     Connect {
-        /// The database; a service's name where a router connects to a server.
+        /// Name of the database; the name of the service if a router connects to a server.
         database: &'a str,
-        /// The rest of the line: any words by which the caller is known.
+        /// The rest of the line, in free form, which identifies the caller.
         caller: &'a str,
     },
-    /// `QUERY`: a statement.
+    /// `QUERY`: runs a statement.
     Query {
-        /// The client's id for it; `-` for the system's own.
+        /// The id that the client gave the statement; `-` for statements that the pooler itself
+        /// sends.
         id: &'a str,
-        /// The statement, unparsed.
+        /// The text of the statement, not parsed.
         text: &'a str,
     },
-    /// `BYE`: the end of a session.
+    /// `BYE`: ends a session.
     Bye,
 }
 
@@ -42,8 +43,8 @@
     /// [`RequestError`].
     pub fn parse(line: &'a [u8]) -> Result<Self, RequestError> {
         let line = std::str::from_utf8(line).map_err(|_| RequestError::InvalidBytes)?;
-        // A server might take a lone LF or CR for the end of the line: what follows would run as a
-        // statement of its own.
+        // A server might treat a bare LF or CR as the end of the line, and run the text after it as
+        // a separate statement.
         if line.contains(['\n', '\r']) {
             return Err(RequestError::InvalidBytes);
         }
--- a/crates/protocol/line-protocol/src/response.rs
+++ b/crates/protocol/line-protocol/src/response.rs
@@ -2,7 +2,7 @@
 
 use crate::{ErrorCode, Position};
 
-/// The transaction state of a session, as an `IDLE` line reports it.
+/// The transaction state of a session, which an `IDLE` line reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum TransactionState {
     /// Outside a transaction (`I`).
@@ -15,7 +15,7 @@
 }
 
 impl TransactionState {
-    /// The letter in the protocol.
+    /// Returns the letter in the protocol.
     pub fn as_char(self) -> char {
         match self {
             Self::Idle => 'I',
@@ -34,31 +34,33 @@
     }
 }
 
-/// One line of a response: rows, then `COMPLETE` or `ERROR`, then `IDLE`.
+/// A line of a response. A response consists of any number of rows, then `COMPLETE` or `ERROR`, then
+/// `IDLE`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseLine<'a> {
-    /// A row, as its bytes came; it need not be UTF-8.
+    /// `ROW`: the received bytes of a row, which need not be UTF-8.
     Row(&'a [u8]),
-    /// Success, with the server's stamp of a commit, or `-`.
+    /// `COMPLETE`: success, with the server's commit stamp, or `-` without one.
     Complete(&'a str),
-    /// Failure.
+    /// `ERROR`: failure.
     Error {
-        /// Its code.
+        /// The code of the failure.
         code: ErrorCode,
-        /// The rest of the line, for people.
+        /// The rest of the line after the code: a message, or a value that belongs to the code, such
+        /// as the delay of `RETRY`.
         text: &'a str,
     },
-    /// The end of a response.
+    /// `IDLE`: the end of a response.
     Idle {
         /// The session's transaction state.
         state: TransactionState,
-        /// The position of the server's log; `None` for `-`.
+        /// The position that the server's log has reached; `None` for `-`.
         position: Option<Position>,
     },
 }
 
 impl<'a> ResponseLine<'a> {
-    /// Parses a line without its CR LF; `None` if it is no line of a response.
+    /// Parses a line without its CR LF. Returns `None` if it is not a line of a response.
     pub fn parse(line: &'a [u8]) -> Option<Self> {
         if let Some(row) = line.strip_prefix(b"ROW") {
             return match row.split_first() {
--- a/crates/protocol/line-protocol/src/response_reader.rs
+++ b/crates/protocol/line-protocol/src/response_reader.rs
@@ -1,41 +1,41 @@
-//! Reading of complete responses, line by line.
+//! Reads complete responses, line by line.
 
 use thiserror::Error;
 
 use crate::{ErrorCode, LineBuffer, LineError, Position, ResponseLine, TransactionState};
 
-/// Why a response can't be read further; the connection must be closed, and the statement may have
-/// run.
+/// Why the rest of a response can't be read. The connection must be closed, and the statement may
+/// have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ResponseError {
-    /// A line was too long.
+    /// A line is too long.
     #[error("{0}")]
     Line(#[from] LineError),
-    /// A line belongs to no response, or not at this point of one.
-    #[error("not an answer, or out of place")]
+    /// The line is not a line of a response, or is not allowed at this point of a response.
+    #[error("response contains an invalid line, or a line out of order")]
     UnexpectedLine,
 }
 
 /// How a complete response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatementResult {
-    /// The failure; `None` for success.
+    /// The code of the failure; `None` for success.
     pub error: Option<ErrorCode>,
-    /// Whether success came with the stamp of a commit, not with `-`.
-    pub stamped: bool,
+    /// Whether `COMPLETE` carried the stamp of a commit instead of `-`; false after a failure.
+    pub has_commit_stamp: bool,
     /// The session's transaction state.
     pub state: TransactionState,
-    /// The position of the server's log, where it reported one.
+    /// The position that the server's log has reached, if the server reported it.
     pub position: Option<Position>,
 }
 
-/// Reads one response after the other, and collects their lines to be forwarded.
+/// Reads one response after another, and collects their lines for forwarding.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    /// The lines so far with their CR LF, unchanged. Whoever forwards some of them early may clear
-    /// it.
+    /// The lines read so far with their CR LF, unchanged. A caller that has forwarded them before the
+    /// end of the response may clear them.
     pub raw: Vec<u8>,
-    /// The `COMPLETE` or `ERROR` line of a response whose `IDLE` is outstanding.
+    /// The `COMPLETE` or `ERROR` line of a response whose `IDLE` line has not been read yet.
     completion: Option<Completion>,
 }
 
@@ -43,12 +43,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Completion {
     error: Option<ErrorCode>,
-    stamped: bool,
+    has_commit_stamp: bool,
 }
 
 impl ResponseReader {
-    /// Reads the complete lines in `lines` up to the end of the response; `None` until it is there.
-    /// Lines after it stay in the buffer.
+    /// Reads the complete lines in `lines` up to the end of the response. Returns `None` if the end has
+    /// not arrived yet. Lines after the end stay in the buffer.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
         Ok(None)
     }
 
-    /// Takes the next line of the response; the result if it is the last one.
+    /// Processes the next line of the response. Returns the result if it is the last line.
     fn advance(
         &mut self,
         line: ResponseLine<'_>,
@@ -79,14 +79,14 @@
             (ResponseLine::Complete(stamp), None) => {
                 self.completion = Some(Completion {
                     error: None,
-                    stamped: stamp != "-",
+                    has_commit_stamp: stamp != "-",
                 });
                 Ok(None)
             }
             (ResponseLine::Error { code, .. }, None) => {
                 self.completion = Some(Completion {
                     error: Some(code),
-                    stamped: false,
+                    has_commit_stamp: false,
                 });
                 Ok(None)
             }
@@ -94,7 +94,7 @@
                 self.completion = None;
                 Ok(Some(StatementResult {
                     error: completion.error,
-                    stamped: completion.stamped,
+                    has_commit_stamp: completion.has_commit_stamp,
                     state,
                     position,
                 }))
--- a/crates/protocol/line-protocol/src/statement.rs
+++ b/crates/protocol/line-protocol/src/statement.rs
@@ -1,29 +1,29 @@
-//! The statements of clients.
+//! The statements that clients send.
 
 use thiserror::Error;
 
-/// Why a text is no statement of a client.
+/// Why a text is not a valid statement of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// Its first word is none that clients send.
+    /// The first word is not one that clients may send.
     #[error("unknown statement")]
     UnknownCommand,
-    /// A field is missing or one too many.
-    #[error("fields of the statement")]
+    /// A field is missing or invalid, or there are too many fields.
+    #[error("statement has missing, extra or invalid fields")]
     InvalidFields,
 }
 
-/// Whether a prepared statement reads or writes.
+/// Whether a statement reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum StatementKind {
-    /// It reads.
+    /// The statement reads.
     Fetch,
-    /// It writes.
+    /// The statement writes.
     Put,
 }
 
 impl StatementKind {
-    /// The word in the protocol.
+    /// Returns the word in the protocol.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Fetch => "FETCH",
@@ -40,55 +40,55 @@
     }
 }
 
-/// A statement of a client: the text of a `QUERY`, as far as routers look into it.
+/// A statement of a client: the text of a `QUERY`, parsed as far as routers need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ParsedStatement<'a> {
-    /// The beginning of a transaction.
+    /// `BEGIN`: starts a transaction.
     Begin {
-        /// Whether it only reads (`BEGIN FETCH`).
+        /// Whether the transaction only reads (`BEGIN FETCH`).
         read_only: bool,
     },
-    /// The end of a transaction that keeps its writes.
+    /// `COMMIT`: ends a transaction and keeps its writes.
     Commit,
-    /// The end of a transaction that rolls it back.
+    /// `ABORT`: ends a transaction and rolls it back.
     Abort,
-    /// A read, forwarded as it came.
+    /// `FETCH`: a read, which is forwarded unchanged.
     Fetch,
-    /// A write, forwarded as it came.
+    /// `PUT`: a write, which is forwarded unchanged.
     Put,
-    /// Sets a value of the session.
+    /// `SET`: sets a value of the session.
     Set {
-        /// The value's name.
+        /// Name of the value.
         name: &'a str,
-        /// The value, to the end of the text.
+        /// The value, which extends to the end of the text.
         value: &'a str,
     },
-    /// Prepares a statement for the session.
+    /// `PREPARE`: prepares a statement for the session.
     Prepare {
-        /// The client's name for it.
+        /// The client's name for the statement.
         name: &'a str,
-        /// Whether it reads or writes.
+        /// Whether the statement reads or writes.
         kind: StatementKind,
-        /// What it does, to the end of the text.
+        /// The definition of the statement, which extends to the end of the text.
         shape: &'a str,
     },
-    /// Runs a prepared statement.
+    /// `EXECUTE`: runs a prepared statement.
     Execute {
-        /// The client's name for it.
+        /// The client's name for the statement.
         name: &'a str,
-        /// All after the name and its blank; empty when nothing follows.
+        /// The rest of the text after the name and one space; may be empty.
         arguments: &'a str,
     },
-    /// Releases a prepared statement.
+    /// `RELEASE`: removes a prepared statement from the session.
     Release {
-        /// The client's name for it.
+        /// The client's name for the statement.
         name: &'a str,
     },
 }
 
 impl<'a> ParsedStatement<'a> {
-    /// Parses the text of a client's `QUERY`. `WAITPOS` and the commands of administration are
-    /// none: only routers and control machines send them.
+    /// Parses the text of a client's `QUERY`. `WAITPOS` and administration commands are rejected as
+    /// unknown, because only routers and control machines send them.
     ///
     /// # Errors
     ///
@@ -138,7 +138,7 @@
     }
 }
 
-/// The first field and all after its blank; both must be there.
+/// Splits a text at its first space into two fields, neither of which may be empty.
 fn split_two_fields(text: &str) -> Result<(&str, &str), StatementError> {
     text.split_once(' ')
         .filter(|(first, second)| !first.is_empty() && !second.is_empty())
--- a/crates/protocol/line-protocol/src/tests/execution_outcomes.rs
+++ b/crates/protocol/line-protocol/src/tests/execution_outcomes.rs
@@ -1,4 +1,4 @@
-//! What error codes prove, and what may be retried.
+//! Tests of what error codes prove about execution, and of which requests may be sent again.
 
 use crate::{ErrorCode, ExecutionOutcome};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn only_codes_that_prove_it_mean_not_run() {
+fn only_codes_sent_before_execution_mean_not_run() {
     for word in [
         "RETRY",
         "UNKNOWN",
--- a/crates/protocol/line-protocol/src/tests/line_buffer.rs
+++ b/crates/protocol/line-protocol/src/tests/line_buffer.rs
@@ -1,4 +1,4 @@
-//! Lines out of bytes that are split anywhere.
+//! Tests of the line buffer with bytes that are split at any point.
 
 use crate::{LineBuffer, LineError, MAX_LINE_BYTES};
 use arbtest::arbtest;
@@ -13,7 +13,7 @@
             for _ in 0..random.int_in_range(0..=9)? {
                 line.push(*random.choose(b"ab \r\n")?);
             }
-            // A line that ends by CR, or holds CR LF, is not one line on the wire.
+            // A line that ends in CR or contains CR LF can't be sent as one line.
             while line.last() == Some(&b'\r') {
                 line.pop();
             }
--- a/crates/protocol/line-protocol/src/tests/positions.rs
+++ b/crates/protocol/line-protocol/src/tests/positions.rs
@@ -1,4 +1,4 @@
-//! Positions in a log.
+//! Tests of log positions.
 
 use arbtest::arbtest;
 
@@ -22,7 +22,7 @@
         );
         Ok(())
     });
-    for damaged in [
+    for invalid in [
         "",
         "-",
         "3",
@@ -33,6 +33,6 @@
         "3.-4",
         "99999999999999999999.1",
     ] {
-        assert_eq!(damaged.parse::<Position>(), Err(PositionError), "{damaged}");
+        assert_eq!(invalid.parse::<Position>(), Err(PositionError), "{invalid}");
     }
 }
--- a/crates/protocol/line-protocol/src/tests/requests.rs
+++ b/crates/protocol/line-protocol/src/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and routers.
+//! Tests of parsing requests of clients and routers.
 
 use crate::{Request, RequestError};
 
@@ -34,7 +34,8 @@
             "{line:?}"
         );
     }
-    // What a server might take for the end of a line is rejected.
+    // A bare LF or CR, which a server might treat as the end of a line, is rejected. So are bytes
+    // that are not UTF-8.
     assert_eq!(
         Request::parse(b"QUERY 1 FETCH a\nQUERY 2 PUT b c"),
         Err(RequestError::InvalidBytes)
--- a/crates/protocol/line-protocol/src/tests/responses.rs
+++ b/crates/protocol/line-protocol/src/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Responses, split anywhere.
+//! Tests of reading responses whose bytes are split at any point.
 
 use crate::{
     ErrorCode, LineBuffer, Position, ResponseError, ResponseReader, StatementResult,
@@ -18,19 +18,19 @@
     let expected = [
         StatementResult {
             error: None,
-            stamped: true,
+            has_commit_stamp: true,
             state: TransactionState::Idle,
             position,
         },
         StatementResult {
             error: Some(ErrorCode::ReadOnly),
-            stamped: false,
+            has_commit_stamp: false,
             state: TransactionState::Failed,
             position,
         },
         StatementResult {
             error: None,
-            stamped: false,
+            has_commit_stamp: false,
             state: TransactionState::Open,
             position: None,
         },
@@ -56,7 +56,7 @@
 
 #[test]
 fn unexpected_line_is_rejected() {
-    for damaged in [
+    for invalid in [
         &b"IDLE I -\r\n"[..],
         b"COMPLETE a\r\nROW x\r\n",
         b"COMPLETE a\r\nCOMPLETE a\r\n",
@@ -66,11 +66,11 @@
         b"\r\n",
     ] {
         let mut lines = LineBuffer::default();
-        lines.feed(damaged);
+        lines.feed(invalid);
         assert_eq!(
             ResponseReader::default().read(&mut lines),
             Err(ResponseError::UnexpectedLine),
-            "{damaged:?}"
+            "{invalid:?}"
         );
     }
 }
--- a/crates/protocol/line-protocol/src/tests/statements.rs
+++ b/crates/protocol/line-protocol/src/tests/statements.rs
@@ -1,4 +1,4 @@
-//! Statements of clients.
+//! Tests of parsing statements of clients.
 
 use crate::{ParsedStatement, StatementError, StatementKind};
 
