--- a/crates/protocol/control-store/src/directory.rs
+++ b/crates/protocol/control-store/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory that holds the database file, by the operations on its entries.
+//! The operations on the directory that holds the database file, and on its entries.
 
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
@@ -9,36 +9,39 @@
 
 use crate::file_backend::FileBackend;
 
-/// The entries of a directory. An entry that was created, renamed or removed may survive a loss of
-/// power or not, each by itself, until the directory is synced; the first name of a new file
-/// survives from the file's first sync on.
+/// A directory and its entries.
+///
+/// Until the directory is synced, a power loss may undo the creation, renaming or removal of any
+/// entry, independently of other entries. The first name of a new file is durable as soon as the file
+/// has been synced once.
 pub(crate) trait Directory {
-    /// What the database writes to.
+    /// The file type that the database reads and writes.
     type File: StorageBackend;
 
-    /// Creates the directory and its parents where they are missing.
+    /// Creates the directory and its parents if they are missing.
     fn create_all(&self) -> io::Result<()>;
 
-    /// The names of all entries.
+    /// Returns the names of all entries.
     fn entry_names(&self) -> io::Result<Vec<OsString>>;
 
-    /// Creates an empty file under a name that no entry has.
+    /// Creates an empty file. Fails if an entry of this name exists.
     fn create_file(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Opens the file of this name.
+    /// Opens the file of this name for reading and writing.
     fn open_file(&self, name: &str) -> io::Result<Self::File>;
 
     /// Removes the entry of this name.
     fn remove_file(&self, name: &str) -> io::Result<()>;
 
-    /// Renames a file.
+    /// Renames a file; an entry with the new name is replaced.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// When this returns, the directory and its entries survive a loss of power as they are.
+    /// Makes the directory and its entries durable: once this returns, a power loss leaves them as
+    /// they are.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A directory of the file system.
+/// A directory in the file system.
 pub(crate) struct RealDirectory<'a>(pub(crate) &'a Path);
 
 impl RealDirectory<'_> {
@@ -87,7 +90,7 @@
 
     fn sync(&self) -> io::Result<()> {
         File::open(self.0)?.sync_all()?;
-        // The entry of the directory itself lies in its parent.
+        // The directory's own entry is in its parent, which must be synced too.
         let parent = self.0.parent();
         match parent.filter(|parent| !parent.as_os_str().is_empty()) {
             Some(parent) => File::open(parent)?.sync_all(),
--- a/crates/protocol/control-store/src/file_backend.rs
+++ b/crates/protocol/control-store/src/file_backend.rs
@@ -1,4 +1,4 @@
-//! The file below the database.
+//! Access to the database file.
 
 use std::fs::File;
 use std::io;
@@ -6,10 +6,10 @@
 
 use redb::StorageBackend;
 
-/// A file with plain positioned reads and writes and `fdatasync`.
+/// A file with positioned reads and writes and `fdatasync`.
 ///
-/// Used in place of `redb`'s own backend, which takes file locks and probes which kinds the system
-/// has: on the users' machines every lock is granted and none is enforced.
+/// It replaces the backend of `redb`, which locks the file and probes which kinds of locks the system
+/// supports. On the users' machines, every lock is granted and none is enforced.
 #[derive(Debug)]
 pub(crate) struct FileBackend {
     file: File,
--- a/crates/protocol/control-store/src/format.rs
+++ b/crates/protocol/control-store/src/format.rs
@@ -1,45 +1,46 @@
-//! The bytes of a row, and their version: a version byte, a CRC-32, and the body in bincode with
-//! little-endian integers of fixed width.
+//! The encoding of a row: a version byte, a CRC-32 in little-endian order, and the body in bincode
+//! with little-endian integers of fixed width.
 //!
-//! A release that changes a body raises [`FORMAT_VERSION`]; a row of another version is refused,
-//! never guessed at. `tests/kept_folder.rs` holds the bytes that an earlier release wrote.
+//! A release that changes a body must raise [`FORMAT_VERSION`]. A row of any other version is
+//! rejected. `tests/kept_folder.rs` checks that a file of an earlier release is still read.
 
 use bincode::config::{Configuration, Fixint, LittleEndian};
 use bincode::enc::write::SizeWriter;
 use bincode::{Decode, Encode};
 
-/// The version of the rows that this program writes and reads.
+/// The only format version of rows that this program reads and writes.
 pub(crate) const FORMAT_VERSION: u8 = 2;
 
-/// The bytes before the body: one of the version and four of the checksum.
+/// Length of the header before the body, in bytes: one for the version and four for the checksum.
 const HEADER_BYTES: usize = 5;
 
 const BINCODE_CONFIG: Configuration<LittleEndian, Fixint> = bincode::config::standard()
     .with_little_endian()
     .with_fixed_int_encoding();
 
-/// The body of the row that each vote rewrites.
+/// Body of the row that is rewritten for each vote.
 #[derive(Encode, Decode)]
 pub(crate) struct TermsRow {
     pub(crate) voted_term: u64,
     pub(crate) accepted_term: u64,
 }
 
-/// The body of the row that each new value rewrites, as written: the value is borrowed.
+/// Body of the row that is rewritten for each new value, for encoding: it borrows the value.
 #[derive(Encode)]
 pub(crate) struct ValueRowRef<'a> {
     pub(crate) incarnation: u64,
     pub(crate) value: &'a [u8],
 }
 
-/// The body of the row that each new value rewrites, as read back.
+/// Body of the row that is rewritten for each new value, for decoding. Its encoding is that of
+/// [`ValueRowRef`].
 #[derive(Decode)]
 pub(crate) struct ValueRow {
     pub(crate) incarnation: u64,
     pub(crate) value: Vec<u8>,
 }
 
-/// The length of the row with this body, in bytes.
+/// Returns the length of the row with this body, in bytes.
 pub(crate) fn encoded_length(body: &impl Encode) -> usize {
     let mut encoder = bincode::enc::EncoderImpl::new(SizeWriter::default(), BINCODE_CONFIG);
     body.encode(&mut encoder)
@@ -47,11 +48,11 @@
     HEADER_BYTES + encoder.into_writer().bytes_written
 }
 
-/// Fills `row`, which has the [`encoded_length`] of `body`.
+/// Encodes `body` into `row`, whose length must be the [`encoded_length`] of `body`.
 pub(crate) fn encode(body: &impl Encode, row: &mut [u8]) {
     let (header, encoded_body) = row.split_at_mut(HEADER_BYTES);
     bincode::encode_into_slice(body, &mut *encoded_body, BINCODE_CONFIG)
-        .expect("the row has the length of its body");
+        .expect("the row must have the encoded length of its body");
     header[0] = FORMAT_VERSION;
     header[1..].copy_from_slice(&checksum(&[FORMAT_VERSION], encoded_body).to_le_bytes());
 }
@@ -60,25 +61,40 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the row.
-pub(crate) fn decode<Body: Decode<()>>(row: &[u8]) -> Result<Body, &'static str> {
+/// A description of what is wrong with the row, as a verb and its object.
+pub(crate) fn decode<Body: Decode<()>>(row: &[u8]) -> Result<Body, String> {
     let Some((header, encoded_body)) = row.split_first_chunk::<HEADER_BYTES>() else {
-        return Err("holds a row that is cut short");
+        return Err(format!(
+            "contains a truncated row of {} bytes, but the header alone has {HEADER_BYTES} bytes",
+            row.len()
+        ));
     };
     let [version, stored_checksum @ ..] = *header;
-    if checksum(&[version], encoded_body) != u32::from_le_bytes(stored_checksum) {
-        return Err("holds a row whose checksum is wrong");
+    let stored_checksum = u32::from_le_bytes(stored_checksum);
+    let computed_checksum = checksum(&[version], encoded_body);
+    if computed_checksum != stored_checksum {
+        return Err(format!(
+            "contains a row whose checksum is {computed_checksum:#010x} instead of the stored \
+             {stored_checksum:#010x}"
+        ));
     }
     if version != FORMAT_VERSION {
-        return Err("holds a row of another version");
+        return Err(format!(
+            "contains a row of format version {version}, but this program reads only version \
+             {FORMAT_VERSION}"
+        ));
     }
     match bincode::decode_from_slice(encoded_body, BINCODE_CONFIG) {
         Ok((body, read_bytes)) if read_bytes == encoded_body.len() => Ok(body),
-        _ => Err("holds a row that can't be read"),
+        _ => Err(format!(
+            "contains a row whose body of {} bytes can't be decoded",
+            encoded_body.len()
+        )),
     }
 }
 
-/// The CRC-32 of IEEE 802.3 (reflected polynomial 0xEDB88320) over one part after the other.
+/// Computes the CRC-32 of IEEE 802.3 (reflected polynomial 0xEDB88320) over `first` followed by
+/// `second`.
 pub(crate) fn checksum(first: &[u8], second: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(first);
--- a/crates/protocol/control-store/src/lib.rs
+++ b/crates/protocol/control-store/src/lib.rs
@@ -1,16 +1,17 @@
-//! The hard state of a control machine on its disk.
+//! Durable storage for the hard state of a control machine: the state of the consensus protocol that
+//! must survive a restart.
 //!
-//! One record in a directory of its own. A loss of power at any moment leaves the last saved record
-//! or the one that was being saved, never an older one and never a mix of the two. The caller, the
-//! `control` part of the pooler, decides what is saved and when; this crate doesn't know what the
-//! value means and never starts from nothing where something unreadable is on the disk.
+//! The store holds one record, in a directory of its own. A power loss at any moment leaves the last
+//! saved record or the one that was being saved, never an older one and never a mix of the two. The
+//! caller, the `control` part of the pooler, decides what is saved and when. This crate doesn't
+//! interpret the value, and it never replaces an unreadable store with an empty one.
 //!
-//! - `opening`: decides by the names in the directory whether the disk is new.
-//! - `store`: the rows of the open database.
-//! - `format`: the bytes of a row, and their version.
-//! - `directory`, `file_backend`: the operations on the file system, replaced in tests.
+//! - `opening`: opens or creates a store; the names in the directory show whether the disk is new.
+//! - `store`: reads and writes the rows of the open database.
+//! - `format`: the encoding of a row, and its version.
+//! - `directory`, `file_backend`: the operations on the file system, which tests replace.
 //!
-//! The format, its versions and why `redb` holds it: `docs/design/on-disk-format.md`.
+//! `docs/design/on-disk-format.md` describes the format, its versions and the choice of `redb`.
 
 mod directory;
 mod error;
--- a/crates/protocol/control-store/src/store.rs
+++ b/crates/protocol/control-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The rows of the open database.
+//! Reads and writes the rows of the open database.
 
 use std::path::PathBuf;
 
@@ -7,20 +7,24 @@
 use crate::format::{self, TermsRow, ValueRow, ValueRowRef};
 use crate::{MAX_VALUE_BYTES, Record, StoreError};
 
-/// The pages that `redb` may cache. All rows are read once, at the start, so a cache gains nothing.
+/// Size of the page cache of `redb`, in bytes. All rows are read only once, at the start, so a larger
+/// cache would have no use.
 const CACHE_BYTES: usize = 64 * 1024;
 
-/// Two rows: one that changes with each vote and one that changes with each value. A vote, or the
-/// same value in another term, then writes a few pages and not the value again.
+/// The table has two rows: one that changes with each vote and one that changes with each value. A
+/// vote, or the same value in another term, thus writes only a few pages and not the value again.
 const CONTROL_TABLE: TableDefinition<'_, u8, &[u8]> = TableDefinition::new("control");
 const TERMS_KEY: u8 = 0;
 const VALUE_KEY: u8 = 1;
 
-/// The open store. Dropping it closes the file, for which it may write and sync once more; nothing
-/// depends on that.
+/// An open store.
 ///
-/// After an error of [`save`](Store::save) or [`save_terms`](Store::save_terms) either the old or
-/// the new record is on the disk: the store must be opened anew before the caller answers anybody.
+/// Dropping it closes the file. This may write and sync the file once more, but the saved record does
+/// not depend on it.
+///
+/// After an error of [`save`](Store::save) or [`save_terms`](Store::save_terms), the disk has either
+/// the old or the new record. The caller must reopen the store before it sends any message that
+/// depends on the record.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
@@ -28,12 +32,12 @@
 }
 
 impl Store {
-    /// Writes `record` to the disk. Once this returns it survives a loss of power.
+    /// Writes `record` to the disk. Once this returns, the record survives a power loss.
     ///
     /// # Errors
     ///
     /// [`StoreError::ValueTooLarge`] before anything is written; [`StoreError::Database`], after
-    /// which the store must be opened anew.
+    /// which the store must be reopened.
     pub fn save(&mut self, record: &Record) -> Result<(), StoreError> {
         if record.value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::ValueTooLarge(record.value.len()));
@@ -50,12 +54,12 @@
             .map_err(|cause| self.database_error("save to", cause))
     }
 
-    /// Writes new terms to the disk and leaves the value as it is: a few pages, whatever the size
-    /// of the value. Once this returns they survive a loss of power.
+    /// Writes new terms to the disk and leaves the value as it is. This writes only a few pages,
+    /// however large the value is. Once this returns, the terms survive a power loss.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Database`], after which the store must be opened anew.
+    /// [`StoreError::Database`], after which the store must be reopened.
     pub fn save_terms(&mut self, voted_term: u64, accepted_term: u64) -> Result<(), StoreError> {
         let terms = TermsRow {
             voted_term,
@@ -65,13 +69,13 @@
             .map_err(|cause| self.database_error("save to", cause))
     }
 
-    /// Creates a database in an empty file, with an empty record of this incarnation.
+    /// Creates a database in an empty file, with an empty record that has this incarnation.
     pub(crate) fn create(
         file: impl StorageBackend,
         path: PathBuf,
         incarnation: u64,
     ) -> Result<(Store, Record), StoreError> {
-        let mut store = Store::open_database(file, path, "make")?;
+        let mut store = Store::open_database(file, path, "create")?;
         let record = Record {
             incarnation,
             ..Record::default()
@@ -80,7 +84,7 @@
         Ok((store, record))
     }
 
-    /// Opens the database in a file that holds one, and reads its record.
+    /// Opens the database in an existing file, and reads its record.
     pub(crate) fn read(
         file: impl StorageBackend,
         path: PathBuf,
@@ -88,7 +92,7 @@
         let file_length = match file.len() {
             Ok(length) => length,
             Err(source) => {
-                let action = "measure";
+                let action = "get the length of";
                 return Err(StoreError::Io {
                     action,
                     path,
@@ -96,9 +100,10 @@
                 });
             }
         };
-        // `redb` would create a database in an empty file; one under the store's name is damage.
+        // `redb` would create a database in an empty file, but an empty file under the store's name
+        // is damaged.
         if file_length == 0 {
-            let problem = "is empty";
+            let problem = "is an empty file".to_owned();
             return Err(StoreError::InvalidRecord { path, problem });
         }
         let store = Store::open_database(file, path, "open")?;
@@ -113,8 +118,8 @@
     ) -> Result<Store, StoreError> {
         let opened = Builder::new()
             .set_cache_size(CACHE_BYTES)
-            // Reads the file once at the start: without it a damaged file may panic later instead
-            // of being reported now.
+            // Reads the whole file now. Without this check, a damaged file may cause a panic later
+            // instead of an error now.
             .set_check_integrity_on_open(true)
             .create_with_backend(file);
         match opened {
@@ -135,9 +140,13 @@
             path: self.path.clone(),
             problem,
         };
-        let terms = rows.terms.ok_or_else(|| invalid("holds no ballots"))?;
+        let terms = rows
+            .terms
+            .ok_or_else(|| invalid("contains no row of terms".to_owned()))?;
         let terms: TermsRow = format::decode(&terms).map_err(invalid)?;
-        let value = rows.value.ok_or_else(|| invalid("holds no value"))?;
+        let value = rows
+            .value
+            .ok_or_else(|| invalid("contains no row of the value".to_owned()))?;
         let value: ValueRow = format::decode(&value).map_err(invalid)?;
         Ok(Record {
             voted_term: terms.voted_term,
@@ -157,7 +166,7 @@
         })
     }
 
-    /// Writes the terms, and the value if one is given, in one synced transaction.
+    /// Writes the terms, and the value if there is one, in one durable transaction.
     fn write_rows(
         &self,
         terms: &TermsRow,
@@ -169,7 +178,8 @@
             let length = format::encoded_length(terms);
             format::encode(terms, table.insert_reserve(TERMS_KEY, length)?.as_mut());
             if let Some(value) = value {
-                // Encoded straight into the page: a copy of a large value would double the memory.
+                // Encoded directly into the page, because a copy would double the memory that a large
+                // value takes.
                 let length = format::encoded_length(&value);
                 format::encode(&value, table.insert_reserve(VALUE_KEY, length)?.as_mut());
             }
@@ -187,7 +197,7 @@
     }
 }
 
-/// The rows as bytes; `None` for a row that is missing.
+/// The encoded rows; `None` for a missing row.
 struct EncodedRows {
     terms: Option<Vec<u8>>,
     value: Option<Vec<u8>>,
--- a/crates/protocol/control-store/src/tests/directory.rs
+++ b/crates/protocol/control-store/src/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Real directories are opened, damaged and told apart.
+//! Tests of opening stores in real directories: new, existing, damaged and foreign ones.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn empty_directory_is_reported_and_gets_an_incarnation_for_good() {
+fn empty_directory_is_reported_as_new_and_keeps_its_incarnation() {
     let directory = TempDirectory::new();
     let first = directory.open().unwrap();
     assert!(first.disk_state.is_new());
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn unfinished_store_is_created_anew() {
+fn unfinished_store_is_replaced() {
     let directory = TempDirectory::new();
-    fs::write(directory.0.join(UNFINISHED_FILE_NAME), b"half").unwrap();
+    fs::write(directory.0.join(UNFINISHED_FILE_NAME), b"unfinished").unwrap();
     let opened = directory.open().unwrap();
     assert!(opened.disk_state.is_new());
     let names: BTreeSet<_> = fs::read_dir(&directory.0)
@@ -94,19 +94,19 @@
 }
 
 #[test]
-fn foreign_file_is_refused_and_left() {
+fn unexpected_file_is_rejected_and_left_unchanged() {
     let directory = TempDirectory::new();
     let foreign = directory.0.join("db");
     fs::write(&foreign, b"other").unwrap();
     match directory.open() {
-        Err(StoreError::ForeignFile(path)) => assert_eq!(path, foreign),
+        Err(StoreError::UnexpectedEntry(path)) => assert_eq!(path, foreign),
         other => panic!("{other:?}"),
     }
     assert_eq!(fs::read(&foreign).unwrap(), b"other");
 }
 
 #[test]
-fn damaged_file_is_refused_and_never_taken_for_an_empty_disk() {
+fn damaged_file_is_rejected_and_not_treated_as_an_empty_disk() {
     let complete = content_after_kill(&[5_000]);
     let directory = TempDirectory::new();
     let damaged = [
@@ -145,7 +145,8 @@
             content[offset] ^= 1 << (offset % 8);
             match read_record(content) {
                 Ok(found) => {
-                    // The older of the two roots may be the only valid one.
+                    // The flipped bit may leave only the older of the two roots of the database
+                    // valid.
                     assert!(found == saved || found == empty_record(), "byte {offset}");
                 }
                 Err(_) => errors += 1,
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn large_values_stay_within_the_bound_of_the_disk() {
+fn file_size_stays_bounded_with_large_values() {
     let directory = TempDirectory::new();
     let mut store = directory.open().unwrap().store;
     let mut largest_file_bytes = 0;
--- a/crates/protocol/control-store/src/tests/directory_power_loss.rs
+++ b/crates/protocol/control-store/src/tests/directory_power_loss.rs
@@ -1,4 +1,4 @@
-//! Power is lost, or the process killed, at every operation on the directory.
+//! Tests that lose power, or kill the process, at every operation on the directory.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -12,7 +12,8 @@
 use crate::opening::open_in;
 use crate::{DiskState, OpenedStore, Record, StoreError};
 
-/// A directory whose entries survive a loss of power or not, and whose files hold what was written.
+/// A directory in memory whose unsynced entries may be lost in a power loss. Its files keep everything
+/// that was written.
 #[derive(Clone, Default)]
 struct RecordingDirectory {
     state: Arc<Mutex<DirectoryState>>,
@@ -20,13 +21,14 @@
 
 #[derive(Clone, Default)]
 struct DirectoryState {
+    /// Whether the directory itself exists.
     existence: Durable<bool>,
     entries: BTreeMap<String, Durable<Option<RecordingDisk>>>,
-    /// How many more operations are done before the process is killed; `None` for no limit.
+    /// Number of operations that still succeed before the process is killed; `None` for no limit.
     remaining_operations: Option<u64>,
 }
 
-/// Something as it is now, and as it was at the last sync.
+/// A value as it is now, and as it was at the last sync.
 #[derive(Clone, Default)]
 struct Durable<T> {
     current: T,
@@ -55,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// If the process is killed before it.
+    /// If the process is killed before this operation.
     fn begin_operation(&self) -> io::Result<MutexGuard<'_, DirectoryState>> {
         let mut state = self.state.lock().unwrap();
         match &mut state.remaining_operations {
@@ -66,8 +68,9 @@
         Ok(state)
     }
 
-    /// The directory after a loss of power. The lowest bit of `survivors` says whether the
-    /// directory survives unless it was synced, the others the same of each entry.
+    /// Returns the directory after a power loss. Synced state always survives. The lowest bit of
+    /// `survivors` says whether the directory itself survives if it was not synced; each further bit
+    /// says whether the unsynced change of one entry survives.
     fn after_power_loss(&self, survivors: u64) -> RecordingDirectory {
         let state = self.state.lock().unwrap().clone();
         let survives = |bit: usize| survivors >> bit & 1 == 1;
@@ -116,8 +119,8 @@
 
     fn create_file(&self, name: &str) -> io::Result<RecordingDisk> {
         let file = RecordingDisk::default();
-        // Synced at once: the store syncs the file before its next operation on the directory, and
-        // a file's first name survives from that sync on.
+        // The entry is durable at once: the store syncs the file before its next operation on the
+        // directory, and a file's first name is durable as soon as the file has been synced.
         let entry = Durable::new_synced(Some(file.clone()));
         self.begin_operation()?
             .entries
@@ -159,9 +162,9 @@
     }
 }
 
-/// The process is killed before each operation on the directory in turn, is started again and
-/// saves; then power is lost, and each entry that wasn't synced survives or not. What was saved is
-/// read back in every case.
+/// Kills the process twice, each time before a different operation on the directory. Then the process
+/// starts again and saves a record, and a power loss leaves or undoes each unsynced entry. The saved
+/// record must be read back in every case.
 #[test]
 fn saved_record_survives_loss_of_unsynced_entries() {
     const OPERATIONS: u64 = 8;
@@ -185,13 +188,13 @@
             assert_eq!(
                 (&found.record, found.disk_state),
                 (&saved, DiskState::Existing),
-                "killed at {kills}, surviving entries {survivors}"
+                "kill points {kills}, surviving entries {survivors:#b}"
             );
         }
     }
 }
 
-/// A first open during which power is lost leaves a directory that can be opened, whichever entries
+/// A power loss during the first open leaves a directory that can be opened, whichever entries
 /// survive.
 #[test]
 fn first_open_may_lose_power_at_any_operation() {
@@ -205,7 +208,7 @@
             assert_eq!(found.record, empty_record());
             assert!(
                 first_open.is_err() || found.disk_state == DiskState::Existing,
-                "it had returned"
+                "the first open returned, so its store must survive"
             );
         }
     }
--- a/crates/protocol/control-store/src/tests/format.rs
+++ b/crates/protocol/control-store/src/tests/format.rs
@@ -1,9 +1,9 @@
-//! The bytes of a row.
+//! Tests of the encoding of a row.
 
 use crate::format::{self, TermsRow};
 
 #[test]
-fn row_is_refused_when_cut_changed_or_of_another_version() {
+fn truncated_or_changed_row_or_row_of_another_version_is_rejected() {
     assert_eq!(format::checksum(b"1234", b"56789"), 0xCBF4_3926);
     let terms = TermsRow {
         voted_term: 0x0102,
@@ -14,12 +14,12 @@
     assert_eq!(
         row[5..],
         [2, 1, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0],
-        "as docs/design/on-disk-format.md gives it"
+        "the encoding that docs/design/on-disk-format.md specifies"
     );
     assert_eq!(
         row[1..5],
         0xAD07_9812_u32.to_le_bytes(),
-        "a CRC-32 as any other program computes it"
+        "the standard CRC-32, computed by another program"
     );
     assert_eq!(row[0], format::FORMAT_VERSION);
     let read = format::decode::<TermsRow>(&row).unwrap();
@@ -37,7 +37,10 @@
         row[1..5].copy_from_slice(&checksum.to_le_bytes());
         assert_eq!(
             format::decode::<TermsRow>(&row).err(),
-            Some("holds a row of another version")
+            Some(format!(
+                "contains a row of format version {other_version}, but this program reads only \
+                 version 2"
+            ))
         );
     }
 }
--- a/crates/protocol/control-store/src/tests/mod.rs
+++ b/crates/protocol/control-store/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests by concern; here what several of them use.
+//! Tests of the store, one module per concern, and the helpers that several of them use.
 
 mod directory;
 mod directory_power_loss;
@@ -14,13 +14,13 @@
 
 const INCARNATION: u64 = 77;
 
-/// Reads the record in a file of this content.
+/// Reads the record from a file with this content.
 fn read_record(content: Vec<u8>) -> Result<Record, StoreError> {
     let disk = RecordingDisk::with_content(content);
     Store::read(disk, PathBuf::from("disk")).map(|(_, record)| record)
 }
 
-/// The record of a new store.
+/// Returns the record of a new store.
 fn empty_record() -> Record {
     Record {
         incarnation: INCARNATION,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A record that differs from those of other numbers, with a value of this length.
+/// Returns a record that is different for each number, with a value of this length in bytes.
 fn record(number: u64, value_length: usize) -> Record {
     let mut seed = number + 1;
     let value = (0..value_length)
@@ -42,7 +42,8 @@
     }
 }
 
-/// What a process leaves on the disk that is killed after it saved values of these lengths.
+/// Returns the content that a process leaves on the disk if it is killed after saving values of these
+/// lengths in bytes.
 fn content_after_kill(value_lengths: &[usize]) -> Vec<u8> {
     let history = History::until_kill(Vec::new(), value_lengths, 1);
     history.final_content()
--- a/crates/protocol/control-store/src/tests/power_loss.rs
+++ b/crates/protocol/control-store/src/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Power is lost after every change of the disk, which keeps what was synced and any part of the
-//! rest.
+//! Tests that lose power after every change of the disk. The disk keeps everything that was synced and
+//! any part of the rest.
 
 use std::path::PathBuf;
 
@@ -20,21 +20,22 @@
     UnsyncedWrites::Random(6),
 ];
 
-/// The changes that one process made on a disk, and which record was safe after how many of them.
+/// The changes that one process made to a disk, and the records that were durable after them.
 pub(super) struct History {
+    /// Content of the disk before the changes.
     start: Vec<u8>,
     changes: Vec<Change>,
-    /// In order; the first is the record that the process began with.
+    /// In order of changes. The first has the record that the process started with.
     safe_points: Vec<SafePoint>,
 }
 
-/// From this many changes on, a loss of power leaves this record or a later one.
+/// After this many changes or more, a power loss leaves this record or a later one.
 struct SafePoint {
     change_count: usize,
     record: Record,
 }
 
-/// How often a loss of power left which record.
+/// How often a power loss left the last saved record, and how often the one that was being saved.
 #[derive(Default)]
 struct FoundRecords {
     last_saved: usize,
@@ -42,28 +43,28 @@
 }
 
 impl History {
-    /// Saves values of these lengths, with a vote after each, and ends as a killed process does:
-    /// nothing is closed.
+    /// Saves values of these lengths in bytes, with a vote after each, and ends like a killed process:
+    /// the store is not closed.
     pub(super) fn until_kill(
         start: Vec<u8>,
         value_lengths: &[usize],
         first_number: u64,
     ) -> History {
-        let (mut history, disk, store) = History::play(start, value_lengths, first_number);
+        let (mut history, disk, store) = History::record(start, value_lengths, first_number);
         std::mem::forget(store);
         history.changes = disk.changes();
         history
     }
 
-    /// As [`until_kill`](History::until_kill), but the store is closed at the end.
+    /// Like [`until_kill`](History::until_kill), but closes the store at the end.
     fn until_close(start: Vec<u8>, value_lengths: &[usize], first_number: u64) -> History {
-        let (mut history, disk, store) = History::play(start, value_lengths, first_number);
+        let (mut history, disk, store) = History::record(start, value_lengths, first_number);
         drop(store);
         history.changes = disk.changes();
         history
     }
 
-    fn play(
+    fn record(
         start: Vec<u8>,
         value_lengths: &[usize],
         first_number: u64,
@@ -106,7 +107,7 @@
         (history, disk, store)
     }
 
-    /// The disk's content at the end, without a loss of power.
+    /// Returns the content of the disk at the end, without a power loss.
     pub(super) fn final_content(&self) -> Vec<u8> {
         self.content_after_power_loss(self.changes.len(), UnsyncedWrites::Written)
     }
@@ -115,7 +116,7 @@
         content_after_power_loss(&self.start, &self.changes, change_count, unsynced)
     }
 
-    /// The index of the newest safe point after this many changes.
+    /// Returns the index of the latest safe point after this many changes.
     fn last_safe_point(&self, change_count: usize) -> usize {
         self.safe_points
             .iter()
@@ -123,8 +124,8 @@
             .unwrap()
     }
 
-    /// Loses power after each change, and reads back the last saved record or the one that was
-    /// being saved.
+    /// Loses power after each change, and checks that the disk then has the last saved record or the
+    /// one that was being saved.
     fn lose_power_everywhere(&self, outcomes: &[UnsyncedWrites]) -> FoundRecords {
         let mut found_records = FoundRecords::default();
         for change_count in self.safe_points[0].change_count..=self.changes.len() {
@@ -161,7 +162,7 @@
     } = history.lose_power_everywhere(&ALL_OUTCOMES);
     assert!(
         last_saved > 100 && in_progress > 10,
-        "both are met: {last_saved} {in_progress}"
+        "both records must occur: last saved {last_saved} times, in progress {in_progress} times"
     );
 }
 
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn save_syncs_once_and_vote_does_not_write_the_value() {
+fn save_syncs_at_most_three_times_and_vote_does_not_write_the_value() {
     let disk = RecordingDisk::default();
     let (mut store, _) = Store::create(disk.clone(), PathBuf::from("disk"), INCARNATION).unwrap();
     store.save(&record(1, 60_000)).unwrap();
@@ -253,29 +254,32 @@
     }
 }
 
-/// A full disk fails the save; once it takes bytes again the store that is opened anew has the
-/// record before it or the one that was refused, and takes further ones.
+/// A full disk makes a save fail. Once the disk accepts writes again, the reopened store has the record
+/// of the failed save or the one before it, and saves further records.
 #[test]
-fn refused_save_leaves_the_record_before_it_or_its_own() {
+fn failed_save_leaves_its_own_record_or_the_one_before() {
     for accepted_changes in 0..12 {
         let disk = RecordingDisk::default();
         let (mut store, _) = Store::create(disk.clone(), PathBuf::from("f"), INCARNATION).unwrap();
         store.save(&record(1, 50_000)).unwrap();
-        disk.refuse_after(Some(accepted_changes));
-        let refused = store.save(&record(2, 60_000)).is_err();
-        assert!(refused || accepted_changes > 2, "nothing was refused");
-        if refused {
+        disk.fail_after(Some(accepted_changes));
+        let failed = store.save(&record(2, 60_000)).is_err();
+        assert!(
+            failed || accepted_changes > 2,
+            "the save must fail on a full disk"
+        );
+        if failed {
             assert!(
                 store.save(&record(3, 100)).is_err(),
-                "a store that failed saves nothing more"
+                "a store must not save again after a failed save"
             );
         }
         drop(store);
-        disk.refuse_after(None);
+        disk.fail_after(None);
         let (mut store, found) = Store::read(disk.clone(), PathBuf::from("f")).unwrap();
         assert!(
-            found == record(2, 60_000) || refused && found == record(1, 50_000),
-            "{accepted_changes}"
+            found == record(2, 60_000) || failed && found == record(1, 50_000),
+            "{accepted_changes} changes accepted"
         );
         store.save(&record(4, 70_000)).unwrap();
         drop(store);
--- a/crates/protocol/control-store/src/tests/recording_disk.rs
+++ b/crates/protocol/control-store/src/tests/recording_disk.rs
@@ -1,27 +1,27 @@
-//! A disk in memory that records its changes, and what a loss of power leaves of them.
+//! A disk in memory that records its changes, and a model of what a power loss leaves of them.
 
 use std::io;
 use std::sync::{Arc, Mutex};
 
 use redb::StorageBackend;
 
-/// The unit in which a disk writes: a torn write is torn between sectors.
+/// The unit of a write. A torn write may keep any of its sectors.
 const SECTOR_BYTES: usize = 512;
 
-/// A change of a file.
+/// A change to a file.
 #[derive(Clone, Debug)]
 pub(super) enum Change {
-    /// At this offset, these bytes.
+    /// Writes these bytes at this offset.
     Write(u64, Vec<u8>),
     SetLength(u64),
     Sync,
 }
 
-/// A disk that records in which order it was changed. Clones share the content.
+/// A disk that records its changes in order. Clones share the content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecordingDisk {
     state: Arc<Mutex<DiskContent>>,
-    /// How many more changes are taken before all are refused; `None` for no limit.
+    /// Number of changes that still succeed before all changes fail; `None` for no limit.
     remaining_changes: Arc<Mutex<Option<u64>>>,
 }
 
@@ -52,7 +52,8 @@
         self.state.lock().unwrap().changes.len()
     }
 
-    pub(super) fn refuse_after(&self, changes: Option<u64>) {
+    /// Makes all changes fail after this many more, as on a full disk; `None` for no limit.
+    pub(super) fn fail_after(&self, changes: Option<u64>) {
         *self.remaining_changes.lock().unwrap() = changes;
     }
 
@@ -109,16 +110,16 @@
     }
 }
 
-/// What a loss of power leaves of the writes since the last sync.
+/// What a power loss leaves of the writes since the last sync.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum UnsyncedWrites {
     Lost,
     Written,
-    /// Each is written, lost or torn, as random numbers of this seed say.
+    /// Each write is kept, lost or torn, depending on random numbers from this seed.
     Random(u64),
 }
 
-/// The next random number (xorshift64*).
+/// Returns the next random number (xorshift64*).
 pub(super) fn next_random(seed: &mut u64) -> u64 {
     *seed ^= *seed >> 12;
     *seed ^= *seed << 25;
@@ -126,7 +127,7 @@
     seed.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 16
 }
 
-/// Applies part of a write: a prefix of it, or any of its sectors.
+/// Applies part of a write: a prefix of any length, or a random set of its sectors.
 fn apply_torn(content: &mut Vec<u8>, offset: u64, data: &[u8], seed: &mut u64) {
     if next_random(seed).is_multiple_of(2) {
         let length = next_random(seed) as usize % (data.len() + 1);
@@ -140,7 +141,7 @@
     }
 }
 
-/// The disk's content after a loss of power that follows the first `change_count` changes.
+/// Returns the content of the disk after a power loss that follows the first `change_count` changes.
 pub(super) fn content_after_power_loss(
     start: &[u8],
     changes: &[Change],
--- a/crates/protocol/control-store/tests/kept_folder.rs
+++ b/crates/protocol/control-store/tests/kept_folder.rs
@@ -1,10 +1,11 @@
-//! A directory that an earlier release wrote, held as a fixture: its record is read, and the
-//! directory takes further ones. Old and new machines mix in a rolled release, so neither the
-//! fixture nor what is read from it may change within a format version.
+//! Tests that a directory of an earlier release, kept as a fixture, can be read and saved to.
 //!
-//! `fixtures/control.redb.deflate` is the database file, compressed with DEFLATE;
-//! `fixtures/value.txt` the value in it, in hexadecimal: an encoded state of
-//! `badgerstream-control`, which means nothing here.
+//! During a rolling upgrade, machines of both releases run side by side. Within a format version,
+//! neither the fixture nor the record read from it may therefore change.
+//!
+//! `fixtures/control.redb.deflate` is the database file, compressed with DEFLATE.
+//! `fixtures/value.txt` is the value in it, in hexadecimal: an encoded state of
+//! `badgerstream-control`, which this crate does not interpret.
 
 use std::fs;
 use std::path::PathBuf;
@@ -14,7 +15,7 @@
 const COMPRESSED_FILE: &[u8] = include_bytes!("fixtures/control.redb.deflate");
 const VALUE_HEX: &str = include_str!("fixtures/value.txt");
 
-/// The record in the fixture.
+/// Returns the record in the fixture.
 fn fixture_record() -> Record {
     let digits = VALUE_HEX.trim();
     let value = (0..digits.len()).step_by(2).map(|start| {
@@ -32,7 +33,7 @@
 struct TempDirectory(PathBuf);
 
 impl TempDirectory {
-    /// The fixture, decompressed.
+    /// Creates a directory with the decompressed fixture.
     fn with_fixture() -> TempDirectory {
         let name = format!("store-kept-{}", std::process::id());
         let directory = TempDirectory(std::env::temp_dir().join(name));
@@ -43,7 +44,7 @@
         directory
     }
 
-    /// Opens the store; it must not take the disk for new.
+    /// Opens the store, which must report an existing disk.
     fn open(&self) -> (Store, Record) {
         let opened = Store::open(&self.0, 5).unwrap();
         assert_eq!(opened.disk_state, DiskState::Existing);
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn directory_of_an_earlier_release_is_read_and_takes_further_records() {
+fn directory_of_an_earlier_release_can_be_read_and_saved_to() {
     let directory = TempDirectory::with_fixture();
     let (mut store, found) = directory.open();
     assert_eq!(found, fixture_record());
