--- a/crates/core/pooling/src/choice.rs
+++ b/crates/core/pooling/src/choice.rs
@@ -53,9 +53,9 @@
 
 /// Chooses the destination of a statement at time `now`, in seconds.
 ///
-/// Writes and `Strong` reads always go to the primary. Reads of a session with primary affinity also
-/// go there, unless the primary is to be avoided. All other reads go to a replica if there is a
-/// freshness proof, and to the primary otherwise.
+/// Writes and `Strong` reads always go to the primary. Reads of a session with primary affinity
+/// also go there, unless the primary is to be avoided. All other reads go to a replica if there is
+/// a freshness proof, and to the primary otherwise.
 pub fn choose(
     input: &ChoiceInput,
     session: &Session,
--- a/crates/core/pooling/src/connection_quota.rs
+++ b/crates/core/pooling/src/connection_quota.rs
@@ -16,10 +16,10 @@
 /// Returns how many statements one of `router_count` routers may have in flight at a server with
 /// `slots` slots.
 ///
-/// This is twice the router's equal share, because clients don't spread evenly over routers; at most
-/// `slots` and at least two. More statements would only wait at the server, where they can't be
-/// ordered by rank. `network_overhead_factor` is the time that a statement takes as the router sees
-/// it, divided by the time that it takes at the server
+/// This is twice the router's equal share, because clients don't spread evenly over routers; at
+/// most `slots` and at least two. More statements would only wait at the server, where they can't
+/// be ordered by rank. `network_overhead_factor` is the time that a statement takes as the router
+/// sees it, divided by the time that it takes at the server
 /// ([`network_overhead_factor`](crate::latency::Latency::network_overhead_factor)). The share is
 /// multiplied by it, because that many times as many statements are in transit or running.
 pub fn in_flight_limit(slots: usize, router_count: usize, network_overhead_factor: f64) -> usize {
@@ -30,8 +30,8 @@
 /// A router's quota of a server's connections.
 ///
 /// The quotas of all routers together stay below the number that the server accepts. Above it,
-/// connections that are being opened, each of which occupies a slot of the server for a while, would
-/// displace each other.
+/// connections that are being opened, each of which occupies a slot of the server for a while,
+/// would displace each other.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionQuota {
     max_connections: usize,
--- a/crates/core/pooling/src/freshness.rs
+++ b/crates/core/pooling/src/freshness.rs
@@ -12,8 +12,8 @@
 /// seconds of a busy service.
 pub const MAX_SAMPLES: usize = 80;
 
-/// The primary's log had reached `position` when the primary, under a valid lease, answered a query
-/// that was sent at `queried_at` (seconds).
+/// The primary's log had reached `position` when the primary answered a query that was sent at
+/// `queried_at` (seconds), while the lease was valid.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     queried_at: f64,
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Returns the lowest position known to cover every commit acknowledged before `since` (seconds),
-    /// which a read requires of a replica with `WAITPOS`. Returns `None` if no sample was queried at
-    /// or after `since`.
+    /// Returns the lowest position known to cover every commit acknowledged before `since`
+    /// (seconds), which a read requires of a replica with `WAITPOS`. Returns `None` if no sample
+    /// was queried at or after `since`.
     pub fn proof(&self, since: f64) -> Option<Position> {
         let first = self.samples.partition_point(|s| s.queried_at < since);
         self.samples.get(first).map(|s| s.position)
--- a/crates/core/pooling/src/health.rs
+++ b/crates/core/pooling/src/health.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Records that the server responded with `LAGGING` at time `now`, in seconds: its log lacks this
-    /// position.
+    /// Records that the server responded with `LAGGING` at time `now`, in seconds: its log lacks
+    /// this position.
     pub fn record_lag(&mut self, now: f64, position: Position) {
         self.last_lag = Some(Lag {
             position,
@@ -69,9 +69,9 @@
         now >= self.down_until
     }
 
-    /// Returns whether the server's log has reached this position, as far as is known at time `now`,
-    /// in seconds. The server checks the position itself (`WAITPOS`), so a wrong guess costs a round
-    /// trip and never consistency.
+    /// Returns whether the server's log has reached this position, as far as is known at time
+    /// `now`, in seconds. The server checks the position itself (`WAITPOS`), so a wrong guess costs
+    /// a round trip and never consistency.
     pub fn may_have_position(&self, position: Position, now: f64) -> bool {
         let is_confirmed = self
             .confirmed_position
--- a/crates/core/pooling/src/latency.rs
+++ b/crates/core/pooling/src/latency.rs
@@ -52,7 +52,8 @@
     }
 
     /// Returns the mean time that a statement takes as the router sees it, divided by the time that
-    /// it takes at the server, without the network: between 1 and 8, and 1 while either is unknown.
+    /// it takes at the server, without the network: between 1 and 8, and 1 before both the latency
+    /// and the round-trip time have been measured.
     pub fn network_overhead_factor(&self) -> f64 {
         match (self.mean_s, self.round_trip_s) {
             (Some(mean_s), Some(round_trip_s)) => {
@@ -68,9 +69,9 @@
         self.mean_s.unwrap_or(0.0)
     }
 
-    /// Returns how many seconds after sending it the response to a statement with this latency target
-    /// is overdue. If the server has responded to a statement that was sent later, an overdue
-    /// response is probably lost.
+    /// Returns the time after which the response to a statement with this latency target is
+    /// overdue, in seconds since the statement was sent. If the server has responded to a statement
+    /// that was sent later, an overdue response is probably lost.
     pub fn overdue_after_s(&self, target_s: f64) -> f64 {
         let usual_s = (4.0 * self.mean_s()).max(self.mean_s() + 4.0 * self.deviation_s);
         usual_s.max(target_s / 4.0).max(MIN_OVERDUE_S)
@@ -85,8 +86,8 @@
 
 /// How long statements of a service have been refused without a gap.
 ///
-/// A streak that has lasted for some time is likely to last as long again, so retry delays grow with
-/// its length.
+/// A streak that has lasted for some time is likely to last as long again, so retry delays grow
+/// with its length.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RefusalStreak {
     /// Time of the first refusal of the streak, in seconds.
@@ -96,8 +97,8 @@
 }
 
 impl RefusalStreak {
-    /// Records that a statement was refused at time `now`, in seconds, because it would have to wait
-    /// for `wait_s` seconds. Returns the retry delay for its client, in seconds.
+    /// Records that a statement was refused at time `now`, in seconds, because it would have to
+    /// wait for `wait_s` seconds. Returns the retry delay for its client, in seconds.
     pub fn record_refusal(&mut self, now: f64, wait_s: f64) -> f64 {
         if self
             .last_at
--- a/crates/core/pooling/src/queue.rs
+++ b/crates/core/pooling/src/queue.rs
@@ -2,8 +2,8 @@
 //!
 //! At most a limited number of entries is admitted at a time. Waiting entries that can still meet
 //! their latency target are admitted first, in order of rank and arrival; then those that no longer
-//! can, because a late response is worth only a fraction of one in time. Each admission queue of the
-//! data plane owns one [`Queue`] and wakes the tasks; nothing here waits.
+//! can, because a late response is worth only a fraction of one in time. Each admission queue of
+//! the data plane owns one [`Queue`] and wakes the tasks; nothing here waits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,9 +23,9 @@
     admitted: usize,
     /// Number of entries that ever had to wait.
     arrivals: u64,
-    /// Waiting entries that are not known to be late, with their latest start: the time (seconds) by
-    /// which they must be admitted to meet their latency target. Whether an entry has missed it is
-    /// checked only when the entry is next in order.
+    /// Waiting entries that are not known to be late, with their latest start: the time (seconds)
+    /// by which they must be admitted to meet their latency target. Whether an entry has missed it
+    /// is checked only when the entry is next in order.
     waiting: BTreeMap<QueueEntry, f64>,
     /// Waiting entries that were found to have missed their latest start.
     past_latest_start: BTreeSet<QueueEntry>,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Changes the limit. Call [`Queue::admit_next`] afterwards to admit entries up to the new limit.
+    /// Changes the limit. Call [`Queue::admit_next`] afterwards to admit entries up to the new
+    /// limit.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
@@ -54,7 +55,8 @@
     }
 
     /// Admits the caller at once and returns `None`, or queues it and returns its entry.
-    /// `latest_start` is the time (seconds) by which it must be admitted to meet its latency target.
+    /// `latest_start` is the time (seconds) by which it must be admitted to meet its latency
+    /// target.
     pub fn enter(&mut self, rank: u32, latest_start: f64) -> Option<QueueEntry> {
         if !self.is_full() && self.waiting_count() == 0 {
             self.admitted += 1;
@@ -79,8 +81,8 @@
         self.admitted -= 1;
     }
 
-    /// Admits the next waiting entry at time `now`, in seconds, and returns it. Returns `None` if no
-    /// entry is waiting or the limit is reached.
+    /// Admits the next waiting entry at time `now`, in seconds, and returns it. Returns `None` if
+    /// no entry is waiting or the limit is reached.
     pub fn admit_next(&mut self, now: f64) -> Option<QueueEntry> {
         if self.is_full() {
             return None;
@@ -106,8 +108,8 @@
     }
 
     /// Returns how many waiting entries would be admitted before a new entry with this rank and
-    /// latest start (seconds) that arrives at time `now`, in seconds. Entries that have missed their
-    /// latest start are only ahead of others that have.
+    /// latest start (seconds) that arrives at time `now`, in seconds. Entries that have missed
+    /// their latest start are only ahead of others that have.
     pub fn entries_ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
         let is_late = latest_start < now;
         let in_time_ahead = self
--- a/crates/core/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -143,8 +143,8 @@
 }
 
 impl Session {
-    /// Sets a value, and replaces an older value of this name. The limits are checked as if the name
-    /// were new.
+    /// Sets a value, and replaces an older value of this name. The limits are checked as if the
+    /// name were new.
     ///
     /// # Errors
     ///
--- a/crates/protocol/control-store/src/directory.rs
+++ b/crates/protocol/control-store/src/directory.rs
@@ -12,8 +12,8 @@
 /// A directory and its entries.
 ///
 /// Until the directory is synced, a power loss may undo the creation, renaming or removal of any
-/// entry, independently of other entries. The first name of a new file is durable as soon as the file
-/// has been synced once.
+/// entry, independently of other entries. The first name of a new file is durable as soon as the
+/// file has been synced once.
 pub(crate) trait Directory {
     /// The file type that the database reads and writes.
     type File: StorageBackend;
--- a/crates/protocol/control-store/src/error.rs
+++ b/crates/protocol/control-store/src/error.rs
@@ -33,7 +33,8 @@
         /// The error of `redb`.
         source: Box<redb::Error>,
     },
-    /// The database can be read, but it does not contain a valid record in the format of this version.
+    /// The database can be read, but it does not contain a valid record in the format of this
+    /// version.
     #[error("invalid record: {} {problem}", path.display())]
     InvalidRecord {
         /// The database file.
@@ -46,7 +47,10 @@
     #[error("unexpected entry {} in the directory of the control state", .0.display())]
     UnexpectedEntry(PathBuf),
     /// An earlier save failed, and the store has not been reopened since.
-    #[error("can't save to {}: an earlier save failed and the store has not been reopened", .0.display())]
+    #[error(
+        "can't save to {}: an earlier save failed and the store has not been reopened",
+        .0.display()
+    )]
     Closed(PathBuf),
     /// The value has this many bytes, which is more than [`MAX_VALUE_BYTES`].
     #[error("can't save a value of {0} bytes: the limit is {MAX_VALUE_BYTES} bytes")]
--- a/crates/protocol/control-store/src/file_backend.rs
+++ b/crates/protocol/control-store/src/file_backend.rs
@@ -8,8 +8,8 @@
 
 /// A file with positioned reads and writes and `fdatasync`.
 ///
-/// It replaces the backend of `redb`, which locks the file and probes which kinds of locks the system
-/// supports. On the users' machines, every lock is granted and none is enforced.
+/// It replaces the backend of `redb`, which locks the file and probes which kinds of locks the
+/// system supports. On the users' machines, every lock is granted and none is enforced.
 #[derive(Debug)]
 pub(crate) struct FileBackend {
     file: File,
--- a/crates/protocol/control-store/src/lib.rs
+++ b/crates/protocol/control-store/src/lib.rs
@@ -1,10 +1,10 @@
-//! Durable storage for the hard state of a control machine: the state of the consensus protocol that
-//! must survive a restart.
+//! Durable storage for the hard state of a control machine: the state of the consensus protocol
+//! that must survive a restart.
 //!
-//! The store holds one record, in a directory of its own. A power loss at any moment leaves the last
-//! saved record or the one that was being saved, never an older one and never a mix of the two. The
-//! caller, the `control` part of the pooler, decides what is saved and when. This crate doesn't
-//! interpret the value, and it never replaces an unreadable store with an empty one.
+//! The store holds one record, in a directory of its own. A power loss at any moment leaves the
+//! last saved record or the one that was being saved, never an older one and never a mix of the
+//! two. The caller, the `control` part of the pooler, decides what is saved and when. This crate
+//! doesn't interpret the value, and it never replaces an unreadable store with an empty one.
 //!
 //! - `opening`: opens or creates a store; the names in the directory show whether the disk is new.
 //! - `store`: reads and writes the rows of the open database.
--- a/crates/protocol/control-store/src/opening.rs
+++ b/crates/protocol/control-store/src/opening.rs
@@ -1,7 +1,8 @@
 //! Opens a store. The names in its directory show whether the disk is new.
 //!
-//! A new store is created under a temporary name, and renamed once its first record is synced. A file
-//! under the final name is therefore always complete. A directory with any other entry is rejected.
+//! A new store is created under a temporary name, and renamed once its first record is synced. A
+//! file under the final name is therefore always complete. A directory with any other entry is
+//! rejected.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -34,8 +35,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`]. Files that are unreadable or unexpected are left as they are, because starting
-    /// from an empty record would forget votes.
+    /// [`StoreError`]. Files that are unreadable or unexpected are left as they are, because
+    /// starting from an empty record would forget votes.
     pub fn open(directory: &Path, incarnation_if_new: u64) -> Result<OpenedStore, StoreError> {
         open_in(&RealDirectory(directory), directory, incarnation_if_new)
     }
@@ -50,8 +51,8 @@
     directory.create_all().map_err(io_error("create", path))?;
     let entries = find_entries(directory, path)?;
     if entries.has_unfinished {
-        // The first open was interrupted, by a power loss for example. It never returned, so nothing
-        // relies on this store.
+        // The first open was interrupted, by a power loss for example. It never returned, so
+        // nothing relies on this store.
         directory
             .remove_file(UNFINISHED_FILE_NAME)
             .map_err(io_error("remove", &path.join(UNFINISHED_FILE_NAME)))?;
@@ -83,9 +84,9 @@
 }
 
 fn open_existing<D: Directory>(directory: &D, path: &Path) -> Result<OpenedStore, StoreError> {
-    // The process that created the store may have been killed after the rename and before the sync of
-    // the directory. Without a sync, a power loss could then still undo the rename, and everything
-    // saved from here on would be lost.
+    // The process that created the store may have been killed after the rename and before the sync
+    // of the directory. Without a sync, a power loss could then still undo the rename, and
+    // everything saved from here on would be lost.
     directory.sync().map_err(io_error("sync", path))?;
     let store_path = path.join(STORE_FILE_NAME);
     let file = directory
--- a/crates/protocol/control-store/src/record.rs
+++ b/crates/protocol/control-store/src/record.rs
@@ -13,8 +13,8 @@
     pub accepted_term: u64,
     /// The accepted state, encoded by the caller; at most [`MAX_VALUE_BYTES`].
     pub value: Vec<u8>,
-    /// A random number, drawn when this disk was first used. A machine that restarts with a different
-    /// number has lost its disk, and with it its votes.
+    /// A random number, drawn when this disk was first used. A machine that restarts with a
+    /// different number has lost its disk, and with it its votes.
     pub incarnation: u64,
 }
 
--- a/crates/protocol/control-store/src/store.rs
+++ b/crates/protocol/control-store/src/store.rs
@@ -7,8 +7,8 @@
 use crate::format::{self, TermsRow, ValueRow, ValueRowRef};
 use crate::{MAX_VALUE_BYTES, Record, StoreError};
 
-/// Size of the page cache of `redb`, in bytes. All rows are read only once, at the start, so a larger
-/// cache would have no use.
+/// Size of the page cache of `redb`, in bytes. All rows are read only once, at the start, so a
+/// larger cache would have no use.
 const CACHE_BYTES: usize = 64 * 1024;
 
 /// The table has two rows: one that changes with each vote and one that changes with each value. A
@@ -19,12 +19,12 @@
 
 /// An open store.
 ///
-/// Dropping it closes the file. This may write and sync the file once more, but the saved record does
-/// not depend on it.
+/// Dropping it closes the file. This may write and sync the file once more, but the saved record
+/// does not depend on it.
 ///
-/// After an error of [`save`](Store::save) or [`save_terms`](Store::save_terms), the disk has either
-/// the old or the new record. The caller must reopen the store before it sends any message that
-/// depends on the record.
+/// After an error of [`save`](Store::save) or [`save_terms`](Store::save_terms), the disk has
+/// either the old or the new record. The caller must reopen the store before it sends any message
+/// that depends on the record.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
@@ -178,8 +178,8 @@
             let length = format::encoded_length(terms);
             format::encode(terms, table.insert_reserve(TERMS_KEY, length)?.as_mut());
             if let Some(value) = value {
-                // Encoded directly into the page, because a copy would double the memory that a large
-                // value takes.
+                // Encoded directly into the page, because a copy would double the memory that a
+                // large value takes.
                 let length = format::encoded_length(&value);
                 format::encode(&value, table.insert_reserve(VALUE_KEY, length)?.as_mut());
             }
--- a/crates/protocol/control-store/src/tests/directory_power_loss.rs
+++ b/crates/protocol/control-store/src/tests/directory_power_loss.rs
@@ -12,8 +12,8 @@
 use crate::opening::open_in;
 use crate::{DiskState, OpenedStore, Record, StoreError};
 
-/// A directory in memory whose unsynced entries may be lost in a power loss. Its files keep everything
-/// that was written.
+/// A directory in memory whose unsynced entries may be lost in a power loss. Its files keep
+/// everything that was written.
 #[derive(Clone, Default)]
 struct RecordingDirectory {
     state: Arc<Mutex<DirectoryState>>,
@@ -69,8 +69,8 @@
     }
 
     /// Returns the directory after a power loss. Synced state always survives. The lowest bit of
-    /// `survivors` says whether the directory itself survives if it was not synced; each further bit
-    /// says whether the unsynced change of one entry survives.
+    /// `survivors` says whether the directory itself survives if it was not synced; each further
+    /// bit says whether the unsynced change of one entry survives.
     fn after_power_loss(&self, survivors: u64) -> RecordingDirectory {
         let state = self.state.lock().unwrap().clone();
         let survives = |bit: usize| survivors >> bit & 1 == 1;
@@ -162,9 +162,9 @@
     }
 }
 
-/// Kills the process twice, each time before a different operation on the directory. Then the process
-/// starts again and saves a record, and a power loss leaves or undoes each unsynced entry. The saved
-/// record must be read back in every case.
+/// Kills the process twice before operations on the directory, in all combinations. Then the
+/// process starts again and saves a record, and a power loss leaves or undoes each unsynced entry.
+/// The saved record must be read back in every case.
 #[test]
 fn saved_record_survives_loss_of_unsynced_entries() {
     const OPERATIONS: u64 = 8;
--- a/crates/protocol/control-store/src/tests/mod.rs
+++ b/crates/protocol/control-store/src/tests/mod.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Returns the content that a process leaves on the disk if it is killed after saving values of these
-/// lengths in bytes.
+/// Returns the content that a process leaves on the disk if it is killed after saving values of
+/// these lengths in bytes.
 fn content_after_kill(value_lengths: &[usize]) -> Vec<u8> {
     let history = History::until_kill(Vec::new(), value_lengths, 1);
     history.final_content()
--- a/crates/protocol/control-store/src/tests/power_loss.rs
+++ b/crates/protocol/control-store/src/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Tests that lose power after every change of the disk. The disk keeps everything that was synced and
-//! any part of the rest.
+//! Tests that lose power after every change of the disk. The disk keeps everything that was synced
+//! and any part of the rest.
 
 use std::path::PathBuf;
 
@@ -43,8 +43,8 @@
 }
 
 impl History {
-    /// Saves values of these lengths in bytes, with a vote after each, and ends like a killed process:
-    /// the store is not closed.
+    /// Saves values of these lengths in bytes, with a vote after each, and ends like a killed
+    /// process: the store is not closed.
     pub(super) fn until_kill(
         start: Vec<u8>,
         value_lengths: &[usize],
@@ -124,8 +124,8 @@
             .unwrap()
     }
 
-    /// Loses power after each change, and checks that the disk then has the last saved record or the
-    /// one that was being saved.
+    /// Loses power after each change, and checks that the disk then has the last saved record or
+    /// the one that was being saved.
     fn lose_power_everywhere(&self, outcomes: &[UnsyncedWrites]) -> FoundRecords {
         let mut found_records = FoundRecords::default();
         for change_count in self.safe_points[0].change_count..=self.changes.len() {
@@ -254,8 +254,8 @@
     }
 }
 
-/// A full disk makes a save fail. Once the disk accepts writes again, the reopened store has the record
-/// of the failed save or the one before it, and saves further records.
+/// A full disk makes a save fail. Once the disk accepts writes again, the reopened store has the
+/// record of the failed save or the one before it, and saves further records.
 #[test]
 fn failed_save_leaves_its_own_record_or_the_one_before() {
     for accepted_changes in 0..12 {
--- a/crates/protocol/control-store/src/tests/recording_disk.rs
+++ b/crates/protocol/control-store/src/tests/recording_disk.rs
@@ -141,7 +141,8 @@
     }
 }
 
-/// Returns the content of the disk after a power loss that follows the first `change_count` changes.
+/// Returns the content of the disk after a power loss that follows the first `change_count`
+/// changes.
 pub(super) fn content_after_power_loss(
     start: &[u8],
     changes: &[Change],
--- a/crates/protocol/line-protocol/src/error_code.rs
+++ b/crates/protocol/line-protocol/src/error_code.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Returns the word in the protocol. The word of [`ErrorCode::Other`] is not stored, so `FAILED`
-    /// is returned for it.
+    /// Returns the word in the protocol. The word of [`ErrorCode::Other`] is not stored, so
+    /// `FAILED` is returned for it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Retry => "RETRY",
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Returns what is known about the execution of a statement to which a server responded with this
-    /// code.
+    /// Returns what is known about the execution of a statement to which a server responded with
+    /// this code.
     pub fn execution_outcome(self) -> ExecutionOutcome {
         match self {
             Self::Retry
--- a/crates/protocol/line-protocol/src/lib.rs
+++ b/crates/protocol/line-protocol/src/lib.rs
@@ -3,7 +3,8 @@
 //!
 //! The codec does no I/O. The owner of a socket feeds the received bytes, split at any point, and
 //! takes out complete lines, requests and responses. The pooler uses the codec for clients and
-//! servers, and so do the servers of the testbed. Routers forward rows and statements byte for byte.
+//! servers, and so do the servers of the testbed. Routers forward rows and statements byte for
+//! byte.
 
 mod error_code;
 mod execution_outcome;
--- a/crates/protocol/line-protocol/src/response.rs
+++ b/crates/protocol/line-protocol/src/response.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// A line of a response. A response consists of any number of rows, then `COMPLETE` or `ERROR`, then
-/// `IDLE`.
+/// A line of a response. A response consists of any number of rows, then `COMPLETE` or `ERROR`,
+/// then `IDLE`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseLine<'a> {
     /// `ROW`: the received bytes of a row, which need not be UTF-8.
@@ -46,8 +46,8 @@
     Error {
         /// The code of the failure.
         code: ErrorCode,
-        /// The rest of the line after the code: a message, or a value that belongs to the code, such
-        /// as the delay of `RETRY`.
+        /// The rest of the line after the code: a message, or a value that belongs to the code,
+        /// such as the delay of `RETRY`.
         text: &'a str,
     },
     /// `IDLE`: the end of a response.
--- a/crates/protocol/line-protocol/src/response_reader.rs
+++ b/crates/protocol/line-protocol/src/response_reader.rs
@@ -32,8 +32,8 @@
 /// Reads one response after another, and collects their lines for forwarding.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    /// The lines read so far with their CR LF, unchanged. A caller that has forwarded them before the
-    /// end of the response may clear them.
+    /// The lines read so far with their CR LF, unchanged. A caller that has forwarded them before
+    /// the end of the response may clear them.
     pub raw: Vec<u8>,
     /// The `COMPLETE` or `ERROR` line of a response whose `IDLE` line has not been read yet.
     completion: Option<Completion>,
@@ -47,8 +47,8 @@
 }
 
 impl ResponseReader {
-    /// Reads the complete lines in `lines` up to the end of the response. Returns `None` if the end has
-    /// not arrived yet. Lines after the end stay in the buffer.
+    /// Reads the complete lines in `lines` up to the end of the response. Returns `None` if the end
+    /// has not arrived yet. Lines after the end stay in the buffer.
     ///
     /// # Errors
     ///
