--- a/crates/protocol/pooler-config/src/settings.rs
+++ b/crates/protocol/pooler-config/src/settings.rs
@@ -107,11 +107,11 @@
 /// The losses that the system must tolerate at the same time without violating a rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FaultBudget {
-    /// Number of machines whose `voting` is true; 0 by default.
+    /// How many machines whose `voting` is true may be lost; 0 by default.
     pub machine_loss: u32,
-    /// Number of zones; 0 by default.
+    /// How many zones may be lost; 0 by default.
     pub zones: u32,
-    /// Number of regions; 0 by default.
+    /// How many regions may be lost; 0 by default.
     pub sites: u32,
 }
 
