--- a/crates/protocol/pooler-config/src/settings.rs
+++ b/crates/protocol/pooler-config/src/settings.rs
@@ -44,15 +44,15 @@
     pub zones: BTreeMap<String, String>,
     /// The address for client connections, if the process serves clients (`bind_addrs.front`); none
     /// by default.
-    pub front: Option<SocketAddr>,
+    pub front_address: Option<SocketAddr>,
     /// The address for the platform's readiness checks (`bind_addrs.readiness`); none by default.
-    pub readiness: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
     /// The address for requests of database servers and the operator (`bind_addrs.control`); none
     /// by default.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// The ports for connections between the processes of the system; 7440 to 7455 by default.
     pub port_range: PortRange,
-    /// The `control` addresses of the processes that were running when the file was written; none
+    /// The `control_address` of each process that was running when the file was written; none
     /// by default.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole system is starting for the first time, with empty disks; false by default.
@@ -216,9 +216,9 @@
             region,
             zone,
             zones,
-            front: properties.address("bind_addrs.front")?,
-            readiness: properties.address("bind_addrs.readiness")?,
-            control: properties.address("bind_addrs.control")?,
+            front_address: properties.address("bind_addrs.front")?,
+            readiness_address: properties.address("bind_addrs.readiness")?,
+            control_address: properties.address("bind_addrs.control")?,
             port_range: properties
                 .port_range("port_range")?
                 .unwrap_or(DEFAULT_PORT_RANGE),
--- a/crates/protocol/pooler-config/src/tests/settings.rs
+++ b/crates/protocol/pooler-config/src/tests/settings.rs
@@ -81,9 +81,9 @@
         ),
         ("lima-a", "lima", 3)
     );
-    assert_eq!(settings.front, "10.1.0.8:8784".parse().ok());
+    assert_eq!(settings.front_address, "10.1.0.8:8784".parse().ok());
     assert_eq!(
-        (settings.control, settings.state_dir.as_ref()),
+        (settings.control_address, settings.state_dir.as_ref()),
         (None, None)
     );
     assert_eq!((settings.port_range, settings.seeds.len()), (PORT_RANGE, 3));
--- a/crates/runtime/pooler/src/cli/settings.rs
+++ b/crates/runtime/pooler/src/cli/settings.rs
@@ -35,7 +35,7 @@
     if json {
         return Ok(());
     }
-    let part = match (settings.front, settings.control) {
+    let part = match (settings.front_address, settings.control_address) {
         (Some(front), Some(control)) => format!("router at {front}, control at {control}"),
         (Some(front), None) => format!("router at {front}"),
         (None, Some(control)) => format!("control at {control}"),
@@ -78,16 +78,16 @@
 
 /// Checks what no field shows alone: that a process has all that its roles need.
 fn check_complete(settings: Settings) -> Result<Settings, SettingsError> {
-    if settings.control.is_some() && settings.state_dir.is_none() {
+    if settings.control_address.is_some() && settings.state_dir.is_none() {
         return Err(SettingsError::Missing("state_dir"));
     }
-    if settings.serves("coordinator") && settings.control.is_none() {
+    if settings.serves("coordinator") && settings.control_address.is_none() {
         return Err(SettingsError::Missing("bind_addrs.control"));
     }
-    if settings.serves("edge") && settings.front.is_none() {
+    if settings.serves("edge") && settings.front_address.is_none() {
         return Err(SettingsError::Missing("bind_addrs.front"));
     }
-    if settings.front.is_some() && settings.seeds.is_empty() {
+    if settings.front_address.is_some() && settings.seeds.is_empty() {
         return Err(SettingsError::Missing("seeds"));
     }
     Ok(settings)
--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -126,7 +126,9 @@
             .state_dir
             .as_ref()
             .ok_or(StartError::MissingStateDir)?;
-        let address = settings.control.ok_or(StartError::MissingControlAddress)?;
+        let address = settings
+            .control_address
+            .ok_or(StartError::MissingControlAddress)?;
         let node = ControlNode::new(tasks, settings, folder, process_incarnation)?;
         let node = Rc::new(node);
         let bind =
--- a/crates/runtime/pooler/src/process.rs
+++ b/crates/runtime/pooler/src/process.rs
@@ -112,7 +112,7 @@
     let process_incarnation = fastrand::u64(..) >> 1;
     let shared = SharedView::default();
     let parts = start_parts(&tasks, &settings, &shared, process_incarnation)?;
-    if let Some(address) = settings.readiness {
+    if let Some(address) = settings.readiness_address {
         readiness::serve(&tasks, address, &shared)?;
     }
     if let Some(port) = metrics_port {
@@ -144,12 +144,12 @@
     shared: &SharedView,
     process_incarnation: u64,
 ) -> Result<Parts, StartError> {
-    let control = match settings.control {
+    let control = match settings.control_address {
         Some(_) => Some(ControlNode::start(tasks, settings, process_incarnation)?),
         None => None,
     };
     let router = settings
-        .front
+        .front_address
         .map(|front| start_router(tasks, settings, front, shared, process_incarnation));
     Ok(Parts { control, router })
 }
--- a/crates/testing/testbed/src/tests/deployment.rs
+++ b/crates/testing/testbed/src/tests/deployment.rs
@@ -53,16 +53,20 @@
             .all(|s| s.provider.as_ref().unwrap().endpoint == deployment.platform_address())
     );
     assert_eq!(
-        all.iter().filter_map(|s| s.control).collect::<Vec<_>>(),
+        all.iter()
+            .filter_map(|s| s.control_address)
+            .collect::<Vec<_>>(),
         deployment.control_addresses()
     );
     assert_eq!(
-        all.iter().filter_map(|s| s.front).collect::<Vec<_>>(),
+        all.iter()
+            .filter_map(|s| s.front_address)
+            .collect::<Vec<_>>(),
         deployment.router_addresses()
     );
     assert!(
         all.iter()
-            .all(|s| s.state_dir.is_some() == s.control.is_some())
+            .all(|s| s.state_dir.is_some() == s.control_address.is_some())
     );
 }
 
