--- a/crates/core/pooling/src/choice.rs
+++ b/crates/core/pooling/src/choice.rs
@@ -64,7 +64,7 @@
         (_, Consistency::Bounded(staleness_s)) => (staleness_s, None),
         (_, Consistency::ReadYourWrites(staleness_s)) => (staleness_s, session.last_write),
     };
-    if session.primary_affinity.marked(now) && !input.avoid_primary {
+    if session.primary_affinity.is_active(now) && !input.avoid_primary {
         return Destination::Primary;
     }
     match history.proof(input.arrived_at - staleness_s) {
--- a/crates/core/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -6,7 +6,7 @@
 //! ([`crate::connection`]).
 
 use badgerstream_line_protocol::{Position, StatementKind, TransactionState};
-use badgerstream_routing::Mark;
+use badgerstream_routing::PrimaryAffinity;
 use thiserror::Error;
 
 /// The most names of one sort that a session may hold.
@@ -133,7 +133,7 @@
     /// The position of the log after its last write: reads of its own must be as fresh.
     pub last_write: Option<Position>,
     /// When it last used a primary; its reads keep to the primary for a while.
-    pub primary_affinity: Mark,
+    pub primary_affinity: PrimaryAffinity,
 }
 
 impl Session {
--- a/crates/core/pooling/src/tests/choices.rs
+++ b/crates/core/pooling/src/tests/choices.rs
@@ -5,7 +5,7 @@
 use crate::health::{Health, LAG_BACKOFF_S, MIN_BACKOFF_S};
 use crate::session::Session;
 use badgerstream_line_protocol::Position;
-use badgerstream_routing::MARK_S;
+use badgerstream_routing::PRIMARY_AFFINITY_S;
 use badgerstream_routing::Rotation;
 
 fn position(number: u64) -> Position {
@@ -82,7 +82,7 @@
         Destination::Primary
     );
     assert_eq!(
-        choose(&read, &session, &history(), 7.5 + MARK_S),
+        choose(&read, &session, &history(), 7.5 + PRIMARY_AFFINITY_S),
         Destination::Replica(position(50))
     );
     // A saturated primary is avoided for a replica that has the write of the session.
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -1,17 +1,17 @@
-//! What a front needs to ask for routing decisions: plain types of the trade and the trait [`Outbox`].
+//! Routing policy of the router: which node executes which statement, when, and how often. It has no clock, no
+//! sockets and no I/O of its own.
 //!
-//! A front owns the clock, the sockets and the lists. It turns what it hears into calls on [`Instance`],
-//! calls [`Instance::settle`] once all that arrived at one reading of its clock has been told, and carries
-//! out what comes through its [`Outbox`]. All times are seconds on the front's clock; positions (lsn) are
-//! times on it too: the moment up to which a node has applied every commit. Ids are whatever the front uses.
+//! The caller (the router, or a test program) owns the clock, the connections and the list of nodes. It reports
+//! events by calls on [`Instance`], calls [`Instance::settle`] once all events of one clock reading are
+//! reported, and carries out the actions that it receives through its [`Outbox`].
 //!
-//! Every decision is in [`policy`]; nothing here decides.
+//! All times are seconds on the caller's clock. Positions in the replication log (`lsn`) are times on the same
+//! clock: a node at position `t` has applied every commit up to `t`. The ids of statements, nodes, groups and
+//! sessions are whatever the caller uses.
+//!
+//! This file defines the types of the interface; every decision is made in [`policy`].
 
-#![allow(
-    missing_docs,
-    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
-)]
-// Decoded fields go straight into a call, and each part takes its own few settings.
+// Decoded fields go straight into a call, and each part takes only the settings that it needs.
 #![allow(clippy::too_many_arguments)]
 
 mod instance;
@@ -25,199 +25,251 @@
 pub use badgerstream_primary_change as succession;
 pub use badgerstream_restart_pacing as recovery;
 pub use instance::Instance;
-pub use policy::mark::{MARK_S, Mark};
+pub use policy::primary_affinity::{PRIMARY_AFFINITY_S, PrimaryAffinity};
 pub use policy::rotation::Rotation;
 
 #[cfg(test)]
 mod tests;
 
-/// How far a statement may be executed again.
+/// Whether a statement may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Repeat {
+    /// Any number of executions has the effect of one.
     Idempotent,
-    /// Repeats are dropped by the nodes of `within`, for `memory` seconds after the first send that may have
-    /// run.
+    /// The nodes of `scope` drop repeats for `memory_s` seconds after the first send that may have run.
     Deduplicated {
-        within: Within,
-        memory: f64,
+        /// The nodes that recognize a repeat.
+        scope: DedupScope,
+        /// How long they recognize it, in seconds.
+        memory_s: f64,
     },
+    /// A statement that may have run is never sent again.
     #[default]
     NonIdempotent,
 }
 
-/// The nodes that know a deduplicated statement's repeats.
+/// The nodes that recognize the repeat of a deduplicated statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Within {
+pub enum DedupScope {
+    /// All nodes.
     Anywhere,
+    /// The nodes of the same group and zone as the first execution.
     Zone,
+    /// The nodes of the same group as the first execution.
     Group,
 }
 
-/// What a statement must see.
+/// Which data a statement must see.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Currency {
-    /// Only the primary takes it: a write.
+pub enum Consistency {
+    /// Only the primary may execute it: a write.
     #[default]
     Primary,
-    /// All commits from before its arrival.
+    /// All commits from before the statement's arrival.
     Latest,
-    /// All that its session has written.
+    /// All writes of its session.
     OwnWrites,
-    /// Data at most this old when it is executed.
+    /// Data of limited age.
     Recent {
-        bound: f64,
+        /// Maximum age of the data at the time of the execution, in seconds.
+        max_age_s: f64,
     },
+    /// Data of any age.
     Loose,
 }
 
+/// A class of statements, with the service level that they are promised.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Workload {
-    /// SLO time: an answer within it earns the full importance.
+    /// SLO time in seconds: an answer within it is worth the full importance.
     pub slo: f64,
-    /// The SLO time grows by this many times the statement's own work.
+    /// Factor by which the statement's own work (seconds) extends the SLO time.
     pub slo_stretch: f64,
-    /// Statement timeout.
+    /// Statement timeout in seconds.
     pub timeout: f64,
+    /// Value of an answer within the SLO time, relative to other workloads.
     pub importance: f64,
-    /// What an answer after the SLO time is worth, as a share of the importance.
-    pub late_worth: f64,
+    /// Value of an answer after the SLO time, as a share of the importance.
+    pub late_value: f64,
+    /// Whether its statements may be executed more than once.
     pub repeat: Repeat,
-    pub currency: Currency,
+    /// Which data its statements must see.
+    pub consistency: Consistency,
 }
 
 impl Workload {
-    /// How old the data may be that its statements are answered from, where that is told as an age.
-    pub fn bound(&self) -> Option<f64> {
-        if let Currency::Recent { bound } = self.currency {
-            Some(bound)
+    /// Returns the maximum age of the data in seconds, if the workload has one.
+    pub fn max_age_s(&self) -> Option<f64> {
+        if let Consistency::Recent { max_age_s } = self.consistency {
+            Some(max_age_s)
         } else {
             None
         }
     }
 }
 
-/// A customer's agreed rate, over all routers together.
+/// The agreed rate of a tenant, over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
+    /// Agreed statements per second.
     pub per_s: f64,
-    /// What a statement beyond the rate is worth, as a share of its importance.
-    pub beyond: f64,
+    /// Value of a statement beyond the rate, as a share of its importance.
+    pub excess_value: f64,
 }
 
-/// How much the whole service counts against its worst-served workload and its worst-served customer.
+/// Weights of the three parts of the objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fairness {
-    pub whole: f64,
+    /// Weight of the service as a whole.
+    pub overall: f64,
+    /// Weight of the workload that is served worst.
     pub worst_workload: f64,
-    pub worst_customer: f64,
+    /// Weight of the tenant that is served worst.
+    pub worst_tenant: f64,
 }
 
-/// How the store's copies behave towards reads.
+/// How nodes and sessions track the freshness of reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Replication {
-    /// Nodes turn away a read for which they are too far behind.
-    pub checked: bool,
-    /// Session reads carry the age of their session's last write; else this router's own answers count.
-    pub carried: bool,
+    /// Nodes decline a read if they are too far behind for it.
+    pub nodes_check_freshness: bool,
+    /// Reads of a session carry the age of its last write. Otherwise only the writes that this router answered
+    /// are known.
+    pub sessions_carry_write_age: bool,
 }
 
-/// What a node that has just started can bear.
+/// Limits for a node that has just started and does not have its full capacity yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdStart {
-    /// The least share of its capacity that it starts with, and the longest time until it has all of it.
-    pub share: f64,
-    pub lasts: f64,
-    /// Sent more than this many times its present capacity, over this long, it falls over.
-    pub factor: f64,
-    pub window: f64,
+    /// Minimum share of its capacity that the node has at its start.
+    pub initial_share: f64,
+    /// Maximum time until it has its full capacity, in seconds.
+    pub duration_s: f64,
+    /// The node fails if it is sent more than this many times its present capacity over the window.
+    pub overload_factor: f64,
+    /// Length of the window, in seconds.
+    pub window_s: f64,
 }
 
-/// How long a node may still be sent work once this router was told that it drains or is gone.
+/// Until when a node may be sent work after it was listed as draining or gone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Drain {
-    pub grace: f64,
-    /// Only a listed drain binds, a node that is merely gone does not.
-    pub only_draining: bool,
+    /// Time from the first such list until sending must have stopped, in seconds.
+    pub grace_s: f64,
+    /// Only nodes that were listed as draining are closed; a node that is merely listed as gone is not.
+    pub only_draining_binds: bool,
 }
 
-/// What a router may do for one statement.
+/// What the policy may do for one statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Allowance {
-    pub executions: usize,
-    pub second_copies: bool,
-    pub cancelling: bool,
+pub struct PolicyLimits {
+    /// Maximum number of executions.
+    pub max_executions: usize,
+    /// A second execution may start while the first is in flight.
+    pub hedging: bool,
+    /// Executions may be cancelled.
+    pub cancellation: bool,
+    /// Nodes may be probed.
     pub probes: bool,
-    /// What a probe costs, as a share of what an average statement is worth.
-    pub probe_price: f64,
-    /// The longest advice to come back later that clients follow; 0 where none is passed on.
-    pub retry_after: f64,
-    /// The front's clock moves in steps of this.
-    pub step: f64,
+    /// Cost of a probe, as a share of the value of an average statement.
+    pub probe_cost_share: f64,
+    /// Longest retry-after advice that clients follow, in seconds; 0 if none is passed on.
+    pub max_retry_after_s: f64,
+    /// Step of the caller's clock, in seconds.
+    pub clock_step_s: f64,
 }
 
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ExecutionOutcome {
+    /// The node answered.
     Completed,
-    /// Turned away untouched: not the primary, or too far behind.
-    Missed,
-    /// Turned away unseen: full, or draining.
-    TurnedAway,
+    /// The node declined without executing it: it is not the primary, or too far behind.
+    NotEligible,
+    /// The node declined without reading it: it is full, or draining.
+    Rejected,
+    /// The node answered with an error.
     Errored,
+    /// No answer came within the time limit.
     TimedOut,
-    Unconnected,
-    /// Its connection broke before the node had all of it.
-    Cut,
-    Dropped,
-    /// The node answered with what is no answer: it may have run.
-    Spoilt,
+    /// No connection could be opened.
+    ConnectFailed,
+    /// The connection broke before the node had the whole statement.
+    SendInterrupted,
+    /// The connection broke after the node had the whole statement.
+    ConnectionLost,
+    /// The node sent something that is not a valid answer; the statement may have run.
+    InvalidAnswer,
+    /// The router cancelled it.
     Cancelled,
-    /// Never issued.
-    Moot,
+    /// It was never sent.
+    NeverIssued,
 }
 
-impl Ending {
-    /// The node itself answered.
-    pub fn spoken(self) -> bool {
+impl ExecutionOutcome {
+    /// Returns whether the node itself answered.
+    pub fn node_answered(self) -> bool {
         matches!(
             self,
-            Ending::Completed | Ending::Missed | Ending::TurnedAway | Ending::Errored
+            ExecutionOutcome::Completed
+                | ExecutionOutcome::NotEligible
+                | ExecutionOutcome::Rejected
+                | ExecutionOutcome::Errored
         )
     }
 
+    /// Returns whether the outcome proves that the statement did not run.
     pub fn proves_unrun(self) -> bool {
         matches!(
             self,
-            Ending::Missed | Ending::TurnedAway | Ending::Unconnected | Ending::Cut | Ending::Moot
+            ExecutionOutcome::NotEligible
+                | ExecutionOutcome::Rejected
+                | ExecutionOutcome::ConnectFailed
+                | ExecutionOutcome::SendInterrupted
+                | ExecutionOutcome::NeverIssued
         )
     }
 }
 
+/// Role of a node in its replication group, as the node itself reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Takes the group's writes.
     Primary,
+    /// Applies the primary's log.
     Replica,
 }
 
+/// Status of a node in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum NodeStatus {
+    /// In service.
     #[default]
     Ready,
+    /// About to end: it must get no new work.
     Draining,
+    /// Ended, or no longer listed.
     Gone,
 }
 
-/// Where decisions go. Whatever is asked for takes effect at the front's present clock reading.
+/// Receives the actions of the policy. Each takes effect at the caller's present clock reading.
 pub trait Outbox {
+    /// Sends a statement to a node. The answer is of no use after `limit` seconds.
     fn execute(&mut self, stmt: u32, node: u32, limit: f64);
-    /// Asks a node how an earlier execution of a write ended, by its mark. Counts as an execution: completed with
-    /// the write's own answer where it ran, missed where it never did and never will, an error else.
+    /// Asks a node for the outcome of an earlier execution of a write, by the mark that the write carries. Counts
+    /// as an execution itself: it completes with the write's own answer if the write ran, ends as
+    /// [`ExecutionOutcome::NotEligible`] if the write never ran and never will, and as an error otherwise.
     fn inquire(&mut self, stmt: u32, node: u32, limit: f64);
+    /// Cancels an execution of a statement, by its number.
     fn cancel(&mut self, stmt: u32, execution: u8);
+    /// Answers a statement with a rejection: its client may retry, and should wait `retry_after` seconds first.
     fn reject(&mut self, stmt: u32, retry_after: f64);
+    /// Answers a statement with an abort: it may have run, so its client must not simply retry.
     fn abort(&mut self, stmt: u32);
+    /// Asks a node for its role and position.
     fn probe(&mut self, node: u32);
-    /// Asks for a call of [`Instance::settle`] after this many seconds.
+    /// Requests a call of [`Instance::settle`] after this many seconds.
     fn wake(&mut self, after: f64);
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
--- a/crates/core/routing/src/policy.rs
+++ b/crates/core/routing/src/policy.rs
@@ -1,20 +1,23 @@
-//! All of badgerstream's decisions. A front builds one [`Instance`] a router, tells it what happened by the
-//! input methods (`listing`, `arrived`, `executed`, `probed`, ...), then calls `settle`, which goes through
-//! the rules and sends what they conclude through an `Outbox`. The types of both directions are in `lib.rs`;
-//! docs/design.md tells the mechanism. Inputs record facts; sends pass `permitted`, answers `conclude`.
-//! Here is the order of the rules; each file of `policy/` has one concern, and the figures that only it uses.
+//! All decisions of badgerstream. The caller creates one [`Instance`] per router and reports what happened by its
+//! input methods (`list_begins`, `arrived`, `executed`, `probed`, ...). It then calls `settle`, which applies the
+//! rules and sends the resulting actions through an `Outbox`. The types of the interface are in `lib.rs`;
+//! docs/design.md describes the mechanism.
+//!
+//! Inputs only record facts. Every send is checked by `permitted`; every final answer of the router goes through
+//! `conclude`. This file has the order of the rules and the constants that several files use; each file of
+//! `policy/` has one concern, with its own constants.
 
 mod choice;
 mod guards;
 mod health;
 mod inputs;
-pub mod mark;
-mod pace;
+mod latency;
 mod primary;
+pub mod primary_affinity;
 pub mod rotation;
 mod rules;
 mod sends;
-mod worth;
+mod value;
 
 use crate::{
     Instance, Outbox,
@@ -22,69 +25,79 @@
 };
 use std::collections::BTreeSet;
 
-/// The design's figure: how long a node may go unheard; the other, a session's mark, is `MARK_S`.
-const IDLE_S: f64 = 1.0;
-/// Health is looked over this often, also when nothing comes in; a lost primary is looked for at this pace.
-const BEAT_S: f64 = 0.05;
-const SEARCH_S: f64 = 0.1;
-/// A statement spends at most this share of an average one's worth on probes.
-const PROBE_SHARE: f64 = 0.1;
-/// Copies of late executions begin when more than this share of them was never answered.
-const IN_VAIN: f64 = 0.65;
-/// Executions out at a node, from all routers, before its room is learnt, and the least it is left with.
-const ROOM: f64 = 16.0;
-const LEAST_ROOM: f64 = 4.0;
-/// The weight of one answer in a node's pace and strain, and of how many its first guess stands.
-const GAIN: f64 = 0.1;
-const PRIOR: f64 = 4.0;
+/// A node that was not heard for this long is probed, and its reported lag is no longer relied on. The design sets
+/// this and `PRIMARY_AFFINITY_S`.
+const MAX_SILENCE_S: f64 = 1.0;
+/// Interval at which nodes and waiting statements are checked, also if nothing is reported.
+const CHECK_INTERVAL_S: f64 = 0.05;
+/// Interval between probes while a primary is searched for.
+const SEARCH_INTERVAL_S: f64 = 0.1;
+/// Maximum cost of the probes for one statement, as a share of the value of an average statement.
+const MAX_PROBE_COST_SHARE: f64 = 0.1;
+/// Late executions are hedged if more than this share of them is never answered.
+const HEDGE_UNANSWERED_SHARE: f64 = 0.65;
+/// Concurrency limit of a node, over all routers, before its capacity is known.
+const INITIAL_CONCURRENCY_LIMIT: f64 = 16.0;
+/// Minimum concurrency limit of a node, over all routers.
+const MIN_CONCURRENCY_LIMIT: f64 = 4.0;
+/// Minimum weight of one answer in the moving averages of a node's latency and congestion.
+const EMA_WEIGHT: f64 = 0.1;
+/// Number of answers that an initial estimate counts as.
+const PRIOR_ANSWERS: f64 = 4.0;
 
-/// A condition and an effect on one statement or node: true when it fired.
+/// A condition and its effect on one statement or node. Returns whether the condition held.
 type Rule = fn(&mut Instance, u32, f64, &mut dyn Outbox) -> bool;
 
-/// Gone through in this order for each touched statement until none fires.
+/// Applied to each touched statement, in this order and from the start again after each rule that fired, until
+/// none fires.
 const STATEMENT_RULES: [Rule; 8] = [
-    Instance::close_over,
-    Instance::answer_last_moment,
+    Instance::close_finished,
+    Instance::answer_before_deadline,
     Instance::wait_for_primary,
     Instance::give_up,
     Instance::inquire,
     Instance::send_next,
-    Instance::ask,
-    Instance::copy_overdue,
+    Instance::probe_for_statement,
+    Instance::hedge_overdue,
 ];
 
-/// Gone through for every node at each beat.
-const NODE_RULES: [Rule; 2] = [Instance::suspect, Instance::probe_unheard];
+/// Applied to each node at each check.
+const NODE_RULES: [Rule; 2] = [Instance::suspect, Instance::probe_silent_node];
 
 impl Instance {
-    /// Goes through the rules for all that was touched or has come due, until none fires.
+    /// Applies the rules to all that was touched or has come due, until none fires.
     pub fn settle(&mut self, now: f64, out: &mut dyn Outbox) {
         let due = ((now * 1e6) as u64, u32::MAX);
         while let Some(timer) = self.timers.first().copied().filter(|t| *t <= due) {
-            _ = (self.timers.remove(&timer), self.touched.insert(timer.1));
+            self.timers.remove(&timer);
+            self.touched.insert(timer.1);
         }
-        let beat = self
-            .beat
-            .is_none_or(|last| now - last >= BEAT_S - ROUNDING_S);
-        if beat {
-            self.beat = Some(now);
-            self.look_over(now, out);
-            out.wake(BEAT_S);
+        let check_is_due = self
+            .last_check
+            .is_none_or(|last| now - last >= CHECK_INTERVAL_S - ROUNDING_S);
+        if check_is_due {
+            self.last_check = Some(now);
+            self.check_nodes(now, out);
+            out.wake(CHECK_INTERVAL_S);
         }
         self.settle_recovery(now, out);
-        self.believe(now, out);
+        self.update_primaries(now, out);
         self.settle_succession(now, out);
-        let (touched, mut full) = (std::mem::take(&mut self.touched), BTreeSet::new());
+        let touched = std::mem::take(&mut self.touched);
+        let mut full_groups = BTreeSet::new();
         let groups = std::mem::take(&mut self.touched_groups);
         let waiting = groups.iter().flat_map(|group| &self.groups[group].waiting);
         let mut queue: Vec<u32> = touched.iter().chain(waiting).copied().collect();
         queue.sort_by_cached_key(|id| {
             self.statements
                 .get(id)
-                .map_or((0, 0), |s| self.rank(s, now))
+                .map_or((0, 0), |s| self.sort_key(s, now))
         });
         for stmt in queue {
-            if !beat && !touched.contains(&stmt) && self.stuck(stmt, now, &mut full) {
+            if !check_is_due
+                && !touched.contains(&stmt)
+                && self.can_skip(stmt, now, &mut full_groups)
+            {
                 continue;
             }
             let mut fires =
@@ -92,38 +105,43 @@
             while STATEMENT_RULES.iter().any(&mut fires) {}
         }
         if let Some(first) = self.timers.first() {
-            out.wake((first.0 as f64 / 1e6 - now).clamp(0.0, BEAT_S));
+            out.wake((first.0 as f64 / 1e6 - now).clamp(0.0, CHECK_INTERVAL_S));
         }
     }
 
-    /// Between beats a statement that nothing happened to need not be looked at while its group is full: with
-    /// hundreds that wait, looking costs more than serving. Harm: what is asked for them comes a beat later.
-    fn stuck(&self, stmt: u32, now: f64, full: &mut BTreeSet<u16>) -> bool {
+    /// Returns whether a waiting statement that nothing happened to can be skipped until the next check, because
+    /// all nodes of its group are full or suspects: with hundreds of waiting statements, looking at each costs
+    /// more than serving. The drawback: probes for these statements start up to one check interval later.
+    fn can_skip(&self, stmt: u32, now: f64, full_groups: &mut BTreeSet<u16>) -> bool {
         let Some(s) = self.statements.get(&stmt) else {
             return true;
         };
-        let taken =
-            |m: (u32, &Node)| m.1.suspected.is_some() || m.1.out as f64 >= m.1.room.max(1.0);
-        let full =
-            full.contains(&s.group) || self.members(s.group).all(taken) && full.insert(s.group);
-        full && self.succession.is_none() && now + self.needed(s) < s.last_use()
+        let unavailable = |m: (u32, &Node)| {
+            m.1.suspected_at.is_some() || m.1.in_flight as f64 >= m.1.concurrency_limit.max(1.0)
+        };
+        let full = full_groups.contains(&s.group)
+            || self.members(s.group).all(unavailable) && full_groups.insert(s.group);
+        full && self.succession.is_none() && now + self.time_needed(s) < s.last_useful_at()
     }
 
-    fn look_over(&mut self, now: f64, out: &mut dyn Outbox) {
+    /// The periodic check: applies the rules for nodes, and touches all groups and all statements in flight.
+    fn check_nodes(&mut self, now: f64, out: &mut dyn Outbox) {
         for id in self.nodes.keys().copied().collect::<Vec<u32>>() {
             while NODE_RULES.iter().any(|r| r(self, id, now, out)) {}
         }
-        let ready = self.nodes.values().filter(|n| n.in_service(&self.drain));
-        self.warm = ready.map(|n| n.warmth(&self.cold, now)).sum();
+        let in_service = self.nodes.values().filter(|n| n.in_service(&self.drain));
+        self.warm_nodes = in_service
+            .map(|n| n.warm_share(&self.cold_start, now))
+            .sum();
         self.touched_groups.extend(self.groups.keys());
-        let sent = self
+        let in_flight = self
             .statements
             .iter()
-            .filter(|s| s.1.live().next().is_some());
-        self.touched.extend(sent.map(|s| s.0));
-        if self.replication.carried {
-            // Past the mark, the carried age tells as much.
-            self.sessions.retain(|_, s| s.0.marked(now));
+            .filter(|s| s.1.in_flight().next().is_some());
+        self.touched.extend(in_flight.map(|s| s.0));
+        if self.replication.sessions_carry_write_age {
+            // Once the affinity has ended, the age that the session's reads carry tells as much.
+            self.sessions.retain(|_, s| s.affinity.is_active(now));
         }
     }
 }
--- a/crates/core/routing/src/policy/choice.rs
+++ b/crates/core/routing/src/policy/choice.rs
@@ -1,139 +1,186 @@
-//! Choosing a node for a statement: the primary, the next replica, or whom to ask first.
+//! Choice of a node for a statement: the primary, the next replica, or a member to probe first.
 
-use super::{BEAT_S, IDLE_S, PROBE_SHARE, SEARCH_S};
+use super::{CHECK_INTERVAL_S, MAX_PROBE_COST_SHARE, MAX_SILENCE_S, SEARCH_INTERVAL_S};
 use crate::{
-    Currency, Ending, Instance, MARK_S, Repeat, Workload,
+    Consistency, ExecutionOutcome, Instance, PRIMARY_AFFINITY_S, Repeat, Workload,
     state::{Execution, Node, Statement},
 };
 
-/// A suspect's first trial comes after this, and none after more than eight times as long.
-const TRIAL_S: f64 = 0.5;
+/// A suspect gets its first trial execution after this time. The time doubles with each trial, up to eightfold.
+const FIRST_TRIAL_S: f64 = 0.5;
 
 impl Instance {
-    /// The design's steps 1 to 5.
+    /// Returns the node that a statement should be sent to now, if any: steps 1 to 5 of the design.
     pub fn choose(&mut self, stmt: u32, now: f64) -> Option<u32> {
         let s = &self.statements[&stmt];
-        let believed = self.groups[&s.group].primary;
-        let primary = believed.filter(|p| !s.waits && self.open(s, *p, now));
-        match s.kind.currency {
-            Currency::Primary if believed.is_none() => self.next_asked(s, now).filter(|_| !s.waits),
-            Currency::Primary => primary,
-            // The design's relief: a replica known past the write, when the primary is full or its peers
-            // answer in half the time.
-            _ if self.pinned(s, now) => {
-                let spare = primary.filter(|p| self.nodes[p].pace <= 2.0 * self.pace(s.group));
-                spare.or_else(|| self.rotate(stmt, now)).or(primary)
+        let known_primary = self.groups[&s.group].primary;
+        let primary = known_primary.filter(|p| !s.waits_for_primary && self.can_take(s, *p, now));
+        match s.workload.consistency {
+            Consistency::Primary if known_primary.is_none() => self
+                .next_primary_candidate(s, now)
+                .filter(|_| !s.waits_for_primary),
+            Consistency::Primary => primary,
+            // The design's relief of the primary: a replica whose position is known to suffice takes the read if
+            // the primary is full, or if another member answers in less than half the primary's time.
+            _ if self.prefers_primary(s, now) => {
+                let quick_primary =
+                    primary.filter(|p| self.nodes[p].latency_s <= 2.0 * self.best_latency(s.group));
+                quick_primary
+                    .or_else(|| self.next_replica(stmt, now))
+                    .or(primary)
             }
-            _ => self.spread(stmt, primary, now),
+            _ => self.choose_replica_or_primary(stmt, primary, now),
         }
     }
 
-    /// A replica; the primary only when no probe may still tell of one.
-    pub(super) fn spread(&mut self, stmt: u32, primary: Option<u32>, now: f64) -> Option<u32> {
-        let (replica, s) = (self.rotate(stmt, now), &self.statements[&stmt]);
-        let asked = || now - s.probed < BEAT_S && self.members(s.group).any(|m| m.1.probing);
-        replica.or_else(|| primary.filter(|_| !asked() && self.unknown(s, now).is_none()))
+    /// Returns the next replica. The primary is used only if there is none, and if no probe, in flight or still
+    /// allowed, may find one.
+    pub(super) fn choose_replica_or_primary(
+        &mut self,
+        stmt: u32,
+        primary: Option<u32>,
+        now: f64,
+    ) -> Option<u32> {
+        let replica = self.next_replica(stmt, now);
+        let s = &self.statements[&stmt];
+        let probing = || {
+            now - s.last_probe_at < CHECK_INTERVAL_S
+                && self.members(s.group).any(|m| m.1.probe_in_flight)
+        };
+        replica.or_else(|| primary.filter(|_| !probing() && self.member_to_probe(s, now).is_none()))
     }
 
-    /// Where replicas are too far behind for the rest, a third of them, the same at every router, takes the reads
-    /// of any age: long ones can keep a replica from applying, and spread evenly they hold back all. Harm: less
-    /// room for them.
-    fn gathers(&self, s: &Statement, now: f64) -> Vec<u32> {
-        let most = self
+    /// Returns the replicas that reads of any age are restricted to; empty if there is no restriction. Once a
+    /// replica is too far behind for the other reads, a third of the replicas, the same at every router, takes the
+    /// reads of any age: long ones can keep a replica from applying the log, and spread evenly they would hold back
+    /// all replicas. The drawback: less capacity for these reads.
+    fn gathering_replicas(&self, s: &Statement, now: f64) -> Vec<u32> {
+        let max_lag_s = self
             .workloads
             .iter()
-            .filter_map(Workload::bound)
-            .fold(MARK_S, f64::min)
+            .filter_map(Workload::max_age_s)
+            .fold(PRIMARY_AFFINITY_S, f64::min)
             / 2.0;
-        let late = |n: &Node| n.lag > most && now - n.placed < n.lag;
-        let (loose, primary) = (
-            s.kind.currency == Currency::Loose,
-            self.groups[&s.group].primary,
-        );
+        let lags = |n: &Node| n.lag > max_lag_s && now - n.lag_known_at < n.lag;
+        let any_age = s.workload.consistency == Consistency::Loose;
+        let primary = self.groups[&s.group].primary;
         let replica =
-            |m: &(u32, &Node)| loose && Some(m.0) != primary && m.1.in_service(&self.drain);
+            |m: &(u32, &Node)| any_age && Some(m.0) != primary && m.1.in_service(&self.drain);
         let mut replicas: Vec<(u32, &Node)> = self.members(s.group).filter(replica).collect();
-        let third = if replicas.iter().any(|m| late(m.1)) {
+        let gathering = if replicas.iter().any(|m| lags(m.1)) {
             replicas.len().div_ceil(3)
         } else {
             0
         };
         replicas.sort_unstable_by_key(|m| m.0);
-        replicas[..third].iter().map(|m| m.0).collect()
+        replicas[..gathering].iter().map(|m| m.0).collect()
     }
 
-    /// The member to probe next for what a statement waits to know, if its worth bears the price.
-    pub(super) fn unknown(&self, s: &Statement, now: f64) -> Option<u32> {
-        let dear = (s.probes + 1.0) * self.allowance.probe_price > PROBE_SHARE;
-        if dear || now - s.probed < SEARCH_S || s.live().next().is_some() {
+    /// Returns the member to probe next for a statement that waits to know the primary or the position of a replica,
+    /// if its value justifies the cost of the probe.
+    pub(super) fn member_to_probe(&self, s: &Statement, now: f64) -> Option<u32> {
+        let too_expensive =
+            (s.probe_count + 1.0) * self.limits.probe_cost_share > MAX_PROBE_COST_SHARE;
+        if too_expensive
+            || now - s.last_probe_at < SEARCH_INTERVAL_S
+            || s.in_flight().next().is_some()
+        {
             return None;
         }
-        let trusted = |n: &Node| n.suspected.is_none() && n.in_service(&self.drain);
-        let led = self.groups[&s.group]
+        let trusted = |n: &Node| n.suspected_at.is_none() && n.in_service(&self.drain);
+        let trusted_primary = self.groups[&s.group]
             .primary
             .filter(|p| trusted(&self.nodes[p]));
-        let (pinned, loose) = (self.pinned(s, now), s.kind.currency == Currency::Loose);
-        let known = if pinned {
-            led.is_some()
+        let needs_primary = self.prefers_primary(s, now);
+        let any_age = s.workload.consistency == Consistency::Loose;
+        let nothing_to_learn = if needs_primary {
+            trusted_primary.is_some()
         } else {
-            self.replication.checked || loose
+            self.replication.nodes_check_freshness || any_age
         };
-        let idle = if pinned { SEARCH_S } else { IDLE_S };
-        let asks = |(id, n): &(u32, &Node)| {
-            let tells = pinned || Some(*id) != led && trusted(n) && !self.current(s, *id, now);
-            !known && tells && n.in_service(&self.drain) && !n.probing && now - n.probed >= idle
+        let interval_s = if needs_primary {
+            SEARCH_INTERVAL_S
+        } else {
+            MAX_SILENCE_S
         };
-        let unasked = |n: &Node| (n.probed.max(n.denied), !n.listed_primary);
-        let members = self.members(s.group).filter(asks);
+        let worth_probing = |(id, n): &(u32, &Node)| {
+            let can_tell = needs_primary
+                || Some(*id) != trusted_primary && trusted(n) && !self.fresh_enough(s, *id, now);
+            !nothing_to_learn
+                && can_tell
+                && n.in_service(&self.drain)
+                && !n.probe_in_flight
+                && now - n.last_probe_at >= interval_s
+        };
+        // First the member whose last probe, or last report that it is not the primary, is the oldest; among
+        // equals, the listed primary.
+        let order = |n: &Node| (n.last_probe_at.max(n.denied_primary_at), !n.listed_primary);
+        let members = self.members(s.group).filter(worth_probing);
         members
-            .min_by(|a, b| unasked(a.1).partial_cmp(&unasked(b.1)).expect("no NaN"))
+            .min_by(|a, b| order(a.1).partial_cmp(&order(b.1)).expect("no NaN"))
             .map(|m| m.0)
     }
 
-    /// The next eligible replica of the group's rotation.
-    fn rotate(&mut self, stmt: u32, now: f64) -> Option<u32> {
+    /// Returns the next replica in the group's rotation that can take a statement.
+    fn next_replica(&mut self, stmt: u32, now: f64) -> Option<u32> {
         let s = &self.statements[&stmt];
         let group = &self.groups[&s.group];
-        let (size, mut rotation) = (group.members.len(), group.rotation);
-        let gathers = self.gathers(s, now);
-        let within = |id: u32| gathers.is_empty() || gathers.contains(&id);
-        let replica = |i: usize| Some(group.members[i]) != group.primary;
+        let size = group.members.len();
+        let mut rotation = group.rotation;
+        let gathering = self.gathering_replicas(s, now);
+        let within = |id: u32| gathering.is_empty() || gathering.contains(&id);
+        let is_replica = |i: usize| Some(group.members[i]) != group.primary;
         let able = |i: usize| {
-            replica(i) && within(group.members[i]) && self.open(s, group.members[i], now)
+            is_replica(i) && within(group.members[i]) && self.can_take(s, group.members[i], now)
         };
-        // Who keeps to some replicas takes any other where none of these will do.
-        let kept = |i: usize| self.keeps(s.group, group.members[i]) && able(i);
+        // A router that keeps to a subset of the replicas uses any other if none of these can take the statement.
+        let in_subset = |i: usize| self.keeps(s.group, group.members[i]) && able(i);
         let next = rotation
-            .next(size, kept)
+            .next(size, in_subset)
             .or_else(|| rotation.next(size, able))?;
         let chosen = group.members[next];
         self.groups.get_mut(&s.group).expect("known").rotation = rotation;
         Some(chosen)
     }
 
-    /// Whether a node may be chosen now: in health or on trial, with room, and not met in vain.
-    pub(super) fn open(&self, s: &Statement, id: u32, now: f64) -> bool {
-        self.open_for(s, id, now, false)
+    /// Returns whether a node can take a statement now: it is trusted or due for a trial, has capacity, and has not
+    /// already been tried in vain.
+    pub(super) fn can_take(&self, s: &Statement, id: u32, now: f64) -> bool {
+        self.can_take_execution(s, id, now, false)
     }
 
-    pub(super) fn open_for(&self, s: &Statement, id: u32, now: f64, asks: bool) -> bool {
-        let (node, leads) = (&self.nodes[&id], self.groups[&s.group].primary == Some(id));
-        let again = |e: &Execution| match e.ended {
-            // Only the primary will do for some: what it answered may have got lost on the way.
-            None => leads && self.overdue(e, now),
-            Some(Ending::Missed) => s.writes() || now - e.sent > s.hold(),
-            Some(_) => s.writes(),
+    /// As [`Instance::can_take`], also for an inquiry about an earlier execution (`is_inquiry`).
+    pub(super) fn can_take_execution(
+        &self,
+        s: &Statement,
+        id: u32,
+        now: f64,
+        is_inquiry: bool,
+    ) -> bool {
+        let node = &self.nodes[&id];
+        let is_primary = self.groups[&s.group].primary == Some(id);
+        let may_try_again = |e: &Execution| match e.outcome {
+            // Some statements can only go to the primary, and its answer may have been lost on the way.
+            None => is_primary && self.overdue(e, now),
+            Some(ExecutionOutcome::NotEligible) => s.is_write() || now - e.sent_at > s.hold_s(),
+            Some(_) => s.is_write(),
         };
-        let met = s.executions.iter().any(|e| e.node == id && !again(e));
-        // A suspect is tried by one execution at a time, each trial later than the one before.
-        let due = now - node.trial_at >= TRIAL_S * 2f64.powi(node.trials.min(3));
-        let trial = due && s.kind.repeat != Repeat::NonIdempotent && self.may_try(id, now);
-        // A whole group that looks bad shares one trouble: suspicion alone never leaves it without a member.
-        let bad = |m: (u32, &Node)| m.1.suspected.is_some() || !m.1.in_service(&self.drain);
-        let trusted = node.suspected.is_none() || trial || self.members(s.group).all(bad);
-        !met && trusted
+        let tried_in_vain = s
+            .executions
+            .iter()
+            .any(|e| e.node == id && !may_try_again(e));
+        // A suspect gets one trial execution at a time, each after a longer wait than the one before.
+        let trial_due = now - node.last_trial_at >= FIRST_TRIAL_S * 2f64.powi(node.trials.min(3));
+        let trial =
+            trial_due && s.workload.repeat != Repeat::NonIdempotent && self.may_try(id, now);
+        // If all members of a group look bad, they share one cause: suspicion alone never leaves a group without
+        // members.
+        let bad = |m: (u32, &Node)| m.1.suspected_at.is_some() || !m.1.in_service(&self.drain);
+        let trusted = node.suspected_at.is_none() || trial || self.members(s.group).all(bad);
+        !tried_in_vain
+            && trusted
             && self.let_through(id, now)
-            && self.has_room(s, id, now)
-            && self.permitted(s, id, now, asks)
+            && self.has_capacity(s, id, now)
+            && self.permitted(s, id, now, is_inquiry)
     }
 }
--- a/crates/core/routing/src/policy/guards.rs
+++ b/crates/core/routing/src/policy/guards.rs
@@ -1,122 +1,150 @@
-//! Guards: what may be sent to whom. Every send passes `permitted`.
+//! Guards: which statement may be sent to which node. Every send is checked by `permitted`.
 
-use super::{IDLE_S, LEAST_ROOM};
+use super::{MAX_SILENCE_S, MIN_CONCURRENCY_LIMIT};
 use crate::{
-    Currency, Drain, Instance, Repeat, Standing, Within,
+    Consistency, DedupScope, Drain, Instance, NodeStatus, Repeat,
     state::{Node, Statement},
 };
 
-/// The part of a cold budget under one send that is used: rooms do not see there that a machine is shared.
-const COLD_PART: f64 = 0.5;
-/// Strain that no further answer confirms fades over this.
-const FADE_S: f64 = 10.0;
+/// Share of a cold node's budget that is used while the budget is below one send per window: a concurrency limit
+/// this small does not show that the machine is shared.
+const COLD_BUDGET_SHARE: f64 = 0.5;
+/// Congestion that no further answer confirms fades over this time.
+const CONGESTION_DECAY_S: f64 = 10.0;
 
 impl Instance {
-    /// `asks`: it is no repeat, but asks how an earlier execution ended.
-    pub(super) fn permitted(&self, s: &Statement, id: u32, now: f64, asks: bool) -> bool {
+    /// Returns whether a statement may be sent to a node now. With `is_inquiry`, the send does not repeat the
+    /// statement but asks how an earlier execution ended.
+    pub(super) fn permitted(&self, s: &Statement, id: u32, now: f64, is_inquiry: bool) -> bool {
         let node = &self.nodes[&id];
-        let last_resort = s.writes() || self.groups[&s.group].primary == Some(id);
-        !s.over
-            && now < s.due
+        let last_resort = s.is_write() || self.groups[&s.group].primary == Some(id);
+        !s.finished
+            && now < s.deadline
             && node.group == s.group
-            && s.executions.len() < self.allowance.executions
-            && (self.allowance.second_copies || s.live().next().is_none())
-            && (asks || self.repeatable(s, Some(id), now))
-            && !node.closed(&self.drain, last_resort, now)
-            && self.bearable(node, id, s, now)
-            && self.current(s, id, now)
+            && s.executions.len() < self.limits.max_executions
+            && (self.limits.hedging || s.in_flight().next().is_none())
+            && (is_inquiry || self.repeatable(s, Some(id), now))
+            && !node.is_closed(&self.drain, last_resort, now)
+            && self.within_cold_budget(node, id, s, now)
+            && self.fresh_enough(s, id, now)
     }
 
-    /// Guards rule 2: what may have run is repeated only where its repeat is harmless or dropped.
+    /// Returns whether a statement may be executed again, at node `to` if given. One that may have run is repeated
+    /// only if the repeat is harmless, or will be dropped as a duplicate.
     pub fn repeatable(&self, s: &Statement, to: Option<u32>, now: f64) -> bool {
         let Some(first) = s.may_have_run().next() else {
             return true;
         };
-        match s.kind.repeat {
+        match s.workload.repeat {
             Repeat::Idempotent => true,
             Repeat::NonIdempotent => false,
-            Repeat::Deduplicated { within, memory } => {
-                let (from, to) = (
-                    &self.nodes[&first.node],
-                    &self.nodes[&to.unwrap_or(first.node)],
-                );
-                let same =
-                    from.group == to.group && (within == Within::Group || from.zone == to.zone);
-                let known = within == Within::Anywhere || same;
-                // The repeat must also get there: a quarter of the memory is left for that.
-                known && now - first.sent < memory * 0.75
+            Repeat::Deduplicated { scope, memory_s } => {
+                let from = &self.nodes[&first.node];
+                let to = &self.nodes[&to.unwrap_or(first.node)];
+                let same_scope =
+                    from.group == to.group && (scope == DedupScope::Group || from.zone == to.zone);
+                let recognized = scope == DedupScope::Anywhere || same_scope;
+                // The repeat must also arrive in time: a quarter of the memory is left for that.
+                recognized && now - first.sent_at < memory_s * 0.75
             }
         }
     }
 
-    /// Guards rule 4: in any window a cold node gets its part of what warm nodes are seen to bear, no more.
-    /// Each router sees its own part of that, so the budgets add up, however far under one send they may be.
-    pub fn bearable(&self, node: &Node, id: u32, s: &Statement, now: f64) -> bool {
-        let warmth = node.warmth(&self.cold, now);
-        if warmth >= 1.0 {
+    /// Returns whether a cold node may get a statement. In any window, a node that is still cold gets its share of
+    /// what warm nodes are seen to complete, and no more, so that it is not overloaded. Each router counts the
+    /// completions that it sees itself, so the budgets of all routers add up, however far below one send each is.
+    pub fn within_cold_budget(&self, node: &Node, id: u32, s: &Statement, now: f64) -> bool {
+        let warm_share = node.warm_share(&self.cold_start, now);
+        if warm_share >= 1.0 {
             return true;
         }
-        let (window, floor) = (self.cold.window, LEAST_ROOM / self.routers);
-        let budget = self.cold.factor * warmth * window * self.borne.1 / self.warm.max(1.0);
-        let left =
-            budget.max(floor) - node.sends.iter().filter(|at| now - **at < window).count() as f64;
-        // What waited would go all at once: it shares with all that came meanwhile.
-        let asks = self.asked(s.group, id) * window.max(now - s.arrived);
-        (left >= 1.0 || s.lot * asks <= COLD_PART * left)
-            && (node.out as f64) < (node.room * warmth).max(1.0)
+        let window_s = self.cold_start.window_s;
+        let min_budget = MIN_CONCURRENCY_LIMIT / self.routers;
+        let budget =
+            self.cold_start.overload_factor * warm_share * window_s * self.completions.per_s
+                / self.warm_nodes.max(1.0);
+        let sent = node
+            .recent_sends
+            .iter()
+            .filter(|at| now - **at < window_s)
+            .count();
+        let left = budget.max(min_budget) - sent as f64;
+        // The statement shares the budget with all that arrived since it did. Otherwise statements that waited for
+        // the node would all be sent at once.
+        let competitors = self.expected_arrivals(s.group, id) * window_s.max(now - s.arrived_at);
+        (left >= 1.0 || s.admission_rank * competitors <= COLD_BUDGET_SHARE * left)
+            && (node.in_flight as f64) < (node.concurrency_limit * warm_share).max(1.0)
     }
 
-    /// Statements a second that would ask for this member if all were as good as another.
-    pub(super) fn asked(&self, group: u16, id: u32) -> f64 {
-        let ready = self
+    /// Returns the statements per second that a member would get if all members in service were equally suitable. A
+    /// primary gets at least half of the group's.
+    pub(super) fn expected_arrivals(&self, group: u16, id: u32) -> f64 {
+        let in_service = self
             .members(group)
             .filter(|m| m.1.in_service(&self.drain))
             .count()
             .max(1);
         let parts = if self.groups[&group].primary == Some(id) {
-            ready.min(2)
+            in_service.min(2)
         } else {
-            ready
+            in_service
         };
-        self.groups[&group].asked.1 / parts as f64
+        self.groups[&group].arrivals.per_s / parts as f64
     }
 
-    /// Of many routers each has room for a part of an execution: of what it would have out on average at the
-    /// node's strain, the worthiest part goes. Guards against queues full of what nobody waits for any more.
-    pub fn has_room(&self, s: &Statement, id: u32, now: f64) -> bool {
+    /// Returns whether a node has capacity for one more statement of this router. A limit below 1, as one of many
+    /// routers has it, admits a part of the statements while the node is congested: of those that would be in
+    /// flight on average, the most important part, chosen by admission rank. This guards against queues full of
+    /// statements that no client waits for any more.
+    pub fn has_capacity(&self, s: &Statement, id: u32, now: f64) -> bool {
         let node = &self.nodes[&id];
-        // No news is no strain: a node that was down must not stay out of use once it is back.
-        let strain = node.strain * (-(now - node.strained_at) / FADE_S).exp();
-        if node.room >= 1.0 || strain <= self.most_strain() {
-            return (node.out as f64) < node.room.max(1.0);
+        // Congestion fades without further answers: a node that was down must not stay unused once it is back.
+        let congestion = node.congestion * (-(now - node.congestion_at) / CONGESTION_DECAY_S).exp();
+        if node.concurrency_limit >= 1.0 || congestion <= self.max_congestion() {
+            return (node.in_flight as f64) < node.concurrency_limit.max(1.0);
         }
-        node.out == 0 && s.lot * self.asked(s.group, id) * strain * s.kind.slo <= node.room
+        node.in_flight == 0
+            && s.admission_rank * self.expected_arrivals(s.group, id) * congestion * s.workload.slo
+                <= node.concurrency_limit
     }
 
-    /// Guards rule 5: a member not believed primary answers a read only from a position known to do.
-    pub fn current(&self, s: &Statement, id: u32, now: f64) -> bool {
+    /// Returns whether a node's data is fresh enough for a statement. A member that is not believed to be the
+    /// primary answers a read only if its position is known to suffice.
+    pub fn fresh_enough(&self, s: &Statement, id: u32, now: f64) -> bool {
         let node = &self.nodes[&id];
-        if matches!(s.kind.currency, Currency::Primary | Currency::Loose) {
+        if matches!(
+            s.workload.consistency,
+            Consistency::Primary | Consistency::Loose
+        ) {
             return true;
         }
-        let needed = s.needs(now);
-        let leads = self.groups[&s.group].primary == Some(id) && node.claimed > node.denied;
-        // Where nodes check, a likely position will do, or one untold for a second: a miss is cheap.
-        let fresh = s.kind.currency != Currency::Latest && now - node.placed >= IDLE_S;
-        let likely = fresh || now - 2.0 * node.lag >= needed;
-        !self.log_in_doubt(s) && (leads || node.lsn >= needed || self.replication.checked && likely)
+        let required_lsn = s.required_position(now);
+        let is_primary = self.groups[&s.group].primary == Some(id)
+            && node.claimed_primary_at > node.denied_primary_at;
+        // Where nodes check freshness themselves, a position that probably suffices will do, and so will one that
+        // was not reported for a second: a declined read costs little.
+        let unknown = s.workload.consistency != Consistency::Latest
+            && now - node.lag_known_at >= MAX_SILENCE_S;
+        let probable = unknown || now - 2.0 * node.lag >= required_lsn;
+        !self.log_in_doubt(s)
+            && (is_primary
+                || node.lsn >= required_lsn
+                || self.replication.nodes_check_freshness && probable)
     }
 }
 
 impl Node {
-    /// Guards rule 3: nothing new once told that the node drains or is gone. A draining primary may still
-    /// take what no other member can for half of the grace, as it hands over only at its end.
-    pub fn closed(&self, drain: &Drain, last_resort: bool, now: f64) -> bool {
-        let fails = self.suspected.is_some() && !last_resort;
-        match self.standing {
-            Standing::Ready => false,
-            Standing::Draining => !last_resort || now - self.told > drain.grace / 2.0,
-            Standing::Gone => self.drained || fails || !drain.only_draining,
+    /// Returns whether the node must get no new work because it is listed as draining or gone. A draining primary
+    /// may still get what no other member can take (`last_resort`) for half of the grace, as it hands over only at
+    /// the end of the grace.
+    pub fn is_closed(&self, drain: &Drain, last_resort: bool, now: f64) -> bool {
+        let fails = self.suspected_at.is_some() && !last_resort;
+        match self.status {
+            NodeStatus::Ready => false,
+            NodeStatus::Draining => {
+                !last_resort || now - self.unavailable_since > drain.grace_s / 2.0
+            }
+            NodeStatus::Gone => self.listed_draining || fails || !drain.only_draining_binds,
         }
     }
 }
--- a/crates/core/routing/src/policy/inputs.rs
+++ b/crates/core/routing/src/policy/inputs.rs
@@ -1,64 +1,86 @@
-//! Inputs: they record facts and note what they touch.
+//! Inputs: they record what happened, and touch the statements and groups that it concerns.
 
-use super::{IN_VAIN, LEAST_ROOM, PRIOR, ROOM};
-use crate::{Currency, Ending, Instance, MARK_S, Mark, Role, Standing};
+use super::{
+    HEDGE_UNANSWERED_SHARE, INITIAL_CONCURRENCY_LIMIT, MIN_CONCURRENCY_LIMIT, PRIOR_ANSWERS,
+};
+use crate::{
+    Consistency, ExecutionOutcome, Instance, NodeStatus, PRIMARY_AFFINITY_S, PrimaryAffinity, Role,
+};
 use crate::{
-    state::{Execution, NEVER, Node, ROUNDING_S, Signs, Statement, count, shares_of},
+    state::{
+        AnswerContext, Execution, NEVER, Node, ROUNDING_S, Session, Statement, served_value_of,
+    },
     succession::Evidence,
 };
 
 impl Instance {
-    pub fn member(
+    /// A list entry: a node with its status, the time of its last start, and whether it is listed as primary.
+    pub fn list_member(
         &mut self,
         now: f64,
         id: u32,
         (group, zone): (u16, u8),
-        at: Standing,
-        since: f64,
-        leads: bool,
+        status: NodeStatus,
+        started_at: f64,
+        is_primary: bool,
     ) {
         let members = &mut self.groups.entry(group).or_default().members;
         if !members.contains(&id) {
-            // Routers that all began their rotation at one member would meet there.
-            members.insert(self.chance.usize(0..=members.len()), id);
+            // A random place: if all routers started their rotation at the same member, they would overload it.
+            members.insert(self.rng.usize(0..=members.len()), id);
         }
         let node = self.nodes.entry(id).or_insert_with(|| {
-            let rooms = [ROOM, LEAST_ROOM].map(|room| room / self.routers);
-            // Until a node's own answers tell its pace, half of the shortest SLO time stands in.
-            let pace = self
+            // Initial latency estimate until the node's own answers are known: half of the shortest SLO time.
+            let latency_s = self
                 .workloads
                 .iter()
                 .map(|w| w.slo)
                 .fold(f64::INFINITY, f64::min)
                 / 2.0;
-            Node::new(group, zone, rooms.into(), (pace, PRIOR))
+            Node::new(
+                group,
+                zone,
+                INITIAL_CONCURRENCY_LIMIT / self.routers,
+                MIN_CONCURRENCY_LIMIT / self.routers,
+                latency_s,
+                PRIOR_ANSWERS,
+            )
         });
-        (node.roll, node.listed_primary) = (self.roll, leads);
-        node.stands(at, now);
-        if since > node.since + ROUNDING_S {
-            (node.since, node.drained) = (since, at == Standing::Draining);
-            (node.suspected, node.faults, node.strain, node.missing) = (None, 0, 0.0, 0);
+        node.list_number = self.list_number;
+        node.listed_primary = is_primary;
+        node.set_status(status, now);
+        if started_at > node.started_at + ROUNDING_S {
+            node.started_at = started_at;
+            node.listed_draining = status == NodeStatus::Draining;
+            node.suspected_at = None;
+            node.faults = 0;
+            node.congestion = 0.0;
+            node.unanswered_in_a_row = 0;
         }
         self.touched_groups.insert(group);
-        self.witness_list(now, id, at, leads);
+        self.witness_list(now, id, status, is_primary);
     }
 
-    /// The list is over: a node that a whole one leaves out is gone.
-    pub fn listed(&mut self, now: f64, whole: bool) {
-        let left = self
+    /// The list ends. If it is `complete`, nodes that are not in it are gone.
+    pub fn list_ends(&mut self, now: f64, complete: bool) {
+        let missing = self
             .nodes
             .iter_mut()
-            .filter(|n| whole && n.1.roll != self.roll);
-        let left = left.map(|(id, node)| {
-            node.stands(Standing::Gone, now);
+            .filter(|n| complete && n.1.list_number != self.list_number);
+        let missing = missing.map(|(id, node)| {
+            node.set_status(NodeStatus::Gone, now);
             self.touched_groups.insert(node.group);
             *id
         });
-        left.collect::<Vec<u32>>()
+        missing
+            .collect::<Vec<u32>>()
             .iter()
             .for_each(|id| self.witness(now, *id, Evidence::Leaving));
     }
 
+    /// A statement arrived. `work` is its own expected duration and `write_age` the age of its session's last
+    /// write that it carries, both in seconds and 0 if unknown; `deadline` is the time at which its client stops
+    /// waiting.
     pub fn arrived(
         &mut self,
         now: f64,
@@ -66,175 +88,215 @@
         workload: usize,
         group: u16,
         session: u64,
-        customer: usize,
+        tenant: usize,
         work: f64,
-        due: f64,
+        deadline: f64,
         write_age: f64,
     ) {
-        let (mut s, kind) = (Statement::default(), self.workloads[workload]);
-        (s.kind, s.group, s.session) = (kind, group, session);
-        (s.arrived, s.held_until, s.due, s.probed) = (now, now, due, NEVER);
-        s.slo_end = now + (kind.slo + kind.slo_stretch * work).min(kind.timeout);
-        (s.served_as, s.worth) = (
-            [workload, customer],
-            kind.importance * self.within_quota(now, customer),
-        );
-        shares_of(&mut self.shares, &s).for_each(|share| share.0 += s.worth);
-        // The carried age may be older than the last write answered here: the later one is owed.
-        let known = self.sessions.get(&session).map_or(NEVER, |s| s.1);
-        s.known = known;
-        s.owed = match kind.currency {
-            Currency::Latest => now,
-            _ if write_age > 0.0 => known.max(now - write_age + ROUNDING_S),
-            _ => known,
+        let kind = self.workloads[workload];
+        let mut s = Statement {
+            workload: kind,
+            group,
+            session,
+            arrived_at: now,
+            held_until: now,
+            deadline,
+            last_probe_at: NEVER,
+            slo_deadline: now + (kind.slo + kind.slo_stretch * work).min(kind.timeout),
+            share_indices: [workload, tenant],
+            value: kind.importance * self.quota_value_share(now, tenant),
+            ..Statement::default()
         };
-        s.fresh_age = write_age > 0.0 && write_age < MARK_S;
-        s.halfway = (now + due) / 2.0 - 2.0 * self.allowance.step;
-        self.timers.extend(s.timers(stmt, self.allowance.step));
-        (s.lot, s.advice) = (self.lot(workload), self.come_back());
-        let asked = self.groups.entry(group).or_default();
-        asked.waiting.insert(stmt);
-        count(&mut asked.asked, now);
+        served_value_of(&mut self.served_value, &s).for_each(|value| value.requested += s.value);
+        // The carried age may be older than the last write answered by this router: the later of both counts.
+        let session_write_lsn = self
+            .sessions
+            .get(&session)
+            .map_or(NEVER, |s| s.last_write_lsn);
+        s.session_write_lsn = session_write_lsn;
+        s.required_lsn = match kind.consistency {
+            Consistency::Latest => now,
+            _ if write_age > 0.0 => session_write_lsn.max(now - write_age + ROUNDING_S),
+            _ => session_write_lsn,
+        };
+        s.wrote_recently = write_age > 0.0 && write_age < PRIMARY_AFFINITY_S;
+        s.halfway_at = (now + deadline) / 2.0 - 2.0 * self.limits.clock_step_s;
+        self.timers.extend(s.timers(stmt, self.limits.clock_step_s));
+        s.admission_rank = self.draw_admission_rank(workload);
+        s.retry_after_s = self.come_back();
+        let group_state = self.groups.entry(group).or_default();
+        group_state.waiting.insert(stmt);
+        group_state.arrivals.count_event(now);
         self.statements.insert(stmt, s);
         self.touched_groups.insert(group);
     }
 
-    /// An execution ended. `lsn` is minus infinity where the answer told no position.
+    /// An execution ended at node `id` after `took` seconds. `finished` tells that the statement needs no further
+    /// execution, `role` and `lsn` are what the answer told of the node: its role, if any, and its position, minus
+    /// infinity if none.
     pub fn executed(
         &mut self,
         now: f64,
         stmt: u32,
         execution: u8,
         id: u32,
-        ending: Ending,
+        outcome: ExecutionOutcome,
         took: f64,
-        over: bool,
+        finished: bool,
         role: Option<Role>,
         lsn: f64,
     ) {
-        let (done, index) = (ending == Ending::Completed, usize::from(execution));
+        let completed = outcome == ExecutionOutcome::Completed;
+        let index = usize::from(execution);
         let open = self.statements.get(&stmt);
         let late = open
             .and_then(|s| s.executions.get(index))
             .is_some_and(|e| self.late(e, now));
-        let committed = done && open.is_some_and(Statement::writes);
-        let ended = done || ending == Ending::TimedOut;
-        let share = open
-            .filter(|_| ended)
-            .map(|s| (s.served_as[0], took / s.kind.slo));
-        let needed = open
-            .and_then(|s| s.needed_by(index))
-            .filter(|_| self.replication.checked);
+        let committed = completed && open.is_some_and(Statement::is_write);
+        let duration_counts = completed || outcome == ExecutionOutcome::TimedOut;
+        let answer_time = open
+            .filter(|_| duration_counts)
+            .map(|s| (s.share_indices[0], took / s.workload.slo));
+        let required_lsn = open
+            .and_then(|s| s.position_required_by(index))
+            .filter(|_| self.replication.nodes_check_freshness);
         let length = open.and_then(|s| s.executions.get(index)).map(|e| e.length);
-        self.learn(late && ended, !done);
-        if done {
-            count(&mut self.borne, now);
+        self.learn_lateness(late && duration_counts, !completed);
+        if completed {
+            self.completions.count_event(now);
         }
-        share
+        answer_time
             .into_iter()
-            .for_each(|(workload, share)| self.eases(workload, share));
-        let usual = self
+            .for_each(|(workload, share)| self.learn_answer_time(workload, share));
+        let mean_in_flight = self
             .nodes
             .get(&id)
-            .map_or(0.0, |n| self.asked(n.group, id) * n.pace);
-        self.witness_end(now, stmt, id, ending, role, Some(lsn).filter(|_| committed));
-        self.recovered(id, ending);
+            .map_or(0.0, |n| self.expected_arrivals(n.group, id) * n.latency_s);
+        self.witness_end(
+            now,
+            stmt,
+            id,
+            outcome,
+            role,
+            Some(lsn).filter(|_| committed),
+        );
+        self.recovered(id, outcome);
         let position = self.position(id, lsn);
-        let (strain, lossy) = (self.most_strain(), self.in_vain > IN_VAIN);
+        let max_congestion = self.max_congestion();
+        let answers_get_lost = self.unanswered_share > HEDGE_UNANSWERED_SHARE;
         let mut statement = self.statements.get_mut(&stmt);
         if let Some(node) = self.nodes.get_mut(&id) {
-            let slo = statement.as_ref().map(|s| s.kind.slo);
-            let signs = Signs {
-                usual,
-                strain,
+            let slo = statement.as_ref().map(|s| s.workload.slo);
+            let context = AnswerContext {
+                mean_in_flight,
+                max_congestion,
                 length,
-                lossy,
+                answers_get_lost,
             };
-            node.executed(now, ending, took, slo, signs);
-            // A commit is rounded up: the node is sure to stand only at what lies before, never ahead of now.
+            node.executed(now, outcome, took, slo, context);
+            // A commit's position is rounded up: the node has certainly reached only what lies before it. One
+            // ahead of the clock is invalid.
             let lsn = if position <= now + ROUNDING_S {
                 position - ROUNDING_S
             } else {
                 NEVER
             };
-            node.stood_at(now, lsn);
-            // Who checks what it answers stood there, also where answers tell no position.
-            let told = needed.filter(|_| done || ending == Ending::Missed && lsn == NEVER);
-            told.into_iter()
-                .for_each(|needed| node.showed(now, needed, done));
+            node.set_position(now, lsn);
+            // A node that checks freshness shows by its answer where it stands, also without reporting a position.
+            let shown = required_lsn
+                .filter(|_| completed || outcome == ExecutionOutcome::NotEligible && lsn == NEVER);
+            shown
+                .into_iter()
+                .for_each(|required| node.record_freshness(now, required, completed));
             match role {
-                Some(Role::Primary) => node.claimed = node.claimed.max(now),
-                Some(Role::Replica) => node.denied = now,
+                Some(Role::Primary) => node.claimed_primary_at = node.claimed_primary_at.max(now),
+                Some(Role::Replica) => node.denied_primary_at = now,
                 None => {}
             }
             self.touched_groups.insert(node.group);
         }
         if let Some(s) = &mut statement {
             if let Some(e) = s.executions.get_mut(index) {
-                e.ended = Some(ending);
-                // A later primary has not got it, and who was sent it no longer leads.
-                let (unrun, term) = (e.asks && ending == Ending::Missed, e.term);
+                e.outcome = Some(outcome);
+                // A later primary does not have the write, and the nodes of earlier terms no longer lead: those
+                // executions never ran and never will.
+                let fences = e.is_inquiry && outcome == ExecutionOutcome::NotEligible;
+                let term = e.term;
                 let earlier = s
                     .executions
                     .iter_mut()
-                    .filter(|e| unrun && !e.asks && e.term < term);
-                earlier.for_each(|e| e.barred = true);
+                    .filter(|e| fences && !e.is_inquiry && e.term < term);
+                earlier.for_each(|e| e.fenced = true);
             }
-            if s.writes()
+            if s.is_write()
                 && matches!(
-                    ending,
-                    Ending::TurnedAway | Ending::Unconnected | Ending::Errored
+                    outcome,
+                    ExecutionOutcome::Rejected
+                        | ExecutionOutcome::ConnectFailed
+                        | ExecutionOutcome::Errored
                 )
             {
-                s.held_until = now + s.hold();
+                s.held_until = now + s.hold_s();
             }
-            // An error may be the statement's own fault: it is the node's once another completes the same.
-            let blamed = |e: &&Execution| done && e.node != id && e.ended == Some(Ending::Errored);
-            for e in s.executions.iter().filter(blamed) {
+            // An error may be the statement's own fault. It is the node's once another node completes the same
+            // statement.
+            let is_node_fault = |e: &&Execution| {
+                completed && e.node != id && e.outcome == Some(ExecutionOutcome::Errored)
+            };
+            for e in s.executions.iter().filter(is_node_fault) {
                 self.nodes.get_mut(&e.node).expect("listed").faults += 2;
             }
-            s.over |= over;
-            let met = if done && now <= s.slo_end {
-                s.worth
+            s.finished |= finished;
+            let value_in_time = if completed && now <= s.slo_deadline {
+                s.value
             } else {
                 0.0
             };
-            shares_of(&mut self.shares, s).for_each(|share| share.1 += met);
+            served_value_of(&mut self.served_value, s)
+                .for_each(|value| value.in_time += value_in_time);
             if committed && s.session != 0 {
-                let session = self
-                    .sessions
-                    .entry(s.session)
-                    .or_insert((Mark::at(now), lsn));
-                session.1 = session.1.max(lsn);
+                let session = self.sessions.entry(s.session).or_insert(Session {
+                    affinity: PrimaryAffinity::at(now),
+                    last_write_lsn: lsn,
+                });
+                session.last_write_lsn = session.last_write_lsn.max(lsn);
             }
             self.touched.insert(stmt);
         }
     }
 
+    /// A probe of node `id` ended. If the node answered, `primary` and `lsn` are what it reported, as in
+    /// [`Instance::reported`].
     pub fn probed(&mut self, now: f64, id: u32, answered: bool, primary: Option<bool>, lsn: f64) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
-        (node.probing, node.faults) = (false, node.faults + 2 * u32::from(!answered));
+        node.probe_in_flight = false;
+        node.faults += 2 * u32::from(!answered);
         if answered {
-            (node.heard, node.trials) = (now, 0);
+            node.last_heard_at = now;
+            node.trials = 0;
             self.reported(now, id, primary, lsn);
         }
     }
 
+    /// A node reported its state: whether it is the primary, if it told, and its position, minus infinity if none.
     pub fn reported(&mut self, now: f64, id: u32, primary: Option<bool>, lsn: f64) {
-        let lsn = if lsn <= now { lsn } else { NEVER }; // Ahead of the clock it is broken; an old one holds.
+        // A position ahead of the clock is invalid. An old one still holds.
+        let lsn = if lsn <= now { lsn } else { NEVER };
         let role = primary.map(|leads| if leads { Role::Primary } else { Role::Replica });
         self.witness_role(now, id, role, lsn);
         let position = self.position(id, lsn);
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
-        node.reached(now, position);
+        node.raise_position(now, position);
         match primary {
-            // A primary stands at the present, so its own position dates the claim, however late the report.
-            Some(true) => node.claimed = node.claimed.max(lsn),
-            Some(false) if lsn > node.claimed => node.denied = node.denied.max(lsn),
+            // The position of a primary is the present, so it dates the claim, however late the report comes.
+            Some(true) => node.claimed_primary_at = node.claimed_primary_at.max(lsn),
+            Some(false) if lsn > node.claimed_primary_at => {
+                node.denied_primary_at = node.denied_primary_at.max(lsn);
+            }
             _ => {}
         }
         self.touched_groups.insert(node.group);
--- a/crates/core/routing/src/policy/rotation.rs
+++ b/crates/core/routing/src/policy/rotation.rs
@@ -1,14 +1,15 @@
-//! Rotation over the members of a group.
+//! Round-robin over the members of a group.
 
-/// The counter of one group, which wraps: each choice begins behind the last one.
+/// A counter for round-robin choices. Each choice starts behind the previous one and wraps around.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rotation {
-    /// The place where the next choice begins; any number will do, as it wraps.
+    /// Index at which the next choice starts. Any number is valid, as it is taken modulo the member count.
     pub next: usize,
 }
 
 impl Rotation {
-    /// The next of `count` members that is eligible, by its place. Where none is, the counter stays.
+    /// Returns the index of the next eligible one of `count` members and moves the counter behind it. If none is
+    /// eligible, the counter stays.
     pub fn next(&mut self, count: usize, eligible: impl Fn(usize) -> bool) -> Option<usize> {
         let chosen = (0..count)
             .map(|i| (self.next % count + i) % count)
--- a/crates/core/routing/src/policy/rules.rs
+++ b/crates/core/routing/src/policy/rules.rs
@@ -1,86 +1,105 @@
-//! The rules for a statement, in the order in which they are gone through.
+//! The rules for a statement, in the order in which they are applied. Each returns whether it fired.
 
 use crate::succession::{Next, Verdict};
 use crate::{
-    Ending, Instance, Outbox,
+    ExecutionOutcome, Instance, Outbox,
     state::{ROUNDING_S, Statement},
 };
 
-/// So many errors show that a statement errs by itself, whoever executes it.
-const ERRORS: usize = 2;
+/// A statement that ended in this many errors fails by itself, whichever node executes it.
+const MAX_ERRORS: usize = 2;
 
 impl Instance {
-    pub(super) fn close_over(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
-        self.statements[&stmt].over && self.forget(stmt, now, out)
+    /// Removes a statement that has its final answer, or whose client has left.
+    pub(super) fn close_finished(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
+        self.statements[&stmt].finished && self.forget(stmt, now, out)
     }
 
-    /// Guards rule 1: whatever else is going on, the answer is out before the client's time is up.
-    pub(super) fn answer_last_moment(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
+    /// Answers a statement before its deadline, whatever else is going on: two clock steps earlier.
+    pub(super) fn answer_before_deadline(
+        &mut self,
+        stmt: u32,
+        now: f64,
+        out: &mut dyn Outbox,
+    ) -> bool {
         let s = &self.statements[&stmt];
-        now >= s.due - 2.0 * self.allowance.step - ROUNDING_S && self.conclude(stmt, now, out)
+        now >= s.deadline - 2.0 * self.limits.clock_step_s - ROUNDING_S
+            && self.conclude(stmt, now, out)
     }
 
-    /// While its group changes its primary, who needs one waits in order, or hears at once that it is vain.
+    /// While a group changes its primary, a statement that needs the primary waits in order, or is answered at once
+    /// if waiting is futile.
     pub(super) fn wait_for_primary(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         matches!(self.verdict(stmt, now), Verdict::Refuse { .. }) && self.conclude(stmt, now, out)
     }
 
-    /// Nothing it could still get is worth anything, is back in time or may be sent, or it errs everywhere.
+    /// Gives up a statement that can no longer get a useful answer: it would come too late, the statement may not
+    /// be sent again, or it fails on every node.
     pub(super) fn give_up(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let sent = s.live().next().is_some();
+        let in_flight = s.in_flight().next().is_some();
         let errors = s
             .executions
             .iter()
-            .filter(|e| e.ended == Some(Ending::Errored))
+            .filter(|e| e.outcome == Some(ExecutionOutcome::Errored))
             .count();
-        let spent = s.executions.len() >= self.allowance.executions || errors >= ERRORS;
+        let spent = s.executions.len() >= self.limits.max_executions || errors >= MAX_ERRORS;
         let spent = spent || !self.repeatable(s, None, now) && !self.inquirable(s, now);
-        let late = now + if sent { 0.0 } else { self.needed(s) } >= s.last_use();
-        let vain = late || spent && !sent || self.held_too_long(s, now) || self.owes_lost(s);
-        vain && self.conclude(stmt, now, out)
+        let time_needed_s = if in_flight { 0.0 } else { self.time_needed(s) };
+        let late = now + time_needed_s >= s.last_useful_at();
+        let futile = late || spent && !in_flight || self.held_too_long(s, now) || self.owes_lost(s);
+        futile && self.conclude(stmt, now, out)
     }
 
-    /// Half of its time is gone and no node had a byte of it: hopeless where who leads is out of reach, or an
-    /// answer would be late. Its client can still try elsewhere. Harm: some late answers are never given.
+    /// Returns whether half of a statement's time is over while no node ever had all of it, and there is no hope: the
+    /// primary is unknown or a suspect, or an answer would be late. Its client still has time to try elsewhere. The
+    /// drawback: some late answers are never given. Does not apply during a change of primary.
     pub fn held_too_long(&self, s: &Statement, now: f64) -> bool {
-        let led = self.groups[&s.group]
+        let primary_works = self.groups[&s.group]
             .primary
-            .is_some_and(|p| self.nodes[&p].suspected.is_none());
-        let late = now + self.needed(s) >= s.slo_end;
-        let alone = self
+            .is_some_and(|p| self.nodes[&p].suspected_at.is_none());
+        let late = now + self.time_needed(s) >= s.slo_deadline;
+        let settled = self
             .succession
             .as_ref()
             .is_none_or(|succession| succession.settled(s.group));
-        alone && (late || !led) && s.unwritten() && now >= s.halfway - ROUNDING_S
+        settled
+            && (late || !primary_works)
+            && s.reached_no_node()
+            && now >= s.halfway_at - ROUNDING_S
     }
 
-    /// Its repeat is no longer sure to be dropped: the new primary is asked how it ended.
+    /// Asks the new primary how an earlier execution of a write ended, if a repeat of the write is no longer
+    /// certain to be dropped as a duplicate.
     pub(super) fn inquire(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let due =
-            !s.waits && s.may_have_run().next().is_some() && s.live().all(|e| self.overdue(e, now));
+        let due = !s.waits_for_primary
+            && s.may_have_run().next().is_some()
+            && s.in_flight().all(|e| self.overdue(e, now));
         if !due || self.next(s, now) != Next::Inquire || !self.inquirable(s, now) {
             return false;
         }
-        let leader = self.groups[&s.group]
+        let primary = self.groups[&s.group]
             .primary
-            .filter(|p| self.open_for(s, *p, now, true));
-        leader.is_some_and(|id| self.execute_for(stmt, id, now, true, out))
+            .filter(|p| self.can_take_execution(s, *p, now, true));
+        primary.is_some_and(|id| self.execute_for(stmt, id, now, true, out))
     }
 
+    /// Sends a statement that is not in flight, or lets it wait for a node.
     pub(super) fn send_next(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let (live, held) = (s.live().next().is_some(), s.held_until > now + ROUNDING_S);
-        if held && !live {
-            // Who is held looks again at each beat: else nothing would until half of its time is over.
+        let in_flight = s.in_flight().next().is_some();
+        let held = s.held_until > now + ROUNDING_S;
+        if held && !in_flight {
+            // Waiting statements are looked at in each periodic check. Otherwise nothing would look at a held one
+            // until half of its time is over.
             self.groups
                 .get_mut(&s.group)
                 .expect("known")
                 .waiting
                 .insert(stmt);
         }
-        if live || held {
+        if in_flight || held {
             return false;
         }
         if let Some(node) = self
@@ -92,30 +111,40 @@
         let s = self.statements.get_mut(&stmt).expect("open");
         let group = self.groups.get_mut(&s.group).expect("known");
         group.waiting.insert(stmt);
-        if s.writes() && group.primary.is_none() {
-            s.held_until = now + s.hold();
+        if s.is_write() && group.primary.is_none() {
+            s.held_until = now + s.hold_s();
         }
         false
     }
 
-    /// What waits to know who leads, or a replica's position, asks for it at a small part of its worth: many
-    /// routers that probed by the clock would cost more than they serve. Harm: who asks nothing hears late.
-    pub(super) fn ask(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
+    /// Probes a member if a statement waits to know which one is the primary, or where a replica stands. Its probes
+    /// cost only a small part of its value; if many routers probed at fixed intervals instead, the probes would
+    /// cost more than the statements are worth. The drawback: a router without such statements learns of changes
+    /// late.
+    pub(super) fn probe_for_statement(
+        &mut self,
+        stmt: u32,
+        now: f64,
+        out: &mut dyn Outbox,
+    ) -> bool {
         let s = &self.statements[&stmt];
-        let Some(id) = self.unknown(s, now) else {
+        let Some(id) = self.member_to_probe(s, now) else {
             return false;
         };
         let s = self.statements.get_mut(&stmt).expect("open");
-        (s.probes, s.probed) = (s.probes + 1.0, now);
+        s.probe_count += 1.0;
+        s.last_probe_at = now;
         self.probe(id, now, out)
     }
 
-    /// All that is out is overdue: a second copy where a repeat is harmless or dropped, whether answers got
-    /// lost or the node hangs or slows. Harm: a node only slow for a moment does the work twice.
-    pub(super) fn copy_overdue(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
+    /// Sends a second copy of a statement whose executions in flight are all overdue, where a repeat is harmless or
+    /// will be dropped: answers may be lost, or the node may hang or be slow. The drawback: if the node was slow only
+    /// for a moment, the work is done twice.
+    pub(super) fn hedge_overdue(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let fires = s.live().next().is_some() && s.live().all(|e| self.overdue(e, now));
-        let useful = fires && self.may_copy(now) && now + self.needed(s) < s.last_use();
+        let overdue = s.in_flight().next().is_some() && s.in_flight().all(|e| self.overdue(e, now));
+        let useful =
+            overdue && self.may_copy(now) && now + self.time_needed(s) < s.last_useful_at();
         useful
             && self
                 .choose(stmt, now)
--- a/crates/core/routing/src/policy/sends.rs
+++ b/crates/core/routing/src/policy/sends.rs
@@ -1,48 +1,53 @@
-//! Sends and final answers: the one way to each, and what they leave behind.
+//! Sends and final answers: the only place from which each leaves, and what they change.
 
-use super::IN_VAIN;
+use super::HEDGE_UNANSWERED_SHARE;
 use crate::{
-    Instance, Mark, Outbox, Repeat, Within,
-    state::{Execution, NEVER, Signs},
+    DedupScope, Instance, Outbox, PrimaryAffinity, Repeat,
+    state::{AnswerContext, Execution, NEVER, Session},
 };
 
 impl Instance {
+    /// Sends a statement to a node, if permitted. Returns whether it did.
     pub(super) fn execute(&mut self, stmt: u32, id: u32, now: f64, out: &mut dyn Outbox) -> bool {
         self.execute_for(stmt, id, now, false, out)
     }
 
+    /// Sends a statement, or an inquiry about an earlier execution of it (`is_inquiry`), to a node, if permitted.
+    /// Returns whether it did.
     pub(super) fn execute_for(
         &mut self,
         stmt: u32,
         id: u32,
         now: f64,
-        asks: bool,
+        is_inquiry: bool,
         out: &mut dyn Outbox,
     ) -> bool {
         let s = &self.statements[&stmt];
-        if !self.permitted(s, id, now, asks) {
+        if !self.permitted(s, id, now, is_inquiry) {
             return false;
         }
-        let (term, length) = (self.term(s.group), self.length(s.served_as[0]));
-        let (group, limit) = (
-            self.groups.get_mut(&s.group).expect("known"),
-            s.last_use() - now,
-        );
+        let term = self.term(s.group);
+        let length = self.length(s.share_indices[0]);
+        let group = self.groups.get_mut(&s.group).expect("known");
+        let limit = s.last_useful_at() - now;
         group.waiting.remove(&stmt);
         if s.session != 0 && group.primary == Some(id) {
             self.sessions
                 .entry(s.session)
-                .or_insert((Mark::default(), NEVER))
-                .0
+                .or_insert(Session {
+                    affinity: PrimaryAffinity::default(),
+                    last_write_lsn: NEVER,
+                })
+                .affinity
                 .touch(now);
         }
         self.succession
             .iter_mut()
             .for_each(|succession| succession.sent(stmt));
         self.sending(stmt, id, now);
-        let sent = Execution {
+        let execution = Execution {
             term,
-            asks,
+            is_inquiry,
             length,
             ..Execution::new(id, now)
         };
@@ -50,19 +55,20 @@
             .get_mut(&stmt)
             .expect("open")
             .executions
-            .push(sent);
+            .push(execution);
         let node = self.nodes.get_mut(&id).expect("listed");
-        node.enters(now, length);
-        if node.suspected.is_some() {
-            (node.trial_at, node.trials) = (now, node.trials + 1);
+        node.add_in_flight(now, length);
+        if node.suspected_at.is_some() {
+            node.last_trial_at = now;
+            node.trials += 1;
         }
-        node.sends.push_back(now);
+        node.recent_sends.push_back(now);
         while node
-            .sends
-            .pop_front_if(|at| now - *at >= self.cold.window)
+            .recent_sends
+            .pop_front_if(|at| now - *at >= self.cold_start.window_s)
             .is_some()
         {}
-        if asks {
+        if is_inquiry {
             out.inquire(stmt, id, limit);
         } else {
             out.execute(stmt, id, limit);
@@ -70,29 +76,33 @@
         true
     }
 
-    /// The one way to a final answer of ours: a rejection only where trying again is harmless, else an abort.
+    /// Gives a statement the router's own final answer: a rejection if a retry by its client is harmless, otherwise
+    /// an abort. Every such answer leaves from here.
     pub(super) fn conclude(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let s = &self.statements[&stmt];
-        let known = match s.kind.repeat {
-            Repeat::Deduplicated { within, .. } => within == Within::Anywhere,
+        let retry_is_harmless = match s.workload.repeat {
+            Repeat::Deduplicated { scope, .. } => scope == DedupScope::Anywhere,
             repeat => repeat == Repeat::Idempotent,
         };
-        let lost = self.owes_lost(s); // To come back for it would be as much in vain.
-        if !lost && (known || s.may_have_run().next().is_none()) {
-            // A retry comes as a new statement, with an SLO time that its client no longer has.
-            out.reject(stmt, s.advised(&self.allowance));
+        // A retry of a read that owes a lost commit would be as futile.
+        let owes_lost = self.owes_lost(s);
+        if !owes_lost && (retry_is_harmless || s.may_have_run().next().is_none()) {
+            // A retry is a new statement with a new SLO time, which its client no longer has.
+            out.reject(stmt, s.advised(&self.limits));
         } else {
             out.abort(stmt);
         }
-        self.note(stmt, now);
+        self.count_given_up(stmt, now);
         self.forget(stmt, now, out)
     }
 
+    /// Removes a statement, with its timers and its place in the queue. Its executions in flight count as
+    /// unanswered, and are cancelled unless the answer is streaming.
     pub(super) fn forget(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
         let Some(s) = self.statements.remove(&stmt) else {
             return false;
         };
-        s.timers(stmt, self.allowance.step)
+        s.timers(stmt, self.limits.clock_step_s)
             .iter()
             .for_each(|at| _ = self.timers.remove(at));
         self.groups
@@ -103,19 +113,18 @@
         self.succession
             .iter_mut()
             .for_each(|succession| succession.leave(s.group, stmt));
-        for (execution, e) in (0..).zip(&s.executions).filter(|e| e.1.ended.is_none()) {
-            self.learn(self.late(e, now), true);
-            let usual = self.asked(s.group, e.node) * self.nodes[&e.node].pace;
-            let (strain, lossy) = (self.most_strain(), self.in_vain > IN_VAIN);
-            let signs = Signs {
-                usual,
-                strain,
+        for (execution, e) in (0..).zip(&s.executions).filter(|e| e.1.outcome.is_none()) {
+            self.learn_lateness(self.late(e, now), true);
+            let context = AnswerContext {
+                mean_in_flight: self.expected_arrivals(s.group, e.node)
+                    * self.nodes[&e.node].latency_s,
+                max_congestion: self.max_congestion(),
                 length: Some(e.length),
-                lossy,
+                answers_get_lost: self.unanswered_share > HEDGE_UNANSWERED_SHARE,
             };
             let node = self.nodes.get_mut(&e.node).expect("listed");
-            node.unanswered(now, (now - e.sent) / s.kind.slo, signs);
-            if self.allowance.cancelling && s.due.is_finite() {
+            node.record_unanswered(now, (now - e.sent_at) / s.workload.slo, context);
+            if self.limits.cancellation && s.deadline.is_finite() {
                 out.cancel(stmt, execution);
             }
         }
--- a/crates/core/routing/src/recover.rs
+++ b/crates/core/routing/src/recover.rs
@@ -2,7 +2,7 @@
 //! inputs, and its verdicts bind sends and probes. It decides nothing; without settings nothing of it acts.
 
 use crate::recovery::{Phase, Recovery, Settings};
-use crate::{Ending, Instance, Outbox, Standing};
+use crate::{ExecutionOutcome, Instance, NodeStatus, Outbox};
 
 impl Instance {
     /// With settings, coming back is paced from now on; without, all is as if that never was. `name` is this
@@ -48,18 +48,22 @@
             .for_each(|recovery| recovery.reported(now, id, held, opened));
     }
 
-    pub(crate) fn recovered(&mut self, id: u32, ending: Ending) {
+    pub(crate) fn recovered(&mut self, id: u32, ending: ExecutionOutcome) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
         match ending {
-            Ending::Completed | Ending::Missed | Ending::Errored => recovery.answered(id, true),
-            Ending::TurnedAway | Ending::TimedOut | Ending::Dropped => recovery.answered(id, false),
-            Ending::Unconnected
-            | Ending::Cut
-            | Ending::Spoilt
-            | Ending::Cancelled
-            | Ending::Moot => {}
+            ExecutionOutcome::Completed
+            | ExecutionOutcome::NotEligible
+            | ExecutionOutcome::Errored => recovery.answered(id, true),
+            ExecutionOutcome::Rejected
+            | ExecutionOutcome::TimedOut
+            | ExecutionOutcome::ConnectionLost => recovery.answered(id, false),
+            ExecutionOutcome::ConnectFailed
+            | ExecutionOutcome::SendInterrupted
+            | ExecutionOutcome::InvalidAnswer
+            | ExecutionOutcome::Cancelled
+            | ExecutionOutcome::NeverIssued => {}
         }
     }
 
@@ -77,7 +81,7 @@
             let able = self
                 .nodes
                 .iter()
-                .filter(|node| node.1.standing == Standing::Ready);
+                .filter(|node| node.1.status == NodeStatus::Ready);
             let able: Vec<u32> = able.map(|node| *node.0).collect();
             if let Some(id) = recovery.sound(&able) {
                 self.probe(id, now, out);
@@ -99,8 +103,8 @@
         };
         // Who comes back has sent nothing that a drain would have to be patient with, not even as a last resort.
         let drains =
-            self.nodes[&id].standing == Standing::Draining && recovery.phase() < Phase::Full;
-        !drains && recovery.may_send(now, id, self.nodes[&id].out)
+            self.nodes[&id].status == NodeStatus::Draining && recovery.phase() < Phase::Full;
+        !drains && recovery.may_send(now, id, self.nodes[&id].in_flight)
     }
 
     pub(crate) fn may_probe(&self, id: u32, now: f64) -> bool {
@@ -120,8 +124,8 @@
 
     /// A statement came: when its client should come back if it is rejected, unless something better is known.
     pub(crate) fn come_back(&mut self) -> f64 {
-        self.tally.taken += 1;
-        let most = self.allowance.retry_after;
+        self.tally.accepted += 1;
+        let most = self.limits.max_retry_after_s;
         self.recovery
             .as_mut()
             .map_or(f64::INFINITY, |recovery| recovery.advice(most))
--- a/crates/core/routing/src/state.rs
+++ b/crates/core/routing/src/state.rs
@@ -1,254 +1,370 @@
-//! What an instance remembers, grouped by how long it lives: records and how they are kept. The instance itself is
-//! in `instance.rs`, the rest in `policy`.
+//! The records that an instance keeps, from the shortest-lived to the longest-lived, and how they are updated. The
+//! instance itself is in `instance.rs`; the decisions are in `policy`.
 
-use crate::{Currency, Ending, Instance, MARK_S, Rotation, Standing, Workload};
+use crate::{
+    Consistency, ExecutionOutcome, Instance, NodeStatus, PRIMARY_AFFINITY_S, PrimaryAffinity,
+    Rotation, Workload,
+};
 use std::collections::{BTreeSet, VecDeque};
 
-/// The time of what has not happened, and the position of what told none.
+/// Time of an event that has not happened, and position of a node that has reported none.
 pub const NEVER: f64 = f64::NEG_INFINITY;
-/// Positions and ages come in rounded milliseconds.
+/// Positions and ages are rounded to milliseconds.
 pub const ROUNDING_S: f64 = 0.001;
 
-/// A node that is gone is remembered for this long, and one that may only be called so for ten times as long:
-/// what is still out there has ended by then, and its drain is no question any more.
-const GONE_S: f64 = 60.0;
+/// A node is removed this long after it was listed as gone: by then its executions have ended. Where only a drain
+/// closes a node, one that was never listed as draining is kept ten times as long, as the list may be wrong.
+const FORGET_GONE_S: f64 = 60.0;
 
-/// Lives for one send.
+/// One execution of a statement: a send to a node.
 pub struct Execution {
+    /// Id of the node.
     pub node: u32,
-    pub sent: f64,
-    pub ended: Option<Ending>,
-    /// How long it takes against all others.
+    /// When it was sent.
+    pub sent_at: f64,
+    /// How it ended; none while it is in flight.
+    pub outcome: Option<ExecutionOutcome>,
+    /// Expected duration, relative to the average over all workloads.
     pub length: f64,
-    /// The term of its group in which it was sent.
+    /// Term of the group's primary when it was sent; 0 if terms are not counted.
     pub term: u64,
-    /// It only asks how an earlier one ended.
-    pub asks: bool,
-    /// A later primary told that it never ran, and never will.
-    pub barred: bool,
+    /// It does not run the statement but asks for the outcome of an earlier execution.
+    pub is_inquiry: bool,
+    /// A later primary answered that this execution never ran and never will.
+    pub fenced: bool,
 }
 
-/// Lives until the final answer.
+/// A statement, from its arrival to its final answer.
 #[derive(Default)]
 pub struct Statement {
-    pub kind: Workload,
-    /// Its workload's and its customer's place in their lists.
-    pub served_as: [usize; 2],
+    /// Its class.
+    pub workload: Workload,
+    /// Index of its workload and of its tenant, in this order.
+    pub share_indices: [usize; 2],
+    /// Id of the replication group that has its data.
     pub group: u16,
+    /// Id of its session; 0 if it has none.
     pub session: u64,
-    pub arrived: f64,
-    pub due: f64,
-    pub slo_end: f64,
-    /// When half of its client's time is over.
-    pub halfway: f64,
-    /// A read is answered only from data at or past this.
-    pub owed: f64,
-    /// The commit of its session's last write that was answered here.
-    pub known: f64,
-    /// Its session wrote within the mark's time, here or elsewhere.
-    pub fresh_age: bool,
-    pub worth: f64,
-    /// Drawn by chance from 0 to 1: which statements go first where only a part of them may.
-    pub lot: f64,
-    /// How many probes it asked for, and when it did last.
-    pub probes: f64,
-    pub probed: f64,
+    /// When it arrived.
+    pub arrived_at: f64,
+    /// When its client stops waiting.
+    pub deadline: f64,
+    /// When its SLO time ends.
+    pub slo_deadline: f64,
+    /// When half of the time until its deadline is over.
+    pub halfway_at: f64,
+    /// Position that a node must have reached to answer it, if it is a read.
+    pub required_lsn: f64,
+    /// Position of its session's last write that was answered by this router.
+    pub session_write_lsn: f64,
+    /// It carries the age of a write of its session that is recent enough for primary affinity.
+    pub wrote_recently: bool,
+    /// Value of an answer within the SLO time: the importance, reduced if its tenant is over its quota.
+    pub value: f64,
+    /// Random number from 0 to 1, lower for more important workloads. Where only a part of the statements may go,
+    /// those with the lowest numbers go.
+    pub admission_rank: f64,
+    /// Number of probes that it has asked for.
+    pub probe_count: f64,
+    /// When it last asked for a probe.
+    pub last_probe_at: f64,
+    /// All its executions, in the order of their sends.
     pub executions: Vec<Execution>,
+    /// It is not sent again before this time.
     pub held_until: f64,
-    pub over: bool,
-    /// Nothing of it may go to a primary now: its group's changes.
-    pub waits: bool,
-    /// When its client should come back, if it is rejected; seconds.
-    pub advice: f64,
-    /// Its size, and whether its outcome can be asked for.
+    /// It has its final answer, or its client has left.
+    pub finished: bool,
+    /// It must not be sent to a primary now, because its group is changing the primary.
+    pub waits_for_primary: bool,
+    /// Retry-after advice for its client if it is rejected, in seconds.
+    pub retry_after_s: f64,
+    /// Its size.
     pub bytes: usize,
-    pub marked: bool,
+    /// It carries a mark by which a node can be asked for its outcome.
+    pub carries_mark: bool,
 }
 
-/// Lives as long as the router knows the node's id.
+/// A node (database server), for as long as the router knows its id.
 #[derive(Default)]
 pub struct Node {
+    /// Id of its replication group.
     pub group: u16,
+    /// Its zone.
     pub zone: u8,
-    pub standing: Standing,
-    pub told: f64,
-    pub drained: bool,
-    pub since: f64,
-    /// When it was last out of reach.
-    pub fell: f64,
-    /// When a connection to it last broke, unless it was seen to run on.
-    pub broke: f64,
+    /// Its status in the list.
+    pub status: NodeStatus,
+    /// When a list first had it as draining or gone.
+    pub unavailable_since: f64,
+    /// It was listed as draining since its last start.
+    pub listed_draining: bool,
+    /// When it started, according to the list.
+    pub started_at: f64,
+    /// When a connection to it last failed to open.
+    pub unreachable_at: f64,
+    /// When a connection to it last broke; 0 if an answer has since shown that the node kept running.
+    pub connection_lost_at: f64,
+    /// The last list has it as its group's primary.
     pub listed_primary: bool,
-    pub roll: u64,
-    /// Lower bound of its position: it only grows, also across a restart.
+    /// Number of the last list that has it.
+    pub list_number: u64,
+    /// Lower bound of its position. A position only grows, also across a restart.
     pub lsn: f64,
-    pub heard: f64,
-    /// How far it was behind at most, by the last word on that, and when that came.
+    /// When it last answered anything.
+    pub last_heard_at: f64,
+    /// Upper bound of its replication lag at `lag_known_at`, in seconds.
     pub lag: f64,
-    pub placed: f64,
-    /// When it was primary and when it was none, by its own latest word on each.
-    pub claimed: f64,
-    pub denied: f64,
-    pub out: usize,
-    /// Time waited for executions that are out, added up over them since the last answer.
-    pub awaited: f64,
-    pub awaited_until: f64,
-    /// How many answers an execution that is out owes in the time of an average one.
-    pub quickness: f64,
+    /// When its lag was last known.
+    pub lag_known_at: f64,
+    /// When it was primary, by its own latest report.
+    pub claimed_primary_at: f64,
+    /// When it was not primary, by its own latest report.
+    pub denied_primary_at: f64,
+    /// Number of this router's executions in flight at the node.
+    pub in_flight: usize,
+    /// Waiting time since the node's last answer, added up over the executions in flight and weighted by their
+    /// speed, in seconds.
+    pub waited_s: f64,
+    /// Time up to which `waited_s` is added up.
+    pub waited_until: f64,
+    /// Mean of 1/length over the executions in flight.
+    pub mean_speed: f64,
+    /// Number of completed executions, plus the weight of the initial latency estimate.
     pub answers: f64,
-    pub pace: f64,
-    pub strain: f64,
+    /// Latency estimate in seconds for an execution of length 1: a moving average.
+    pub latency_s: f64,
+    /// Moving average of latency as a share of the SLO time: how congested the node is.
+    pub congestion: f64,
     /// Executions that ended without an answer since the last one that completed.
-    pub missing: u32,
-    pub strained_at: f64,
-    pub room: f64,
-    pub least_room: f64,
-    pub cut: f64,
+    pub unanswered_in_a_row: u32,
+    /// When `congestion` was last updated.
+    pub congestion_at: f64,
+    /// Maximum number of this router's executions in flight. A limit below 1 admits only a part of the statements.
+    pub concurrency_limit: f64,
+    /// Lower bound of `concurrency_limit`.
+    pub min_concurrency_limit: f64,
+    /// When `concurrency_limit` was last reduced.
+    pub limit_cut_at: f64,
+    /// Score of recent failures. The node becomes a suspect when the score is too high.
     pub faults: u32,
-    pub suspected: Option<f64>,
+    /// Since when it is suspected to have failed.
+    pub suspected_at: Option<f64>,
+    /// Number of trial executions since it became a suspect, or last answered.
     pub trials: i32,
-    pub trial_at: f64,
-    pub sends: VecDeque<f64>,
-    pub probed: f64,
-    pub probing: bool,
+    /// When the last trial execution was sent.
+    pub last_trial_at: f64,
+    /// Times of the sends within the cold-start window.
+    pub recent_sends: VecDeque<f64>,
+    /// When it was last probed.
+    pub last_probe_at: f64,
+    /// A probe is in flight.
+    pub probe_in_flight: bool,
 }
 
-/// Lives as long as the router does.
+/// A replication group, for as long as the router runs.
 #[derive(Default)]
 pub struct Group {
+    /// Ids of its nodes.
     pub members: Vec<u32>,
+    /// The node that is believed to be the primary.
     pub primary: Option<u32>,
+    /// Rotation over the members.
     pub rotation: Rotation,
+    /// Ids of the statements that wait for a node.
     pub waiting: BTreeSet<u32>,
-    /// When a statement last arrived for it, and how many do a second.
-    pub asked: (f64, f64),
+    /// Arrivals of statements.
+    pub arrivals: Rate,
 }
 
-/// Answers counted, and the share of their SLO time that they took on average of late.
+/// A session that used the primary through this router.
+#[derive(Clone, Copy, Debug)]
+pub struct Session {
+    /// Whether its reads prefer the primary.
+    pub affinity: PrimaryAffinity,
+    /// Position of its last write that was answered by this router.
+    pub last_write_lsn: f64,
+}
+
+/// Events per second, averaged over about [`PRIMARY_AFFINITY_S`].
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Rate {
+    /// When the last event was counted.
+    pub updated_at: f64,
+    /// Events per second at that time.
+    pub per_s: f64,
+}
+
+/// Value of the statements of one workload or tenant.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ServedValue {
+    /// Value of all statements that arrived.
+    pub requested: f64,
+    /// Value of those that completed within their SLO time.
+    pub in_time: f64,
+}
+
+/// Average answer time as a share of the SLO time.
 #[derive(Clone, Copy, Default)]
-pub struct Taken {
+pub struct AnswerTimes {
+    /// Number of answers that the average covers.
     pub answers: f64,
+    /// Average share of the SLO time.
     pub share: f64,
 }
 
-/// What an ending is weighed with.
+/// What the outcome of an execution is judged by, beside the outcome itself.
 #[derive(Clone, Copy)]
-pub struct Signs {
-    /// How many are out at the node on average.
-    pub usual: f64,
-    /// The strain that is borne.
-    pub strain: f64,
+pub struct AnswerContext {
+    /// Average number of executions in flight at the node.
+    pub mean_in_flight: f64,
+    /// Congestion above which the concurrency limit is reduced.
+    pub max_congestion: f64,
+    /// Relative length of the execution, if known.
     pub length: Option<f64>,
-    /// Most of what is late is never answered.
-    pub lossy: bool,
+    /// Most late executions are never answered.
+    pub answers_get_lost: bool,
 }
 
-impl Taken {
-    /// An SLO time of zero has no shares.
-    pub fn add(&mut self, share: f64, most: f64) {
+impl AnswerTimes {
+    /// Adds an answer to the average, which covers about the last `max_answers`. An infinite share, from an SLO
+    /// time of zero, is ignored.
+    pub fn add(&mut self, share: f64, max_answers: f64) {
         if !share.is_finite() {
             return;
         }
-        self.answers = f64::min(self.answers + 1.0, most);
+        self.answers = f64::min(self.answers + 1.0, max_answers);
         self.share += (share - self.share) / self.answers;
     }
 
-    /// The mean with a first guess that stands for so many answers.
+    /// Returns the average, blended with a guess that counts as `weight` answers.
     pub fn expected(&self, guess: f64, weight: f64) -> f64 {
         (weight * guess + self.answers * self.share) / (weight + self.answers)
     }
 }
 
+impl Rate {
+    /// Counts one more event. Earlier events fade over [`PRIMARY_AFFINITY_S`].
+    pub fn count_event(&mut self, now: f64) {
+        *self = Rate {
+            updated_at: now,
+            per_s: self.per_s * (-(now - self.updated_at) / PRIMARY_AFFINITY_S).exp()
+                + 1.0 / PRIMARY_AFFINITY_S,
+        };
+    }
+}
+
 impl Group {
-    /// Statements a second that came for it, as of now.
-    pub fn asked_lately(&self, now: f64) -> f64 {
-        self.asked.1 * (-(now - self.asked.0).max(0.0) / MARK_S).exp()
+    /// Returns the statements per second that arrive for the group, as of now.
+    pub fn arrivals_per_s(&self, now: f64) -> f64 {
+        self.arrivals.per_s
+            * (-(now - self.arrivals.updated_at).max(0.0) / PRIMARY_AFFINITY_S).exp()
     }
 }
 
 impl Execution {
-    pub fn new(node: u32, sent: f64) -> Execution {
+    /// Creates an execution that is in flight since `sent_at`, of length 1 and without a term.
+    pub fn new(node: u32, sent_at: f64) -> Execution {
         Execution {
             node,
-            sent,
-            ended: None,
+            sent_at,
+            outcome: None,
             length: 1.0,
             term: 0,
-            asks: false,
-            barred: false,
+            is_inquiry: false,
+            fenced: false,
         }
     }
 }
 
 impl Statement {
-    pub fn writes(&self) -> bool {
-        self.kind.currency == Currency::Primary
+    /// Returns whether only the primary may execute it.
+    pub fn is_write(&self) -> bool {
+        self.workload.consistency == Consistency::Primary
     }
 
-    pub fn live(&self) -> impl Iterator<Item = &Execution> {
-        self.executions.iter().filter(|e| e.ended.is_none())
+    /// Returns its executions that are in flight.
+    pub fn in_flight(&self) -> impl Iterator<Item = &Execution> {
+        self.executions.iter().filter(|e| e.outcome.is_none())
     }
 
-    /// When it has to be looked at, whatever else happens: timers end with it.
-    pub fn timers(&self, stmt: u32, step: f64) -> [(u64, u32); 3] {
-        let moments = [self.due - 2.0 * step, self.slo_end, self.halfway];
+    /// Returns the timers of the statement: the times at which it has to be looked at whatever else happens. They
+    /// are removed with it.
+    pub fn timers(&self, stmt: u32, clock_step_s: f64) -> [(u64, u32); 3] {
+        let moments = [
+            self.deadline - 2.0 * clock_step_s,
+            self.slo_deadline,
+            self.halfway_at,
+        ];
         moments.map(|at| ((at.max(0.0) * 1e6) as u64, stmt))
     }
 
-    /// No node was ever sent a byte of it.
-    pub fn unwritten(&self) -> bool {
-        let never = |e: &Execution| {
+    /// Returns whether no node ever had the whole statement.
+    pub fn reached_no_node(&self) -> bool {
+        let not_received = |e: &Execution| {
             matches!(
-                e.ended,
-                Some(Ending::Unconnected | Ending::Cut | Ending::Moot)
+                e.outcome,
+                Some(
+                    ExecutionOutcome::ConnectFailed
+                        | ExecutionOutcome::SendInterrupted
+                        | ExecutionOutcome::NeverIssued
+                )
             )
         };
-        self.executions.iter().all(never)
+        self.executions.iter().all(not_received)
     }
 
-    /// The position that a read executed at `at` must see.
-    pub fn needs(&self, at: f64) -> f64 {
-        match self.kind.currency {
-            Currency::Primary | Currency::Loose => NEVER,
-            Currency::Recent { bound } => at - bound + ROUNDING_S,
-            Currency::Latest | Currency::OwnWrites => self.owed,
+    /// Returns the position that a node must have reached to execute the read at `at`.
+    pub fn required_position(&self, at: f64) -> f64 {
+        match self.workload.consistency {
+            Consistency::Primary | Consistency::Loose => NEVER,
+            Consistency::Recent { max_age_s } => at - max_age_s + ROUNDING_S,
+            Consistency::Latest | Consistency::OwnWrites => self.required_lsn,
         }
     }
 
-    /// The position that an execution of a read had to see, if any.
-    pub fn needed_by(&self, execution: usize) -> Option<f64> {
-        let needed = self.executions.get(execution).map(|e| self.needs(e.sent));
-        needed.filter(|needed| *needed > NEVER)
+    /// Returns the position that the node of an execution must have reached, if any is required.
+    pub fn position_required_by(&self, execution: usize) -> Option<f64> {
+        let required = self
+            .executions
+            .get(execution)
+            .map(|e| self.required_position(e.sent_at));
+        required.filter(|required| *required > NEVER)
     }
 
+    /// Returns the executions by which the statement may have run.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Execution> {
-        let ran =
-            |e: &&Execution| !e.asks && !e.barred && !e.ended.is_some_and(Ending::proves_unrun);
-        self.executions.iter().filter(ran)
+        let may_have = |e: &&Execution| {
+            !e.is_inquiry && !e.fenced && !e.outcome.is_some_and(ExecutionOutcome::proves_unrun)
+        };
+        self.executions.iter().filter(may_have)
     }
 }
 
 impl Instance {
-    /// Nodes that are long gone leave, unless something open refers to them; tells which. One that the list
-    /// names again is a new one.
+    /// Removes the nodes that have been gone for long, unless an open statement or a group still refers to them,
+    /// and returns their ids. A node that is listed again later counts as a new one.
     pub fn forget_gone(&mut self, now: f64) -> Vec<u32> {
-        let sent = self.statements.values().flat_map(|s| &s.executions);
-        let named: BTreeSet<u32> = sent
+        let executions = self.statements.values().flat_map(|s| &s.executions);
+        let referenced: BTreeSet<u32> = executions
             .map(|e| e.node)
             .chain(self.groups.values().filter_map(|g| g.primary))
             .collect();
-        let left = |(id, node): &(&u32, &Node)| {
-            let kept = if self.drain.only_draining && !node.drained {
-                10.0 * GONE_S
+        let is_forgotten = |(id, node): &(&u32, &Node)| {
+            let kept_s = if self.drain.only_draining_binds && !node.listed_draining {
+                10.0 * FORGET_GONE_S
             } else {
-                GONE_S
+                FORGET_GONE_S
             };
-            node.standing == Standing::Gone
-                && now - node.told > kept
-                && node.out == 0
-                && !named.contains(id)
+            node.status == NodeStatus::Gone
+                && now - node.unavailable_since > kept_s
+                && node.in_flight == 0
+                && !referenced.contains(id)
         };
-        let gone: Vec<u32> = self.nodes.iter().filter(left).map(|n| *n.0).collect();
+        let gone: Vec<u32> = self
+            .nodes
+            .iter()
+            .filter(is_forgotten)
+            .map(|n| *n.0)
+            .collect();
         for id in &gone {
             self.recovery
                 .iter_mut()
@@ -270,107 +386,110 @@
 }
 
 impl Node {
-    /// From draining to gone is no news: the grace runs from the first word.
-    pub fn stands(&mut self, at: Standing, now: f64) {
-        if self.standing == Standing::Ready && at != Standing::Ready {
-            self.told = now;
+    /// Sets the listed status. The grace runs from the first list that does not have the node as ready: a change
+    /// from draining to gone does not restart it.
+    pub fn set_status(&mut self, status: NodeStatus, now: f64) {
+        if self.status == NodeStatus::Ready && status != NodeStatus::Ready {
+            self.unavailable_since = now;
         }
-        self.standing = at;
-        self.drained |= at == Standing::Draining;
+        self.status = status;
+        self.listed_draining |= status == NodeStatus::Draining;
     }
 
-    /// Its own word on where it stands now.
-    pub fn stood_at(&mut self, now: f64, lsn: f64) {
+    /// Records the position that the node reports as its present one.
+    pub fn set_position(&mut self, now: f64, lsn: f64) {
         if lsn > NEVER {
-            (self.lag, self.placed) = (now - lsn, now);
+            self.lag = now - lsn;
+            self.lag_known_at = now;
             self.lsn = self.lsn.max(lsn);
         }
     }
 
-    /// It stands there or beyond: it may be further than an old word tells.
-    pub fn reached(&mut self, now: f64, lsn: f64) {
+    /// Records that the node has reached a position. It may be further already, as the report may be old.
+    pub fn raise_position(&mut self, now: f64, lsn: f64) {
         if lsn > NEVER {
             self.lsn = self.lsn.max(lsn);
-            (self.lag, self.placed) = (self.lag.min(now - self.lsn), now);
+            self.lag = self.lag.min(now - self.lsn);
+            self.lag_known_at = now;
         }
     }
 
-    /// It answered what needed this position, or had not come that far.
-    pub fn showed(&mut self, now: f64, lsn: f64, reached: bool) {
+    /// Records that the node answered a read that required this position (`reached`), or declined it as too far
+    /// behind.
+    pub fn record_freshness(&mut self, now: f64, lsn: f64, reached: bool) {
         if reached {
-            self.reached(now, lsn);
+            self.raise_position(now, lsn);
         } else {
-            (self.lag, self.placed) = (self.lag.max(now - lsn), now);
+            self.lag = self.lag.max(now - lsn);
+            self.lag_known_at = now;
         }
     }
 
-    /// Waiting for executions that are out adds up from the last answer on, each from its own send.
-    pub fn await_until(&mut self, now: f64) {
-        self.awaited += self.out as f64 * self.quickness * (now - self.awaited_until);
-        self.awaited_until = now;
+    /// Adds up the waiting time of the executions in flight until now.
+    pub fn accrue_wait(&mut self, now: f64) {
+        self.waited_s += self.in_flight as f64 * self.mean_speed * (now - self.waited_until);
+        self.waited_until = now;
     }
 
-    pub fn enters(&mut self, now: f64, length: f64) {
-        self.await_until(now);
-        let owes = self.out as f64 * self.quickness + 1.0 / length;
-        self.out += 1;
-        self.quickness = owes / self.out as f64;
+    /// Adds an execution of this relative length to those in flight.
+    pub fn add_in_flight(&mut self, now: f64, length: f64) {
+        self.accrue_wait(now);
+        let speed = self.in_flight as f64 * self.mean_speed + 1.0 / length;
+        self.in_flight += 1;
+        self.mean_speed = speed / self.in_flight as f64;
     }
 
-    /// Without a length it was as the others.
-    pub fn leaves(&mut self, now: f64, length: Option<f64>) {
-        self.await_until(now);
-        let owes =
-            self.out as f64 * self.quickness - length.map_or(self.quickness, |length| 1.0 / length);
-        self.out = self.out.saturating_sub(1);
-        self.quickness = if self.out > 0 {
-            (owes / self.out as f64).max(0.0)
+    /// Removes an execution from those in flight. One of unknown length counts as average.
+    pub fn remove_in_flight(&mut self, now: f64, length: Option<f64>) {
+        self.accrue_wait(now);
+        let speed = self.in_flight as f64 * self.mean_speed
+            - length.map_or(self.mean_speed, |length| 1.0 / length);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.mean_speed = if self.in_flight > 0 {
+            (speed / self.in_flight as f64).max(0.0)
         } else {
             1.0
         };
     }
 
-    pub fn new(group: u16, zone: u8, rooms: (f64, f64), prior: (f64, f64)) -> Node {
-        let ((room, least_room), (pace, answers)) = (rooms, prior);
-        let (lsn, heard, probed, cut) = (NEVER, NEVER, NEVER, NEVER);
-        let (claimed, denied, placed, lag) = (NEVER, NEVER, NEVER, f64::INFINITY);
+    /// Creates a node that has not answered yet. The initial latency estimate counts as `prior_answers` answers.
+    pub fn new(
+        group: u16,
+        zone: u8,
+        concurrency_limit: f64,
+        min_concurrency_limit: f64,
+        latency_s: f64,
+        prior_answers: f64,
+    ) -> Node {
         Node {
             group,
             zone,
-            room,
-            least_room,
-            pace,
-            answers,
-            lsn,
-            heard,
-            lag,
-            placed,
-            quickness: 1.0,
-            probed,
-            cut,
-            claimed,
-            denied,
+            concurrency_limit,
+            min_concurrency_limit,
+            latency_s,
+            answers: prior_answers,
+            lsn: NEVER,
+            last_heard_at: NEVER,
+            lag: f64::INFINITY,
+            lag_known_at: NEVER,
+            mean_speed: 1.0,
+            last_probe_at: NEVER,
+            limit_cut_at: NEVER,
+            claimed_primary_at: NEVER,
+            denied_primary_at: NEVER,
             ..Node::default()
         }
     }
 }
 
-/// The shares of a statement's workload and customer.
-pub fn shares_of<'a>(
-    shares: &'a mut [Vec<(f64, f64)>; 2],
+/// Returns the served value of a statement's workload and of its tenant.
+pub fn served_value_of<'a>(
+    served_value: &'a mut [Vec<ServedValue>; 2],
     s: &Statement,
-) -> impl Iterator<Item = &'a mut (f64, f64)> {
-    let served_as = s.served_as;
-    shares
+) -> impl Iterator<Item = &'a mut ServedValue> {
+    let share_indices = s.share_indices;
+    served_value
         .iter_mut()
-        .zip(served_as)
+        .zip(share_indices)
         .filter_map(|(all, i)| all.get_mut(i))
 }
-
-/// One more: a rate a second, as of the last event. Rates fade over the time for which a session is marked.
-pub fn count(rate: &mut (f64, f64), now: f64) {
-    *rate = (
-        now,
-        rate.1 * (-(now - rate.0) / MARK_S).exp() + 1.0 / MARK_S,
-    );
-}
--- a/crates/core/routing/src/succeed.rs
+++ b/crates/core/routing/src/succeed.rs
@@ -3,7 +3,7 @@
 //! nothing of it acts.
 
 use crate::state::{NEVER, ROUNDING_S, Statement};
-use crate::{Allowance, Currency, Ending, Instance, Repeat, Role, Standing};
+use crate::{Consistency, ExecutionOutcome, Instance, NodeStatus, PolicyLimits, Repeat, Role};
 use badgerstream_primary_change::{
     Evidence, Next, Phase, Settings, Succession, Verdict, Wish, next,
 };
@@ -22,17 +22,21 @@
                     for (id, node) in of.members.iter().map(|m| (*m, &self.nodes[m])) {
                         if Some(id) == of.primary {
                             succession.hear(
-                                node.claimed,
+                                node.claimed_primary_at,
                                 *group,
                                 id,
-                                Evidence::Leads { at: node.claimed },
+                                Evidence::Leads {
+                                    at: node.claimed_primary_at,
+                                },
                             );
-                        } else if node.denied > NEVER {
+                        } else if node.denied_primary_at > NEVER {
                             succession.hear(
-                                node.denied,
+                                node.denied_primary_at,
                                 *group,
                                 id,
-                                Evidence::Follows { at: node.denied },
+                                Evidence::Follows {
+                                    at: node.denied_primary_at,
+                                },
                             );
                         }
                     }
@@ -41,7 +45,9 @@
             }
             (some, None) => {
                 *some = None;
-                self.statements.values_mut().for_each(|s| s.waits = false);
+                self.statements
+                    .values_mut()
+                    .for_each(|s| s.waits_for_primary = false);
             }
         }
         self.touch_all();
@@ -58,7 +64,7 @@
     /// its outcome can be asked for.
     pub fn carries(&mut self, stmt: u32, bytes: usize, marked: bool) {
         if let Some(s) = self.statements.get_mut(&stmt) {
-            (s.bytes, s.marked) = (bytes, marked);
+            (s.bytes, s.carries_mark) = (bytes, marked);
         }
     }
 
@@ -67,7 +73,7 @@
         let (Some(succession), Some(s)) = (&self.succession, self.statements.get(&stmt)) else {
             return true;
         };
-        !s.writes() || succession.vouches(s.group, id)
+        !s.is_write() || succession.vouches(s.group, id)
     }
 
     /// A node's own word on its log, from a load report: up to where it was taken over, and since when it leads.
@@ -115,18 +121,18 @@
         }
     }
 
-    pub(crate) fn witness_list(&mut self, now: f64, id: u32, at: Standing, leads: bool) {
+    pub(crate) fn witness_list(&mut self, now: f64, id: u32, at: NodeStatus, leads: bool) {
         if self.succession.is_some() {
             self.witness(
                 now,
                 id,
-                if at == Standing::Ready {
+                if at == NodeStatus::Ready {
                     Evidence::Stays
                 } else {
                     Evidence::Leaving
                 },
             );
-            if leads && at == Standing::Ready {
+            if leads && at == NodeStatus::Ready {
                 self.witness(now, id, Evidence::Listed);
             }
         }
@@ -138,17 +144,20 @@
         now: f64,
         stmt: u32,
         id: u32,
-        ending: Ending,
+        ending: ExecutionOutcome,
         role: Option<Role>,
         commit: Option<f64>,
     ) {
         if self.succession.is_none() {
             return;
         }
-        if ending == Ending::Unconnected {
+        if ending == ExecutionOutcome::ConnectFailed {
             self.witness(now, id, Evidence::Lost);
         }
-        if matches!(ending, Ending::Dropped | Ending::Cut) {
+        if matches!(
+            ending,
+            ExecutionOutcome::ConnectionLost | ExecutionOutcome::SendInterrupted
+        ) {
             self.witness(now, id, Evidence::Broke);
         }
         self.witness_role(now, id, role, now);
@@ -156,8 +165,12 @@
             return;
         };
         let succession = self.succession.as_mut().expect("asked above");
-        let completed = ending == Ending::Completed;
-        let failed = !completed && !matches!(ending, Ending::Cancelled | Ending::Moot);
+        let completed = ending == ExecutionOutcome::Completed;
+        let failed = !completed
+            && !matches!(
+                ending,
+                ExecutionOutcome::Cancelled | ExecutionOutcome::NeverIssued
+            );
         succession.executed(now, group, stmt, id, completed, failed);
         if let Some(commit) = commit {
             succession.answered(group, id, commit);
@@ -172,8 +185,11 @@
             .as_ref()
             .is_none_or(|succession| succession.settled(s.group))
         {
-            if s.waits {
-                self.statements.get_mut(&stmt).expect("open").waits = false;
+            if s.waits_for_primary {
+                self.statements
+                    .get_mut(&stmt)
+                    .expect("open")
+                    .waits_for_primary = false;
             }
             return Verdict::Go;
         }
@@ -189,13 +205,13 @@
             .succession
             .as_ref()
             .is_some_and(|x| x.phase(s.group) == Phase::Settling);
-        let any = led && !s.writes() && !self.pinned(s, now);
+        let any = led && !s.is_write() && !self.prefers_primary(s, now);
         let s = self.statements.get_mut(&stmt).expect("open");
-        s.waits = free && !any || verdict != Verdict::Go;
+        s.waits_for_primary = free && !any || verdict != Verdict::Go;
         match verdict {
             // The pace of the release is what it waits for, no pause of its own.
             Verdict::Go if !free => s.held_until = s.held_until.min(now),
-            Verdict::Refuse { after } => s.advice = after,
+            Verdict::Refuse { after } => s.retry_after_s = after,
             Verdict::Go | Verdict::Hold => {}
         }
         verdict
@@ -204,11 +220,11 @@
     /// None for what needs no primary now, or could not be sent to one.
     fn wish(&self, s: &Statement, now: f64) -> Option<Wish> {
         // What is out and not late yet is let finish.
-        let late = s.live().all(|e| self.overdue(e, now));
-        let out = s.live().next().is_some();
-        let needs = match s.kind.currency {
-            Currency::Primary => late && !(out && s.kind.repeat == Repeat::NonIdempotent),
-            _ => !out && self.pinned(s, now) && !self.read_elsewhere(s, now),
+        let late = s.in_flight().all(|e| self.overdue(e, now));
+        let out = s.in_flight().next().is_some();
+        let needs = match s.workload.consistency {
+            Consistency::Primary => late && !(out && s.workload.repeat == Repeat::NonIdempotent),
+            _ => !out && self.prefers_primary(s, now) && !self.replica_can_serve(s, now),
         };
         // What may neither go again nor be asked about takes no place from who may.
         let stuck = !self.repeatable(s, None, now) && self.next(s, now) != Next::Inquire;
@@ -217,19 +233,19 @@
             .as_ref()
             .is_some_and(|x| !x.in_doubt(now, s.group));
         let needs = needs && !(stuck && led);
-        let tries = !self.allowance.probes && s.kind.repeat != Repeat::NonIdempotent;
+        let tries = !self.limits.probes && s.workload.repeat != Repeat::NonIdempotent;
         needs.then(|| Wish {
             group: s.group,
             session: s.session,
             bytes: s.bytes,
-            worth: s.worth,
-            arrived: s.arrived,
-            due: s.last_use(),
-            doubtful: s.writes() && s.may_have_run().next().is_some(),
+            worth: s.value,
+            arrived: s.arrived_at,
+            due: s.last_useful_at(),
+            doubtful: s.is_write() && s.may_have_run().next().is_some(),
             served: self.groups[&s.group]
                 .primary
-                .is_some_and(|p| !self.nodes[&p].closed(&self.drain, true, now)),
-            tries: tries && s.executions.len() * 2 < self.allowance.executions,
+                .is_some_and(|p| !self.nodes[&p].is_closed(&self.drain, true, now)),
+            tries: tries && s.executions.len() * 2 < self.limits.max_executions,
         })
     }
 
@@ -238,17 +254,20 @@
         let Some(succession) = &self.succession else {
             return false;
         };
-        let (asked, told) = s
-            .executions
-            .iter()
-            .filter(|e| e.asks)
-            .fold((0, false), |(n, told), e| {
-                (n + 1, told || matches!(e.ended, Some(Ending::Errored)))
-            });
+        let (asked, told) =
+            s.executions
+                .iter()
+                .filter(|e| e.is_inquiry)
+                .fold((0, false), |(n, told), e| {
+                    (
+                        n + 1,
+                        told || matches!(e.outcome, Some(ExecutionOutcome::Errored)),
+                    )
+                });
         let open = asked < INQUIRIES && !told;
         let changing = succession.in_doubt(now, s.group);
         open && (self.next(s, now) == Next::Inquire
-            || changing && s.marked && succession.settings().outcomes)
+            || changing && s.carries_mark && succession.settings().outcomes)
     }
 
     /// What becomes of a write whose answer is missing.
@@ -256,7 +275,7 @@
         let (Some(succession), Some(first)) = (&self.succession, s.may_have_run().next()) else {
             return Next::Again;
         };
-        let repeat = match s.kind.repeat {
+        let repeat = match s.workload.repeat {
             Repeat::Idempotent => badgerstream_primary_change::Repeat::Harmless,
             Repeat::Deduplicated { .. } if self.repeatable(s, None, now) => {
                 badgerstream_primary_change::Repeat::Dropped {
@@ -271,7 +290,7 @@
             repeat,
             now,
             outcomes,
-            s.marked,
+            s.carries_mark,
             sent,
             succession.term(s.group),
         )
@@ -282,19 +301,19 @@
         let Some(succession) = self
             .succession
             .as_ref()
-            .filter(|_| s.kind.currency == Currency::OwnWrites)
+            .filter(|_| s.workload.consistency == Consistency::OwnWrites)
         else {
             return false;
         };
         // A carried age was rounded up by one step, and half of one parts neighbours.
-        [s.owed - 1.5 * ROUNDING_S, s.known]
+        [s.required_lsn - 1.5 * ROUNDING_S, s.session_write_lsn]
             .iter()
             .any(|commit| succession.lost(s.group, *commit))
     }
 
     /// Whether a position can't tell now that a session's writes are there.
     pub(crate) fn log_in_doubt(&self, s: &Statement) -> bool {
-        let owing = s.kind.currency == Currency::OwnWrites && s.owed > NEVER;
+        let owing = s.workload.consistency == Consistency::OwnWrites && s.required_lsn > NEVER;
         owing
             && self
                 .succession
@@ -321,7 +340,7 @@
 
 impl Statement {
     /// The advice that fits both what clients follow and what this statement was told.
-    pub(crate) fn advised(&self, allowance: &Allowance) -> f64 {
-        self.advice.min(allowance.retry_after)
+    pub(crate) fn advised(&self, limits: &PolicyLimits) -> f64 {
+        self.retry_after_s.min(limits.max_retry_after_s)
     }
 }
--- a/crates/core/routing/src/tally.rs
+++ b/crates/core/routing/src/tally.rs
@@ -1,27 +1,31 @@
-//! What was given up, by which rule, and what stood in the way at each member that could have taken it: counted for
-//! whoever reads the log, decided elsewhere.
+//! Counters for the log: how many statements were given up and by which rule, and what kept each member of the group
+//! from taking them. They do not influence any decision.
 
 use crate::state::Statement;
-use crate::{Currency, Ending, Instance, Standing};
+use crate::{Consistency, ExecutionOutcome, Instance, NodeStatus};
 use std::collections::BTreeMap;
 
-/// Counts by name, over the router's life.
+/// Counters since the router's start.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    pub taken: u64,
-    /// Final answers of ours, by the rule that gave the statement up.
+    /// Statements that arrived.
+    pub accepted: u64,
+    /// Final answers of the router itself, by the rule that gave the statement up.
     pub given_up: BTreeMap<&'static str, u64>,
-    /// For each of them, its group's members by what stood in the way there.
-    pub in_the_way: BTreeMap<&'static str, u64>,
-    /// Members of the groups of what waits, at moments when somebody looked, by what stands in the way there.
-    pub waits_for: BTreeMap<&'static str, u64>,
+    /// Members of the groups of the statements given up, by what kept them from taking the statement.
+    pub given_up_obstacles: BTreeMap<&'static str, u64>,
+    /// Members of the groups of the statements that were waiting at each call of [`Instance::count_waiting`], by what
+    /// kept them from taking the statement.
+    pub waiting_obstacles: BTreeMap<&'static str, u64>,
+    /// Probes.
     pub probes: u64,
+    /// Executions sent.
     pub sent: u64,
 }
 
 impl Tally {
-    /// One line for the log, each name as one word.
-    pub fn line(&self) -> String {
+    /// Returns the counters as one line for the log, with each name as one word.
+    pub fn log_line(&self) -> String {
         let word = |name: &str| name.replace(',', "").replace(' ', "_");
         let counts = |of: &BTreeMap<&'static str, u64>| {
             let each = of
@@ -31,65 +35,74 @@
         };
         format!(
             "taken={} sent={} probes={} given_up[{}] in_the_way[{}] waits_for[{}]",
-            self.taken,
+            self.accepted,
             self.sent,
             self.probes,
             counts(&self.given_up),
-            counts(&self.in_the_way),
-            counts(&self.waits_for)
+            counts(&self.given_up_obstacles),
+            counts(&self.waiting_obstacles)
         )
     }
 }
 
 impl Instance {
-    /// What stands in the way of sending a statement to a member now; nothing, where it could go.
-    pub fn in_the_way(&self, s: &Statement, id: u32, now: f64) -> &'static str {
-        let (node, leads) = (&self.nodes[&id], self.groups[&s.group].primary == Some(id));
-        let met = s.executions.iter().any(|e| e.node == id);
-        let pinned = matches!(s.kind.currency, Currency::Primary | Currency::Latest);
-        if pinned && !leads {
+    /// Returns what keeps a member from taking a statement now; "nothing" if it could take it.
+    pub fn obstacle(&self, s: &Statement, id: u32, now: f64) -> &'static str {
+        let node = &self.nodes[&id];
+        let is_primary = self.groups[&s.group].primary == Some(id);
+        let tried = s.executions.iter().any(|e| e.node == id);
+        let needs_primary = matches!(
+            s.workload.consistency,
+            Consistency::Primary | Consistency::Latest
+        );
+        if needs_primary && !is_primary {
             return if self.groups[&s.group].primary.is_none() {
                 "no primary known"
             } else {
                 "no primary"
             };
         }
-        let full = !self.has_room(s, id, now);
-        let rules: [(&'static str, bool); 9] = [
-            ("drains or is gone", node.standing != Standing::Ready),
-            ("was met", met),
-            ("suspect", node.suspected.is_some()),
+        let full = !self.has_capacity(s, id, now);
+        let obstacles: [(&'static str, bool); 9] = [
+            ("drains or is gone", node.status != NodeStatus::Ready),
+            ("was met", tried),
+            ("suspect", node.suspected_at.is_some()),
             ("not its turn", !self.let_through(id, now)),
-            ("data too old", !self.current(s, id, now)),
-            ("no room", full && node.out > 0),
-            // Nothing of this router's is out there: only a part of one may be, and its lot is beyond that.
+            ("data too old", !self.fresh_enough(s, id, now)),
+            ("no room", full && node.in_flight > 0),
+            // None of this router's executions is in flight there: the limit is below 1 and admits only a part of
+            // the statements, and this one's admission rank is too high.
             ("no room in parts", full),
-            ("cold", !self.bearable(node, id, s, now)),
-            ("primary, while replicas may do", leads && !pinned),
+            ("cold", !self.within_cold_budget(node, id, s, now)),
+            (
+                "primary, while replicas may do",
+                is_primary && !needs_primary,
+            ),
         ];
-        rules
+        obstacles
             .iter()
-            .find(|rule| rule.1)
-            .map_or("nothing", |rule| rule.0)
+            .find(|obstacle| obstacle.1)
+            .map_or("nothing", |obstacle| obstacle.0)
     }
 
-    /// A statement gets a final answer of ours: by which rule, in the order in which they act.
-    pub(crate) fn note(&mut self, stmt: u32, now: f64) {
+    /// Counts a statement that gets a final answer of the router itself. The conditions are checked in the order in
+    /// which the rules apply.
+    pub(crate) fn count_given_up(&mut self, stmt: u32, now: f64) {
         let Some(s) = self.statements.get(&stmt) else {
             return;
         };
         let errors = s
             .executions
             .iter()
-            .filter(|e| e.ended == Some(Ending::Errored))
+            .filter(|e| e.outcome == Some(ExecutionOutcome::Errored))
             .count();
-        let rule = if s.executions.is_empty() && now >= s.slo_end {
+        let rule = if s.executions.is_empty() && now >= s.slo_deadline {
             "too late, never sent"
         } else if self.held_too_long(s, now) {
             "held too long"
         } else if errors > 1 {
             "errs everywhere"
-        } else if s.executions.len() >= self.allowance.executions {
+        } else if s.executions.len() >= self.limits.max_executions {
             "all executions spent"
         } else if !self.repeatable(s, None, now) {
             "may have run"
@@ -99,17 +112,18 @@
             "too late to repeat"
         };
         let members = self.groups[&s.group].members.clone();
-        let ways: Vec<&'static str> = members
+        let obstacles: Vec<&'static str> = members
             .iter()
-            .map(|id| self.in_the_way(s, *id, now))
+            .map(|id| self.obstacle(s, *id, now))
             .collect();
         *self.tally.given_up.entry(rule).or_default() += 1;
-        ways.into_iter()
-            .for_each(|way| *self.tally.in_the_way.entry(way).or_default() += 1);
+        obstacles.into_iter().for_each(|obstacle| {
+            *self.tally.given_up_obstacles.entry(obstacle).or_default() += 1;
+        });
     }
 
-    /// Looks at what waits: for whoever reads the log.
-    pub fn note_waiting(&mut self, now: f64) {
+    /// Counts what keeps the members of each group from taking the statements that wait now.
+    pub fn count_waiting(&mut self, now: f64) {
         let waiting: Vec<u32> = self
             .groups
             .values()
@@ -117,11 +131,12 @@
             .copied()
             .collect();
         let open = waiting.iter().filter_map(|stmt| self.statements.get(stmt));
-        let ways: Vec<&'static str> = open
+        let obstacles: Vec<&'static str> = open
             .flat_map(|s| self.groups[&s.group].members.iter().map(move |id| (s, *id)))
-            .map(|(s, id)| self.in_the_way(s, id, now))
+            .map(|(s, id)| self.obstacle(s, id, now))
             .collect();
-        ways.into_iter()
-            .for_each(|way| *self.tally.waits_for.entry(way).or_default() += 1);
+        obstacles.into_iter().for_each(|obstacle| {
+            *self.tally.waiting_obstacles.entry(obstacle).or_default() += 1;
+        });
     }
 }
--- a/crates/core/routing/src/tests.rs
+++ b/crates/core/routing/src/tests.rs
@@ -1,6 +1,6 @@
 //! Each test sets up just the state it needs, then calls one function.
 
-use crate::state::{Execution, Node};
+use crate::state::{Execution, Node, Rate, Session};
 use crate::*;
 use test_case::test_case;
 
@@ -49,63 +49,67 @@
     fn log(&mut self, _line: &str) {}
 }
 
-fn workload(currency: Currency, repeat: Repeat, importance: f64) -> Workload {
+fn workload(consistency: Consistency, repeat: Repeat, importance: f64) -> Workload {
     Workload {
         slo: 0.4,
         slo_stretch: 0.0,
         timeout: 2.0,
         importance,
-        late_worth: 0.2,
+        late_value: 0.2,
         repeat,
-        currency,
+        consistency,
     }
 }
 
 /// One group: A the primary, B and C replicas that stand at the present; nothing checked by the nodes.
 fn router(checked: bool) -> Instance {
-    let within = Repeat::Deduplicated {
-        within: Within::Group,
-        memory: 1.2,
+    let deduplicated = Repeat::Deduplicated {
+        scope: DedupScope::Group,
+        memory_s: 1.2,
     };
     let workloads = vec![
-        workload(Currency::Primary, within, 6.0),
-        workload(Currency::OwnWrites, Repeat::Idempotent, 1.0),
-        workload(Currency::Recent { bound: 0.5 }, Repeat::Idempotent, 3.0),
-        workload(Currency::Loose, Repeat::Idempotent, 1.0),
-        workload(Currency::Latest, Repeat::Idempotent, 1.0),
-        workload(Currency::Primary, Repeat::NonIdempotent, 6.0),
+        workload(Consistency::Primary, deduplicated, 6.0),
+        workload(Consistency::OwnWrites, Repeat::Idempotent, 1.0),
+        workload(
+            Consistency::Recent { max_age_s: 0.5 },
+            Repeat::Idempotent,
+            3.0,
+        ),
+        workload(Consistency::Loose, Repeat::Idempotent, 1.0),
+        workload(Consistency::Latest, Repeat::Idempotent, 1.0),
+        workload(Consistency::Primary, Repeat::NonIdempotent, 6.0),
     ];
     let fairness = Fairness {
-        whole: 1.0,
+        overall: 1.0,
         worst_workload: 0.0,
-        worst_customer: 0.0,
+        worst_tenant: 0.0,
     };
     let replication = Replication {
-        checked,
-        carried: true,
+        nodes_check_freshness: checked,
+        sessions_carry_write_age: true,
     };
-    let cold = ColdStart {
-        share: 0.2,
-        lasts: 10.0,
-        factor: 2.0,
-        window: 1.0,
+    let cold_start = ColdStart {
+        initial_share: 0.2,
+        duration_s: 10.0,
+        overload_factor: 2.0,
+        window_s: 1.0,
     };
     let drain = Drain {
-        grace: 0.5,
-        only_draining: false,
+        grace_s: 0.5,
+        only_draining_binds: false,
     };
-    let allowance = Allowance {
-        executions: 8,
-        second_copies: true,
-        cancelling: true,
+    let limits = PolicyLimits {
+        max_executions: 8,
+        hedging: true,
+        cancellation: true,
         probes: true,
-        probe_price: 0.03,
-        retry_after: 1.0,
-        step: 0.005,
+        probe_cost_share: 0.03,
+        max_retry_after_s: 1.0,
+        clock_step_s: 0.005,
     };
     let quotas = vec![Quota {
         per_s: 10.0,
-        beyond: 0.2,
+        excess_value: 0.2,
     }];
     let mut router = Instance::new(
         7,
@@ -114,24 +118,32 @@
         quotas,
         fairness,
         replication,
-        cold,
+        cold_start,
         drain,
-        allowance,
+        limits,
     );
-    router.listing();
+    router.list_begins();
     for id in [A, B, C] {
-        router.member(T, id, (G, 0), Standing::Ready, 0.0, id == A);
+        router.list_member(T, id, (G, 0), NodeStatus::Ready, 0.0, id == A);
         let node = router.nodes.get_mut(&id).unwrap();
-        (node.lsn, node.heard, node.pace) = (T, T, 0.1);
-        node.denied = if id == A { node.denied } else { T };
+        (node.lsn, node.last_heard_at, node.latency_s) = (T, T, 0.1);
+        node.denied_primary_at = if id == A { node.denied_primary_at } else { T };
     }
-    router.listed(T, true);
-    router.nodes.get_mut(&A).unwrap().claimed = T;
+    router.list_ends(T, true);
+    router.nodes.get_mut(&A).unwrap().claimed_primary_at = T;
     let group = router.groups.get_mut(&G).unwrap();
     (group.primary, group.members, group.rotation) = (Some(A), vec![A, B, C], Rotation::default());
     router
 }
 
+/// A rate of events, as of T.
+fn rate(per_s: f64) -> Rate {
+    Rate {
+        updated_at: T,
+        per_s,
+    }
+}
+
 fn take(router: &mut Instance, now: f64, stmt: u32, workload: usize, session: u64, age: f64) {
     router.arrived(now, stmt, workload, G, session, 9, 0.0, now + 2.0, age);
 }
@@ -152,9 +164,9 @@
         .push(execution);
 }
 
-fn sent(node: u32, at: f64, ended: Option<Ending>) -> Execution {
+fn sent(node: u32, at: f64, ended: Option<ExecutionOutcome>) -> Execution {
     Execution {
-        ended,
+        outcome: ended,
         ..Execution::new(node, at)
     }
 }
@@ -184,10 +196,14 @@
 #[test_case(3.1, B; "after three seconds")]
 fn a_send_to_the_primary_marks_the_session(later: f64, expected: u32) {
     let mut router = router(true);
-    router.sessions.insert(5, (Mark::at(T), T - 9.0));
+    let session = Session {
+        affinity: PrimaryAffinity::at(T),
+        last_write_lsn: T - 9.0,
+    };
+    router.sessions.insert(5, session);
     for id in [B, C] {
         let node = router.nodes.get_mut(&id).unwrap();
-        (node.lsn, node.heard) = (T + later, T + later);
+        (node.lsn, node.last_heard_at) = (T + later, T + later);
     }
     take(&mut router, T + later, 1, OWN, 5, 0.0);
     assert_eq!(router.choose(1, T + later), Some(expected));
@@ -198,7 +214,7 @@
 fn a_marked_read_leaves_a_full_primary_for_a_replica(known: f64, expected: Option<u32>) {
     let mut router = router(false);
     let primary = router.nodes.get_mut(&A).unwrap();
-    primary.out = primary.room as usize;
+    primary.in_flight = primary.concurrency_limit as usize;
     for id in [B, C] {
         router.nodes.get_mut(&id).unwrap().lsn = known;
     }
@@ -213,15 +229,15 @@
     let mut router = router(checked);
     router.nodes.get_mut(&B).unwrap().lsn = lsn;
     take(&mut router, T, 1, RECENT, 0, 0.0);
-    assert_eq!(router.current(&router.statements[&1], B, T), expected);
+    assert_eq!(router.fresh_enough(&router.statements[&1], B, T), expected);
 }
 
 #[test]
 fn a_deposed_primary_answers_no_fresh_read() {
     let mut router = router(false);
     take(&mut router, T + 1.0, 1, LATEST, 0, 0.0);
-    router.nodes.get_mut(&A).unwrap().denied = T + 0.5;
-    assert!(!router.current(&router.statements[&1], A, T + 1.0));
+    router.nodes.get_mut(&A).unwrap().denied_primary_at = T + 0.5;
+    assert!(!router.fresh_enough(&router.statements[&1], A, T + 1.0));
 }
 
 #[test_case(T - 0.5, Some(A); "an older claim in a late report")]
@@ -229,7 +245,7 @@
 #[test_case(T + 9.0, Some(A); "a claim from the future is a broken report")]
 fn of_two_that_claim_the_role_the_later_leads(claim: f64, expected: Option<u32>) {
     let mut router = router(false);
-    router.nodes.get_mut(&B).unwrap().denied = T - 2.0;
+    router.nodes.get_mut(&B).unwrap().denied_primary_at = T - 2.0;
     router.reported(T + 1.0, B, Some(true), claim);
     settle(&mut router, T + 1.0);
     assert_eq!(router.groups[&G].primary, expected);
@@ -240,7 +256,8 @@
     let mut router = router(false);
     for id in [A, B, C] {
         let node = router.nodes.get_mut(&id).unwrap();
-        (node.claimed, node.denied) = (f64::NEG_INFINITY, if id == C { T - 1.0 } else { T });
+        (node.claimed_primary_at, node.denied_primary_at) =
+            (f64::NEG_INFINITY, if id == C { T - 1.0 } else { T });
     }
     take(&mut router, T, 1, ONCE, 0, 0.0);
     take(&mut router, T, 2, ONCE, 0, 0.0);
@@ -252,7 +269,7 @@
             stmt,
             0,
             C,
-            Ending::Missed,
+            ExecutionOutcome::NotEligible,
             0.001,
             false,
             Some(Role::Replica),
@@ -270,11 +287,11 @@
 #[test]
 fn a_claim_releases_held_writes() {
     let mut router = router(false);
-    router.nodes.get_mut(&A).unwrap().denied = T + 0.1;
+    router.nodes.get_mut(&A).unwrap().denied_primary_at = T + 0.1;
     settle(&mut router, T + 0.1);
     [A, B, C]
         .iter()
-        .for_each(|id| router.nodes.get_mut(id).unwrap().denied = T + 0.1);
+        .for_each(|id| router.nodes.get_mut(id).unwrap().denied_primary_at = T + 0.1);
     take(&mut router, T + 0.1, 1, ONCE, 0, 0.0);
     assert!(settle(&mut router, T + 0.1).is_empty());
     router.reported(T + 0.15, B, Some(true), T + 0.14);
@@ -286,9 +303,9 @@
 fn silence(waited: f64, out: usize, expected: bool) {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.out, node.awaited_until) = (out, T);
+    (node.in_flight, node.waited_until) = (out, T);
     settle(&mut router, T + waited);
-    assert_eq!(router.nodes[&B].suspected.is_some(), expected);
+    assert_eq!(router.nodes[&B].suspected_at.is_some(), expected);
 }
 
 /// Found on a day of thousands of statements a second, answered in 2 ms: whenever the router got no processor for
@@ -298,10 +315,15 @@
 fn a_router_that_stood_still_blames_nobody(still: f64, expected: bool) {
     let mut router = router(false);
     for node in router.nodes.values_mut() {
-        (node.out, node.awaited_until, node.pace, node.heard) = (8, T, 0.002, T);
+        (
+            node.in_flight,
+            node.waited_until,
+            node.latency_s,
+            node.last_heard_at,
+        ) = (8, T, 0.002, T);
     }
     settle(&mut router, T + still);
-    assert_eq!(router.nodes[&B].suspected.is_some(), expected);
+    assert_eq!(router.nodes[&B].suspected_at.is_some(), expected);
 }
 
 /// Found on a standard day: a slow execution made all that were sent after it look overdue.
@@ -309,13 +331,13 @@
 fn what_was_just_sent_is_not_owed_since_the_last_answer() {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.out, node.awaited_until) = (1, T);
+    (node.in_flight, node.waited_until) = (1, T);
     for stmt in 1..4 {
         take(&mut router, T + 0.5, stmt, LOOSE, 0, 0.0);
     }
     settle(&mut router, T + 0.5);
     settle(&mut router, T + 0.55);
-    assert!(router.nodes[&B].suspected.is_none());
+    assert!(router.nodes[&B].suspected_at.is_none());
 }
 
 /// Found on the first days: a pace that no answer had set yet made every node look silent at the start.
@@ -323,26 +345,26 @@
 fn no_node_is_silent_before_a_pace_is_known() {
     let mut router = router(false);
     for node in router.nodes.values_mut() {
-        *node = Node::new(G, 0, (8.0, 1.0), (0.2, 4.0));
-        (node.out, node.awaited_until) = (3, T);
+        *node = Node::new(G, 0, 8.0, 1.0, 0.2, 4.0);
+        (node.in_flight, node.waited_until) = (3, T);
     }
     settle(&mut router, T + 0.3);
-    assert!(router.nodes.values().all(|n| n.suspected.is_none()));
+    assert!(router.nodes.values().all(|n| n.suspected_at.is_none()));
 }
 
-#[test_case(Ending::Unconnected, 1, true; "out of reach")]
-#[test_case(Ending::Dropped, 5, false; "five connections cut")]
-#[test_case(Ending::Dropped, 6, true; "cut in a row")]
-#[test_case(Ending::Cut, 6, true; "cut in a row before the last byte")]
-#[test_case(Ending::Spoilt, 6, true; "no answers in a row")]
-#[test_case(Ending::Errored, 9, false; "errors that nothing shows to be the node's")]
-fn faults(ending: Ending, times: u8, expected: bool) {
+#[test_case(ExecutionOutcome::ConnectFailed, 1, true; "out of reach")]
+#[test_case(ExecutionOutcome::ConnectionLost, 5, false; "five connections cut")]
+#[test_case(ExecutionOutcome::ConnectionLost, 6, true; "cut in a row")]
+#[test_case(ExecutionOutcome::SendInterrupted, 6, true; "cut in a row before the last byte")]
+#[test_case(ExecutionOutcome::InvalidAnswer, 6, true; "no answers in a row")]
+#[test_case(ExecutionOutcome::Errored, 9, false; "errors that nothing shows to be the node's")]
+fn faults(ending: ExecutionOutcome, times: u8, expected: bool) {
     let mut router = router(false);
     for _ in 0..times {
         router.executed(T, 99, 0, B, ending, 0.001, false, None, f64::NEG_INFINITY);
     }
     settle(&mut router, T);
-    assert_eq!(router.nodes[&B].suspected.is_some(), expected);
+    assert_eq!(router.nodes[&B].suspected_at.is_some(), expected);
 }
 
 #[test_case(&[B], C; "one suspect is passed over")]
@@ -351,7 +373,7 @@
     let mut router = router(false);
     for id in suspects {
         let node = router.nodes.get_mut(id).unwrap();
-        (node.suspected, node.trial_at) = (Some(T), T);
+        (node.suspected_at, node.last_trial_at) = (Some(T), T);
     }
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     assert_eq!(router.choose(1, T), Some(expected));
@@ -361,11 +383,15 @@
 #[test]
 fn a_node_that_fails_most_connections_stays_a_suspect() {
     let mut router = router(false);
-    for ending in [Ending::Unconnected, Ending::Unconnected, Ending::Completed] {
+    for ending in [
+        ExecutionOutcome::ConnectFailed,
+        ExecutionOutcome::ConnectFailed,
+        ExecutionOutcome::Completed,
+    ] {
         router.executed(T, 99, 0, B, ending, 0.1, false, None, T);
         settle(&mut router, T + 0.1);
     }
-    assert!(router.nodes[&B].suspected.is_some());
+    assert!(router.nodes[&B].suspected_at.is_some());
 }
 
 #[test_case(LOOSE, Some(B); "a read that may repeat tries a suspect")]
@@ -375,11 +401,11 @@
     router.groups.get_mut(&G).unwrap().primary = Some(B);
     for id in [A, B] {
         let node = router.nodes.get_mut(&id).unwrap();
-        (node.suspected, node.trial_at) = (Some(T - 9.0), T - 9.0);
+        (node.suspected_at, node.last_trial_at) = (Some(T - 9.0), T - 9.0);
     }
-    router.nodes.get_mut(&A).unwrap().denied = T;
-    router.nodes.get_mut(&C).unwrap().out = 99;
-    router.nodes.get_mut(&A).unwrap().out = 99;
+    router.nodes.get_mut(&A).unwrap().denied_primary_at = T;
+    router.nodes.get_mut(&C).unwrap().in_flight = 99;
+    router.nodes.get_mut(&A).unwrap().in_flight = 99;
     take(&mut router, T, 1, workload, 0, 0.0);
     assert_eq!(router.choose(1, T), expected);
 }
@@ -392,18 +418,18 @@
     router.groups.get_mut(&G).unwrap().waiting.clear();
     push(&mut router, sent(B, T, None));
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.suspected, node.trial_at, node.out) = (Some(T), T, 1);
+    (node.suspected_at, node.last_trial_at, node.in_flight) = (Some(T), T, 1);
     assert_eq!(settle(&mut router, T + 0.1), expected);
 }
 
-#[test_case(LOOSE, Ending::TimedOut, 0.1, true; "idempotent")]
-#[test_case(ONCE, Ending::TimedOut, 0.1, false; "non-idempotent that may have run")]
-#[test_case(ONCE, Ending::Dropped, 0.1, false; "non-idempotent that was cut off")]
-#[test_case(ONCE, Ending::Errored, 0.1, false; "non-idempotent that errored")]
-#[test_case(ONCE, Ending::Missed, 0.1, true; "non-idempotent proved unrun")]
-#[test_case(WRITE, Ending::Dropped, 0.5, true; "deduplicated inside the memory")]
-#[test_case(WRITE, Ending::Dropped, 1.1, false; "deduplicated near the memory's end")]
-fn repeats(workload: usize, ending: Ending, later: f64, expected: bool) {
+#[test_case(LOOSE, ExecutionOutcome::TimedOut, 0.1, true; "idempotent")]
+#[test_case(ONCE, ExecutionOutcome::TimedOut, 0.1, false; "non-idempotent that may have run")]
+#[test_case(ONCE, ExecutionOutcome::ConnectionLost, 0.1, false; "non-idempotent that was cut off")]
+#[test_case(ONCE, ExecutionOutcome::Errored, 0.1, false; "non-idempotent that errored")]
+#[test_case(ONCE, ExecutionOutcome::NotEligible, 0.1, true; "non-idempotent proved unrun")]
+#[test_case(WRITE, ExecutionOutcome::ConnectionLost, 0.5, true; "deduplicated inside the memory")]
+#[test_case(WRITE, ExecutionOutcome::ConnectionLost, 1.1, false; "deduplicated near the memory's end")]
+fn repeats(workload: usize, ending: ExecutionOutcome, later: f64, expected: bool) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     push(&mut router, sent(A, T, Some(ending)));
@@ -415,9 +441,13 @@
 
 #[test_case(LOOSE, None, "reject 1"; "a read may always be tried again")]
 #[test_case(WRITE, None, "abort 1"; "a deduplicated write still out")]
-#[test_case(WRITE, Some(Ending::Missed), "reject 1"; "a deduplicated write that never ran")]
-#[test_case(ONCE, Some(Ending::TimedOut), "abort 1"; "a non-idempotent write that may have run")]
-fn the_last_moment_has_one_answer(workload: usize, ended: Option<Ending>, expected: &str) {
+#[test_case(WRITE, Some(ExecutionOutcome::NotEligible), "reject 1"; "a deduplicated write that never ran")]
+#[test_case(ONCE, Some(ExecutionOutcome::TimedOut), "abort 1"; "a non-idempotent write that may have run")]
+fn the_last_moment_has_one_answer(
+    workload: usize,
+    ended: Option<ExecutionOutcome>,
+    expected: &str,
+) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     push(&mut router, sent(A, T, ended));
@@ -437,33 +467,37 @@
 
 #[test_case(WRITE, true, &[], true; "a write")]
 #[test_case(RECENT, true, &[], true; "a read that only the primary will do for")]
-#[test_case(WRITE, true, &[Ending::Unconnected, Ending::Moot], true; "no byte was written")]
-#[test_case(WRITE, true, &[Ending::Missed], false; "a node has seen it")]
+#[test_case(WRITE, true, &[ExecutionOutcome::ConnectFailed, ExecutionOutcome::NeverIssued], true; "no byte was written")]
+#[test_case(WRITE, true, &[ExecutionOutcome::NotEligible], false; "a node has seen it")]
 #[test_case(WRITE, false, &[], true; "the primary has no room, and an answer would be late")]
 #[test_case(ONCE, false, &[], false; "the primary has no room, and an answer would be in time")]
 fn nobody_in_reach_for_half_of_its_time(
     workload: usize,
     suspect: bool,
-    tried: &[Ending],
+    tried: &[ExecutionOutcome],
     expected: bool,
 ) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     if workload == ONCE {
-        router.statements.get_mut(&1).unwrap().slo_end = T + 1.5;
+        router.statements.get_mut(&1).unwrap().slo_deadline = T + 1.5;
     }
     router
         .nodes
         .values_mut()
-        .for_each(|n| (n.out, n.lsn) = (99, T - 9.0));
+        .for_each(|n| (n.in_flight, n.lsn) = (99, T - 9.0));
     tried
         .iter()
         .for_each(|ending| push(&mut router, sent(A, T, Some(*ending))));
     router.groups.get_mut(&G).unwrap().primary = Some(A);
     let leader = router.nodes.get_mut(&A).unwrap();
-    (leader.claimed, leader.suspected, leader.trial_at) = (T, suspect.then_some(T), T + 0.9);
+    (
+        leader.claimed_primary_at,
+        leader.suspected_at,
+        leader.last_trial_at,
+    ) = (T, suspect.then_some(T), T + 0.9);
     // Waited for from now on and at this pace, what is out makes it no suspect.
-    (leader.awaited_until, leader.pace) = (T, 99.0);
+    (leader.waited_until, leader.latency_s) = (T, 99.0);
     let s = &router.statements[&1];
     assert!(!router.held_too_long(s, T + 0.98) || !expected);
     assert_eq!(router.held_too_long(s, T + 0.99), expected);
@@ -478,16 +512,21 @@
 fn a_suspect_that_is_back(completes: bool, probed: bool, expected: &[&str]) {
     let mut router = router(false);
     for (id, node) in &mut router.nodes {
-        (node.out, node.pace, node.awaited_until) =
+        (node.in_flight, node.latency_s, node.waited_until) =
             if *id == B { (0, 0.1, T) } else { (99, 99.0, T) };
     }
     let node = router.nodes.get_mut(&B).unwrap();
     let tried = if completes { T - 0.2 } else { T - 1.0 };
-    (node.suspected, node.faults, node.trials, node.trial_at) = (Some(T - 9.0), 9, 3, tried);
+    (
+        node.suspected_at,
+        node.faults,
+        node.trials,
+        node.last_trial_at,
+    ) = (Some(T - 9.0), 9, 3, tried);
     if completes {
-        router.executed(T, 99, 0, B, Ending::Completed, 0.1, true, None, T);
+        router.executed(T, 99, 0, B, ExecutionOutcome::Completed, 0.1, true, None, T);
         assert!(
-            router.nodes[&B].suspected.is_some(),
+            router.nodes[&B].suspected_at.is_some(),
             "one good answer clears nobody"
         );
     }
@@ -509,7 +548,7 @@
         1,
         0,
         B,
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         0.1,
         true,
         Some(Role::Replica),
@@ -522,24 +561,24 @@
 fn a_read_worth_nothing_late_is_given_up_at_once() {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
-    router.statements.get_mut(&1).unwrap().kind.late_worth = 0.0;
-    router.nodes.values_mut().for_each(|n| n.out = 99);
+    router.statements.get_mut(&1).unwrap().workload.late_value = 0.0;
+    router.nodes.values_mut().for_each(|n| n.in_flight = 99);
     assert_eq!(settle(&mut router, T + 0.21), ["reject 1"]);
 }
 
-#[test_case(Standing::Draining, 0.1, true, false; "a draining primary within half the grace")]
-#[test_case(Standing::Draining, 0.1, false, true; "a draining replica")]
-#[test_case(Standing::Draining, 0.3, true, true; "a draining primary later")]
-#[test_case(Standing::Gone, 0.0, true, true; "a node that is gone")]
-fn drains(standing: Standing, later: f64, last_resort: bool, expected: bool) {
+#[test_case(NodeStatus::Draining, 0.1, true, false; "a draining primary within half the grace")]
+#[test_case(NodeStatus::Draining, 0.1, false, true; "a draining replica")]
+#[test_case(NodeStatus::Draining, 0.3, true, true; "a draining primary later")]
+#[test_case(NodeStatus::Gone, 0.0, true, true; "a node that is gone")]
+fn drains(standing: NodeStatus, later: f64, last_resort: bool, expected: bool) {
     let mut router = router(false);
-    router.member(T, B, (G, 0), standing, 0.0, false);
+    router.list_member(T, B, (G, 0), standing, 0.0, false);
     let drain = Drain {
-        grace: 0.5,
-        only_draining: false,
+        grace_s: 0.5,
+        only_draining_binds: false,
     };
     assert_eq!(
-        router.nodes[&B].closed(&drain, last_resort, T + later),
+        router.nodes[&B].is_closed(&drain, last_resort, T + later),
         expected
     );
 }
@@ -550,12 +589,12 @@
 #[test_case(false, None, None; "where gone binds it stays closed")]
 fn called_gone_without_a_drain(only_draining: bool, suspected: Option<f64>, expected: Option<u32>) {
     let mut router = router(false);
-    router.drain.only_draining = only_draining;
-    router.listing();
-    router.listed(T, true);
-    router.nodes.get_mut(&C).unwrap().drained = true;
-    router.nodes.get_mut(&B).unwrap().suspected = suspected;
-    router.nodes.get_mut(&A).unwrap().out = 99;
+    router.drain.only_draining_binds = only_draining;
+    router.list_begins();
+    router.list_ends(T, true);
+    router.nodes.get_mut(&C).unwrap().listed_draining = true;
+    router.nodes.get_mut(&B).unwrap().suspected_at = suspected;
+    router.nodes.get_mut(&A).unwrap().in_flight = 99;
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     assert_eq!(router.choose(1, T), expected);
 }
@@ -563,10 +602,10 @@
 #[test]
 fn a_whole_list_without_a_node_tells_that_it_is_gone() {
     let mut router = router(false);
-    router.listing();
-    router.member(T, A, (G, 0), Standing::Ready, 0.0, true);
-    router.listed(T, true);
-    assert_eq!(router.nodes[&B].standing, Standing::Gone);
+    router.list_begins();
+    router.list_member(T, A, (G, 0), NodeStatus::Ready, 0.0, true);
+    router.list_ends(T, true);
+    assert_eq!(router.nodes[&B].status, NodeStatus::Gone);
 }
 
 /// Found at 244 routers: with a floor of one send a router and window, a cold node was sent 3.5 times what it
@@ -578,16 +617,16 @@
 fn a_cold_node_gets_its_part(already: usize, borne: f64, lot: f64, expected: bool) {
     let mut router = router(false);
     router.routers = 40.0;
-    router.member(T, B, (G, 0), Standing::Ready, T, false);
-    (router.borne, router.warm) = ((T, borne), 2.0);
-    router.nodes.get_mut(&B).unwrap().sends = vec![T; already].into();
+    router.list_member(T, B, (G, 0), NodeStatus::Ready, T, false);
+    (router.completions, router.warm_nodes) = (rate(borne), 2.0);
+    router.nodes.get_mut(&B).unwrap().recent_sends = vec![T; already].into();
     take(&mut router, T, 1, LOOSE, 0, 0.0);
 
-    router.statements.get_mut(&1).unwrap().lot = lot;
-    router.groups.get_mut(&G).unwrap().asked = (T, 1.0);
+    router.statements.get_mut(&1).unwrap().admission_rank = lot;
+    router.groups.get_mut(&G).unwrap().arrivals = rate(1.0);
     let statement = &router.statements[&1];
     assert_eq!(
-        router.bearable(&router.nodes[&B], B, statement, T + 0.5),
+        router.within_cold_budget(&router.nodes[&B], B, statement, T + 0.5),
         expected
     );
 }
@@ -597,7 +636,7 @@
 #[test_case(0.2, &["execute 1 11"]; "not where the price is beyond what it is worth")]
 fn a_probe_is_asked_for_by_who_needs_it(price: f64, expected: &[&str]) {
     let mut router = router(false);
-    router.allowance.probe_price = price;
+    router.limits.probe_cost_share = price;
     for id in [B, C] {
         router.nodes.get_mut(&id).unwrap().lsn = T - 5.0;
     }
@@ -609,11 +648,11 @@
 
 /// Found on a day on which half of the statements erred at any node: the nodes became suspects, and each such
 /// statement was executed eight times.
-#[test_case(&[B], Ending::Completed, 2, &[]; "another node completes it: the first is to blame")]
-#[test_case(&[B], Ending::Errored, 0, &["reject 1"]; "another errs too: it is the statement, and final")]
+#[test_case(&[B], ExecutionOutcome::Completed, 2, &[]; "another node completes it: the first is to blame")]
+#[test_case(&[B], ExecutionOutcome::Errored, 0, &["reject 1"]; "another errs too: it is the statement, and final")]
 fn errors_follow_the_node_or_the_statement(
     before: &[u32],
-    ending: Ending,
+    ending: ExecutionOutcome,
     faults: u32,
     expected: &[&str],
 ) {
@@ -621,25 +660,25 @@
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     before
         .iter()
-        .for_each(|id| push(&mut router, sent(*id, T, Some(Ending::Errored))));
+        .for_each(|id| push(&mut router, sent(*id, T, Some(ExecutionOutcome::Errored))));
     push(&mut router, sent(C, T, None));
-    let over = ending == Ending::Completed;
+    let over = ending == ExecutionOutcome::Completed;
     router.executed(T, 1, 1, C, ending, 0.1, over, Some(Role::Replica), T);
     assert_eq!(settle(&mut router, T + 0.01), expected);
     assert_eq!(router.nodes[&B].faults, faults);
 }
 
 /// Found in an incident: nodes that restarted unannounced were pushed over within a second of their start.
-#[test_case(Ending::Unconnected, true; "out of reach")]
-#[test_case(Ending::Errored, false; "an error")]
-#[test_case(Ending::Spoilt, false; "what is no answer")]
-#[test_case(Ending::Dropped, true; "a connection that broke")]
-#[test_case(Ending::Cut, true; "a connection that broke before the last byte")]
-fn who_was_out_of_reach_may_be_cold(ending: Ending, expected: bool) {
+#[test_case(ExecutionOutcome::ConnectFailed, true; "out of reach")]
+#[test_case(ExecutionOutcome::Errored, false; "an error")]
+#[test_case(ExecutionOutcome::InvalidAnswer, false; "what is no answer")]
+#[test_case(ExecutionOutcome::ConnectionLost, true; "a connection that broke")]
+#[test_case(ExecutionOutcome::SendInterrupted, true; "a connection that broke before the last byte")]
+fn who_was_out_of_reach_may_be_cold(ending: ExecutionOutcome, expected: bool) {
     let mut router = router(false);
     router.executed(T, 99, 0, B, ending, 0.1, false, None, f64::NEG_INFINITY);
     assert_eq!(
-        router.nodes[&B].warmth(&router.cold, T + 1.0) < 1.0,
+        router.nodes[&B].warm_share(&router.cold_start, T + 1.0) < 1.0,
         expected
     );
 }
@@ -664,15 +703,18 @@
             f64::NEG_INFINITY,
         );
     };
-    end(&mut router, 0.0, Ending::Dropped);
+    end(&mut router, 0.0, ExecutionOutcome::ConnectionLost);
     assert_eq!(
-        router.nodes[&B].warmth(&router.cold, T + 0.09),
+        router.nodes[&B].warm_share(&router.cold_start, T + 0.09),
         1.0,
         "first it may show that it lives"
     );
-    assert!(router.nodes[&B].warmth(&router.cold, T + 0.11) < 1.0);
-    end(&mut router, answered, Ending::Completed);
-    assert_eq!(router.nodes[&B].warmth(&router.cold, T + 1.0) < 1.0, cold);
+    assert!(router.nodes[&B].warm_share(&router.cold_start, T + 0.11) < 1.0);
+    end(&mut router, answered, ExecutionOutcome::Completed);
+    assert_eq!(
+        router.nodes[&B].warm_share(&router.cold_start, T + 1.0) < 1.0,
+        cold
+    );
 }
 
 #[test]
@@ -692,12 +734,12 @@
 fn what_waited_for_a_cold_node_does_not_go_all_at_once() {
     let mut router = router(false);
     router.routers = 40.0;
-    (router.borne, router.warm) = ((T, 1.0), 2.0);
-    router.member(T, A, (G, 0), Standing::Ready, T, true);
+    (router.completions, router.warm_nodes) = (rate(1.0), 2.0);
+    router.list_member(T, A, (G, 0), NodeStatus::Ready, T, true);
     for stmt in 1..9 {
         take(&mut router, T, stmt, WRITE, 0, 0.0);
         let s = router.statements.get_mut(&stmt).unwrap();
-        (s.lot, s.halfway) = (0.1, s.due);
+        (s.admission_rank, s.halfway_at) = (0.1, s.deadline);
     }
     assert!(settle(&mut router, T + 1.6).is_empty());
 }
@@ -708,11 +750,11 @@
 #[test_case(LOOSE, 0.9, 0.2, &[]; "not late yet")]
 #[test_case(WRITE, 0.9, 0.4, &["execute 1 11"]; "a deduplicated write goes to its primary again")]
 #[test_case(ONCE, 0.9, 0.4, &[]; "a non-idempotent write never does")]
-fn copies_of_what_is_late(workload: usize, in_vain: f64, later: f64, expected: &[&str]) {
+fn copies_of_what_is_late(workload: usize, unanswered_share: f64, later: f64, expected: &[&str]) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     router.groups.get_mut(&G).unwrap().waiting.clear();
-    router.in_vain = in_vain;
+    router.unanswered_share = unanswered_share;
     push(
         &mut router,
         sent(if workload == LOOSE { B } else { A }, T, None),
@@ -724,9 +766,9 @@
 #[test_case(1, 0.9, false; "one alone, where answers get lost")]
 #[test_case(2, 0.9, true; "two in a row")]
 #[test_case(1, 0.1, true; "one alone, where all come")]
-fn unanswered_executions_show_a_jam(times: u8, in_vain: f64, expected: bool) {
+fn unanswered_executions_show_a_jam(times: u8, unanswered_share: f64, expected: bool) {
     let mut router = router(false);
-    router.in_vain = in_vain;
+    router.unanswered_share = unanswered_share;
     for stmt in 1..=u32::from(times) {
         take(&mut router, T, stmt, LOOSE, 0, 0.0);
         router.executed(
@@ -734,14 +776,14 @@
             stmt,
             0,
             B,
-            Ending::TimedOut,
+            ExecutionOutcome::TimedOut,
             0.4,
             false,
             None,
             f64::NEG_INFINITY,
         );
     }
-    assert_eq!(router.nodes[&B].strain > 0.0, expected);
+    assert_eq!(router.nodes[&B].congestion > 0.0, expected);
 }
 
 /// Found in a mass restart: a new process stayed strained by the queue of the old one.
@@ -749,10 +791,13 @@
 fn a_restart_clears_strain_and_suspicion() {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.strain, node.missing, node.suspected) = (0.9, 3, Some(T));
-    router.member(T, B, (G, 0), Standing::Ready, T - 0.5, false);
+    (node.congestion, node.unanswered_in_a_row, node.suspected_at) = (0.9, 3, Some(T));
+    router.list_member(T, B, (G, 0), NodeStatus::Ready, T - 0.5, false);
     let node = &router.nodes[&B];
-    assert_eq!((node.strain, node.missing, node.suspected), (0.0, 0, None));
+    assert_eq!(
+        (node.congestion, node.unanswered_in_a_row, node.suspected_at),
+        (0.0, 0, None)
+    );
 }
 
 /// Found on reading a day's tap: room grown in calm times hid a jam from a router for half a minute.
@@ -760,11 +805,21 @@
 #[test_case(0.05, 0.01, false; "room beyond what is usually out does not")]
 fn room_under_one_grows_where_used(room: f64, asked: f64, expected: bool) {
     let mut router = router(false);
-    router.nodes.get_mut(&B).unwrap().room = room;
+    router.nodes.get_mut(&B).unwrap().concurrency_limit = room;
     // Asked of three members, at a pace of 0.1 s.
-    router.groups.get_mut(&G).unwrap().asked = (T, asked * 30.0);
-    router.executed(T, 99, 0, B, Ending::Completed, 0.01, false, None, T);
-    assert_eq!(router.nodes[&B].room > room, expected);
+    router.groups.get_mut(&G).unwrap().arrivals = rate(asked * 30.0);
+    router.executed(
+        T,
+        99,
+        0,
+        B,
+        ExecutionOutcome::Completed,
+        0.01,
+        false,
+        None,
+        T,
+    );
+    assert_eq!(router.nodes[&B].concurrency_limit > room, expected);
 }
 
 #[test_case(1, 3.0; "within the quota")]
@@ -774,15 +829,15 @@
     for stmt in 0..times {
         router.arrived(T, stmt, RECENT, G, 0, 0, 0.0, T + 2.0, 0.0);
     }
-    assert!((router.statements[&(times - 1)].worth - expected).abs() < 1e-9);
+    assert!((router.statements[&(times - 1)].value - expected).abs() < 1e-9);
 }
 
 #[test]
 fn the_worthiest_statement_takes_the_last_room() {
     let mut router = router(false);
-    router.nodes.get_mut(&A).unwrap().room = 1.0;
+    router.nodes.get_mut(&A).unwrap().concurrency_limit = 1.0;
     for id in [B, C] {
-        router.nodes.get_mut(&id).unwrap().out = 99;
+        router.nodes.get_mut(&id).unwrap().in_flight = 99;
     }
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     take(&mut router, T, 2, WRITE, 0, 0.0);
@@ -792,7 +847,7 @@
 #[test]
 fn a_position_never_goes_back() {
     let mut router = router(false);
-    router.member(T, B, (G, 0), Standing::Ready, T + 1.0, false);
+    router.list_member(T, B, (G, 0), NodeStatus::Ready, T + 1.0, false);
     router.reported(T + 2.0, B, Some(false), T - 5.0);
     assert_eq!(router.nodes[&B].lsn, T);
 }
@@ -807,7 +862,7 @@
         99,
         0,
         B,
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         0.1,
         true,
         Some(Role::Replica),
@@ -823,7 +878,7 @@
 fn no_send_that_cannot_be_back_in_time(later: f64, expected: &[&str]) {
     let mut router = router(false);
     take(&mut router, T, 1, LATEST, 0, 0.0);
-    router.statements.get_mut(&1).unwrap().kind.late_worth = 0.0;
+    router.statements.get_mut(&1).unwrap().workload.late_value = 0.0;
     assert_eq!(settle(&mut router, T + later), expected);
 }
 
@@ -839,16 +894,16 @@
 #[test]
 fn nodes_of_unknown_pace_are_tried() {
     let mut router = router(false);
-    router.nodes.values_mut().for_each(|n| n.pace = 9.0);
+    router.nodes.values_mut().for_each(|n| n.latency_s = 9.0);
     take(&mut router, T, 1, LATEST, 0, 0.0);
-    router.statements.get_mut(&1).unwrap().kind.late_worth = 0.0;
+    router.statements.get_mut(&1).unwrap().workload.late_value = 0.0;
     assert_eq!(settle(&mut router, T), ["execute 1 11"]);
 }
 
 #[test]
 fn a_room_shrinks_once_a_jam() {
     let mut router = router(false);
-    let before = router.nodes[&B].room;
+    let before = router.nodes[&B].concurrency_limit;
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     for _ in 0..5 {
         router.executed(
@@ -856,14 +911,14 @@
             1,
             0,
             B,
-            Ending::TurnedAway,
+            ExecutionOutcome::Rejected,
             0.0,
             false,
             None,
             f64::NEG_INFINITY,
         );
     }
-    let room = router.nodes[&B].room;
+    let room = router.nodes[&B].concurrency_limit;
     assert!(room < before && room > before * 0.4, "{room}");
 }
 
@@ -874,11 +929,11 @@
 fn a_strained_node_has_room_for_a_part(strain: f64, lot: f64, expected: bool) {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.room, node.strain, node.strained_at) = (0.1, strain, T);
+    (node.concurrency_limit, node.congestion, node.congestion_at) = (0.1, strain, T);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
-    router.groups.get_mut(&G).unwrap().asked = (T, 3.0);
-    router.statements.get_mut(&1).unwrap().lot = lot;
-    assert_eq!(router.has_room(&router.statements[&1], B, T), expected);
+    router.groups.get_mut(&G).unwrap().arrivals = rate(3.0);
+    router.statements.get_mut(&1).unwrap().admission_rank = lot;
+    assert_eq!(router.has_capacity(&router.statements[&1], B, T), expected);
 }
 
 /// The worthiest workload's lots lie under those of the others.
@@ -887,18 +942,18 @@
     let mut router = router(false);
     take(&mut router, T, 1, WRITE, 0, 0.0);
     take(&mut router, T, 2, LOOSE, 0, 0.0);
-    assert!(router.statements[&2].lot >= 0.5);
+    assert!(router.statements[&2].admission_rank >= 0.5);
 }
 
-#[test_case(Standing::Gone, 0, false, true; "gone for long")]
-#[test_case(Standing::Draining, 0, false, false; "it only drains")]
-#[test_case(Standing::Gone, 1, false, false; "something is out there")]
-#[test_case(Standing::Gone, 0, true, false; "it may only be called gone")]
-fn who_is_gone_leaves(standing: Standing, out: usize, only_draining: bool, expected: bool) {
+#[test_case(NodeStatus::Gone, 0, false, true; "gone for long")]
+#[test_case(NodeStatus::Draining, 0, false, false; "it only drains")]
+#[test_case(NodeStatus::Gone, 1, false, false; "something is out there")]
+#[test_case(NodeStatus::Gone, 0, true, false; "it may only be called gone")]
+fn who_is_gone_leaves(standing: NodeStatus, out: usize, only_draining: bool, expected: bool) {
     let mut router = router(false);
-    router.drain.only_draining = only_draining;
-    router.nodes.get_mut(&C).unwrap().stands(standing, T);
-    router.nodes.get_mut(&C).unwrap().out = out;
+    router.drain.only_draining_binds = only_draining;
+    router.nodes.get_mut(&C).unwrap().set_status(standing, T);
+    router.nodes.get_mut(&C).unwrap().in_flight = out;
     assert!(router.forget_gone(T + 59.0).is_empty());
     assert_eq!(
         router.forget_gone(T + 61.0),
@@ -917,7 +972,7 @@
         .nodes
         .get_mut(&sent)
         .unwrap()
-        .stands(Standing::Gone, T);
-    router.nodes.get_mut(&sent).unwrap().out = 0;
+        .set_status(NodeStatus::Gone, T);
+    router.nodes.get_mut(&sent).unwrap().in_flight = 0;
     assert!(router.forget_gone(T + 100.0).is_empty());
 }
--- a/crates/core/routing/src/tests/pieces.rs
+++ b/crates/core/routing/src/tests/pieces.rs
@@ -1,6 +1,6 @@
 //! The pieces that others share with the policy: a session's mark, and the rotation over members.
 
-use crate::{MARK_S, Mark, Rotation};
+use crate::{PRIMARY_AFFINITY_S, PrimaryAffinity, Rotation};
 use test_case::test_case;
 
 #[test_case(0.0, true; "at the touch")]
@@ -8,18 +8,21 @@
 #[test_case(3.0, false; "at its end")]
 #[test_case(60.0, false; "long after")]
 fn a_mark_lasts_three_seconds(after: f64, marked: bool) {
-    assert_eq!(MARK_S, 3.0);
-    assert_eq!(Mark::at(1000.0).marked(1000.0 + after), marked);
+    assert_eq!(PRIMARY_AFFINITY_S, 3.0);
+    assert_eq!(
+        PrimaryAffinity::at(1000.0).is_active(1000.0 + after),
+        marked
+    );
 }
 
 #[test]
 fn a_session_is_unmarked_until_it_touches_the_primary_and_each_touch_marks_it_anew() {
-    let mut mark = Mark::default();
-    assert!(!mark.marked(0.0) && !mark.marked(1000.0));
+    let mut mark = PrimaryAffinity::default();
+    assert!(!mark.is_active(0.0) && !mark.is_active(1000.0));
     mark.touch(1000.0);
-    assert_eq!(mark, Mark::at(1000.0));
+    assert_eq!(mark, PrimaryAffinity::at(1000.0));
     mark.touch(1002.0);
-    assert!(mark.marked(1004.9) && !mark.marked(1005.0));
+    assert!(mark.is_active(1004.9) && !mark.is_active(1005.0));
 }
 
 #[test]
--- a/crates/core/routing/src/tests/succession.rs
+++ b/crates/core/routing/src/tests/succession.rs
@@ -2,7 +2,7 @@
 
 use super::{A, B, C, G, LATEST, ONCE, OWN, RECENT, Seen, T, WRITE, router, settle, take};
 use crate::succession::{Phase, Settings};
-use crate::{Ending, Instance, Role, Standing};
+use crate::{ExecutionOutcome, Instance, NodeStatus, Role};
 use test_case::test_case;
 
 fn settings() -> Settings {
@@ -27,10 +27,10 @@
     now: f64,
     execution: u8,
     node: u32,
-    ending: Ending,
+    ending: ExecutionOutcome,
     role: Option<Role>,
 ) {
-    let lsn = if ending == Ending::Completed {
+    let lsn = if ending == ExecutionOutcome::Completed {
         now
     } else {
         f64::NEG_INFINITY
@@ -42,7 +42,7 @@
         node,
         ending,
         0.01,
-        ending == Ending::Completed,
+        ending == ExecutionOutcome::Completed,
         role,
         lsn,
     );
@@ -58,7 +58,14 @@
     let mut router = succeeding(settings);
     take(&mut router, T + 0.4, 1, workload, 5, 0.0);
     assert_eq!(settle(&mut router, T + 0.4), ["execute 1 11"]);
-    ended(&mut router, T + 0.41, 0, A, Ending::Unconnected, None);
+    ended(
+        &mut router,
+        T + 0.41,
+        0,
+        A,
+        ExecutionOutcome::ConnectFailed,
+        None,
+    );
     assert!(settle(&mut router, T + 0.41).is_empty(), "it is held");
     router
 }
@@ -68,7 +75,14 @@
     let mut router = succeeding(settings);
     take(&mut router, T + 0.4, 1, workload, 5, 0.0);
     settle(&mut router, T + 0.4);
-    ended(&mut router, T + 0.41, 0, A, Ending::Dropped, None);
+    ended(
+        &mut router,
+        T + 0.41,
+        0,
+        A,
+        ExecutionOutcome::ConnectionLost,
+        None,
+    );
     router.witness(T + 0.41, A, crate::succession::Evidence::Lost);
     router
 }
@@ -100,7 +114,7 @@
             .nodes
             .get_mut(id)
             .unwrap()
-            .stands(Standing::Draining, T + 0.42);
+            .set_status(NodeStatus::Draining, T + 0.42);
     });
     word(&mut router, T + 0.6, B, true);
     take(&mut router, T + 0.61, 2, RECENT, 0, 0.0);
@@ -165,9 +179,9 @@
     let mut router = succeeding(settings());
     take(&mut router, T + 0.4, 1, WRITE, 5, 0.0);
     assert_eq!(settle(&mut router, T + 0.4), ["execute 1 11"]);
-    router.listing();
-    router.member(T + 0.41, A, (G, 0), Standing::Draining, 0.0, true);
-    router.listed(T + 0.41, false);
+    router.list_begins();
+    router.list_member(T + 0.41, A, (G, 0), NodeStatus::Draining, 0.0, true);
+    router.list_ends(T + 0.41, false);
     take(&mut router, T + 0.42, 2, WRITE, 6, 0.0);
     assert_eq!(
         settle(&mut router, T + 0.42),
@@ -179,7 +193,7 @@
         T + 0.43,
         0,
         A,
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         Some(Role::Primary),
     );
     assert!(settle(&mut router, T + 0.43).is_empty());
@@ -217,11 +231,11 @@
     assert_eq!(seen, ["abort 1"]);
 }
 
-#[test_case(Ending::Completed, &[]; "it ran: its own answer is the answer")]
-#[test_case(Ending::Missed, &["execute 1 12"]; "it never ran and never will: it is sent")]
-#[test_case(Ending::Errored, &["abort 1"]; "that can't be told")]
-#[test_case(Ending::TurnedAway, &["inquire 1 12"]; "who was asked is no primary, or full: once more")]
-fn a_later_primary_is_asked_how_it_ended(told: Ending, then: &[&str]) {
+#[test_case(ExecutionOutcome::Completed, &[]; "it ran: its own answer is the answer")]
+#[test_case(ExecutionOutcome::NotEligible, &["execute 1 12"]; "it never ran and never will: it is sent")]
+#[test_case(ExecutionOutcome::Errored, &["abort 1"]; "that can't be told")]
+#[test_case(ExecutionOutcome::Rejected, &["inquire 1 12"]; "who was asked is no primary, or full: once more")]
+fn a_later_primary_is_asked_how_it_ended(told: ExecutionOutcome, then: &[&str]) {
     let outcomes = Settings {
         outcomes: true,
         expected_change_ms: 1400.0,
@@ -249,7 +263,14 @@
     take(&mut router, T + 0.4, 1, ONCE, 5, 0.0);
     router.carries(1, 100, true);
     settle(&mut router, T + 0.4);
-    ended(&mut router, T + 0.41, 0, A, Ending::Dropped, None);
+    ended(
+        &mut router,
+        T + 0.41,
+        0,
+        A,
+        ExecutionOutcome::ConnectionLost,
+        None,
+    );
     let mut seen = Seen::default();
     router.settle(T + 0.46, &mut seen);
     assert!(seen.0.contains(&"probe 11".to_string()), "{:?}", seen.0);
--- a/crates/core/routing/src/tests/together.rs
+++ b/crates/core/routing/src/tests/together.rs
@@ -93,7 +93,7 @@
         .nodes
         .get_mut(&kept[0])
         .unwrap()
-        .stands(Standing::Draining, T);
+        .set_status(NodeStatus::Draining, T);
     let other = [B, C].into_iter().find(|id| *id != kept[0]);
     assert_eq!(chosen(&mut router, 9, T), other, "it widens at once");
 }
@@ -107,21 +107,21 @@
     });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T, &mut Seen::default());
-    assert!(router.statements[&1].live().next().is_some());
+    assert!(router.statements[&1].in_flight().next().is_some());
     assert_eq!(router.may_copy(T), may);
 }
 
 /// What failed once waits for the purse; what was only missed costs nothing.
-#[test_case(Ending::Errored, false; "failed")]
-#[test_case(Ending::Missed, true; "missed")]
-fn repeats_are_a_share_too(ending: Ending, again: bool) {
+#[test_case(ExecutionOutcome::Errored, false; "failed")]
+#[test_case(ExecutionOutcome::NotEligible, true; "missed")]
+fn repeats_are_a_share_too(ending: ExecutionOutcome, again: bool) {
     let mut router = one_of_many(Settings {
         repeats: 0.0,
         ..Settings::default()
     });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     let mut executed = Execution::new(B, T);
-    executed.ended = Some(ending);
+    executed.outcome = Some(ending);
     router
         .statements
         .get_mut(&1)
@@ -138,11 +138,11 @@
         ..Settings::default()
     });
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.since, node.heard) = (T, crate::state::NEVER);
+    (node.started_at, node.last_heard_at) = (T, crate::state::NEVER);
     // While it is cold, ten seconds: half of a cycle.
     let lets = beats(|now| now < T + 9.0 && router.let_through(B, now));
     assert!(lets <= 10, "{lets} of 160");
-    router.nodes.get_mut(&B).unwrap().heard = T + 1.0;
+    router.nodes.get_mut(&B).unwrap().last_heard_at = T + 1.0;
     assert!(
         router.let_through(B, T + 1.0),
         "once it has answered it is as any other"
@@ -172,7 +172,7 @@
     router
         .nodes
         .values_mut()
-        .for_each(|node| node.stands(Standing::Draining, T - 10.0));
+        .for_each(|node| node.set_status(NodeStatus::Draining, T - 10.0));
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T + 1.999, &mut seen);
     assert!(
@@ -181,13 +181,16 @@
         seen.0
     );
     assert_eq!(router.tally.given_up.values().sum::<u64>(), 1);
-    assert_eq!(router.tally.in_the_way.get("drains or is gone"), Some(&3));
+    assert_eq!(
+        router.tally.given_up_obstacles.get("drains or is gone"),
+        Some(&3)
+    );
     assert!(
         router
             .tally
-            .line()
+            .log_line()
             .contains("in_the_way[drains_or_is_gone=3]"),
         "{}",
-        router.tally.line()
+        router.tally.log_line()
     );
 }
--- a/crates/core/routing/src/together.rs
+++ b/crates/core/routing/src/together.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::{Fleet, Kind, Settings};
 use crate::state::Statement;
-use crate::{Ending, Instance, Outbox, Standing};
+use crate::{ExecutionOutcome, Instance, NodeStatus, Outbox};
 
 impl Instance {
     /// With settings, choices are made as one of many routers from now on; without, as if that never was.
@@ -38,14 +38,14 @@
         for (number, group) in &self.groups {
             let ready = |id: &u32| {
                 Some(*id) != group.primary
-                    && self.nodes[id].standing == Standing::Ready
-                    && self.nodes[id].suspected.is_none()
+                    && self.nodes[id].status == NodeStatus::Ready
+                    && self.nodes[id].suspected_at.is_none()
             };
             let replicas: Vec<u32> = group.members.iter().copied().filter(ready).collect();
             fleet.grouped(
                 *number,
                 &replicas,
-                group.asked_lately(now) / replicas.len().max(1) as f64,
+                group.arrivals_per_s(now) / replicas.len().max(1) as f64,
             );
         }
     }
@@ -83,25 +83,33 @@
     /// It has started, and has answered nothing here since.
     fn is_new(&self, id: u32, now: f64) -> bool {
         let node = &self.nodes[&id];
-        node.warmth(&self.cold, now) < 1.0 && node.heard < node.since.max(node.fell)
+        node.warm_share(&self.cold_start, now) < 1.0
+            && node.last_heard_at < node.started_at.max(node.unreachable_at)
     }
 
     pub(crate) fn turn_at_new(&self, id: u32, now: f64) -> bool {
-        let first = |fleet: &Fleet| fleet.may(Kind::First, now, id) && self.nodes[&id].out == 0;
+        let first =
+            |fleet: &Fleet| fleet.may(Kind::First, now, id) && self.nodes[&id].in_flight == 0;
         self.fleet
             .as_ref()
             .is_none_or(|fleet| !self.is_new(id, now) || first(fleet))
     }
 
     pub(crate) fn may_copy(&self, now: f64) -> bool {
-        self.allowance.second_copies && self.fleet.as_ref().is_none_or(|fleet| fleet.may_copy(now))
+        self.limits.hedging && self.fleet.as_ref().is_none_or(|fleet| fleet.may_copy(now))
     }
 
     /// What was missed or never issued cost its node nothing.
     fn repeats(s: &Statement) -> bool {
-        let failed =
-            |ending: Ending| !matches!(ending, Ending::Missed | Ending::Moot | Ending::Cut);
-        s.executions.iter().any(|e| e.ended.is_some_and(failed))
+        let failed = |ending: ExecutionOutcome| {
+            !matches!(
+                ending,
+                ExecutionOutcome::NotEligible
+                    | ExecutionOutcome::NeverIssued
+                    | ExecutionOutcome::SendInterrupted
+            )
+        };
+        s.executions.iter().any(|e| e.outcome.is_some_and(failed))
     }
 
     pub(crate) fn may_repeat(&self, stmt: u32, now: f64) -> bool {
@@ -121,11 +129,11 @@
     /// A statement goes there: what let it go is used.
     pub(crate) fn sends(&mut self, stmt: u32, id: u32, now: f64) {
         self.tally.sent += 1;
-        let (new, suspect) = (self.is_new(id, now), self.nodes[&id].suspected.is_some());
+        let (new, suspect) = (self.is_new(id, now), self.nodes[&id].suspected_at.is_some());
         let Some((fleet, s)) = self.fleet.as_mut().zip(self.statements.get(&stmt)) else {
             return;
         };
-        if s.live().next().is_some() {
+        if s.in_flight().next().is_some() {
             fleet.copied();
         } else if Self::repeats(s) {
             fleet.repeated();
--- a/crates/protocol/postgres-protocol/src/discovery.rs
+++ b/crates/protocol/postgres-protocol/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::Close;
 use crate::ring::Ring;
-use badgerstream_routing::Standing;
+use badgerstream_routing::NodeStatus;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -167,7 +167,7 @@
 /// of a list that can't be read to its end: half a list would make nodes vanish.
 pub fn list(
     told: &Value,
-    mut host: impl FnMut(&str, SocketAddr, &str, u16, Standing, f64, bool),
+    mut host: impl FnMut(&str, SocketAddr, &str, u16, NodeStatus, f64, bool),
 ) -> Result<(u64, bool), Close> {
     let wrong = Close::Malformed("a list of nodes can't be read");
     let seq = told["seq"].as_u64().ok_or(wrong)?;
@@ -181,11 +181,11 @@
 }
 
 #[allow(clippy::type_complexity)]
-fn entry(host: &Value) -> Option<(&str, SocketAddr, &str, u16, Standing, f64, bool)> {
+fn entry(host: &Value) -> Option<(&str, SocketAddr, &str, u16, NodeStatus, f64, bool)> {
     let standing = match host["health"].as_str()? {
-        "in_service" => Standing::Ready,
-        "terminating" => Standing::Draining,
-        "terminated" => Standing::Gone,
+        "in_service" => NodeStatus::Ready,
+        "terminating" => NodeStatus::Draining,
+        "terminated" => NodeStatus::Gone,
         _ => return None,
     };
     let group = u16::try_from(host["block"].as_u64()?).ok()?;
