--- a/crates/protocol/router-config/src/instance.rs
+++ b/crates/protocol/router-config/src/instance.rs
@@ -2,8 +2,8 @@
 
 use crate::pairs::{Pairs, parse};
 use badgerstream_routing::{
-    Allowance, ColdStart, Currency, Drain, Fairness, Instance, Quota, Repeat, Replication, Within,
-    Workload,
+    ColdStart, Consistency, DedupScope, Drain, Fairness, Instance, PolicyLimits, Quota, Repeat,
+    Replication, Workload,
 };
 
 /// What a front itself must know to read what it is told for an instance.
@@ -39,41 +39,44 @@
     let quota = |i| {
         pairs
             .read(&format!("tenants.{i}.quota_per_s"))
-            .map(|per_s| Quota { per_s, beyond })
+            .map(|per_s| Quota {
+                per_s,
+                excess_value: beyond,
+            })
     };
     let quotas = (0..customers).map(quota).collect::<Result<_, String>>()?;
     let fairness = Fairness {
-        whole: pairs.read_or("goal.whole", 1.0)?,
+        overall: pairs.read_or("goal.whole", 1.0)?,
         worst_workload: pairs.read_or("goal.worst_class", 0.0)?,
-        worst_customer: pairs.read_or("goal.worst_tenant", 0.0)?,
+        worst_tenant: pairs.read_or("goal.worst_tenant", 0.0)?,
     };
     let replication = Replication {
-        checked: pairs.text("domain.checks")? != "none",
-        carried: pairs.text("domain.token_mode")? == "client",
+        nodes_check_freshness: pairs.text("domain.checks")? != "none",
+        sessions_carry_write_age: pairs.text("domain.token_mode")? == "client",
     };
     let cold = ColdStart {
-        share: pairs.read("safety.cold_from")?,
-        lasts: pairs.seconds("safety.cold_ms")?,
-        factor: pairs.read("safety.overload_factor")?,
-        window: pairs.seconds("safety.fall_ms")?,
+        initial_share: pairs.read("safety.cold_from")?,
+        duration_s: pairs.seconds("safety.cold_ms")?,
+        overload_factor: pairs.read("safety.overload_factor")?,
+        window_s: pairs.seconds("safety.fall_ms")?,
     };
     let drain = Drain {
-        grace: pairs.seconds("safety.stop_sending_within_ms")?,
-        only_draining: pairs.read_or("safety.only_draining_binds", false)?,
+        grace_s: pairs.seconds("safety.stop_sending_within_ms")?,
+        only_draining_binds: pairs.read_or("safety.only_draining_binds", false)?,
     };
     let advice = pairs.seconds("policy_limits.max_retry_after_ms")?;
-    let allowance = Allowance {
-        executions: pairs.read("policy_limits.max_attempts")?,
-        second_copies: pairs.read("policy_limits.second_copies")?,
-        cancelling: pairs.read("policy_limits.cancelling")?,
+    let allowance = PolicyLimits {
+        max_executions: pairs.read("policy_limits.max_attempts")?,
+        hedging: pairs.read("policy_limits.second_copies")?,
+        cancellation: pairs.read("policy_limits.cancelling")?,
         probes: pairs.read("policy_limits.probes")?,
-        probe_price: pairs.read_or("prices.probe", 0.0)?,
-        retry_after: if pairs.read("policy_limits.retry_after")? {
+        probe_cost_share: pairs.read_or("prices.probe", 0.0)?,
+        max_retry_after_s: if pairs.read("policy_limits.retry_after")? {
             advice
         } else {
             0.0
         },
-        step: pairs.seconds("tick_ms")?,
+        clock_step_s: pairs.seconds("tick_ms")?,
     };
     let columns: Vec<&str> = pairs.text("load_info.columns")?.split(',').collect();
     let reading = Reading {
@@ -101,26 +104,26 @@
 fn workload(pairs: &Pairs, i: usize, need: &str, bound: f64) -> Result<Workload, String> {
     let path = |key: &str| format!("classes.{i}.{key}");
     let within = || match pairs.text(&path("group"))? {
-        "all" => Ok(Within::Anywhere),
-        "zone" => Ok(Within::Zone),
-        "cell" => Ok(Within::Group),
+        "all" => Ok(DedupScope::Anywhere),
+        "zone" => Ok(DedupScope::Zone),
+        "cell" => Ok(DedupScope::Group),
         other => Err(format!("setting {} is unknown: {other:?}", path("group"))),
     };
     let repeat = match pairs.text(&path("repeat"))? {
         "pure" => Repeat::Idempotent,
         "token" => Repeat::Deduplicated {
-            within: within()?,
-            memory: pairs.seconds(&path("memory_span_ms"))?,
+            scope: within()?,
+            memory_s: pairs.seconds(&path("memory_span_ms"))?,
         },
         "side_effect" => Repeat::NonIdempotent,
         other => return Err(format!("setting {} is unknown: {other:?}", path("repeat"))),
     };
-    let currency = match need {
-        "update" => Currency::Primary,
-        "latest" => Currency::Latest,
-        "own_writes" => Currency::OwnWrites,
-        "recent" => Currency::Recent { bound },
-        "loose" => Currency::Loose,
+    let consistency = match need {
+        "update" => Consistency::Primary,
+        "latest" => Consistency::Latest,
+        "own_writes" => Consistency::OwnWrites,
+        "recent" => Consistency::Recent { max_age_s: bound },
+        "loose" => Consistency::Loose,
         other => {
             return Err(format!(
                 "setting domain.needs_by_class is unknown: {other:?}"
@@ -132,8 +135,8 @@
         slo_stretch: pairs.read_or(&path("aim_stretch"), 0.0)?,
         timeout: pairs.seconds(&path("hard_limit_ms"))?,
         importance: pairs.read(&path("importance"))?,
-        late_worth: pairs.read(&path("late_worth"))?,
+        late_value: pairs.read(&path("late_worth"))?,
         repeat,
-        currency,
+        consistency,
     })
 }
--- a/crates/protocol/router-config/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -3,7 +3,7 @@
 mod setting_names;
 
 use crate::{Own, Pairs, Provision, instance};
-use badgerstream_routing::{Currency, Repeat, Within};
+use badgerstream_routing::{Consistency, DedupScope, Repeat};
 use test_case::test_case;
 
 const START: &str = r#"{"name":"n0","listen":"127.0.0.1:6432","discovery":"127.0.0.1:8500",
@@ -41,7 +41,11 @@
     );
     let (born, reading) = instance(start.seed, &start.pairs).unwrap();
     assert_eq!(
-        (born.routers, born.drain.grace, born.allowance.retry_after),
+        (
+            born.routers,
+            born.drain.grace_s,
+            born.limits.max_retry_after_s
+        ),
         (2.0, 0.25, 2.0)
     );
     assert_eq!(
@@ -49,17 +53,17 @@
         (Some(0), Some(1))
     );
     let kinds = reading.workloads;
-    assert_eq!(kinds[0].currency, Currency::Recent { bound: 0.5 });
+    assert_eq!(kinds[0].consistency, Consistency::Recent { max_age_s: 0.5 });
     assert_eq!(
         kinds[1].repeat,
         Repeat::Deduplicated {
-            within: Within::Group,
-            memory: 1.2
+            scope: DedupScope::Group,
+            memory_s: 1.2
         }
     );
     assert_eq!(
-        (kinds[1].slo, kinds[1].timeout, kinds[1].currency),
-        (0.6, 2.0, Currency::Primary)
+        (kinds[1].slo, kinds[1].timeout, kinds[1].consistency),
+        (0.6, 2.0, Consistency::Primary)
     );
 }
 
--- a/crates/protocol/router-config/src/tests/setting_names.rs
+++ b/crates/protocol/router-config/src/tests/setting_names.rs
@@ -2,7 +2,7 @@
 //! each other and from the defaults, so that two names exchanged are seen.
 
 use crate::{Own, Pairs, instance};
-use badgerstream_routing::{Currency, Repeat, Within};
+use badgerstream_routing::{Consistency, DedupScope, Repeat};
 
 const OWN_SETTINGS: &str = include_str!("setting_names.json5");
 const SETTINGS: &str = include_str!("setting_names.txt");
@@ -78,17 +78,17 @@
         (first.slo, first.slo_stretch, first.timeout),
         (0.4, 2.5, 1.9)
     );
-    assert_eq!((first.importance, first.late_worth), (3.5, 0.15));
+    assert_eq!((first.importance, first.late_value), (3.5, 0.15));
     assert_eq!(
-        (first.repeat, first.currency),
-        (Repeat::Idempotent, Currency::Recent { bound: 0.7 })
+        (first.repeat, first.consistency),
+        (Repeat::Idempotent, Consistency::Recent { max_age_s: 0.7 })
     );
-    let (within, memory) = (Within::Zone, 1.2);
-    assert_eq!(second.repeat, Repeat::Deduplicated { within, memory });
-    assert_eq!(second.currency, Currency::OwnWrites);
+    let (scope, memory_s) = (DedupScope::Zone, 1.2);
+    assert_eq!(second.repeat, Repeat::Deduplicated { scope, memory_s });
+    assert_eq!(second.consistency, Consistency::OwnWrites);
     assert_eq!(
-        (third.repeat, third.currency),
-        (Repeat::NonIdempotent, Currency::Primary)
+        (third.repeat, third.consistency),
+        (Repeat::NonIdempotent, Consistency::Primary)
     );
     assert_eq!(
         (reading.origin, reading.position_column, reading.role_column),
@@ -96,28 +96,33 @@
     );
     assert!(reading.subscribes);
     assert_eq!(born.routers, 4.0);
-    assert_eq!((born.drain.grace, born.drain.only_draining), (0.26, true));
-    assert_eq!((born.cold.share, born.cold.lasts), (0.27, 18.0));
-    assert_eq!((born.cold.factor, born.cold.window), (3.25, 3.5));
-    let allowance = &born.allowance;
-    assert_eq!((allowance.executions, allowance.step), (7, 0.005));
     assert_eq!(
-        (
-            allowance.second_copies,
-            allowance.cancelling,
-            allowance.probes
-        ),
+        (born.drain.grace_s, born.drain.only_draining_binds),
+        (0.26, true)
+    );
+    assert_eq!(
+        (born.cold_start.initial_share, born.cold_start.duration_s),
+        (0.27, 18.0)
+    );
+    assert_eq!(
+        (born.cold_start.overload_factor, born.cold_start.window_s),
+        (3.25, 3.5)
+    );
+    let limits = &born.limits;
+    assert_eq!((limits.max_executions, limits.clock_step_s), (7, 0.005));
+    assert_eq!(
+        (limits.hedging, limits.cancellation, limits.probes),
         (true, false, true)
     );
     assert_eq!(
-        (allowance.probe_price, allowance.retry_after),
+        (limits.probe_cost_share, limits.max_retry_after_s),
         (0.013, 2.125)
     );
     assert_eq!(
         (
-            born.fairness.whole,
+            born.fairness.overall,
             born.fairness.worst_workload,
-            born.fairness.worst_customer
+            born.fairness.worst_tenant
         ),
         (0.41, 0.22, 0.12)
     );
--- a/crates/runtime/router/src/belief.rs
+++ b/crates/runtime/router/src/belief.rs
@@ -18,8 +18,8 @@
     while wanted() {
         Timer::after(PERIOD).await;
         desk.tell(|instance, now| {
-            instance.note_waiting(now);
-            tracing::debug!(target: "badgerstream::tally", "tally {}", instance.tally.line());
+            instance.count_waiting(now);
+            tracing::debug!(target: "badgerstream::tally", "tally {}", instance.tally.log_line());
             for (id, node) in &instance.nodes {
                 let (busy, idle) = pool.stand(*id);
                 let group = &instance.groups[&node.group];
@@ -27,16 +27,16 @@
                     "node {id} of group {}: {:?}{}, {} out and {busy} busy, {idle} idle, room {:.1}, strain {:.2}, \
                      pace {:.3} s, heard {:.2} s ago, position {:.2} s old, {} faults, suspect {}, {} wait for the group",
                     node.group,
-                    node.standing,
+                    node.status,
                     if group.primary == Some(*id) { " primary" } else { "" },
-                    node.out,
-                    node.room,
-                    node.strain,
-                    node.pace,
-                    now - node.heard,
+                    node.in_flight,
+                    node.concurrency_limit,
+                    node.congestion,
+                    node.latency_s,
+                    now - node.last_heard_at,
                     now - node.lsn,
                     node.faults,
-                    node.suspected.is_some(),
+                    node.suspected_at.is_some(),
                     group.waiting.len(),
                 );
             }
--- a/crates/runtime/router/src/client.rs
+++ b/crates/runtime/router/src/client.rs
@@ -9,7 +9,7 @@
 use badgerstream_postgres_protocol::comment::{Fault, Statement};
 use badgerstream_postgres_protocol::ring::Hold;
 use badgerstream_postgres_protocol::{Close, Memory, Ring, message};
-use badgerstream_routing::{Currency, Repeat, Workload};
+use badgerstream_routing::{Consistency, Repeat, Workload};
 use futures_lite::future;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -77,7 +77,7 @@
         .workloads
         .get(&s.workload)
         .ok_or(("42704", "the workload in c is unknown"))?;
-    if s.writes != (kind.currency == Currency::Primary) {
+    if s.writes != (kind.consistency == Consistency::Primary) {
         return Err(("42601", "the workload in c does not fit the statement"));
     }
     if matches!(kind.repeat, Repeat::Deduplicated { .. }) && s.mark.is_none() {
@@ -98,7 +98,7 @@
         id: s.id.clone(),
         _memory: held,
     };
-    let has_session = s.writes || kind.currency == Currency::OwnWrites;
+    let has_session = s.writes || kind.consistency == Consistency::OwnWrites;
     let session = if has_session { number(&s.key) } else { 0 };
     // A customer without a quota has no place in the list.
     let customer = names
--- a/crates/runtime/router/src/decide.rs
+++ b/crates/runtime/router/src/decide.rs
@@ -4,7 +4,7 @@
 
 use async_channel::{Receiver, Sender, bounded};
 use badgerstream_routing::recovery::Recovery;
-use badgerstream_routing::{Ending, Instance, Outbox, Role};
+use badgerstream_routing::{ExecutionOutcome, Instance, Outbox, Role};
 
 /// What a load report tells of its node.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -160,7 +160,7 @@
     /// It ended. `lsn` is minus infinity where none was told, a report tells role and position.
     pub(crate) fn ended(
         self,
-        ending: Ending,
+        ending: ExecutionOutcome,
         role: Option<Role>,
         lsn: f64,
         report: Option<Report>,
@@ -175,7 +175,7 @@
     fn drop(&mut self) {
         self.desk.executed(
             self.key,
-            Ending::Dropped,
+            ExecutionOutcome::ConnectionLost,
             None,
             f64::NEG_INFINITY,
             None,
@@ -323,15 +323,15 @@
         let current = instance
             .statements
             .get(&stmt)
-            .is_some_and(|s| instance.current(s, node, now));
-        current && !known.closed(&instance.drain, true, now)
+            .is_some_and(|s| instance.fresh_enough(s, node, now));
+        current && !known.is_closed(&instance.drain, true, now)
     }
 
     /// Every end of an execution comes through here, once.
     fn executed(
         &self,
         key: (u32, u8),
-        ending: Ending,
+        ending: ExecutionOutcome,
         role: Option<Role>,
         lsn: f64,
         report: Option<Report>,
@@ -342,9 +342,14 @@
             return;
         };
         let (now, (stmt, execution)) = (inner.clock.now(), key);
-        let vain = ending == Ending::Completed && !inner.instance.vouches(stmt, running.node);
-        let ending = if vain { Ending::Dropped } else { ending };
-        if let (Ending::Completed, Some(answer)) = (ending, answer)
+        let vain =
+            ending == ExecutionOutcome::Completed && !inner.instance.vouches(stmt, running.node);
+        let ending = if vain {
+            ExecutionOutcome::ConnectionLost
+        } else {
+            ending
+        };
+        if let (ExecutionOutcome::Completed, Some(answer)) = (ending, answer)
             && let Some(taken) = inner.taken.remove(&stmt)
         {
             let _ = taken.answer.try_send(Final::Completed(answer));
--- a/crates/runtime/router/src/execute.rs
+++ b/crates/runtime/router/src/execute.rs
@@ -9,7 +9,7 @@
 use badgerstream_postgres_protocol::Close;
 use badgerstream_postgres_protocol::comment::Statement;
 use badgerstream_postgres_protocol::node::{Answer, vital};
-use badgerstream_routing::{Ending, Role};
+use badgerstream_routing::{ExecutionOutcome, Role};
 use futures_lite::future;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -96,7 +96,7 @@
                 .as_deref()
                 .map(|vitals| report(vitals, &desk.fields(), own));
             match answer.row {
-                Ok(row) => out.ended(Ending::Completed, role, lsn, report, Some(row)),
+                Ok(row) => out.ended(ExecutionOutcome::Completed, role, lsn, report, Some(row)),
                 Err(code) => out.ended(ending::of_error(code, asks), role, lsn, report, None),
             }
         }
--- a/crates/runtime/router/src/tests/clients.rs
+++ b/crates/runtime/router/src/tests/clients.rs
@@ -130,11 +130,11 @@
     run(&tasks, async {
         let mut caller = Caller::new(address, READ).await;
         assert_eq!(caller.heard().await, "RSSSZ");
-        while desk.tell(|instance, _| instance.nodes[&0].out == 0) {
+        while desk.tell(|instance, _| instance.nodes[&0].in_flight == 0) {
             futures_lite::future::yield_now().await;
         }
         drop(caller);
-        while budget.clients() > 0 || desk.tell(|instance, _| instance.nodes[&0].out > 0) {
+        while budget.clients() > 0 || desk.tell(|instance, _| instance.nodes[&0].in_flight > 0) {
             futures_lite::future::yield_now().await;
         }
         desk.tell(|instance, _| assert!(instance.statements.is_empty()));
@@ -235,7 +235,7 @@
     run(&tasks, async {
         let mut first = Caller::new(address, READ).await;
         assert_eq!(first.heard().await, "RSSSZ");
-        let out = || desk.tell(|instance, _| instance.nodes[&0].out);
+        let out = || desk.tell(|instance, _| instance.nodes[&0].in_flight);
         while out() == 0 {
             futures_lite::future::yield_now().await;
         }
--- a/crates/runtime/router/src/tests/decide.rs
+++ b/crates/runtime/router/src/tests/decide.rs
@@ -3,7 +3,7 @@
 use super::{desk, ended, node, settled};
 use crate::decide::{Desk, Final, Order, Ticket};
 use crate::spawn::Tasks;
-use badgerstream_routing::{Ending, Standing};
+use badgerstream_routing::{ExecutionOutcome, NodeStatus};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use test_case::test_case;
@@ -43,7 +43,7 @@
     let tasks = Tasks::default();
     let (desk, ticket, stmt, execution) = sent();
     desk.out(stmt, execution).ended(
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         None,
         f64::NEG_INFINITY,
         None,
@@ -53,7 +53,10 @@
     settled(&desk);
     desk.tell(|instance, _| {
         assert!(instance.statements.is_empty(), "it is over there, too");
-        assert_eq!(instance.nodes.values().map(|n| n.out).sum::<usize>(), 0);
+        assert_eq!(
+            instance.nodes.values().map(|n| n.in_flight).sum::<usize>(),
+            0
+        );
     });
 }
 
@@ -63,14 +66,14 @@
     let (desk, ticket, stmt, execution) = sent();
     let [first, late] = [0, 1].map(|_| desk.out(stmt, execution));
     first.ended(
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         None,
         f64::NEG_INFINITY,
         None,
         Some("row"),
     );
     late.ended(
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         None,
         f64::NEG_INFINITY,
         None,
@@ -87,8 +90,13 @@
 #[test]
 fn an_execution_that_fails_is_sent_anew() {
     let (desk, _ticket, stmt, execution) = sent();
-    desk.out(stmt, execution)
-        .ended(Ending::TurnedAway, None, f64::NEG_INFINITY, None, None);
+    desk.out(stmt, execution).ended(
+        ExecutionOutcome::Rejected,
+        None,
+        f64::NEG_INFINITY,
+        None,
+        None,
+    );
     let orders = settled(&desk);
     assert!(matches!(orders[..], [Order::Execute { execution: 1, .. }]));
 }
@@ -97,7 +105,7 @@
 fn an_execution_that_is_lost_without_a_word_may_have_run() {
     let (desk, _ticket, stmt, execution) = sent();
     drop(desk.out(stmt, execution));
-    assert_eq!(ended(&desk), Some(Ending::Dropped));
+    assert_eq!(ended(&desk), Some(ExecutionOutcome::ConnectionLost));
 }
 
 #[test]
@@ -119,16 +127,25 @@
     desk.tell(|instance, _| assert!(instance.statements.is_empty()));
     // Two ends of one execution count once, and an answer goes nowhere.
     let [first, second] = [0, 1].map(|_| desk.out(stmt, execution));
-    first.ended(Ending::Cancelled, None, f64::NEG_INFINITY, None, None);
+    first.ended(
+        ExecutionOutcome::Cancelled,
+        None,
+        f64::NEG_INFINITY,
+        None,
+        None,
+    );
     second.ended(
-        Ending::Completed,
+        ExecutionOutcome::Completed,
         None,
         f64::NEG_INFINITY,
         None,
         Some("row"),
     );
     desk.tell(|instance, _| {
-        assert_eq!(instance.nodes.values().map(|n| n.out).sum::<usize>(), 0);
+        assert_eq!(
+            instance.nodes.values().map(|n| n.in_flight).sum::<usize>(),
+            0
+        );
         assert_eq!(
             instance.nodes.values().map(|n| n.answers).sum::<f64>(),
             12.0,
@@ -157,11 +174,17 @@
     assert_eq!(answer(&tasks, &ticket), Final::Rejected(0.0));
 }
 
-#[test_case(Standing::Ready, true; "in service")]
-#[test_case(Standing::Gone, false; "gone")]
-fn what_let_it_go_is_looked_at_again(standing: Standing, expected: bool) {
+#[test_case(NodeStatus::Ready, true; "in service")]
+#[test_case(NodeStatus::Gone, false; "gone")]
+fn what_let_it_go_is_looked_at_again(standing: NodeStatus, expected: bool) {
     let (desk, _ticket, stmt, _) = sent();
-    desk.tell(|instance, now| instance.nodes.get_mut(&1).unwrap().stands(standing, now));
+    desk.tell(|instance, now| {
+        instance
+            .nodes
+            .get_mut(&1)
+            .unwrap()
+            .set_status(standing, now);
+    });
     assert_eq!(desk.still_stands(stmt, 1), expected);
     assert!(
         !desk.still_stands(stmt + 1, 1) && !desk.still_stands(stmt, 9),
@@ -174,7 +197,7 @@
     let (desk, _ticket, stmt, _) = sent();
     desk.tell(|instance, now| {
         let s = instance.statements.get_mut(&stmt).unwrap();
-        s.kind.currency = badgerstream_routing::Currency::Recent { bound: 0.5 };
+        s.workload.consistency = badgerstream_routing::Consistency::Recent { max_age_s: 0.5 };
         instance.nodes.get_mut(&1).unwrap().lsn = now - 0.6;
     });
     assert!(!desk.still_stands(stmt, 1));
@@ -190,7 +213,7 @@
     desk.tell(|_, now| assert!((now - unix).abs() < 60.0));
     let _ticket = desk.arrived("read", 0, 2, 5, 0, 60.0, Some(unix + 0.0005));
     desk.tell(|instance, _| {
-        let owed = instance.statements.values().next().unwrap().owed;
+        let owed = instance.statements.values().next().unwrap().required_lsn;
         assert!(
             owed > unix,
             "a commit that is rounded up to just ahead of now is owed all the same"
--- a/crates/runtime/router/src/tests/mod.rs
+++ b/crates/runtime/router/src/tests/mod.rs
@@ -17,7 +17,9 @@
 use badgerstream_postgres_protocol::comment::Statement;
 use badgerstream_postgres_protocol::message::{self, put};
 use badgerstream_postgres_protocol::{Memory, Ring};
-use badgerstream_routing::{Allowance, Currency, Ending, Instance, Repeat, Workload};
+use badgerstream_routing::{
+    Consistency, ExecutionOutcome, Instance, PolicyLimits, Repeat, Workload,
+};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -36,15 +38,15 @@
         slo: 30.0,
         timeout: 60.0,
         importance: 1.0,
-        late_worth: 0.5,
+        late_value: 0.5,
         repeat: Repeat::Idempotent,
-        currency: Currency::Loose,
+        consistency: Consistency::Loose,
         ..Workload::default()
     };
     vec![
         any,
         Workload {
-            currency: Currency::Primary,
+            consistency: Consistency::Primary,
             repeat: Repeat::NonIdempotent,
             ..any
         },
@@ -61,11 +63,11 @@
 }
 
 pub(crate) fn instance() -> Instance {
-    let allowance = Allowance {
-        executions: 8,
-        second_copies: true,
-        cancelling: true,
-        ..Allowance::default()
+    let limits = PolicyLimits {
+        max_executions: 8,
+        hedging: true,
+        cancellation: true,
+        ..PolicyLimits::default()
     };
     Instance::new(
         7,
@@ -76,7 +78,7 @@
         Default::default(),
         Default::default(),
         Default::default(),
-        allowance,
+        limits,
     )
 }
 
@@ -130,13 +132,13 @@
 }
 
 /// How the first execution of a statement ended, by what the instance was told.
-pub(crate) fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<Ending> {
+pub(crate) fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<ExecutionOutcome> {
     desk.tell(|instance, _| {
         instance
             .statements
             .values()
             .next()
-            .and_then(|s| s.executions[0].ended)
+            .and_then(|s| s.executions[0].outcome)
     })
 }
 
--- a/crates/runtime/router/src/tests/nodes.rs
+++ b/crates/runtime/router/src/tests/nodes.rs
@@ -6,7 +6,7 @@
 use crate::decide::{Final, Order};
 use crate::pool::Pool;
 use crate::spawn::Tasks;
-use badgerstream_routing::{Ending, Standing};
+use badgerstream_routing::{ExecutionOutcome, NodeStatus};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
 use test_case::test_case;
@@ -16,7 +16,7 @@
 }
 
 /// The ending of one execution with this limit, on a connection that is there already or not.
-fn executed(address: SocketAddr, limit: f64, connected: bool) -> Option<Ending> {
+fn executed(address: SocketAddr, limit: f64, connected: bool) -> Option<ExecutionOutcome> {
     let tasks = Tasks::default();
     let (desk, roster) = desk(&[address]);
     let pool = pool(&tasks);
@@ -53,21 +53,21 @@
     ended(&desk)
 }
 
-#[test_case(&[Answers(answer)], Ending::Completed; "a row")]
-#[test_case(&[AnswersOnce(row)], Ending::Completed; "a row, and the end before the last message")]
-#[test_case(&[Answers(|| error("53300"))], Ending::TurnedAway; "full")]
-#[test_case(&[Answers(|| error("25006"))], Ending::Missed; "not the primary")]
-#[test_case(&[Answers(|| error("72000"))], Ending::Missed; "too far behind")]
-#[test_case(&[Answers(|| error("XX000"))], Ending::Errored; "an error")]
-#[test_case(&[AnswersOnce(Vec::new)], Ending::Dropped; "the end after the last byte was written")]
-#[test_case(&[AnswersOnce(|| row()[..20].to_vec())], Ending::Dropped; "half a row")]
-#[test_case(&[Answers(|| messages(&[(b'Z', b"I")]))], Ending::Spoilt; "an answer out of turn")]
-#[test_case(&[Answers(|| b"D\xc0\0\0\0\0\x01".to_vec())], Ending::Spoilt; "a value said to hold 3 GB")]
-#[test_case(&[Greets(|| error("53300"))], Ending::TurnedAway; "too many connections")]
-#[test_case(&[Greets(|| error("57P03"))], Ending::Unconnected; "not let in")]
-#[test_case(&[Greets(Vec::new)], Ending::Cut; "the end before the statement was written")]
-#[test_case(&[Greets(|| b"!\0\0\0\x04".to_vec())], Ending::Cut; "a greeting that is none")]
-fn an_execution_ends(scripts: &[Script], expected: Ending) {
+#[test_case(&[Answers(answer)], ExecutionOutcome::Completed; "a row")]
+#[test_case(&[AnswersOnce(row)], ExecutionOutcome::Completed; "a row, and the end before the last message")]
+#[test_case(&[Answers(|| error("53300"))], ExecutionOutcome::Rejected; "full")]
+#[test_case(&[Answers(|| error("25006"))], ExecutionOutcome::NotEligible; "not the primary")]
+#[test_case(&[Answers(|| error("72000"))], ExecutionOutcome::NotEligible; "too far behind")]
+#[test_case(&[Answers(|| error("XX000"))], ExecutionOutcome::Errored; "an error")]
+#[test_case(&[AnswersOnce(Vec::new)], ExecutionOutcome::ConnectionLost; "the end after the last byte was written")]
+#[test_case(&[AnswersOnce(|| row()[..20].to_vec())], ExecutionOutcome::ConnectionLost; "half a row")]
+#[test_case(&[Answers(|| messages(&[(b'Z', b"I")]))], ExecutionOutcome::InvalidAnswer; "an answer out of turn")]
+#[test_case(&[Answers(|| b"D\xc0\0\0\0\0\x01".to_vec())], ExecutionOutcome::InvalidAnswer; "a value said to hold 3 GB")]
+#[test_case(&[Greets(|| error("53300"))], ExecutionOutcome::Rejected; "too many connections")]
+#[test_case(&[Greets(|| error("57P03"))], ExecutionOutcome::ConnectFailed; "not let in")]
+#[test_case(&[Greets(Vec::new)], ExecutionOutcome::SendInterrupted; "the end before the statement was written")]
+#[test_case(&[Greets(|| b"!\0\0\0\x04".to_vec())], ExecutionOutcome::SendInterrupted; "a greeting that is none")]
+fn an_execution_ends(scripts: &[Script], expected: ExecutionOutcome) {
     assert_eq!(executed(node(scripts), 60.0, false), Some(expected));
 }
 
@@ -83,18 +83,21 @@
             .nodes
             .get_mut(&0)
             .unwrap()
-            .stands(Standing::Gone, now);
+            .set_status(NodeStatus::Gone, now);
     });
     run(
         &tasks,
         crate::execute::carry(desk.clone(), pool.clone(), roster, order),
     );
-    assert_eq!((ended(&desk), pool.idle()), (Some(Ending::Moot), 1));
+    assert_eq!(
+        (ended(&desk), pool.idle()),
+        (Some(ExecutionOutcome::NeverIssued), 1)
+    );
 }
 
-#[test_case(false, Ending::Moot; "before a byte was written")]
-#[test_case(true, Ending::Cancelled; "under way")]
-fn what_is_no_longer_wanted_ends(connected: bool, expected: Ending) {
+#[test_case(false, ExecutionOutcome::NeverIssued; "before a byte was written")]
+#[test_case(true, ExecutionOutcome::Cancelled; "under way")]
+fn what_is_no_longer_wanted_ends(connected: bool, expected: ExecutionOutcome) {
     let tasks = Tasks::default();
     let (desk, roster) = desk(&[node(&[Hangs])]);
     let pool = pool(&tasks);
@@ -123,17 +126,26 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    assert_eq!(executed(closed, 60.0, false), Some(Ending::Unconnected));
+    assert_eq!(
+        executed(closed, 60.0, false),
+        Some(ExecutionOutcome::ConnectFailed)
+    );
 }
 
 #[test]
 fn a_limit_that_ran_out_before_a_byte_was_written_proves_it_unrun() {
-    assert_eq!(executed(node(&[Hangs]), 0.0, false), Some(Ending::Moot));
+    assert_eq!(
+        executed(node(&[Hangs]), 0.0, false),
+        Some(ExecutionOutcome::NeverIssued)
+    );
 }
 
 #[test]
 fn a_limit_that_runs_out_under_a_statement_proves_nothing() {
-    assert_eq!(executed(node(&[Hangs]), 0.0, true), Some(Ending::TimedOut));
+    assert_eq!(
+        executed(node(&[Hangs]), 0.0, true),
+        Some(ExecutionOutcome::TimedOut)
+    );
 }
 
 #[test]
@@ -287,7 +299,7 @@
     );
     desk.tell(|instance, _| {
         assert_eq!(
-            (instance.nodes[&0].lsn, instance.nodes[&0].denied),
+            (instance.nodes[&0].lsn, instance.nodes[&0].denied_primary_at),
             (4.999, 4.999)
         );
     });
--- a/crates/runtime/router/src/tests/parts.rs
+++ b/crates/runtime/router/src/tests/parts.rs
@@ -6,25 +6,73 @@
 use crate::spawn::Tasks;
 use crate::watch::Roster;
 use badgerstream_postgres_protocol::Close;
-use badgerstream_routing::{Ending, Standing};
+use badgerstream_routing::{ExecutionOutcome, NodeStatus};
 use futures_lite::{FutureExt, future};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
 
-#[test_case(Close::Left, Ending::Cut, Ending::Dropped)]
-#[test_case(Close::Broken, Ending::Cut, Ending::Dropped)]
-#[test_case(Close::Refused, Ending::Unconnected, Ending::Dropped)]
-#[test_case(Close::Silent, Ending::Unconnected, Ending::Dropped)]
-#[test_case(Close::TurnedAway, Ending::TurnedAway, Ending::Dropped)]
-#[test_case(Close::Malformed("wrong"), Ending::Cut, Ending::Spoilt)]
-#[test_case(Close::TimedOut, Ending::Moot, Ending::TimedOut)]
-#[test_case(Close::Cancelled, Ending::Moot, Ending::Cancelled)]
-#[test_case(Close::Withdrawn, Ending::Moot, Ending::Dropped)]
-#[test_case(Close::NoMemory, Ending::Moot, Ending::Cancelled)]
-#[test_case(Close::NoDescriptor, Ending::Moot, Ending::Dropped)]
-fn only_what_was_not_written_is_proved_unrun(close: Close, unwritten: Ending, written: Ending) {
+#[test_case(
+    Close::Left,
+    ExecutionOutcome::SendInterrupted,
+    ExecutionOutcome::ConnectionLost
+)]
+#[test_case(
+    Close::Broken,
+    ExecutionOutcome::SendInterrupted,
+    ExecutionOutcome::ConnectionLost
+)]
+#[test_case(
+    Close::Refused,
+    ExecutionOutcome::ConnectFailed,
+    ExecutionOutcome::ConnectionLost
+)]
+#[test_case(
+    Close::Silent,
+    ExecutionOutcome::ConnectFailed,
+    ExecutionOutcome::ConnectionLost
+)]
+#[test_case(
+    Close::TurnedAway,
+    ExecutionOutcome::Rejected,
+    ExecutionOutcome::ConnectionLost
+)]
+#[test_case(
+    Close::Malformed("wrong"),
+    ExecutionOutcome::SendInterrupted,
+    ExecutionOutcome::InvalidAnswer
+)]
+#[test_case(
+    Close::TimedOut,
+    ExecutionOutcome::NeverIssued,
+    ExecutionOutcome::TimedOut
+)]
+#[test_case(
+    Close::Cancelled,
+    ExecutionOutcome::NeverIssued,
+    ExecutionOutcome::Cancelled
+)]
+#[test_case(
+    Close::Withdrawn,
+    ExecutionOutcome::NeverIssued,
+    ExecutionOutcome::ConnectionLost
+)]
+#[test_case(
+    Close::NoMemory,
+    ExecutionOutcome::NeverIssued,
+    ExecutionOutcome::Cancelled
+)]
+#[test_case(
+    Close::NoDescriptor,
+    ExecutionOutcome::NeverIssued,
+    ExecutionOutcome::ConnectionLost
+)]
+fn only_what_was_not_written_is_proved_unrun(
+    close: Close,
+    unwritten: ExecutionOutcome,
+    written: ExecutionOutcome,
+) {
     assert_eq!(
         (
             ending::of_close(close, false),
@@ -215,12 +263,12 @@
         {"host": "s-1", "dial": "127.0.0.9:9", "site": "a", "block": 2, "health": "terminating", "born_ms": 0}]});
     assert_eq!(roster.list(&mut born, 2.0, &change), Ok(43));
     assert_eq!(
-        (born.nodes[&0].standing, born.nodes[&1].standing),
-        (Standing::Ready, Standing::Draining)
+        (born.nodes[&0].status, born.nodes[&1].status),
+        (NodeStatus::Ready, NodeStatus::Draining)
     );
     assert_eq!(
         (
-            born.nodes[&1].told,
+            born.nodes[&1].unavailable_since,
             roster.dial(1).unwrap().port(),
             roster.dial(0).unwrap().port()
         ),
@@ -230,8 +278,8 @@
         .list(&mut born, 3.0, &listed(44, &dials[..1]))
         .unwrap();
     assert_eq!(
-        born.nodes[&1].standing,
-        Standing::Gone,
+        born.nodes[&1].status,
+        NodeStatus::Gone,
         "a whole list leaves it out"
     );
     assert!(
@@ -244,8 +292,8 @@
             .is_err()
     );
     assert_eq!(
-        born.nodes[&0].standing,
-        Standing::Ready,
+        born.nodes[&0].status,
+        NodeStatus::Ready,
         "half a list takes nobody away"
     );
 }
--- a/crates/runtime/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -10,7 +10,7 @@
 use crate::watch::Roster;
 use async_io::Timer;
 use badgerstream_postgres_protocol::Close;
-use badgerstream_routing::Ending;
+use badgerstream_routing::ExecutionOutcome;
 use badgerstream_routing::recovery::{Phase, Settings};
 use futures_lite::future;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -135,7 +135,7 @@
     );
     assert_eq!(
         ended(&desk),
-        Some(Ending::Cancelled),
+        Some(ExecutionOutcome::Cancelled),
         "whatever becomes of it, it was given up"
     );
     let waited = async {
--- a/crates/runtime/router/src/tests/watch.rs
+++ b/crates/runtime/router/src/tests/watch.rs
@@ -4,7 +4,7 @@
 use crate::execute::Router;
 use crate::reload::Watches;
 use crate::spawn::Tasks;
-use badgerstream_routing::Standing;
+use badgerstream_routing::NodeStatus;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -54,10 +54,10 @@
     let desk: &Router = &desk;
     run(&tasks, async {
         first.recv().await.unwrap();
-        while desk.tell(|instance, _| instance.nodes[&1].standing == Standing::Ready) {
+        while desk.tell(|instance, _| instance.nodes[&1].status == NodeStatus::Ready) {
             futures_lite::future::yield_now().await;
         }
-        desk.tell(|instance, _| assert_eq!(instance.nodes[&0].standing, Standing::Ready));
+        desk.tell(|instance, _| assert_eq!(instance.nodes[&0].status, NodeStatus::Ready));
     });
     asked
         .try_iter()
@@ -121,7 +121,7 @@
         .unwrap();
     let (heard, first) = async_channel::bounded(1);
     let watches = Watches::begin(tasks.clone(), desk.clone(), roster, before, 41, heard);
-    let draining = || desk.tell(|instance, _| instance.nodes[&1].standing == Standing::Draining);
+    let draining = || desk.tell(|instance, _| instance.nodes[&1].status == NodeStatus::Draining);
     run(&tasks, async {
         first.recv().await.unwrap();
         for address in [before, nowhere, after] {
--- a/crates/runtime/router/src/watch.rs
+++ b/crates/runtime/router/src/watch.rs
@@ -93,14 +93,14 @@
         now: f64,
         told: &Value,
     ) -> Result<u64, Close> {
-        instance.listing();
+        instance.list_begins();
         let (seq, whole) =
             discovery::list(told, |name, dial, zone, group, standing, since, leads| {
                 let (node, zone) = (self.node(name, dial), self.zone(zone));
                 instance.named(node, name);
-                instance.member(now, node, (group, zone), standing, since, leads);
+                instance.list_member(now, node, (group, zone), standing, since, leads);
             })?;
-        instance.listed(now, whole);
+        instance.list_ends(now, whole);
         Ok(seq)
     }
 }
--- a/crates/testing/bench-adapter/src/link.rs
+++ b/crates/testing/bench-adapter/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{Batch, ENTRY_BYTES, Fields, Reply};
 use badgerstream_router_config::{Pairs, Reading};
-use badgerstream_routing::{Ending, Instance, Outbox, Role, Standing};
+use badgerstream_routing::{ExecutionOutcome, Instance, NodeStatus, Outbox, Role};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -191,11 +191,11 @@
                 }
                 let list = self.lists.get(usize::from(number)).and_then(Option::as_ref);
                 let list = list.ok_or(format!("list {number} was never given"))?;
-                instance.listing();
+                instance.list_begins();
                 for bytes in list.chunks_exact(ENTRY_BYTES) {
                     entry(instance, now, Fields { bytes, at: 0 })?;
                 }
-                instance.listed(now, kind != 3);
+                instance.list_ends(now, kind != 3);
             }
             30 => {
                 let (stmt, customer, hint) = (f.u32(), f.u16(), f.seconds());
@@ -217,7 +217,7 @@
                     age,
                 );
             }
-            40 => instance.started(f.u32()),
+            40 => instance.stream_started(f.u32()),
             50 => {
                 let (stmt, execution, node, outcome) = (f.u32(), f.u8(), f.u32(), f.u16());
                 let (took, over, note) = (f.seconds(), f.u8() != 0, f.u32());
@@ -257,7 +257,7 @@
                 instance.probed(
                     now,
                     node,
-                    ending(outcome)? == Ending::Completed,
+                    ending(outcome)? == ExecutionOutcome::Completed,
                     primary,
                     lsn,
                 );
@@ -292,26 +292,26 @@
     let (node, zone, _kind, group, standing) = (f.u32(), f.u8(), f.u8(), f.u16(), f.u8());
     let (_size, since, primary) = (f.f32(), f.seconds(), f.f32());
     let standing = match standing {
-        0 => Standing::Gone,
-        1 => Standing::Ready,
-        2 => Standing::Draining,
+        0 => NodeStatus::Gone,
+        1 => NodeStatus::Ready,
+        2 => NodeStatus::Draining,
         other => return Err(format!("node {node} has the unknown status {other}")),
     };
-    instance.member(now, node, (group, zone), standing, since, primary >= 0.5);
+    instance.list_member(now, node, (group, zone), standing, since, primary >= 0.5);
     Ok(())
 }
 
-fn ending(outcome: u16) -> Result<Ending, String> {
+fn ending(outcome: u16) -> Result<ExecutionOutcome, String> {
     Ok(match outcome {
-        100 => Ending::Completed,
-        101 => Ending::Missed,
-        301 => Ending::Errored,
-        302 => Ending::TurnedAway,
-        303 => Ending::TimedOut,
-        304 => Ending::Unconnected,
-        305 => Ending::Dropped,
-        306 => Ending::Cancelled,
-        307 => Ending::Moot,
+        100 => ExecutionOutcome::Completed,
+        101 => ExecutionOutcome::NotEligible,
+        301 => ExecutionOutcome::Errored,
+        302 => ExecutionOutcome::Rejected,
+        303 => ExecutionOutcome::TimedOut,
+        304 => ExecutionOutcome::ConnectFailed,
+        305 => ExecutionOutcome::ConnectionLost,
+        306 => ExecutionOutcome::Cancelled,
+        307 => ExecutionOutcome::NeverIssued,
         other => return Err(format!("outcome {other} is unknown")),
     })
 }
--- a/crates/testing/experiments/src/crowd.rs
+++ b/crates/testing/experiments/src/crowd.rs
@@ -5,7 +5,7 @@
 
 use badgerstream_process_harness::router::{Told, WORKLOADS};
 use badgerstream_router_config::{Own, Provision};
-use badgerstream_routing::{Ending, Instance, Outbox, Role, Standing};
+use badgerstream_routing::{ExecutionOutcome, Instance, NodeStatus, Outbox, Role};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
@@ -136,7 +136,7 @@
     Wake(usize, u64),
     /// Work at a node came to its end: which life of it, and the execution; true for a handshake.
     Done(usize, u32, usize, bool),
-    Heard(usize, Ending),
+    Heard(usize, ExecutionOutcome),
     Expire(usize),
     DialOver(usize),
     List(usize, u32),
@@ -394,10 +394,10 @@
                 }
             }
             Event::Heard(execution, ending) => self.heard(execution, ending),
-            Event::Expire(execution) => self.end(execution, Ending::TimedOut, true),
+            Event::Expire(execution) => self.end(execution, ExecutionOutcome::TimedOut, true),
             Event::DialOver(execution) => {
                 if self.executions[execution].phase == Phase::Dialing {
-                    self.end(execution, Ending::Unconnected, true);
+                    self.end(execution, ExecutionOutcome::ConnectFailed, true);
                 }
             }
             Event::List(router, life) => {
@@ -511,7 +511,7 @@
                         .get(&(stmt, execution))
                         .copied()
                     {
-                        self.end(of, Ending::Cancelled, false);
+                        self.end(of, ExecutionOutcome::Cancelled, false);
                     }
                 }
                 Order::Reject(stmt, after) => self.refused(router, stmt, Some(after)),
@@ -634,10 +634,16 @@
         if cut {
             self.at(now + DIAL_S, Event::DialOver(number));
         } else if !self.nodes[node].up {
-            self.at(now + TRIP_S, Event::Heard(number, Ending::Unconnected));
+            self.at(
+                now + TRIP_S,
+                Event::Heard(number, ExecutionOutcome::ConnectFailed),
+            );
         } else if self.nodes[node].held >= self.shape.connections {
             self.ran.turned_away += 1;
-            self.at(now + TRIP_S, Event::Heard(number, Ending::TurnedAway));
+            self.at(
+                now + TRIP_S,
+                Event::Heard(number, ExecutionOutcome::Rejected),
+            );
         } else {
             self.nodes[node].held += 1;
             *self.routers[router].held.entry(node).or_default() += 1;
@@ -723,9 +729,9 @@
             && !self.is_cut(of.router, node)
         {
             let ending = if self.misses(&of) {
-                Ending::Missed
+                ExecutionOutcome::NotEligible
             } else {
-                Ending::Completed
+                ExecutionOutcome::Completed
             };
             self.at(self.now + TRIP_S, Event::Heard(execution, ending));
         }
@@ -733,12 +739,15 @@
     }
 
     /// An answer has come to its router.
-    fn heard(&mut self, number: usize, ending: Ending) {
+    fn heard(&mut self, number: usize, ending: ExecutionOutcome) {
         let of = self.executions[number];
         if of.phase == Phase::Over {
             return;
         }
-        let good = matches!(ending, Ending::Completed | Ending::Missed) && of.phase == Phase::Out;
+        let good = matches!(
+            ending,
+            ExecutionOutcome::Completed | ExecutionOutcome::NotEligible
+        ) && of.phase == Phase::Out;
         let (now, leads) = (self.now, self.nodes[of.node].leads);
         if good && of.life == self.routers[of.router].life {
             self.routers[of.router]
@@ -762,7 +771,7 @@
             .unwrap_or(0) as f64;
         match of.stmt {
             None => {
-                let answered = ending == Ending::Completed;
+                let answered = ending == ExecutionOutcome::Completed;
                 self.routers[of.router].instance.probed(
                     now,
                     id,
@@ -773,7 +782,8 @@
             }
             Some(key) => {
                 self.routers[of.router].running.remove(&key);
-                let over = ending == Ending::Completed && self.answer(of.router, key.0, lsn);
+                let over =
+                    ending == ExecutionOutcome::Completed && self.answer(of.router, key.0, lsn);
                 let over = over || !self.routers[of.router].open.contains_key(&key.0);
                 let told = good.then_some(role);
                 let lsn = if good { lsn } else { f64::NEG_INFINITY };
@@ -828,7 +838,7 @@
     }
 
     /// An execution ends at its router without an answer: its connection closes. `tells`: the instance does not know.
-    fn end(&mut self, number: usize, ending: Ending, tells: bool) {
+    fn end(&mut self, number: usize, ending: ExecutionOutcome, tells: bool) {
         let of = self.executions[number];
         if of.phase == Phase::Over {
             return;
@@ -839,7 +849,9 @@
         }
         self.close(of.router, of.node, 1);
         let ending = match (ending, of.phase) {
-            (Ending::TimedOut | Ending::Cancelled, Phase::Dialing) => Ending::Moot,
+            (ExecutionOutcome::TimedOut | ExecutionOutcome::Cancelled, Phase::Dialing) => {
+                ExecutionOutcome::NeverIssued
+            }
             (ending, _) => ending,
         };
         let (now, id) = (self.now, of.node as u32);
@@ -876,18 +888,18 @@
     fn list(&mut self, router: usize) {
         let (now, members) = (self.now, self.shape.members);
         let instance = &mut self.routers[router].instance;
-        instance.listing();
+        instance.list_begins();
         for (id, node) in self.nodes.iter().enumerate() {
             let standing = if node.up {
-                Standing::Ready
+                NodeStatus::Ready
             } else {
-                Standing::Gone
+                NodeStatus::Gone
             };
             instance.named(id as u32, &format!("node-{id}"));
             let place = ((id / members) as u16, 0);
-            instance.member(now, id as u32, place, standing, node.since, node.leads);
+            instance.list_member(now, id as u32, place, standing, node.since, node.leads);
         }
-        instance.listed(now, true);
+        instance.list_ends(now, true);
         instance.list_spoke(now);
     }
 
@@ -983,9 +995,9 @@
         let there: Vec<(usize, Phase)> = there.map(|(number, of)| (number, of.phase)).collect();
         for (number, phase) in there {
             let ending = if phase == Phase::Out {
-                Ending::Dropped
+                ExecutionOutcome::ConnectionLost
             } else {
-                Ending::Unconnected
+                ExecutionOutcome::ConnectFailed
             };
             self.at(self.now + TRIP_S, Event::Heard(number, ending));
         }
