--- a/crates/testing/bench-adapter/src/main.rs
+++ b/crates/testing/bench-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Plays badgerstream's decisions on the simulator's wire: batches on standard input, replies on standard
-//! output.
+//! Runs badgerstream's routing policy behind the simulator's binary protocol: reads batches from standard input and
+//! writes replies to standard output.
 
 mod codec;
 mod link;
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic of the module is told over the wire, in one record.
+    // A panic of the policy is reported in a record of the reply instead of on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     let (input, output) = (stdin().lock(), stdout().lock());
     match link::serve(
--- a/crates/testing/bench-adapter/src/tests.rs
+++ b/crates/testing/bench-adapter/src/tests.rs
@@ -1,4 +1,5 @@
-//! Frames written from the wire's layout, its own worked examples among them.
+//! Tests of the protocol with the simulator, by frames written out byte for byte. Some are the examples of the
+//! protocol's description.
 
 mod recorded_exchange;
 
@@ -12,7 +13,7 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// A record: its code and fields in hex, zeros up to its size.
+/// Returns a record from its code and fields in hexadecimal, filled up with zeros.
 fn record(text: &str) -> Vec<u8> {
     let mut bytes = hex(text);
     bytes.resize(EVENT_BYTES, 0);
@@ -75,7 +76,7 @@
 something.new=7
 ";
 
-/// Instance 3 with one node of group 11, ready, and what a run of it answers to more records.
+/// Starts instance 3 with one ready node in group 11, adds further records, and returns the reply to the batch.
 fn hosted(records: &[&str]) -> Result<Vec<u8>, String> {
     let entry = hex("074a1203 00 00 0b00 01 0000803f 0000000000000000 0000803f");
     let (lines, members) = (SETUP.len() as u32, hex("01000000"));
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn the_worked_batch_reads_as_described() {
+fn the_example_batch_is_decoded() {
     let records = [
         "78 03000000",
         "1e c4913a5d 0000 0000000000002840 640ad2557c3bf091 0000 0000000020e6c040 01 00003041 0040ce43",
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn the_worked_reply_is_written_byte_for_byte() {
+fn the_example_reply_is_encoded_byte_for_byte() {
     let mut reply = Reply::default();
     reply.record(30, &[&3u32.to_le_bytes()]);
     let (stmt, node) = (0x5d3a_91c4_u32.to_le_bytes(), 0x0312_4a07_u32.to_le_bytes());
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_panic_is_told_as_in_the_worked_example() {
+fn a_panic_is_reported_as_in_the_example() {
     let (mut reply, mut output) = (Reply::default(), Vec::new());
     Link::default()
         .fault(Some(3), Box::new("index out of range"), &mut reply)
@@ -180,33 +181,33 @@
 fn a_hosted_instance_probes_and_executes() {
     let stmt = "1e c4913a5d 0000 0000000000002840 0000000000000000 0000 0000000000bae640 00 00003041 00000000";
     let codes = codes(&hosted(&[stmt]).unwrap());
-    assert_eq!(codes[0], 30, "the instance is named first");
+    assert_eq!(codes[0], 30, "the instance is selected first");
     assert!(codes.contains(&20) && codes.contains(&90), "{codes:?}");
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_all() {
+fn an_instance_that_stops_in_its_first_batch_sends_nothing() {
     let stmt = "1e c4913a5d 0000 0000000000002840 0000000000000000 0000 0000000000bae640 00 00003041 00000000";
     assert!(codes(&hosted(&[stmt, "64"]).unwrap()).is_empty());
 }
 
-#[test_case("46 4d000000"; "a timer nobody set")]
-#[test_case("3c 192b6f0e"; "a client leaving that is not known")]
-#[test_case("32 c4913a5d 00 074a1203 3101"; "a late outcome with a code of its own")]
-#[test_case("5a 0200 00000000 00000000"; "a peer's message")]
-#[test_case("28 c4913a5d 00 074a1203"; "a stream that is not known")]
+#[test_case("46 4d000000"; "a timer that was never set")]
+#[test_case("3c 192b6f0e"; "an unknown client leaves")]
+#[test_case("32 c4913a5d 00 074a1203 3101"; "a late outcome for an unknown statement")]
+#[test_case("5a 0200 00000000 00000000"; "a message from a peer")]
+#[test_case("28 c4913a5d 00 074a1203"; "an unknown stream")]
 #[test_case("14 0000 00"; "a failed list")]
-fn odd_but_legal(event: &str) {
+fn unusual_events_are_accepted(event: &str) {
     assert!(hosted(&[event]).is_ok());
 }
 
 #[test_case("63", "batch 1, record 4: event code 99 is unknown"; "unknown code")]
-#[test_case("14 0900 01", "batch 1, record 4: list 9 was never given"; "unknown list")]
+#[test_case("14 0900 01", "batch 1, record 4: list 9 was never sent"; "unknown list")]
 #[test_case("6e 0000 00000000 ff000000", "lie outside the tail"; "a list outside the tail")]
 #[test_case("0a 01 00000000000000 00000000 ffffff00", "lie outside the tail"; "settings outside the tail")]
-#[test_case("32 c4913a5d 00 074a1203 e703", "outcome 999 is unknown"; "unknown outcome")]
-#[test_case("1e c4913a5d 0000 0000000000002840 0000000000000000 0900", "class 9 is not in"; "unknown class")]
-fn bad_events(event: &str, expected: &str) {
+#[test_case("32 c4913a5d 00 074a1203 e703", "outcome code 999 is unknown"; "unknown outcome")]
+#[test_case("1e c4913a5d 0000 0000000000002840 0000000000000000 0900", "class 9 is unknown: the settings define 2 classes"; "unknown class")]
+fn invalid_events_are_refused(event: &str, expected: &str) {
     let problem = hosted(&[event]).unwrap_err();
     assert!(problem.contains(expected), "{problem}");
 }
@@ -214,17 +215,17 @@
 #[test]
 fn an_event_needs_a_running_instance() {
     let records = [record("78 09000000"), record("46 4d000000")];
-    let told = Link::default().answer(&batch(1.0, &records, &[]), &mut Reply::default());
+    let answered = Link::default().answer(&batch(1.0, &records, &[]), &mut Reply::default());
     assert_eq!(
-        told.unwrap_err(),
+        answered.unwrap_err(),
         "batch 1, record 1: instance 9 is not running"
     );
 }
 
-#[test_case("01000000 00000000", "a batch's header ends after 8 of 20 bytes"; "header cut")]
-#[test_case("07000000 30000000 01000000 00000000206ec040 78", "batch 7: ends after 1 of 48 bytes"; "body cut")]
-#[test_case("07000000 30000000 02000000 00000000206ec040", "batch 7: 2 records do not fit"; "wrong length")]
-fn cut_frames(bytes: &str, expected: &str) {
+#[test_case("01000000 00000000", "a batch header ends after 8 of 20 bytes"; "truncated header")]
+#[test_case("07000000 30000000 01000000 00000000206ec040 78", "batch 7: the body ends after 1 of 48 bytes"; "truncated body")]
+#[test_case("07000000 30000000 02000000 00000000206ec040", "batch 7: a length of 48 bytes is invalid for 2 records of 48 bytes"; "wrong length")]
+fn damaged_frames_are_refused(bytes: &str, expected: &str) {
     let problem = serve(&mut &hex(bytes)[..], &mut Vec::new()).unwrap_err();
     assert!(problem.contains(expected), "{problem}");
 }
--- a/crates/testing/bench-adapter/src/tests/recorded_exchange.rs
+++ b/crates/testing/bench-adapter/src/tests/recorded_exchange.rs
@@ -1,7 +1,8 @@
-//! An exchange with the simulator, recorded from an earlier program: two instances, six nodes, all kinds of
-//! statements, a node that stops answering, a primary that changes. Each batch is answered byte for byte.
+//! Replays an exchange with the simulator that was recorded from an earlier version: two instances, six nodes, all
+//! kinds of statements, a node that stops answering, and a change of primary. Each reply must be the same byte for
+//! byte.
 //!
-//! A line that begins with `>` is a batch in hexadecimal, the line behind it, with `<`, its reply.
+//! In the recording, a line that starts with `>` is a batch in hexadecimal; the next line, with `<`, is its reply.
 
 use super::hex;
 use crate::link::serve;
