--- a/crates/core/routing/src/tests.rs
+++ b/crates/core/routing/src/tests.rs
@@ -1,4 +1,4 @@
-//! Each test sets up just the state it needs, then calls one function.
+//! Tests of single decisions. Each sets up only the state that it needs, then calls one function.
 
 use crate::state::{Execution, Node, Rate, Session};
 use crate::*;
@@ -9,13 +9,15 @@
 mod succession;
 mod together;
 
-/// Clock reading at which tests begin, and the group that they use.
+/// Clock reading at which the tests start.
 const T: f64 = 1000.0;
+/// The group that they use, and its nodes.
 const G: u16 = 0;
 const A: u32 = 11;
 const B: u32 = 12;
 const C: u32 = 13;
 
+/// Indices of the workloads of [`router`].
 const WRITE: usize = 0;
 const OWN: usize = 1;
 const RECENT: usize = 2;
@@ -23,6 +25,7 @@
 const LATEST: usize = 4;
 const ONCE: usize = 5;
 
+/// The actions of the policy, as texts.
 #[derive(Default)]
 struct Seen(Vec<String>);
 
@@ -61,8 +64,9 @@
     }
 }
 
-/// One group: A the primary, B and C replicas that stand at the present; nothing checked by the nodes.
-fn router(checked: bool) -> Instance {
+/// Returns the policy for one group: A is the primary, and B and C are replicas without lag. `nodes_check` tells
+/// whether nodes check the freshness of reads themselves.
+fn router(nodes_check: bool) -> Instance {
     let deduplicated = Repeat::Deduplicated {
         scope: DedupScope::Group,
         memory_s: 1.2,
@@ -85,7 +89,7 @@
         worst_tenant: 0.0,
     };
     let replication = Replication {
-        nodes_check_freshness: checked,
+        nodes_check_freshness: nodes_check,
         sessions_carry_write_age: true,
     };
     let cold_start = ColdStart {
@@ -136,7 +140,7 @@
     router
 }
 
-/// A rate of events, as of T.
+/// Returns a rate of events as of T.
 fn rate(per_s: f64) -> Rate {
     Rate {
         updated_at: T,
@@ -172,20 +176,20 @@
 }
 
 #[test_case(WRITE, 0, 0.0, A; "a write goes to the primary")]
-#[test_case(LATEST, 0, 0.0, A; "a fresh read goes to the primary")]
-#[test_case(OWN, 5, 0.3, A; "a young carried age counts as a mark")]
-#[test_case(OWN, 5, 3.5, B; "an old write is on the replicas known past it")]
-#[test_case(OWN, 5, 0.0, B; "an unmarked session that owes nothing rotates")]
-#[test_case(RECENT, 0, 0.0, B; "a bounded read rotates")]
+#[test_case(LATEST, 0, 0.0, A; "a read of the latest data goes to the primary")]
+#[test_case(OWN, 5, 0.3, A; "a recent write age gives primary affinity")]
+#[test_case(OWN, 5, 3.5, B; "after an old write a replica known to have it is used")]
+#[test_case(OWN, 5, 0.0, B; "a session without affinity or writes rotates")]
+#[test_case(RECENT, 0, 0.0, B; "a read with a maximum age rotates")]
 #[test_case(LOOSE, 0, 0.0, B; "a read of any age rotates")]
-fn steps(workload: usize, session: u64, age: f64, expected: u32) {
+fn choice_by_consistency(workload: usize, session: u64, age: f64, expected: u32) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, session, age);
     assert_eq!(router.choose(1, T), Some(expected));
 }
 
 #[test]
-fn the_counter_wraps_over_replicas() {
+fn the_rotation_wraps_over_the_replicas() {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     let order: Vec<_> = (0..4).map(|_| router.choose(1, T).unwrap()).collect();
@@ -194,7 +198,7 @@
 
 #[test_case(2.9, A; "within three seconds")]
 #[test_case(3.1, B; "after three seconds")]
-fn a_send_to_the_primary_marks_the_session(later: f64, expected: u32) {
+fn a_send_to_the_primary_starts_affinity(later: f64, expected: u32) {
     let mut router = router(true);
     let session = Session {
         affinity: PrimaryAffinity::at(T),
@@ -209,41 +213,41 @@
     assert_eq!(router.choose(1, T + later), Some(expected));
 }
 
-#[test_case(T, Some(B); "known past the write")]
-#[test_case(T - 0.4, None; "not known past the write: it waits")]
-fn a_marked_read_leaves_a_full_primary_for_a_replica(known: f64, expected: Option<u32>) {
+#[test_case(T, Some(B); "the replicas have the write")]
+#[test_case(T - 0.4, None; "the replicas are not known to have the write: the read waits")]
+fn a_read_with_affinity_moves_from_a_full_primary_to_a_replica(lsn: f64, expected: Option<u32>) {
     let mut router = router(false);
     let primary = router.nodes.get_mut(&A).unwrap();
     primary.in_flight = primary.concurrency_limit as usize;
     for id in [B, C] {
-        router.nodes.get_mut(&id).unwrap().lsn = known;
+        router.nodes.get_mut(&id).unwrap().lsn = lsn;
     }
     take(&mut router, T, 1, OWN, 5, 0.3);
     assert_eq!(router.choose(1, T), expected);
 }
 
-#[test_case(false, T - 0.6, false; "too old without checks")]
-#[test_case(false, T - 0.4, true; "inside the bound")]
-#[test_case(true, T - 0.1, true; "a likely position where nodes check")]
-fn no_read_staler_than_its_bound(checked: bool, lsn: f64, expected: bool) {
-    let mut router = router(checked);
+#[test_case(false, T - 0.6, false; "too old, and nodes do not check")]
+#[test_case(false, T - 0.4, true; "within the maximum age")]
+#[test_case(true, T - 0.1, true; "the position probably suffices, and nodes check")]
+fn no_read_is_older_than_its_maximum_age(nodes_check: bool, lsn: f64, expected: bool) {
+    let mut router = router(nodes_check);
     router.nodes.get_mut(&B).unwrap().lsn = lsn;
     take(&mut router, T, 1, RECENT, 0, 0.0);
     assert_eq!(router.fresh_enough(&router.statements[&1], B, T), expected);
 }
 
 #[test]
-fn a_deposed_primary_answers_no_fresh_read() {
+fn a_deposed_primary_gets_no_read_of_the_latest_data() {
     let mut router = router(false);
     take(&mut router, T + 1.0, 1, LATEST, 0, 0.0);
     router.nodes.get_mut(&A).unwrap().denied_primary_at = T + 0.5;
     assert!(!router.fresh_enough(&router.statements[&1], A, T + 1.0));
 }
 
-#[test_case(T - 0.5, Some(A); "an older claim in a late report")]
-#[test_case(T + 0.5, Some(B); "a younger claim")]
-#[test_case(T + 9.0, Some(A); "a claim from the future is a broken report")]
-fn of_two_that_claim_the_role_the_later_leads(claim: f64, expected: Option<u32>) {
+#[test_case(T - 0.5, Some(A); "a late report has an older claim")]
+#[test_case(T + 0.5, Some(B); "a newer claim")]
+#[test_case(T + 9.0, Some(A); "a claim from the future is invalid")]
+fn of_two_claimants_the_later_is_the_primary(claim: f64, expected: Option<u32>) {
     let mut router = router(false);
     router.nodes.get_mut(&B).unwrap().denied_primary_at = T - 2.0;
     router.reported(T + 1.0, B, Some(true), claim);
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn a_miss_moves_a_write_on_and_one_round_is_enough_for_all() {
+fn a_declined_write_tells_all_writes_which_node_is_not_the_primary() {
     let mut router = router(false);
     for id in [A, B, C] {
         let node = router.nodes.get_mut(&id).unwrap();
@@ -276,16 +280,19 @@
             none,
         );
     }
-    assert!(settle(&mut router, T).is_empty(), "held after the round");
+    assert!(
+        settle(&mut router, T).is_empty(),
+        "held after each member was tried once"
+    );
     assert!(
         !settle(&mut router, T + 0.11).is_empty(),
-        "tried again after the hold"
+        "sent again after the hold"
     );
 }
 
-/// Found on reading: held writes sat out their hold although the new primary was known.
+/// Guards against held writes that wait out their hold although the new primary is already known.
 #[test]
-fn a_claim_releases_held_writes() {
+fn a_known_primary_releases_held_writes() {
     let mut router = router(false);
     router.nodes.get_mut(&A).unwrap().denied_primary_at = T + 0.1;
     settle(&mut router, T + 0.1);
@@ -300,19 +307,19 @@
 
 #[test_case(0.1, 1, false; "one answer owed for a moment")]
 #[test_case(0.5, 3, true; "many answers owed")]
-fn silence(waited: f64, out: usize, expected: bool) {
+fn owed_answers_make_a_silent_node_a_suspect(waited: f64, in_flight: usize, expected: bool) {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.in_flight, node.waited_until) = (out, T);
+    (node.in_flight, node.waited_until) = (in_flight, T);
     settle(&mut router, T + waited);
     assert_eq!(router.nodes[&B].suspected_at.is_some(), expected);
 }
 
-/// Found on a day of thousands of statements a second, answered in 2 ms: whenever the router got no processor for
-/// some milliseconds, all nodes became suspects at once.
-#[test_case(0.03, false; "for less than a node takes to show itself")]
+/// Guards against false suspicion of all nodes at once if the router itself gets no processor for some milliseconds,
+/// seen with thousands of statements per second that were answered in 2 ms.
+#[test_case(0.03, false; "for less than the limit of silence")]
 #[test_case(0.5, true; "for long")]
-fn a_router_that_stood_still_blames_nobody(still: f64, expected: bool) {
+fn a_pause_of_the_router_makes_no_suspects(pause: f64, expected: bool) {
     let mut router = router(false);
     for node in router.nodes.values_mut() {
         (
@@ -322,13 +329,13 @@
             node.last_heard_at,
         ) = (8, T, 0.002, T);
     }
-    settle(&mut router, T + still);
+    settle(&mut router, T + pause);
     assert_eq!(router.nodes[&B].suspected_at.is_some(), expected);
 }
 
-/// Found on a standard day: a slow execution made all that were sent after it look overdue.
+/// Guards against a slow execution that makes all later ones look overdue: each is waited for from its own send.
 #[test]
-fn what_was_just_sent_is_not_owed_since_the_last_answer() {
+fn an_execution_is_owed_only_since_its_own_send() {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
     (node.in_flight, node.waited_until) = (1, T);
@@ -340,9 +347,9 @@
     assert!(router.nodes[&B].suspected_at.is_none());
 }
 
-/// Found on the first days: a pace that no answer had set yet made every node look silent at the start.
+/// Guards against suspicion at the router's start, when no answer has set a latency estimate yet.
 #[test]
-fn no_node_is_silent_before_a_pace_is_known() {
+fn no_node_is_a_suspect_before_its_latency_is_known() {
     let mut router = router(false);
     for node in router.nodes.values_mut() {
         *node = Node::new(G, 0, 8.0, 1.0, 0.2, 4.0);
@@ -353,23 +360,23 @@
 }
 
 #[test_case(ExecutionOutcome::ConnectFailed, 1, true; "out of reach")]
-#[test_case(ExecutionOutcome::ConnectionLost, 5, false; "five connections cut")]
-#[test_case(ExecutionOutcome::ConnectionLost, 6, true; "cut in a row")]
-#[test_case(ExecutionOutcome::SendInterrupted, 6, true; "cut in a row before the last byte")]
-#[test_case(ExecutionOutcome::InvalidAnswer, 6, true; "no answers in a row")]
-#[test_case(ExecutionOutcome::Errored, 9, false; "errors that nothing shows to be the node's")]
-fn faults(ending: ExecutionOutcome, times: u8, expected: bool) {
+#[test_case(ExecutionOutcome::ConnectionLost, 5, false; "five lost connections")]
+#[test_case(ExecutionOutcome::ConnectionLost, 6, true; "six lost connections in a row")]
+#[test_case(ExecutionOutcome::SendInterrupted, 6, true; "six connections lost before the last byte")]
+#[test_case(ExecutionOutcome::InvalidAnswer, 6, true; "six invalid answers in a row")]
+#[test_case(ExecutionOutcome::Errored, 9, false; "errors that may be the statements' own")]
+fn faults_make_a_suspect(outcome: ExecutionOutcome, times: u8, expected: bool) {
     let mut router = router(false);
     for _ in 0..times {
-        router.executed(T, 99, 0, B, ending, 0.001, false, None, f64::NEG_INFINITY);
+        router.executed(T, 99, 0, B, outcome, 0.001, false, None, f64::NEG_INFINITY);
     }
     settle(&mut router, T);
     assert_eq!(router.nodes[&B].suspected_at.is_some(), expected);
 }
 
-#[test_case(&[B], C; "one suspect is passed over")]
-#[test_case(&[A, B, C], B; "a group that all looks bad keeps its members")]
-fn suspicion(suspects: &[u32], expected: u32) {
+#[test_case(&[B], C; "a single suspect is skipped")]
+#[test_case(&[A, B, C], B; "if all members are suspects they are still used")]
+fn suspects_are_avoided(suspects: &[u32], expected: u32) {
     let mut router = router(false);
     for id in suspects {
         let node = router.nodes.get_mut(id).unwrap();
@@ -379,7 +386,7 @@
     assert_eq!(router.choose(1, T), Some(expected));
 }
 
-/// Found in an incident: a node that failed two connections in three was cleared by every third.
+/// Guards against a node that fails two connections in three and is cleared by each third one.
 #[test]
 fn a_node_that_fails_most_connections_stays_a_suspect() {
     let mut router = router(false);
@@ -394,8 +401,8 @@
     assert!(router.nodes[&B].suspected_at.is_some());
 }
 
-#[test_case(LOOSE, Some(B); "a read that may repeat tries a suspect")]
-#[test_case(ONCE, None; "a write that may not run twice never does")]
+#[test_case(LOOSE, Some(B); "a repeatable read may try a suspect")]
+#[test_case(ONCE, None; "a non-idempotent write never does")]
 fn trial_of_a_suspect(workload: usize, expected: Option<u32>) {
     let mut router = router(false);
     router.groups.get_mut(&G).unwrap().primary = Some(B);
@@ -410,9 +417,9 @@
     assert_eq!(router.choose(1, T), expected);
 }
 
-#[test_case(LOOSE, &["execute 1 13"]; "a read is copied elsewhere")]
+#[test_case(LOOSE, &["execute 1 13"]; "a read is sent to another node")]
 #[test_case(ONCE, &[]; "a write is not")]
-fn what_a_silent_node_holds(workload: usize, expected: &[&str]) {
+fn executions_at_a_suspect_are_hedged(workload: usize, expected: &[&str]) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     router.groups.get_mut(&G).unwrap().waiting.clear();
@@ -424,26 +431,31 @@
 
 #[test_case(LOOSE, ExecutionOutcome::TimedOut, 0.1, true; "idempotent")]
 #[test_case(ONCE, ExecutionOutcome::TimedOut, 0.1, false; "non-idempotent that may have run")]
-#[test_case(ONCE, ExecutionOutcome::ConnectionLost, 0.1, false; "non-idempotent that was cut off")]
+#[test_case(ONCE, ExecutionOutcome::ConnectionLost, 0.1, false; "non-idempotent, connection lost")]
 #[test_case(ONCE, ExecutionOutcome::Errored, 0.1, false; "non-idempotent that errored")]
-#[test_case(ONCE, ExecutionOutcome::NotEligible, 0.1, true; "non-idempotent proved unrun")]
-#[test_case(WRITE, ExecutionOutcome::ConnectionLost, 0.5, true; "deduplicated inside the memory")]
-#[test_case(WRITE, ExecutionOutcome::ConnectionLost, 1.1, false; "deduplicated near the memory's end")]
-fn repeats(workload: usize, ending: ExecutionOutcome, later: f64, expected: bool) {
+#[test_case(ONCE, ExecutionOutcome::NotEligible, 0.1, true; "non-idempotent that certainly did not run")]
+#[test_case(WRITE, ExecutionOutcome::ConnectionLost, 0.5, true; "deduplicated within the memory")]
+#[test_case(WRITE, ExecutionOutcome::ConnectionLost, 1.1, false; "deduplicated near the end of the memory")]
+fn which_statements_may_be_repeated(
+    workload: usize,
+    outcome: ExecutionOutcome,
+    later: f64,
+    expected: bool,
+) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
-    push(&mut router, sent(A, T, Some(ending)));
+    push(&mut router, sent(A, T, Some(outcome)));
     assert_eq!(
         router.repeatable(&router.statements[&1], Some(A), T + later),
         expected
     );
 }
 
-#[test_case(LOOSE, None, "reject 1"; "a read may always be tried again")]
-#[test_case(WRITE, None, "abort 1"; "a deduplicated write still out")]
+#[test_case(LOOSE, None, "reject 1"; "a read may always be retried")]
+#[test_case(WRITE, None, "abort 1"; "a deduplicated write in flight")]
 #[test_case(WRITE, Some(ExecutionOutcome::NotEligible), "reject 1"; "a deduplicated write that never ran")]
 #[test_case(ONCE, Some(ExecutionOutcome::TimedOut), "abort 1"; "a non-idempotent write that may have run")]
-fn the_last_moment_has_one_answer(
+fn each_statement_gets_one_answer_before_its_deadline(
     workload: usize,
     ended: Option<ExecutionOutcome>,
     expected: &str,
@@ -461,17 +473,17 @@
     );
     assert!(
         settle(&mut router, end + 0.05).is_empty(),
-        "nothing is sent after it"
+        "nothing is sent after the answer"
     );
 }
 
 #[test_case(WRITE, true, &[], true; "a write")]
-#[test_case(RECENT, true, &[], true; "a read that only the primary will do for")]
-#[test_case(WRITE, true, &[ExecutionOutcome::ConnectFailed, ExecutionOutcome::NeverIssued], true; "no byte was written")]
-#[test_case(WRITE, true, &[ExecutionOutcome::NotEligible], false; "a node has seen it")]
-#[test_case(WRITE, false, &[], true; "the primary has no room, and an answer would be late")]
-#[test_case(ONCE, false, &[], false; "the primary has no room, and an answer would be in time")]
-fn nobody_in_reach_for_half_of_its_time(
+#[test_case(RECENT, true, &[], true; "a read that only the primary can answer")]
+#[test_case(WRITE, true, &[ExecutionOutcome::ConnectFailed, ExecutionOutcome::NeverIssued], true; "no node had all of it")]
+#[test_case(WRITE, true, &[ExecutionOutcome::NotEligible], false; "a node had it")]
+#[test_case(WRITE, false, &[], true; "the primary is full and an answer would be late")]
+#[test_case(ONCE, false, &[], false; "the primary is full and an answer would be in time")]
+fn a_statement_is_rejected_after_half_of_its_time_without_a_node(
     workload: usize,
     suspect: bool,
     tried: &[ExecutionOutcome],
@@ -496,7 +508,7 @@
         leader.suspected_at,
         leader.last_trial_at,
     ) = (T, suspect.then_some(T), T + 0.9);
-    // Waited for from now on and at this pace, what is out makes it no suspect.
+    // With this latency, and waited for from now on, the executions in flight do not make it a suspect.
     (leader.waited_until, leader.latency_s) = (T, 99.0);
     let s = &router.statements[&1];
     assert!(!router.held_too_long(s, T + 0.98) || !expected);
@@ -505,11 +517,11 @@
     assert_eq!(told, expected);
 }
 
-/// Found on a day of data centres cut apart: seconds after they were joined again, nodes were still suspects.
-#[test_case(true, false, &["execute 1 12"]; "it completes a trial: the next goes at once")]
-#[test_case(false, true, &["execute 1 12"]; "it answers a probe: trials begin anew")]
-#[test_case(false, false, &[]; "nothing is heard")]
-fn a_suspect_that_is_back(completes: bool, probed: bool, expected: &[&str]) {
+/// Guards against nodes that stay suspects for seconds after a network partition between data centers has ended.
+#[test_case(true, false, &["execute 1 12"]; "it completes a trial: the next one follows at once")]
+#[test_case(false, true, &["execute 1 12"]; "it answers a probe: the trials start again")]
+#[test_case(false, false, &[]; "it answers nothing")]
+fn a_suspect_that_recovers_is_tried_again(completes: bool, probed: bool, expected: &[&str]) {
     let mut router = router(false);
     for (id, node) in &mut router.nodes {
         (node.in_flight, node.latency_s, node.waited_until) =
@@ -527,7 +539,7 @@
         router.executed(T, 99, 0, B, ExecutionOutcome::Completed, 0.1, true, None, T);
         assert!(
             router.nodes[&B].suspected_at.is_some(),
-            "one good answer clears nobody"
+            "one good answer does not clear a suspect"
         );
     }
     if probed {
@@ -538,7 +550,7 @@
 }
 
 #[test]
-fn an_answer_ends_what_else_is_out() {
+fn an_answer_cancels_the_other_executions() {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     let executions = vec![sent(B, T, None), sent(C, T, None)];
@@ -558,7 +570,7 @@
 }
 
 #[test]
-fn a_read_worth_nothing_late_is_given_up_at_once() {
+fn a_read_without_late_value_is_given_up_once_it_would_be_late() {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     router.statements.get_mut(&1).unwrap().workload.late_value = 0.0;
@@ -566,13 +578,13 @@
     assert_eq!(settle(&mut router, T + 0.21), ["reject 1"]);
 }
 
-#[test_case(NodeStatus::Draining, 0.1, true, false; "a draining primary within half the grace")]
+#[test_case(NodeStatus::Draining, 0.1, true, false; "a draining primary within half of the grace")]
 #[test_case(NodeStatus::Draining, 0.1, false, true; "a draining replica")]
-#[test_case(NodeStatus::Draining, 0.3, true, true; "a draining primary later")]
+#[test_case(NodeStatus::Draining, 0.3, true, true; "a draining primary after that")]
 #[test_case(NodeStatus::Gone, 0.0, true, true; "a node that is gone")]
-fn drains(standing: NodeStatus, later: f64, last_resort: bool, expected: bool) {
+fn closed_nodes(status: NodeStatus, later: f64, last_resort: bool, expected: bool) {
     let mut router = router(false);
-    router.list_member(T, B, (G, 0), standing, 0.0, false);
+    router.list_member(T, B, (G, 0), status, 0.0, false);
     let drain = Drain {
         grace_s: 0.5,
         only_draining_binds: false,
@@ -583,24 +595,28 @@
     );
 }
 
-/// Found on a day on which the list called every node gone while all served: reads piled up on the primary.
-#[test_case(true, None, Some(B); "a drain alone binds: it serves on")]
-#[test_case(true, Some(T), None; "but not once it fails itself")]
-#[test_case(false, None, None; "where gone binds it stays closed")]
-fn called_gone_without_a_drain(only_draining: bool, suspected: Option<f64>, expected: Option<u32>) {
+/// Guards against overload of the primary by reads if the list wrongly has every node as gone.
+#[test_case(true, None, Some(B); "only drains bind: the node stays in service")]
+#[test_case(true, Some(T), None; "only drains bind: a suspect is closed")]
+#[test_case(false, None, None; "a node that is gone is closed")]
+fn listed_as_gone_without_a_drain(
+    only_draining: bool,
+    suspected_at: Option<f64>,
+    expected: Option<u32>,
+) {
     let mut router = router(false);
     router.drain.only_draining_binds = only_draining;
     router.list_begins();
     router.list_ends(T, true);
     router.nodes.get_mut(&C).unwrap().listed_draining = true;
-    router.nodes.get_mut(&B).unwrap().suspected_at = suspected;
+    router.nodes.get_mut(&B).unwrap().suspected_at = suspected_at;
     router.nodes.get_mut(&A).unwrap().in_flight = 99;
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     assert_eq!(router.choose(1, T), expected);
 }
 
 #[test]
-fn a_whole_list_without_a_node_tells_that_it_is_gone() {
+fn a_node_missing_from_a_complete_list_is_gone() {
     let mut router = router(false);
     router.list_begins();
     router.list_member(T, A, (G, 0), NodeStatus::Ready, 0.0, true);
@@ -608,21 +624,21 @@
     assert_eq!(router.nodes[&B].status, NodeStatus::Gone);
 }
 
-/// Found at 244 routers: with a floor of one send a router and window, a cold node was sent 3.5 times what it
-/// could do. Below one send a window, the lots of statements share out what is left.
-#[test_case(0, 0.0, 0.0, true; "the lowest lot goes before any load is known")]
-#[test_case(0, 0.0, 0.99, false; "not the highest")]
-#[test_case(2, 60.0, 0.99, true; "inside what warm nodes bear")]
-#[test_case(15, 60.0, 0.0, false; "beyond what warm nodes bear")]
-fn a_cold_node_gets_its_part(already: usize, borne: f64, lot: f64, expected: bool) {
+/// Guards against overload of a cold node by many routers: with at least one send per router and window, 244 routers
+/// sent it 3.5 times its capacity. Below one send per window, the admission ranks of the statements decide.
+#[test_case(0, 0.0, 0.0, true; "the lowest rank goes before any load is known")]
+#[test_case(0, 0.0, 0.99, false; "the highest rank does not")]
+#[test_case(2, 60.0, 0.99, true; "below what warm nodes complete")]
+#[test_case(15, 60.0, 0.0, false; "above what warm nodes complete")]
+fn a_cold_node_gets_its_share(sent: usize, completions_per_s: f64, rank: f64, expected: bool) {
     let mut router = router(false);
     router.routers = 40.0;
     router.list_member(T, B, (G, 0), NodeStatus::Ready, T, false);
-    (router.completions, router.warm_nodes) = (rate(borne), 2.0);
-    router.nodes.get_mut(&B).unwrap().recent_sends = vec![T; already].into();
+    (router.completions, router.warm_nodes) = (rate(completions_per_s), 2.0);
+    router.nodes.get_mut(&B).unwrap().recent_sends = vec![T; sent].into();
     take(&mut router, T, 1, LOOSE, 0, 0.0);
 
-    router.statements.get_mut(&1).unwrap().admission_rank = lot;
+    router.statements.get_mut(&1).unwrap().admission_rank = rank;
     router.groups.get_mut(&G).unwrap().arrivals = rate(1.0);
     let statement = &router.statements[&1];
     assert_eq!(
@@ -631,12 +647,13 @@
     );
 }
 
-/// Found at 280 routers: probes by the clock cost more than all statements were worth.
-#[test_case(0.03, &["probe 12"]; "a position that a waiting read needs is asked for")]
-#[test_case(0.2, &["execute 1 11"]; "not where the price is beyond what it is worth")]
-fn a_probe_is_asked_for_by_who_needs_it(price: f64, expected: &[&str]) {
+/// Guards against the cost of probes at fixed intervals: with 280 routers they cost more than the value of all
+/// statements.
+#[test_case(0.03, &["probe 12"]; "a waiting read probes for a position")]
+#[test_case(0.2, &["execute 1 11"]; "a probe that costs too much is not sent")]
+fn statements_probe_only_if_they_need_it(cost_share: f64, expected: &[&str]) {
     let mut router = router(false);
-    router.limits.probe_cost_share = price;
+    router.limits.probe_cost_share = cost_share;
     for id in [B, C] {
         router.nodes.get_mut(&id).unwrap().lsn = T - 5.0;
     }
@@ -646,11 +663,11 @@
     assert_eq!(seen.0, expected);
 }
 
-/// Found on a day on which half of the statements erred at any node: the nodes became suspects, and each such
-/// statement was executed eight times.
-#[test_case(&[B], ExecutionOutcome::Completed, 2, &[]; "another node completes it: the first is to blame")]
-#[test_case(&[B], ExecutionOutcome::Errored, 0, &["reject 1"]; "another errs too: it is the statement, and final")]
-fn errors_follow_the_node_or_the_statement(
+/// Guards against statements that fail on every node: when half of them did, the nodes became suspects and each
+/// such statement was executed eight times.
+#[test_case(&[B], ExecutionOutcome::Completed, 2, &[]; "another node completes it: the error is the first node's")]
+#[test_case(&[B], ExecutionOutcome::Errored, 0, &["reject 1"]; "another node errs, too: the error is the statement's and final")]
+fn errors_are_attributed_to_the_node_or_the_statement(
     before: &[u32],
     ending: ExecutionOutcome,
     faults: u32,
@@ -668,27 +685,27 @@
     assert_eq!(router.nodes[&B].faults, faults);
 }
 
-/// Found in an incident: nodes that restarted unannounced were pushed over within a second of their start.
+/// Guards against overload of nodes that restart without notice, which happened within a second of their start.
 #[test_case(ExecutionOutcome::ConnectFailed, true; "out of reach")]
 #[test_case(ExecutionOutcome::Errored, false; "an error")]
-#[test_case(ExecutionOutcome::InvalidAnswer, false; "what is no answer")]
-#[test_case(ExecutionOutcome::ConnectionLost, true; "a connection that broke")]
-#[test_case(ExecutionOutcome::SendInterrupted, true; "a connection that broke before the last byte")]
-fn who_was_out_of_reach_may_be_cold(ending: ExecutionOutcome, expected: bool) {
+#[test_case(ExecutionOutcome::InvalidAnswer, false; "an invalid answer")]
+#[test_case(ExecutionOutcome::ConnectionLost, true; "a lost connection")]
+#[test_case(ExecutionOutcome::SendInterrupted, true; "a connection lost before the last byte")]
+fn a_node_out_of_reach_counts_as_cold(outcome: ExecutionOutcome, expected: bool) {
     let mut router = router(false);
-    router.executed(T, 99, 0, B, ending, 0.1, false, None, f64::NEG_INFINITY);
+    router.executed(T, 99, 0, B, outcome, 0.1, false, None, f64::NEG_INFINITY);
     assert_eq!(
         router.nodes[&B].warm_share(&router.cold_start, T + 1.0) < 1.0,
         expected
     );
 }
 
-/// Found on a day of connections that broke: a primary stood idle for seconds while all waited for it, as it
-/// counted as cold and was sent nothing that could show otherwise.
-#[test_case(0.05, 0.1, false; "what was sent before is answered")]
-#[test_case(0.15, 0.1, false; "what was sent right behind is answered")]
-#[test_case(0.5, 0.1, true; "only what was sent later is answered")]
-fn a_node_that_answers_on_has_not_restarted(answered: f64, took: f64, cold: bool) {
+/// Guards against an idle primary after a lost connection: it counted as cold, and for seconds it was sent nothing that
+/// could prove the opposite, while all statements waited for it.
+#[test_case(0.05, 0.1, false; "it answers what was sent before")]
+#[test_case(0.15, 0.1, false; "it answers what was sent right after")]
+#[test_case(0.5, 0.1, true; "it answers only what was sent later")]
+fn a_node_that_keeps_answering_has_not_restarted(answered: f64, took: f64, cold: bool) {
     let mut router = router(false);
     let end = |router: &mut Instance, at: f64, ending| {
         router.executed(
@@ -707,7 +724,7 @@
     assert_eq!(
         router.nodes[&B].warm_share(&router.cold_start, T + 0.09),
         1.0,
-        "first it may show that it lives"
+        "at first it may prove that it still runs"
     );
     assert!(router.nodes[&B].warm_share(&router.cold_start, T + 0.11) < 1.0);
     end(&mut router, answered, ExecutionOutcome::Completed);
@@ -718,7 +735,7 @@
 }
 
 #[test]
-fn timers_end_with_their_statement() {
+fn timers_are_removed_with_their_statement() {
     let mut router = router(false);
     for stmt in 0..100 {
         router.arrived(T, stmt, LOOSE, G, 0, 9, 0.0, T + 86_400.0, 0.0);
@@ -729,9 +746,9 @@
     assert!(router.timers.is_empty());
 }
 
-/// Found in a hunt: the writes held while a group was down, all with low lots, pushed it over when back.
+/// Guards against overload of a group that is back by the writes that were held for it, all with low admission ranks.
 #[test]
-fn what_waited_for_a_cold_node_does_not_go_all_at_once() {
+fn statements_that_waited_for_a_cold_node_are_not_sent_all_at_once() {
     let mut router = router(false);
     router.routers = 40.0;
     (router.completions, router.warm_nodes) = (rate(1.0), 2.0);
@@ -744,13 +761,18 @@
     assert!(settle(&mut router, T + 1.6).is_empty());
 }
 
-/// Found on days of lost answers: what is late is copied only while most that is late never comes.
+/// Guards against needless hedging: late executions are hedged only while most late ones are never answered.
 #[test_case(LOOSE, 0.9, 0.4, &["execute 1 13"]; "most late ones were never answered")]
-#[test_case(LOOSE, 0.3, 0.4, &[]; "most were only long")]
+#[test_case(LOOSE, 0.3, 0.4, &[]; "most were only slow")]
 #[test_case(LOOSE, 0.9, 0.2, &[]; "not late yet")]
-#[test_case(WRITE, 0.9, 0.4, &["execute 1 11"]; "a deduplicated write goes to its primary again")]
-#[test_case(ONCE, 0.9, 0.4, &[]; "a non-idempotent write never does")]
-fn copies_of_what_is_late(workload: usize, unanswered_share: f64, later: f64, expected: &[&str]) {
+#[test_case(WRITE, 0.9, 0.4, &["execute 1 11"]; "a deduplicated write is sent to the primary again")]
+#[test_case(ONCE, 0.9, 0.4, &[]; "a non-idempotent write is never sent again")]
+fn late_executions_are_hedged(
+    workload: usize,
+    unanswered_share: f64,
+    later: f64,
+    expected: &[&str],
+) {
     let mut router = router(false);
     take(&mut router, T, 1, workload, 0, 0.0);
     router.groups.get_mut(&G).unwrap().waiting.clear();
@@ -762,11 +784,11 @@
     assert_eq!(settle(&mut router, T + later), expected);
 }
 
-/// Found on days of lost answers: one that stays out alone must not count as a jam.
-#[test_case(1, 0.9, false; "one alone, where answers get lost")]
+/// Guards against a single lost answer that counts as congestion.
+#[test_case(1, 0.9, false; "one, where answers get lost")]
 #[test_case(2, 0.9, true; "two in a row")]
-#[test_case(1, 0.1, true; "one alone, where all come")]
-fn unanswered_executions_show_a_jam(times: u8, unanswered_share: f64, expected: bool) {
+#[test_case(1, 0.1, true; "one, where all answers come")]
+fn unanswered_executions_count_as_congestion(times: u8, unanswered_share: f64, expected: bool) {
     let mut router = router(false);
     router.unanswered_share = unanswered_share;
     for stmt in 1..=u32::from(times) {
@@ -786,9 +808,9 @@
     assert_eq!(router.nodes[&B].congestion > 0.0, expected);
 }
 
-/// Found in a mass restart: a new process stayed strained by the queue of the old one.
+/// Guards against a restarted node that keeps the congestion of its old process's queue.
 #[test]
-fn a_restart_clears_strain_and_suspicion() {
+fn a_restart_clears_congestion_and_suspicion() {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
     (node.congestion, node.unanswered_in_a_row, node.suspected_at) = (0.9, 3, Some(T));
@@ -800,14 +822,15 @@
     );
 }
 
-/// Found on reading a day's tap: room grown in calm times hid a jam from a router for half a minute.
-#[test_case(0.05, 0.2, true; "room that is used grows")]
-#[test_case(0.05, 0.01, false; "room beyond what is usually out does not")]
-fn room_under_one_grows_where_used(room: f64, asked: f64, expected: bool) {
+/// Guards against a concurrency limit that grows without use: in calm times it grew so far that it hid congestion from a
+/// router for half a minute.
+#[test_case(0.05, 0.2, true; "a limit that is used grows")]
+#[test_case(0.05, 0.01, false; "a limit above the usual number in flight does not")]
+fn a_limit_below_one_grows_if_used(limit: f64, mean_in_flight: f64, expected: bool) {
     let mut router = router(false);
-    router.nodes.get_mut(&B).unwrap().concurrency_limit = room;
-    // Asked of three members, at a pace of 0.1 s.
-    router.groups.get_mut(&G).unwrap().arrivals = rate(asked * 30.0);
+    router.nodes.get_mut(&B).unwrap().concurrency_limit = limit;
+    // Three members share the arrivals, and each answers in 0.1 s.
+    router.groups.get_mut(&G).unwrap().arrivals = rate(mean_in_flight * 30.0);
     router.executed(
         T,
         99,
@@ -819,12 +842,12 @@
         None,
         T,
     );
-    assert_eq!(router.nodes[&B].concurrency_limit > room, expected);
+    assert_eq!(router.nodes[&B].concurrency_limit > limit, expected);
 }
 
 #[test_case(1, 3.0; "within the quota")]
-#[test_case(60, 0.6; "far beyond it")]
-fn a_customer_beyond_its_quota_is_worth_less(times: u32, expected: f64) {
+#[test_case(60, 0.6; "far over it")]
+fn a_tenant_over_its_quota_has_less_value(times: u32, expected: f64) {
     let mut router = router(false);
     for stmt in 0..times {
         router.arrived(T, stmt, RECENT, G, 0, 0, 0.0, T + 2.0, 0.0);
@@ -833,7 +856,7 @@
 }
 
 #[test]
-fn the_worthiest_statement_takes_the_last_room() {
+fn the_most_valuable_statement_takes_the_last_capacity() {
     let mut router = router(false);
     router.nodes.get_mut(&A).unwrap().concurrency_limit = 1.0;
     for id in [B, C] {
@@ -852,10 +875,10 @@
     assert_eq!(router.nodes[&B].lsn, T);
 }
 
-/// A broken answer: a position ahead of the clock would let stale reads through until the clock gets there.
+/// Guards against an invalid position ahead of the clock, which would allow stale reads until the clock reaches it.
 #[test_case(T + 1.0, T + 0.999; "at the present")]
 #[test_case(T + 9.0, T; "ahead of the clock")]
-fn an_answer_tells_no_position_ahead_of_the_clock(lsn: f64, expected: f64) {
+fn a_position_ahead_of_the_clock_is_ignored(lsn: f64, expected: f64) {
     let mut router = router(false);
     router.executed(
         T + 1.0,
@@ -871,28 +894,27 @@
     assert!((router.nodes[&B].lsn - expected).abs() < 1e-9);
 }
 
-/// Found in an incident: what was sent in the last moment of its SLO time came back late and held a core
-/// meanwhile.
-#[test_case(0.15, &["execute 1 11"]; "two paces are left")]
-#[test_case(0.25, &["reject 1"]; "less than two paces are left")]
-fn no_send_that_cannot_be_back_in_time(later: f64, expected: &[&str]) {
+/// Guards against statements that are sent at the end of their SLO time, come back late and occupy a core meanwhile.
+#[test_case(0.15, &["execute 1 11"]; "two latencies are left")]
+#[test_case(0.25, &["reject 1"]; "less than two latencies are left")]
+fn a_statement_that_would_be_late_is_not_sent(later: f64, expected: &[&str]) {
     let mut router = router(false);
     take(&mut router, T, 1, LATEST, 0, 0.0);
     router.statements.get_mut(&1).unwrap().workload.late_value = 0.0;
     assert_eq!(settle(&mut router, T + later), expected);
 }
 
-/// Found in an incident: clients that wait for half of the SLO time only were turned away by idle nodes.
+/// Guards against rejections while nodes are idle, seen by clients that wait for only half of the SLO time.
 #[test]
-fn a_client_of_little_patience_is_served_at_once() {
+fn an_impatient_client_is_served_at_once() {
     let mut router = router(false);
     router.arrived(T, 1, LOOSE, G, 0, 9, 0.0, T + 0.19, 0.0);
     assert_eq!(settle(&mut router, T), ["execute 1 12"]);
 }
 
-/// Found by a test of the adapter: a fresh router, its nodes' pace unknown, turned away what it had just got.
+/// Guards against rejections by a router that has just started and does not know the latency of its nodes.
 #[test]
-fn nodes_of_unknown_pace_are_tried() {
+fn nodes_of_unknown_latency_are_tried() {
     let mut router = router(false);
     router.nodes.values_mut().for_each(|n| n.latency_s = 9.0);
     take(&mut router, T, 1, LATEST, 0, 0.0);
@@ -901,7 +923,7 @@
 }
 
 #[test]
-fn a_room_shrinks_once_a_jam() {
+fn a_limit_is_reduced_once_per_jam() {
     let mut router = router(false);
     let before = router.nodes[&B].concurrency_limit;
     take(&mut router, T, 1, LOOSE, 0, 0.0);
@@ -918,42 +940,47 @@
             f64::NEG_INFINITY,
         );
     }
-    let room = router.nodes[&B].concurrency_limit;
-    assert!(room < before && room > before * 0.4, "{room}");
+    let limit = router.nodes[&B].concurrency_limit;
+    assert!(limit < before && limit > before * 0.4, "{limit}");
 }
 
-/// Found at 177 routers: one execution a router filled a node's queue with what nobody waited for any more.
-#[test_case(0.1, 0.9, true; "a node without strain takes all")]
-#[test_case(0.9, 0.1, true; "a strained one takes the lowest lots")]
-#[test_case(0.9, 0.9, false; "and leaves the others")]
-fn a_strained_node_has_room_for_a_part(strain: f64, lot: f64, expected: bool) {
+/// Guards against queues of abandoned statements: with 177 routers, one execution per router filled a node's queue.
+#[test_case(0.1, 0.9, true; "a node without congestion takes all")]
+#[test_case(0.9, 0.1, true; "a congested node takes the lowest ranks")]
+#[test_case(0.9, 0.9, false; "a congested node does not take the others")]
+fn a_congested_node_takes_a_part(congestion: f64, rank: f64, expected: bool) {
     let mut router = router(false);
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.concurrency_limit, node.congestion, node.congestion_at) = (0.1, strain, T);
+    (node.concurrency_limit, node.congestion, node.congestion_at) = (0.1, congestion, T);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     router.groups.get_mut(&G).unwrap().arrivals = rate(3.0);
-    router.statements.get_mut(&1).unwrap().admission_rank = lot;
+    router.statements.get_mut(&1).unwrap().admission_rank = rank;
     assert_eq!(router.has_capacity(&router.statements[&1], B, T), expected);
 }
 
-/// The worthiest workload's lots lie under those of the others.
+/// The admission ranks of the most important workload are lower than those of the others.
 #[test]
-fn lots_go_by_worth() {
+fn admission_ranks_follow_importance() {
     let mut router = router(false);
     take(&mut router, T, 1, WRITE, 0, 0.0);
     take(&mut router, T, 2, LOOSE, 0, 0.0);
     assert!(router.statements[&2].admission_rank >= 0.5);
 }
 
-#[test_case(NodeStatus::Gone, 0, false, true; "gone for long")]
+#[test_case(NodeStatus::Gone, 0, false, true; "gone for a long time")]
 #[test_case(NodeStatus::Draining, 0, false, false; "it only drains")]
-#[test_case(NodeStatus::Gone, 1, false, false; "something is out there")]
-#[test_case(NodeStatus::Gone, 0, true, false; "it may only be called gone")]
-fn who_is_gone_leaves(standing: NodeStatus, out: usize, only_draining: bool, expected: bool) {
+#[test_case(NodeStatus::Gone, 1, false, false; "an execution is in flight there")]
+#[test_case(NodeStatus::Gone, 0, true, false; "only drains bind: it may only be listed as gone")]
+fn gone_nodes_are_forgotten(
+    status: NodeStatus,
+    in_flight: usize,
+    only_draining: bool,
+    expected: bool,
+) {
     let mut router = router(false);
     router.drain.only_draining_binds = only_draining;
-    router.nodes.get_mut(&C).unwrap().set_status(standing, T);
-    router.nodes.get_mut(&C).unwrap().in_flight = out;
+    router.nodes.get_mut(&C).unwrap().set_status(status, T);
+    router.nodes.get_mut(&C).unwrap().in_flight = in_flight;
     assert!(router.forget_gone(T + 59.0).is_empty());
     assert_eq!(
         router.forget_gone(T + 61.0),
@@ -963,7 +990,7 @@
 }
 
 #[test]
-fn a_node_that_an_open_statement_was_sent_to_stays() {
+fn a_node_with_an_open_statement_is_not_forgotten() {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     settle(&mut router, T);
