--- a/crates/core/routing/src/tests.rs
+++ b/crates/core/routing/src/tests.rs
@@ -4,8 +4,8 @@
 use crate::*;
 use test_case::test_case;
 
-mod further;
-mod pieces;
+mod deployments;
+mod shared_types;
 mod succession;
 mod together;
 
--- a/crates/core/routing/src/tests/further.rs
+++ b/crates/core/routing/src/tests/deployments.rs
@@ -1,11 +1,11 @@
-//! What the three further deployments showed, and what their changes must leave as it was.
+//! Tests of faults that were found in three deployments, and of behavior that the corrections must not change.
 
 use super::*;
 use crate::state::{AnswerTimes, NEVER};
 use test_case::test_case;
 
-/// A read of a session that wrote `age` ago, executed at B and ended so, which tells no position.
-fn ended_at_b(router: &mut Instance, now: f64, age: f64, ending: ExecutionOutcome) {
+/// Executes a read of a session that wrote `age` seconds ago at B, with this outcome and without a reported position.
+fn ended_at_b(router: &mut Instance, now: f64, age: f64, outcome: ExecutionOutcome) {
     take(router, now - 0.05, 1, OWN, 5, age);
     router
         .statements
@@ -13,31 +13,41 @@
         .unwrap()
         .executions
         .push(sent(B, now - 0.05, None));
-    router.executed(now, 1, 0, B, ending, 0.05, true, Some(Role::Replica), NEVER);
+    router.executed(
+        now,
+        1,
+        0,
+        B,
+        outcome,
+        0.05,
+        true,
+        Some(Role::Replica),
+        NEVER,
+    );
     settle(router, now);
 }
 
-/// Found on a quiet day of almaty-routes: answers told no positions, only probes did, and replicas that answered
-/// all the time were taken for as far behind as the last probe was old.
-#[test_case(ExecutionOutcome::Completed, 0.2, 0.7, true; "it answered what was nearly as young")]
-#[test_case(ExecutionOutcome::Completed, 0.2, 0.3, false; "it answered only what was older")]
-#[test_case(ExecutionOutcome::NotEligible, 0.2, 0.4, false; "it missed what was hardly younger")]
-#[test_case(ExecutionOutcome::NotEligible, 0.2, 0.7, true; "what it missed was much younger")]
-fn where_nodes_check_an_outcome_tells_the_lag(
-    ending: ExecutionOutcome,
-    then: f64,
+/// Guards against overestimated lag where answers report no position: replicas that answered all the time counted as
+/// lagging by the age of their last probe.
+#[test_case(ExecutionOutcome::Completed, 0.2, 0.7, true; "it answered a read that required almost the same")]
+#[test_case(ExecutionOutcome::Completed, 0.2, 0.3, false; "it answered only a read that required older data")]
+#[test_case(ExecutionOutcome::NotEligible, 0.2, 0.4, false; "it declined a read that required hardly newer data")]
+#[test_case(ExecutionOutcome::NotEligible, 0.2, 0.7, true; "the read that it declined required much newer data")]
+fn where_nodes_check_freshness_an_outcome_shows_the_lag(
+    outcome: ExecutionOutcome,
+    earlier_age: f64,
     age: f64,
     expected: bool,
 ) {
     let mut router = router(true);
     let node = router.nodes.get_mut(&B).unwrap();
-    let known = if ending == ExecutionOutcome::Completed {
+    let lag = if outcome == ExecutionOutcome::Completed {
         5.0
     } else {
         0.0
     };
-    (node.lsn, node.last_heard_at, node.lag, node.lag_known_at) = (T - 5.0, T, known, T);
-    ended_at_b(&mut router, T, then, ending);
+    (node.lsn, node.last_heard_at, node.lag, node.lag_known_at) = (T - 5.0, T, lag, T);
+    ended_at_b(&mut router, T, earlier_age, outcome);
     router.nodes.get_mut(&B).unwrap().lsn = T - 5.0;
     take(&mut router, T + 0.01, 2, OWN, 6, age);
     assert_eq!(
@@ -46,10 +56,10 @@
     );
 }
 
-#[test_case(0.9, 0.5, false; "missed a moment ago")]
+#[test_case(0.9, 0.5, false; "declined a moment ago")]
 #[test_case(1.1, 0.5, true; "it may have caught up")]
-#[test_case(1.1, 4.0, true; "a miss is cheap, however far behind it was")]
-fn a_miss_is_believed_for_a_second(later: f64, lag: f64, expected: bool) {
+#[test_case(1.1, 4.0, true; "it is tried again however far behind it was")]
+fn a_declined_read_counts_for_a_second(later: f64, lag: f64, expected: bool) {
     let mut router = router(true);
     let node = router.nodes.get_mut(&B).unwrap();
     (node.lsn, node.lag, node.lag_known_at, node.last_heard_at) = (T - 9.0, lag, T, T + later);
@@ -60,7 +70,8 @@
     );
 }
 
-fn long_reports(router: &mut Instance) {
+/// Long reads (`LOOSE`) among many short ones (`RECENT`).
+fn mixed_lengths(router: &mut Instance) {
     for (workload, share) in [(RECENT, 0.1), (LOOSE, 1.5)] {
         router.workload_answer_times[workload] = AnswerTimes {
             answers: 50.0,
@@ -75,13 +86,13 @@
     };
 }
 
-/// Found on a day of timeplan-oslo: one long read in a mix of short ones owed twelve answers within half a second;
-/// its node became a suspect, and the read was copied up to six times to nodes that go on with what is cancelled.
-#[test_case(LOOSE, false; "a long one")]
-#[test_case(RECENT, true; "a short one")]
-fn a_statement_owes_its_answer_by_its_own_length(workload: usize, expected: bool) {
+/// Guards against false suspicion by a long read among short ones: it counted as twelve owed answers within half a
+/// second, its node became a suspect, and the read was sent up to six times to nodes that do not stop a cancelled one.
+#[test_case(LOOSE, false; "a long statement")]
+#[test_case(RECENT, true; "a short statement")]
+fn an_answer_is_owed_by_the_length_of_its_statement(workload: usize, expected: bool) {
     let mut router = router(false);
-    long_reports(&mut router);
+    mixed_lengths(&mut router);
     router.nodes.values_mut().for_each(|n| n.latency_s = 0.04);
     take(&mut router, T, 1, workload, 0, 0.0);
     assert_eq!(settle(&mut router, T), ["execute 1 12"]);
@@ -90,9 +101,9 @@
 }
 
 #[test]
-fn lengths_add_up_to_those_of_the_usual_mix() {
+fn the_average_length_of_the_mix_is_one() {
     let mut router = router(false);
-    long_reports(&mut router);
+    mixed_lengths(&mut router);
     let lengths = [RECENT, LOOSE].map(|workload| router.length(workload));
     assert!(
         (0.97 * lengths[0] + 0.03 * lengths[1] - 1.0).abs() < 1e-6,
@@ -102,16 +113,16 @@
 }
 
 #[test]
-fn until_answers_tell_a_length_goes_by_the_slo_time() {
+fn without_answers_the_length_follows_the_slo_time() {
     let mut router = router(false);
     router.served_value[0][RECENT].requested = 3.0;
     assert!((router.length(LOOSE) - 1.0).abs() < 1e-6);
 }
 
-/// Found on the same day: long reads of any age, spread evenly, kept every replica from applying.
-#[test_case(0.0, &[B, C, B]; "replicas that keep up share them")]
-#[test_case(5.0, &[B, B, B]; "once one falls behind a third takes them")]
-fn reads_of_any_age_gather(lag: f64, expected: &[u32]) {
+/// Guards against long reads of any age that keep every replica from applying the log because they are spread evenly.
+#[test_case(0.0, &[B, C, B]; "replicas without lag share the reads")]
+#[test_case(5.0, &[B, B, B]; "once one lags a third of the replicas takes them")]
+fn reads_of_any_age_are_gathered(lag: f64, expected: &[u32]) {
     let mut router = router(true);
     let node = router.nodes.get_mut(&C).unwrap();
     (node.lag, node.lag_known_at) = (lag, T);
@@ -120,9 +131,9 @@
     assert_eq!(order, expected);
 }
 
-/// Found in an incident of timeplan-oslo: what found no room at the gathered replicas held back all others.
+/// Guards against reads of any age that find the gathering replicas full and then hold back all other replicas.
 #[test]
-fn gathered_reads_do_not_spill_over_to_other_replicas() {
+fn gathered_reads_do_not_use_other_replicas() {
     let mut router = router(true);
     let node = router.nodes.get_mut(&C).unwrap();
     (node.lag, node.lag_known_at) = (5.0, T);
@@ -131,12 +142,12 @@
     assert_eq!(router.choose(1, T), Some(A));
 }
 
-/// Found on a busy day of almaty-routes: work took more than the share of the SLO time at which room was cut, with
-/// no queue at all, so rooms shrank to a third of a node's cores.
-#[test_case(0.06, true; "short against the SLO time")]
-#[test_case(0.12, true; "long, but as long at its best")]
+/// Guards against concurrency limits that shrink without any queue: the work alone took longer than the share of the
+/// SLO time at which limits are reduced, and they shrank to a third of a node's cores.
+#[test_case(0.06, true; "short compared with the SLO time")]
+#[test_case(0.12, true; "long, but as long without queues")]
 #[test_case(0.3, false; "so long that many would be late")]
-fn room_goes_by_what_answers_take_at_their_best(took: f64, grows: bool) {
+fn limits_follow_the_answer_time_without_queues(took: f64, grows: bool) {
     let mut router = router(false);
     router
         .nodes
@@ -175,7 +186,7 @@
 }
 
 #[test]
-fn a_full_group_is_looked_at_again_as_soon_as_it_has_room() {
+fn a_full_group_is_used_again_as_soon_as_it_has_capacity() {
     let mut router = router(false);
     router.nodes.values_mut().for_each(|n| n.in_flight = 99);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
@@ -188,7 +199,7 @@
 }
 
 #[test]
-fn who_waits_at_a_full_group_is_given_up_between_beats_too() {
+fn statements_of_a_full_group_are_given_up_between_checks_too() {
     let mut router = router(false);
     router
         .nodes
@@ -203,7 +214,7 @@
 }
 
 #[test]
-fn a_workload_whose_slo_time_is_zero_spoils_no_pace() {
+fn an_slo_time_of_zero_leaves_the_averages_valid() {
     let mut router = router(false);
     take(&mut router, T, 1, LOOSE, 0, 0.0);
     let s = router.statements.get_mut(&1).unwrap();
--- a/crates/core/routing/src/tests/succession.rs
+++ b/crates/core/routing/src/tests/succession.rs
@@ -1,4 +1,4 @@
-//! A change of primaries as the module sees it: who is held, sent, asked about, aborted.
+//! Tests of the policy during a change of primary: which statements are held, sent, asked about, or aborted.
 
 use super::{A, B, C, G, LATEST, ONCE, OWN, RECENT, Seen, T, WRITE, router, settle, take};
 use crate::succession::{Phase, Settings};
@@ -13,7 +13,7 @@
     }
 }
 
-/// A leads and is settled.
+/// Returns the policy with A as the primary and no change under way.
 fn succeeding(settings: Settings) -> Instance {
     let mut router = router(false);
     router.succeed(Some(settings), 7);
@@ -22,15 +22,16 @@
     router
 }
 
+/// Ends an execution of statement 1.
 fn ended(
     router: &mut Instance,
     now: f64,
     execution: u8,
     node: u32,
-    ending: ExecutionOutcome,
+    outcome: ExecutionOutcome,
     role: Option<Role>,
 ) {
-    let lsn = if ending == ExecutionOutcome::Completed {
+    let lsn = if outcome == ExecutionOutcome::Completed {
         now
     } else {
         f64::NEG_INFINITY
@@ -40,20 +41,20 @@
         1,
         execution,
         node,
-        ending,
+        outcome,
         0.01,
-        ending == ExecutionOutcome::Completed,
+        outcome == ExecutionOutcome::Completed,
         role,
         lsn,
     );
 }
 
-/// What a probe of a node brings.
-fn word(router: &mut Instance, now: f64, node: u32, leads: bool) {
+/// Reports by a probe whether a node is the primary.
+fn report_role(router: &mut Instance, now: f64, node: u32, leads: bool) {
     router.probed(now, node, true, Some(leads), now);
 }
 
-/// A write that A refused: A is in doubt.
+/// Returns the policy after A refused the connection for statement 1: whether A is still the primary is in doubt.
 fn refused(settings: Settings, workload: usize) -> Instance {
     let mut router = succeeding(settings);
     take(&mut router, T + 0.4, 1, workload, 5, 0.0);
@@ -70,7 +71,8 @@
     router
 }
 
-/// One that A had whole when its connection broke, after which A refused another.
+/// Returns the policy after A had all of statement 1, lost its connection, and then refused another one: statement 1
+/// may have run.
 fn doubtful(settings: Settings, workload: usize) -> Instance {
     let mut router = succeeding(settings);
     take(&mut router, T + 0.4, 1, workload, 5, 0.0);
@@ -88,18 +90,18 @@
 }
 
 #[test_case(WRITE; "a write")]
-#[test_case(ONCE; "one that may not be repeated, as it was never run")]
-fn who_needs_a_primary_is_held_until_one_speaks(workload: usize) {
+#[test_case(ONCE; "a non-idempotent write that certainly did not run")]
+fn a_write_is_held_until_a_primary_reports(workload: usize) {
     let mut router = refused(settings(), workload);
     assert!(router.succession.as_ref().unwrap().holds(1));
-    word(&mut router, T + 0.5, C, false);
+    report_role(&mut router, T + 0.5, C, false);
     assert!(settle(&mut router, T + 0.5).is_empty());
-    word(&mut router, T + 0.6, B, true);
+    report_role(&mut router, T + 0.6, B, true);
     assert_eq!(settle(&mut router, T + 0.61), ["execute 1 12"]);
 }
 
 #[test]
-fn a_read_that_a_replica_will_do_for_is_not_held() {
+fn a_read_that_a_replica_can_answer_is_not_held() {
     let mut router = refused(settings(), WRITE);
     take(&mut router, T + 0.42, 2, RECENT, 0, 0.0);
     assert_eq!(settle(&mut router, T + 0.42).len(), 1);
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn a_read_of_any_member_falls_back_to_a_new_primary_as_ever() {
+fn a_read_without_a_replica_goes_to_the_new_primary() {
     let mut router = refused(settings(), WRITE);
     [A, C].iter().for_each(|id| {
         router
@@ -116,25 +118,25 @@
             .unwrap()
             .set_status(NodeStatus::Draining, T + 0.42);
     });
-    word(&mut router, T + 0.6, B, true);
+    report_role(&mut router, T + 0.6, B, true);
     take(&mut router, T + 0.61, 2, RECENT, 0, 0.0);
     let seen = settle(&mut router, T + 0.61);
     assert!(seen.contains(&"execute 2 12".to_string()), "{seen:?}");
 }
 
 #[test]
-fn a_fresh_read_waits_too_unless_a_replica_is_known_past_it() {
+fn a_read_of_the_latest_data_is_held_unless_a_replica_has_it() {
     let mut router = refused(settings(), LATEST);
     assert!(router.succession.as_ref().unwrap().holds(1));
-    word(&mut router, T + 0.5, C, false);
+    report_role(&mut router, T + 0.5, C, false);
     assert_eq!(settle(&mut router, T + 0.5), ["execute 1 13"]);
 }
 
 #[test]
-fn a_primary_that_was_only_slow_goes_on_in_its_term() {
+fn a_primary_that_was_only_slow_keeps_its_term() {
     let mut router = refused(settings(), WRITE);
     let term = router.succession.as_ref().unwrap().term(G);
-    word(&mut router, T + 0.5, A, true);
+    report_role(&mut router, T + 0.5, A, true);
     settle(&mut router, T + 0.5);
     let succession = router.succession.as_ref().unwrap();
     assert_eq!(
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn half_of_its_time_does_not_end_what_is_held() {
+fn a_held_statement_is_not_rejected_after_half_of_its_time() {
     let mut router = refused(
         Settings {
             expected_change_ms: 1500.0,
@@ -156,12 +158,12 @@
         settle(&mut router, T + 1.45).is_empty(),
         "half of two seconds is over"
     );
-    word(&mut router, T + 1.5, B, true);
+    report_role(&mut router, T + 1.5, B, true);
     assert_eq!(settle(&mut router, T + 1.5), ["execute 1 12"]);
 }
 
 #[test]
-fn who_would_wait_in_vain_is_rejected_at_once() {
+fn a_statement_that_would_wait_in_vain_is_rejected_at_once() {
     let mut router = succeeding(Settings {
         expected_change_ms: 9000.0,
         least_chance: 0.25,
@@ -175,7 +177,7 @@
 }
 
 #[test]
-fn a_draining_primary_works_on_while_it_may_and_then_gets_nothing_new() {
+fn a_draining_primary_gets_writes_for_half_of_the_grace() {
     let mut router = succeeding(settings());
     take(&mut router, T + 0.4, 1, WRITE, 5, 0.0);
     assert_eq!(settle(&mut router, T + 0.4), ["execute 1 11"]);
@@ -201,23 +203,23 @@
     assert!(settle(&mut router, T + 0.67).is_empty());
     assert!(
         router.succession.as_ref().unwrap().holds(3),
-        "its own word did not end the drain"
+        "its report that it is the primary did not end the drain"
     );
-    word(&mut router, T + 0.7, B, true);
+    report_role(&mut router, T + 0.7, B, true);
     assert_eq!(settle(&mut router, T + 0.7), ["execute 3 12"]);
 }
 
 #[test]
-fn what_may_have_run_goes_again_under_its_mark() {
+fn a_deduplicated_write_that_may_have_run_is_sent_again() {
     let mut router = doubtful(settings(), WRITE);
     assert!(settle(&mut router, T + 0.5).is_empty());
-    word(&mut router, T + 0.6, B, true);
+    report_role(&mut router, T + 0.6, B, true);
     assert_eq!(settle(&mut router, T + 0.6), ["execute 1 12"]);
 }
 
-#[test_case(WRITE, T + 1.5; "its mark is forgotten")]
-#[test_case(ONCE, T + 0.6; "it may not be repeated")]
-fn what_can_not_be_told_is_aborted(workload: usize, at: f64) {
+#[test_case(WRITE, T + 1.5; "the memory of repeats has ended")]
+#[test_case(ONCE, T + 0.6; "it must not be repeated")]
+fn a_write_with_an_unknown_outcome_is_aborted(workload: usize, at: f64) {
     let mut router = doubtful(
         Settings {
             expected_change_ms: 1400.0,
@@ -226,16 +228,16 @@
         workload,
     );
     let mut seen = settle(&mut router, T + 0.5);
-    word(&mut router, at, B, true);
+    report_role(&mut router, at, B, true);
     seen.extend(settle(&mut router, at));
     assert_eq!(seen, ["abort 1"]);
 }
 
-#[test_case(ExecutionOutcome::Completed, &[]; "it ran: its own answer is the answer")]
-#[test_case(ExecutionOutcome::NotEligible, &["execute 1 12"]; "it never ran and never will: it is sent")]
-#[test_case(ExecutionOutcome::Errored, &["abort 1"]; "that can't be told")]
-#[test_case(ExecutionOutcome::Rejected, &["inquire 1 12"]; "who was asked is no primary, or full: once more")]
-fn a_later_primary_is_asked_how_it_ended(told: ExecutionOutcome, then: &[&str]) {
+#[test_case(ExecutionOutcome::Completed, &[]; "it ran: the inquiry brings its answer")]
+#[test_case(ExecutionOutcome::NotEligible, &["execute 1 12"]; "it never ran and never will: it is sent again")]
+#[test_case(ExecutionOutcome::Errored, &["abort 1"]; "the node can't tell")]
+#[test_case(ExecutionOutcome::Rejected, &["inquire 1 12"]; "the node is not the primary or full: it is asked once more")]
+fn a_later_primary_is_asked_for_the_outcome(answer: ExecutionOutcome, expected: &[&str]) {
     let outcomes = Settings {
         outcomes: true,
         expected_change_ms: 1400.0,
@@ -245,17 +247,17 @@
     router.carries(1, 100, true);
     assert!(
         settle(&mut router, T + 1.4).is_empty(),
-        "who was sent it may yet run it"
+        "the node that it was sent to may still run it"
     );
-    word(&mut router, T + 1.5, B, true);
+    report_role(&mut router, T + 1.5, B, true);
     assert_eq!(settle(&mut router, T + 1.5), ["inquire 1 12"]);
-    ended(&mut router, T + 1.52, 1, B, told, None);
-    assert_eq!(settle(&mut router, T + 1.6), then);
+    ended(&mut router, T + 1.52, 1, B, answer, None);
+    assert_eq!(settle(&mut router, T + 1.6), expected);
 }
 
-#[test_case(true, &["abort 1"]; "it lives: who was sent it may yet run it")]
+#[test_case(true, &["abort 1"]; "it works: it may still run the write")]
 #[test_case(false, &["inquire 1 12"]; "it is gone, and another leads")]
-fn under_a_broken_connection_the_leader_is_asked_whether_it_lives(lives: bool, then: &[&str]) {
+fn after_a_lost_connection_the_primary_is_probed(works: bool, expected: &[&str]) {
     let mut router = succeeding(Settings {
         outcomes: true,
         ..settings()
@@ -274,14 +276,14 @@
     let mut seen = Seen::default();
     router.settle(T + 0.46, &mut seen);
     assert!(seen.0.contains(&"probe 11".to_string()), "{:?}", seen.0);
-    if lives {
-        word(&mut router, T + 0.5, A, true);
+    if works {
+        report_role(&mut router, T + 0.5, A, true);
     } else {
         router.witness(T + 0.5, A, crate::succession::Evidence::Lost);
         assert!(settle(&mut router, T + 0.5).is_empty());
-        word(&mut router, T + 0.6, B, true);
+        report_role(&mut router, T + 0.6, B, true);
     }
-    assert_eq!(settle(&mut router, T + 0.61), then);
+    assert_eq!(settle(&mut router, T + 0.61), expected);
 }
 
 #[test]
@@ -298,17 +300,17 @@
 }
 
 #[test]
-fn a_read_that_owes_a_lost_commit_is_aborted_for_good() {
+fn a_read_that_requires_a_lost_commit_is_aborted() {
     let mut router = succeeding(Settings {
         branch_field: "x2".into(),
         promoted_field: "x3".into(),
         ..settings()
     });
-    word(&mut router, T + 1.0, B, true);
-    word(&mut router, T + 1.0, C, false);
+    report_role(&mut router, T + 1.0, B, true);
+    report_role(&mut router, T + 1.0, C, false);
     router.took_over(T + 1.0, B, T + 0.4, T + 0.9);
     settle(&mut router, T + 1.0);
-    // What they carry is 0.5 and 1.2 seconds old: behind the branch, and before it.
+    // Their sessions wrote 0.5 and 1.2 seconds ago: after the point where the logs part, and before it.
     take(&mut router, T + 1.2, 1, OWN, 5, 0.5);
     take(&mut router, T + 1.2, 2, OWN, 6, 1.2);
     let seen = settle(&mut router, T + 1.2);
@@ -319,8 +321,8 @@
 }
 
 #[test]
-fn who_was_deposed_no_longer_answers_for_its_writes() {
-    for (field, vouched) in [("x2", false), ("", true)] {
+fn completions_of_a_deposed_primary_do_not_count_if_writes_may_be_lost() {
+    for (field, counts) in [("x2", false), ("", true)] {
         let may_lose = Settings {
             branch_field: field.into(),
             promoted_field: field.into(),
@@ -330,31 +332,31 @@
         take(&mut router, T + 0.4, 1, WRITE, 5, 0.0);
         settle(&mut router, T + 0.4);
         assert!(router.vouches(1, A));
-        word(&mut router, T + 0.5, B, true);
+        report_role(&mut router, T + 0.5, B, true);
         assert_eq!(
             router.vouches(1, A),
-            vouched,
-            "a synchronous store loses nothing that was answered"
+            counts,
+            "a synchronous store loses no answered write"
         );
     }
 }
 
 #[test]
-fn what_a_deposed_node_tells_of_its_position_counts_once_it_follows() {
+fn the_position_of_a_deposed_node_counts_once_it_is_a_replica() {
     let mut router = succeeding(settings());
-    word(&mut router, T + 0.5, B, true);
-    word(&mut router, T + 0.6, A, true);
+    report_role(&mut router, T + 0.5, B, true);
+    report_role(&mut router, T + 0.6, A, true);
     assert_eq!(
         router.nodes[&A].lsn,
         f64::NEG_INFINITY,
-        "it stands at the present of its own log"
+        "its position is one in its own log"
     );
-    word(&mut router, T + 0.7, A, false);
+    report_role(&mut router, T + 0.7, A, false);
     assert_eq!(router.nodes[&A].lsn, T + 0.7);
 }
 
 #[test]
-fn while_nobody_leads_no_position_shows_a_sessions_write() {
+fn without_a_primary_no_position_proves_a_sessions_write_if_writes_may_be_lost() {
     let may_lose = Settings {
         branch_field: "x2".into(),
         promoted_field: "x3".into(),
@@ -362,7 +364,7 @@
     };
     for (settings, sent) in [(may_lose, 0), (settings(), 1)] {
         let mut router = refused(settings, WRITE);
-        word(&mut router, T + 0.45, C, false);
+        report_role(&mut router, T + 0.45, C, false);
         take(&mut router, T + 0.46, 2, OWN, 8, 0.2);
         let seen = settle(&mut router, T + 0.46);
         assert_eq!(
@@ -376,7 +378,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_frees_its_place() {
+fn a_client_that_leaves_frees_its_place_in_the_queue() {
     let mut router = refused(settings(), WRITE);
     router.abandoned(1);
     settle(&mut router, T + 0.5);
@@ -384,9 +386,9 @@
 }
 
 #[test]
-fn settings_that_go_away_leave_each_statement_to_itself() {
+fn without_settings_each_statement_is_decided_on_its_own() {
     let mut router = refused(settings(), WRITE);
     router.succeed(None, 7);
-    word(&mut router, T + 0.5, B, true);
+    report_role(&mut router, T + 0.5, B, true);
     assert_eq!(settle(&mut router, T + 0.6), ["execute 1 12"]);
 }
--- a/crates/core/routing/src/tests/together.rs
+++ b/crates/core/routing/src/tests/together.rs
@@ -1,10 +1,10 @@
-//! One of many routers: turns, purses and subsets narrow what the module does, and nothing else.
+//! Tests of the policy as one of many routers: turns, budgets and subsets restrict what it does, and nothing else.
 
 use super::*;
 use crate::fleet::Settings;
 use test_case::test_case;
 
-/// One of forty routers, whose turns come when the clock says so.
+/// Returns the policy of one of forty routers, which take turns by the clock.
 fn one_of_many(settings: Settings) -> Instance {
     let mut router = router(false);
     router.routers = 40.0;
@@ -23,36 +23,36 @@
     router
 }
 
-/// How many of so many beats do something.
-fn beats(mut each: impl FnMut(f64) -> bool) -> usize {
+/// Returns at how many of 400 checks, 50 ms apart, `each` returns true.
+fn count_checks(mut each: impl FnMut(f64) -> bool) -> usize {
     (0..400)
-        .filter(|beat| each(T + 1.0 + 0.05 * f64::from(*beat)))
+        .filter(|check| each(T + 1.0 + 0.05 * f64::from(*check)))
         .count()
 }
 
 #[test]
-fn probes_that_nobody_waits_for_come_in_turn() {
+fn idle_probes_are_sent_in_turn() {
     let mut router = one_of_many(Settings {
         idle_probes_per_s: 2.0,
         ..Settings::default()
     });
     let mut seen = Seen::default();
-    let probes = beats(|now| {
-        let asks = router.probe(B, now, &mut seen);
+    let probes = count_checks(|now| {
+        let probed = router.probe(B, now, &mut seen);
         router.probed(now, B, true, Some(false), now);
-        asks
+        probed
     });
-    // Twenty seconds, a turn of half a second each for forty routers: one cycle.
+    // A cycle takes twenty seconds: a turn of half a second for each of forty routers.
     assert!((1..=2).contains(&probes), "{probes} probes");
 }
 
 #[test]
 fn without_settings_a_probe_needs_no_turn() {
     let (mut router, mut seen) = (router(false), Seen::default());
-    let probes = beats(|now| {
-        let asks = router.probe(B, now, &mut seen);
+    let probes = count_checks(|now| {
+        let probed = router.probe(B, now, &mut seen);
         router.probed(now, B, true, Some(false), now);
-        asks
+        probed
     });
     assert_eq!(probes, 400);
 }
@@ -64,13 +64,13 @@
         ..Settings::default()
     });
     assert!(
-        (1..=21).contains(&beats(|now| router.may_try(B, now))),
-        "one slot of half a second in each cycle"
+        (1..=21).contains(&count_checks(|now| router.may_try(B, now))),
+        "one turn of half a second in each cycle"
     );
 }
 
 #[test]
-fn who_keeps_to_one_replica_takes_the_other_where_that_will_not_do() {
+fn a_router_uses_a_replica_outside_its_subset_if_it_must() {
     let mut router = one_of_many(Settings {
         subset: 1,
         ..Settings::default()
@@ -95,12 +95,16 @@
         .unwrap()
         .set_status(NodeStatus::Draining, T);
     let other = [B, C].into_iter().find(|id| *id != kept[0]);
-    assert_eq!(chosen(&mut router, 9, T), other, "it widens at once");
+    assert_eq!(
+        chosen(&mut router, 9, T),
+        other,
+        "the subset is widened at once"
+    );
 }
 
 #[test_case(0.0, false; "no share")]
-#[test_case(1.0, true; "as many as there are")]
-fn copies_are_a_share_of_first_executions(copies: f64, may: bool) {
+#[test_case(1.0, true; "as many as there are first executions")]
+fn hedged_executions_are_a_share_of_first_executions(copies: f64, expected: bool) {
     let mut router = one_of_many(Settings {
         copies,
         ..Settings::default()
@@ -108,27 +112,27 @@
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T, &mut Seen::default());
     assert!(router.statements[&1].in_flight().next().is_some());
-    assert_eq!(router.may_copy(T), may);
+    assert_eq!(router.may_copy(T), expected);
 }
 
-/// What failed once waits for the purse; what was only missed costs nothing.
+/// A failed execution uses up the budget of repeats; one that a node declined costs nothing.
 #[test_case(ExecutionOutcome::Errored, false; "failed")]
-#[test_case(ExecutionOutcome::NotEligible, true; "missed")]
-fn repeats_are_a_share_too(ending: ExecutionOutcome, again: bool) {
+#[test_case(ExecutionOutcome::NotEligible, true; "declined")]
+fn repeats_are_a_share_of_first_executions(outcome: ExecutionOutcome, expected: bool) {
     let mut router = one_of_many(Settings {
         repeats: 0.0,
         ..Settings::default()
     });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     let mut executed = Execution::new(B, T);
-    executed.outcome = Some(ending);
+    executed.outcome = Some(outcome);
     router
         .statements
         .get_mut(&1)
         .unwrap()
         .executions
         .push(executed);
-    assert_eq!(router.may_repeat(1, T), again);
+    assert_eq!(router.may_repeat(1, T), expected);
 }
 
 #[test]
@@ -139,19 +143,22 @@
     });
     let node = router.nodes.get_mut(&B).unwrap();
     (node.started_at, node.last_heard_at) = (T, crate::state::NEVER);
-    // While it is cold, ten seconds: half of a cycle.
-    let lets = beats(|now| now < T + 9.0 && router.let_through(B, now));
-    assert!(lets <= 10, "{lets} of 160");
+    // The node is cold for ten seconds, half of a cycle.
+    let allowed = count_checks(|now| now < T + 9.0 && router.let_through(B, now));
+    assert!(allowed <= 10, "{allowed} of 160");
     router.nodes.get_mut(&B).unwrap().last_heard_at = T + 1.0;
     assert!(
         router.let_through(B, T + 1.0),
-        "once it has answered it is as any other"
+        "once it has answered it is treated as any other node"
+    );
+    assert!(
+        router.let_through(C, T + 1.0),
+        "other nodes are not affected"
     );
-    assert!(router.let_through(C, T + 1.0), "another one is none of it");
 }
 
 #[test]
-fn more_routers_than_told_make_it_careful_and_leaving_gives_back_what_was_told() {
+fn the_number_of_routers_is_estimated_and_is_reset_without_settings() {
     let mut router = one_of_many(Settings {
         held_field: "held".into(),
         ..Settings::default()
@@ -166,7 +173,7 @@
 }
 
 #[test]
-fn what_is_given_up_is_counted_with_what_stood_in_the_way() {
+fn a_statement_given_up_is_counted_with_its_obstacles() {
     let (mut router, mut seen) = (router(false), Seen::default());
     router.groups.get_mut(&G).unwrap().primary = None;
     router
