--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -200,7 +200,7 @@
     ConnectionLost,
     /// The node sent something that is not a valid answer; the statement may have run.
     InvalidAnswer,
-    /// The router cancelled it.
+    /// The router stopped it itself, which tells nothing about the node.
     Cancelled,
     /// It was never sent.
     NeverIssued,
--- a/crates/core/routing/src/policy.rs
+++ b/crates/core/routing/src/policy.rs
@@ -140,7 +140,7 @@
             .filter(|s| s.1.in_flight().next().is_some());
         self.touched.extend(in_flight.map(|s| s.0));
         if self.replication.sessions_carry_write_age {
-            // Once the affinity has ended, the age that the session's reads carry tells as much.
+            // Once the affinity has ended, the write age that the session's reads carry is sufficient.
             self.sessions.retain(|_, s| s.affinity.is_active(now));
         }
     }
--- a/crates/core/routing/src/policy/choice.rs
+++ b/crates/core/routing/src/policy/choice.rs
@@ -144,7 +144,7 @@
     }
 
     /// Returns whether a node can take a statement now: it is trusted or due for a trial, has capacity, and has not
-    /// already been tried in vain.
+    /// already failed to answer this statement.
     pub(super) fn can_take(&self, s: &Statement, id: u32, now: f64) -> bool {
         self.can_take_execution(s, id, now, false)
     }
@@ -165,7 +165,7 @@
             Some(ExecutionOutcome::NotEligible) => s.is_write() || now - e.sent_at > s.hold_s(),
             Some(_) => s.is_write(),
         };
-        let tried_in_vain = s
+        let tried_before = s
             .executions
             .iter()
             .any(|e| e.node == id && !may_try_again(e));
@@ -177,7 +177,7 @@
         // members.
         let bad = |m: (u32, &Node)| m.1.suspected_at.is_some() || !m.1.in_service(&self.drain);
         let trusted = node.suspected_at.is_none() || trial || self.members(s.group).all(bad);
-        !tried_in_vain
+        !tried_before
             && trusted
             && self.let_through(id, now)
             && self.has_capacity(s, id, now)
--- a/crates/core/routing/src/policy/inputs.rs
+++ b/crates/core/routing/src/policy/inputs.rs
@@ -131,9 +131,9 @@
         self.touched_groups.insert(group);
     }
 
-    /// An execution ended at node `id` after `took` seconds. `finished` tells that the statement needs no further
-    /// execution, `role` and `lsn` are what the answer told of the node: its role, if any, and its position, minus
-    /// infinity if none.
+    /// An execution ended at node `id` after `took` seconds. `finished` means that the statement needs no further
+    /// execution. `role` and `lsn` are the node's role and position as reported in the answer; `lsn` is minus
+    /// infinity if it reported none.
     pub fn executed(
         &mut self,
         now: f64,
@@ -265,7 +265,7 @@
         }
     }
 
-    /// A probe of node `id` ended. If the node answered, `primary` and `lsn` are what it reported, as in
+    /// A probe of node `id` ended. If the node answered, `primary` and `lsn` are its report, see
     /// [`Instance::reported`].
     pub fn probed(&mut self, now: f64, id: u32, answered: bool, primary: Option<bool>, lsn: f64) {
         let Some(node) = self.nodes.get_mut(&id) else {
@@ -280,7 +280,8 @@
         }
     }
 
-    /// A node reported its state: whether it is the primary, if it told, and its position, minus infinity if none.
+    /// A node reported its state: whether it is the primary, and its position. `lsn` is minus infinity if the report
+    /// has no position.
     pub fn reported(&mut self, now: f64, id: u32, primary: Option<bool>, lsn: f64) {
         // A position ahead of the clock is invalid. An old one still holds.
         let lsn = if lsn <= now { lsn } else { NEVER };
--- a/crates/core/routing/src/policy/latency.rs
+++ b/crates/core/routing/src/policy/latency.rs
@@ -61,7 +61,7 @@
 
 impl Instance {
     /// Returns the lowest latency estimate among the members of a group, in seconds; at least one step of the
-    /// caller's clock, below which durations can't be told apart.
+    /// caller's clock, which can't resolve shorter durations.
     pub(super) fn best_latency(&self, group: u16) -> f64 {
         self.members(group)
             .map(|m| m.1.latency_s)
--- a/crates/core/routing/src/tests.rs
+++ b/crates/core/routing/src/tests.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the policy for one group: A is the primary, and B and C are replicas without lag. `nodes_check` tells
+/// Returns the policy for one group: A is the primary, and B and C are replicas without lag. `nodes_check` says
 /// whether nodes check the freshness of reads themselves.
 fn router(nodes_check: bool) -> Instance {
     let deduplicated = Repeat::Deduplicated {
@@ -513,8 +513,8 @@
     let s = &router.statements[&1];
     assert!(!router.held_too_long(s, T + 0.98) || !expected);
     assert_eq!(router.held_too_long(s, T + 0.99), expected);
-    let told = settle(&mut router, T + 0.99).contains(&"reject 1".to_string());
-    assert_eq!(told, expected);
+    let rejected = settle(&mut router, T + 0.99).contains(&"reject 1".to_string());
+    assert_eq!(rejected, expected);
 }
 
 /// Guards against nodes that stay suspects for seconds after a network partition between data centers has ended.
--- a/crates/testing/bench-adapter/src/link.rs
+++ b/crates/testing/bench-adapter/src/link.rs
@@ -63,7 +63,7 @@
         );
     }
 
-    /// Does nothing: the simulator's nodes can't tell the outcome of a statement, and no settings here ask for it.
+    /// Does nothing: the simulator's nodes do not report outcomes of statements, and no settings here request it.
     fn inquire(&mut self, _stmt: u32, _node: u32, _limit: f64) {}
 
     fn cancel(&mut self, stmt: u32, execution: u8) {
@@ -333,9 +333,9 @@
     }
 }
 
-/// Returns role and position from a load report: whether the node is the primary, if told, and its position in
-/// seconds, minus infinity if not told. The position was rounded to an f32, perhaps upwards: the next lower f32 is
-/// certain not to exceed it.
+/// Returns role and position from a load report: whether the node is the primary, if reported, and its position in
+/// seconds, minus infinity if not reported. The position was rounded to an f32, perhaps upwards: the next lower f32
+/// certainly does not exceed it.
 fn report(reading: &Reading, n: u8, values: [f32; 4]) -> (Option<bool>, f64) {
     let value = |column: Option<usize>| column.filter(|c| *c < usize::from(n)).map(|c| values[c]);
     let lsn = value(reading.position_column).map_or(f64::NEG_INFINITY, |x| {
