--- a/crates/core/pooling/src/session.rs
+++ b/crates/core/pooling/src/session.rs
@@ -6,7 +6,7 @@
 //! when a statement needs them ([`crate::connection`]).
 
 use badgerstream_line_protocol::{Position, StatementKind, TransactionState};
-use badgerstream_routing::Mark;
+use badgerstream_routing::PrimaryAffinity;
 use thiserror::Error;
 
 /// Maximum number of values, and separately of prepared statements, in a session.
@@ -139,7 +139,7 @@
     pub last_write: Option<Position>,
     /// Marks when the session last used the primary; its reads go to the primary for a while after
     /// that.
-    pub primary_affinity: Mark,
+    pub primary_affinity: PrimaryAffinity,
 }
 
 impl Session {
--- a/crates/core/pooling/src/tests/choices.rs
+++ b/crates/core/pooling/src/tests/choices.rs
@@ -6,7 +6,7 @@
 use crate::health::{Health, LAG_BACKOFF_S, MIN_BACKOFF_S};
 use crate::session::Session;
 use badgerstream_line_protocol::Position;
-use badgerstream_routing::MARK_S;
+use badgerstream_routing::PRIMARY_AFFINITY_S;
 use badgerstream_routing::Rotation;
 
 fn position(number: u64) -> Position {
@@ -83,7 +83,7 @@
         Destination::Primary
     );
     assert_eq!(
-        choose(&read, &session, &history(), 7.5 + MARK_S),
+        choose(&read, &session, &history(), 7.5 + PRIMARY_AFFINITY_S),
         Destination::Replica(position(50))
     );
     // If the primary is to be avoided, the read goes to a replica that has the session's write.
--- a/crates/core/routing/src/tests/together.rs
+++ b/crates/core/routing/src/tests/together.rs
@@ -1,10 +1,10 @@
-//! One of many routers: turns, purses and subsets narrow what the module does, and nothing else.
+//! Tests of the policy as one of many routers: turns, budgets and subsets restrict what it does, and nothing else.
 
 use super::*;
 use crate::fleet::Settings;
 use test_case::test_case;
 
-/// One of forty routers, whose turns come when the clock says so.
+/// Returns the policy of one of forty routers, which take turns by the clock.
 fn one_of_many(settings: Settings) -> Instance {
     let mut router = router(false);
     router.routers = 40.0;
@@ -23,36 +23,36 @@
     router
 }
 
-/// How many of so many beats do something.
-fn beats(mut each: impl FnMut(f64) -> bool) -> usize {
+/// Returns at how many of 400 checks, 50 ms apart, `each` returns true.
+fn count_checks(mut each: impl FnMut(f64) -> bool) -> usize {
     (0..400)
-        .filter(|beat| each(T + 1.0 + 0.05 * f64::from(*beat)))
+        .filter(|check| each(T + 1.0 + 0.05 * f64::from(*check)))
         .count()
 }
 
 #[test]
-fn probes_that_nobody_waits_for_come_in_turn() {
+fn idle_probes_are_sent_in_turn() {
     let mut router = one_of_many(Settings {
         idle_probes_per_s: 2.0,
         ..Settings::default()
     });
     let mut seen = Seen::default();
-    let probes = beats(|now| {
-        let asks = router.probe(B, now, &mut seen);
+    let probes = count_checks(|now| {
+        let probed = router.probe(B, now, &mut seen);
         router.probed(now, B, true, Some(false), now);
-        asks
+        probed
     });
-    // Twenty seconds, a turn of half a second each for forty routers: one cycle.
+    // A cycle takes twenty seconds: a turn of half a second for each of forty routers.
     assert!((1..=2).contains(&probes), "{probes} probes");
 }
 
 #[test]
 fn without_settings_a_probe_needs_no_turn() {
     let (mut router, mut seen) = (router(false), Seen::default());
-    let probes = beats(|now| {
-        let asks = router.probe(B, now, &mut seen);
+    let probes = count_checks(|now| {
+        let probed = router.probe(B, now, &mut seen);
         router.probed(now, B, true, Some(false), now);
-        asks
+        probed
     });
     assert_eq!(probes, 400);
 }
@@ -64,13 +64,13 @@
         ..Settings::default()
     });
     assert!(
-        (1..=21).contains(&beats(|now| router.may_try(B, now))),
-        "one slot of half a second in each cycle"
+        (1..=21).contains(&count_checks(|now| router.may_try(B, now))),
+        "one turn of half a second in each cycle"
     );
 }
 
 #[test]
-fn who_keeps_to_one_replica_takes_the_other_where_that_will_not_do() {
+fn a_router_uses_a_replica_outside_its_subset_if_it_must() {
     let mut router = one_of_many(Settings {
         subset: 1,
         ..Settings::default()
@@ -93,42 +93,46 @@
         .nodes
         .get_mut(&kept[0])
         .unwrap()
-        .stands(Standing::Draining, T);
+        .set_status(NodeStatus::Draining, T);
     let other = [B, C].into_iter().find(|id| *id != kept[0]);
-    assert_eq!(chosen(&mut router, 9, T), other, "it widens at once");
+    assert_eq!(
+        chosen(&mut router, 9, T),
+        other,
+        "the subset is widened at once"
+    );
 }
 
 #[test_case(0.0, false; "no share")]
-#[test_case(1.0, true; "as many as there are")]
-fn copies_are_a_share_of_first_executions(copies: f64, may: bool) {
+#[test_case(1.0, true; "as many as there are first executions")]
+fn hedged_executions_are_a_share_of_first_executions(copies: f64, expected: bool) {
     let mut router = one_of_many(Settings {
         copies,
         ..Settings::default()
     });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T, &mut Seen::default());
-    assert!(router.statements[&1].live().next().is_some());
-    assert_eq!(router.may_copy(T), may);
+    assert!(router.statements[&1].in_flight().next().is_some());
+    assert_eq!(router.may_copy(T), expected);
 }
 
-/// What failed once waits for the purse; what was only missed costs nothing.
-#[test_case(Ending::Errored, false; "failed")]
-#[test_case(Ending::Missed, true; "missed")]
-fn repeats_are_a_share_too(ending: Ending, again: bool) {
+/// A failed execution uses up the budget of repeats; one that a node declined costs nothing.
+#[test_case(ExecutionOutcome::Errored, false; "failed")]
+#[test_case(ExecutionOutcome::NotEligible, true; "declined")]
+fn repeats_are_a_share_of_first_executions(outcome: ExecutionOutcome, expected: bool) {
     let mut router = one_of_many(Settings {
         repeats: 0.0,
         ..Settings::default()
     });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     let mut executed = Execution::new(B, T);
-    executed.ended = Some(ending);
+    executed.outcome = Some(outcome);
     router
         .statements
         .get_mut(&1)
         .unwrap()
         .executions
         .push(executed);
-    assert_eq!(router.may_repeat(1, T), again);
+    assert_eq!(router.may_repeat(1, T), expected);
 }
 
 #[test]
@@ -138,20 +142,23 @@
         ..Settings::default()
     });
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.since, node.heard) = (T, crate::state::NEVER);
-    // While it is cold, ten seconds: half of a cycle.
-    let lets = beats(|now| now < T + 9.0 && router.let_through(B, now));
-    assert!(lets <= 10, "{lets} of 160");
-    router.nodes.get_mut(&B).unwrap().heard = T + 1.0;
+    (node.started_at, node.last_heard_at) = (T, crate::state::NEVER);
+    // The node is cold for ten seconds, half of a cycle.
+    let allowed = count_checks(|now| now < T + 9.0 && router.let_through(B, now));
+    assert!(allowed <= 10, "{allowed} of 160");
+    router.nodes.get_mut(&B).unwrap().last_heard_at = T + 1.0;
     assert!(
         router.let_through(B, T + 1.0),
-        "once it has answered it is as any other"
+        "once it has answered it is treated as any other node"
+    );
+    assert!(
+        router.let_through(C, T + 1.0),
+        "other nodes are not affected"
     );
-    assert!(router.let_through(C, T + 1.0), "another one is none of it");
 }
 
 #[test]
-fn more_routers_than_told_make_it_careful_and_leaving_gives_back_what_was_told() {
+fn the_number_of_routers_is_estimated_and_is_reset_without_settings() {
     let mut router = one_of_many(Settings {
         held_field: "held".into(),
         ..Settings::default()
@@ -166,13 +173,13 @@
 }
 
 #[test]
-fn what_is_given_up_is_counted_with_what_stood_in_the_way() {
+fn a_statement_given_up_is_counted_with_its_obstacles() {
     let (mut router, mut seen) = (router(false), Seen::default());
     router.groups.get_mut(&G).unwrap().primary = None;
     router
         .nodes
         .values_mut()
-        .for_each(|node| node.stands(Standing::Draining, T - 10.0));
+        .for_each(|node| node.set_status(NodeStatus::Draining, T - 10.0));
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T + 1.999, &mut seen);
     assert!(
@@ -181,13 +188,16 @@
         seen.0
     );
     assert_eq!(router.tally.given_up.values().sum::<u64>(), 1);
-    assert_eq!(router.tally.in_the_way.get("drains or is gone"), Some(&3));
+    assert_eq!(
+        router.tally.given_up_obstacles.get("drains or is gone"),
+        Some(&3)
+    );
     assert!(
         router
             .tally
-            .line()
+            .log_line()
             .contains("in_the_way[drains_or_is_gone=3]"),
         "{}",
-        router.tally.line()
+        router.tally.log_line()
     );
 }
