--- a/crates/core/primary-change/src/doubt.rs
+++ b/crates/core/primary-change/src/doubt.rs
@@ -1,41 +1,49 @@
-//! A write that was sent whole and whose answer is missing: it may have run.
+//! Writes in doubt: a write was sent completely and its answer is missing, so it may have run.
 
-/// What a repeat of a statement does.
+/// Effect of executing a statement a second time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum RepeatEffect {
+    /// A second execution changes nothing.
     Harmless,
-    /// It is dropped by the group that remembers its mark, until then (seconds on the front's clock).
+    /// The replication group remembers the statement's mark and drops the repeat, until this time.
     Dropped {
+        /// Seconds on the caller's clock.
         until: f64,
     },
-    /// It would have its effect again.
+    /// A second execution has its effect a second time.
     Harmful,
 }
 
-/// What becomes of it.
+/// What to do with a write in doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    Again,
-    /// Its outcome is asked for.
+pub enum Resolution {
+    /// Send the statement again.
+    Resend,
+    /// Ask the present primary for the outcome of the statement.
     Inquire,
+    /// Tell the client that the outcome is unknown.
     Abort,
 }
 
-/// `sent` and `present` are terms of its group: of its first execution that may have run, and of the leader
-/// now. Only a later term's leader can tell that it never ran: the one it was sent to may yet run it. `marked`:
-/// it carries what its outcome can be asked by.
-pub fn next(
-    repeat: Repeat,
+/// Decides what to do with a write in doubt.
+///
+/// `sent_term` is the latest term in which an execution that may have run was sent, `current_term` the term of the
+/// present leader. `inquiries_supported`: the store answers inquiries for outcomes. `marked`: the statement carries
+/// the mark by which its outcome is inquired.
+///
+/// Only the leader of a later term can tell that the write never ran: the node that it was sent to may still run it.
+pub fn resolve_doubt(
+    repeat: RepeatEffect,
     now: f64,
-    outcomes: bool,
+    inquiries_supported: bool,
     marked: bool,
-    sent: u64,
-    present: u64,
-) -> Next {
+    sent_term: u64,
+    current_term: u64,
+) -> Resolution {
     match repeat {
-        Repeat::Harmless => Next::Again,
-        Repeat::Dropped { until } if now < until => Next::Again,
-        _ if outcomes && marked && present > sent => Next::Inquire,
-        _ => Next::Abort,
+        RepeatEffect::Harmless => Resolution::Resend,
+        RepeatEffect::Dropped { until } if now < until => Resolution::Resend,
+        _ if inquiries_supported && marked && current_term > sent_term => Resolution::Inquire,
+        _ => Resolution::Abort,
     }
 }
--- a/crates/core/primary-change/src/hold.rs
+++ b/crates/core/primary-change/src/hold.rs
@@ -1,257 +1,317 @@
-//! Who waits while nobody can take it: bounded in count and bytes, by group and in all. Where not all fit, the
-//! worthiest stay; a write that may have run is given up last, as only its repeat can tell how it ended.
+//! The queue of held statements: those that wait while no node can take them.
+//!
+//! It is bounded in number and bytes, for each group and for all groups together. Where not all statements fit, those
+//! worth most stay. A statement that may have run is evicted last, as only its repeat can tell how it ended.
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a statement that needs a primary asks for.
+/// A statement that needs the primary of its group and asks to be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Wish {
+pub struct AdmissionRequest {
+    /// Replication group of the statement.
     pub group: u16,
-    /// 0 where it belongs to none.
+    /// Session of the statement; 0 if it belongs to none.
     pub session: u64,
+    /// Size of the statement in bytes.
     pub bytes: usize,
+    /// Worth of an answer, by which statements are compared.
     pub worth: f64,
+    /// Time of arrival, in seconds on the caller's clock.
     pub arrived: f64,
-    /// Seconds on the front's clock: an answer after it is of no use.
-    pub due: f64,
-    /// Some earlier execution of it may have run.
-    pub doubtful: bool,
-    /// The leader, if it is only about to leave, still takes it: its drain does not bind yet.
-    pub served: bool,
-    /// It may be sent to a node that may lead, where nothing else can tell who does.
-    pub tries: bool,
+    /// Time after which an answer is of no use, in seconds on the caller's clock.
+    pub deadline: f64,
+    /// An earlier execution of the statement may have run.
+    pub may_have_run: bool,
+    /// If the leader is about to leave, it still takes this statement: its drain does not bind yet.
+    pub taken_by_draining_leader: bool,
+    /// The statement may be sent as a trial to a node that may be the leader, as nothing else can tell which node is.
+    pub may_be_trial: bool,
 }
 
-/// Statements and their bytes: what is held, or the most that may be.
+/// Number and total size of statements: those that are held, or the maximum.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
-pub struct Room {
+pub struct HoldSize {
+    /// Number of statements.
     pub statements: usize,
+    /// Total size of the statements in bytes.
     pub bytes: usize,
 }
 
-/// In the order in which they are given up: proved unrun before doubtful, then by worth, then the youngest.
-type Rank = (bool, u64, i64, u32);
+/// Orders held statements by eviction, the field order is the order of comparison: statements proved not to have run
+/// go before those that may have, then those worth least, then the youngest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    may_have_run: bool,
+    worth_micros: u64,
+    /// Negated, so that the youngest comes first.
+    minus_arrived_us: i64,
+    stmt: u32,
+}
+
+/// Orders the statements of a session by arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ArrivalRank {
+    arrived_bits: u64,
+    stmt: u32,
+}
 
+/// Held statements of one group.
 #[derive(Clone, Debug, Default)]
-struct Queue {
-    room: Room,
-    doubtful: usize,
-    ranks: BTreeSet<Rank>,
-    /// By session, in the order of arrival.
-    sessions: BTreeMap<u64, BTreeSet<(u64, u32)>>,
+struct GroupQueue {
+    size: HoldSize,
+    /// Number of held statements that may have run.
+    may_have_run: usize,
+    ranks: BTreeSet<EvictionRank>,
+    /// The statements of each session, in the order of arrival.
+    sessions: BTreeMap<u64, BTreeSet<ArrivalRank>>,
 }
 
+/// Held statements of all groups.
 #[derive(Clone, Debug, Default)]
-pub struct Hold {
-    of_group: Room,
-    of_all: Room,
-    used: Room,
-    /// The most that was held at once.
-    pub peak: Room,
-    held: BTreeMap<u32, Wish>,
-    queues: BTreeMap<u16, Queue>,
+pub struct HoldQueue {
+    group_limit: HoldSize,
+    total_limit: HoldSize,
+    size: HoldSize,
+    /// Maximum number, and maximum size, of the statements that were held at the same time.
+    pub peak: HoldSize,
+    held: BTreeMap<u32, AdmissionRequest>,
+    queues: BTreeMap<u16, GroupQueue>,
 }
 
-fn rank(stmt: u32, wish: &Wish) -> Rank {
-    (
-        wish.doubtful,
-        (wish.worth.max(0.0) * 1e6) as u64,
-        -(wish.arrived * 1e6) as i64,
+fn eviction_rank(stmt: u32, request: &AdmissionRequest) -> EvictionRank {
+    EvictionRank {
+        may_have_run: request.may_have_run,
+        worth_micros: (request.worth.max(0.0) * 1e6) as u64,
+        minus_arrived_us: -(request.arrived * 1e6) as i64,
         stmt,
-    )
+    }
 }
 
-/// Times after the clock's start are positive, so their bits are in their order.
-fn moment(at: f64) -> u64 {
-    at.max(0.0).to_bits()
+fn arrival_rank(stmt: u32, request: &AdmissionRequest) -> ArrivalRank {
+    ArrivalRank {
+        // Times since the clock's start are not negative, so their bits have the order of the times.
+        arrived_bits: request.arrived.max(0.0).to_bits(),
+        stmt,
+    }
 }
 
-impl Room {
-    fn fits(&self, more: usize, most: &Room) -> bool {
-        self.statements < most.statements && self.bytes + more <= most.bytes
+impl HoldSize {
+    /// Returns whether one more statement of this size fits within the limit.
+    fn has_room(&self, bytes: usize, limit: &HoldSize) -> bool {
+        self.statements < limit.statements && self.bytes + bytes <= limit.bytes
     }
 
     fn add(&mut self, bytes: usize) {
-        (self.statements, self.bytes) = (self.statements + 1, self.bytes + bytes);
+        self.statements += 1;
+        self.bytes += bytes;
     }
 
-    fn take(&mut self, bytes: usize) {
-        (self.statements, self.bytes) = (self.statements - 1, self.bytes - bytes);
+    fn subtract(&mut self, bytes: usize) {
+        self.statements -= 1;
+        self.bytes -= bytes;
     }
 }
 
-impl Hold {
-    pub fn new(of_group: Room, of_all: Room) -> Hold {
-        Hold {
-            of_group,
-            of_all,
-            ..Hold::default()
+impl HoldQueue {
+    /// Creates an empty queue with limits for each group and for all groups together.
+    pub fn new(group_limit: HoldSize, total_limit: HoldSize) -> HoldQueue {
+        HoldQueue {
+            group_limit,
+            total_limit,
+            ..HoldQueue::default()
         }
     }
 
-    /// New bounds; what is held beyond smaller ones stays until it leaves.
-    pub fn resize(&mut self, of_group: Room, of_all: Room) {
-        (self.of_group, self.of_all) = (of_group, of_all);
+    /// Changes the limits. Statements beyond a smaller limit are held until they leave by themselves.
+    pub fn set_limits(&mut self, group_limit: HoldSize, total_limit: HoldSize) {
+        self.group_limit = group_limit;
+        self.total_limit = total_limit;
     }
 
-    pub fn holds(&self, stmt: u32) -> bool {
+    /// Returns whether the statement is held.
+    pub fn contains(&self, stmt: u32) -> bool {
         self.held.contains_key(&stmt)
     }
 
-    pub fn used(&self) -> Room {
-        self.used
+    /// Number and size of the held statements of all groups.
+    pub fn size(&self) -> HoldSize {
+        self.size
     }
 
-    pub fn of(&self, group: u16) -> Room {
+    /// Number and size of the held statements of one group.
+    pub fn group_size(&self, group: u16) -> HoldSize {
         self.queues
             .get(&group)
-            .map_or(Room::default(), |queue| queue.room)
+            .map_or(HoldSize::default(), |queue| queue.size)
     }
 
-    /// Takes it in, or tells that there is no room for it. Those in `evicted` had to make room and are out.
-    pub fn enter(&mut self, stmt: u32, wish: Wish, evicted: &mut Vec<u32>) -> bool {
+    /// Holds a statement and returns whether it is held, which it is not if there is no room for it. Statements
+    /// removed to make room are appended to `evicted`.
+    pub fn insert(&mut self, stmt: u32, request: AdmissionRequest, evicted: &mut Vec<u32>) -> bool {
         if let Some(before) = self.held.get(&stmt) {
-            // Held already: only what it is worth to keep may have changed.
-            if before.doubtful != wish.doubtful {
-                self.leave(stmt);
-                self.put(stmt, wish);
+            // Already held: at most its place in the order of eviction changes.
+            if before.may_have_run != request.may_have_run {
+                self.remove(stmt);
+                self.enqueue(stmt, request);
             }
             return true;
         }
-        let mut going = Vec::new();
-        let fits = self.make_room(stmt, &wish, &mut going);
+        let mut evictions = Vec::new();
+        let fits = self.find_evictions(stmt, &request, &mut evictions);
         if fits {
-            going.iter().for_each(|stmt| self.leave(*stmt));
-            evicted.extend(going);
-            self.put(stmt, wish);
+            evictions.iter().for_each(|stmt| self.remove(*stmt));
+            evicted.extend(evictions);
+            self.enqueue(stmt, request);
         }
         fits
     }
 
-    /// Names whom it would displace: only less worthy ones, and nobody unless there is room then.
-    fn make_room(&self, stmt: u32, wish: &Wish, going: &mut Vec<u32>) -> bool {
-        let (mut group, mut all) = (self.of(wish.group), self.used);
-        let own = rank(stmt, wish);
-        let own_queue = self.queues.get(&wish.group).map(|queue| &queue.ranks);
-        // Of the same worth, who is held stays: only the first two places of the rank displace.
-        let lesser = |rank: &&Rank| (rank.0, rank.1) < (own.0, own.1);
-        let mut candidates = own_queue.into_iter().flatten().filter(lesser);
-        while !group.fits(wish.bytes, &self.of_group) {
+    /// Finds the statements to evict so that this one fits, all of them of lower rank. Returns whether it fits then;
+    /// if it does not, nothing is to be evicted, whatever `evictions` holds.
+    fn find_evictions(
+        &self,
+        stmt: u32,
+        request: &AdmissionRequest,
+        evictions: &mut Vec<u32>,
+    ) -> bool {
+        let mut group_size = self.group_size(request.group);
+        let mut total_size = self.size;
+        let own = eviction_rank(stmt, request);
+        let own_queue = self.queues.get(&request.group).map(|queue| &queue.ranks);
+        // Of equal worth, the held statement stays: the arrival does not count here.
+        let lower = |rank: &&EvictionRank| {
+            (rank.may_have_run, rank.worth_micros) < (own.may_have_run, own.worth_micros)
+        };
+        let mut candidates = own_queue.into_iter().flatten().filter(lower);
+        while !group_size.has_room(request.bytes, &self.group_limit) {
             let Some(next) = candidates.next() else {
                 return false;
             };
-            let bytes = self.held[&next.3].bytes;
-            group.take(bytes);
-            all.take(bytes);
-            going.push(next.3);
+            let bytes = self.held[&next.stmt].bytes;
+            group_size.subtract(bytes);
+            total_size.subtract(bytes);
+            evictions.push(next.stmt);
         }
-        if all.fits(wish.bytes, &self.of_all) {
+        if total_size.has_room(request.bytes, &self.total_limit) {
             return true;
         }
-        let everywhere: BTreeSet<&Rank> = self
+        let all_groups: BTreeSet<&EvictionRank> = self
             .queues
             .values()
-            .flat_map(|q| &q.ranks)
-            .filter(lesser)
+            .flat_map(|queue| &queue.ranks)
+            .filter(lower)
             .collect();
-        for next in everywhere {
-            if all.fits(wish.bytes, &self.of_all) {
+        for next in all_groups {
+            if total_size.has_room(request.bytes, &self.total_limit) {
                 break;
             }
-            if !going.contains(&next.3) {
-                all.take(self.held[&next.3].bytes);
-                going.push(next.3);
+            if !evictions.contains(&next.stmt) {
+                total_size.subtract(self.held[&next.stmt].bytes);
+                evictions.push(next.stmt);
             }
         }
-        all.fits(wish.bytes, &self.of_all)
+        total_size.has_room(request.bytes, &self.total_limit)
     }
 
-    fn put(&mut self, stmt: u32, wish: Wish) {
-        let queue = self.queues.entry(wish.group).or_default();
-        queue.room.add(wish.bytes);
-        queue.doubtful += usize::from(wish.doubtful);
-        queue.ranks.insert(rank(stmt, &wish));
-        if wish.session != 0 {
+    fn enqueue(&mut self, stmt: u32, request: AdmissionRequest) {
+        let queue = self.queues.entry(request.group).or_default();
+        queue.size.add(request.bytes);
+        queue.may_have_run += usize::from(request.may_have_run);
+        queue.ranks.insert(eviction_rank(stmt, &request));
+        if request.session != 0 {
             queue
                 .sessions
-                .entry(wish.session)
+                .entry(request.session)
                 .or_default()
-                .insert((moment(wish.arrived), stmt));
+                .insert(arrival_rank(stmt, &request));
         }
-        self.used.add(wish.bytes);
-        self.peak.statements = self.peak.statements.max(self.used.statements);
-        self.peak.bytes = self.peak.bytes.max(self.used.bytes);
-        self.held.insert(stmt, wish);
+        self.size.add(request.bytes);
+        self.peak.statements = self.peak.statements.max(self.size.statements);
+        self.peak.bytes = self.peak.bytes.max(self.size.bytes);
+        self.held.insert(stmt, request);
     }
 
-    pub fn leave(&mut self, stmt: u32) {
-        let Some(wish) = self.held.remove(&stmt) else {
+    /// Removes a statement; does nothing if it is not held.
+    pub fn remove(&mut self, stmt: u32) {
+        let Some(request) = self.held.remove(&stmt) else {
             return;
         };
-        self.used.take(wish.bytes);
+        self.size.subtract(request.bytes);
         let queue = self
             .queues
-            .get_mut(&wish.group)
+            .get_mut(&request.group)
             .expect("a held statement's group has a queue");
-        queue.room.take(wish.bytes);
-        queue.doubtful -= usize::from(wish.doubtful);
-        queue.ranks.remove(&rank(stmt, &wish));
-        if let Some(session) = queue.sessions.get_mut(&wish.session) {
-            session.remove(&(moment(wish.arrived), stmt));
+        queue.size.subtract(request.bytes);
+        queue.may_have_run -= usize::from(request.may_have_run);
+        queue.ranks.remove(&eviction_rank(stmt, &request));
+        if let Some(session) = queue.sessions.get_mut(&request.session) {
+            session.remove(&arrival_rank(stmt, &request));
             if session.is_empty() {
-                queue.sessions.remove(&wish.session);
+                queue.sessions.remove(&request.session);
             }
         }
-        if queue.room.statements == 0 {
-            self.queues.remove(&wish.group);
+        if queue.size.statements == 0 {
+            self.queues.remove(&request.group);
         }
     }
 
-    /// Whether it is among the first `places` of its group: what may have run, then the worthiest, and of these
-    /// who waits longest. Left out are those that `blocked` names, and who is not the first of its session.
-    pub fn among_first(
+    /// Returns whether the statement is among the first `places` to be released in its group.
+    ///
+    /// The order is the reverse of the eviction: those that may have run, then those worth most, then those that
+    /// wait longest. Left out are statements for which `blocked` returns true, and those that are not the first of
+    /// their session, unless they may have run.
+    pub fn is_among_first(
         &self,
         stmt: u32,
         group: u16,
         places: usize,
-        blocked: impl Fn(u32, &Wish) -> bool,
+        blocked: impl Fn(u32, &AdmissionRequest) -> bool,
     ) -> bool {
         let Some(queue) = self.queues.get(&group).filter(|_| places > 0) else {
             return false;
         };
-        let goes = |stmt: &u32| {
-            let wish = &self.held[stmt];
-            !blocked(*stmt, wish) && (wish.doubtful || self.first_of_session(queue, *stmt, wish))
+        let releasable = |stmt: &u32| {
+            let request = &self.held[stmt];
+            !blocked(*stmt, request)
+                && (request.may_have_run || self.is_first_of_session(queue, *stmt, request))
         };
-        let mut ready = queue
+        let mut first = queue
             .ranks
             .iter()
             .rev()
-            .map(|rank| rank.3)
-            .filter(goes)
+            .map(|rank| rank.stmt)
+            .filter(releasable)
             .take(places);
-        ready.any(|other| other == stmt)
+        first.any(|other| other == stmt)
     }
 
-    fn first_of_session(&self, queue: &Queue, stmt: u32, wish: &Wish) -> bool {
-        let earlier = queue
+    fn is_first_of_session(
+        &self,
+        queue: &GroupQueue,
+        stmt: u32,
+        request: &AdmissionRequest,
+    ) -> bool {
+        let earliest = queue
             .sessions
-            .get(&wish.session)
+            .get(&request.session)
             .and_then(|session| session.first());
-        earlier.is_none_or(|first| *first >= (moment(wish.arrived), stmt))
+        earliest.is_none_or(|first| *first >= arrival_rank(stmt, request))
     }
 
-    /// Whether nothing that is held goes before it: what may have run, then what its session sent earlier.
-    /// What may have run was out before all that waits, and its mark is forgotten soon.
-    pub fn first(&self, stmt: u32, wish: &Wish) -> bool {
-        let Some(queue) = self.queues.get(&wish.group) else {
+    /// Returns whether no held statement goes before this one: neither one that may have run, nor an earlier one of
+    /// its session.
+    ///
+    /// A statement that may have run is always first: it was in flight before all that wait, and the group will soon
+    /// forget its mark.
+    pub fn is_first(&self, stmt: u32, request: &AdmissionRequest) -> bool {
+        let Some(queue) = self.queues.get(&request.group) else {
             return true;
         };
-        if wish.doubtful {
+        if request.may_have_run {
             return true;
         }
-        queue.doubtful == 0 && self.first_of_session(queue, stmt, wish)
+        queue.may_have_run == 0 && self.is_first_of_session(queue, stmt, request)
     }
 }
--- a/crates/core/primary-change/src/loss.rs
+++ b/crates/core/primary-change/src/loss.rs
@@ -1,18 +1,23 @@
-//! Commits that were answered here and that the new leader does not have.
+//! Acknowledged commits that the new primary does not have.
+//!
+//! Positions of commits are in seconds.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lost spans remembered for a group: sessions that carry an older position write anew long before.
-const SPANS: usize = 16;
+/// Maximum number of lost spans remembered for one group. Sessions that depend on a position in an older span have
+/// written anew long before.
+const MAX_SPANS: usize = 16;
 
-/// Positions in seconds: all from `after` (without it) to `to` is lost.
+/// Acknowledged commits found lost: those with a position beyond `after`, up to and including `to`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Loss {
+pub struct CommitLoss {
+    /// Last position that the new primary has of the old log, in seconds.
     pub after: f64,
+    /// Last position known to be lost, in seconds.
     pub to: f64,
-    /// Writes of the span that were answered here as completed.
+    /// Number of acknowledged writes in the span.
     pub writes: usize,
-    /// Whether all answered writes since `after` were still remembered; else there may be more.
+    /// All writes acknowledged since `after` were still remembered; otherwise more than `writes` may be lost.
     pub exact: bool,
 }
 
@@ -20,93 +25,118 @@
 struct Span {
     after: f64,
     promoted: f64,
-    /// Who led when it was told: who leads by then has its own commits behind the branch.
+    /// The leader when the span was reported. A leader's own commits after the promotion are not lost.
     leader: Option<u32>,
-    /// The last commit that is known to be gone, or the promotion.
+    /// Position of the last commit known to be lost, or of the promotion.
     to: f64,
 }
 
+/// A commit acknowledged through this router.
+#[derive(Clone, Copy, Debug)]
+struct Acknowledged {
+    position: f64,
+    node: u32,
+}
+
 #[derive(Clone, Debug, Default)]
-struct Group {
-    /// Commits answered here, and by which node.
-    answered: VecDeque<(f64, u32)>,
-    /// Commits up to here may have left `answered`.
-    forgotten: f64,
+struct GroupCommits {
+    acknowledged: VecDeque<Acknowledged>,
+    /// Commits up to this position may have been dropped from `acknowledged`.
+    dropped_up_to: f64,
     spans: VecDeque<Span>,
 }
 
+/// Finds which acknowledged commits are lost when a primary is replaced.
 #[derive(Clone, Debug, Default)]
-pub struct Losses {
-    most: usize,
-    groups: BTreeMap<u16, Group>,
+pub struct LossTracker {
+    max_acknowledged: usize,
+    groups: BTreeMap<u16, GroupCommits>,
 }
 
-impl Losses {
-    /// Remembers so many answered commits a group.
-    pub fn new(most: usize) -> Losses {
-        Losses {
-            most,
+impl LossTracker {
+    /// Creates a tracker that remembers up to `max_acknowledged` acknowledged commits for each group.
+    pub fn new(max_acknowledged: usize) -> LossTracker {
+        LossTracker {
+            max_acknowledged,
             groups: BTreeMap::new(),
         }
     }
 
-    pub fn resize(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the maximum number of commits remembered for each group, from the next commit on.
+    pub fn set_max_acknowledged(&mut self, max_acknowledged: usize) {
+        self.max_acknowledged = max_acknowledged;
     }
 
-    /// A write was answered as completed by this node, with its commit's position.
-    pub fn answered(&mut self, group: u16, node: u32, commit: f64) {
-        let of = self.groups.entry(group).or_default();
-        of.answered.push_back((commit, node));
-        while of.answered.len() > self.most {
-            let gone = of.answered.pop_front().map_or(0.0, |gone| gone.0);
-            of.forgotten = of.forgotten.max(gone);
+    /// Records that a node acknowledged a write, with the position of its commit.
+    pub fn record_acknowledged(&mut self, group: u16, node: u32, position: f64) {
+        let commits = self.groups.entry(group).or_default();
+        commits
+            .acknowledged
+            .push_back(Acknowledged { position, node });
+        while commits.acknowledged.len() > self.max_acknowledged {
+            let dropped = commits
+                .acknowledged
+                .pop_front()
+                .map_or(0.0, |oldest| oldest.position);
+            commits.dropped_up_to = commits.dropped_up_to.max(dropped);
         }
     }
 
-    /// The log goes on from `branch` since its primary was promoted at `promoted`: what lies between was never
-    /// its own, nor what others than the leader still answered behind it. Each is told once.
-    pub fn taken_over(
+    /// Records that the group's log continues from position `branch` since its primary was promoted at `promoted`.
+    /// Returns a loss that was not returned before.
+    ///
+    /// Lost are the commits between `branch` and `promoted`, which the new primary never had, and the commits after
+    /// `promoted` that nodes other than `leader` acknowledged.
+    pub fn record_promotion(
         &mut self,
         group: u16,
         branch: f64,
         promoted: f64,
         leader: Option<u32>,
-    ) -> Option<Loss> {
-        let of = self.groups.entry(group).or_default();
+    ) -> Option<CommitLoss> {
+        let commits = self.groups.entry(group).or_default();
         let known =
             |span: &Span| (span.after, span.promoted, span.leader) == (branch, promoted, leader);
-        if branch.is_nan() || promoted.is_nan() || branch >= promoted || of.spans.iter().any(known)
+        if branch.is_nan()
+            || promoted.is_nan()
+            || branch >= promoted
+            || commits.spans.iter().any(known)
         {
             return None;
         }
-        let lost = |at: &(f64, u32)| {
-            at.0 > branch && (at.0 <= promoted || leader.is_some_and(|l| at.1 != l))
+        let lost = |commit: &Acknowledged| {
+            commit.position > branch
+                && (commit.position <= promoted
+                    || leader.is_some_and(|leader| commit.node != leader))
         };
-        // A leader of a later term is told of the spans of earlier ones, too; its own commits are behind them.
-        let last = of.spans.iter().all(|span| span.promoted <= promoted);
-        let gone = of
-            .answered
+        // The leader of a later term is reported with the spans of earlier terms, too. The commits of the terms in
+        // between lie after those spans and are not lost.
+        let last = commits.spans.iter().all(|span| span.promoted <= promoted);
+        let newly_lost = commits
+            .acknowledged
             .iter()
-            .filter(|at| lost(at) && (last || at.0 <= promoted));
-        let (writes, to) = gone.fold((0, promoted), |(n, to), at| (n + 1, f64::max(to, at.0)));
-        of.answered
-            .retain(|at| !(lost(at) && (last || at.0 <= promoted)));
-        if of.spans.len() == SPANS {
-            of.spans.pop_front();
+            .filter(|commit| lost(commit) && (last || commit.position <= promoted));
+        let (writes, to) = newly_lost.fold((0, promoted), |(writes, to), commit| {
+            (writes + 1, f64::max(to, commit.position))
+        });
+        commits
+            .acknowledged
+            .retain(|commit| !(lost(commit) && (last || commit.position <= promoted)));
+        if commits.spans.len() == MAX_SPANS {
+            commits.spans.pop_front();
         }
-        let first = !of
+        let first_report = !commits
             .spans
             .iter()
             .any(|span| (span.after, span.promoted) == (branch, promoted));
-        of.spans.push_back(Span {
+        commits.spans.push_back(Span {
             after: branch,
             promoted,
             leader,
             to,
         });
-        let exact = of.forgotten <= branch;
-        (writes > 0 || first && !exact).then_some(Loss {
+        let exact = commits.dropped_up_to <= branch;
+        (writes > 0 || first_report && !exact).then_some(CommitLoss {
             after: branch,
             to,
             writes,
@@ -114,11 +144,11 @@
         })
     }
 
-    /// Whether a commit at this position is known to be lost.
-    pub fn lost(&self, group: u16, commit: f64) -> bool {
-        let within = |span: &Span| commit > span.after && commit <= span.to;
+    /// Returns whether a commit at this position is known to be lost.
+    pub fn is_lost(&self, group: u16, position: f64) -> bool {
+        let within = |span: &Span| position > span.after && position <= span.to;
         self.groups
             .get(&group)
-            .is_some_and(|of| of.spans.iter().any(within))
+            .is_some_and(|commits| commits.spans.iter().any(within))
     }
 }
--- a/crates/core/primary-change/src/term.rs
+++ b/crates/core/primary-change/src/term.rs
@@ -1,76 +1,91 @@
-//! Who leads a group: one state machine a group, with numbered terms. It is told evidence and gives no orders.
+//! Which node leads a group: one state machine for each group, with numbered terms. It takes evidence and gives no
+//! orders.
 //!
-//! Two rules decide between claimants, and both only look at dates and at what a node said of itself:
-//! 1. A claim is news only if it is dated later than the last claim that was believed. What a later term's
-//!    leader said can so never be undone by evidence of an earlier term, however late that arrives.
-//! 2. Who was deposed by a later term is believed again only once it has said itself that it follows, or once
-//!    its successor is in doubt or gone. Of two halves of a cut that both claim, the later claimant so leads
-//!    for as long as it can be reached; there is one change, not one an answer.
+//! Two rules decide between nodes that claim to lead. Both use only the times of claims and what a node said of
+//! itself:
+//! 1. The late-claim rule: a claim counts only if it is dated later than the last accepted claim. So evidence of an
+//!    earlier term never undoes what the leader of a later term said, however late it arrives.
+//! 2. The deposed-node rule: a node that a later term deposed is believed again only after it has said itself that it
+//!    follows, or while its successor is suspected or gone. So if both sides of a network partition claim to lead,
+//!    the later claimant leads for as long as it can be reached; there is one change, not one for each answer.
 //!
-//! The list is the weakest witness: it names a candidate where nobody leads, and never undoes what a node said.
+//! The list of nodes is the weakest evidence: it names a candidate where nobody leads, and never undoes what a node
+//! said of itself.
 
 use std::collections::BTreeMap;
 
-/// The date of what has not happened.
+/// Time of an event that has not happened.
 pub const NEVER: f64 = f64::NEG_INFINITY;
 
-/// What a list may run late by, in seconds: a denial younger than this outranks it.
-const LIST_LATE_S: f64 = 10.0;
+/// Maximum delay of the list of nodes: a node's denial younger than this outranks the list.
+const MAX_LIST_DELAY_S: f64 = 10.0;
 
+/// Phase of a group's leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Nobody leads, as far as is known.
-    Vacant,
-    /// The list names a candidate who has not spoken yet.
-    Claimed,
-    /// Somebody leads by its own word; what was held is being released.
+    /// No leader is known.
+    NoLeader,
+    /// The list names a candidate that has not said yet whether it leads.
+    Candidate,
+    /// A node says that it leads; held statements are being released.
     Settling,
-    /// The leader works and nothing is held.
+    /// A node leads and nothing is held.
     Settled,
-    /// The leader is out of reach, silent or about to leave.
-    Doubted,
+    /// The leader is unreachable, silent or about to leave.
+    Suspected,
 }
 
-/// What can be heard of a node. Dates are seconds on the front's clock.
+/// Evidence about the role of a node. Times are seconds on the caller's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Evidence {
-    /// It said itself that it is the primary, as of then.
-    Leads { at: f64 },
-    /// It said itself that it is none, as of then.
-    Follows { at: f64 },
-    /// The list calls it the primary.
-    Listed,
-    /// The list says that it drains or is gone.
-    Leaving,
-    /// The list says that it is in service.
-    Stays,
-    /// It refused a connection, or has owed its answers for too long.
-    Lost,
-    /// A connection broke under a statement: it may be gone, or only the connection.
-    Broke,
+    /// The node said itself that it was the primary at this time.
+    Leads {
+        /// Time for which the statement holds.
+        at: f64,
+    },
+    /// The node said itself that it was not the primary at this time.
+    Follows {
+        /// Time for which the statement holds.
+        at: f64,
+    },
+    /// The list names the node as the primary.
+    ListedAsPrimary,
+    /// The list says that the node drains or is gone.
+    ListedAsLeaving,
+    /// The list says that the node is in service.
+    ListedInService,
+    /// The node refused a connection, or has owed answers for too long.
+    Unreachable,
+    /// A connection broke while a statement was in flight: the node may be gone, or only the connection.
+    ConnectionBroke,
 }
 
+/// Leadership of one group, in its present term.
 #[derive(Clone, Debug)]
 pub struct Term {
-    /// Counts the leaders of this group that were believed here.
+    /// Number of leaders accepted so far for this group.
     pub number: u64,
+    /// Phase of the leadership.
     pub phase: Phase,
+    /// Node that leads; also while it is suspected.
     pub leader: Option<u32>,
-    /// Named by the list while nobody leads.
+    /// Node that the list names while nobody leads.
     pub candidate: Option<u32>,
-    /// When the change began that is under way.
-    pub began: f64,
-    /// The date of the last claim that was believed.
-    pub claimed: f64,
-    /// Since when the leader is in doubt.
-    pub doubted: f64,
-    /// When a connection to the leader last broke under a statement.
-    pub broke: f64,
-    /// The list says that the leader drains; it is out of reach, or silent.
-    pub leaving: bool,
-    pub lost: bool,
-    pub denied: BTreeMap<u32, f64>,
-    /// Those that a later term deposed, and when they last were believed.
+    /// Start of the present change; `NEVER` if there is none.
+    pub change_began_at: f64,
+    /// Time of the last accepted claim to lead.
+    pub claimed_at: f64,
+    /// Time since when the leader is suspected.
+    pub suspected_at: f64,
+    /// Last time when a connection to the leader broke while a statement was in flight.
+    pub connection_broke_at: f64,
+    /// The list says that the leader drains or is gone.
+    pub leader_leaving: bool,
+    /// The leader is unreachable or silent.
+    pub leader_unreachable: bool,
+    /// For each node, the last time when it said that it was not the primary.
+    pub denied_at: BTreeMap<u32, f64>,
+    /// Nodes that a later term deposed, with the time of their last accepted claim.
     pub deposed: BTreeMap<u32, f64>,
 }
 
@@ -78,157 +93,184 @@
     fn default() -> Term {
         Term {
             number: 0,
-            phase: Phase::Vacant,
+            phase: Phase::NoLeader,
             leader: None,
             candidate: None,
-            began: NEVER,
-            claimed: NEVER,
-            doubted: NEVER,
-            broke: NEVER,
-            leaving: false,
-            lost: false,
-            denied: BTreeMap::new(),
+            change_began_at: NEVER,
+            claimed_at: NEVER,
+            suspected_at: NEVER,
+            connection_broke_at: NEVER,
+            leader_leaving: false,
+            leader_unreachable: false,
+            denied_at: BTreeMap::new(),
             deposed: BTreeMap::new(),
         }
     }
 }
 
 impl Term {
-    /// Takes one piece of evidence; true where it moved the machine.
-    pub fn hear(&mut self, now: f64, node: u32, told: Evidence) -> bool {
+    /// Takes one piece of evidence about a node; returns whether it changed the leader, the candidate or the phase.
+    pub fn observe(&mut self, now: f64, node: u32, evidence: Evidence) -> bool {
         let leads = self.leader == Some(node);
-        match told {
-            Evidence::Leads { at } if leads => self.confirmed(at),
-            Evidence::Leads { at } if self.news(node, at) => self.accept(now, node, at),
+        match evidence {
+            Evidence::Leads { at } if leads => self.confirm_leader(at),
+            Evidence::Leads { at } if self.accepts_claim(node, at) => {
+                self.start_term(now, node, at)
+            }
             Evidence::Leads { .. } => false,
-            Evidence::Follows { at } => self.denial(now, node, at, leads),
-            Evidence::Listed if self.leader.is_none() => self.named(now, node),
-            Evidence::Leaving if leads => {
-                self.leaving = true;
-                self.doubt(now)
+            Evidence::Follows { at } => self.record_denial(now, node, at, leads),
+            Evidence::ListedAsPrimary if self.leader.is_none() => self.name_candidate(now, node),
+            Evidence::ListedAsLeaving if leads => {
+                self.leader_leaving = true;
+                self.suspect_leader(now)
             }
-            Evidence::Leaving | Evidence::Lost if self.candidate == Some(node) => {
-                (self.candidate, self.phase) = (None, Phase::Vacant);
+            Evidence::ListedAsLeaving | Evidence::Unreachable if self.candidate == Some(node) => {
+                self.candidate = None;
+                self.phase = Phase::NoLeader;
                 true
             }
-            Evidence::Stays if leads && self.leaving => {
-                self.leaving = false;
-                self.confirmed(now)
+            Evidence::ListedInService if leads && self.leader_leaving => {
+                self.leader_leaving = false;
+                self.confirm_leader(now)
             }
-            Evidence::Lost if leads => {
-                self.lost = true;
-                self.doubt(now)
+            Evidence::Unreachable if leads => {
+                self.leader_unreachable = true;
+                self.suspect_leader(now)
             }
-            Evidence::Broke => {
-                self.broke = if leads { now } else { self.broke };
+            Evidence::ConnectionBroke => {
+                self.connection_broke_at = if leads { now } else { self.connection_broke_at };
                 false
             }
-            Evidence::Listed | Evidence::Leaving | Evidence::Stays | Evidence::Lost => false,
+            Evidence::ListedAsPrimary
+            | Evidence::ListedAsLeaving
+            | Evidence::ListedInService
+            | Evidence::Unreachable => false,
         }
     }
 
-    /// The two rules on claimants, and a node's own later denial.
-    fn news(&self, node: u32, at: f64) -> bool {
-        let later = at > self.claimed && self.denied.get(&node).is_none_or(|denied| at > *denied);
-        let in_doubt = self.leader.is_none() || self.phase == Phase::Doubted && at > self.doubted;
-        later && (in_doubt || !self.deposed.contains_key(&node))
+    /// Applies the two rules on claims (see the module's documentation). A node's own later denial outranks its claim.
+    fn accepts_claim(&self, node: u32, at: f64) -> bool {
+        let later = at > self.claimed_at
+            && self
+                .denied_at
+                .get(&node)
+                .is_none_or(|denied_at| at > *denied_at);
+        let leader_in_question =
+            self.leader.is_none() || self.phase == Phase::Suspected && at > self.suspected_at;
+        later && (leader_in_question || !self.deposed.contains_key(&node))
     }
 
-    /// The leader says that it leads: in doubt, that ends it, unless it was said before the doubt or it leaves.
-    fn confirmed(&mut self, at: f64) -> bool {
-        self.claimed = self.claimed.max(at);
-        self.lost &= at <= self.doubted;
-        let back = self.phase == Phase::Doubted && !self.leaving && at > self.doubted;
-        if back {
+    /// Records that the leader said that it led at `at`, and returns whether that ends its suspicion. It does not if
+    /// the leader said so before it was suspected, or while it is leaving.
+    fn confirm_leader(&mut self, at: f64) -> bool {
+        self.claimed_at = self.claimed_at.max(at);
+        self.leader_unreachable &= at <= self.suspected_at;
+        let confirmed =
+            self.phase == Phase::Suspected && !self.leader_leaving && at > self.suspected_at;
+        if confirmed {
             self.phase = Phase::Settling;
         }
-        back
+        confirmed
     }
 
-    fn accept(&mut self, now: f64, node: u32, at: f64) -> bool {
+    /// Starts a new term with this node as the leader.
+    fn start_term(&mut self, now: f64, node: u32, at: f64) -> bool {
         if self.phase == Phase::Settled {
-            self.began = now;
+            self.change_began_at = now;
         }
         self.deposed
-            .extend(self.leader.map(|leader| (leader, self.claimed)));
+            .extend(self.leader.map(|leader| (leader, self.claimed_at)));
         self.deposed.remove(&node);
-        (self.leader, self.candidate, self.claimed) = (Some(node), None, at);
-        (self.leaving, self.lost) = (false, false);
-        (self.phase, self.number) = (Phase::Settling, self.number + 1);
+        self.leader = Some(node);
+        self.candidate = None;
+        self.claimed_at = at;
+        self.leader_leaving = false;
+        self.leader_unreachable = false;
+        self.phase = Phase::Settling;
+        self.number += 1;
         true
     }
 
-    fn denial(&mut self, now: f64, node: u32, at: f64, leads: bool) -> bool {
-        let latest = self.denied.entry(node).or_insert(NEVER);
-        *latest = latest.max(at);
-        if leads && at > self.claimed {
-            self.begin(now);
-            (self.leader, self.phase) = (None, Phase::Vacant);
-            (self.leaving, self.lost) = (false, false);
+    /// Records that a node said that it did not lead at `at`; `leads`: it is the present leader.
+    fn record_denial(&mut self, now: f64, node: u32, at: f64, leads: bool) -> bool {
+        let denied_at = self.denied_at.entry(node).or_insert(NEVER);
+        *denied_at = denied_at.max(at);
+        if leads && at > self.claimed_at {
+            self.begin_change(now);
+            self.leader = None;
+            self.phase = Phase::NoLeader;
+            self.leader_leaving = false;
+            self.leader_unreachable = false;
             return true;
         }
         if self
             .deposed
             .get(&node)
-            .is_some_and(|believed| at > *believed)
+            .is_some_and(|claimed_at| at > *claimed_at)
         {
             self.deposed.remove(&node);
         }
-        let candidate = self.candidate == Some(node);
-        if candidate {
-            (self.candidate, self.phase) = (None, Phase::Vacant);
+        let is_candidate = self.candidate == Some(node);
+        if is_candidate {
+            self.candidate = None;
+            self.phase = Phase::NoLeader;
         }
-        candidate
+        is_candidate
     }
 
-    fn named(&mut self, now: f64, node: u32) -> bool {
-        let spoke = self
-            .denied
+    /// Takes a node that the list names as a candidate, unless the node has denied it recently.
+    fn name_candidate(&mut self, now: f64, node: u32) -> bool {
+        let denied_recently = self
+            .denied_at
             .get(&node)
-            .is_some_and(|at| now - at < LIST_LATE_S);
-        let fires = !spoke && self.candidate != Some(node);
-        if fires {
-            self.begin(now);
-            (self.candidate, self.phase) = (Some(node), Phase::Claimed);
+            .is_some_and(|at| now - at < MAX_LIST_DELAY_S);
+        let changes = !denied_recently && self.candidate != Some(node);
+        if changes {
+            self.begin_change(now);
+            self.candidate = Some(node);
+            self.phase = Phase::Candidate;
         }
-        fires
+        changes
     }
 
-    fn doubt(&mut self, now: f64) -> bool {
-        let fires = self.phase != Phase::Doubted;
-        if fires {
-            self.begin(now);
-            (self.phase, self.doubted) = (Phase::Doubted, now);
+    fn suspect_leader(&mut self, now: f64) -> bool {
+        let changes = self.phase != Phase::Suspected;
+        if changes {
+            self.begin_change(now);
+            self.phase = Phase::Suspected;
+            self.suspected_at = now;
         }
-        fires
+        changes
     }
 
-    /// A second change while the first is settling is a part of it: who waits has waited since the first.
-    fn begin(&mut self, now: f64) {
-        // The first leader of all is no change: who waits for it says nothing of the store's take-over.
-        if self.number > 0 && (self.phase == Phase::Settled || self.began == NEVER) {
-            self.began = now;
+    /// Notes the start of a change. A second change while the first one settles is part of the first: statements have
+    /// been waiting since then.
+    fn begin_change(&mut self, now: f64) {
+        // The first leader is no change: the wait for it says nothing of how long the store takes to promote another.
+        if self.number > 0 && (self.phase == Phase::Settled || self.change_began_at == NEVER) {
+            self.change_began_at = now;
         }
     }
 
-    /// All that was held is out and the leader has completed something: how long the change took.
+    /// Ends the change, as nothing is held any more; returns how long it took, in seconds.
     pub fn settle(&mut self, now: f64) -> f64 {
         self.phase = Phase::Settled;
-        let took = if self.began == NEVER {
+        let took_s = if self.change_began_at == NEVER {
             0.0
         } else {
-            now - self.began
+            now - self.change_began_at
         };
-        self.began = NEVER;
-        took
+        self.change_began_at = NEVER;
+        took_s
     }
 
-    /// A node that nobody will speak of again.
-    pub fn forget(&mut self, node: u32) {
-        self.denied.remove(&node);
+    /// Forgets a node about which no more evidence comes.
+    pub fn forget_node(&mut self, node: u32) {
+        self.denied_at.remove(&node);
         self.deposed.remove(&node);
         if self.candidate == Some(node) {
-            (self.candidate, self.phase) = (None, Phase::Vacant);
+            self.candidate = None;
+            self.phase = Phase::NoLeader;
         }
     }
 }
--- a/crates/core/primary-change/src/tests/mod.rs
+++ b/crates/core/primary-change/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a succession with one group, and the statements that ask it.
+//! Shared by the tests: a `Succession` with one group, and requests for admission.
 
 mod change;
 mod model;
@@ -6,21 +6,21 @@
 mod sequences;
 mod terms;
 
-use crate::{Evidence, Room, Settings, Succession, Verdict, Wish};
+use crate::{Admission, AdmissionRequest, Evidence, HoldSize, Settings, Succession};
 
 pub(crate) const G: u16 = 4;
 pub(crate) const A: u32 = 1;
 pub(crate) const B: u32 = 2;
 pub(crate) const C: u32 = 3;
 
-/// Room for four statements of a group, six in all; changes take two seconds.
+/// Limits of four held statements for a group and six in total; expected changes of 2 s.
 pub(crate) fn settings() -> Settings {
     Settings {
-        hold: Room {
+        hold: HoldSize {
             statements: 6,
             bytes: 600,
         },
-        hold_group: Room {
+        hold_group: HoldSize {
             statements: 4,
             bytes: 400,
         },
@@ -31,39 +31,40 @@
     }
 }
 
-/// A leads and is settled at 10.
-pub(crate) fn settled(settings: Settings) -> Succession {
-    let mut born = Succession::new(settings, 7, 1.0);
-    born.hear(9.0, G, A, Evidence::Leads { at: 9.0 });
-    born.settle(10.0);
-    assert!(born.settled(G));
-    born
+/// Returns a state in which A leads and has been settled since 10 s.
+pub(crate) fn with_settled_leader(settings: Settings) -> Succession {
+    let mut succession = Succession::new(settings, 7, 1.0);
+    succession.observe(9.0, G, A, Evidence::Leads { at: 9.0 });
+    succession.settle(10.0);
+    assert!(succession.is_settled(G));
+    succession
 }
 
-pub(crate) fn wish(session: u64, arrived: f64) -> Wish {
-    Wish {
+/// A request of 100 bytes with a deadline 10 s after its arrival.
+pub(crate) fn request(session: u64, arrived: f64) -> AdmissionRequest {
+    AdmissionRequest {
         group: G,
         session,
         bytes: 100,
         worth: 1.0,
         arrived,
-        due: arrived + 10.0,
-        ..Wish::default()
+        deadline: arrived + 10.0,
+        ..AdmissionRequest::default()
     }
 }
 
-/// Asks for statements `1..=count` of sessions of their own, in this order; who may go is sent.
-pub(crate) fn ask(of: &mut Succession, now: f64, count: u32) -> Vec<Verdict> {
-    let ask = |stmt: u32| {
-        let verdict = of.admit(
+/// Asks for the admission of statements `1..=count`, each of its own session, in this order; those admitted are sent.
+pub(crate) fn request_all(succession: &mut Succession, now: f64, count: u32) -> Vec<Admission> {
+    let admit = |stmt: u32| {
+        let admission = succession.admit(
             now,
             stmt,
-            &wish(u64::from(stmt), 10.0 + f64::from(stmt) / 1e3),
+            &request(u64::from(stmt), 10.0 + f64::from(stmt) / 1e3),
         );
-        if verdict == Verdict::Go {
-            of.sent(stmt);
+        if admission == Admission::Send {
+            succession.record_sent(stmt);
         }
-        verdict
+        admission
     };
-    (1..=count).map(ask).collect()
+    (1..=count).map(admit).collect()
 }
--- a/crates/core/primary-change/src/tests/model.rs
+++ b/crates/core/primary-change/src/tests/model.rs
@@ -1,10 +1,11 @@
-//! The decisions beside an abstract synchronous store, checked over every order of events within small budgets:
-//! two marked writes, three nodes, kills, cuts, slow nodes, promotions, late words, lists that name the old
-//! primary, answers that get lost at any point, marks that are forgotten.
+//! Model check of the decisions against an abstract store with synchronous replication, over every order of events
+//! within small budgets: two marked writes, three nodes, crashes, partitions, slow nodes, promotions, late role
+//! reports, lists that name the old primary, answers lost at any point, marks that the store has forgotten.
 
 use super::G;
 use crate::{
-    Evidence, NEVER, Next, Phase, Repeat, Room, Settings, Succession, Verdict, Wish, next,
+    Admission, AdmissionRequest, Evidence, HoldSize, NEVER, Phase, RepeatEffect, Resolution,
+    Settings, Succession, resolve_doubt,
 };
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -12,38 +13,38 @@
 
 const NODES: usize = 3;
 const WRITES: usize = 2;
-/// Longer than anything in the decisions that depends on a length of time.
+/// Time between two events; longer than every duration on which the decisions depend.
 const STEP_S: f64 = 20.0;
 
-/// A rule taken out, to see that the checker would notice.
+/// A fault put into the decisions or their caller, to show that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
-    /// What may have run is repeated though its mark is forgotten.
-    Repeats,
-    /// What may have run is rejected as if it had not.
-    Rejects,
-    /// The held are forgotten: no statement is asked about again.
-    Forgets,
-    /// Any word that names a leader is believed, however old.
-    Believes,
+enum Fault {
+    None,
+    /// A write that may have run is sent again although its mark is forgotten.
+    ResendsForgotten,
+    /// A write that may have run is rejected as if it had not.
+    RejectsInDoubt,
+    /// No admission is requested again for a held statement.
+    ForgetsHeld,
+    /// Every role report is believed, however old.
+    BelievesOldReports,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    Fresh,
-    /// `sent`: the latest term in which it was sent and may have run.
+enum WriteState {
+    New,
+    /// `sent_term`: the latest term in which the write was sent and may have run.
     Waiting {
-        sent: Option<u64>,
+        sent_term: Option<u64>,
     },
-    Out {
+    InFlight {
         node: usize,
         term: u64,
-        sent: Option<u64>,
+        sent_term: Option<u64>,
     },
-    Asking {
+    Inquiring {
         node: usize,
-        sent: u64,
+        sent_term: u64,
     },
     Completed,
     Rejected,
@@ -64,18 +65,18 @@
     Answer {
         write: usize,
         node: usize,
-        done: bool,
+        completed: bool,
     },
     Refused {
         write: usize,
         node: usize,
     },
-    Broke {
+    ConnectionBroke {
         write: usize,
         node: usize,
     },
-    /// What a node said of itself, and in which step.
-    Word {
+    /// What a node said of its role, and in which step.
+    RoleReport {
         node: usize,
         leads: bool,
         at: u32,
@@ -85,81 +86,89 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Node {
     alive: bool,
-    cut: bool,
+    partitioned: bool,
     leads: bool,
     term: u64,
+    /// Changes when the node crashes, restarts or stops leading: requests sent before are stale.
     epoch: u32,
+    /// Writes in the order of their commits.
     log: Vec<usize>,
 }
 
-/// How often each may still happen.
+/// Number of times that each event may still happen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Budgets {
-    kills: u8,
-    cuts: u8,
+    crashes: u8,
+    partitions: u8,
     promotions: u8,
+    /// The leader is taken for unreachable although it is only slow.
     slow: u8,
     timeouts: u8,
+    /// The list names a primary.
     lists: u8,
-    words: u8,
+    role_reports: u8,
     inquiries: u8,
+    /// The store forgets its marks.
     forgets: u8,
+    /// A client leaves.
     leaves: u8,
-    /// A second write comes.
-    second: bool,
+    /// A second write may arrive.
+    second_write: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: Vec<Node>,
     term: u64,
-    forgotten: bool,
-    stages: Vec<Stage>,
+    /// The store has forgotten its marks.
+    marks_forgotten: bool,
+    writes: Vec<WriteState>,
+    /// Number of answers that each write got.
     answers: Vec<u8>,
     network: Vec<Message>,
-    left: Budgets,
+    budgets: Budgets,
     /// An inquiry found that its write had run.
-    told: bool,
-    /// A word changed who leads that was older than the last one that was believed.
+    inquiry_found_write: bool,
+    /// A role report changed the leader although it was older than the last accepted one.
     regressed: bool,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     world: World,
-    of: Succession,
+    succession: Succession,
     step: u32,
-    /// The step in which the last word was spoken that was believed.
-    believed: u32,
+    /// The step of the last accepted evidence that the leader leads.
+    accepted_step: u32,
 }
 
 impl State {
-    /// Dates only count by their order.
-    fn canon(&self) -> (Vec<usize>, Vec<u64>) {
-        let group = &self.of.groups[&G];
+    /// Returns the state of the decisions in a canonical form: of times only the order counts.
+    fn canonical(&self) -> (Vec<usize>, Vec<u64>) {
+        let group = &self.succession.groups[&G];
         let term = &group.term;
-        let mut dates = vec![
-            term.claimed,
-            term.doubted,
-            f64::from(self.believed) * STEP_S,
+        let mut times = vec![
+            term.claimed_at,
+            term.suspected_at,
+            f64::from(self.accepted_step) * STEP_S,
         ];
-        dates.extend((0..NODES as u32).map(|n| term.denied.get(&n).copied().unwrap_or(NEVER)));
-        dates.extend(
+        times.extend((0..NODES as u32).map(|n| term.denied_at.get(&n).copied().unwrap_or(NEVER)));
+        times.extend(
             self.world
                 .network
                 .iter()
                 .filter_map(|message| match message {
-                    Message::Word { at, .. } => Some(f64::from(*at) * STEP_S),
+                    Message::RoleReport { at, .. } => Some(f64::from(*at) * STEP_S),
                     _ => None,
                 }),
         );
-        dates.extend((0..NODES as u32).map(|n| term.deposed.get(&n).copied().unwrap_or(NEVER)));
-        let mut order = dates.clone();
+        times.extend((0..NODES as u32).map(|n| term.deposed.get(&n).copied().unwrap_or(NEVER)));
+        let mut order = times.clone();
         order.sort_by(f64::total_cmp);
         order.dedup();
-        let ranks = dates
+        let ranks = times
             .iter()
-            .map(|date| order.iter().position(|o| o == date).unwrap())
+            .map(|time| order.iter().position(|other| other == time).unwrap())
             .collect();
         let mut rest = vec![
             term.number,
@@ -167,17 +176,20 @@
             term.leader.map_or(9, u64::from),
         ];
         rest.push(term.candidate.map_or(9, u64::from));
-        rest.extend([u64::from(term.leaving), u64::from(term.lost)]);
+        rest.extend([
+            u64::from(term.leader_leaving),
+            u64::from(term.leader_unreachable),
+        ]);
         rest.extend((0..NODES as u32).map(|n| u64::from(term.deposed.contains_key(&n))));
-        rest.extend((0..WRITES as u32).map(|w| u64::from(self.of.holds(w))));
+        rest.extend((0..WRITES as u32).map(|w| u64::from(self.succession.is_held(w))));
         (ranks, rest)
     }
 
-    /// Words by all but their dates, which are in `canon`.
-    fn plain(&self) -> World {
+    /// Returns the world without the times of role reports, which are in `canonical`.
+    fn world_without_times(&self) -> World {
         let mut world = self.world.clone();
         for message in &mut world.network {
-            if let Message::Word { at, .. } = message {
+            if let Message::RoleReport { at, .. } = message {
                 *at = 0;
             }
         }
@@ -187,36 +199,42 @@
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.canon() == other.canon() && self.plain() == other.plain()
+        self.canonical() == other.canonical()
+            && self.world_without_times() == other.world_without_times()
     }
 }
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.canon().hash(hasher);
-        self.plain().hash(hasher);
+        self.canonical().hash(hasher);
+        self.world_without_times().hash(hasher);
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
     Arrive(usize),
+    /// The client of a write leaves.
     Leave(usize),
     Deliver(Message),
-    Kill(usize),
+    Crash(usize),
     Restart(usize),
-    Cut(usize),
-    Join(usize),
+    Partition(usize),
+    Heal(usize),
     Promote(usize),
-    Speak(usize),
+    /// A node reports its role.
+    ReportRole(usize),
+    /// The leader is slow and taken for unreachable.
     Slow(usize),
     Timeout(usize),
+    /// The list names a node as the primary.
     List(usize),
-    Forget,
+    /// The store forgets its marks.
+    ForgetMarks,
 }
 
-struct Change {
-    broken: Broken,
+struct ChangeModel {
+    fault: Fault,
     budgets: Budgets,
 }
 
@@ -227,32 +245,36 @@
             .position(|n| n.leads && n.term == self.term)
     }
 
-    fn able(&self) -> Vec<usize> {
+    /// Nodes that run and are not partitioned.
+    fn reachable(&self) -> Vec<usize> {
         (0..NODES)
-            .filter(|n| self.nodes[*n].alive && !self.nodes[*n].cut)
+            .filter(|n| self.nodes[*n].alive && !self.nodes[*n].partitioned)
             .collect()
     }
 
-    /// The primary can commit.
-    fn works(&self) -> Option<usize> {
-        let able = self.able();
+    /// Returns the primary, if it reaches a majority and so can commit.
+    fn working_primary(&self) -> Option<usize> {
+        let reachable = self.reachable();
         self.primary()
-            .filter(|p| able.contains(p) && able.len() * 2 > NODES)
+            .filter(|p| reachable.contains(p) && reachable.len() * 2 > NODES)
     }
 
-    /// Who is not cut off follows the primary.
-    fn follow(&mut self) {
-        let able = self.able();
-        let Some(primary) = self.primary().filter(|p| able.contains(p)) else {
+    /// Makes all reachable nodes follow the primary, if it is reachable.
+    fn replicate(&mut self) {
+        let reachable = self.reachable();
+        let Some(primary) = self.primary().filter(|p| reachable.contains(p)) else {
             return;
         };
         let log = self.nodes[primary].log.clone();
-        for n in able.into_iter().filter(|n| *n != primary) {
-            let (term, node) = (self.term, &mut self.nodes[n]);
+        for n in reachable.into_iter().filter(|n| *n != primary) {
+            let term = self.term;
+            let node = &mut self.nodes[n];
             if node.leads {
-                (node.leads, node.epoch) = (false, node.epoch + 1);
+                node.leads = false;
+                node.epoch += 1;
             }
-            (node.term, node.log) = (term, log.clone());
+            node.term = term;
+            node.log = log.clone();
         }
     }
 
@@ -261,102 +283,104 @@
         self.network.sort();
     }
 
-    /// What was under way at a node that died: nobody can tell how far it came.
-    fn break_off(&mut self, dead: usize) {
+    /// Breaks the connections to a crashed node: how far a request came there is unknown.
+    fn break_connections(&mut self, crashed: usize) {
         for message in &mut self.network {
             match *message {
                 Message::Request { write, node, .. }
                 | Message::Inquiry { write, node }
                 | Message::Answer { write, node, .. }
-                    if node == dead =>
+                    if node == crashed =>
                 {
-                    *message = Message::Broke { write, node }
+                    *message = Message::ConnectionBroke { write, node }
                 }
                 _ => {}
             }
         }
-        // A request that was given up has nobody to tell.
-        let stages = self.stages.clone();
+        // Nobody waits to hear that the connection of a request that timed out broke.
+        let writes = self.writes.clone();
         self.network.retain(|message| match message {
-            Message::Broke { write, node } => matches!(stages[*write], Stage::Out { node: to, .. } | Stage::Asking { node: to, .. } if to == *node),
+            Message::ConnectionBroke { write, node } => matches!(writes[*write], WriteState::InFlight { node: to, .. } | WriteState::Inquiring { node: to, .. } if to == *node),
             _ => true,
         });
         self.network.sort();
         self.network.dedup();
     }
 
-    fn done(&mut self, write: usize, stage: Stage) {
-        self.stages[write] = stage;
+    fn answer(&mut self, write: usize, write_state: WriteState) {
+        self.writes[write] = write_state;
         self.answers[write] += 1;
     }
 }
 
-impl Change {
-    fn later(&self, sent: Option<u64>, term: u64) -> Option<u64> {
-        Some(sent.map_or(term, |sent| sent.max(term)))
+impl ChangeModel {
+    /// Returns the later of the two terms.
+    fn later_term(&self, sent_term: Option<u64>, term: u64) -> Option<u64> {
+        Some(sent_term.map_or(term, |sent_term| sent_term.max(term)))
     }
 
-    /// What the router does with what it knows now, at this moment and a little later.
-    fn drive(&self, state: &mut State) {
+    /// Does what the router does, with what it knows, at the time of this step and one second later.
+    fn run_router(&self, state: &mut State) {
         for now in [
             f64::from(state.step) * STEP_S,
             f64::from(state.step) * STEP_S + 1.0,
         ] {
-            state.of.settle(now);
+            state.succession.settle(now);
             for write in 0..WRITES {
-                if let Stage::Waiting { sent } = state.world.stages[write]
-                    && !(self.broken == Broken::Forgets && state.of.holds(write as u32))
+                if let WriteState::Waiting { sent_term } = state.world.writes[write]
+                    && !(self.fault == Fault::ForgetsHeld && state.succession.is_held(write as u32))
                 {
-                    self.ask(state, now, write, sent);
+                    self.request_admission(state, now, write, sent_term);
                 }
             }
         }
-        state.of.lines();
+        state.succession.take_log_lines();
     }
 
-    fn ask(&self, state: &mut State, now: f64, write: usize, sent: Option<u64>) {
-        let remembered = !state.world.forgotten || self.broken == Broken::Repeats;
-        let repeat = Repeat::Dropped {
+    /// Resolves a write in doubt, then asks for its admission and sends it if it is admitted.
+    fn request_admission(&self, state: &mut State, now: f64, write: usize, sent_term: Option<u64>) {
+        let remembered = !state.world.marks_forgotten || self.fault == Fault::ResendsForgotten;
+        let repeat = RepeatEffect::Dropped {
             until: if remembered { f64::INFINITY } else { NEVER },
         };
-        let present = state.of.term(G);
-        let told = sent.map_or(Next::Again, |sent| {
-            next(repeat, now, true, true, sent, present)
+        let current_term = state.succession.term(G);
+        let resolution = sent_term.map_or(Resolution::Resend, |sent_term| {
+            resolve_doubt(repeat, now, true, true, sent_term, current_term)
         });
-        let settling = matches!(state.of.phase(G), Phase::Settled | Phase::Settling);
-        if told == Next::Abort && settling
-            || told == Next::Inquire && state.world.left.inquiries == 0
+        let has_leader = matches!(state.succession.phase(G), Phase::Settled | Phase::Settling);
+        if resolution == Resolution::Abort && has_leader
+            || resolution == Resolution::Inquire && state.world.budgets.inquiries == 0
         {
-            state.world.done(write, Stage::Aborted);
-            state.of.leave(G, write as u32);
+            state.world.answer(write, WriteState::Aborted);
+            state.succession.forget_statement(G, write as u32);
             return;
         }
-        let wish = Wish {
+        let request = AdmissionRequest {
             group: G,
             session: write as u64 + 1,
             bytes: 1,
             worth: 1.0,
             arrived: write as f64,
-            due: f64::INFINITY,
-            doubtful: sent.is_some(),
-            ..Wish::default()
+            deadline: f64::INFINITY,
+            may_have_run: sent_term.is_some(),
+            ..AdmissionRequest::default()
         };
-        let goes = state.of.admit(now, write as u32, &wish) == Verdict::Go;
+        let admitted = state.succession.admit(now, write as u32, &request) == Admission::Send;
         let Some(node) = state
-            .of
+            .succession
             .leader(G)
-            .filter(|_| goes && told != Next::Abort)
+            .filter(|_| admitted && resolution != Resolution::Abort)
             .map(|n| n as usize)
         else {
             return;
         };
-        state.of.sent(write as u32);
+        state.succession.record_sent(write as u32);
         let alive = state.world.nodes[node].alive;
-        if told == Next::Inquire {
-            state.world.left.inquiries -= 1;
-            state.world.stages[write] = Stage::Asking {
+        if resolution == Resolution::Inquire {
+            state.world.budgets.inquiries -= 1;
+            state.world.writes[write] = WriteState::Inquiring {
                 node,
-                sent: sent.unwrap_or(present),
+                sent_term: sent_term.unwrap_or(current_term),
             };
             state.world.send(if alive {
                 Message::Inquiry { write, node }
@@ -364,10 +388,10 @@
                 Message::Refused { write, node }
             });
         } else {
-            state.world.stages[write] = Stage::Out {
+            state.world.writes[write] = WriteState::InFlight {
                 node,
-                term: present,
-                sent,
+                term: current_term,
+                sent_term,
             };
             let epoch = state.world.nodes[node].epoch;
             state.world.send(if alive {
@@ -378,126 +402,147 @@
         }
     }
 
-    /// The network brings a message; false where it can't be taken now.
+    /// Delivers a message; returns false where it can't be processed now.
     fn deliver(&self, state: &mut State, message: Message) -> bool {
         let now = f64::from(state.step) * STEP_S;
-        let (world, of) = (&mut state.world, &mut state.of);
+        let (world, succession) = (&mut state.world, &mut state.succession);
         match message {
             Message::Request { write, node, epoch } => {
                 let n = &world.nodes[node];
                 let stale = !n.leads || n.epoch != epoch;
-                if !stale && world.works() != Some(node) {
+                if !stale && world.working_primary() != Some(node) {
                     return false;
                 }
-                if !stale && (world.forgotten || !n.log.contains(&write)) {
+                if !stale && (world.marks_forgotten || !n.log.contains(&write)) {
                     world.nodes[node].log.push(write);
-                    world.follow();
+                    world.replicate();
                 }
-                // Nobody listens any more to what was given up.
-                if matches!(world.stages[write], Stage::Out { node: to, .. } if to == node) {
+                // Nobody waits for the answer to a request that timed out.
+                if matches!(world.writes[write], WriteState::InFlight { node: to, .. } if to == node)
+                {
                     world.send(Message::Answer {
                         write,
                         node,
-                        done: !stale,
+                        completed: !stale,
                     });
                 }
             }
             Message::Inquiry { write, node } => {
-                let Stage::Asking { sent, .. } = world.stages[write] else {
+                let WriteState::Inquiring { sent_term, .. } = world.writes[write] else {
                     return true;
                 };
-                if world.works() != Some(node) {
-                    world.stages[write] = Stage::Waiting { sent: Some(sent) };
+                if world.working_primary() != Some(node) {
+                    world.writes[write] = WriteState::Waiting {
+                        sent_term: Some(sent_term),
+                    };
                 } else if world.nodes[node].log.contains(&write) {
-                    world.told = true;
-                    world.done(write, Stage::Completed);
-                    of.leave(G, write as u32);
+                    world.inquiry_found_write = true;
+                    world.answer(write, WriteState::Completed);
+                    succession.forget_statement(G, write as u32);
                 } else {
-                    world.stages[write] = Stage::Waiting { sent: None };
+                    world.writes[write] = WriteState::Waiting { sent_term: None };
                 }
             }
-            Message::Answer { write, node, done } => {
-                let Stage::Out { sent, .. } = world.stages[write] else {
+            Message::Answer {
+                write,
+                node,
+                completed,
+            } => {
+                let WriteState::InFlight { sent_term, .. } = world.writes[write] else {
                     return true;
                 };
-                let role = if done {
+                let evidence = if completed {
                     Evidence::Leads { at: now }
                 } else {
                     Evidence::Follows { at: now }
                 };
-                of.hear(now, G, node as u32, role);
-                of.executed(now, G, write as u32, node as u32, done, !done);
-                if done {
-                    if of.leader(G) == Some(node as u32) {
-                        state.believed = state.step;
+                succession.observe(now, G, node as u32, evidence);
+                succession.record_execution_end(
+                    now,
+                    G,
+                    write as u32,
+                    node as u32,
+                    completed,
+                    !completed,
+                );
+                if completed {
+                    if succession.leader(G) == Some(node as u32) {
+                        state.accepted_step = state.step;
                     }
-                    world.done(write, Stage::Completed);
-                    of.leave(G, write as u32);
+                    world.answer(write, WriteState::Completed);
+                    succession.forget_statement(G, write as u32);
                 } else {
-                    world.stages[write] = Stage::Waiting { sent };
+                    world.writes[write] = WriteState::Waiting { sent_term };
                 }
             }
             Message::Refused { write, node } => {
-                of.hear(now, G, node as u32, Evidence::Lost);
-                of.executed(now, G, write as u32, node as u32, false, true);
-                world.stages[write] = match world.stages[write] {
-                    Stage::Out { sent, .. } => Stage::Waiting { sent },
-                    Stage::Asking { sent, .. } => Stage::Waiting { sent: Some(sent) },
+                succession.observe(now, G, node as u32, Evidence::Unreachable);
+                succession.record_execution_end(now, G, write as u32, node as u32, false, true);
+                world.writes[write] = match world.writes[write] {
+                    WriteState::InFlight { sent_term, .. } => WriteState::Waiting { sent_term },
+                    WriteState::Inquiring { sent_term, .. } => WriteState::Waiting {
+                        sent_term: Some(sent_term),
+                    },
                     other => other,
                 };
             }
-            Message::Broke { write, node } => {
-                of.executed(now, G, write as u32, node as u32, false, true);
-                world.stages[write] = match world.stages[write] {
-                    Stage::Out { sent, term, .. } => Stage::Waiting {
-                        sent: self.later(sent, term),
+            Message::ConnectionBroke { write, node } => {
+                succession.record_execution_end(now, G, write as u32, node as u32, false, true);
+                world.writes[write] = match world.writes[write] {
+                    WriteState::InFlight {
+                        sent_term, term, ..
+                    } => WriteState::Waiting {
+                        sent_term: self.later_term(sent_term, term),
+                    },
+                    WriteState::Inquiring { sent_term, .. } => WriteState::Waiting {
+                        sent_term: Some(sent_term),
                     },
-                    Stage::Asking { sent, .. } => Stage::Waiting { sent: Some(sent) },
                     other => other,
                 };
             }
-            Message::Word { node, leads, at } => {
-                let at = if self.broken == Broken::Believes {
+            Message::RoleReport { node, leads, at } => {
+                let at = if self.fault == Fault::BelievesOldReports {
                     now
                 } else {
                     f64::from(at) * STEP_S
                 };
-                let told = if leads {
+                let evidence = if leads {
                     Evidence::Leads { at }
                 } else {
                     Evidence::Follows { at }
                 };
-                let before = of.leader(G);
-                of.hear(now, G, node as u32, told);
-                if let (true, Message::Word { at, .. }) =
-                    (leads && of.leader(G) == Some(node as u32), message)
+                let leader_before = succession.leader(G);
+                succession.observe(now, G, node as u32, evidence);
+                if let (true, Message::RoleReport { at, .. }) =
+                    (leads && succession.leader(G) == Some(node as u32), message)
                 {
-                    world.regressed |= before != of.leader(G) && at <= state.believed;
-                    state.believed = state.believed.max(at);
+                    world.regressed |=
+                        leader_before != succession.leader(G) && at <= state.accepted_step;
+                    state.accepted_step = state.accepted_step.max(at);
                 }
             }
         }
-        let place = world
+        let index = world
             .network
             .iter()
             .position(|m| *m == message)
-            .expect("it is under way");
-        world.network.remove(place);
+            .expect("the message is in the network");
+        world.network.remove(index);
         true
     }
 }
 
-impl Model for Change {
+impl Model for ChangeModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let settings = Settings {
-            hold: Room {
+            hold: HoldSize {
                 statements: 9,
                 bytes: 9,
             },
-            hold_group: Room {
+            hold_group: HoldSize {
                 statements: 9,
                 bytes: 9,
             },
@@ -507,9 +552,9 @@
             outcomes: true,
             ..Settings::default()
         };
-        let mut of = Succession::new(settings, 1, 1.0);
-        of.hear(0.0, G, 0, Evidence::Leads { at: 0.0 });
-        of.settle(STEP_S);
+        let mut succession = Succession::new(settings, 1, 1.0);
+        succession.observe(0.0, G, 0, Evidence::Leads { at: 0.0 });
+        succession.settle(STEP_S);
         let node = |n| Node {
             alive: true,
             leads: n == 0,
@@ -519,31 +564,38 @@
         let world = World {
             nodes: (0..NODES).map(node).collect(),
             term: 1,
-            forgotten: false,
-            stages: vec![Stage::Fresh; WRITES],
+            marks_forgotten: false,
+            writes: vec![WriteState::New; WRITES],
             answers: vec![0; WRITES],
             network: Vec::new(),
-            left: self.budgets.clone(),
-            told: false,
+            budgets: self.budgets.clone(),
+            inquiry_found_write: false,
             regressed: false,
         };
         vec![State {
             world,
-            of,
+            succession,
             step: 1,
-            believed: 0,
+            accepted_step: 0,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let (world, left) = (&state.world, &state.world.left);
+        let world = &state.world;
+        let budgets = &state.world.budgets;
         for write in 0..WRITES {
-            match world.stages[write] {
-                Stage::Fresh if write == 0 || left.second && world.stages[0] != Stage::Fresh => {
+            match world.writes[write] {
+                WriteState::New
+                    if write == 0 || budgets.second_write && world.writes[0] != WriteState::New =>
+                {
                     actions.push(Action::Arrive(write));
                 }
-                Stage::Waiting { .. } if left.leaves > 0 => actions.push(Action::Leave(write)),
-                Stage::Out { .. } if left.timeouts > 0 => actions.push(Action::Timeout(write)),
+                WriteState::Waiting { .. } if budgets.leaves > 0 => {
+                    actions.push(Action::Leave(write));
+                }
+                WriteState::InFlight { .. } if budgets.timeouts > 0 => {
+                    actions.push(Action::Timeout(write));
+                }
                 _ => {}
             }
         }
@@ -553,55 +605,64 @@
         for n in 0..NODES {
             let node = &world.nodes[n];
             let leads = world.primary() == Some(n);
-            if node.alive && leads && left.kills > 0 {
-                actions.push(Action::Kill(n));
+            if node.alive && leads && budgets.crashes > 0 {
+                actions.push(Action::Crash(n));
             }
             if !node.alive {
                 actions.push(Action::Restart(n));
             }
-            if node.alive && leads && left.cuts > 0 {
-                actions.push(Action::Cut(n));
+            if node.alive && leads && budgets.partitions > 0 {
+                actions.push(Action::Partition(n));
             }
-            if node.cut {
-                actions.push(Action::Join(n));
+            if node.partitioned {
+                actions.push(Action::Heal(n));
             }
-            let speaks = world
+            let report_in_flight = world
                 .network
                 .iter()
-                .any(|m| matches!(m, Message::Word { node, .. } if *node == n));
-            if node.alive && !speaks && left.words > 0 {
-                actions.push(Action::Speak(n));
+                .any(|m| matches!(m, Message::RoleReport { node, .. } if *node == n));
+            if node.alive && !report_in_flight && budgets.role_reports > 0 {
+                actions.push(Action::ReportRole(n));
             }
-            let able = world.able();
-            let most = able
+            let reachable = world.reachable();
+            let longest_log = reachable
                 .iter()
                 .map(|n| world.nodes[*n].log.len())
                 .max()
                 .unwrap_or(0);
-            let fits = able.contains(&n) && able.len() * 2 > NODES && node.log.len() == most;
-            if fits
-                && left.promotions > 0
+            let promotable = reachable.contains(&n)
+                && reachable.len() * 2 > NODES
+                && node.log.len() == longest_log;
+            if promotable
+                && budgets.promotions > 0
                 && !leads
-                && !world.primary().is_some_and(|p| able.contains(&p))
+                && !world.primary().is_some_and(|p| reachable.contains(&p))
             {
                 actions.push(Action::Promote(n));
             }
-            if left.lists > 0 && n == 0 {
+            if budgets.lists > 0 && n == 0 {
                 actions.push(Action::List(n));
             }
-            if left.slow > 0 && state.of.leader(G) == Some(n as u32) {
+            if budgets.slow > 0 && state.succession.leader(G) == Some(n as u32) {
                 actions.push(Action::Slow(n));
             }
         }
-        // A repeat is only sent while there is time for it to arrive: a quarter of the memory is kept for that.
-        let repeats = |m: &Message| match m {
+        // A repeat is sent only while it can still arrive in time: a quarter of the time for which marks are remembered
+        // is kept for that. So marks are not forgotten while a repeat is in the network.
+        let is_repeat = |m: &Message| match m {
             Message::Request { write, .. } => {
-                matches!(world.stages[*write], Stage::Out { sent: Some(_), .. })
+                matches!(
+                    world.writes[*write],
+                    WriteState::InFlight {
+                        sent_term: Some(_),
+                        ..
+                    }
+                )
             }
             _ => false,
         };
-        if left.forgets > 0 && !world.network.iter().any(repeats) {
-            actions.push(Action::Forget);
+        if budgets.forgets > 0 && !world.network.iter().any(is_repeat) {
+            actions.push(Action::ForgetMarks);
         }
     }
 
@@ -611,184 +672,209 @@
         let now = f64::from(state.step) * STEP_S;
         let world = &mut state.world;
         match action {
-            Action::Arrive(write) => world.stages[write] = Stage::Waiting { sent: None },
+            Action::Arrive(write) => world.writes[write] = WriteState::Waiting { sent_term: None },
             Action::Leave(write) => {
-                world.left.leaves -= 1;
-                let Stage::Waiting { sent } = world.stages[write] else {
+                world.budgets.leaves -= 1;
+                let WriteState::Waiting { sent_term } = world.writes[write] else {
                     return None;
                 };
-                let unrun = sent.is_none() || self.broken == Broken::Rejects;
-                world.done(
+                let never_ran = sent_term.is_none() || self.fault == Fault::RejectsInDoubt;
+                world.answer(
                     write,
-                    if unrun {
-                        Stage::Rejected
+                    if never_ran {
+                        WriteState::Rejected
                     } else {
-                        Stage::Aborted
+                        WriteState::Aborted
                     },
                 );
-                state.of.leave(G, write as u32);
+                state.succession.forget_statement(G, write as u32);
             }
             Action::Deliver(message) => {
                 if !self.deliver(&mut state, message) {
                     return None;
                 }
             }
-            Action::Kill(n) => {
-                world.left.kills -= 1;
-                (world.nodes[n].alive, world.nodes[n].epoch) = (false, world.nodes[n].epoch + 1);
-                world.break_off(n);
+            Action::Crash(n) => {
+                world.budgets.crashes -= 1;
+                world.nodes[n].alive = false;
+                world.nodes[n].epoch += 1;
+                world.break_connections(n);
             }
             Action::Restart(n) => {
-                (world.nodes[n].alive, world.nodes[n].epoch) = (true, world.nodes[n].epoch + 1);
-                world.follow();
+                world.nodes[n].alive = true;
+                world.nodes[n].epoch += 1;
+                world.replicate();
             }
-            Action::Cut(n) => {
-                world.left.cuts -= 1;
-                world.nodes[n].cut = true;
+            Action::Partition(n) => {
+                world.budgets.partitions -= 1;
+                world.nodes[n].partitioned = true;
             }
-            Action::Join(n) => {
-                world.nodes[n].cut = false;
-                world.follow();
+            Action::Heal(n) => {
+                world.nodes[n].partitioned = false;
+                world.replicate();
             }
             Action::Promote(n) => {
-                world.left.promotions -= 1;
+                world.budgets.promotions -= 1;
                 world.term += 1;
-                (world.nodes[n].leads, world.nodes[n].term) = (true, world.term);
-                world.follow();
+                world.nodes[n].leads = true;
+                world.nodes[n].term = world.term;
+                world.replicate();
             }
-            Action::Speak(n) => {
-                world.left.words -= 1;
-                let (leads, at) = (world.nodes[n].leads, state.step);
-                world.send(Message::Word { node: n, leads, at });
+            Action::ReportRole(n) => {
+                world.budgets.role_reports -= 1;
+                let leads = world.nodes[n].leads;
+                let at = state.step;
+                world.send(Message::RoleReport { node: n, leads, at });
             }
             Action::Slow(n) => {
-                world.left.slow -= 1;
-                state.of.hear(now, G, n as u32, Evidence::Lost);
+                world.budgets.slow -= 1;
+                state
+                    .succession
+                    .observe(now, G, n as u32, Evidence::Unreachable);
             }
             Action::Timeout(write) => {
-                world.left.timeouts -= 1;
-                let Stage::Out { node, term, sent } = world.stages[write] else {
+                world.budgets.timeouts -= 1;
+                let WriteState::InFlight {
+                    node,
+                    term,
+                    sent_term,
+                } = world.writes[write]
+                else {
                     return None;
                 };
-                // The connection is closed: an answer that is under way goes nowhere, the request may yet run.
+                // The router closes the connection: an answer in the network is dropped, the request may still run.
                 world.network.retain(|m| {
-                    !matches!(m, Message::Answer { write: w, node: n, .. } | Message::Broke { write: w, node: n }
+                    !matches!(m, Message::Answer { write: w, node: n, .. } | Message::ConnectionBroke { write: w, node: n }
                         | Message::Refused { write: w, node: n } if (*w, *n) == (write, node))
                 });
-                world.stages[write] = Stage::Waiting {
-                    sent: self.later(sent, term),
+                world.writes[write] = WriteState::Waiting {
+                    sent_term: self.later_term(sent_term, term),
                 };
-                state
-                    .of
-                    .executed(now, G, write as u32, node as u32, false, true);
+                state.succession.record_execution_end(
+                    now,
+                    G,
+                    write as u32,
+                    node as u32,
+                    false,
+                    true,
+                );
             }
             Action::List(n) => {
-                world.left.lists -= 1;
-                state.of.hear(now, G, n as u32, Evidence::Listed);
+                world.budgets.lists -= 1;
+                state
+                    .succession
+                    .observe(now, G, n as u32, Evidence::ListedAsPrimary);
             }
-            Action::Forget => {
-                world.left.forgets -= 1;
-                world.forgotten = true;
+            Action::ForgetMarks => {
+                world.budgets.forgets -= 1;
+                world.marks_forgotten = true;
             }
         }
-        self.drive(&mut state);
+        self.run_router(&mut state);
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("at most one effect a mark", |_, s: &State| {
-                let once = |log: &Vec<usize>| {
-                    (0..WRITES).all(|w| log.iter().filter(|e| **e == w).count() <= 1)
-                };
-                s.world.nodes.iter().all(|n| once(&n.log))
-            }),
-            Property::always("one answer a statement", |_, s: &State| {
+            Property::always(
+                "each marked write takes effect at most once",
+                |_, s: &State| {
+                    let once = |log: &Vec<usize>| {
+                        (0..WRITES).all(|w| log.iter().filter(|e| **e == w).count() <= 1)
+                    };
+                    s.world.nodes.iter().all(|n| once(&n.log))
+                },
+            ),
+            Property::always("each write gets at most one answer", |_, s: &State| {
                 s.world.answers.iter().all(|n| *n <= 1)
             }),
-            Property::always("no answered write is lost", |_, s: &State| {
+            Property::always("no acknowledged write is lost", |_, s: &State| {
                 let kept = |w: usize| {
                     s.world
                         .primary()
                         .is_none_or(|p| s.world.nodes[p].log.contains(&w))
                 };
-                (0..WRITES).all(|w| s.world.stages[w] != Stage::Completed || kept(w))
+                (0..WRITES).all(|w| s.world.writes[w] != WriteState::Completed || kept(w))
             }),
             Property::always("no rejected write is applied", |_, s: &State| {
                 let applied = |w: &usize| s.world.nodes.iter().any(|n| n.log.contains(w));
-                !(0..WRITES).any(|w| s.world.stages[w] == Stage::Rejected && applied(&w))
+                !(0..WRITES).any(|w| s.world.writes[w] == WriteState::Rejected && applied(&w))
             }),
-            Property::always("nobody waits behind a leader that works", |_, s: &State| {
-                let led =
-                    s.of.leader(G)
-                        .map(|n| n as usize)
-                        .filter(|_| !s.of.log_in_doubt(G));
-                let open = matches!(s.of.phase(G), Phase::Settled | Phase::Settling);
-                let calm = s
+            Property::always("no write waits while the leader works", |_, s: &State| {
+                let leader = s
+                    .succession
+                    .leader(G)
+                    .map(|n| n as usize)
+                    .filter(|_| !s.succession.positions_uncertain(G));
+                let has_leader = matches!(s.succession.phase(G), Phase::Settled | Phase::Settling);
+                let quiet = s
                     .world
                     .network
                     .iter()
-                    .all(|m| matches!(m, Message::Word { .. }));
-                let working = open && calm && led.is_some() && led == s.world.works();
+                    .all(|m| matches!(m, Message::RoleReport { .. }));
+                let working =
+                    has_leader && quiet && leader.is_some() && leader == s.world.working_primary();
                 !working
                     || s.world
-                        .stages
+                        .writes
                         .iter()
-                        .all(|stage| !matches!(stage, Stage::Waiting { .. }))
+                        .all(|write_state| !matches!(write_state, WriteState::Waiting { .. }))
             }),
             Property::always(
-                "what is believed is never undone by an older word",
+                "an older role report never changes the leader",
                 |_, s: &State| !s.world.regressed,
             ),
-            Property::sometimes("all complete over two changes", |_, s: &State| {
-                s.world.term >= 3 && s.world.stages[0] == Stage::Completed
+            Property::sometimes("a write completes over two changes", |_, s: &State| {
+                s.world.term >= 3 && s.world.writes[0] == WriteState::Completed
+            }),
+            Property::sometimes("an inquiry finds that the write ran", |_, s: &State| {
+                s.world.inquiry_found_write
             }),
-            Property::sometimes("an inquiry finds that it ran", |_, s: &State| s.world.told),
         ]
     }
 }
 
-/// Nothing may happen but what is allowed by name.
-const NONE: Budgets = Budgets {
-    kills: 0,
-    cuts: 0,
+/// No event may happen. Each check adds the events that it allows.
+const NO_EVENTS: Budgets = Budgets {
+    crashes: 0,
+    partitions: 0,
     promotions: 0,
     slow: 0,
     timeouts: 0,
     lists: 0,
-    words: 0,
+    role_reports: 0,
     inquiries: 0,
     forgets: 0,
     leaves: 0,
-    second: true,
+    second_write: true,
 };
 
-const ALL_COMPLETE: &str = "all complete over two changes";
-const TOLD: &str = "an inquiry finds that it ran";
+const COMPLETES_OVER_TWO_CHANGES: &str = "a write completes over two changes";
+const INQUIRY_FINDS_WRITE: &str = "an inquiry finds that the write ran";
 
-fn check(broken: Broken, budgets: Budgets) -> impl Checker<Change> {
-    Change { broken, budgets }
+fn check(fault: Fault, budgets: Budgets) -> impl Checker<ChangeModel> {
+    ChangeModel { fault, budgets }
         .checker()
         .threads(4)
         .spawn_bfs()
         .join()
 }
 
-#[test_case(Budgets { kills: 1, promotions: 1, words: 2, leaves: 1, ..NONE }, &[]; "a primary dies, clients leave")]
-#[test_case(Budgets { kills: 2, promotions: 2, words: 2, second: false, ..NONE }, &[ALL_COMPLETE]; "a second one dies while the first change settles")]
-#[test_case(Budgets { kills: 1, promotions: 1, words: 1, timeouts: 1, slow: 1, ..NONE }, &[]; "it is only slow, and it dies")]
-#[test_case(Budgets { cuts: 1, promotions: 1, words: 2, timeouts: 1, ..NONE }, &[]; "both halves of a cut claim it")]
-#[test_case(Budgets { kills: 1, promotions: 1, words: 2, lists: 2, ..NONE }, &[]; "a list that names the old one")]
-#[test_case(Budgets { kills: 1, promotions: 1, words: 1, forgets: 1, inquiries: 1, ..NONE }, &[TOLD]; "marks are forgotten, outcomes told")]
-fn what_holds_in_every_order_of_events(budgets: Budgets, sometimes: &[&'static str]) {
-    let checked = check(Broken::Nothing, budgets);
+#[test_case(Budgets { crashes: 1, promotions: 1, role_reports: 2, leaves: 1, ..NO_EVENTS }, &[]; "the primary crashes, clients leave")]
+#[test_case(Budgets { crashes: 2, promotions: 2, role_reports: 2, second_write: false, ..NO_EVENTS }, &[COMPLETES_OVER_TWO_CHANGES]; "a second primary crashes while the first change settles")]
+#[test_case(Budgets { crashes: 1, promotions: 1, role_reports: 1, timeouts: 1, slow: 1, ..NO_EVENTS }, &[]; "the primary is slow, and it crashes")]
+#[test_case(Budgets { partitions: 1, promotions: 1, role_reports: 2, timeouts: 1, ..NO_EVENTS }, &[]; "both sides of a partition claim to lead")]
+#[test_case(Budgets { crashes: 1, promotions: 1, role_reports: 2, lists: 2, ..NO_EVENTS }, &[]; "the list names the old primary")]
+#[test_case(Budgets { crashes: 1, promotions: 1, role_reports: 1, forgets: 1, inquiries: 1, ..NO_EVENTS }, &[INQUIRY_FINDS_WRITE]; "marks are forgotten, outcomes inquired")]
+fn properties_hold_in_every_order_of_events(budgets: Budgets, expected: &[&'static str]) {
+    let checked = check(Fault::None, budgets);
     for (name, path) in checked.discoveries() {
         assert!(
-            [ALL_COMPLETE, TOLD].contains(&name),
+            [COMPLETES_OVER_TWO_CHANGES, INQUIRY_FINDS_WRITE].contains(&name),
             "{name} does not hold:\n{path:?}"
         );
     }
-    sometimes
+    expected
         .iter()
         .for_each(|name| _ = checked.assert_any_discovery(name));
 
@@ -799,10 +885,10 @@
     );
 }
 
-#[test_case(Broken::Repeats, Budgets { kills: 1, promotions: 1, words: 1, forgets: 1, ..NONE }, "at most one effect a mark")]
-#[test_case(Broken::Rejects, Budgets { kills: 1, promotions: 1, leaves: 1, ..NONE }, "no rejected write is applied")]
-#[test_case(Broken::Forgets, Budgets { kills: 1, promotions: 1, words: 1, ..NONE }, "nobody waits behind a leader that works")]
-#[test_case(Broken::Believes, Budgets { kills: 1, promotions: 1, words: 2, slow: 2, ..NONE }, "what is believed is never undone by an older word")]
-fn a_broken_rule_is_found(broken: Broken, budgets: Budgets, property: &'static str) {
-    check(broken, budgets).assert_any_discovery(property);
+#[test_case(Fault::ResendsForgotten, Budgets { crashes: 1, promotions: 1, role_reports: 1, forgets: 1, ..NO_EVENTS }, "each marked write takes effect at most once")]
+#[test_case(Fault::RejectsInDoubt, Budgets { crashes: 1, promotions: 1, leaves: 1, ..NO_EVENTS }, "no rejected write is applied")]
+#[test_case(Fault::ForgetsHeld, Budgets { crashes: 1, promotions: 1, role_reports: 1, ..NO_EVENTS }, "no write waits while the leader works")]
+#[test_case(Fault::BelievesOldReports, Budgets { crashes: 1, promotions: 1, role_reports: 2, slow: 2, ..NO_EVENTS }, "an older role report never changes the leader")]
+fn a_fault_is_found(fault: Fault, budgets: Budgets, property: &'static str) {
+    check(fault, budgets).assert_any_discovery(property);
 }
--- a/crates/core/primary-change/src/tests/parts.rs
+++ b/crates/core/primary-change/src/tests/parts.rs
@@ -1,84 +1,103 @@
-//! Small parts by themselves: doubtful writes, durations, lost spans.
+//! The small parts: writes in doubt, durations of changes, lost commits.
 
-use crate::{History, Losses, Next, Repeat, next};
+use crate::{ChangeHistory, LossTracker, RepeatEffect, Resolution, resolve_doubt};
 use test_case::test_case;
 
-#[test_case(Repeat::Harmless, false, false, 1, 1, Next::Again; "harmless")]
-#[test_case(Repeat::Dropped { until: 9.0 }, false, false, 1, 1, Next::Again; "remembered")]
-#[test_case(Repeat::Dropped { until: 5.0 }, false, true, 1, 2, Next::Abort; "forgotten")]
-#[test_case(Repeat::Dropped { until: 5.0 }, true, true, 1, 2, Next::Inquire; "forgotten, and a later primary can tell")]
-#[test_case(Repeat::Dropped { until: 5.0 }, true, true, 2, 2, Next::Abort; "who was sent it may yet run it")]
-#[test_case(Repeat::Dropped { until: 5.0 }, true, false, 1, 2, Next::Abort; "nothing to ask by")]
-#[test_case(Repeat::Harmful, false, true, 1, 2, Next::Abort; "harmful")]
-#[test_case(Repeat::Harmful, true, true, 1, 2, Next::Inquire; "harmful, and a later primary can tell")]
-fn doubtful_writes(
-    repeat: Repeat,
-    outcomes: bool,
+#[test_case(RepeatEffect::Harmless, false, false, 1, 1, Resolution::Resend; "harmless")]
+#[test_case(RepeatEffect::Dropped { until: 9.0 }, false, false, 1, 1, Resolution::Resend; "the mark is remembered")]
+#[test_case(RepeatEffect::Dropped { until: 5.0 }, false, true, 1, 2, Resolution::Abort; "the mark is forgotten")]
+#[test_case(RepeatEffect::Dropped { until: 5.0 }, true, true, 1, 2, Resolution::Inquire; "the mark is forgotten, and the primary of a later term can tell")]
+#[test_case(RepeatEffect::Dropped { until: 5.0 }, true, true, 2, 2, Resolution::Abort; "the node that it was sent to may still run it")]
+#[test_case(RepeatEffect::Dropped { until: 5.0 }, true, false, 1, 2, Resolution::Abort; "no mark to inquire by")]
+#[test_case(RepeatEffect::Harmful, false, true, 1, 2, Resolution::Abort; "harmful")]
+#[test_case(RepeatEffect::Harmful, true, true, 1, 2, Resolution::Inquire; "harmful, and the primary of a later term can tell")]
+fn writes_in_doubt_are_resolved(
+    repeat: RepeatEffect,
+    inquiries_supported: bool,
     marked: bool,
-    sent: u64,
-    present: u64,
-    expected: Next,
+    sent_term: u64,
+    current_term: u64,
+    expected: Resolution,
 ) {
-    assert_eq!(next(repeat, 5.0, outcomes, marked, sent, present), expected);
+    let resolution = resolve_doubt(
+        repeat,
+        5.0,
+        inquiries_supported,
+        marked,
+        sent_term,
+        current_term,
+    );
+    assert_eq!(resolution, expected);
 }
 
-#[test_case(0.0, 2.5, 1.0, 1.0; "all were shorter")]
-#[test_case(0.0, 1.5, 0.5, 1.0; "half of them")]
-#[test_case(1.5, 1.0, 1.0, 0.5; "only the longer ones count")]
-#[test_case(5.0, 5.0, 0.5, 5.0; "longer than any: as long again, or not")]
-#[test_case(5.0, 0.5, 0.09, 5.0; "longer than any, and little is left")]
-fn what_to_expect(elapsed: f64, left: f64, chance: f64, median: f64) {
-    let mut history = History::new(1.0);
-    [1.0, 2.0, 2.0].iter().for_each(|took| history.took(*took));
+#[test_case(0.0, 2.5, 1.0, 1.0; "all changes were shorter")]
+#[test_case(0.0, 1.5, 0.5, 1.0; "half of the changes were shorter")]
+#[test_case(1.5, 1.0, 1.0, 0.5; "only changes longer than the elapsed time count")]
+#[test_case(5.0, 5.0, 0.5, 5.0; "longer than any change: as likely as not to take as long again")]
+#[test_case(5.0, 0.5, 0.09, 5.0; "longer than any change, and little time is left")]
+fn remaining_time_is_estimated_from_past_changes(
+    elapsed_s: f64,
+    wait_s: f64,
+    chance: f64,
+    remaining_s: f64,
+) {
+    let mut history = ChangeHistory::new(1.0);
+    [1.0, 2.0, 2.0]
+        .iter()
+        .for_each(|seconds| history.record(*seconds));
     assert_eq!(history.changes(), 3);
     assert!(
-        (history.chance(elapsed, left) - chance).abs() < 0.01,
+        (history.chance_to_end_within(elapsed_s, wait_s) - chance).abs() < 0.01,
         "{}",
-        history.chance(elapsed, left)
+        history.chance_to_end_within(elapsed_s, wait_s)
     );
     assert!(
-        (history.left(elapsed) - median).abs() < 0.05,
+        (history.remaining_s(elapsed_s) - remaining_s).abs() < 0.05,
         "{}",
-        history.left(elapsed)
+        history.remaining_s(elapsed_s)
     );
 }
 
 #[test]
-fn only_the_latest_answers_are_kept_and_a_count_says_so() {
-    let mut losses = Losses::new(2);
+fn only_the_latest_commits_are_remembered_and_the_count_is_marked_inexact() {
+    let mut losses = LossTracker::new(2);
     [1.0, 2.0, 3.0]
         .iter()
-        .for_each(|commit| losses.answered(4, 1, *commit));
-    let loss = losses.taken_over(4, 0.5, 9.0, Some(2)).unwrap();
+        .for_each(|position| losses.record_acknowledged(4, 1, *position));
+    let loss = losses.record_promotion(4, 0.5, 9.0, Some(2)).unwrap();
     assert_eq!((loss.writes, loss.exact), (2, false));
     [10.0, 11.0]
         .iter()
-        .for_each(|commit| losses.answered(4, 2, *commit));
-    let loss = losses.taken_over(4, 10.0, 12.0, Some(1)).unwrap();
+        .for_each(|position| losses.record_acknowledged(4, 2, *position));
+    let loss = losses.record_promotion(4, 10.0, 12.0, Some(1)).unwrap();
     assert_eq!((loss.writes, loss.exact), (1, true));
-    assert_eq!(losses.taken_over(4, 10.0, 12.0, Some(1)), None, "once");
-    assert_eq!(losses.taken_over(4, 12.0, f64::NAN, Some(1)), None);
     assert_eq!(
-        losses.taken_over(5, 1.0, 2.0, None),
+        losses.record_promotion(4, 10.0, 12.0, Some(1)),
+        None,
+        "reported once"
+    );
+    assert_eq!(losses.record_promotion(4, 12.0, f64::NAN, Some(1)), None);
+    assert_eq!(
+        losses.record_promotion(5, 1.0, 2.0, None),
         None,
-        "nothing was answered there"
+        "no commit was acknowledged in that group"
     );
 }
 
 #[test]
-fn what_the_old_primary_answered_behind_the_promotion_is_gone_too() {
-    let mut losses = Losses::new(9);
+fn commits_that_the_old_primary_acknowledged_after_the_promotion_are_lost_too() {
+    let mut losses = LossTracker::new(9);
     [(1.0, 1), (2.0, 1), (3.5, 1)]
         .iter()
-        .for_each(|(at, node)| losses.answered(4, *node, *at));
-    let told = losses.taken_over(4, 1.5, 3.0, Some(1)).unwrap();
+        .for_each(|(position, node)| losses.record_acknowledged(4, *node, *position));
+    let loss = losses.record_promotion(4, 1.5, 3.0, Some(1)).unwrap();
     assert_eq!(
-        (told.writes, told.to),
+        (loss.writes, loss.to),
         (1, 3.0),
-        "a replica told it before its leader spoke"
+        "a replica reports it before its leader does"
     );
-    losses.answered(4, 2, 3.6);
-    let told = losses.taken_over(4, 1.5, 3.0, Some(2)).unwrap();
-    assert_eq!((told.writes, told.to), (1, 3.5));
-    assert!(losses.lost(4, 3.5) && !losses.lost(4, 3.6));
+    losses.record_acknowledged(4, 2, 3.6);
+    let loss = losses.record_promotion(4, 1.5, 3.0, Some(2)).unwrap();
+    assert_eq!((loss.writes, loss.to), (1, 3.5));
+    assert!(losses.is_lost(4, 3.5) && !losses.is_lost(4, 3.6));
 }
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -16,9 +16,9 @@
 
 mod instance;
 pub mod policy;
+mod primary_change;
 mod recover;
 pub mod state;
-mod succeed;
 pub mod tally;
 mod together;
 pub use badgerstream_fleet_sharing as fleet;
--- a/crates/core/routing/src/policy/guards.rs
+++ b/crates/core/routing/src/policy/guards.rs
@@ -104,7 +104,8 @@
         // Where nodes check, a likely position will do, or one untold for a second: a miss is cheap.
         let fresh = s.kind.currency != Currency::Latest && now - node.placed >= IDLE_S;
         let likely = fresh || now - 2.0 * node.lag >= needed;
-        !self.log_in_doubt(s) && (leads || node.lsn >= needed || self.replication.checked && likely)
+        !self.positions_uncertain(s)
+            && (leads || node.lsn >= needed || self.replication.checked && likely)
     }
 }
 
--- a/crates/core/routing/src/policy/health.rs
+++ b/crates/core/routing/src/policy/health.rs
@@ -97,7 +97,7 @@
             (node.suspected, node.trials, node.trial_at) = (Some(now), 0, now);
             // Who speaks, if only to probes, is not lost: what refused a connection has told that by itself.
             if silent {
-                self.witness(now, id, Evidence::Lost);
+                self.observe_evidence(now, id, Evidence::Unreachable);
             }
         }
         fires
@@ -110,7 +110,7 @@
         let cheap = unheard && self.nodes.len() as f64 * self.allowance.probe_price <= asked();
         // Who waits for a primary to be known waits in a hold: one question serves all of them.
         let (node, idle) = (&self.nodes[&id], now - self.nodes[&id].probed >= SEARCH_S);
-        let search = idle && !node.probing && self.searched(node.group, now);
+        let search = idle && !node.probing && self.needs_leader_probes(node.group, now);
         (cheap || search) && self.probe(id, now, out)
     }
 
--- a/crates/core/routing/src/policy/inputs.rs
+++ b/crates/core/routing/src/policy/inputs.rs
@@ -40,7 +40,7 @@
             (node.suspected, node.faults, node.strain, node.missing) = (None, 0, 0.0, 0);
         }
         self.touched_groups.insert(group);
-        self.witness_list(now, id, at, leads);
+        self.observe_listing(now, id, at, leads);
     }
 
     /// The list is over: a node that a whole one leaves out is gone.
@@ -56,7 +56,7 @@
         });
         left.collect::<Vec<u32>>()
             .iter()
-            .for_each(|id| self.witness(now, *id, Evidence::Leaving));
+            .for_each(|id| self.observe_evidence(now, *id, Evidence::ListedAsLeaving));
     }
 
     pub fn arrived(
@@ -137,9 +137,9 @@
             .nodes
             .get(&id)
             .map_or(0.0, |n| self.asked(n.group, id) * n.pace);
-        self.witness_end(now, stmt, id, ending, role, Some(lsn).filter(|_| committed));
+        self.observe_execution_end(now, stmt, id, ending, role, Some(lsn).filter(|_| committed));
         self.recovered(id, ending);
-        let position = self.position(id, lsn);
+        let position = self.trusted_position(id, lsn);
         let (strain, lossy) = (self.most_strain(), self.in_vain > IN_VAIN);
         let mut statement = self.statements.get_mut(&stmt);
         if let Some(node) = self.nodes.get_mut(&id) {
@@ -225,8 +225,8 @@
     pub fn reported(&mut self, now: f64, id: u32, primary: Option<bool>, lsn: f64) {
         let lsn = if lsn <= now { lsn } else { NEVER }; // Ahead of the clock it is broken; an old one holds.
         let role = primary.map(|leads| if leads { Role::Primary } else { Role::Replica });
-        self.witness_role(now, id, role, lsn);
-        let position = self.position(id, lsn);
+        self.observe_role(now, id, role, lsn);
+        let position = self.trusted_position(id, lsn);
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
--- a/crates/core/routing/src/policy/rules.rs
+++ b/crates/core/routing/src/policy/rules.rs
@@ -1,6 +1,6 @@
 //! The rules for a statement, in the order in which they are gone through.
 
-use crate::succession::{Next, Verdict};
+use crate::succession::{Admission, Resolution};
 use crate::{
     Ending, Instance, Outbox,
     state::{ROUNDING_S, Statement},
@@ -22,7 +22,8 @@
 
     /// While its group changes its primary, who needs one waits in order, or hears at once that it is vain.
     pub(super) fn wait_for_primary(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
-        matches!(self.verdict(stmt, now), Verdict::Refuse { .. }) && self.conclude(stmt, now, out)
+        matches!(self.admit_statement(stmt, now), Admission::Reject { .. })
+            && self.conclude(stmt, now, out)
     }
 
     /// Nothing it could still get is worth anything, is back in time or may be sent, or it errs everywhere.
@@ -35,9 +36,10 @@
             .filter(|e| e.ended == Some(Ending::Errored))
             .count();
         let spent = s.executions.len() >= self.allowance.executions || errors >= ERRORS;
-        let spent = spent || !self.repeatable(s, None, now) && !self.inquirable(s, now);
+        let spent = spent || !self.repeatable(s, None, now) && !self.may_inquire(s, now);
         let late = now + if sent { 0.0 } else { self.needed(s) } >= s.last_use();
-        let vain = late || spent && !sent || self.held_too_long(s, now) || self.owes_lost(s);
+        let vain =
+            late || spent && !sent || self.held_too_long(s, now) || self.requires_lost_commit(s);
         vain && self.conclude(stmt, now, out)
     }
 
@@ -51,7 +53,7 @@
         let alone = self
             .succession
             .as_ref()
-            .is_none_or(|succession| succession.settled(s.group));
+            .is_none_or(|succession| succession.is_settled(s.group));
         alone && (late || !led) && s.unwritten() && now >= s.halfway - ROUNDING_S
     }
 
@@ -60,7 +62,8 @@
         let s = &self.statements[&stmt];
         let due =
             !s.waits && s.may_have_run().next().is_some() && s.live().all(|e| self.overdue(e, now));
-        if !due || self.next(s, now) != Next::Inquire || !self.inquirable(s, now) {
+        if !due || self.doubt_resolution(s, now) != Resolution::Inquire || !self.may_inquire(s, now)
+        {
             return false;
         }
         let leader = self.groups[&s.group]
--- a/crates/core/routing/src/policy/sends.rs
+++ b/crates/core/routing/src/policy/sends.rs
@@ -38,7 +38,7 @@
         }
         self.succession
             .iter_mut()
-            .for_each(|succession| succession.sent(stmt));
+            .for_each(|succession| succession.record_sent(stmt));
         self.sending(stmt, id, now);
         let sent = Execution {
             term,
@@ -77,10 +77,10 @@
             Repeat::Deduplicated { within, .. } => within == Within::Anywhere,
             repeat => repeat == Repeat::Idempotent,
         };
-        let lost = self.owes_lost(s); // To come back for it would be as much in vain.
+        let lost = self.requires_lost_commit(s); // To come back for it would be as much in vain.
         if !lost && (known || s.may_have_run().next().is_none()) {
             // A retry comes as a new statement, with an SLO time that its client no longer has.
-            out.reject(stmt, s.advised(&self.allowance));
+            out.reject(stmt, s.retry_after(&self.allowance));
         } else {
             out.abort(stmt);
         }
@@ -102,7 +102,7 @@
             .remove(&stmt);
         self.succession
             .iter_mut()
-            .for_each(|succession| succession.leave(s.group, stmt));
+            .for_each(|succession| succession.forget_statement(s.group, stmt));
         for (execution, e) in (0..).zip(&s.executions).filter(|e| e.1.ended.is_none()) {
             self.learn(self.late(e, now), true);
             let usual = self.asked(s.group, e.node) * self.nodes[&e.node].pace;
--- a/crates/core/routing/src/state.rs
+++ b/crates/core/routing/src/state.rs
@@ -255,7 +255,7 @@
                 .for_each(|recovery| recovery.forget(*id));
             self.fleet.iter_mut().for_each(|fleet| fleet.forget(*id));
             if let (Some(succession), Some(node)) = (&mut self.succession, self.nodes.get(id)) {
-                succession.forget(node.group, *id);
+                succession.forget_node(node.group, *id);
             }
             let group = self
                 .nodes
--- a/crates/protocol/router-config/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -128,11 +128,11 @@
 #[test_case("{succession: {hold: {statements: 9, bytes: 64}\n", (1, 14), "EOF"; "cut")]
 #[test_case("{\n  succesion: {}}", (2, 3), "unknown field `succesion`"; "a slip of the pen")]
 #[test_case("{succession: {\n  longest_hold_ms: '3s'}}", (2, 20), "expected number"; "a unit")]
-#[test_case("{succession: {\n  least_chance: 7}}", (2, 3), "least_chance is no share"; "no share")]
-#[test_case("{succession: {\n\n    longest_hold_ms: 0}}", (3, 5), "is no time from 1 ms to an hour"; "no time")]
-#[test_case("{succession: {hold_group: {statements: 1, bytes: 8},\n hold: {statements: 2, bytes: 999999999}}}", (2, 24), "the memory limit"; "more memory than there is")]
-#[test_case("{succession: { // hold: {bytes: 1}\n hold: {statements: 2, bytes: 4}}}", (1, 2), "hold_group.bytes is more"; "a bound that was left out")]
-#[test_case("{succession: {\n branch_field: 'x2'}}", (2, 2), "told together"; "half a pair")]
+#[test_case("{succession: {\n  least_chance: 7}}", (2, 3), "least_chance is 7, must be a share from 0 to 1"; "no share")]
+#[test_case("{succession: {\n\n    longest_hold_ms: 0}}", (3, 5), "longest_hold_ms is 0, must be a time from 1 ms to 3600000 ms (one hour)"; "no time")]
+#[test_case("{succession: {hold_group: {statements: 1, bytes: 8},\n hold: {statements: 2, bytes: 999999999}}}", (2, 24), "hold.bytes is 999999999, more than the 4194304 bytes that the memory limit leaves"; "more memory than there is")]
+#[test_case("{succession: { // hold: {bytes: 1}\n hold: {statements: 2, bytes: 4}}}", (1, 2), "hold_group.bytes is 1048576, more than hold.bytes, the limit of 4 bytes for all groups together"; "a bound that was left out")]
+#[test_case("{succession: {\n branch_field: 'x2'}}", (2, 2), "branch_field and promoted_field must both be set or both be empty"; "half a pair")]
 fn wrong_own_settings_name_their_place(text: &str, place: (usize, usize), problem: &str) {
     let fault = Own::read(text, 4 << 20).unwrap_err();
     assert!(fault.problem.contains(problem), "{fault}");
--- a/crates/runtime/router/src/decide.rs
+++ b/crates/runtime/router/src/decide.rs
@@ -24,7 +24,7 @@
     /// What it tells beyond role and position.
     pub(crate) fn tell(&self, instance: &mut Instance, now: f64, node: u32) {
         if let Some((branch, promoted)) = self.took_over {
-            instance.took_over(now, node, branch, promoted);
+            instance.record_promotion(now, node, branch, promoted);
         }
         if let Some((held, opened)) = self.connections {
             instance.crowded(now, node, held, opened);
@@ -264,7 +264,7 @@
         self.inner
             .borrow_mut()
             .instance
-            .carries(ticket.stmt, bytes, marked);
+            .describe_statement(ticket.stmt, bytes, marked);
     }
 
     /// The fields of load reports in which nodes tell of their logs and of their connections, if any do.
@@ -342,7 +342,8 @@
             return;
         };
         let (now, (stmt, execution)) = (inner.clock.now(), key);
-        let vain = ending == Ending::Completed && !inner.instance.vouches(stmt, running.node);
+        let vain =
+            ending == Ending::Completed && !inner.instance.trusts_completion(stmt, running.node);
         let ending = if vain { Ending::Dropped } else { ending };
         if let (Ending::Completed, Some(answer)) = (ending, answer)
             && let Some(taken) = inner.taken.remove(&stmt)
--- a/crates/runtime/router/src/lib.rs
+++ b/crates/runtime/router/src/lib.rs
@@ -206,7 +206,7 @@
 fn router(provision: &Provision, own: Own) -> Result<Ready, String> {
     let pairs = &provision.pairs;
     let (mut instance, reading) = badgerstream_router_config::instance(provision.seed, pairs)?;
-    instance.succeed(own.succession, provision.seed);
+    instance.configure_succession(own.succession, provision.seed);
     let clock = decide::Clock::new();
     instance.recover(clock.now(), own.recovery, provision.seed, &provision.name);
     instance.join(own.fleet, provision.seed, &provision.name);
--- a/crates/runtime/router/src/reload.rs
+++ b/crates/runtime/router/src/reload.rs
@@ -101,7 +101,7 @@
         match read() {
             Ok((told, own)) => {
                 watches.desk.tell(|instance, now| {
-                    instance.succeed(own.succession, told.seed);
+                    instance.configure_succession(own.succession, told.seed);
                     instance.recover(now, own.recovery, told.seed, &started.name);
                     instance.join(own.fleet, told.seed, &started.name);
                     watches.roster.name_all(instance);
--- a/crates/testing/experiments/tests/primary_changes.rs
+++ b/crates/testing/experiments/tests/primary_changes.rs
@@ -152,7 +152,7 @@
     fn dies(&self, point: Point, id: &str, class: &str) -> thread::JoinHandle<Outcome> {
         self.emulator.step(0, Step::Arm(point));
         let asked = self.ask(write(id, class));
-        self.until("Doubted");
+        self.until("Suspected");
         asked
     }
 }
