--- a/crates/core/primary-change/src/history.rs
+++ b/crates/core/primary-change/src/durations.rs
@@ -5,22 +5,22 @@
 /// One hour. The histogram counts in milliseconds; longer durations are recorded as this one.
 const MAX_DURATION_MS: u64 = 3_600_000;
 
-/// Histogram of the durations of primary changes.
+/// Durations of the primary changes observed, and of one assumed change.
 #[derive(Clone, Debug)]
-pub struct ChangeHistory(Histogram<u64>);
+pub struct ChangeDurations(Histogram<u64>);
 
 fn duration_ms(seconds: f64) -> u64 {
     ((seconds * 1e3) as u64).clamp(1, MAX_DURATION_MS)
 }
 
-impl ChangeHistory {
-    /// Creates a history that contains one assumed change of `expected_s` seconds.
-    pub fn new(expected_s: f64) -> ChangeHistory {
+impl ChangeDurations {
+    /// Starts with one assumed change of `expected_s` seconds.
+    pub fn new(expected_s: f64) -> ChangeDurations {
         // The bounds are constants that the library accepts.
         let mut durations =
             Histogram::new_with_bounds(1, MAX_DURATION_MS, 2).expect("bounds that fit");
         durations.saturating_record(duration_ms(expected_s));
-        ChangeHistory(durations)
+        ChangeDurations(durations)
     }
 
     /// Records the duration of an observed change, in seconds.
--- a/crates/core/primary-change/src/lib.rs
+++ b/crates/core/primary-change/src/lib.rs
@@ -7,7 +7,7 @@
 //! docs/design/primary-changes.md.
 
 mod doubt;
-mod history;
+mod durations;
 mod hold;
 mod loss;
 mod release;
@@ -15,7 +15,7 @@
 mod term;
 
 pub use doubt::{RepeatEffect, Resolution, resolve_doubt};
-pub use history::ChangeHistory;
+pub use durations::ChangeDurations;
 pub use hold::{AdmissionRequest, HoldQueue, HoldSize};
 pub use loss::{CommitLoss, LossTracker};
 pub use release::ReleaseWindow;
@@ -83,7 +83,7 @@
     /// Groups to look at in `settle`: those that are not settled.
     unsettled: BTreeSet<u16>,
     hold: HoldQueue,
-    history: ChangeHistory,
+    durations: ChangeDurations,
     losses: LossTracker,
     /// Statements removed from the queue to make room for others; they are rejected when they ask next.
     evicted: Vec<u32>,
@@ -99,7 +99,7 @@
             groups: BTreeMap::new(),
             unsettled: BTreeSet::new(),
             hold: HoldQueue::new(settings.hold_group, settings.hold),
-            history: ChangeHistory::new(settings.expected_change_ms / 1e3),
+            durations: ChangeDurations::new(settings.expected_change_ms / 1e3),
             losses: LossTracker::new(settings.answered_kept),
             evicted: Vec::new(),
             log_lines: Vec::new(),
@@ -111,8 +111,8 @@
     pub fn set_settings(&mut self, settings: Settings) {
         self.hold.set_limits(settings.hold_group, settings.hold);
         self.losses.set_max_acknowledged(settings.answered_kept);
-        if self.history.changes() == 0 {
-            self.history = ChangeHistory::new(settings.expected_change_ms / 1e3);
+        if self.durations.changes() == 0 {
+            self.durations = ChangeDurations::new(settings.expected_change_ms / 1e3);
         }
         self.settings = settings;
     }
@@ -273,7 +273,7 @@
             - now;
         wait_s <= 0.0
             || self
-                .history
+                .durations
                 .chance_to_end_within(now - term.change_began_at, wait_s)
                 < self.settings.least_chance
     }
@@ -282,7 +282,7 @@
     /// otherwise all of them would return at the same time.
     fn reject(&mut self, now: f64, group: u16) -> Admission {
         let began_at = self.groups[&group].term.change_began_at;
-        let remaining_s = self.history.remaining_s(if began_at == NEVER {
+        let remaining_s = self.durations.remaining_s(if began_at == NEVER {
             0.0
         } else {
             now - began_at
@@ -413,7 +413,7 @@
                 // The quiet time at the end is not part of the change.
                 let took_s = (state.term.settle(now) - quiet_s).max(0.0);
                 if took_s > 0.0 && state.release.leader_proved {
-                    self.history.record(took_s);
+                    self.durations.record(took_s);
                 }
                 state.release = ReleaseWindow::default();
                 settled.push(*group);
--- a/crates/core/primary-change/src/tests/parts.rs
+++ b/crates/core/primary-change/src/tests/parts.rs
@@ -1,6 +1,6 @@
 //! The small parts: writes in doubt, durations of changes, lost commits.
 
-use crate::{ChangeHistory, LossTracker, RepeatEffect, Resolution, resolve_doubt};
+use crate::{ChangeDurations, LossTracker, RepeatEffect, Resolution, resolve_doubt};
 use test_case::test_case;
 
 #[test_case(RepeatEffect::Harmless, false, false, 1, 1, Resolution::Resend; "harmless")]
@@ -41,20 +41,20 @@
     chance: f64,
     remaining_s: f64,
 ) {
-    let mut history = ChangeHistory::new(1.0);
+    let mut durations = ChangeDurations::new(1.0);
     [1.0, 2.0, 2.0]
         .iter()
-        .for_each(|seconds| history.record(*seconds));
-    assert_eq!(history.changes(), 3);
+        .for_each(|seconds| durations.record(*seconds));
+    assert_eq!(durations.changes(), 3);
     assert!(
-        (history.chance_to_end_within(elapsed_s, wait_s) - chance).abs() < 0.01,
+        (durations.chance_to_end_within(elapsed_s, wait_s) - chance).abs() < 0.01,
         "{}",
-        history.chance_to_end_within(elapsed_s, wait_s)
+        durations.chance_to_end_within(elapsed_s, wait_s)
     );
     assert!(
-        (history.remaining_s(elapsed_s) - remaining_s).abs() < 0.05,
+        (durations.remaining_s(elapsed_s) - remaining_s).abs() < 0.05,
         "{}",
-        history.remaining_s(elapsed_s)
+        durations.remaining_s(elapsed_s)
     );
 }
 
