--- a/crates/core/routing/src/policy/guards.rs
+++ b/crates/core/routing/src/policy/guards.rs
@@ -126,7 +126,7 @@
         let unknown = s.workload.consistency != Consistency::Latest
             && now - node.lag_known_at >= MAX_SILENCE_S;
         let probable = unknown || now - 2.0 * node.lag >= required_lsn;
-        !self.log_in_doubt(s)
+        !self.positions_uncertain(s)
             && (is_primary
                 || node.lsn >= required_lsn
                 || self.replication.nodes_check_freshness && probable)
--- a/crates/core/routing/src/policy/health.rs
+++ b/crates/core/routing/src/policy/health.rs
@@ -129,7 +129,7 @@
             // A node that still answers, if only probes, is not lost. One that refused a connection has already
             // been reported as lost.
             if silent {
-                self.witness(now, id, Evidence::Lost);
+                self.observe_evidence(now, id, Evidence::Unreachable);
             }
         }
         fires
@@ -149,7 +149,7 @@
         let cheap =
             silent && self.nodes.len() as f64 * self.limits.probe_cost_share <= affordable();
         let may_search = now - node.last_probe_at >= SEARCH_INTERVAL_S && !node.probe_in_flight;
-        let search = may_search && self.searched(node.group, now);
+        let search = may_search && self.needs_leader_probes(node.group, now);
         (cheap || search) && self.probe(id, now, out)
     }
 
--- a/crates/core/routing/src/policy/inputs.rs
+++ b/crates/core/routing/src/policy/inputs.rs
@@ -58,7 +58,7 @@
             node.unanswered_in_a_row = 0;
         }
         self.touched_groups.insert(group);
-        self.witness_list(now, id, status, is_primary);
+        self.observe_listing(now, id, status, is_primary);
     }
 
     /// The list ends. If it is `complete`, nodes that are not in it are gone.
@@ -75,7 +75,7 @@
         missing
             .collect::<Vec<u32>>()
             .iter()
-            .for_each(|id| self.witness(now, *id, Evidence::Leaving));
+            .for_each(|id| self.observe_evidence(now, *id, Evidence::ListedAsLeaving));
     }
 
     /// A statement arrived. `work` is its own expected duration and `write_age` the age of its session's last
@@ -172,7 +172,7 @@
             .nodes
             .get(&id)
             .map_or(0.0, |n| self.expected_arrivals(n.group, id) * n.latency_s);
-        self.witness_end(
+        self.observe_execution_end(
             now,
             stmt,
             id,
@@ -181,7 +181,7 @@
             Some(lsn).filter(|_| committed),
         );
         self.recovered(id, outcome);
-        let position = self.position(id, lsn);
+        let position = self.trusted_position(id, lsn);
         let max_congestion = self.max_congestion();
         let answers_get_lost = self.unanswered_share > HEDGE_UNANSWERED_SHARE;
         let mut statement = self.statements.get_mut(&stmt);
@@ -286,8 +286,8 @@
         // A position ahead of the clock is invalid. An old one still holds.
         let lsn = if lsn <= now { lsn } else { NEVER };
         let role = primary.map(|leads| if leads { Role::Primary } else { Role::Replica });
-        self.witness_role(now, id, role, lsn);
-        let position = self.position(id, lsn);
+        self.observe_role(now, id, role, lsn);
+        let position = self.trusted_position(id, lsn);
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
--- a/crates/core/routing/src/policy/rules.rs
+++ b/crates/core/routing/src/policy/rules.rs
@@ -1,6 +1,6 @@
 //! The rules for a statement, in the order in which they are applied. Each returns whether it fired.
 
-use crate::succession::{Next, Verdict};
+use crate::succession::{Admission, Resolution};
 use crate::{
     ExecutionOutcome, Instance, Outbox,
     state::{ROUNDING_S, Statement},
@@ -30,7 +30,8 @@
     /// While a group changes its primary, a statement that needs the primary waits in order, or is answered at once
     /// if waiting is futile.
     pub(super) fn wait_for_primary(&mut self, stmt: u32, now: f64, out: &mut dyn Outbox) -> bool {
-        matches!(self.verdict(stmt, now), Verdict::Refuse { .. }) && self.conclude(stmt, now, out)
+        matches!(self.admit_statement(stmt, now), Admission::Reject { .. })
+            && self.conclude(stmt, now, out)
     }
 
     /// Gives up a statement that can no longer get a useful answer: it would come too late, the statement may not
@@ -44,10 +45,13 @@
             .filter(|e| e.outcome == Some(ExecutionOutcome::Errored))
             .count();
         let spent = s.executions.len() >= self.limits.max_executions || errors >= MAX_ERRORS;
-        let spent = spent || !self.repeatable(s, None, now) && !self.inquirable(s, now);
+        let spent = spent || !self.repeatable(s, None, now) && !self.may_inquire(s, now);
         let time_needed_s = if in_flight { 0.0 } else { self.time_needed(s) };
         let late = now + time_needed_s >= s.last_useful_at();
-        let futile = late || spent && !in_flight || self.held_too_long(s, now) || self.owes_lost(s);
+        let futile = late
+            || spent && !in_flight
+            || self.held_too_long(s, now)
+            || self.requires_lost_commit(s);
         futile && self.conclude(stmt, now, out)
     }
 
@@ -62,7 +66,7 @@
         let settled = self
             .succession
             .as_ref()
-            .is_none_or(|succession| succession.settled(s.group));
+            .is_none_or(|succession| succession.is_settled(s.group));
         settled
             && (late || !primary_works)
             && s.reached_no_node()
@@ -76,7 +80,8 @@
         let due = !s.waits_for_primary
             && s.may_have_run().next().is_some()
             && s.in_flight().all(|e| self.overdue(e, now));
-        if !due || self.next(s, now) != Next::Inquire || !self.inquirable(s, now) {
+        if !due || self.doubt_resolution(s, now) != Resolution::Inquire || !self.may_inquire(s, now)
+        {
             return false;
         }
         let primary = self.groups[&s.group]
--- a/crates/core/routing/src/policy/sends.rs
+++ b/crates/core/routing/src/policy/sends.rs
@@ -43,7 +43,7 @@
         }
         self.succession
             .iter_mut()
-            .for_each(|succession| succession.sent(stmt));
+            .for_each(|succession| succession.record_sent(stmt));
         self.sending(stmt, id, now);
         let execution = Execution {
             term,
@@ -85,10 +85,10 @@
             repeat => repeat == Repeat::Idempotent,
         };
         // A retry of a read that owes a lost commit would be as futile.
-        let owes_lost = self.owes_lost(s);
-        if !owes_lost && (retry_is_harmless || s.may_have_run().next().is_none()) {
+        let requires_lost_commit = self.requires_lost_commit(s);
+        if !requires_lost_commit && (retry_is_harmless || s.may_have_run().next().is_none()) {
             // A retry is a new statement with a new SLO time, which its client no longer has.
-            out.reject(stmt, s.advised(&self.limits));
+            out.reject(stmt, s.retry_after(&self.limits));
         } else {
             out.abort(stmt);
         }
@@ -112,7 +112,7 @@
             .remove(&stmt);
         self.succession
             .iter_mut()
-            .for_each(|succession| succession.leave(s.group, stmt));
+            .for_each(|succession| succession.forget_statement(s.group, stmt));
         for (execution, e) in (0..).zip(&s.executions).filter(|e| e.1.outcome.is_none()) {
             self.learn_lateness(self.late(e, now), true);
             let context = AnswerContext {
