--- a/crates/core/fleet-sharing/src/tests/rules.rs
+++ b/crates/core/fleet-sharing/src/tests/rules.rs
@@ -53,7 +53,7 @@
     assert_eq!(
         live_after(20, 45, 3.0),
         40.0,
-        "the routers that have gone are still counted"
+        "routers that have gone are dropped too early"
     );
     assert!(
         live_after(45, 60, 3.0) < 25.0,
@@ -61,7 +61,7 @@
     );
     assert!(
         live_after(60, 64, 60.0) > 40.0,
-        "a higher estimate applies at once"
+        "a higher estimate is delayed"
     );
 }
 
--- a/crates/runtime/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -44,7 +44,7 @@
     let (desk, roster) = returning(dials, linger_ms);
     desk.tell(|instance, now| instance.discovery_answered(now));
     desk.recovery(true, |recovery, now| {
-        recovery.connection_opened(now, 0, 0.0)
+        recovery.connection_opened(now, 0, 0.0);
     });
     assert_eq!(
         desk.recovery(false, |recovery, _| recovery.phase()),
