--- a/crates/core/restart-pacing/src/lib.rs
+++ b/crates/core/restart-pacing/src/lib.rs
@@ -448,7 +448,7 @@
         longest_s * (0.5 + 0.5 * self.rng.f64())
     }
 
-    /// Time-out for opening a connection, in seconds.
+    /// Timeout for opening a connection, in seconds.
     pub fn connect_timeout_s(&self) -> f64 {
         self.settings.longest_handshake_ms / 1e3
     }
--- a/crates/core/restart-pacing/src/settings.rs
+++ b/crates/core/restart-pacing/src/settings.rs
@@ -19,7 +19,7 @@
     pub sounding_ms: f64,
     /// Maximum duration of a handshake at a node without load. A longer one shows that others connect there too.
     pub handshake_ms: f64,
-    /// Time-out for opening a connection. It is long, because the node does the work of a handshake in any case.
+    /// Timeout for opening a connection. It is long, because the node does the work of a handshake in any case.
     pub longest_handshake_ms: f64,
     /// A phase ends after this time without evidence that other routers return.
     pub calm_ms: f64,
