--- a/crates/core/routing/src/policy.rs
+++ b/crates/core/routing/src/policy.rs
@@ -80,7 +80,7 @@
             self.check_nodes(now, out);
             out.wake(CHECK_INTERVAL_S);
         }
-        self.settle_recovery(now, out);
+        self.update_restart_pacing(now, out);
         self.update_primaries(now, out);
         self.settle_succession(now, out);
         let touched = std::mem::take(&mut self.touched);
--- a/crates/core/routing/src/policy/choice.rs
+++ b/crates/core/routing/src/policy/choice.rs
@@ -134,7 +134,7 @@
             is_replica(i) && within(group.members[i]) && self.can_take(s, group.members[i], now)
         };
         // A router that keeps to a subset of the replicas uses any other if none of these can take the statement.
-        let in_subset = |i: usize| self.keeps(s.group, group.members[i]) && able(i);
+        let in_subset = |i: usize| self.uses_replica(s.group, group.members[i]) && able(i);
         let next = rotation
             .next(size, in_subset)
             .or_else(|| rotation.next(size, able))?;
@@ -171,15 +171,16 @@
             .any(|e| e.node == id && !may_try_again(e));
         // A suspect gets one trial execution at a time, each after a longer wait than the one before.
         let trial_due = now - node.last_trial_at >= FIRST_TRIAL_S * 2f64.powi(node.trials.min(3));
-        let trial =
-            trial_due && s.workload.repeat != Repeat::NonIdempotent && self.may_try(id, now);
+        let trial = trial_due
+            && s.workload.repeat != Repeat::NonIdempotent
+            && self.may_try_suspect(id, now);
         // If all members of a group look bad, they share one cause: suspicion alone never leaves a group without
         // members.
         let bad = |m: (u32, &Node)| m.1.suspected_at.is_some() || !m.1.in_service(&self.drain);
         let trusted = node.suspected_at.is_none() || trial || self.members(s.group).all(bad);
         !tried_before
             && trusted
-            && self.let_through(id, now)
+            && self.pacing_allows_send(id, now)
             && self.has_capacity(s, id, now)
             && self.permitted(s, id, now, is_inquiry)
     }
--- a/crates/core/routing/src/policy/health.rs
+++ b/crates/core/routing/src/policy/health.rs
@@ -162,7 +162,7 @@
             node.last_probe_at = now;
             node.probe_in_flight = true;
             out.probe(id);
-            self.probing(id, now);
+            self.record_probe(id, now);
         }
         fires
     }
--- a/crates/core/routing/src/policy/inputs.rs
+++ b/crates/core/routing/src/policy/inputs.rs
@@ -123,7 +123,7 @@
         s.halfway_at = (now + deadline) / 2.0 - 2.0 * self.limits.clock_step_s;
         self.timers.extend(s.timers(stmt, self.limits.clock_step_s));
         s.admission_rank = self.draw_admission_rank(workload);
-        s.retry_after_s = self.come_back();
+        s.retry_after_s = self.record_arrival();
         let group_state = self.groups.entry(group).or_default();
         group_state.waiting.insert(stmt);
         group_state.arrivals.count_event(now);
@@ -180,7 +180,7 @@
             role,
             Some(lsn).filter(|_| committed),
         );
-        self.recovered(id, outcome);
+        self.record_ending_for_pacing(id, outcome);
         let position = self.trusted_position(id, lsn);
         let max_congestion = self.max_congestion();
         let answers_get_lost = self.unanswered_share > HEDGE_UNANSWERED_SHARE;
--- a/crates/core/routing/src/policy/rules.rs
+++ b/crates/core/routing/src/policy/rules.rs
@@ -107,10 +107,7 @@
         if in_flight || held {
             return false;
         }
-        if let Some(node) = self
-            .choose(stmt, now)
-            .filter(|_| self.may_repeat(stmt, now))
-        {
+        if let Some(node) = self.choose(stmt, now).filter(|_| self.may_retry(stmt, now)) {
             return self.execute(stmt, node, now, out);
         }
         let s = self.statements.get_mut(&stmt).expect("open");
@@ -149,7 +146,7 @@
         let s = &self.statements[&stmt];
         let overdue = s.in_flight().next().is_some() && s.in_flight().all(|e| self.overdue(e, now));
         let useful =
-            overdue && self.may_copy(now) && now + self.time_needed(s) < s.last_useful_at();
+            overdue && self.may_hedge(now) && now + self.time_needed(s) < s.last_useful_at();
         useful
             && self
                 .choose(stmt, now)
--- a/crates/core/routing/src/policy/sends.rs
+++ b/crates/core/routing/src/policy/sends.rs
@@ -44,7 +44,7 @@
         self.succession
             .iter_mut()
             .for_each(|succession| succession.record_sent(stmt));
-        self.sending(stmt, id, now);
+        self.record_send(stmt, id, now);
         let execution = Execution {
             term,
             is_inquiry,
--- a/crates/core/routing/src/tally.rs
+++ b/crates/core/routing/src/tally.rs
@@ -67,7 +67,7 @@
             ("drains or is gone", node.status != NodeStatus::Ready),
             ("was met", tried),
             ("suspect", node.suspected_at.is_some()),
-            ("not its turn", !self.let_through(id, now)),
+            ("not its turn", !self.pacing_allows_send(id, now)),
             ("data too old", !self.fresh_enough(s, id, now)),
             ("no room", full && node.in_flight > 0),
             // None of this router's executions is in flight there: the limit is below 1 and admits only a part of
--- a/crates/core/routing/src/tests.rs
+++ b/crates/core/routing/src/tests.rs
@@ -5,9 +5,9 @@
 use test_case::test_case;
 
 mod deployments;
+mod fleet_sharing;
 mod shared_types;
 mod succession;
-mod together;
 
 /// Clock reading at which the tests start.
 const T: f64 = 1000.0;
--- a/crates/core/routing/src/tests/together.rs
+++ b/crates/core/routing/src/tests/fleet_sharing.rs
@@ -1,15 +1,15 @@
-//! Tests of the policy as one of many routers: turns, budgets and subsets restrict what it does, and nothing else.
+//! One of many routers: time slots, budgets and subsets restrict what routing does, and change nothing else.
 
 use super::*;
 use crate::fleet::Settings;
 use test_case::test_case;
 
-/// Returns the policy of one of forty routers, which take turns by the clock.
+/// One of forty named routers, which acts in time slots of the clock.
 fn one_of_many(settings: Settings) -> Instance {
     let mut router = router(false);
     router.routers = 40.0;
     let routers = (0..40).map(|i| format!("r-{i:02}")).collect();
-    router.join(
+    router.set_fleet_sharing(
         Some(Settings {
             routers,
             ..settings
@@ -19,92 +19,92 @@
     );
     [(A, "a"), (B, "b"), (C, "c")]
         .iter()
-        .for_each(|(id, name)| router.named(*id, name));
+        .for_each(|(id, name)| router.node_named(*id, name));
     router
 }
 
-/// Returns at how many of 400 checks, 50 ms apart, `each` returns true.
-fn count_checks(mut each: impl FnMut(f64) -> bool) -> usize {
+/// Calls `each` at 400 times, 50 ms apart. Returns how often it returned true.
+fn count_true(mut each: impl FnMut(f64) -> bool) -> usize {
     (0..400)
-        .filter(|check| each(T + 1.0 + 0.05 * f64::from(*check)))
+        .filter(|step| each(T + 1.0 + 0.05 * f64::from(*step)))
         .count()
 }
 
 #[test]
-fn idle_probes_are_sent_in_turn() {
+fn idle_probes_need_a_slot() {
     let mut router = one_of_many(Settings {
         idle_probes_per_s: 2.0,
         ..Settings::default()
     });
     let mut seen = Seen::default();
-    let probes = count_checks(|now| {
-        let probed = router.probe(B, now, &mut seen);
+    let probes = count_true(|now| {
+        let sent = router.probe(B, now, &mut seen);
         router.probed(now, B, true, Some(false), now);
-        probed
+        sent
     });
-    // A cycle takes twenty seconds: a turn of half a second for each of forty routers.
+    // Twenty seconds are one cycle: a slot of half a second for each of forty routers.
     assert!((1..=2).contains(&probes), "{probes} probes");
 }
 
 #[test]
-fn without_settings_a_probe_needs_no_turn() {
+fn without_settings_a_probe_needs_no_slot() {
     let (mut router, mut seen) = (router(false), Seen::default());
-    let probes = count_checks(|now| {
-        let probed = router.probe(B, now, &mut seen);
+    let probes = count_true(|now| {
+        let sent = router.probe(B, now, &mut seen);
         router.probed(now, B, true, Some(false), now);
-        probed
+        sent
     });
     assert_eq!(probes, 400);
 }
 
 #[test]
-fn a_suspect_is_tried_in_turn() {
+fn a_trial_of_a_suspect_needs_a_slot() {
     let router = one_of_many(Settings {
         trials_per_s: 2.0,
         ..Settings::default()
     });
     assert!(
-        (1..=21).contains(&count_checks(|now| router.may_try(B, now))),
-        "one turn of half a second in each cycle"
+        (1..=21).contains(&count_true(|now| router.may_try_suspect(B, now))),
+        "more than one slot of half a second per cycle"
     );
 }
 
 #[test]
-fn a_router_uses_a_replica_outside_its_subset_if_it_must() {
+fn outside_its_subset_a_router_takes_a_replica_if_none_inside_will_do() {
     let mut router = one_of_many(Settings {
         subset: 1,
         ..Settings::default()
     });
     let mut seen = Seen::default();
     router.settle(T, &mut seen);
-    let kept: Vec<u32> = [B, C]
+    let subset: Vec<u32> = [B, C]
         .into_iter()
-        .filter(|id| router.keeps(G, *id))
+        .filter(|id| router.uses_replica(G, *id))
         .collect();
-    assert_eq!(kept.len(), 1);
+    assert_eq!(subset.len(), 1);
     let chosen = |router: &mut Instance, stmt: u32, now: f64| {
         router.arrived(now, stmt, LOOSE, G, 0, usize::MAX, 0.0, now + 2.0, 0.0);
         router.choose(stmt, now)
     };
     for stmt in 1..5 {
-        assert_eq!(chosen(&mut router, stmt, T), Some(kept[0]));
+        assert_eq!(chosen(&mut router, stmt, T), Some(subset[0]));
     }
     router
         .nodes
-        .get_mut(&kept[0])
+        .get_mut(&subset[0])
         .unwrap()
         .set_status(NodeStatus::Draining, T);
-    let other = [B, C].into_iter().find(|id| *id != kept[0]);
+    let other = [B, C].into_iter().find(|id| *id != subset[0]);
     assert_eq!(
         chosen(&mut router, 9, T),
         other,
-        "the subset is widened at once"
+        "it does not take the other replica at once"
     );
 }
 
-#[test_case(0.0, false; "no share")]
-#[test_case(1.0, true; "as many as there are first executions")]
-fn hedged_executions_are_a_share_of_first_executions(copies: f64, expected: bool) {
+#[test_case(0.0, false; "a share of zero")]
+#[test_case(1.0, true; "a share of one")]
+fn second_copies_are_a_share_of_first_executions(copies: f64, may: bool) {
     let mut router = one_of_many(Settings {
         copies,
         ..Settings::default()
@@ -112,68 +112,69 @@
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     router.settle(T, &mut Seen::default());
     assert!(router.statements[&1].in_flight().next().is_some());
-    assert_eq!(router.may_copy(T), expected);
+    assert_eq!(router.may_hedge(T), may);
 }
 
-/// A failed execution uses up the budget of repeats; one that a node declined costs nothing.
+/// A statement whose execution failed needs a token of the retry budget; one that was only turned away does not.
 #[test_case(ExecutionOutcome::Errored, false; "failed")]
-#[test_case(ExecutionOutcome::NotEligible, true; "declined")]
-fn repeats_are_a_share_of_first_executions(outcome: ExecutionOutcome, expected: bool) {
+#[test_case(ExecutionOutcome::NotEligible, true; "missed")]
+fn retries_are_a_share_of_first_executions(ending: ExecutionOutcome, may: bool) {
     let mut router = one_of_many(Settings {
         repeats: 0.0,
         ..Settings::default()
     });
     router.arrived(T, 1, LOOSE, G, 0, usize::MAX, 0.0, T + 2.0, 0.0);
     let mut executed = Execution::new(B, T);
-    executed.outcome = Some(outcome);
+    executed.outcome = Some(ending);
     router
         .statements
         .get_mut(&1)
         .unwrap()
         .executions
         .push(executed);
-    assert_eq!(router.may_repeat(1, T), expected);
+    assert_eq!(router.may_retry(1, T), may);
 }
 
 #[test]
-fn a_node_that_has_just_started_gets_its_first_sends_in_turn() {
+fn a_first_send_to_a_new_node_needs_a_slot() {
     let mut router = one_of_many(Settings {
         first_sends_per_s: 2.0,
         ..Settings::default()
     });
     let node = router.nodes.get_mut(&B).unwrap();
-    (node.started_at, node.last_heard_at) = (T, crate::state::NEVER);
-    // The node is cold for ten seconds, half of a cycle.
-    let allowed = count_checks(|now| now < T + 9.0 && router.let_through(B, now));
+    node.started_at = T;
+    node.last_heard_at = crate::state::NEVER;
+    // The node is cold for ten seconds, which is half of a cycle.
+    let allowed = count_true(|now| now < T + 9.0 && router.pacing_allows_send(B, now));
     assert!(allowed <= 10, "{allowed} of 160");
     router.nodes.get_mut(&B).unwrap().last_heard_at = T + 1.0;
     assert!(
-        router.let_through(B, T + 1.0),
-        "once it has answered it is treated as any other node"
+        router.pacing_allows_send(B, T + 1.0),
+        "a node that has answered is still treated as new"
     );
     assert!(
-        router.let_through(C, T + 1.0),
-        "other nodes are not affected"
+        router.pacing_allows_send(C, T + 1.0),
+        "another node is affected"
     );
 }
 
 #[test]
-fn the_number_of_routers_is_estimated_and_is_reset_without_settings() {
+fn the_estimated_number_of_routers_applies_until_fleet_sharing_is_turned_off() {
     let mut router = one_of_many(Settings {
         held_field: "held".into(),
         ..Settings::default()
     });
     [A, B, C]
         .iter()
-        .for_each(|id| router.holds(T, *id, 400.0, 1.0));
+        .for_each(|id| router.connections_reported(T, *id, 400.0, 1.0));
     router.settle(T, &mut Seen::default());
     assert!(router.routers > 150.0, "{}", router.routers);
-    router.join(None, 7, "r-05");
+    router.set_fleet_sharing(None, 7, "r-05");
     assert_eq!(router.routers, 40.0);
 }
 
 #[test]
-fn a_statement_given_up_is_counted_with_its_obstacles() {
+fn a_rejection_is_counted_with_the_reason_at_each_member() {
     let (mut router, mut seen) = (router(false), Seen::default());
     router.groups.get_mut(&G).unwrap().primary = None;
     router
