--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -1,16 +1,16 @@
-//! The driver of a control machine: it gives [`Controller`] (crate `badgerstream-control`)
-//! connections, a clock and a disk.
+//! The driver of a control machine: it connects [`Controller`] (crate `badgerstream-control`) to
+//! sockets, a clock and a disk.
 //!
-//! The controller decides and has no side effects; the driver passes it what happens and executes
-//! the outputs that it returns (`outputs`). What happens comes from the timer in
+//! The controller makes decisions and has no side effects. The driver passes events to it and
+//! executes the outputs that it returns (`outputs`). Events come from the timer in
 //! `ControlNode::run`, from other control machines (`peers`), from routers (`router_sessions`),
 //! from servers and operators over HTTP (`requests`), and as outcomes of commands to servers
-//! (`commands`) and calls to the platform (`platform`). `persistence` writes the hard state,
-//! `status` reads for operators and metrics.
+//! (`commands`) and of calls to the platform (`platform`). `persistence` writes the hard state;
+//! `status` provides the status for operators and the values for metrics.
 //!
 //! All tasks run on one thread, so the state is in cells: the controller, the store and each table
 //! are borrowed for one synchronous step, and nothing is awaited while any of them is borrowed. The
-//! driver itself makes no decision of agreement or failover.
+//! driver itself makes no decision about consensus or failover.
 
 mod commands;
 mod config;
@@ -45,91 +45,95 @@
 
 pub use status::ControlSnapshot;
 
-/// Between two ticks of the controller where this machine leads, in seconds.
+/// Interval between two ticks of the controller while this machine is the leader, in seconds.
 const LEADER_TICK_INTERVAL_S: f64 = 0.02;
-/// The same where it doesn't.
+/// Interval between two ticks of the controller while this machine is not the leader, in seconds.
 const FOLLOWER_TICK_INTERVAL_S: f64 = 0.05;
-/// The largest body of an HTTP request, in bytes: a configuration.
+/// Maximum size of the body of an HTTP request, in bytes. The largest body is a configuration.
 const MAX_REQUEST_BODY_BYTES: usize = 2 << 20;
-/// Name of the file of known servers below the state folder.
-const MEMBERS_FILE: &str = "servers";
+/// Name of the file in the state directory that lists the known database servers.
+const MEMBERS_FILE_NAME: &str = "servers";
 
-/// Why a control machine can't start.
+/// The reason why a control machine can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings name no folder for the state.
-    #[error("state_dir is missing: control keeps its state there")]
+    /// The settings name no state directory.
+    #[error("setting state_dir is missing: a control machine stores its state there")]
     MissingStateDir,
     /// The settings name no address for HTTP requests.
-    #[error("bind_addrs.control is missing")]
+    #[error(
+        "setting bind_addrs.control is missing: a control machine answers HTTP requests at this address"
+    )]
     MissingControlAddress,
-    /// The hard state can't be read or initialized.
+    /// The hard state can't be read from the disk or initialized.
     #[error(transparent)]
     StateStore(#[from] StateStoreError),
-    /// An address can't be bound.
-    #[error("{address}: {error}")]
+    /// A listener can't be bound to an address.
+    #[error("can't listen on {address}: {error}")]
     Bind {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error from the operating system.
         error: std::io::Error,
     },
 }
 
-/// The configuration that the controller was last given the services of, and whether it led then.
+/// The configuration whose services were last passed to the controller, and whether this machine
+/// was the leader at that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct AppliedServices {
     config_epoch: u64,
-    as_leader: bool,
+    was_leader: bool,
 }
 
 /// A control machine.
 pub struct ControlNode {
     tasks: Rc<LocalExecutor<'static>>,
-    /// The settings at the start of the process.
+    /// The settings that were in force when the process started.
     settings: Settings,
-    /// This machine in the incarnation of its disk.
+    /// This machine as a voter: its node id and the incarnation of its disk.
     voter: Voter,
-    /// Random, drawn at the start of the process.
+    /// A random number that identifies this run of the process.
     process_incarnation: u64,
-    /// How long a lease of a router lasts, in seconds.
-    lease_duration: f64,
+    /// Duration of a router's lease, in seconds.
+    lease_duration_s: f64,
     controller: RefCell<Controller>,
     store: RefCell<StateStore>,
     members_file: MembersFile,
     peers: Peers,
     router_sessions: RouterSessions,
     command_queues: CommandQueues,
-    /// HTTP requests that wait for the controller's response.
+    /// HTTP requests that wait for the controller's response, by request number.
     pending_requests: RefCell<HashMap<u64, async_channel::Sender<ControlResponse>>>,
-    /// The last number given to a connection, a session or a request.
+    /// The number that was last given to a connection, a session or a request.
     last_id: Cell<u64>,
     applied_services: Cell<AppliedServices>,
-    /// HTTP requests that are not answered yet.
+    /// Number of HTTP requests that have not been answered yet.
     in_flight_requests: Rc<Cell<usize>>,
     shutting_down: Cell<bool>,
     counts: ControlCounts,
 }
 
 impl ControlNode {
-    /// Opens the state folder, binds the addresses and starts all tasks.
+    /// Opens the state directory, binds the addresses and starts all tasks.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if the settings lack something, or the folder or an address can't be used.
+    /// [`StartError`] if a required setting is missing, the state can't be read or initialized, or
+    /// an address can't be bound.
     pub fn start(
         tasks: &Rc<LocalExecutor<'static>>,
         settings: &Settings,
         process_incarnation: u64,
     ) -> Result<Rc<ControlNode>, StartError> {
-        let folder = settings
+        let state_dir = settings
             .state_dir
             .as_ref()
             .ok_or(StartError::MissingStateDir)?;
         let address = settings
             .control_address
             .ok_or(StartError::MissingControlAddress)?;
-        let node = ControlNode::new(tasks, settings, folder, process_incarnation)?;
+        let node = ControlNode::new(tasks, settings, state_dir, process_incarnation)?;
         let node = Rc::new(node);
         let bind =
             |address| http::listen(address).map_err(|error| StartError::Bind { address, error });
@@ -149,11 +153,11 @@
         Ok(node)
     }
 
-    /// Opens the state folder and restores what is in it.
+    /// Opens the state directory and restores the hard state and the known servers from it.
     fn new(
         tasks: &Rc<LocalExecutor<'static>>,
         settings: &Settings,
-        folder: &Path,
+        state_dir: &Path,
         process_incarnation: u64,
     ) -> Result<ControlNode, StateStoreError> {
         let incarnation_if_new = if settings.bootstrap {
@@ -162,12 +166,12 @@
             process_incarnation.max(FOUNDING_INCARNATION + 1)
         };
         let seeds = config::seed_nodes(settings);
-        let store = StateStore::open(folder, incarnation_if_new, &seeds)?;
+        let store = StateStore::open(state_dir, incarnation_if_new, &seeds)?;
         let voter = Voter {
             node: u32::from(settings.ip),
             incarnation: store.incarnation(),
         };
-        let members_file = MembersFile::new(folder.join(MEMBERS_FILE));
+        let members_file = MembersFile::new(state_dir.join(MEMBERS_FILE_NAME));
         let control_config = config::control_config(settings);
         let mut controller = Controller::new(
             voter,
@@ -184,7 +188,7 @@
             settings: settings.clone(),
             voter,
             process_incarnation,
-            lease_duration: control_config.lease_duration,
+            lease_duration_s: control_config.lease_duration,
             controller: RefCell::new(controller),
             store: RefCell::new(store),
             members_file,
@@ -200,39 +204,41 @@
         })
     }
 
-    /// Begins the shutdown: gives up leadership, and asks to be left out of the voters.
+    /// Begins the shutdown: resigns as leader and asks the other machines to remove this one from
+    /// the voters.
     pub fn shut_down(self: &Rc<Self>) {
         self.shutting_down.set(true);
         let outputs = self.controller.borrow_mut().resign(clock::now());
         self.execute(outputs);
     }
 
-    /// Whether this machine, which shuts down, need not wait to be left out of the voters.
+    /// Returns whether this machine, which is shutting down, need not wait any longer to be removed
+    /// from the voters.
     pub fn may_shut_down(&self) -> bool {
         self.controller.borrow().may_shut_down()
     }
 
-    /// How many HTTP requests are not answered yet.
+    /// Returns the number of HTTP requests that have not been answered yet.
     pub fn in_flight_requests(&self) -> usize {
         self.in_flight_requests.get()
     }
 
-    /// Applies new settings: other seeds, another fault budget. All else takes effect at the next
-    /// start.
+    /// Applies the seeds and the fault budget of new settings. All other settings take effect at
+    /// the next start.
     pub fn reload(&self, settings: &Settings) {
         self.controller
             .borrow_mut()
             .set_seeds_and_budget(config::seed_nodes(settings), config::fault_budget(settings));
     }
 
-    /// Gives the controller the time, for as long as the process runs.
+    /// Ticks the controller at a fixed interval, for as long as the process runs.
     async fn run(self: Rc<Self>) {
         loop {
             let outputs = self.controller.borrow_mut().tick(clock::now());
             self.execute(outputs);
             let primary_changes = self.controller.borrow_mut().take_primary_change_durations();
-            for seconds in primary_changes {
-                self.counts.primary_changed(seconds);
+            for duration_s in primary_changes {
+                self.counts.primary_changed(duration_s);
             }
             self.members_file
                 .persist_if_changed(clock::now(), &self.controller.borrow());
@@ -260,19 +266,20 @@
         let response = receiver
             .recv()
             .await
-            .unwrap_or_else(|_| ControlResponse::error(503, "no answer"));
+            .unwrap_or_else(|_| ControlResponse::error(503, "the request was dropped"));
         self.counts.responded(name, response.status);
         response
     }
 
-    /// A number that no connection, session or request of this process has yet.
+    /// Returns a number that no connection, session or request of this process has been given yet.
     fn next_id(&self) -> u64 {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         id
     }
 
-    /// The port at which control machines expect each other and routers.
+    /// Returns the port on which every control machine accepts connections of the other control
+    /// machines and of routers.
     fn peer_port(&self) -> u16 {
         self.settings.port_range.first
     }
@@ -287,7 +294,7 @@
     );
 }
 
-/// Gives the controller the servers that an earlier incarnation of this process knew.
+/// Passes the servers that an earlier incarnation of this process knew to the controller.
 fn restore_members(controller: &mut Controller, file: &MembersFile, settings: &Settings) {
     let members = file.read();
     log::info!("event=members_restored count={}", members.len());
@@ -295,7 +302,7 @@
     controller.restore_members(clock::now(), members, drained_s);
 }
 
-/// The name of a request in metrics.
+/// Returns the name of a request in metrics.
 fn request_name(request: &ControlRequest) -> &'static str {
     match request {
         ControlRequest::Heartbeat { .. } => "heartbeat",
--- a/crates/runtime/pooler/src/control/commands.rs
+++ b/crates/runtime/pooler/src/control/commands.rs
@@ -1,5 +1,5 @@
-//! Commands to database servers: one connection for each server, with a short queue, owned by a
-//! task of its own ([`server_commands::run`]).
+//! Commands to database servers. Each server has one connection with a short queue, owned by a task
+//! that runs [`server_commands::run`].
 
 use super::{ControlNode, config};
 use crate::clock;
@@ -10,24 +10,26 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Commands that wait for the connection to one server; further ones are reported as not sent.
+/// Maximum number of commands that wait for the connection to one server. Further commands are
+/// reported as not sent.
 const MAX_QUEUED_COMMANDS: usize = 4;
 
-/// The share of the process's descriptors that idle connections to servers may hold. Beyond it a
-/// connection is closed after its answer, as sessions and requests need the rest.
-const IDLE_CONNECTIONS_SHARE: f64 = 0.4;
+/// Maximum share of the process's file descriptors that idle connections to servers may hold. Above
+/// it, a new connection is closed as soon as its command is answered, because sessions and requests
+/// need the remaining descriptors.
+const MAX_IDLE_CONNECTIONS_SHARE: f64 = 0.4;
 
-/// The queue of commands for each server, by id and endpoint.
+/// The command queue of each server, keyed by `id@endpoint`.
 pub(super) type CommandQueues = RefCell<HashMap<String, Sender<FencedCommand>>>;
 
 impl ControlNode {
-    /// Queues a command for a server, and opens a connection to it if there is none.
+    /// Queues a command for a server. Opens a connection to the server if there is none.
     pub(super) fn send_command(self: &Rc<Self>, target: CommandTarget, command: FencedCommand) {
         let key = format!("{}@{}", target.server_id, target.endpoint);
         let mut queues = self.command_queues.borrow_mut();
         match queues.get(&key).map(|queue| queue.try_send(command)) {
             Some(Ok(())) => return,
-            // A second connection beside this one could overtake what waits for it.
+            // Commands on a second connection could overtake those that wait for this one.
             Some(Err(TrySendError::Full(command))) => {
                 return self.command_completed(&target, command, CommandOutcome::NotSent);
             }
@@ -35,7 +37,7 @@
         }
         let idle_s = self.idle_timeout_s(queues.len());
         let (sender, receiver) = async_channel::bounded(MAX_QUEUED_COMMANDS);
-        // An empty queue takes it.
+        // The queue is new and empty, so this can't fail.
         let _ = sender.try_send(command);
         queues.insert(key.clone(), sender);
         let timeouts = CommandTimeouts {
@@ -55,7 +57,7 @@
             };
             server_commands::run(target.clone(), receiver, timeouts, may_act, report).await;
             let mut queues = node.command_queues.borrow_mut();
-            // Unless a later connection to the same server has its place by now.
+            // By now, the entry may belong to a later connection to the same server.
             if queues.get(&key).is_some_and(Sender::is_closed) {
                 queues.remove(&key);
             }
@@ -63,18 +65,19 @@
         self.tasks.spawn(run).detach();
     }
 
-    /// For how long a further connection may stay idle, in seconds, beside so many others.
-    fn idle_timeout_s(&self, connections: usize) -> f64 {
-        let descriptors = self.settings.limits.file_limit as f64;
-        if connections < (IDLE_CONNECTIONS_SHARE * descriptors) as usize {
+    /// Returns how long a new connection may stay idle, in seconds, when `connection_count` others
+    /// exist.
+    fn idle_timeout_s(&self, connection_count: usize) -> f64 {
+        let max_descriptors = self.settings.limits.file_limit as f64;
+        if connection_count < (MAX_IDLE_CONNECTIONS_SHARE * max_descriptors) as usize {
             server_commands::IDLE_TIMEOUT_S
         } else {
             0.0
         }
     }
 
-    /// Reports the outcome of a command to the controller. What was sent under another fencing
-    /// token, in an earlier leadership of this machine, doesn't count any more.
+    /// Reports the outcome of a command to the controller. The outcome is ignored if the command
+    /// was sent under another fencing token, during an earlier leadership of this machine.
     fn command_completed(
         &self,
         target: &CommandTarget,
--- a/crates/runtime/pooler/src/control/outputs.rs
+++ b/crates/runtime/pooler/src/control/outputs.rs
@@ -1,4 +1,5 @@
-//! Executing the outputs of the controller: the one place where decisions become side effects.
+//! Executes the outputs of the controller. This is the only place where decisions become side
+//! effects.
 
 use super::platform::Promotion;
 use super::{AppliedServices, ControlNode};
@@ -10,11 +11,12 @@
 use std::rc::Rc;
 
 impl ControlNode {
-    /// Executes what the controller decided, in order. Nothing here waits but for the disk.
+    /// Executes outputs of the controller in order. Only writes to the disk block.
     pub(super) fn execute(self: &Rc<Self>, outputs: Vec<Output>) {
         let mut queue = VecDeque::from(outputs);
         while let Some(output) = queue.pop_front() {
-            // What relies on the disk goes before the rest, which doesn't.
+            // Outputs that follow from a write to the disk are executed before the remaining ones,
+            // which don't depend on that write.
             for next in self.execute_one(output).into_iter().rev() {
                 queue.push_front(next);
             }
@@ -22,7 +24,7 @@
         self.update_sync_replicas();
     }
 
-    /// Executes one output; returns those that follow from it.
+    /// Executes one output and returns the outputs that follow from it.
     fn execute_one(self: &Rc<Self>, output: Output) -> Vec<Output> {
         match output {
             Output::Persist => return self.persist_hard_state(),
@@ -51,8 +53,8 @@
                     command,
                     fencing_token,
                 };
-                // An endpoint that is no address is the server's own mistake: it is as if it didn't
-                // answer.
+                // A server that registered an endpoint which is not a socket address is treated
+                // like a server that doesn't answer.
                 if let Ok(endpoint) = endpoint.parse() {
                     let target = CommandTarget {
                         server_id,
@@ -78,21 +80,21 @@
         Vec::new()
     }
 
-    /// Gives the response to the task that waits for it; that task may have ended with its
-    /// connection.
+    /// Passes the response to the task that waits for it. That task may have ended together with
+    /// its connection.
     fn respond(&self, request: u64, response: ControlResponse) {
         if let Some(waiter) = self.pending_requests.borrow_mut().remove(&request) {
             let _ = waiter.try_send(response);
         }
     }
 
-    /// Gives the controller of each new configuration how many replicas a commit waits for; again
-    /// when this machine becomes leader.
+    /// Passes the number of replicas that a commit waits for, by service, to the controller. This
+    /// happens when a new configuration is applied and when this machine gains or loses leadership.
     fn update_sync_replicas(&self) {
         let mut controller = self.controller.borrow_mut();
         let current = AppliedServices {
             config_epoch: controller.config().0,
-            as_leader: controller.is_leader(),
+            was_leader: controller.is_leader(),
         };
         if self.applied_services.replace(current) == current {
             return;
--- a/crates/runtime/pooler/src/control/peers.rs
+++ b/crates/runtime/pooler/src/control/peers.rs
@@ -1,8 +1,8 @@
-//! Connections with other control machines, and the listener that routers use as well.
+//! Connections between control machines, and the listener for control machines and routers.
 //!
-//! Each pair of control machines has two connections, one for each direction: who has messages for
-//! another connects to it and only writes there. Messages may be lost with a connection; the
-//! controller sends again whatever matters.
+//! Each pair of control machines has two connections, one for each direction: the sender of the
+//! messages opens the connection and only writes to it. Messages may be lost with a connection; the
+//! controller sends the important ones again.
 
 use super::ControlNode;
 use super::router_sessions::RouterSession;
@@ -18,44 +18,47 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Messages that wait for a connection to one machine; further ones are dropped.
+/// Maximum number of messages that wait for a connection to one machine. Further messages are
+/// dropped.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// After a failed attempt to connect only so many queued messages are kept: older ones are
-/// outdated, and heartbeats and appends are sent again.
+/// Maximum number of queued messages that are kept after a failed attempt to connect. The older
+/// ones are outdated, and heartbeats and appends are sent again.
 const MAX_QUEUED_AFTER_FAILURE: usize = 4;
 /// Pause after a failed attempt to connect, in seconds.
 const RECONNECT_INTERVAL_S: f64 = 0.06;
-/// A machine whose connection takes nothing for so many seconds gets a new one.
+/// A connection to a peer that accepts no bytes for this long, in seconds, is replaced by a new
+/// one.
 const WRITE_STALL_TIMEOUT_S: f64 = 1.0;
-/// On a connection that this machine opened: a peer that acknowledges nothing for so many seconds
-/// is given up.
+/// `TCP_USER_TIMEOUT` of connections that this machine opened, in seconds: the connection is closed
+/// if the peer leaves sent data unacknowledged for this long.
 const OUTGOING_USER_TIMEOUT_S: f64 = 1.0;
-/// On a connection that was accepted: a peer that acknowledges nothing for so many seconds is given
-/// up.
+/// `TCP_USER_TIMEOUT` of connections that this machine accepted, in seconds.
 const INCOMING_USER_TIMEOUT_S: f64 = 1.5;
 /// Pause after a connection could not be accepted, in seconds.
-const ACCEPT_RETRY_S: f64 = 0.02;
+const ACCEPT_RETRY_INTERVAL_S: f64 = 0.02;
 /// Size of a connection's read buffer, in bytes.
-const READ_BYTES: usize = 1024;
+const READ_BUFFER_BYTES: usize = 1024;
 
-/// What is known of the connections with other control machines.
+/// The state of the connections with other control machines.
 #[derive(Default)]
 pub(super) struct Peers {
-    /// Messages for each machine; a task of its own sends them.
+    /// The message queue of each machine. One task for each machine sends the messages.
     queues: RefCell<HashMap<NodeId, Sender<Frame>>>,
-    /// The number of the newest connection that each machine has opened to here.
+    /// The number of the newest connection that each machine has opened to this one.
     newest_incoming: RefCell<HashMap<NodeId, u64>>,
-    /// Notified whenever that machine has opened a connection to here: it is reachable.
+    /// Notified whenever that machine has opened a connection to this one, which shows that it is
+    /// reachable.
     connected: RefCell<HashMap<NodeId, Rc<Notify>>>,
 }
 
 impl Peers {
+    /// Returns the notification of connections that this machine opens.
     fn connected(&self, node: NodeId) -> Rc<Notify> {
         self.connected.borrow_mut().entry(node).or_default().clone()
     }
 }
 
-/// A connection that another control machine has opened to here.
+/// A connection that another control machine has opened to this one.
 #[derive(Clone, Copy)]
 struct IncomingPeer {
     from: Voter,
@@ -63,8 +66,8 @@
 }
 
 impl ControlNode {
-    /// Queues a message for another control machine. A full queue drops it: the machine is
-    /// unreachable.
+    /// Queues a message for another control machine. If the queue is full, the machine is
+    /// unreachable and the message is dropped.
     pub(super) fn send_to_peer(self: &Rc<Self>, to: Recipient, message: PeerMessage) {
         let node = to.node();
         let mut queues = self.peers.queues.borrow_mut();
@@ -78,13 +81,13 @@
         let _ = queue.try_send(Frame::Peer { to, message });
     }
 
-    /// Sends the messages for another control machine, for as long as this process runs.
+    /// Sends the queued messages to another control machine, for as long as this process runs.
     async fn run_outgoing(self: Rc<Self>, node: NodeId, messages: Receiver<Frame>) {
         while let Ok(first) = messages.recv().await {
             match self.connect_to_peer(node).await {
                 Ok(stream) => {
-                    // The error is of no matter: whatever ended the connection, the next message
-                    // opens a new one.
+                    // The error is ignored: whatever ended the connection, the next message opens a
+                    // new one.
                     let _ = self.send_messages(&stream, node, first, &messages).await;
                 }
                 Err(_) => {
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Connects to another control machine. After a failure it returns once it is worth while to
-    /// try again.
+    /// Connects to another control machine. After a failure it waits until another attempt makes
+    /// sense, and then returns the error.
     async fn connect_to_peer(&self, node: NodeId) -> io::Result<Async<TcpStream>> {
         let address = SocketAddr::from((Ipv4Addr::from(node), self.peer_port()));
         let connected = self.peers.connected(node);
@@ -105,8 +108,8 @@
         let connect =
             net::connect_with_timeout(address, frames::CONNECT_TIMEOUT_S, OUTGOING_USER_TIMEOUT_S);
         let interrupted = async {
-            // It has just connected to here: an attempt from before it was up would only run into
-            // its time-out.
+            // The peer has just connected to this machine. An attempt that began before the peer
+            // was up would only run into its timeout.
             connected.notified_since(generation).await;
             Err(io::ErrorKind::Interrupted.into())
         };
@@ -118,7 +121,7 @@
         result
     }
 
-    /// Sends the handshake and messages on a new connection, until it ends.
+    /// Sends the handshake, and then messages, on a new connection until it ends.
     async fn send_messages(
         self: &Rc<Self>,
         stream: &Async<TcpStream>,
@@ -135,8 +138,8 @@
         if sent.is_ok() {
             sent = frames::write(&mut writer, &first).await;
         }
-        // Also if that failed: the machine takes connections again, so what it may have missed is
-        // sent once more.
+        // Reported even if a write failed: the peer accepts connections again, so the controller
+        // sends the messages again that the peer may have missed.
         let outputs = self.controller.borrow_mut().peer_connected(node);
         self.execute(outputs);
         sent?;
@@ -161,15 +164,15 @@
                         .spawn(self.clone().serve_connection(stream))
                         .detach();
                 }
-                Err(_) => net::sleep(ACCEPT_RETRY_S).await,
+                Err(_) => net::sleep(ACCEPT_RETRY_INTERVAL_S).await,
             }
         }
     }
 
-    /// Handles what another process sends on a connection, until it ends.
+    /// Handles the frames that another process sends on a connection, until the connection ends.
     async fn serve_connection(self: Rc<Self>, stream: Async<TcpStream>) {
         let stream = Rc::new(stream);
-        let mut reader = io::BufReader::with_capacity(READ_BYTES, &*stream);
+        let mut reader = io::BufReader::with_capacity(READ_BUFFER_BYTES, &*stream);
         let mut peer: Option<IncomingPeer> = None;
         // Dropping the session ends it.
         let mut session: Option<RouterSession> = None;
@@ -181,8 +184,8 @@
                 } => peer = Some(self.accept_handshake(from, process_incarnation)),
                 Frame::Peer { to, message } => match peer {
                     Some(peer) if self.is_newest(peer) => self.receive(peer.from, to, message),
-                    // Whatever comes on an older connection may be of an earlier incarnation of
-                    // that process.
+                    // Messages on an older connection may come from an earlier incarnation of that
+                    // process.
                     _ => break,
                 },
                 Frame::LeaseRequest(request) => {
@@ -199,7 +202,8 @@
         }
     }
 
-    /// Another control machine has connected to here: this connection replaces the ones before it.
+    /// Registers a connection from another control machine. It replaces earlier connections from
+    /// the same machine.
     fn accept_handshake(&self, from: Voter, process_incarnation: u64) -> IncomingPeer {
         log::debug!("event=peer_connected from={from} process_incarnation={process_incarnation:x}");
         let connection = self.next_id();
@@ -217,7 +221,8 @@
         newest.get(&peer.from.node) == Some(&peer.connection)
     }
 
-    /// Gives a message to the controller, unless it is for an earlier machine at this address.
+    /// Passes a message to the controller, unless it is addressed to a machine that had this
+    /// address earlier.
     fn receive(self: &Rc<Self>, from: Voter, to: Recipient, message: PeerMessage) {
         if !to.matches(self.voter) {
             return;
@@ -230,8 +235,8 @@
     }
 }
 
-/// Waits for the end of a connection on which the other side never writes: whatever is read is the
-/// end.
+/// Waits for the end of a connection on which the peer never writes. Any result of a read counts as
+/// the end.
 async fn closed<T>(stream: &Async<TcpStream>) -> io::Result<T> {
     let mut byte = [0];
     let mut reader = stream;
--- a/crates/runtime/pooler/src/control/persistence.rs
+++ b/crates/runtime/pooler/src/control/persistence.rs
@@ -1,17 +1,17 @@
-//! Persisting the hard state before anything relies on it, and opening the store anew after a write
-//! has failed.
+//! Persists the hard state before any output relies on it, and reopens the store after a failed
+//! write.
 
 use super::ControlNode;
 use crate::{clock, net};
 use badgerstream_control::Output;
 use std::rc::Rc;
 
-/// Between two attempts to open a store that failed, in seconds.
+/// Interval between two attempts to reopen a store that has failed, in seconds.
 const REOPEN_INTERVAL_S: f64 = 0.25;
 
 impl ControlNode {
-    /// Writes the hard state to the disk and tells the controller how that ended; returns what it
-    /// decides then.
+    /// Writes the hard state to the disk, reports the result to the controller and returns the
+    /// outputs that follow.
     pub(super) fn persist_hard_state(self: &Rc<Self>) -> Vec<Output> {
         let hard_state = self.controller.borrow().hard_state().clone();
         let started_at = clock::now();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Tries to open the store anew until the disk takes writes again.
+    /// Tries to reopen the store until the disk accepts writes again.
     async fn reopen_store(self: Rc<Self>) {
         loop {
             net::sleep(REOPEN_INTERVAL_S).await;
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -1,5 +1,5 @@
-//! Calls to the platform: promotions. `docs/design/calls.md` says why none of them is repeated
-//! here.
+//! Calls to the platform, which promote servers. `docs/design/calls.md` explains why this module
+//! doesn't retry them.
 
 use super::ControlNode;
 use super::config::PLATFORM_CALL_TIMEOUT_S;
@@ -14,24 +14,24 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// The largest response of the platform, in bytes.
+/// Maximum size of a response of the platform, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// Size of the read buffer, in bytes.
-const READ_BYTES: usize = 1024;
+const READ_BUFFER_BYTES: usize = 1024;
 
-/// A call that makes a server the primary of its service.
+/// A call that promotes a server to the primary of its service.
 pub(super) struct Promotion {
     pub service: String,
     pub server_id: String,
-    /// The fencing token of the leader that decided on it.
+    /// The fencing token of the leader that decided on the promotion.
     pub fencing_token: u64,
-    /// It must not leave later than this, in seconds of the monotonic clock.
+    /// Deadline for sending the call, in seconds of the monotonic clock.
     pub deadline: f64,
 }
 
 impl ControlNode {
-    /// Calls the platform and reports the outcome to the controller, unless this machine has lost
-    /// its leadership by then.
+    /// Calls the platform and reports the outcome to the controller. The outcome is ignored if this
+    /// machine has lost its leadership by then.
     pub(super) fn promote(self: &Rc<Self>, promotion: Promotion) {
         let Some(platform) = self.settings.provider.as_ref().map(|p| p.endpoint) else {
             log::error!(
@@ -62,8 +62,8 @@
         self.tasks.spawn(call).detach();
     }
 
-    /// The HTTP status of the platform's response. Without one the connection is reset, so that
-    /// what a network partition holds up of the call is lost.
+    /// Calls the platform and returns the HTTP status of its response. If there is no response, the
+    /// connection is reset, so that a network partition can't delay the call and deliver it later.
     async fn call_platform(
         &self,
         platform: SocketAddr,
@@ -80,8 +80,8 @@
                 promotion.fencing_token,
                 &platform.to_string(),
             );
-            // A process that was suspended since this was decided must not call: another machine
-            // may lead.
+            // If this process has been suspended since the decision, another machine may be the
+            // leader now, so the call must not be sent.
             let now = clock::now();
             let may_act = self
                 .controller
@@ -99,7 +99,7 @@
     }
 }
 
-/// What the end of the call proves.
+/// Returns what the result of the call proves about the promotion.
 fn outcome_of(result: &Result<u16, ExchangeError>) -> PromotionOutcome {
     match result {
         Ok(status) => PromotionOutcome::from_status(*status),
@@ -130,7 +130,7 @@
 
 async fn read_status_code(stream: &mut Async<TcpStream>) -> io::Result<u16> {
     let mut responses = ResponseDecoder::new(MAX_RESPONSE_BYTES);
-    let mut bytes = [0; READ_BYTES];
+    let mut bytes = [0; READ_BUFFER_BYTES];
     loop {
         let response = responses
             .next_response()
--- a/crates/runtime/pooler/src/control/requests.rs
+++ b/crates/runtime/pooler/src/control/requests.rs
@@ -1,5 +1,5 @@
-//! HTTP requests of servers and operators (`control-api`): each becomes a request to the
-//! controller, or is answered here.
+//! HTTP requests from servers and operators (`control-api`). Each request is either passed to the
+//! controller or answered here.
 
 use super::ControlNode;
 use crate::{clock, http};
@@ -49,7 +49,7 @@
                 return response::encode_response(&response, &request.path, keep_alive);
             }
             Operation::Unknown => {
-                return encode_response(404, &[], b"there is no such call\n", keep_alive);
+                return encode_response(404, &[], b"unknown method or path\n", keep_alive);
             }
         };
         let is_read = matches!(control_request, ControlRequest::ReadConfig);
@@ -58,11 +58,11 @@
     }
 }
 
-/// The HTTP response for what the controller answered.
+/// Encodes the controller's response as an HTTP response.
 fn encode_control_response(answer: &ControlResponse, is_read: bool, keep_alive: bool) -> Vec<u8> {
     if clock::now() >= answer.valid_until {
-        // It relied on contact with a majority, which may be over: this process may have been
-        // suspended since.
+        // The response is valid only while this machine is in contact with a majority. The contact
+        // may be over, for example because this process was suspended in the meantime.
         let text = b"out of contact with the other control machines\n";
         return encode_response(503, &[], text, keep_alive);
     }
@@ -72,8 +72,8 @@
     encode_response(answer.status, &[], &answer.body, keep_alive)
 }
 
-/// The heartbeat of a server in the terms of the controller. A server without capacity counts as
-/// one with a single slot.
+/// Converts the heartbeat of a server to the type of the controller. A server that reports no
+/// capacity counts as having one slot.
 fn heartbeat_of(body: members::Heartbeat) -> Heartbeat {
     let phase = match body.phase {
         members::Phase::Ready => MemberPhase::Ready,
--- a/crates/runtime/pooler/src/control/router_sessions.rs
+++ b/crates/runtime/pooler/src/control/router_sessions.rs
@@ -1,9 +1,9 @@
-//! Sessions of routers. What waits for a router is its newest response and one update at most:
-//! nothing queues up, however slowly it reads, and an update for several routers is encoded once
-//! and held in memory once.
+//! Sessions of routers. At most the newest response and one update wait for each router, so nothing
+//! queues up however slowly the router reads. An update for several routers is encoded once and
+//! kept in memory once.
 //!
-//! The table belongs to the control driver; a writer task for each session sends what is in its
-//! outbox, and a session ends with the [`RouterSession`] that the connection's task holds.
+//! The control driver owns the table of sessions. A writer task for each session sends the contents
+//! of its outbox. A session ends when the connection's task drops its [`RouterSession`].
 
 use super::ControlNode;
 use crate::frames::{self, Frame};
@@ -17,35 +17,36 @@
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 
-/// A router whose connection takes nothing for so many seconds is given up.
+/// A connection to a router that accepts no bytes for this long, in seconds, is closed.
 const WRITE_STALL_TIMEOUT_S: f64 = 1.5;
 
 /// The sessions of all routers.
 #[derive(Default)]
 pub(super) struct RouterSessions {
+    /// The outbox of each session, by session number.
     outboxes: RefCell<HashMap<u64, Rc<Outbox>>>,
-    /// Updates for several routers in encoded form, for as long as the controller may send them
-    /// again.
+    /// Encoded updates, kept for as long as the controller may send them to further routers.
     encoded: RefCell<Vec<EncodedUpdate>>,
 }
 
-/// An update, and the bytes of its frame.
+/// An update and the bytes of its frame.
 struct EncodedUpdate {
     update: Rc<RouterMessage>,
     bytes: Rc<[u8]>,
 }
 
-/// What waits to be written to one router.
+/// The messages that wait to be written to one router.
 #[derive(Default)]
 struct Outbox {
-    /// Only the newest counts: it responds to a later request.
+    /// The newest response. It replaces an earlier one, as it answers a later request.
     response: RefCell<Option<RouterMessage>>,
-    /// The bytes of an update; until they are written the session takes no other.
+    /// The frame of an update. The session accepts no other update until this one is written.
     update: RefCell<Option<Rc<[u8]>>>,
+    /// Notified whenever a response or an update is added.
     filled: Notify,
 }
 
-/// The session of one router; dropping it ends the session.
+/// The session of one router. The session ends when this value is dropped.
 pub(super) struct RouterSession {
     pub(super) id: u64,
     node: Rc<ControlNode>,
@@ -53,8 +54,9 @@
 }
 
 impl RouterSessions {
-    /// Queues a response to this router, in place of one that still waits. A query for health
-    /// reports, which responds to no request, doesn't take the place of a lease.
+    /// Queues a response to this router; it replaces a response that still waits. A query for
+    /// health reports answers no request, so it is merged into a waiting lease instead of replacing
+    /// it.
     pub(super) fn respond(&self, session: u64, response: RouterMessage) {
         let Some(outbox) = self.outboxes.borrow().get(&session).cloned() else {
             return;
@@ -64,8 +66,8 @@
         outbox.filled.notify_waiters();
     }
 
-    /// Queues an update to this router. While the one before is still being written it is left out:
-    /// the controller sends it again.
+    /// Queues an update to this router. If the previous update is not written yet, the new one is
+    /// dropped; the controller sends it again.
     pub(super) fn send_update(&self, session: u64, update: Rc<RouterMessage>) {
         let outbox = self.outboxes.borrow().get(&session).cloned();
         let Some(outbox) = outbox.filter(|outbox| outbox.update.borrow().is_none()) else {
@@ -75,6 +77,7 @@
         outbox.filled.notify_waiters();
     }
 
+    /// Returns the frame of an update, and encodes it only the first time.
     fn encode(&self, update: Rc<RouterMessage>) -> Rc<[u8]> {
         let mut encoded = self.encoded.borrow_mut();
         if let Some(known) = encoded
@@ -83,7 +86,8 @@
         {
             return known.bytes.clone();
         }
-        // What only this list refers to isn't sent again.
+        // The controller has dropped the updates that only this list still refers to, so they are
+        // not sent again.
         encoded.retain(|known| Rc::strong_count(&known.update) > 1);
         let bytes: Rc<[u8]> = frames::encode(&Frame::RouterUpdate(update.clone())).into();
         encoded.push(EncodedUpdate {
@@ -95,7 +99,7 @@
 }
 
 impl ControlNode {
-    /// A router has sent its first request on this connection.
+    /// Opens a session for a router that has sent its first request on this connection.
     pub(super) fn open_session(self: &Rc<Self>, stream: &Rc<Async<TcpStream>>) -> RouterSession {
         let id = self.next_id();
         let outbox = Rc::new(Outbox::default());
@@ -117,8 +121,9 @@
     }
 }
 
-/// What waits for a router once a further response is there: the further response, or a query for
-/// health reports merged into the pending response to a lease request.
+/// Returns the response that waits for a router after `response` was added: a query for health
+/// reports is merged into a pending response to a lease request; any other response replaces the
+/// pending one.
 fn merge(pending: Option<RouterMessage>, response: RouterMessage) -> RouterMessage {
     let (
         Some(mut pending),
@@ -143,10 +148,10 @@
     response
 }
 
-/// Writes what is in the outbox, responses first, until the connection ends.
+/// Writes the contents of the outbox, responses first, until the connection ends.
 async fn run_writer(stream: Rc<Async<TcpStream>>, outbox: Rc<Outbox>) {
     while write_next(&stream, &outbox).await.is_ok() {}
-    // The task that reads from this connection ends as well.
+    // This also ends the task that reads from the connection.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
@@ -163,7 +168,7 @@
         return Ok(());
     };
     frames::write_with_stall_timeout(&mut writer, &bytes, WRITE_STALL_TIMEOUT_S).await?;
-    // Removed only now, so that no other update comes in between.
+    // The update is removed only after it was written, so that no other update is accepted before.
     outbox.update.take();
     Ok(())
 }
--- a/crates/runtime/pooler/src/control/state_store.rs
+++ b/crates/runtime/pooler/src/control/state_store.rs
@@ -1,8 +1,8 @@
-//! The store of the hard state on the disk of a control machine, and a copy in memory of what is in
-//! it.
+//! The store of the hard state on the disk of a control machine, and a copy of its contents in
+//! memory.
 //!
-//! Synchronous; `persistence` is the only caller. After a failed write the store is closed until it
-//! is opened anew, as it isn't known what is on the disk by then.
+//! All operations are synchronous. `persistence` is the only writer. After a failed write the
+//! contents of the disk are unknown, so the store stays closed until it is reopened.
 
 use badgerstream_control::{HardState, NodeId, State, Term};
 use badgerstream_control_store::{Record, Store, StoreError};
@@ -10,43 +10,43 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The folder of the store below the state folder of the settings.
-const FOLDER: &str = "agreed";
+/// Name of the store's directory below the state directory of the settings.
+const STORE_DIRECTORY_NAME: &str = "agreed";
 
-/// Why the state of this machine can't be used.
+/// The reason why the stored state of this machine can't be used.
 #[derive(Debug, Error)]
 pub enum StateStoreError {
     /// The store can't be opened or initialized at the start of the process.
-    #[error("{}: {error}", folder.display())]
+    #[error("can't open the state store {}: {error}", directory.display())]
     Open {
-        /// The folder of the store.
-        folder: PathBuf,
-        /// The error of the store.
+        /// The directory of the store.
+        directory: PathBuf,
+        /// The error from the store.
         error: StoreError,
     },
-    /// The store can't be opened anew, or still takes no writes.
-    #[error("{0}")]
+    /// The store can't be reopened, or still accepts no writes.
+    #[error("can't reopen the state store: {0}")]
     Reopen(StoreError),
-    /// The state in the store is none that this version wrote.
-    #[error("the state on disk can't be read")]
+    /// The bytes in the store are not a state in the encoding of this version.
+    #[error("the state in the state store can't be decoded")]
     Undecodable,
-    /// The disk is another one than before: this machine would forget its votes.
-    #[error("the disk was emptied while this process ran")]
+    /// The store was emptied or replaced: this machine would forget its votes.
+    #[error("the state store was emptied or replaced while this process ran")]
     Emptied,
 }
 
-/// The store, and what it holds.
+/// The store and a copy of its contents.
 pub(super) struct StateStore {
-    folder: PathBuf,
-    /// `None` after a write has failed, until it is opened anew.
+    directory: PathBuf,
+    /// `None` after a failed write, until the store is reopened.
     store: Option<Store>,
     incarnation: u64,
     hard_state: HardState,
 }
 
 impl StateStore {
-    /// Opens the store below this folder. An empty one gets the incarnation `incarnation_if_new`
-    /// and a state with these control machines as voters.
+    /// Opens the store below the state directory. An empty store is initialized with the
+    /// incarnation `incarnation_if_new` and a state that has `founders` as its voters.
     ///
     /// # Errors
     ///
@@ -56,12 +56,12 @@
         incarnation_if_new: u64,
         founders: &[NodeId],
     ) -> Result<StateStore, StateStoreError> {
-        let folder = state_dir.join(FOLDER);
+        let directory = state_dir.join(STORE_DIRECTORY_NAME);
         let open_error = |error| StateStoreError::Open {
-            folder: folder.clone(),
+            directory: directory.clone(),
             error,
         };
-        let opened = Store::open(&folder, incarnation_if_new).map_err(open_error)?;
+        let opened = Store::open(&directory, incarnation_if_new).map_err(open_error)?;
         let (mut store, record) = (opened.store, opened.record);
         let is_empty = record.value.is_empty();
         let state = if is_empty {
@@ -70,7 +70,7 @@
             State::decode(&record.value).ok_or(StateStoreError::Undecodable)?
         };
         if is_empty {
-            // What this machine starts from is on its disk before anybody learns of it.
+            // The initial state must be on the disk before this machine sends any message.
             let first = Record {
                 value: state.encode(),
                 ..record.clone()
@@ -81,28 +81,29 @@
             store: Some(store),
             incarnation: record.incarnation,
             hard_state: hard_state_of(&record, Rc::new(state)),
-            folder,
+            directory,
         })
     }
 
-    /// The incarnation of the disk.
+    /// Returns the incarnation of the disk.
     pub(super) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The hard state on the disk.
+    /// Returns the hard state that is on the disk.
     pub(super) fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// Writes this hard state to the disk; a state that is there already isn't written again.
+    /// Writes this hard state to the disk. If the state itself is stored already, only the terms
+    /// are written.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]; after it nothing is written before the store is opened anew.
+    /// [`StoreError`]. After an error nothing is written until the store is reopened.
     pub(super) fn save(&mut self, hard_state: &HardState) -> Result<(), StoreError> {
         let Some(store) = &mut self.store else {
-            return Err(StoreError::Closed(self.folder.clone()));
+            return Err(StoreError::Closed(self.directory.clone()));
         };
         let voted_term = hard_state.voted_term.0;
         let accepted_term = hard_state.accepted_term.0;
@@ -125,8 +126,8 @@
         saved
     }
 
-    /// Opens the store anew and goes on from what is in it. It has to be the same disk, and to take
-    /// a write.
+    /// Reopens the store and continues with the hard state in it. The store must have the same
+    /// incarnation as before and must accept a write.
     ///
     /// # Errors
     ///
@@ -134,15 +135,15 @@
     /// [`StateStoreError::Undecodable`].
     pub(super) fn reopen(&mut self) -> Result<(), StateStoreError> {
         let opened =
-            Store::open(&self.folder, self.incarnation).map_err(StateStoreError::Reopen)?;
+            Store::open(&self.directory, self.incarnation).map_err(StateStoreError::Reopen)?;
         let (mut store, record) = (opened.store, opened.record);
         if opened.disk_state.is_new() || record.incarnation != self.incarnation {
             return Err(StateStoreError::Emptied);
         }
         store.save(&record).map_err(StateStoreError::Reopen)?;
         let state = State::decode(&record.value).ok_or(StateStoreError::Undecodable)?;
-        // The same allocation as before lets the next save find that it is stored without a
-        // comparison.
+        // If the state is unchanged, the previous allocation is kept: the next save then finds by
+        // the pointer, without a comparison, that the state is stored.
         let state = if state == *self.hard_state.state {
             self.hard_state.state.clone()
         } else {
@@ -154,7 +155,7 @@
     }
 }
 
-/// The hard state of a record whose state is decoded.
+/// Combines the terms of a record with its decoded state.
 fn hard_state_of(record: &Record, state: Rc<State>) -> HardState {
     HardState {
         voted_term: Term(record.voted_term),
--- a/crates/runtime/pooler/src/control/status.rs
+++ b/crates/runtime/pooler/src/control/status.rs
@@ -1,5 +1,5 @@
-//! How this machine sees the system: the status that operators read, and the figures for metrics.
-//! Reads only.
+//! The state of the system as this machine sees it: the status that operators read, and the values
+//! for metrics. This module changes nothing.
 
 use super::ControlNode;
 use crate::clock;
@@ -9,42 +9,43 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// In a status: the machine was never in contact with a majority.
+/// Value of `out_of_contact_s` for a machine that was never in contact with a majority.
 const NEVER_IN_CONTACT_S: f64 = -1.0;
 
-/// The state of a control machine in numbers, for metrics.
+/// The state of a control machine as values for metrics.
 pub struct ControlSnapshot {
-    /// It is the leader.
+    /// Whether this machine is the leader.
     pub is_leader: bool,
-    /// A majority answers, as far as it knows through its leader.
+    /// Whether this machine is in contact with a majority, directly or through the leader.
     pub in_contact: bool,
-    /// The highest term that it voted in.
+    /// The highest term in which this machine voted.
     pub voted_term: u64,
-    /// Version of the newest state on its disk.
+    /// The version of the newest state on this machine's disk.
     pub state_version: u64,
-    /// Epoch of the configuration that it knows.
+    /// The epoch of the configuration that this machine knows.
     pub config_epoch: u64,
-    /// How many voters there are.
+    /// The number of voters.
     pub voter_count: usize,
-    /// It is a voter.
+    /// Whether this machine is a voter.
     pub is_voter: bool,
-    /// Its disk takes no writes.
+    /// Whether this machine's disk accepts no writes.
     pub disk_failed: bool,
-    /// Routers that hold a lease from it; 0 where it doesn't lead.
+    /// Number of routers that hold a lease from this machine; 0 unless it is the leader.
     pub leased_routers: usize,
-    /// Services by the phase of their failover; none where it doesn't lead.
+    /// Number of services by the phase of their failover; empty unless this machine is the leader.
     pub primaries_by_phase: BTreeMap<&'static str, usize>,
-    /// Database servers that are ready and that drain.
+    /// Number of database servers by phase: `ready` or `draining`.
     pub servers_by_phase: BTreeMap<&'static str, usize>,
 }
 
 impl ControlNode {
-    /// Counters since the start of the process.
+    /// Returns the counters since the start of the process.
     pub fn counts(&self) -> &ControlCounts {
         &self.counts
     }
 
-    /// The state of this machine in numbers.
+    /// Returns the state of this machine at `now` (seconds of the monotonic clock) as values for
+    /// metrics.
     pub fn snapshot(&self, now: f64) -> ControlSnapshot {
         let controller = self.controller.borrow();
         let consensus = controller.consensus();
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The status for operators (`control-api`).
+    /// Returns the status for operators (`control-api`).
     pub(super) fn status(&self) -> Status {
         let controller = self.controller.borrow();
         let consensus = controller.consensus();
@@ -98,7 +99,7 @@
             voters: controller.voters().iter().map(address).collect(),
             epoch: controller.config().0,
             routers: controller.leased_routers(now) as u64,
-            lease_s: self.lease_duration,
+            lease_s: self.lease_duration_s,
             primaries: controller
                 .primaries()
                 .into_iter()
@@ -115,7 +116,8 @@
     }
 }
 
-/// For how long no majority has answered, in seconds.
+/// Returns for how long this machine has been out of contact with a majority, in seconds, or
+/// [`NEVER_IN_CONTACT_S`].
 fn out_of_contact_s(consensus: &Consensus, now: f64) -> f64 {
     if consensus.in_contact(now) {
         return 0.0;
--- a/crates/runtime/pooler/src/tests/router_sessions.rs
+++ b/crates/runtime/pooler/src/tests/router_sessions.rs
@@ -1,4 +1,4 @@
-//! What waits for one router, and in which order it is written.
+//! Which messages wait for a router, and in which order they are written.
 
 use super::{Outbox, RouterSessions, run_writer};
 use crate::frames::{self, Frame};
@@ -8,10 +8,11 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-fn response(sent: f64) -> RouterMessage {
+/// Returns the response to a lease request that was sent at this time.
+fn response(sent_at: f64) -> RouterMessage {
     RouterMessage::Update {
         update_watermark: (Term(1), 1),
-        request_sent_at: Some(sent),
+        request_sent_at: Some(sent_at),
         lease_duration: 1.0,
         is_snapshot: false,
         grants: Vec::new(),
@@ -23,6 +24,7 @@
     }
 }
 
+/// Returns an update of 100 KB with this number in its watermark.
 fn update(number: u64) -> Rc<RouterMessage> {
     let mut update = response(0.0);
     if let RouterMessage::Update {
@@ -39,7 +41,7 @@
     Rc::new(update)
 }
 
-/// Bytes that don't compress.
+/// Returns bytes that can't be compressed.
 fn random_bytes(count: usize) -> Vec<u8> {
     (0..count).map(|_| fastrand::u8(..)).collect()
 }
@@ -50,8 +52,8 @@
     outbox
 }
 
-/// However much is sent to a router that reads nothing, its newest response and one update wait for
-/// it.
+/// However many messages are sent to a router that reads nothing, only the newest response and one
+/// update wait for it.
 #[test]
 fn nothing_queues_up_for_a_router_that_does_not_read() {
     let sessions = RouterSessions::default();
@@ -108,8 +110,8 @@
     assert_eq!(*outbox.response.borrow(), Some(not_leader));
 }
 
-/// An update for several routers is encoded once and held once, and no longer than it may be sent
-/// again.
+/// An update for several routers is encoded once and kept in memory once, and only as long as it
+/// may be sent again.
 #[test]
 fn update_for_several_routers_is_held_once() {
     let sessions = RouterSessions::default();
@@ -126,7 +128,7 @@
     assert!(!Rc::ptr_eq(&bytes(&a), &bytes(&c)));
 }
 
-/// A response is written before a pending update, and a router that reads slowly gets all of it.
+/// A response is written before a pending update, and both reach the router complete.
 #[test]
 fn responses_are_written_before_updates() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
--- a/crates/runtime/pooler/src/tests/state_store.rs
+++ b/crates/runtime/pooler/src/tests/state_store.rs
@@ -1,8 +1,8 @@
-//! The store of a control machine, pinned by a fixture: the folder of
-//! `crates/protocol/control-store/tests/fixtures`, which an earlier release wrote, and the encoding
-//! of the state in it.
+//! The state store of a control machine reads and writes the encoding of an earlier release. The
+//! fixtures in `crates/protocol/control-store/tests/fixtures` hold the database file that this
+//! release wrote, and the encoded state in it.
 
-use super::{FOLDER, StateStore};
+use super::{STORE_DIRECTORY_NAME, StateStore};
 use crate::tests::hex::hex;
 use badgerstream_control::{
     AppliedConfig, Digest, HardState, PrimaryRecord, State, Term, Voter, VoterSet,
@@ -16,13 +16,14 @@
 const PACKED: &[u8] =
     include_bytes!("../../../../protocol/control-store/tests/fixtures/control.redb.deflate");
 
-/// The encoded state in it, in hexadecimal.
+/// The encoded state in the database file, in hexadecimal.
 const VALUE: &str = include_str!("../../../../protocol/control-store/tests/fixtures/value.txt");
 
-/// The incarnation of the disk in it.
+/// The disk incarnation in the database file.
 const INCARNATION: u64 = 0x3132_3334_3536_3738;
 
-/// The state in it: a joint voter set, a configuration, an applied configuration and a primary.
+/// Returns the state in the database file: a joint voter set, a configuration, an applied
+/// configuration and a primary.
 fn state() -> State {
     let founders = VoterSet::founding([0x0A01_0204, 0x0A01_0205, 7]);
     let joining = Voter {
@@ -53,7 +54,7 @@
     }
 }
 
-/// The hard state in it.
+/// Returns the hard state in the database file.
 fn hard_state() -> HardState {
     HardState {
         voted_term: Term(0x1112_1314_1516_1718),
@@ -62,37 +63,37 @@
     }
 }
 
-/// A folder that is removed when the test ends.
-struct Folder(PathBuf);
+/// A directory that is removed when the test ends.
+struct TempDirectory(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The fixture unpacked to where a control machine expects it.
-fn unpacked() -> Folder {
+/// Unpacks the database file into a state directory, where a control machine expects it.
+fn unpack_fixture() -> TempDirectory {
     let name = format!("badgerstream-pooler-disk-{}", std::process::id());
-    let folder = Folder(std::env::temp_dir().join(name));
-    let store = folder.0.join(FOLDER);
+    let state_dir = TempDirectory(std::env::temp_dir().join(name));
+    let store = state_dir.0.join(STORE_DIRECTORY_NAME);
     std::fs::create_dir_all(&store).unwrap();
     let file = miniz_oxide::inflate::decompress_to_vec(PACKED).expect("a complete file");
     std::fs::write(store.join(STORE_FILE_NAME), file).unwrap();
-    folder
+    state_dir
 }
 
 #[test]
 fn store_of_an_earlier_release_is_read_and_written_in_the_same_encoding() {
-    let folder = unpacked();
-    let mut store = StateStore::open(&folder.0, 5, &[1, 2, 3]).unwrap();
+    let state_dir = unpack_fixture();
+    let mut store = StateStore::open(&state_dir.0, 5, &[1, 2, 3]).unwrap();
     assert_eq!(
         (store.incarnation(), store.hard_state()),
         (INCARNATION, &hard_state())
     );
     assert_eq!(hex(&state().encode()), VALUE.trim());
 
-    // Another state, and then the one of the fixture again.
+    // A different state is saved, and then the state of the fixture again.
     let other = HardState {
         state: Rc::new(State::default()),
         ..hard_state()
@@ -101,7 +102,7 @@
         store.save(saved).unwrap();
     }
     drop(store);
-    let opened = Store::open(&folder.0.join(FOLDER), 5).unwrap();
+    let opened = Store::open(&state_dir.0.join(STORE_DIRECTORY_NAME), 5).unwrap();
     drop(opened.store);
     assert_eq!(opened.disk_state, DiskState::Existing);
     let found = opened.record;
@@ -110,6 +111,6 @@
         (0x1112_1314_1516_1718, 0x0102_0304_0506_0708, INCARNATION)
     );
     assert_eq!(hex(&found.value), VALUE.trim());
-    let store = StateStore::open(&folder.0, 5, &[1, 2, 3]).unwrap();
+    let store = StateStore::open(&state_dir.0, 5, &[1, 2, 3]).unwrap();
     assert_eq!(store.hard_state(), &hard_state());
 }
