--- a/crates/runtime/pooler/src/frames.rs
+++ b/crates/runtime/pooler/src/frames.rs
@@ -1,9 +1,9 @@
 //! Frames: the messages between processes of this system on a TCP connection.
 //!
-//! A frame is a 32-bit big-endian length and a body, which is [`Frame`] in the standard encoding of
-//! `bincode`. The highest bit of the length says that the body is compressed with DEFLATE. The
-//! encoding is positional: the order of variants and fields is the wire format, their names are
-//! not. Fixtures hold the bytes, as processes of different releases read each other's frames.
+//! A frame is a 32-bit big-endian length, followed by a body: a [`Frame`] in the standard encoding
+//! of `bincode`. If the highest bit of the length is set, the body is compressed with DEFLATE. The
+//! encoding is positional: the order of variants and fields is part of the wire format, their names
+//! are not. Processes of different releases read each other's frames, so fixtures pin the bytes.
 
 use crate::net;
 use badgerstream_control::{LeaseRequest, PeerMessage, Recipient, RouterMessage, Voter};
@@ -13,23 +13,24 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The largest body of a frame, also once decompressed, in bytes.
+/// Maximum size of the body of a frame, compressed and decompressed, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Bodies of so many bytes and more are compressed.
+/// Bodies of at least this size, in bytes, are compressed.
 const COMPRESSION_THRESHOLD_BYTES: usize = 1024;
-/// Level of DEFLATE: names and configurations repeat themselves, and the fastest search finds most
-/// of it.
+/// The DEFLATE level. Names and configurations are repetitive, and the fastest search finds most of
+/// the repetitions.
 const COMPRESSION_LEVEL: u8 = 1;
 /// Set in the length of a frame whose body is compressed.
 const COMPRESSED_FLAG: u32 = 1 << 31;
 
-/// Time-out of connecting to another of our processes, in seconds. It is short, as the SYN to a
-/// machine that was without power is sent again only after a second, and by then the machine may
-/// have been up for long.
+/// Timeout of connecting to another process of this system, in seconds. It is short because the
+/// kernel repeats a SYN that a powered-off machine missed only after a second, and by then the
+/// machine may have been up for a long time.
 pub const CONNECT_TIMEOUT_S: f64 = 0.2;
 
-/// How much is written at a time, in bytes: a slow connection makes progress that can be seen.
+/// Number of bytes that are written at a time, so that the progress of a slow connection is
+/// visible.
 const WRITE_CHUNK_BYTES: usize = 4 << 10;
 
 /// One message on a connection.
@@ -37,37 +38,40 @@
 pub enum Frame {
     /// The first frame on a connection between control machines.
     Handshake {
-        /// Who sends on this connection.
+        /// The control machine that sends on this connection.
         from: Voter,
-        /// The incarnation of its process.
+        /// The process incarnation of the sender.
         process_incarnation: u64,
     },
-    /// Between control machines. Another one that has the address by now ignores it.
+    /// A message between control machines. A different machine that has the recipient's address by
+    /// now ignores it.
     Peer {
-        /// For whom it is.
+        /// The recipient.
         to: Recipient,
         /// The message.
         message: PeerMessage,
     },
-    /// From a router to a control machine.
+    /// A lease request from a router to a control machine.
     LeaseRequest(LeaseRequest),
-    /// From a control machine to a router.
+    /// A message from a control machine to a router.
     RouterUpdate(Rc<RouterMessage>),
 }
 
-/// Why the bytes of a connection are no frame. The connection ends with it, as the next frame can't
-/// be found.
+/// The reason why received bytes are not a valid frame. The connection is closed, because the start
+/// of the next frame is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length is above [`MAX_FRAME_BYTES`].
-    #[error("a frame is too long")]
-    TooLong,
-    /// The body is no DEFLATE stream, or one of more than [`MAX_FRAME_BYTES`].
-    #[error("a frame can't be decompressed")]
+    /// The length prefix exceeds [`MAX_FRAME_BYTES`].
+    #[error("frame body of {0} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
+    TooLong(usize),
+    /// The body is not a DEFLATE stream, or decompresses to more than [`MAX_FRAME_BYTES`].
+    #[error(
+        "frame body can't be decompressed: invalid DEFLATE stream or more than {MAX_FRAME_BYTES} bytes"
+    )]
     Compression,
-    /// The body is no encoded [`Frame`], or has bytes left over.
-    #[error("a frame can't be read")]
-    Encoding,
+    /// The body is not an encoded [`Frame`], or has trailing bytes.
+    #[error("frame body of {0} bytes can't be decoded")]
+    Encoding(usize),
 }
 
 impl From<FrameError> for Error {
@@ -76,7 +80,7 @@
     }
 }
 
-/// Encodes a frame, with its length before it.
+/// Encodes a frame, including its length prefix.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let mut bytes = vec![0; 4];
     let length = bincode::encode_into_std_write(frame, &mut bytes, bincode::config::standard());
@@ -95,8 +99,8 @@
 ///
 /// # Errors
 ///
-/// Those of the connection, or a [`FrameError`] of kind [`ErrorKind::InvalidData`]. Either ends the
-/// connection.
+/// Errors of the connection, or a [`FrameError`] of kind [`ErrorKind::InvalidData`]. After either
+/// the connection must be closed.
 pub async fn read(stream: &mut (impl AsyncReadExt + Unpin)) -> Result<Frame> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
@@ -104,7 +108,7 @@
     let compressed = length & COMPRESSED_FLAG != 0;
     let length = (length & !COMPRESSED_FLAG) as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(FrameError::TooLong.into());
+        return Err(FrameError::TooLong(length).into());
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await?;
@@ -115,7 +119,7 @@
     let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     match bincode::decode_from_slice(&body, config) {
         Ok((frame, used)) if used == body.len() => Ok(frame),
-        _ => Err(FrameError::Encoding.into()),
+        _ => Err(FrameError::Encoding(body.len()).into()),
     }
 }
 
@@ -123,17 +127,17 @@
 ///
 /// # Errors
 ///
-/// Those of the connection.
+/// Errors of the connection.
 pub async fn write(stream: &mut (impl AsyncWriteExt + Unpin), frame: &Frame) -> Result<()> {
     stream.write_all(&encode(frame)).await
 }
 
-/// Writes all bytes, however long that takes, for as long as the connection makes progress.
+/// Writes all bytes. This may take any time as long as the connection makes progress.
 ///
 /// # Errors
 ///
-/// Those of the connection, or [`ErrorKind::TimedOut`] if it takes nothing for `stall_timeout_s`
-/// seconds.
+/// Errors of the connection, or [`ErrorKind::TimedOut`] if writing one chunk of
+/// [`WRITE_CHUNK_BYTES`] takes longer than `stall_timeout_s` seconds.
 pub async fn write_with_stall_timeout(
     stream: &mut (impl AsyncWriteExt + Unpin),
     bytes: &[u8],
--- a/crates/runtime/pooler/src/http.rs
+++ b/crates/runtime/pooler/src/http.rs
@@ -1,8 +1,9 @@
-//! A small HTTP/1.1 server: one task a connection, requests answered one after the other.
+//! A small HTTP/1.1 server. Each connection has one task, which answers its requests one after the
+//! other.
 //!
-//! Each service (control calls, readiness, metrics) implements [`Handler`] and owns its listener;
-//! this module owns the connections and how many there are. It never routes: paths are the
-//! handler's concern.
+//! Each service (control API, readiness, metrics) implements [`Handler`] and binds its own listener.
+//! This module owns the connections and limits their number. It does not route requests; the handler
+//! interprets the paths.
 
 use crate::net;
 use async_executor::LocalExecutor;
@@ -13,27 +14,28 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// A connection without a request for so many seconds is closed.
+/// How long a connection may stay without receiving bytes before it is closed, in seconds.
 const IDLE_TIMEOUT_S: f64 = 30.0;
-/// A peer that acknowledges nothing for so many seconds is given up.
+/// `TCP_USER_TIMEOUT` of connections, in seconds: the connection is closed if the peer leaves sent
+/// data unacknowledged for this long.
 const USER_TIMEOUT_S: f64 = 3.0;
-/// Connections at a time; further ones are closed at once.
+/// Maximum number of connections at a time. Further connections are closed at once.
 const MAX_CONNECTIONS: usize = 1024;
-/// Pause after a connection could not be accepted, in seconds: the process may be short of
+/// Pause after a connection could not be accepted, in seconds. The process may be short of file
 /// descriptors.
-const ACCEPT_RETRY_S: f64 = 0.02;
+const ACCEPT_RETRY_INTERVAL_S: f64 = 0.02;
 /// Size of a connection's read buffer, in bytes.
-const READ_BYTES: usize = 2048;
+const READ_BUFFER_BYTES: usize = 2048;
 
-/// Answers requests.
+/// Answers HTTP requests.
 pub trait Handler {
-    /// The complete response, as bytes.
+    /// Returns the complete, encoded response to a request.
     fn answer(self: Rc<Self>, request: Request) -> impl Future<Output = Vec<u8>>;
 }
 
-/// Serves connections of this listener for as long as the executor runs. Requests with a body of
-/// more than `max_body_bytes` are rejected; `in_flight` counts the requests that are not answered
-/// yet.
+/// Serves the connections of a listener for as long as the executor runs. Requests with a body of
+/// more than `max_body_bytes` are rejected. `in_flight` counts the requests that have not been
+/// answered yet.
 pub async fn serve<H: Handler + 'static>(
     tasks: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
@@ -41,24 +43,24 @@
     max_body_bytes: usize,
     in_flight: Rc<Cell<usize>>,
 ) {
-    let connections = Rc::new(Cell::new(0usize));
+    let connection_count = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            net::sleep(ACCEPT_RETRY_S).await;
+            net::sleep(ACCEPT_RETRY_INTERVAL_S).await;
             continue;
         };
-        if connections.get() >= MAX_CONNECTIONS {
+        if connection_count.get() >= MAX_CONNECTIONS {
             continue;
         }
         net::configure(&stream, USER_TIMEOUT_S);
-        connections.set(connections.get() + 1);
+        connection_count.set(connection_count.get() + 1);
         let handler = handler.clone();
         let in_flight = in_flight.clone();
-        let connections = connections.clone();
+        let connection_count = connection_count.clone();
         tasks
             .spawn(async move {
                 serve_connection(stream, handler, max_body_bytes, in_flight).await;
-                connections.set(connections.get() - 1);
+                connection_count.set(connection_count.get() - 1);
             })
             .detach();
     }
@@ -71,7 +73,7 @@
     in_flight: Rc<Cell<usize>>,
 ) {
     let mut requests = RequestDecoder::new(max_body_bytes);
-    let mut bytes = vec![0; READ_BYTES];
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
     loop {
         match requests.next_request() {
             Ok(Some(request)) => {
@@ -105,7 +107,7 @@
 ///
 /// # Errors
 ///
-/// Those of the system.
+/// Errors of the operating system.
 pub fn listen(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
--- a/crates/runtime/pooler/src/lib.rs
+++ b/crates/runtime/pooler/src/lib.rs
@@ -1,18 +1,19 @@
-//! The program of every machine: sockets, clock and disk around the decisions.
+//! The program that runs on every machine. It connects the decisions of the core crates to sockets,
+//! a clock and a disk.
 //!
-//! [`process`] starts the parts that the settings name:
+//! [`process`] starts the roles that the settings name:
 //!
-//! - a control machine: [`control`] drives the decisions of `badgerstream-control`, with
-//!   [`server_commands`] to database servers and [`members_file`] on its disk;
-//! - a router: [`data_plane`] and [`leader_session`], which writes what the data plane
-//!   reads in [`view`].
+//! - a control machine: [`control`] executes the decisions of `badgerstream-control`, sends
+//!   [`server_commands`] to database servers and stores known servers in [`members_file`];
+//! - a router: [`data_plane`] serves clients, and [`leader_session`] writes the [`view`] that the
+//!   data plane reads.
 //!
-//! Both use [`frames`] between our processes, [`http`], [`exchange`], [`net`], [`notify`],
-//! [`clock`] and [`counters`]; [`metrics`] reads both. [`cli`] has the operators' commands. A
-//! module uses those below it only.
+//! Both use [`frames`] between processes of the system, [`http`], [`exchange`], [`net`],
+//! [`notify`], [`clock`] and [`counters`]. [`metrics`] reads both. [`cli`] contains the operators'
+//! commands. A module uses only modules of the layers below it.
 //!
-//! A process has one thread. State is in `Rc<RefCell<_>>` and `Cell`s that one part owns, and
-//! nothing is awaited while something is borrowed.
+//! A process has one thread. Each `Rc<RefCell<_>>` or `Cell` is owned by one part, and nothing is
+//! awaited while a `RefCell` is borrowed.
 
 pub mod cli;
 pub mod clock;
--- a/crates/runtime/pooler/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -1,4 +1,5 @@
-//! `badgerstream-pooler`: the program of every machine of the system, and its operators' commands.
+//! `badgerstream-pooler`: the program that runs on every machine of the system, and the commands for
+//! operators.
 
 use badgerstream_pooler::{cli, process};
 use clap::{Parser, Subcommand};
@@ -15,13 +16,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs this machine's part of the system, until SIGTERM.
+    /// Runs the router, the control machine or both, as the settings say, until SIGTERM or SIGINT.
     Serve {
-        /// The settings file; the variable `BADGERSTREAM_BOOT` names it otherwise.
+        /// The settings file.
         #[arg(long, env = "BADGERSTREAM_BOOT")]
         settings: PathBuf,
-        /// Answers `GET /metrics` with this machine's figures on this port of its address; without
-        /// it nobody can ask.
+        /// Serves this machine's metrics at `GET /metrics` on this port of its address. Without
+        /// this option, no metrics are served.
         #[arg(long, value_name = "PORT")]
         metrics: Option<u16>,
     },
--- a/crates/runtime/pooler/src/members_file.rs
+++ b/crates/runtime/pooler/src/members_file.rs
@@ -1,10 +1,10 @@
-//! The file of the database servers that a control machine knows: after a loss of power it need not
-//! wait for all heartbeats.
+//! The file that lists the database servers known to a control machine. With it, the machine need
+//! not wait for the heartbeats of all servers after a power failure.
 //!
-//! The control driver owns it and writes it when the membership has changed. A file that is
-//! incomplete or damaged is ignored; a server that is named there and has departed meanwhile times
-//! out as any other. What a server says only once (that it drains or departs) is in the file before
-//! it is acknowledged.
+//! The control driver owns the file and writes it when the membership has changed. An incomplete or
+//! damaged file is ignored. A server in the file that has departed in the meantime times out like
+//! any other server. A server reports only once that it drains or departs, so the report is written
+//! to the file before it is acknowledged.
 
 use badgerstream_control::{Controller, MemberInfo};
 use std::cell::Cell;
@@ -12,26 +12,28 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Changes are written at most this often, in seconds.
-const WRITE_INTERVAL_S: f64 = 0.5;
-/// The largest file that is read, in bytes.
+/// Minimum interval between two writes of changes, in seconds.
+const MIN_WRITE_INTERVAL_S: f64 = 0.5;
+/// Maximum number of bytes of the file that are read.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// When the file was last written, and which change of the membership it covers.
+/// When the file was last written, and which changes of the membership that write covered.
 #[derive(Clone, Copy)]
 struct LastWrite {
+    /// Seconds of the monotonic clock.
     at: f64,
+    /// The membership's change count at that time.
     change_count: u64,
 }
 
-/// The file.
+/// The file that lists the known database servers.
 pub struct MembersFile {
     path: PathBuf,
     last_write: Cell<LastWrite>,
 }
 
 impl MembersFile {
-    /// The file at this path; it need not exist.
+    /// Creates a handle of the file at this path. The file need not exist.
     pub fn new(path: PathBuf) -> MembersFile {
         let never = LastWrite {
             at: f64::NEG_INFINITY,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The servers in the file; none if it is missing, incomplete or damaged.
+    /// Returns the servers in the file; none if the file is missing, incomplete or damaged.
     pub fn read(&self) -> Vec<MemberInfo> {
         self.try_read().unwrap_or_default()
     }
@@ -58,18 +60,19 @@
         Some(members)
     }
 
-    /// Writes the servers that the controller knows if they have changed. A failing disk is no
-    /// reason to stop: the next incarnation of the process waits for heartbeats then.
+    /// Writes the servers that the controller knows, if they have changed and the last write is
+    /// long enough ago. A failed write is only logged: without the file, the next incarnation of
+    /// the process waits for heartbeats.
     pub fn persist_if_changed(&self, now: f64, controller: &Controller) {
         let last_write = self.last_write.get();
         let change_count = controller.members().change_count();
-        if change_count == last_write.change_count || now - last_write.at < WRITE_INTERVAL_S {
+        if change_count == last_write.change_count || now - last_write.at < MIN_WRITE_INTERVAL_S {
             return;
         }
         self.persist(now, controller);
     }
 
-    /// Writes the servers that the controller knows; returns whether they are on the disk.
+    /// Writes the servers that the controller knows, and returns whether they are on the disk.
     pub fn persist(&self, now: f64, controller: &Controller) -> bool {
         self.last_write.set(LastWrite {
             at: now,
@@ -82,7 +85,7 @@
         written.is_ok()
     }
 
-    /// Replaces the file atomically: the one before stays complete until the rename.
+    /// Replaces the file atomically: the previous file stays complete until the rename.
     fn write(&self, members: &[MemberInfo]) -> std::io::Result<()> {
         let body = bincode::encode_to_vec(members, bincode::config::standard())
             .map_err(std::io::Error::other)?;
@@ -91,19 +94,20 @@
         file.write_all(&with_checksum(&body))?;
         file.sync_data()?;
         std::fs::rename(&next, &self.path)?;
-        let folder = self.path.parent().unwrap_or(Path::new("."));
-        File::open(folder)?.sync_all()
+        let directory = self.path.parent().unwrap_or(Path::new("."));
+        File::open(directory)?.sync_all()
     }
 }
 
-/// The bytes of the file: the CRC-32 of the body (little-endian) and the body.
+/// Returns the bytes of the file: the CRC-32 of the body (little-endian), followed by the body.
 fn with_checksum(body: &[u8]) -> Vec<u8> {
     let mut bytes = crc32fast::hash(body).to_le_bytes().to_vec();
     bytes.extend_from_slice(body);
     bytes
 }
 
-/// The body of the file; `None` if the checksum doesn't match.
+/// Returns the body of the file, or `None` if the file is too short for a checksum or the checksum
+/// doesn't match.
 fn verify_checksum(bytes: &[u8]) -> Option<&[u8]> {
     let (checksum, body) = bytes.split_first_chunk()?;
     (u32::from_le_bytes(*checksum) == crc32fast::hash(body)).then_some(body)
--- a/crates/runtime/pooler/src/process.rs
+++ b/crates/runtime/pooler/src/process.rs
@@ -1,9 +1,9 @@
-//! The process of a machine, from its start to its end: which parts it runs, its signals and its
+//! The process of a machine, from start to shutdown: which roles it runs, its signals and its
 //! settings file.
 //!
-//! A machine runs a router, a control machine, or both, as its settings say. All of them share one
-//! thread and one executor; the parts own their state, this module only starts them, passes on new
-//! settings and waits for them at the end.
+//! A machine runs a router, a control machine, or both, as its settings say. Both share one thread
+//! and one executor and own their state. This module starts them, passes new settings to them and
+//! waits for them at shutdown.
 
 mod readiness;
 mod settings_file;
@@ -24,40 +24,40 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// What a health report says of a server that never answered, in seconds.
+/// Value of `answered_seconds_ago` in a health report for a server that has never answered.
 const NEVER_ANSWERED_S: f64 = 1e9;
 
-/// Why a process can't start.
+/// The reason why a process can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// The settings file can't be read.
-    #[error("{}: {error}", path.display())]
+    #[error("can't read settings file {}: {error}", path.display())]
     ReadSettings {
         /// The settings file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error from the operating system.
         error: io::Error,
     },
-    /// The settings file has an error.
-    #[error("{}: {error}", path.display())]
+    /// The settings file is invalid.
+    #[error("invalid settings file {}: {error}", path.display())]
     InvalidSettings {
         /// The settings file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// What is wrong in the file.
         error: SettingsError,
     },
-    /// Handlers for signals can't be installed.
-    #[error("signals can't be heard: {0}")]
+    /// Signal handlers can't be installed.
+    #[error("can't install handlers for SIGTERM, SIGINT and SIGHUP: {0}")]
     Signals(io::Error),
     /// The control machine can't start.
     #[error(transparent)]
     Control(#[from] StartError),
-    /// The address for readiness requests can't be bound.
-    #[error("{address}: {error}")]
+    /// The listener for readiness requests can't be bound.
+    #[error("can't listen for readiness requests on {address}: {error}")]
     BindReadiness {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error from the operating system.
         error: io::Error,
     },
 }
@@ -68,14 +68,14 @@
     session: Rc<LeaderSession>,
 }
 
-/// The parts that a machine runs.
-struct Parts {
+/// The roles that a machine runs.
+struct Roles {
     control: Option<Rc<ControlNode>>,
     router: Option<Router>,
 }
 
-impl Parts {
-    /// Passes on what may change while the process runs.
+impl Roles {
+    /// Passes new settings to the roles, which apply those that may change while the process runs.
     fn reload(&self, settings: &Settings) {
         if let Some(control) = &self.control {
             control.reload(settings);
@@ -86,14 +86,14 @@
     }
 }
 
-/// Runs the parts of this machine until SIGTERM or SIGINT. With `metrics_port` it serves its
-/// metrics there.
+/// Runs the roles of this machine until SIGTERM or SIGINT, and serves metrics on `metrics_port` if
+/// there is one.
 ///
 /// # Errors
 ///
-/// [`ProcessError`] if it can't start.
+/// [`ProcessError`] if the process can't start.
 pub fn run(settings_path: PathBuf, metrics_port: Option<u16>) -> Result<(), ProcessError> {
-    // The monotonic clock counts from here.
+    // The monotonic clock counts from its first use.
     clock::now();
     let settings = settings_file::read(&settings_path)?;
     let tasks = Rc::new(LocalExecutor::new());
@@ -111,39 +111,39 @@
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(ProcessError::Signals)?;
     let process_incarnation = fastrand::u64(..) >> 1;
     let shared = SharedView::default();
-    let parts = start_parts(&tasks, &settings, &shared, process_incarnation)?;
+    let roles = start_roles(&tasks, &settings, &shared, process_incarnation)?;
     if let Some(address) = settings.readiness_address {
         readiness::serve(&tasks, address, &shared)?;
     }
     if let Some(port) = metrics_port {
         let address = SocketAddr::from((settings.ip, port));
-        metrics_server(&parts, &shared).serve(&tasks, address);
+        metrics_server(&roles, &shared).serve(&tasks, address);
     }
     log::info!(
         "event=process_started node={} front={} control={}",
         settings.node_name,
-        parts.router.is_some(),
-        parts.control.is_some()
+        roles.router.is_some(),
+        roles.control.is_some()
     );
-    let settings = settings_file::follow(&mut signals, &settings_path, settings, &parts).await;
+    let settings = settings_file::follow(&mut signals, &settings_path, settings, &roles).await;
     let started_at = clock::now();
     log::info!("event=shutdown_started");
     shared.shutdown_started_at.set(Some(started_at));
     shared.changed.notify_waiters();
-    if let Some(control) = &parts.control {
+    if let Some(control) = &roles.control {
         control.shut_down();
     }
-    shutdown::drain(started_at, settings.bounds.grace_s, &parts).await;
+    shutdown::drain(started_at, settings.bounds.grace_s, &roles).await;
     Ok(())
 }
 
-/// Starts the control machine and the router, as far as the settings have addresses for them.
-fn start_parts(
+/// Starts the control machine, the router or both: those that the settings have addresses for.
+fn start_roles(
     tasks: &Rc<LocalExecutor<'static>>,
     settings: &Settings,
     shared: &SharedView,
     process_incarnation: u64,
-) -> Result<Parts, StartError> {
+) -> Result<Roles, StartError> {
     let control = match settings.control_address {
         Some(_) => Some(ControlNode::start(tasks, settings, process_incarnation)?),
         None => None,
@@ -151,7 +151,7 @@
     let router = settings
         .front_address
         .map(|front| start_router(tasks, settings, front, shared, process_incarnation));
-    Ok(Parts { control, router })
+    Ok(Roles { control, router })
 }
 
 /// Starts the data plane and its session with the leader.
@@ -182,9 +182,8 @@
         process_incarnation,
         port: settings.port_range.first,
         renew_interval_s: settings.tuning.renew_ms as f64 / 1000.0,
-        // Two thirds of the time after which control machines suspect each other: a machine that is
-        // no longer the leader is left while the lease still has time to be renewed by the next
-        // one.
+        // Two thirds of the time after which control machines suspect each other: the router leaves
+        // a silent leader early enough for the next leader to renew the lease before it expires.
         silence_timeout_s: settings.tuning.suspect_ms as f64 / 1500.0,
     };
     let session = LeaderSession::new(config, shared.clone(), health_reports);
@@ -196,7 +195,7 @@
     }
 }
 
-/// What the data plane saw of a server, as the leader is told.
+/// Converts the data plane's observation of a server to the health report for the leader.
 fn health_report(server_health: ServerHealth, now: f64) -> HealthReport {
     let answered_seconds_ago = if server_health.last_answer_at > 0.0 {
         now - server_health.last_answer_at
@@ -210,12 +209,12 @@
     }
 }
 
-fn metrics_server(parts: &Parts, shared: &SharedView) -> MetricsServer {
+fn metrics_server(roles: &Roles, shared: &SharedView) -> MetricsServer {
     MetricsServer {
-        router: parts.router.as_ref().map(|router| RouterSource {
+        router: roles.router.as_ref().map(|router| RouterSource {
             data_plane: router.data_plane.clone(),
             shared: shared.clone(),
         }),
-        control: parts.control.clone(),
+        control: roles.control.clone(),
     }
 }
--- a/crates/runtime/pooler/src/process/readiness.rs
+++ b/crates/runtime/pooler/src/process/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness for the platform: whether new connections of clients may be passed to this machine.
+//! Readiness requests of the platform: whether it may direct new client connections to this machine.
 
 use super::ProcessError;
 use crate::clock;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The largest body of a readiness request, in bytes.
+/// Maximum size of the body of a readiness request, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 /// The path of readiness requests.
 const PATH: &str = "/api/readiness";
-/// A router stays ready for so many seconds without a lease: a new leader usually grants one within
-/// this time.
+/// How long a router stays ready after its lease has expired, in seconds. A new leader usually
+/// grants a lease within this time.
 const LEASE_GRACE_S: f64 = 1.0;
 
 /// Answers readiness requests from the view.
@@ -24,8 +24,8 @@
 }
 
 impl Readiness {
-    /// Whether this router can serve: it knows a configuration and servers, holds a lease, and
-    /// isn't shutting down.
+    /// Returns whether this router can serve clients: it knows a configuration and servers, its
+    /// lease has not expired more than [`LEASE_GRACE_S`] ago, and it isn't shutting down.
     fn is_ready(&self) -> bool {
         let view = self.shared.view.borrow();
         view.config.is_some()
@@ -62,7 +62,7 @@
     let handler = Rc::new(Readiness {
         shared: shared.clone(),
     });
-    // Nobody waits for these requests at the end of the process, so their number isn't read.
+    // The shutdown doesn't wait for readiness requests, so this count is never read.
     let in_flight = Rc::new(Cell::new(0));
     tasks
         .spawn(http::serve(
--- a/crates/runtime/pooler/src/process/settings_file.rs
+++ b/crates/runtime/pooler/src/process/settings_file.rs
@@ -1,13 +1,13 @@
-//! The settings file: read at the start, and again at SIGHUP and from time to time.
+//! The settings file. It is read at the start, at each SIGHUP and periodically.
 
-use super::{Parts, ProcessError};
+use super::{ProcessError, Roles};
 use crate::net;
 use async_signal::{Signal, Signals};
 use badgerstream_pooler_config::settings::Settings;
 use futures_lite::{StreamExt, future};
 use std::path::Path;
 
-/// The settings file is read again this often, in seconds, as it may change without a signal.
+/// Interval at which the settings file is read again, in seconds. It may change without a signal.
 const RELOAD_INTERVAL_S: f64 = 5.0;
 
 /// Reads the settings file.
@@ -26,13 +26,13 @@
     })
 }
 
-/// Reads the settings file again at each SIGHUP and at each interval, and passes changes on, until
-/// SIGTERM or SIGINT; returns the settings that are in force then.
+/// Reads the settings file again at each SIGHUP and after each [`RELOAD_INTERVAL_S`], and passes
+/// changed settings to the roles. Returns the settings in force once SIGTERM or SIGINT arrives.
 pub(super) async fn follow(
     signals: &mut Signals,
     path: &Path,
     settings: Settings,
-    parts: &Parts,
+    roles: &Roles,
 ) -> Settings {
     let mut in_force = settings;
     loop {
@@ -47,7 +47,7 @@
         match read(path) {
             Ok(settings) if settings != in_force => {
                 log::info!("event=settings_reloaded signal={}", signal.is_some());
-                parts.reload(&settings);
+                roles.reload(&settings);
                 in_force = settings;
             }
             Ok(_) => {}
--- a/crates/runtime/pooler/src/tests/frame_bytes.rs
+++ b/crates/runtime/pooler/src/tests/frame_bytes.rs
@@ -1,7 +1,7 @@
-//! The bytes of frames on a connection, held by fixtures: processes of different releases read each
-//! other's frames.
+//! Fixtures pin the bytes of frames on a connection, because processes of different releases read
+//! each other's frames.
 //!
-//! Each line of `fixtures/frames.txt` is a name and the whole frame, length prefix included, in
+//! Each line of `fixtures/frames.txt` is a name and the whole frame, including the length prefix, in
 //! hexadecimal.
 
 use super::hex::{hex, unhex};
@@ -15,7 +15,7 @@
 
 const FIXTURES: &str = include_str!("fixtures/frames.txt");
 
-/// The sample whose frame is compressed.
+/// Name of the sample whose frame is compressed.
 const COMPRESSED: &str = "News.compressed";
 
 fn voter() -> Voter {
@@ -33,7 +33,7 @@
 }
 
 fn lease_request() -> Frame {
-    let evidence = HealthReport {
+    let health_report = HealthReport {
         service: "billing".to_owned(),
         server_id: "i-0f".to_owned(),
         answered_seconds_ago: 0.75,
@@ -44,12 +44,12 @@
         sent_at: 3.125,
         update_watermark: (Term(0x1112_1314_1516_1718), 800),
         config_epoch: 70_002,
-        health_reports: vec![evidence],
+        health_reports: vec![health_report],
     })
 }
 
-/// An update with so many grants.
-fn router_update(grants: u64) -> Frame {
+/// Returns an update with this number of grants.
+fn router_update(grant_count: u64) -> Frame {
     let grant = |number| PrimaryGrant {
         service: format!("catalog-{number}"),
         server_id: format!("i-{:08x}", number * 2_654_435),
@@ -61,7 +61,7 @@
         request_sent_at: Some(4.5),
         lease_duration: 1.75,
         is_snapshot: true,
-        grants: (1..=grants).map(grant).collect(),
+        grants: (1..=grant_count).map(grant).collect(),
         members: Vec::new(),
         config: None,
         voters: vec![0x0A01_0208, 6],
@@ -70,7 +70,7 @@
     }))
 }
 
-/// One sample at least for every variant, under the names that the fixture has for them.
+/// Returns at least one sample of every variant, under its name in the fixture.
 fn samples() -> BTreeMap<&'static str, Frame> {
     let handshake = Frame::Handshake {
         from: voter(),
@@ -98,7 +98,7 @@
     let pinned: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
     assert_eq!(
         names, pinned,
-        "samples and lines do not match, or the order"
+        "the names of the samples differ from those in the fixture, or are in another order"
     );
     for (name, bytes) in lines {
         let read = |bytes: &[u8]| future::block_on(frames::read(&mut Cursor::new(bytes))).unwrap();
@@ -108,7 +108,7 @@
         assert_eq!(compressed, name == COMPRESSED, "{name}");
         let written = frames::encode(&frame);
         if compressed {
-            // Another release of the compressor may choose other bytes for the same body.
+            // Another version of the compressor may produce other bytes for the same body.
             assert_eq!(written[0] & 0x80, 0x80, "{name} is compressed");
             assert_eq!(read(&written), frame, "{name}");
         } else {
--- a/crates/runtime/pooler/src/tests/frames.rs
+++ b/crates/runtime/pooler/src/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames, long and short.
+//! Encoding and decoding of frames, and writes to slow connections.
 
 use crate::frames::{self, Frame, MAX_FRAME_BYTES};
 use async_io::{Async, Timer};
@@ -7,6 +7,7 @@
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::Duration;
 
+/// Returns a frame that lists this number of servers.
 fn members(count: usize) -> Frame {
     let member = |n: usize| MemberInfo {
         id: format!("i-{:010x}", n * 2_654_435),
@@ -49,7 +50,8 @@
     }
 }
 
-/// A thousand servers take some 50 KB uncompressed; their names and addresses repeat themselves.
+/// The list of a thousand servers takes about 50 KB uncompressed. Its names and addresses are
+/// repetitive, so it compresses to less than half. Short frames are not compressed.
 #[test]
 fn long_frames_are_compressed() {
     let length = frames::encode(&members(1000)).len();
@@ -61,7 +63,8 @@
     assert!(frames::encode(&short).len() < 32);
 }
 
-/// A few bytes that decompress to more than any frame may hold are rejected.
+/// A small compressed body that decompresses to more than [`MAX_FRAME_BYTES`] is rejected, and so
+/// is a body that is not a DEFLATE stream.
 #[test]
 fn frame_that_decompresses_beyond_the_limit_is_rejected() {
     let body = miniz_oxide::deflate::compress_to_vec(&vec![0; 2 * MAX_FRAME_BYTES], 6);
@@ -71,12 +74,12 @@
     for rejected in [&bytes[..], &[0x80, 0, 0, 2, 1, 2]] {
         assert_eq!(
             read(rejected).unwrap_err().to_string(),
-            "a frame can't be decompressed"
+            "frame body can't be decompressed: invalid DEFLATE stream or more than 8388608 bytes"
         );
     }
 }
 
-/// Two ends of a connection.
+/// Returns the two ends of a connection.
 fn connection() -> (Async<TcpStream>, Async<TcpStream>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let one = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -84,33 +87,33 @@
     (Async::new(one).unwrap(), Async::new(other).unwrap())
 }
 
-/// A write that takes longer than the stall time-out succeeds as long as it makes progress; one
-/// that makes none times out.
+/// A write that takes longer than the stall timeout succeeds as long as it makes progress. A write
+/// that makes no progress times out.
 #[test]
 fn slow_reader_gets_everything_and_a_stalled_one_times_out() {
-    const STALLED_S: f64 = 0.4;
+    const STALL_TIMEOUT_S: f64 = 0.4;
     let bytes = vec![7; 12 << 20];
     let (mut writer, mut reader) = connection();
     let slow = async {
-        let (mut read, mut room) = (0, vec![0; 256 << 10]);
+        let (mut read, mut buffer) = (0, vec![0; 256 << 10]);
         while read < bytes.len() {
             Timer::after(Duration::from_millis(20)).await;
-            read += reader.read(&mut room).await.unwrap();
+            read += reader.read(&mut buffer).await.unwrap();
         }
     };
     let begin = std::time::Instant::now();
-    let written = frames::write_with_stall_timeout(&mut writer, &bytes, STALLED_S);
+    let written = frames::write_with_stall_timeout(&mut writer, &bytes, STALL_TIMEOUT_S);
     let (written, ()) = future::block_on(future::zip(written, slow));
     written.unwrap();
     assert!(
-        begin.elapsed().as_secs_f64() > 1.5 * STALLED_S,
-        "it was not slow"
+        begin.elapsed().as_secs_f64() > 1.5 * STALL_TIMEOUT_S,
+        "the write was faster than the slow reader allows"
     );
     let (mut writer, _reader) = connection();
     let stalled = future::block_on(frames::write_with_stall_timeout(
         &mut writer,
         &bytes,
-        STALLED_S,
+        STALL_TIMEOUT_S,
     ));
     assert_eq!(stalled.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
 }
--- a/crates/runtime/pooler/src/tests/members_file.rs
+++ b/crates/runtime/pooler/src/tests/members_file.rs
@@ -1,5 +1,5 @@
-//! The file of the servers that a control machine knows: damaged files and those of another format
-//! are ignored.
+//! The file that lists the servers known to a control machine: it survives a restart, damaged files
+//! and files of another format are ignored, and a fixture pins its bytes.
 
 use super::{MembersFile, verify_checksum, with_checksum};
 use crate::tests::hex::{hex, unhex};
@@ -23,7 +23,7 @@
     }
 }
 
-/// Before, the body stood behind its FNV-1a of 64 bits.
+/// In the former format, the body followed its 64-bit FNV-1a hash.
 #[test]
 fn file_of_the_former_format_is_ignored() {
     let body = b"123456789";
@@ -35,6 +35,7 @@
     assert_eq!(verify_checksum(&bytes), None);
 }
 
+/// Returns a controller that knows draining servers with these ids.
 fn controller(known: &[&str]) -> Controller {
     let member = |id: &&str| MemberInfo {
         id: (*id).to_owned(),
@@ -78,7 +79,7 @@
     controller
 }
 
-/// A write replaces the file completely; the remains of a write that was interrupted are ignored.
+/// A write replaces the file completely, and the partial file of an interrupted write is ignored.
 #[test]
 fn persisted_members_are_read_by_the_next_incarnation() {
     let folder = std::env::temp_dir().join(format!(
@@ -96,7 +97,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(
         !file.persist(2.0, &controller(&["a"])),
-        "its folder is gone"
+        "the directory was removed"
     );
     assert!(
         MembersFile::new(Path::new("/nowhere/servers").to_path_buf())
@@ -105,8 +106,8 @@
     );
 }
 
-/// The servers in the file of `fixtures/servers.txt`: one that drains, whose call number is kept,
-/// and one in service.
+/// Returns the servers in `fixtures/servers.txt`: a draining one, whose call sequence number is
+/// stored, and one in service with this call sequence number, which is not stored.
 fn pinned_servers(call_seq_in_service: u64) -> Vec<MemberInfo> {
     let draining = MemberInfo {
         id: "i-0a".to_owned(),
@@ -131,7 +132,7 @@
     vec![draining, in_service]
 }
 
-/// A file that an earlier release wrote is read, and the same servers give the same bytes.
+/// The file of an earlier release is read, and writing the same servers produces the same bytes.
 #[test]
 fn file_has_the_bytes_of_its_fixture() {
     let pinned = unhex(include_str!("fixtures/servers.txt").trim());
@@ -147,6 +148,10 @@
     assert!(MembersFile::new(path.clone()).persist(1.0, &controller));
     let written = std::fs::read(&path).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(read, pinned_servers(0), "only a drain's number is kept");
+    assert_eq!(
+        read,
+        pinned_servers(0),
+        "only the call sequence number of a draining server is stored"
+    );
     assert_eq!(hex(&written), hex(&pinned));
 }
