--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -238,7 +238,7 @@
             self.execute(outputs);
             let primary_changes = self.controller.borrow_mut().take_primary_change_durations();
             for duration_s in primary_changes {
-                self.counts.primary_changed(duration_s);
+                self.counts.record_primary_change(duration_s);
             }
             self.members_file
                 .persist_if_changed(clock::now(), &self.controller.borrow());
@@ -267,7 +267,7 @@
             .recv()
             .await
             .unwrap_or_else(|_| ControlResponse::error(503, "the request was dropped"));
-        self.counts.responded(name, response.status);
+        self.counts.record_response(name, response.status);
         response
     }
 
--- a/crates/runtime/pooler/src/control/outputs.rs
+++ b/crates/runtime/pooler/src/control/outputs.rs
@@ -39,7 +39,7 @@
                 self.router_sessions.respond(session, message);
             }
             Output::SendUpdate(session, update) => {
-                self.counts.router_updated();
+                self.counts.record_router_update();
                 self.router_sessions.send_update(session, update);
             }
             Output::SendCommand {
--- a/crates/runtime/pooler/src/control/persistence.rs
+++ b/crates/runtime/pooler/src/control/persistence.rs
@@ -17,7 +17,7 @@
         let started_at = clock::now();
         let saved = self.store.borrow_mut().save(&hard_state);
         self.counts
-            .persisted(clock::now() - started_at, saved.is_ok());
+            .record_persist(clock::now() - started_at, saved.is_ok());
         match saved {
             Ok(()) => self.controller.borrow_mut().persisted(clock::now()),
             Err(e) => {
--- a/crates/runtime/pooler/src/control/requests.rs
+++ b/crates/runtime/pooler/src/control/requests.rs
@@ -37,7 +37,7 @@
                     },
                     Err(e) => {
                         log::info!("event=config_rejected error={:?}", e.to_string());
-                        self.counts.responded("replace", 400);
+                        self.counts.record_response("replace", 400);
                         return encode_response(400, &[], format!("{e}\n").as_bytes(), keep_alive);
                     }
                 }
--- a/crates/runtime/pooler/src/counters.rs
+++ b/crates/runtime/pooler/src/counters.rs
@@ -1,6 +1,6 @@
-//! Counters and histograms that are kept all the time: cells on the one thread, written by the part
-//! that does the work and read by [`crate::metrics`] when somebody asks. This module knows neither
-//! of them.
+//! Counters and histograms that are updated continuously. They are cells on the process's one
+//! thread: the part that does the work writes them, and [`crate::metrics`] reads them when metrics
+//! are requested. This module depends on neither.
 
 use badgerstream_line_protocol::ErrorCode;
 use prometheus_client::metrics::histogram::Histogram;
@@ -8,13 +8,14 @@
 use std::collections::BTreeMap;
 
 /// Upper bounds of the buckets of all histograms, in seconds.
-const BUCKETS_S: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
-/// Kinds of statements by their first words (`line-protocol`); any other text counts as the last.
+const BUCKET_BOUNDS_S: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
+/// Kinds of statements, named by their first words (`line-protocol`). All other statements count as
+/// `other`.
 const STATEMENT_KINDS: [&str; 10] = [
     "FETCH", "PUT", "EXECUTE", "COMMIT", "BEGIN", "ABORT", "SET", "PREPARE", "RELEASE", "other",
 ];
-/// Ways in which a statement ends for its client: codes of the line protocol and our own words; any
-/// other counts as the last.
+/// Ways in which a statement ends for its client: success, error codes of the line protocol, and a
+/// closed connection. All other error codes count as `other`.
 const STATEMENT_ENDS: [&str; 10] = [
     "complete",
     "RETRY",
@@ -31,16 +32,16 @@
 /// How a statement ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatementEnd {
-    /// With success.
+    /// The statement succeeded.
     Complete,
-    /// With this error.
+    /// The statement failed with this error.
     Error(ErrorCode),
-    /// Its client had closed the connection.
+    /// The client had closed the connection.
     ClientGone,
 }
 
 impl StatementEnd {
-    /// The value of the label `end`, one of [`STATEMENT_ENDS`].
+    /// Returns the value of the label `end`, one of [`STATEMENT_ENDS`].
     fn label(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -53,15 +54,15 @@
     }
 }
 
-/// The statements of a router's clients, and the connections that were found for them.
+/// Counts of the statements of a router's clients, and of the connections that they got.
 pub struct StatementCounts {
-    /// By kind and by end.
+    /// Number of statements by kind and by end.
     ended: [[Cell<u64>; STATEMENT_ENDS.len()]; STATEMENT_KINDS.len()],
     placed_at_primary: Cell<u64>,
     placed_at_replica: Cell<u64>,
     unplaced: Cell<u64>,
-    /// How long statements waited for the connection that they got, in seconds.
-    pub placement_wait: Histogram,
+    /// How long statements and transactions waited for the connection that they got, in seconds.
+    pub placement_wait_seconds: Histogram,
 }
 
 impl Default for StatementCounts {
@@ -71,7 +72,7 @@
             placed_at_primary: Cell::default(),
             placed_at_replica: Cell::default(),
             unplaced: Cell::default(),
-            placement_wait: Histogram::new(BUCKETS_S),
+            placement_wait_seconds: Histogram::new(BUCKET_BOUNDS_S),
         }
     }
 }
@@ -81,8 +82,8 @@
 }
 
 impl StatementCounts {
-    /// A statement of this text has ended.
-    pub fn ended(&self, text: &str, end: StatementEnd) {
+    /// Counts a statement with this text that has ended.
+    pub fn record_ended(&self, text: &str, end: StatementEnd) {
         let first_word = text.split(' ').next().unwrap_or_default();
         let kind = STATEMENT_KINDS
             .iter()
@@ -95,23 +96,24 @@
         increment(&self.ended[kind][end]);
     }
 
-    /// A statement or a transaction got a connection after so many seconds.
-    pub fn placed(&self, at_primary: bool, waited: f64) {
+    /// Counts a statement or a transaction that got a connection after `waited_s` seconds.
+    pub fn record_placed(&self, at_primary: bool, waited_s: f64) {
         increment(if at_primary {
             &self.placed_at_primary
         } else {
             &self.placed_at_replica
         });
-        self.placement_wait.observe(waited.max(0.0));
+        self.placement_wait_seconds.observe(waited_s.max(0.0));
     }
 
-    /// A statement or a transaction got no connection, and nothing of it ran.
-    pub fn unplaced(&self) {
+    /// Counts a statement or a transaction that got no connection, so that no part of it ran.
+    pub fn record_unplaced(&self) {
         increment(&self.unplaced);
     }
 
-    /// Kind of the statement, how it ended, and how often that happened; without what never did.
-    pub fn all_ended(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
+    /// Returns the number of ended statements by kind and end, without combinations that never
+    /// occurred.
+    pub fn ended_counts(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
         let by_kind = self.ended.iter().zip(STATEMENT_KINDS);
         by_kind
             .flat_map(|(ends, kind)| {
@@ -122,9 +124,9 @@
             .filter(|(_, _, count)| *count > 0)
     }
 
-    /// How many connections were got at primaries and at replicas, and how many statements got
-    /// none.
-    pub fn placements(&self) -> [(&'static str, u64); 3] {
+    /// Returns how many statements and transactions got a connection to a primary, got one to a
+    /// replica, and got none.
+    pub fn placement_counts(&self) -> [(&'static str, u64); 3] {
         [
             ("primary", self.placed_at_primary.get()),
             ("replica", self.placed_at_replica.get()),
@@ -133,26 +135,27 @@
     }
 }
 
-/// How often a call was answered with a status.
+/// The number of responses to one kind of call with one status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseCount {
     /// Name of the call.
     pub call: &'static str,
     /// HTTP status of the response.
     pub status: u16,
-    /// How many such responses there were.
+    /// Number of such responses.
     pub count: u64,
 }
 
-/// The calls of a control machine, and what it did.
+/// Counts of the calls that a control machine answered, and of its other work.
 pub struct ControlCounts {
     responses: RefCell<BTreeMap<(&'static str, u16), u64>>,
     router_updates: Cell<u64>,
-    /// How long it took to persist the hard state, in seconds.
+    /// How long writes of the hard state took, in seconds.
     pub persist_seconds: Histogram,
     failed_persists: Cell<u64>,
-    /// How long a service had no primary in use, at each change that this machine led, in seconds.
-    pub primary_changes: Histogram,
+    /// How long a service had no primary in use, for each primary change that this machine led, in
+    /// seconds.
+    pub primary_change_seconds: Histogram,
 }
 
 impl Default for ControlCounts {
@@ -160,16 +163,16 @@
         Self {
             responses: RefCell::default(),
             router_updates: Cell::default(),
-            persist_seconds: Histogram::new(BUCKETS_S),
+            persist_seconds: Histogram::new(BUCKET_BOUNDS_S),
             failed_persists: Cell::default(),
-            primary_changes: Histogram::new(BUCKETS_S),
+            primary_change_seconds: Histogram::new(BUCKET_BOUNDS_S),
         }
     }
 }
 
 impl ControlCounts {
-    /// A call of this name was answered with this HTTP status.
-    pub fn responded(&self, call: &'static str, status: u16) {
+    /// Counts a response with this HTTP status to a call of this name.
+    pub fn record_response(&self, call: &'static str, status: u16) {
         *self
             .responses
             .borrow_mut()
@@ -177,25 +180,26 @@
             .or_default() += 1;
     }
 
-    /// An update was handed to the session of a router.
-    pub fn router_updated(&self) {
+    /// Counts an update that was passed to the session of a router.
+    pub fn record_router_update(&self) {
         increment(&self.router_updates);
     }
 
-    /// Persisting the hard state has ended after so many seconds.
-    pub fn persisted(&self, seconds: f64, succeeded: bool) {
-        self.persist_seconds.observe(seconds.max(0.0));
+    /// Counts a write of the hard state that took `duration_s` seconds.
+    pub fn record_persist(&self, duration_s: f64, succeeded: bool) {
+        self.persist_seconds.observe(duration_s.max(0.0));
         if !succeeded {
             increment(&self.failed_persists);
         }
     }
 
-    /// A service had no primary in use for so many seconds.
-    pub fn primary_changed(&self, seconds: f64) {
-        self.primary_changes.observe(seconds.max(0.0));
+    /// Counts a primary change during which the service had no primary in use for `duration_s`
+    /// seconds.
+    pub fn record_primary_change(&self, duration_s: f64) {
+        self.primary_change_seconds.observe(duration_s.max(0.0));
     }
 
-    /// The responses by call and status.
+    /// Returns the number of responses by call and status.
     pub fn responses(&self) -> Vec<ResponseCount> {
         let responses = self.responses.borrow();
         let entry = |((call, status), count): (&(&'static str, u16), &u64)| ResponseCount {
@@ -206,12 +210,12 @@
         responses.iter().map(entry).collect()
     }
 
-    /// How many updates were handed to sessions of routers.
+    /// Returns how many updates were passed to sessions of routers.
     pub fn router_updates(&self) -> u64 {
         self.router_updates.get()
     }
 
-    /// How often the hard state could not be persisted.
+    /// Returns how many writes of the hard state failed.
     pub fn failed_persists(&self) -> u64 {
         self.failed_persists.get()
     }
--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -114,7 +114,7 @@
                 Ok(Request::Query { id, text }) => {
                     // On the heap while it runs: the future of an idle session stays small.
                     let response = Box::pin(self.query(id, text, arrived_at)).await;
-                    self.data_plane.counts.ended(text, response.end());
+                    self.data_plane.counts.record_ended(text, response.end());
                     response
                 }
                 Ok(Request::Bye) => return,
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -158,10 +158,10 @@
             .await;
         if let Ok(placement) = &placed {
             self.counts
-                .placed(placement.proof.is_none(), clock::now() - began_at);
+                .record_placed(placement.proof.is_none(), clock::now() - began_at);
         }
         placed.map_err(|unplaced| {
-            self.counts.unplaced();
+            self.counts.record_unplaced();
             let retry_after_s = self.update_service(&request.terms.service, |state| {
                 state
                     .refusals
--- a/crates/runtime/pooler/src/metrics.rs
+++ b/crates/runtime/pooler/src/metrics.rs
@@ -1,10 +1,10 @@
 //! The metrics of this machine in the text format of `OpenMetrics`, for a monitoring system that
 //! fetches them over HTTP.
 //!
-//! Counters and histograms are kept by the parts in [`crate::counters`]; all else is read from the
-//! parts when somebody asks, so that a machine which nobody asks pays next to nothing. This module
-//! reads control and the data plane, and neither knows it. The names, help texts and labels are
-//! those of the page `operators/metrics.md`.
+//! The control machine and the data plane update counters and histograms continuously
+//! ([`crate::counters`]). All other values are read from them when metrics are requested, so that
+//! metrics which nobody requests cost next to nothing. Neither of them depends on this module. The
+//! names, help texts and labels are documented on the page `operators/metrics.md`.
 
 mod control;
 mod router;
@@ -33,14 +33,14 @@
 const PREFIX: &str = "badgerstream";
 /// The media type of the response.
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// The largest body of a request, in bytes.
+/// Maximum size of the body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// Labels of one sample: names and values.
+/// The labels of one sample: pairs of name and value.
 type Labels = Vec<(&'static str, String)>;
 type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// The samples of all metrics at one time, to be written out once.
+/// The samples of all metrics at one point in time, for one response.
 pub struct Exposition(Registry);
 
 impl Default for Exposition {
@@ -50,17 +50,17 @@
 }
 
 impl Exposition {
-    /// A value that goes up and down.
+    /// Adds a gauge without labels.
     fn gauge(&mut self, name: &str, help: &str, value: f64) {
         self.gauges(name, help, [(Labels::new(), value)]);
     }
 
-    /// A gauge that is 1 or 0.
+    /// Adds a gauge that is 1 if `set`, otherwise 0.
     fn flag(&mut self, name: &str, help: &str, set: bool) {
         self.gauge(name, help, f64::from(u8::from(set)));
     }
 
-    /// Gauges with labels.
+    /// Adds a gauge with one sample for each set of labels.
     fn gauges(&mut self, name: &str, help: &str, values: impl IntoIterator<Item = (Labels, f64)>) {
         let family = Family::<Labels, FloatGauge>::default();
         for (labels, value) in values {
@@ -69,8 +69,8 @@
         self.0.register(name, help, family);
     }
 
-    /// Counts that only rise within one incarnation of the process; their names get the suffix
-    /// `_total`.
+    /// Adds a counter with one sample for each set of labels. Counters never decrease within one
+    /// incarnation of the process; the names of their samples get the suffix `_total`.
     fn counters(
         &mut self,
         name: &str,
@@ -84,38 +84,38 @@
         self.0.register(name, help, family);
     }
 
-    /// A distribution that is kept all the time.
+    /// Adds a histogram.
     fn histogram(&mut self, name: &str, help: &str, histogram: &Histogram) {
         self.0.register(name, help, histogram.clone());
     }
 
-    /// The text.
+    /// Returns all metrics in the text format.
     fn text(&self) -> String {
         let mut text = String::new();
-        // Writing into a string doesn't fail.
+        // Writing to a string doesn't fail.
         let _ = encode(&mut text, &self.0);
         text
     }
 }
 
-/// What the metrics of a router are read from.
+/// The parts of a router that its metrics are read from.
 pub struct RouterSource {
-    /// Its data plane.
+    /// The router's data plane.
     pub data_plane: Rc<DataPlane>,
-    /// What it knows.
+    /// The router's view of the system.
     pub shared: SharedView,
 }
 
-/// Serves the metrics of the parts that this machine runs.
+/// Serves the metrics of the router and the control machine that this process runs.
 pub struct MetricsServer {
-    /// The router.
+    /// The router, if this process runs one.
     pub router: Option<RouterSource>,
-    /// The control machine.
+    /// The control machine, if this process runs one.
     pub control: Option<Rc<ControlNode>>,
 }
 
 impl MetricsServer {
-    /// All metrics as they stand.
+    /// Returns the current values of all metrics in the text format.
     pub fn text(&self) -> String {
         let now = clock::now();
         let mut exposition = Exposition::default();
@@ -128,8 +128,8 @@
         exposition.text()
     }
 
-    /// Serves at this address for as long as the executor runs. If the address can't be bound, that
-    /// is logged and the machine works without metrics.
+    /// Serves metrics at this address for as long as the executor runs. If the address can't be
+    /// bound, the error is logged and the process runs without metrics.
     pub fn serve(self, tasks: &Rc<LocalExecutor<'static>>, address: SocketAddr) {
         let listener = match http::listen(address) {
             Ok(listener) => listener,
@@ -156,10 +156,15 @@
         let keep_alive = request.keep_alive;
         let path = request.path.split('?').next().unwrap_or_default();
         if path != PATH {
-            return encode_response(404, &[], b"the figures are at /metrics\n", keep_alive);
+            return encode_response(
+                404,
+                &[],
+                b"unknown path: the metrics are at /metrics\n",
+                keep_alive,
+            );
         }
         if request.method != "GET" {
-            return encode_response(405, &[], b"ask with GET\n", keep_alive);
+            return encode_response(405, &[], b"method not allowed: use GET\n", keep_alive);
         }
         let headers = [("Content-Type", CONTENT_TYPE)];
         encode_response(200, &headers, self.text().as_bytes(), keep_alive)
--- a/crates/runtime/pooler/src/metrics/control.rs
+++ b/crates/runtime/pooler/src/metrics/control.rs
@@ -5,29 +5,30 @@
 use crate::counters::ControlCounts;
 use std::collections::BTreeMap;
 
-/// Adds the metrics of agreement, sessions and failover.
+/// Adds the metrics of consensus, calls, sessions of routers and failover.
 pub(super) fn add(exposition: &mut Exposition, state: &ControlSnapshot, counts: &ControlCounts) {
-    add_agreement(exposition, state);
+    add_consensus(exposition, state);
     add_counts(exposition, counts);
     exposition.gauge(
         "control_router_leases",
-        "Routers that hold a lease; 0 where this machine doesn't lead",
+        "Routers that hold a lease; 0 unless this machine is the leader",
         state.leased_routers as f64,
     );
     add_by_phase(
         exposition,
         "control_primaries",
-        "Services by the phase of their primary; none where this machine doesn't lead",
+        "Services by the phase of their failover; none unless this machine is the leader",
         &state.primaries_by_phase,
     );
     add_by_phase(
         exposition,
         "control_servers",
-        "Database servers that are known",
+        "Known database servers by phase",
         &state.servers_by_phase,
     );
 }
 
+/// Adds a gauge with the label `phase`.
 fn add_by_phase(
     exposition: &mut Exposition,
     name: &str,
@@ -40,45 +41,45 @@
     exposition.gauges(name, help, values);
 }
 
-fn add_agreement(exposition: &mut Exposition, state: &ControlSnapshot) {
+fn add_consensus(exposition: &mut Exposition, state: &ControlSnapshot) {
     exposition.flag(
         "control_leads",
-        "1 where this machine leads",
+        "1 if this machine is the leader",
         state.is_leader,
     );
     exposition.flag(
         "control_in_contact",
-        "1 while a majority is heard, through its leader",
+        "1 while this machine is in contact with a majority, directly or through the leader",
         state.in_contact,
     );
     exposition.gauge(
         "control_ballot",
-        "The highest ballot that this machine promised",
+        "The highest term in which this machine voted",
         state.voted_term as f64,
     );
     exposition.gauge(
         "control_sequence",
-        "Number of the newest state on this disk",
+        "Version of the newest state on this machine's disk",
         state.state_version as f64,
     );
     exposition.gauge(
         "control_config_epoch",
-        "Version of the configuration that is known",
+        "Version of the configuration that this machine knows",
         state.config_epoch as f64,
     );
     exposition.gauge(
         "control_voters",
-        "Control machines that decide",
+        "Control machines that vote",
         state.voter_count as f64,
     );
     exposition.flag(
         "control_votes",
-        "1 where this machine is one of them",
+        "1 if this machine is a voter",
         state.is_voter,
     );
     exposition.flag(
         "control_disk_failed",
-        "1 while the disk takes no saves",
+        "1 while this machine's disk accepts no writes",
         state.disk_failed,
     );
 }
@@ -91,27 +92,27 @@
     });
     exposition.counters(
         "control_calls",
-        "Calls of servers and operators by answer",
+        "Calls of servers and operators by status of the response",
         responses,
     );
     exposition.counters(
         "control_news",
-        "News handed to sessions of routers",
+        "Updates passed to sessions of routers",
         [(vec![], counts.router_updates())],
     );
     exposition.counters(
         "control_failed_saves",
-        "Saves that the disk refused",
+        "Writes of the consensus state that failed",
         [(vec![], counts.failed_persists())],
     );
     exposition.histogram(
         "control_save_seconds",
-        "How long saves of the agreed state took",
+        "How long writes of the consensus state took",
         &counts.persist_seconds,
     );
     exposition.histogram(
         "control_primary_change_seconds",
-        "How long a service had no primary in use, at changes that this machine led",
-        &counts.primary_changes,
+        "How long a service had no primary in use, for primary changes that this machine led",
+        &counts.primary_change_seconds,
     );
 }
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -16,7 +16,7 @@
         .map(|proof| (service_label(&proof.service), proof.age_s));
     exposition.gauges(
         "router_proof_age_seconds",
-        "Age of the newest position that a service's primary answered",
+        "Age of the newest log position that the primary of a service reported",
         ages,
     );
 }
@@ -30,7 +30,7 @@
         .count();
     exposition.gauge(
         "router_lease_remaining_seconds",
-        "How long primaries may still be used; 0 without a lease",
+        "Remaining duration of the lease, during which primaries may be used; 0 without a lease",
         (view.leased_until() - now).max(0.0),
     );
     exposition.gauge(
@@ -45,48 +45,48 @@
     );
     exposition.gauge(
         "router_servers",
-        "Database servers that are known",
+        "Known database servers",
         view.servers.len() as f64,
     );
     exposition.flag(
         "router_ending",
-        "1 once the process was asked to end",
+        "1 once the process has started its shutdown",
         shared.shutdown_started_at.get().is_some(),
     );
 }
 
 fn add_statements(exposition: &mut Exposition, data_plane: &DataPlane) {
     let counts = data_plane.counts();
-    let ended = counts.all_ended().map(|(kind, end, count)| {
+    let ended = counts.ended_counts().map(|(kind, end, count)| {
         let labels = vec![("statement", kind.to_owned()), ("end", end.to_owned())];
         (labels, count)
     });
     exposition.counters(
         "router_statements",
-        "Statements of clients by first word and end",
+        "Ended statements of clients by first word and by how they ended",
         ended,
     );
     let placements = counts
-        .placements()
+        .placement_counts()
         .map(|(target, count)| (vec![("target", target.to_owned())], count));
     exposition.counters(
         "router_placements",
-        "Connections that statements and transactions got, by whose they are",
+        "Statements and transactions by the kind of server that they got a connection to",
         placements,
     );
     exposition.histogram(
         "router_placement_wait_seconds",
         "How long statements and transactions waited for a connection",
-        &counts.placement_wait,
+        &counts.placement_wait_seconds,
     );
     exposition.gauge(
         "router_clients",
-        "Clients that are connected",
+        "Connected clients",
         data_plane.client_count() as f64,
     );
     exposition.gauge(
         "router_open_work",
-        "Statements in work, and sessions inside a transaction",
+        "Statements that have not been answered yet, plus open transactions",
         data_plane.open_work() as f64,
     );
 }
@@ -102,7 +102,7 @@
     });
     exposition.gauges(
         "router_connections",
-        "Connections to servers of a service",
+        "Connections to the servers of a service",
         connections,
     );
     let slots_in_use = pools
@@ -110,7 +110,7 @@
         .map(|pool| (service_label(&pool.service), pool.working as f64));
     exposition.gauges(
         "router_slots_in_use",
-        "Places to work that are taken at servers of a service",
+        "Slots in use at the servers of a service",
         slots_in_use,
     );
     let waiting = pools
@@ -118,7 +118,7 @@
         .map(|pool| (service_label(&pool.service), pool.waiting as f64));
     exposition.gauges(
         "router_waiting",
-        "Statements that wait for a place at a service's servers",
+        "Statements that wait for a slot at the servers of a service",
         waiting,
     );
 }
--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -1,5 +1,4 @@
-//! Monitoring systems know the metrics by name: their names, types and labels are pinned by
-//! fixtures.
+//! Fixtures pin the names, types and labels of metrics, because monitoring systems refer to them.
 
 use crate::clock;
 use crate::control::ControlNode;
@@ -14,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One line for each metric: its name, its type, and the names of its labels.
+/// Returns one line for each metric: its name, its type, and the names of its labels.
 pub(crate) fn outline(text: &str) -> String {
     let mut outline = String::new();
     for metric in text.lines().filter_map(|line| line.strip_prefix("# TYPE ")) {
@@ -40,7 +39,7 @@
     listener.local_addr().expect("its address")
 }
 
-/// A control machine alone, which leads and knows a server and so a service.
+/// The only control machine is the leader and knows one server, and so one service.
 #[test]
 fn metric_names_of_a_control_machine_are_stable() {
     let folder = std::env::temp_dir().join(format!(
@@ -63,11 +62,14 @@
         let wait = async |what: &str, holds: &dyn Fn() -> bool| {
             let begin = clock::now();
             while !holds() {
-                assert!(clock::now() - begin < 10.0, "not within 10 s: {what}");
+                assert!(
+                    clock::now() - begin < 10.0,
+                    "waited more than 10 s until {what}"
+                );
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        wait("it is the leader", &|| {
+        wait("the machine is the leader", &|| {
             control.snapshot(clock::now()).is_leader
         })
         .await;
@@ -85,7 +87,7 @@
         stream.write_all(&call).await.expect("the call is sent");
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.expect("an answer");
-        wait("a service", &|| {
+        wait("the machine knows a service", &|| {
             !control.snapshot(clock::now()).primaries_by_phase.is_empty()
         })
         .await;
--- a/crates/runtime/pooler/src/tests/metrics.rs
+++ b/crates/runtime/pooler/src/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The text of the figures: its form, its names, and that its labels are bounded.
+//! The text format of metrics, what the counters count, and that clients can't add label values.
 
 use super::{Exposition, Labels};
 use crate::counters::{ControlCounts, ResponseCount, StatementCounts, StatementEnd};
@@ -38,16 +38,16 @@
 #[test]
 fn statements_are_counted_by_kind_and_end() {
     let counts = StatementCounts::default();
-    counts.ended("FETCH a", StatementEnd::Complete);
-    counts.ended("FETCH b", StatementEnd::Complete);
-    counts.ended("COMMIT", StatementEnd::Error(ErrorCode::InDoubt));
-    counts.ended("PUT a 1", StatementEnd::ClientGone);
-    // What clients make up adds no label.
+    counts.record_ended("FETCH a", StatementEnd::Complete);
+    counts.record_ended("FETCH b", StatementEnd::Complete);
+    counts.record_ended("COMMIT", StatementEnd::Error(ErrorCode::InDoubt));
+    counts.record_ended("PUT a 1", StatementEnd::ClientGone);
+    // Statements of unknown kinds add no label values.
     for text in ["", "fetch a", "DROP TABLE", "\u{1f980}"] {
-        counts.ended(text, StatementEnd::Error(ErrorCode::Other));
-        counts.ended(text, StatementEnd::Error(ErrorCode::NoDb));
+        counts.record_ended(text, StatementEnd::Error(ErrorCode::Other));
+        counts.record_ended(text, StatementEnd::Error(ErrorCode::NoDb));
     }
-    let all: Vec<_> = counts.all_ended().collect();
+    let all: Vec<_> = counts.ended_counts().collect();
     let expected = [
         ("FETCH", "complete", 2),
         ("PUT", "client_gone", 1),
@@ -60,16 +60,16 @@
 #[test]
 fn placements_and_their_wait_times_are_counted() {
     let counts = StatementCounts::default();
-    counts.placed(true, 0.002);
-    counts.placed(false, -0.1);
-    counts.placed(false, 20.0);
-    counts.unplaced();
+    counts.record_placed(true, 0.002);
+    counts.record_placed(false, -0.1);
+    counts.record_placed(false, 20.0);
+    counts.record_unplaced();
     assert_eq!(
-        counts.placements(),
+        counts.placement_counts(),
         [("primary", 1), ("replica", 2), ("none", 1)]
     );
     let mut exposition = Exposition::default();
-    exposition.histogram("wait_seconds", "Waits", &counts.placement_wait);
+    exposition.histogram("wait_seconds", "Waits", &counts.placement_wait_seconds);
     let text = exposition.text();
     for line in [
         "badgerstream_wait_seconds_bucket{le=\"0.001\"} 1",
@@ -84,12 +84,12 @@
 #[test]
 fn responses_and_persists_are_counted() {
     let counts = ControlCounts::default();
-    counts.responded("read", 200);
-    counts.responded("read", 503);
-    counts.responded("read", 200);
-    counts.persisted(0.01, true);
-    counts.persisted(3.0, false);
-    counts.router_updated();
+    counts.record_response("read", 200);
+    counts.record_response("read", 503);
+    counts.record_response("read", 200);
+    counts.record_persist(0.01, true);
+    counts.record_persist(3.0, false);
+    counts.record_router_update();
     let responses = [(200, 2), (503, 1)].map(|(status, count)| ResponseCount {
         call: "read",
         status,
