--- a/crates/runtime/pooler/src/cli.rs
+++ b/crates/runtime/pooler/src/cli.rs
@@ -1,8 +1,8 @@
-//! The operators' commands.
+//! The commands for operators.
 //!
-//! `main` parses a [`Command`] and calls [`run`]. Commands check files (`settings`, `config`) or
-//! call any control machine over HTTP (`client`) and print what it says (`status`, `output`,
-//! `table`). They hold no state and run in a process of their own, never beside the system's.
+//! `main` parses a [`Command`] and calls [`run`]. Commands check files (`settings`, `config`), or
+//! call any control machine over HTTP (`client`) and print its answer (`status`, `output`,
+//! `table`). They keep no state and run in their own process, never in one that serves the system.
 //!
 //! The doc comments on commands and their fields are the texts of `--help`.
 
@@ -23,77 +23,81 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The environment variable with the addresses of control machines.
+/// Name of the environment variable that holds the addresses of control machines.
 pub const CONTROL_VARIABLE: &str = "BADGERSTREAM_CONTROL";
 
-/// What operators can ask for.
+/// A command for operators.
 #[derive(Debug, Clone, Subcommand)]
 pub enum Command {
-    /// Checks a settings file: says what is wrong, with line and field.
+    /// Checks a settings file and reports the first error with its line and field.
     Check {
-        /// The settings file; `-` is the standard input.
+        /// The settings file, or `-` for standard input.
         file: PathBuf,
-        /// Prints JSON.
+        /// Prints the result as JSON.
         #[arg(long)]
         json: bool,
     },
     /// Checks, reads, replaces and compares the configuration.
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Prints which machine leads, the version in force, the primaries and how many servers there are.
+    /// Prints the leader, the voters, the version of the configuration in force, the number of
+    /// servers and the primaries.
     Status(CallArguments),
-    /// Prints the database servers that are there.
+    /// Prints the known database servers.
     Members(CallArguments),
     /// Prints the primary of each service.
     Primaries(CallArguments),
 }
 
-/// What operators can do with the configuration.
+/// A command for the configuration.
 #[derive(Debug, Clone, Subcommand)]
 pub enum ConfigCommand {
     /// Checks a configuration without sending it.
     Check {
-        /// The configuration, JSON; `-` is the standard input.
+        /// The configuration file (JSON), or `-` for standard input.
         file: PathBuf,
-        /// Prints JSON.
+        /// Prints the result as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Prints the configuration in force, as it was sent.
+    /// Prints the configuration in force, byte for byte as it was sent.
     Get(CallArguments),
     /// Checks a configuration and puts it in force.
     Put {
-        /// The configuration, JSON; `-` is the standard input.
+        /// The configuration file (JSON), or `-` for standard input.
         file: PathBuf,
-        /// The version that it builds on, 0 for the first; by default the one in force, read first.
+        /// The version that the new configuration replaces; 0 if there is none. Default: the version
+        /// in force, which the command reads first.
         #[arg(long, value_name = "N")]
         base: Option<u64>,
-        /// Whom to ask, and how to print.
+        /// The control machines to call, and the output format.
         #[command(flatten)]
         arguments: CallArguments,
     },
-    /// Prints what a configuration would change, against the one in force.
+    /// Prints the differences between the configuration in force and a new one.
     Diff {
-        /// The configuration, JSON; `-` is the standard input.
+        /// The new configuration file (JSON), or `-` for standard input.
         file: PathBuf,
-        /// Whom to ask, and how to print.
+        /// The control machines to call, and the output format.
         #[command(flatten)]
         arguments: CallArguments,
     },
 }
 
-/// Whom to ask, and how to print.
+/// The control machines to call, and the output format.
 #[derive(Debug, Clone, Args)]
 pub struct CallArguments {
-    /// Control addresses, joined by commas or told one by one; the next is asked where one fails.
+    /// Addresses of control machines, separated by commas or given one by one. If a call to one
+    /// fails, the next one is called.
     #[arg(long = "at", env = CONTROL_VARIABLE, value_name = "ADDR", value_delimiter = ',', required = true)]
     pub addresses: Vec<SocketAddr>,
-    /// Prints JSON.
+    /// Prints the result as JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// Runs a command and writes its result to `out`. As JSON, that a file is invalid is a result, too.
+/// Runs a command and writes its result to `out`. With `--json`, the verdict that a file is invalid
+/// is also written to `out`, in addition to the error.
 ///
 /// # Errors
 /// [`CliError`] if the command failed, a file is invalid, or `out` can't be written.
--- a/crates/runtime/pooler/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -1,4 +1,5 @@
-//! Calls to control machines: one connection a call, each address within a time limit.
+//! Calls to control machines. Each request uses its own connection, and the attempt at each address
+//! has a timeout.
 
 use super::error::{AttemptError, CliError, FailedAttempts};
 use super::table::without_control_chars;
@@ -13,18 +14,18 @@
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long an attempt at one address may take, with its redirects.
+/// Timeout of the attempt at one address, including redirects.
 pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many redirects (307) an attempt follows.
+/// Maximum number of redirects (status 307) that an attempt follows.
 const MAX_REDIRECTS: u32 = 2;
-/// The most bytes of an answer.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// The most characters of an answer that an error shows.
+/// Maximum number of characters of an answer that an error shows.
 const MAX_REASON_CHARS: usize = 300;
 /// Size of the read buffer, in bytes.
-const READ_SIZE: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// An error as JSON bodies carry it.
+/// The JSON body of an error response.
 #[derive(DeJson)]
 struct ErrorBody {
     error: String,
@@ -32,13 +33,13 @@
 
 /// The configuration in force.
 pub struct CurrentConfig {
-    /// The configuration.
+    /// The parsed configuration.
     pub config: Config,
-    /// Its text, as the operator sent it.
+    /// The text of the configuration, as the operator sent it.
     pub text: Vec<u8>,
 }
 
-/// A call, whichever machine it goes to.
+/// A call to any control machine.
 #[derive(Clone, Copy)]
 struct HttpCall<'a> {
     method: &'a str,
@@ -58,27 +59,29 @@
     }
 }
 
-/// An answer, and the machine that gave it.
+/// An answer and the address of the machine that gave it.
 struct Answer {
     address: SocketAddr,
     response: Response,
 }
 
-/// Calls control machines: the next address where one fails, beginning with the last that answered.
+/// A client that calls control machines. A call begins with the address that answered the previous
+/// call; if the attempt at one address fails, the next address is called.
 pub struct Client {
     addresses: Vec<SocketAddr>,
+    /// Timeout of the attempt at one address.
     timeout: Duration,
-    /// Whether a machine may have received the last call.
+    /// Whether any machine may have received the last call.
     may_be_received: bool,
 }
 
 impl Client {
-    /// For these addresses, each with the usual time limit.
+    /// Creates a client for these addresses with the default timeout.
     pub fn new(addresses: &[SocketAddr]) -> Client {
         Client::with_timeout(addresses, ATTEMPT_TIMEOUT)
     }
 
-    /// For these addresses, each with this time limit.
+    /// Creates a client for these addresses with this timeout for the attempt at each address.
     pub fn with_timeout(addresses: &[SocketAddr], timeout: Duration) -> Client {
         Client {
             addresses: addresses.to_vec(),
@@ -87,10 +90,10 @@
         }
     }
 
-    /// The configuration in force; none before the first.
+    /// Returns the configuration in force, or `None` if there is no configuration yet.
     ///
     /// # Errors
-    /// [`CliError`] without an answer, or if it is a rejection or can't be read.
+    /// [`CliError`] if there is no answer, or if the answer is a rejection or invalid.
     pub fn config(&mut self) -> Result<Option<CurrentConfig>, CliError> {
         let Answer { address, response } = self.call(&HttpCall::without_body(
             ReadConfigRequest::METHOD,
@@ -113,14 +116,15 @@
         }
     }
 
-    /// Puts a configuration in force, in place of that of epoch `base`.
+    /// Replaces the configuration of epoch `base` by a new one.
     ///
     /// # Errors
-    /// [`CliError::OutcomeUnknown`] if it may have been applied without an answer; otherwise it has
-    /// not been.
+    /// [`CliError::OutcomeUnknown`] if there is no answer and the configuration may have been
+    /// applied; after any other error it has not been applied.
     pub fn replace(&mut self, base: u64, text: &[u8]) -> Result<(), CliError> {
         let base_version = base.to_string();
-        // Safe to send to the next address without an answer: the same bytes get 200 again.
+        // If one address gives no answer, it is safe to send the call to the next one: repeating it
+        // with the same bytes gets status 200 again.
         let answer = self.call(&HttpCall {
             method: ReplaceConfigRequest::METHOD,
             path: ReplaceConfigRequest::PATH,
@@ -137,11 +141,11 @@
         }
     }
 
-    /// The state of the system as the leader sees it; if the leader can't be reached, as the
-    /// machine that answered does.
+    /// Returns the status of the system as the leader sees it, or, if the leader can't be reached,
+    /// as the machine that answered sees it.
     ///
     /// # Errors
-    /// [`CliError`] without an answer, or if it is a rejection or can't be read.
+    /// [`CliError`] if there is no answer, or if the answer is a rejection or invalid.
     pub fn status(&mut self) -> Result<Status, CliError> {
         let call = HttpCall::without_body(ReadStatusRequest::METHOD, ReadStatusRequest::PATH);
         let answer = self.call(&call)?;
@@ -167,7 +171,7 @@
             .unwrap_or(status))
     }
 
-    /// The first answer that another machine wouldn't better.
+    /// Calls one address after another and returns the first final answer ([`is_final`]).
     fn call(&mut self, call: &HttpCall<'_>) -> Result<Answer, CliError> {
         let mut attempts = FailedAttempts::default();
         self.may_be_received = false;
@@ -188,7 +192,7 @@
         Err(CliError::NoAnswer(attempts))
     }
 
-    /// The answer of this address, or of the one that it redirects to.
+    /// Calls one address, follows redirects and returns the answer.
     fn attempt(&mut self, first: SocketAddr, call: &HttpCall<'_>) -> Result<Answer, AttemptError> {
         let deadline = Instant::now() + self.timeout;
         let mut address = first;
@@ -229,7 +233,7 @@
 
     fn attempt_error(&self, address: SocketAddr, error: io::Error) -> AttemptError {
         match error.kind() {
-            // What a socket reports when its time limit passes, by system.
+            // Which of the two a socket reports after its timeout depends on the operating system.
             ErrorKind::WouldBlock | ErrorKind::TimedOut => AttemptError::TimedOut {
                 address,
                 timeout_s: self.timeout.as_secs_f64(),
@@ -240,18 +244,20 @@
     }
 }
 
-/// Whether the answer ends the call; after others another machine may do better.
+/// Returns whether an answer with this status ends the call. After any other answer, another machine
+/// may succeed.
 fn is_final(status: u16) -> bool {
     !matches!(status, 408 | 429 | 500..)
 }
 
-/// Where a redirect leads.
+/// The target of a redirect.
 struct RedirectTarget {
     address: SocketAddr,
     path: String,
 }
 
-/// Where a `Location` leads, seen from this address.
+/// Returns the target of a `Location` header sent by `from`, or `None` if it is neither a path nor
+/// `http://` with an IP address and port.
 fn redirect_target(location: &str, from: SocketAddr) -> Option<RedirectTarget> {
     if location.starts_with('/') {
         return Some(RedirectTarget {
@@ -277,7 +283,7 @@
     }
 }
 
-/// What an answer says besides its status, in one line.
+/// Returns the reason in the body of an answer, as one line.
 fn reason(response: &Response) -> String {
     let text = String::from_utf8_lossy(&response.body);
     let reason = match DeJson::deserialize_json(text.trim()) {
@@ -285,7 +291,7 @@
         _ => text.trim().to_owned(),
     };
     if reason.is_empty() {
-        return "no reason told".to_owned();
+        return "no reason given".to_owned();
     }
     without_control_chars(&reason)
         .chars()
@@ -303,10 +309,10 @@
     }
 }
 
-/// The time until the deadline.
+/// Returns the time until the deadline.
 ///
 /// # Errors
-/// [`ErrorKind::TimedOut`] if it has passed: a socket takes no time limit of zero.
+/// [`ErrorKind::TimedOut`] if the deadline has passed, because sockets accept no timeout of zero.
 fn remaining(deadline: Instant) -> io::Result<Duration> {
     let remaining = deadline.saturating_duration_since(Instant::now());
     if remaining.is_zero() {
@@ -322,7 +328,7 @@
     Ok(stream)
 }
 
-/// One request on a connection of its own, and its answer.
+/// Sends one request on a new connection and returns the answer.
 fn exchange(
     mut stream: TcpStream,
     address: SocketAddr,
@@ -344,7 +350,8 @@
         match stream.write(unsent) {
             Ok(count) => unsent = &unsent[count..],
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            // A machine that rejects a body may have answered before its end: the answer counts.
+            // A machine that rejects the body may have answered and closed the connection before
+            // the whole body was sent, so the answer is still read.
             Err(error)
                 if matches!(
                     error.kind(),
@@ -362,7 +369,7 @@
 fn receive(stream: &mut TcpStream, deadline: Instant) -> io::Result<Response> {
     let invalid = |error: HttpError| io::Error::new(ErrorKind::InvalidData, error.to_string());
     let mut responses = ResponseDecoder::new(MAX_ANSWER_BYTES);
-    let mut bytes = vec![0; READ_SIZE];
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
     loop {
         if let Some(response) = responses.next_response().map_err(invalid)? {
             return Ok(response);
@@ -370,7 +377,10 @@
         stream.set_read_timeout(Some(remaining(deadline)?))?;
         match stream.read(&mut bytes) {
             Ok(0) => {
-                let closed = io::Error::new(ErrorKind::UnexpectedEof, "closed without an answer");
+                let closed = io::Error::new(
+                    ErrorKind::UnexpectedEof,
+                    "the connection was closed without an answer",
+                );
                 return responses.finish().map_err(invalid)?.ok_or(closed);
             }
             Ok(count) => responses.feed(&bytes[..count]),
--- a/crates/runtime/pooler/src/cli/config.rs
+++ b/crates/runtime/pooler/src/cli/config.rs
@@ -1,4 +1,4 @@
-//! `config`: checks a configuration, puts it in force, and compares it with the one in force.
+//! `config`: checks a configuration, puts it in force, or compares it with the one in force.
 
 use super::files::{name, read};
 use super::output::{print, print_value};
@@ -10,7 +10,7 @@
 use std::io::Write;
 use std::path::Path;
 
-/// What `config check --json` prints.
+/// The output of `config check --json`.
 #[derive(SerJson)]
 #[nserde(serialize_none_as_null)]
 struct ConfigVerdict {
@@ -19,19 +19,19 @@
     epoch: Option<u64>,
     routes: Option<usize>,
     services: Option<usize>,
-    /// Paths of fields that are stored and have no effect.
+    /// Paths of fields that are stored but have no effect.
     without_effect: Vec<String>,
     error: Option<String>,
 }
 
-/// A configuration file that was read.
+/// The text of a configuration file and the result of parsing it.
 struct ConfigFile {
     text: Vec<u8>,
-    /// [`CliError::InvalidFile`] if the text is no valid configuration.
+    /// [`CliError::InvalidFile`] if the text is not a valid configuration.
     config: Result<Config, CliError>,
 }
 
-/// Reads a configuration file.
+/// Reads and parses a configuration file.
 fn read_config(file: &Path) -> Result<ConfigFile, CliError> {
     let text = read(file)?;
     let config = Config::parse(&text).map_err(|error| CliError::InvalidFile {
@@ -41,7 +41,7 @@
     Ok(ConfigFile { text, config })
 }
 
-/// The text of an error, with line and column if the configuration's syntax is wrong.
+/// Returns the text of an error, with line and column if it is a syntax error.
 fn with_line_and_column(error: &ConfigError, text: &[u8]) -> String {
     let ConfigError::Unreadable(JsonError::Syntax {
         offset,
@@ -85,7 +85,7 @@
     );
     for path in without_effect {
         text += &format!(
-            "{}: note: {} is kept and has no effect\n",
+            "{}: note: {} is stored but has no effect\n",
             name(file),
             without_control_chars(&path)
         );
@@ -93,16 +93,16 @@
     print(out, text.as_bytes())
 }
 
-/// What `config put --json` prints.
+/// The output of `config put --json`.
 #[derive(SerJson)]
-struct PutVerdict {
+struct PutResult {
     epoch: u64,
     base: u64,
-    /// Whether it was in force before this command.
+    /// Whether the configuration was already in force before this command.
     was_in_force: bool,
 }
 
-/// Puts a configuration in force, unless it is already.
+/// Puts a configuration in force, unless it is already in force.
 pub(super) fn put(
     file: &Path,
     base: Option<u64>,
@@ -125,22 +125,22 @@
     print_value(
         out,
         arguments.json,
-        &PutVerdict {
+        &PutResult {
             epoch,
             base,
             was_in_force,
         },
         |_| {
             if was_in_force {
-                format!("version {epoch} is in force already\n")
+                format!("version {epoch} is already in force\n")
             } else {
-                format!("version {epoch} is taken; it builds on {base}\n")
+                format!("version {epoch} is now in force; it replaces version {base}\n")
             }
         },
     )
 }
 
-/// What `config diff --json` prints.
+/// The output of `config diff --json`.
 #[derive(SerJson)]
 struct ConfigDiff {
     from: u64,
@@ -148,7 +148,7 @@
     changes: Vec<String>,
 }
 
-/// Prints what a configuration would change.
+/// Prints the differences between the configuration in force and the one in this file.
 pub(super) fn diff(
     file: &Path,
     arguments: &CallArguments,
@@ -166,7 +166,7 @@
     };
     print_value(out, arguments.json, &diff, |diff| {
         if diff.changes.is_empty() {
-            return format!("no difference to version {}\n", diff.from);
+            return format!("no difference from version {}\n", diff.from);
         }
         diff.changes
             .iter()
@@ -175,7 +175,7 @@
     })
 }
 
-/// What a first configuration is compared with.
+/// Returns the empty configuration, with which the first configuration is compared.
 fn empty_config() -> Result<Config, CliError> {
     Config::parse(br#"{"epoch":0,"routes":[],"backends":[]}"#).map_err(|error| {
         CliError::InvalidFile {
--- a/crates/runtime/pooler/src/cli/error.rs
+++ b/crates/runtime/pooler/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed. Each error is printed as one line.
+//! The errors of commands. Each error is printed as one line.
 
 use super::table::without_control_chars;
 use std::fmt;
@@ -6,119 +6,120 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 pub enum CliError {
     /// A file can't be read.
-    #[error("{file}: {error}")]
+    #[error("{file}: can't read the file: {error}")]
     ReadFile {
-        /// Its name, as the operator gave it.
+        /// The name of the file, as the operator gave it.
         file: String,
-        /// The error of the system.
+        /// The error from the operating system.
         error: io::Error,
     },
-    /// A file was read and is invalid.
+    /// The contents of a file are invalid.
     #[error("{file}: {reason}")]
     InvalidFile {
-        /// Its name, as the operator gave it.
+        /// The name of the file, as the operator gave it.
         file: String,
-        /// What is wrong, and where.
+        /// What is wrong, and where in the file.
         reason: String,
     },
-    /// No control machine gave an answer, and none has received the call.
-    #[error("no answer: {0}")]
+    /// No control machine gave a final answer. If the call is a change, no control machine can have
+    /// received it.
+    #[error("the call failed at every address: {0}")]
     NoAnswer(FailedAttempts),
-    /// As [`CliError::NoAnswer`], of a change that a control machine may have received.
+    /// No control machine gave a final answer to a change, and one may have received it.
     #[error(
-        "it isn't known whether the configuration was taken; the same command with --base {base} \
-         can be repeated without harm: {attempts}"
+        "it isn't known whether the configuration was applied; it is safe to repeat the command \
+         with --base {base}: {attempts}"
     )]
     OutcomeUnknown {
-        /// What each address came to.
+        /// The failed attempt at each address.
         attempts: FailedAttempts,
         /// The epoch that the new configuration replaces.
         base: u64,
     },
-    /// The system rejects the call.
-    #[error("refused by {address} ({status}): {reason}")]
+    /// A control machine rejected the call.
+    #[error("{address} rejected the call with status {status}: {reason}")]
     Rejected {
-        /// The control machine that answered.
+        /// The address of the control machine that answered.
         address: SocketAddr,
-        /// The status of its answer.
+        /// The HTTP status of the answer.
         status: u16,
-        /// What it says.
+        /// The reason in the body of the answer.
         reason: String,
     },
-    /// An answer that this program can't read.
-    #[error("the answer of {address} can't be read: {reason}")]
+    /// The body of an answer can't be parsed.
+    #[error("invalid answer from {address}: {reason}")]
     InvalidAnswer {
-        /// The control machine that answered.
+        /// The address of the control machine that answered.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// What is wrong with the answer.
         reason: String,
     },
     /// There is no configuration to print.
     #[error("there is no configuration yet")]
     NoConfig,
-    /// The result can't be printed.
-    #[error("can't print: {0}")]
+    /// The result can't be written to the output.
+    #[error("can't write the result: {0}")]
     Output(io::Error),
 }
 
-/// Why an attempt at one control machine failed.
+/// The reason why the attempt at one address failed.
 #[derive(Debug, Error)]
 pub enum AttemptError {
-    /// Its answer says that another machine may do better.
-    #[error("{address}: {status} {reason}")]
+    /// The status of the answer says that another machine may succeed.
+    #[error("{address}: status {status}: {reason}")]
     Status {
-        /// The machine.
+        /// The address of the machine that answered.
         address: SocketAddr,
-        /// The status of its answer.
+        /// The HTTP status of the answer.
         status: u16,
-        /// What it says.
+        /// The reason in the body of the answer.
         reason: String,
     },
-    /// It gave no answer in time.
+    /// There was no answer within the timeout.
     #[error("{address}: no answer within {timeout_s} s")]
     TimedOut {
-        /// The machine.
+        /// The address that was called.
         address: SocketAddr,
-        /// The limit, in seconds.
+        /// The timeout, in seconds.
         timeout_s: f64,
     },
     /// The connection was refused.
-    #[error("{address}: nobody listens there")]
+    #[error("{address}: connection refused")]
     ConnectionRefused {
-        /// The machine.
+        /// The address that was called.
         address: SocketAddr,
     },
-    /// Any other failure of the connection, or an answer that isn't HTTP.
+    /// The connection failed in another way, or the answer isn't valid HTTP.
     #[error("{address}: {}", without_control_chars(&error.to_string()))]
     Connection {
-        /// The machine.
+        /// The address that was called.
         address: SocketAddr,
-        /// The error of the system, or of the codec.
+        /// The error from the operating system or from the HTTP codec.
         error: io::Error,
     },
-    /// It was redirected too often.
-    #[error("{address}: sent on more than {limit} times")]
+    /// The attempt was redirected too often.
+    #[error("{address}: redirected more than {limit} times")]
     TooManyRedirects {
-        /// The machine that was called first.
+        /// The address that was called first.
         address: SocketAddr,
-        /// How many redirects are followed.
+        /// Maximum number of redirects that are followed.
         limit: u32,
     },
-    /// It was redirected to something that is no address.
-    #[error("{address}: sent on to {location:?}, which is no address")]
+    /// The target of a redirect is neither a path nor an address.
+    #[error("{address}: redirected to {location:?}, which is neither a path nor http://IP:PORT")]
     InvalidRedirect {
-        /// The machine that redirects.
+        /// The address of the machine that sent the redirect.
         address: SocketAddr,
-        /// Its `Location`, without control characters.
+        /// The `Location` header, without control characters.
         location: String,
     },
 }
 
-/// What the attempts at all addresses came to, in their order.
+/// The failed attempts, in the order in which the addresses were called.
 #[derive(Debug, Default)]
 pub struct FailedAttempts(pub Vec<AttemptError>);
 
--- a/crates/runtime/pooler/src/cli/files.rs
+++ b/crates/runtime/pooler/src/cli/files.rs
@@ -1,13 +1,13 @@
-//! Reading the files that are named on the command line.
+//! Reads the files that are named on the command line.
 
 use super::CliError;
 use std::io::{self, Read};
 use std::path::Path;
 
-/// What stands for the standard input in place of a file.
+/// The file name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// The name of a file in messages.
+/// Returns the name of a file in messages.
 pub(super) fn name(file: &Path) -> String {
     if file == Path::new(STANDARD_INPUT) {
         "standard input".to_owned()
@@ -16,7 +16,7 @@
     }
 }
 
-/// Reads all of a file, or of the standard input.
+/// Reads a whole file, or all of standard input.
 pub(super) fn read(file: &Path) -> Result<Vec<u8>, CliError> {
     let bytes = if file == Path::new(STANDARD_INPUT) {
         let mut bytes = Vec::new();
--- a/crates/runtime/pooler/src/cli/settings.rs
+++ b/crates/runtime/pooler/src/cli/settings.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::path::Path;
 
-/// What `check --json` prints.
+/// The output of `check --json`.
 #[derive(SerJson)]
 #[nserde(serialize_none_as_null)]
 struct SettingsVerdict {
@@ -35,7 +35,7 @@
     if json {
         return Ok(());
     }
-    let part = match (settings.front_address, settings.control_address) {
+    let roles = match (settings.front_address, settings.control_address) {
         (Some(front), Some(control)) => format!("router at {front}, control at {control}"),
         (Some(front), None) => format!("router at {front}"),
         (None, Some(control)) => format!("control at {control}"),
@@ -43,7 +43,7 @@
     };
     print(
         out,
-        format!("{}: valid: {}, {part}\n", name(file), settings.node_name).as_bytes(),
+        format!("{}: valid: {}, {roles}\n", name(file), settings.node_name).as_bytes(),
     )
 }
 
@@ -53,7 +53,7 @@
         let line = valid.iter().filter(|byte| **byte == b'\n').count() + 1;
         SettingsError::InvalidLine {
             line,
-            problem: "no UTF-8".to_owned(),
+            problem: "not valid UTF-8".to_owned(),
         }
     })?;
     Settings::parse(&text)
@@ -76,7 +76,7 @@
     }
 }
 
-/// Checks what no field shows alone: that a process has all that its roles need.
+/// Checks rules that concern several fields: each role must have all the settings that it needs.
 fn check_complete(settings: Settings) -> Result<Settings, SettingsError> {
     if settings.control_address.is_some() && settings.state_dir.is_none() {
         return Err(SettingsError::Missing("state_dir"));
--- a/crates/runtime/pooler/src/cli/status.rs
+++ b/crates/runtime/pooler/src/cli/status.rs
@@ -1,40 +1,41 @@
-//! `status`, `members` and `primaries`: the state of the system as tables.
+//! `status`, `members` and `primaries`: formats the state of the system as tables.
 
 use super::table::{Table, without_control_chars};
 use badgerstream_control_api::status::{MemberStatus, PrimaryStatus, Status};
 
-/// The phase of a primary's failover, in plain words.
+/// Returns the description of a primary's failover phase for the column `STATE`.
 fn phase_text(primary: &PrimaryStatus) -> &str {
     match primary.phase.as_str() {
-        "finding" => "being looked for",
+        "finding" => "primary being discovered",
         "steady" if primary.in_use => "in service",
         "steady" => "not in use",
-        "closing" => "given up, routers let go of it",
-        "handing" => "leaves, hands over",
-        "agreeing" => "leaves, the next is agreed on",
-        "promoting" => "leaves, the next is being promoted",
-        "switching" => "promoted, routers change over",
+        "closing" => "given up, grant being revoked",
+        "handing" => "draining, handing over",
+        "agreeing" => "next primary being committed",
+        "promoting" => "next primary being promoted",
+        "switching" => "next primary promoted, old grant being revoked",
         other => other,
     }
 }
 
-/// The text, or a dash in place of an empty cell.
+/// Returns the text, or a dash if it is empty.
 fn or_dash(text: &str) -> &str {
     if text.is_empty() { "-" } else { text }
 }
 
-/// A note that a follower doesn't know primaries and routers; empty for the leader.
+/// Returns a note that a machine which is not the leader doesn't know primaries and routers; empty
+/// for the leader.
 fn follower_note(status: &Status) -> String {
     if status.leads {
         return String::new();
     }
     format!(
-        "{} answered and doesn't lead: primaries and routers aren't known to it\n",
+        "{} answered and is not the leader: it doesn't know primaries and routers\n",
         without_control_chars(&status.node)
     )
 }
 
-/// Faults of the machine that answered, one line each; empty if there are none.
+/// Returns the faults of the machine that answered, one line each; empty if there are none.
 fn fault_notes(status: &Status) -> String {
     let node = without_control_chars(&status.node);
     let mut notes = String::new();
@@ -44,19 +45,21 @@
             _ => "since its start".to_owned(),
         };
         notes += &format!(
-            "{node} has had no contact with most control machines {since}: what it shows may be old\n"
+            "{node} has been out of contact with a majority of control machines {since}: its data may be out of date\n"
         );
     }
     if status.disk_failed {
-        notes += &format!("{node} can't save: it takes no part until its disk takes bytes again\n");
+        notes += &format!(
+            "{node} can't write to its disk: it takes no part in decisions until its disk accepts writes again\n"
+        );
     }
     if status.no_voter {
-        notes += &format!("{node} is none of the machines that decide\n");
+        notes += &format!("{node} is not a voter\n");
     }
     notes
 }
 
-/// The state of the system and the primary of each service.
+/// Returns an overview of the system and the table of primaries.
 pub(super) fn overview(status: &Status) -> String {
     let mut pairs = Table::new(&[]);
     let draining = status
@@ -66,7 +69,7 @@
         .count();
     let version = match status.epoch {
         0 if status.leads => "none yet".to_owned(),
-        0 => "not known there".to_owned(),
+        0 => "unknown to this machine".to_owned(),
         epoch => format!("version {epoch}"),
     };
     pairs.add_row(&["answered by", &status.node]);
@@ -90,7 +93,7 @@
     text + &fault_notes(status)
 }
 
-/// The table of database servers.
+/// Returns the table of database servers.
 pub(super) fn members(status: &Status) -> String {
     let mut table = Table::new(&[
         "SERVICE", "SERVER", "ENDPOINT", "ZONE", "SLOTS", "ROLE", "STATE",
@@ -127,7 +130,7 @@
     text + &follower_note(status) + &fault_notes(status)
 }
 
-/// The table of primaries.
+/// Returns the table of primaries.
 pub(super) fn primaries(status: &Status) -> String {
     if status.primaries.is_empty() {
         if status.leads {
--- a/crates/runtime/pooler/src/cli/table.rs
+++ b/crates/runtime/pooler/src/cli/table.rs
@@ -1,4 +1,4 @@
-//! Tables of texts from elsewhere, safe to print on a terminal.
+//! Tables of texts received from other machines, made safe to print on a terminal.
 
 /// Rows of cells, each column as wide as its widest cell.
 pub(super) struct Table {
@@ -6,7 +6,8 @@
 }
 
 impl Table {
-    /// A table with this line of column names on top; without it if there are none.
+    /// Creates a table with these column names as its first row, or without a first row if there
+    /// are no names.
     pub(super) fn new(column_names: &[&str]) -> Table {
         let mut table = Table { rows: Vec::new() };
         if !column_names.is_empty() {
@@ -15,7 +16,7 @@
         table
     }
 
-    /// Adds a row below.
+    /// Adds a row at the end.
     pub(super) fn add_row(&mut self, cells: &[&str]) {
         self.rows.push(
             cells
@@ -25,7 +26,8 @@
         );
     }
 
-    /// The table as text, two blanks between columns and none at the ends of lines.
+    /// Returns the table as text, with two spaces between columns and no spaces at the ends of
+    /// lines.
     pub(super) fn text(&self) -> String {
         let widths = self.column_widths();
         let line = |row: &Vec<String>| {
@@ -39,7 +41,7 @@
         self.rows.iter().map(line).collect()
     }
 
-    /// The width of each column, in characters.
+    /// Returns the width of each column, in characters.
     fn column_widths(&self) -> Vec<usize> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         (0..columns)
@@ -55,7 +57,7 @@
     }
 }
 
-/// The text with `?` for each control character, so that it neither ends the line nor controls the
+/// Replaces each control character by `?`, so that the text neither ends the line nor controls the
 /// terminal.
 pub(super) fn without_control_chars(text: &str) -> String {
     text.chars()
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -71,7 +71,7 @@
         .map(|(target, count)| (vec![("target", target.to_owned())], count));
     exposition.counters(
         "router_placements",
-        "Statements and transactions by the kind of server that they got a connection to",
+        "Statements and transactions by the kind of server they got a connection to, or none",
         placements,
     );
     exposition.histogram(
--- a/crates/runtime/pooler/src/tests/cli.rs
+++ b/crates/runtime/pooler/src/tests/cli.rs
@@ -15,7 +15,8 @@
 const CONFIG: &str = r#"{"epoch":7,"routes":[{"name":"r1","authority":"catalog","path_prefix":"/","mode":"leader",
 "deadline_ms":1000,"backend":"catalog-pg"}],"backends":[{"name":"catalog-pg","sync_replicas":1}],"limits":{}}"#;
 
-/// A control machine that gives these answers in turn, one a connection, and records the requests.
+/// A control machine that sends these answers in order, one for each connection, and records the
+/// requests.
 struct ScriptedMachine {
     address: SocketAddr,
     thread: JoinHandle<Vec<Request>>,
@@ -29,7 +30,7 @@
     fn on(address: SocketAddr, answers: Vec<Vec<u8>>) -> ScriptedMachine {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
-        let answer_in_turn = move || {
+        let answer_in_order = move || {
             let mut requests = Vec::new();
             for answer in answers {
                 let (mut stream, _) = listener.accept().unwrap();
@@ -40,7 +41,7 @@
                         break request;
                     }
                     let count = stream.read(&mut bytes).unwrap();
-                    assert!(count > 0, "the request breaks off");
+                    assert!(count > 0, "the connection was closed within a request");
                     decoder.feed(&bytes[..count]);
                 };
                 requests.push(request);
@@ -50,7 +51,7 @@
         };
         ScriptedMachine {
             address,
-            thread: std::thread::spawn(answer_in_turn),
+            thread: std::thread::spawn(answer_in_order),
         }
     }
 
@@ -59,12 +60,12 @@
     }
 }
 
-/// An address at which nobody listens: no other test uses a port that low.
+/// Returns an address on which no process listens: no other test uses such a low port.
 fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 9], 1))
 }
 
-/// A file that is removed at the end of its test.
+/// A file that is removed when the test ends.
 struct TempFile(PathBuf);
 
 impl TempFile {
@@ -98,11 +99,11 @@
     CommandLine::try_parse_from([&["badgerstream-pooler"], words].concat()).map(|line| line.command)
 }
 
-/// What a command prints, and the line of its error.
+/// Runs a command and returns its output and the text of its error.
 fn run(words: &[&str]) -> (String, Option<String>) {
     let mut out = Vec::new();
-    let ended = cli::run(parse(words).unwrap(), &mut out);
-    let error = ended.err().map(|e| e.to_string());
+    let result = cli::run(parse(words).unwrap(), &mut out);
+    let error = result.err().map(|e| e.to_string());
     assert!(
         error.as_ref().is_none_or(|e| !e.contains('\n')),
         "an error is one line: {error:?}"
@@ -178,7 +179,7 @@
         "--at",
         "10.0.0.3:80",
     ]) else {
-        panic!("no status")
+        panic!("not the status command")
     };
     assert_eq!(arguments.addresses.len(), 3);
 }
@@ -225,7 +226,7 @@
     let file = TempFile::new("without-effect", &text);
     let (out, error) = run(&["config", "check", file.name()]);
     let name = file.name();
-    let note = format!("{name}: note: routes[].split is kept and has no effect\n");
+    let note = format!("{name}: note: routes[].split is stored but has no effect\n");
     assert_eq!(
         (out, error),
         (
@@ -269,7 +270,7 @@
     );
 }
 
-/// Scripts of operators read this JSON: it must not change by a byte.
+/// Operators' scripts read this JSON, so no byte of it may change.
 #[test]
 fn json_output_is_stable() {
     let printed = |word: &str| {
@@ -286,7 +287,8 @@
     );
 }
 
-/// Out of contact, a failed disk, not a voter: each is reported, with its time.
+/// The status reports that the answering machine is out of contact and for how long, that its disk
+/// has failed, and that it is not a voter.
 #[test]
 fn status_reports_faults_of_the_answering_machine() {
     let cut_off = Status {
@@ -303,9 +305,9 @@
     ]);
     let (out, error) = run(&["status", "--at", &machine.address.to_string()]);
     assert_eq!(error, None);
-    let notes = "core-lima-a-1 has had no contact with most control machines for 12.3 s: what it shows may be old\n\
-                 core-lima-a-1 can't save: it takes no part until its disk takes bytes again\n\
-                 core-lima-a-1 is none of the machines that decide\n";
+    let notes = "core-lima-a-1 has been out of contact with a majority of control machines for 12.3 s: its data may be out of date\n\
+                 core-lima-a-1 can't write to its disk: it takes no part in decisions until its disk accepts writes again\n\
+                 core-lima-a-1 is not a voter\n";
     assert!(out.ends_with(notes), "{out}");
 }
 
@@ -346,14 +348,15 @@
     let busy = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
     let (first, second) = (unused_address(), busy.address);
     let (_, error) = run(&["config", "get", "--at", &format!("{first},{second}")]);
-    let expected =
-        format!("no answer: {first}: nobody listens there; {second}: 503 no machine leads");
+    let expected = format!(
+        "the call failed at every address: {first}: connection refused; {second}: status 503: no machine leads"
+    );
     assert_eq!(error, Some(expected));
 }
 
 #[test]
 fn silent_machine_times_out() {
-    // Its backlog accepts the connection, and nothing ever answers.
+    // The listener's backlog accepts the connection, but no answer is ever sent.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let well = ScriptedMachine::new(vec![ok(CONFIG)]);
     let address = [silent.local_addr().unwrap(), well.address];
@@ -390,7 +393,7 @@
     ]);
     assert_eq!(
         (out.as_str(), error),
-        ("version 7 is taken; it builds on 5\n", None)
+        ("version 7 is now in force; it replaces version 5\n", None)
     );
     let requests = last.requests();
     assert_eq!(
@@ -407,7 +410,7 @@
     assert_eq!(
         error,
         Some(format!(
-            "no answer: {}: sent on more than 2 times",
+            "the call failed at every address: {}: redirected more than 2 times",
             redirecting.address
         ))
     );
@@ -440,7 +443,7 @@
         "--at",
         &machine.address.to_string(),
     ]);
-    assert_eq!(out, "version 7 is taken; it builds on 0\n");
+    assert_eq!(out, "version 7 is now in force; it replaces version 0\n");
 
     let machine = ScriptedMachine::new(vec![ok(CONFIG)]);
     let (out, _) = run(&[
@@ -450,7 +453,7 @@
         "--at",
         &machine.address.to_string(),
     ]);
-    assert_eq!(out, "version 7 is in force already\n");
+    assert_eq!(out, "version 7 is already in force\n");
 }
 
 #[test]
@@ -471,7 +474,7 @@
     assert_eq!(
         put(&other).1,
         Some(format!(
-            "refused by {} (412): version 6 is in place",
+            "{} rejected the call with status 412: version 6 is in place",
             other.address
         ))
     );
@@ -479,7 +482,7 @@
     assert_eq!(
         put(&invalid).1,
         Some(format!(
-            "refused by {} (400): epoch is not above 7",
+            "{} rejected the call with status 400: epoch is not above 7",
             invalid.address
         ))
     );
@@ -502,7 +505,7 @@
     assert_eq!(
         error,
         Some(format!(
-            "no answer: {}: nobody listens there",
+            "the call failed at every address: {}: connection refused",
             unused_address()
         ))
     );
@@ -545,7 +548,7 @@
         "--at",
         &machine.address.to_string(),
     ]);
-    assert_eq!(out, "no difference to version 7\n");
+    assert_eq!(out, "no difference from version 7\n");
     let machine = ScriptedMachine::new(vec![reply(404, "")]);
     let (out, _) = run(&[
         "config",
@@ -622,7 +625,7 @@
     let (out, error) = run(&["primaries", "--at", &machine.address.to_string()]);
     assert_eq!(
         out,
-        "core-lima-a-1 answered and doesn't lead: primaries and routers aren't known to it\n"
+        "core-lima-a-1 answered and is not the leader: it doesn't know primaries and routers\n"
     );
     assert_eq!(error, None);
 }
