--- a/crates/runtime/pooler/src/cli.rs
+++ b/crates/runtime/pooler/src/cli.rs
@@ -66,8 +66,8 @@
     Put {
         /// The configuration file (JSON), or `-` for standard input.
         file: PathBuf,
-        /// The version that the new configuration replaces; 0 if there is none. Default: the version
-        /// in force, which the command reads first.
+        /// The version that the new configuration replaces; 0 if there is none. By default, the
+        /// command reads the version in force first.
         #[arg(long, value_name = "N")]
         base: Option<u64>,
         /// The control machines to call, and the output format.
--- a/crates/runtime/pooler/src/cli/client.rs
+++ b/crates/runtime/pooler/src/cli/client.rs
@@ -244,8 +244,8 @@
     }
 }
 
-/// Returns whether an answer with this status ends the call. After any other answer, another machine
-/// may succeed.
+/// Returns whether an answer with this status ends the call. After any other answer, another
+/// machine may succeed.
 fn is_final(status: u16) -> bool {
     !matches!(status, 408 | 429 | 500..)
 }
--- a/crates/runtime/pooler/src/cli/status.rs
+++ b/crates/runtime/pooler/src/cli/status.rs
@@ -45,12 +45,14 @@
             _ => "since its start".to_owned(),
         };
         notes += &format!(
-            "{node} has been out of contact with a majority of control machines {since}: its data may be out of date\n"
+            "{node} has been out of contact with a majority of control machines {since}: its data \
+             may be out of date\n"
         );
     }
     if status.disk_failed {
         notes += &format!(
-            "{node} can't write to its disk: it takes no part in decisions until its disk accepts writes again\n"
+            "{node} can't write to its disk: it takes no part in decisions until its disk accepts \
+             writes again\n"
         );
     }
     if status.no_voter {
--- a/crates/runtime/pooler/src/control.rs
+++ b/crates/runtime/pooler/src/control.rs
@@ -62,7 +62,8 @@
     MissingStateDir,
     /// The settings name no address for HTTP requests.
     #[error(
-        "setting bind_addrs.control is missing: a control machine answers HTTP requests at this address"
+        "setting bind_addrs.control is missing: a control machine answers HTTP requests at this \
+         address"
     )]
     MissingControlAddress,
     /// The hard state can't be read from the disk or initialized.
@@ -231,7 +232,7 @@
             .set_seeds_and_budget(config::seed_nodes(settings), config::fault_budget(settings));
     }
 
-    /// Ticks the controller at a fixed interval, for as long as the process runs.
+    /// Ticks the controller at regular intervals, for as long as the process runs.
     async fn run(self: Rc<Self>) {
         loop {
             let outputs = self.controller.borrow_mut().tick(clock::now());
--- a/crates/runtime/pooler/src/frames.rs
+++ b/crates/runtime/pooler/src/frames.rs
@@ -66,7 +66,8 @@
     TooLong(usize),
     /// The body is not a DEFLATE stream, or decompresses to more than [`MAX_FRAME_BYTES`].
     #[error(
-        "frame body can't be decompressed: invalid DEFLATE stream or more than {MAX_FRAME_BYTES} bytes"
+        "frame body can't be decompressed: invalid DEFLATE stream or more than {MAX_FRAME_BYTES} \
+         bytes"
     )]
     Compression,
     /// The body is not an encoded [`Frame`], or has trailing bytes.
@@ -136,8 +137,8 @@
 ///
 /// # Errors
 ///
-/// Errors of the connection, or [`ErrorKind::TimedOut`] if writing one chunk of
-/// [`WRITE_CHUNK_BYTES`] takes longer than `stall_timeout_s` seconds.
+/// Errors of the connection, or [`ErrorKind::TimedOut`] if writing one chunk (`WRITE_CHUNK_BYTES`)
+/// takes longer than `stall_timeout_s` seconds.
 pub async fn write_with_stall_timeout(
     stream: &mut (impl AsyncWriteExt + Unpin),
     bytes: &[u8],
--- a/crates/runtime/pooler/src/http.rs
+++ b/crates/runtime/pooler/src/http.rs
@@ -1,9 +1,9 @@
 //! A small HTTP/1.1 server. Each connection has one task, which answers its requests one after the
 //! other.
 //!
-//! Each service (control API, readiness, metrics) implements [`Handler`] and binds its own listener.
-//! This module owns the connections and limits their number. It does not route requests; the handler
-//! interprets the paths.
+//! Each service (control API, readiness, metrics) implements [`Handler`] and binds its own
+//! listener. This module owns the connections and limits their number. It does not route requests;
+//! the handler interprets the paths.
 
 use crate::net;
 use async_executor::LocalExecutor;
--- a/crates/runtime/pooler/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -1,5 +1,5 @@
-//! `badgerstream-pooler`: the program that runs on every machine of the system, and the commands for
-//! operators.
+//! `badgerstream-pooler`: the program that runs on every machine of the system, and the commands
+//! for operators.
 
 use badgerstream_pooler::{cli, process};
 use clap::{Parser, Subcommand};
--- a/crates/runtime/pooler/src/process/readiness.rs
+++ b/crates/runtime/pooler/src/process/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness requests of the platform: whether it may direct new client connections to this machine.
+//! Readiness requests of the platform, which ask whether it may direct new client connections to
+//! this machine.
 
 use super::ProcessError;
 use crate::clock;
--- a/crates/runtime/pooler/src/process/shutdown.rs
+++ b/crates/runtime/pooler/src/process/shutdown.rs
@@ -13,7 +13,7 @@
 /// Maximum drain time, as a share of the grace period. The data plane sends its last answers a
 /// little earlier.
 const MAX_DRAIN_SHARE: f64 = 0.94;
-/// How long a control machine waits to be removed from the voters, in seconds.
+/// Maximum time for which a control machine waits to be removed from the voters, in seconds.
 const LEAVE_VOTERS_TIMEOUT_S: f64 = 1.2;
 /// Interval between two checks for work in flight, in seconds.
 const CHECK_INTERVAL_S: f64 = 0.025;
--- a/crates/runtime/pooler/src/tests/cli.rs
+++ b/crates/runtime/pooler/src/tests/cli.rs
@@ -106,7 +106,7 @@
     let error = result.err().map(|e| e.to_string());
     assert!(
         error.as_ref().is_none_or(|e| !e.contains('\n')),
-        "an error is one line: {error:?}"
+        "the error has more than one line: {error:?}"
     );
     (String::from_utf8(out).unwrap(), error)
 }
@@ -186,9 +186,9 @@
 
 #[test]
 fn settings_check_reports_line_and_field() {
-    let right =
+    let without_state_dir =
         "node_name=core-1\nrole=control\nip=10.1.0.8\nzone=a\nbind_addrs.control=10.1.0.8:8782\n";
-    let file = TempFile::new("no-disk", right);
+    let file = TempFile::new("no-state-dir", without_state_dir);
     let (out, error) = run(&["check", file.name(), "--json"]);
     let expected = "\"valid\":false,\"line\":null,\"field\":\"state_dir\",\"error\":\"field state_dir: missing\"}\n";
     assert!(out.ends_with(expected), "{out}");
@@ -196,7 +196,7 @@
 
     let file = TempFile::new(
         "valid",
-        &format!("{right}state_dir=/var/lib/badgerstream-pooler\n"),
+        &format!("{without_state_dir}state_dir=/var/lib/badgerstream-pooler\n"),
     );
     let (out, error) = run(&["check", file.name()]);
     assert_eq!(
@@ -207,7 +207,10 @@
         )
     );
 
-    let file = TempFile::new("wrong", &right.replace("zone=a", "zone=a\nport_range=9,3"));
+    let file = TempFile::new(
+        "wrong",
+        &without_state_dir.replace("zone=a", "zone=a\nport_range=9,3"),
+    );
     let (out, error) = run(&["check", file.name()]);
     assert_eq!(out, "");
     assert!(
@@ -332,21 +335,21 @@
 
 #[test]
 fn next_address_is_called_when_one_fails() {
-    let busy = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
-    let deaf = ScriptedMachine::new(vec![Vec::new()]);
-    let well = ScriptedMachine::new(vec![ok(CONFIG)]);
+    let leaderless = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
+    let silent = ScriptedMachine::new(vec![Vec::new()]);
+    let healthy = ScriptedMachine::new(vec![ok(CONFIG)]);
     let address = format!(
         "{},{},{},{}",
         unused_address(),
-        busy.address,
-        deaf.address,
-        well.address
+        leaderless.address,
+        silent.address,
+        healthy.address
     );
     let (out, error) = run(&["config", "get", "--at", &address]);
     assert_eq!((out, error), (format!("{CONFIG}\n"), None));
 
-    let busy = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
-    let (first, second) = (unused_address(), busy.address);
+    let leaderless = ScriptedMachine::new(vec![reply(503, "no machine leads\n")]);
+    let (first, second) = (unused_address(), leaderless.address);
     let (_, error) = run(&["config", "get", "--at", &format!("{first},{second}")]);
     let expected = format!(
         "the call failed at every address: {first}: connection refused; {second}: status 503: no machine leads"
@@ -358,8 +361,8 @@
 fn silent_machine_times_out() {
     // The listener's backlog accepts the connection, but no answer is ever sent.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let well = ScriptedMachine::new(vec![ok(CONFIG)]);
-    let address = [silent.local_addr().unwrap(), well.address];
+    let healthy = ScriptedMachine::new(vec![ok(CONFIG)]);
+    let address = [silent.local_addr().unwrap(), healthy.address];
     let found = Client::with_timeout(&address, Duration::from_millis(40))
         .config()
         .unwrap();
@@ -470,12 +473,12 @@
             &machine.address.to_string(),
         ])
     };
-    let other = ScriptedMachine::new(vec![reply(412, "version 6 is in place\n")]);
+    let conflicting = ScriptedMachine::new(vec![reply(412, "version 6 is in place\n")]);
     assert_eq!(
-        put(&other).1,
+        put(&conflicting).1,
         Some(format!(
             "{} rejected the call with status 412: version 6 is in place",
-            other.address
+            conflicting.address
         ))
     );
     let invalid = ScriptedMachine::new(vec![reply(400, "{\"error\":\"epoch is not above 7\"}")]);
@@ -486,11 +489,11 @@
             invalid.address
         ))
     );
-    let unclear = ScriptedMachine::new(vec![Vec::new()]);
-    let expected = put(&unclear).1.unwrap();
+    let unanswered = ScriptedMachine::new(vec![Vec::new()]);
+    let error = put(&unanswered).1.unwrap();
     assert!(
-        expected.contains("isn't known") && expected.contains("--base 4"),
-        "{expected}"
+        error.contains("isn't known") && error.contains("--base 4"),
+        "{error}"
     );
 
     let (_, error) = run(&[
@@ -510,7 +513,7 @@
         ))
     );
 
-    // An invalid file is found before any call.
+    // An invalid file is rejected before any call.
     let file = TempFile::new("put-wrong", &CONFIG.replace("\"leader\"", "\"lead\""));
     let (_, error) = run(&[
         "config",
@@ -610,8 +613,8 @@
     follower_status.leads = false;
     follower_status.primaries.clear();
     follower_status.leader = Some("127.0.0.2".to_owned());
-    let seen_text = follower_status.serialize_json();
-    let machine = ScriptedMachine::new(vec![ok(&seen_text)]);
+    let follower_text = follower_status.serialize_json();
+    let machine = ScriptedMachine::new(vec![ok(&follower_text)]);
     let leader = ScriptedMachine::on(
         SocketAddr::new(IpAddr::from([127, 0, 0, 2]), machine.address.port()),
         vec![ok(&status().serialize_json())],
@@ -620,8 +623,8 @@
     assert!(out.contains("db-1"), "{out}");
     drop(leader.requests());
 
-    // If the leader can't be reached, the view of the follower is printed, with a note.
-    let machine = ScriptedMachine::new(vec![ok(&seen_text)]);
+    // If the leader can't be reached, the status of the follower is printed with a note.
+    let machine = ScriptedMachine::new(vec![ok(&follower_text)]);
     let (out, error) = run(&["primaries", "--at", &machine.address.to_string()]);
     assert_eq!(
         out,
--- a/crates/runtime/pooler/src/tests/frame_bytes.rs
+++ b/crates/runtime/pooler/src/tests/frame_bytes.rs
@@ -1,8 +1,8 @@
 //! Fixtures pin the bytes of frames on a connection, because processes of different releases read
 //! each other's frames.
 //!
-//! Each line of `fixtures/frames.txt` is a name and the whole frame, including the length prefix, in
-//! hexadecimal.
+//! Each line of `fixtures/frames.txt` is a name and the whole frame, including the length prefix,
+//! in hexadecimal.
 
 use super::hex::{hex, unhex};
 use crate::frames::{self, Frame};
--- a/crates/runtime/pooler/src/tests/members_file.rs
+++ b/crates/runtime/pooler/src/tests/members_file.rs
@@ -82,19 +82,19 @@
 /// A write replaces the file completely, and the partial file of an interrupted write is ignored.
 #[test]
 fn persisted_members_are_read_by_the_next_incarnation() {
-    let folder = std::env::temp_dir().join(format!(
+    let directory = std::env::temp_dir().join(format!(
         "badgerstream-pooler-servers-{}",
         std::process::id()
     ));
-    std::fs::create_dir_all(&folder).unwrap();
-    let file = MembersFile::new(folder.join("servers"));
+    std::fs::create_dir_all(&directory).unwrap();
+    let file = MembersFile::new(directory.join("servers"));
     for known in [&["a"][..], &["a", "b"]] {
-        std::fs::write(folder.join("servers.next"), b"half of it").unwrap();
+        std::fs::write(directory.join("servers.next"), b"half of it").unwrap();
         assert!(file.persist(1.0, &controller(known)));
         let read: Vec<String> = file.read().into_iter().map(|member| member.id).collect();
         assert_eq!(read, known);
     }
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
     assert!(
         !file.persist(2.0, &controller(&["a"])),
         "the directory was removed"
@@ -137,9 +137,9 @@
 fn file_has_the_bytes_of_its_fixture() {
     let pinned = unhex(include_str!("fixtures/servers.txt").trim());
     let name = format!("badgerstream-pooler-servers-pinned-{}", std::process::id());
-    let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder).unwrap();
-    let path = folder.join("servers");
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory).unwrap();
+    let path = directory.join("servers");
     std::fs::write(&path, &pinned).unwrap();
     let read = MembersFile::new(path.clone()).read();
     std::fs::remove_file(&path).unwrap();
@@ -147,7 +147,7 @@
     controller.restore_members(0.0, pinned_servers(9), 0.0);
     assert!(MembersFile::new(path.clone()).persist(1.0, &controller));
     let written = std::fs::read(&path).unwrap();
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
     assert_eq!(
         read,
         pinned_servers(0),
--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -35,29 +35,29 @@
 }
 
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("its address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is found");
+    listener.local_addr().expect("the listener has an address")
 }
 
 /// The only control machine is the leader and knows one server, and so one service.
 #[test]
 fn metric_names_of_a_control_machine_are_stable() {
-    let folder = std::env::temp_dir().join(format!(
+    let directory = std::env::temp_dir().join(format!(
         "badgerstream-pooler-metrics-{}",
         std::process::id()
     ));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let (peers, calls) = (free_address(), free_address());
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    let (peer_address, api_address) = (free_address(), free_address());
     let settings = format!(
         "node_name=n\nrole=r\nip=127.0.0.1\nzone=z\nbootstrap=true\nstate_dir={}\n\
-         port_range={},65535\nbind_addrs.control={calls}\nseeds={calls}\n",
-        folder.display(),
-        peers.port(),
+         port_range={},65535\nbind_addrs.control={api_address}\nseeds={api_address}\n",
+        directory.display(),
+        peer_address.port(),
     );
     let settings = Settings::parse(&settings).expect("valid settings");
     let tasks = Rc::new(LocalExecutor::new());
-    let control = ControlNode::start(&tasks, &settings, 7).expect("it starts");
-    let beat = r#"{"backend":"db","endpoint":"127.0.0.1:1","phase":"ready","call_seq":1}"#;
+    let control = ControlNode::start(&tasks, &settings, 7).expect("the machine starts");
+    let heartbeat = r#"{"backend":"db","endpoint":"127.0.0.1:1","phase":"ready","call_seq":1}"#;
     let text = async_io::block_on(tasks.run(async {
         let wait = async |what: &str, holds: &dyn Fn() -> bool| {
             let begin = clock::now();
@@ -73,16 +73,16 @@
             control.snapshot(clock::now()).is_leader
         })
         .await;
-        let mut stream = Async::<TcpStream>::connect(calls)
+        let mut stream = Async::<TcpStream>::connect(api_address)
             .await
-            .expect("it listens");
+            .expect("the machine accepts connections");
         let headers = [("Connection", "close")];
         let call = encode_request(
             "POST",
             "/api/Members.Heartbeat/i-1",
             "h",
             &headers,
-            beat.as_bytes(),
+            heartbeat.as_bytes(),
         );
         stream.write_all(&call).await.expect("the call is sent");
         let mut answer = Vec::new();
@@ -97,6 +97,6 @@
         };
         metrics.text()
     }));
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
     assert_eq!(outline(&text), include_str!("fixtures/metrics_control.txt"));
 }
