--- a/crates/runtime/pooler/src/control/peers.rs
+++ b/crates/runtime/pooler/src/control/peers.rs
@@ -52,7 +52,7 @@
 }
 
 impl Peers {
-    /// Returns the notification of connections that this machine opens.
+    /// Returns the [`Notify`] that is notified when `node` opens a connection to this machine.
     fn connected(&self, node: NodeId) -> Rc<Notify> {
         self.connected.borrow_mut().entry(node).or_default().clone()
     }
--- a/crates/runtime/pooler/src/main.rs
+++ b/crates/runtime/pooler/src/main.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A database pooler with failover.
+/// A database pooler with failover: routers, control machines and commands for operators.
 #[derive(Parser)]
-#[command(name = "badgerstream-pooler", version, about)]
+#[command(name = "badgerstream-pooler", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
--- a/crates/runtime/pooler/src/process/shutdown.rs
+++ b/crates/runtime/pooler/src/process/shutdown.rs
@@ -32,7 +32,7 @@
         let elapsed_s = clock::now() - started_at;
         let in_flight = in_flight(roles);
         let is_drained =
-            elapsed_s > min_drain_s && need_not_stay_voter(roles, elapsed_s) && in_flight == 0;
+            elapsed_s > min_drain_s && may_end_as_voter(roles, elapsed_s) && in_flight == 0;
         if is_drained || elapsed_s > MAX_DRAIN_SHARE * grace_s {
             log::info!("event=shutdown_completed open={in_flight} after_s={elapsed_s:.2}");
             return;
@@ -53,9 +53,9 @@
     statements + requests
 }
 
-/// Returns whether the process need not wait (any longer) for its control machine to be removed
-/// from the voters.
-fn need_not_stay_voter(roles: &Roles, elapsed_s: f64) -> bool {
+/// Returns whether the shutdown need not wait (any longer) for the control machine, if there is one,
+/// to be removed from the voters.
+fn may_end_as_voter(roles: &Roles, elapsed_s: f64) -> bool {
     elapsed_s > LEAVE_VOTERS_TIMEOUT_S
         || roles
             .control
