--- a/crates/runtime/pooler/src/process/shutdown.rs
+++ b/crates/runtime/pooler/src/process/shutdown.rs
@@ -53,8 +53,8 @@
     statements + requests
 }
 
-/// Returns whether the shutdown need not wait (any longer) for the control machine, if there is one,
-/// to be removed from the voters.
+/// Returns whether the shutdown need not wait (any longer) for the control machine, if there is
+/// one, to be removed from the voters.
 fn may_end_as_voter(roles: &Roles, elapsed_s: f64) -> bool {
     elapsed_s > LEAVE_VOTERS_TIMEOUT_S
         || roles
