--- a/crates/runtime/pooler/src/tests/metric_names.rs
+++ b/crates/runtime/pooler/src/tests/metric_names.rs
@@ -1,5 +1,4 @@
-//! Monitoring systems know the metrics by name: their names, types and labels are pinned by
-//! fixtures.
+//! Fixtures pin the names, types and labels of metrics, because monitoring systems refer to them.
 
 use crate::clock;
 use crate::control::ControlNode;
@@ -14,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One line for each metric: its name, its type, and the names of its labels.
+/// Returns one line for each metric: its name, its type, and the names of its labels.
 pub(crate) fn outline(text: &str) -> String {
     let mut outline = String::new();
     for metric in text.lines().filter_map(|line| line.strip_prefix("# TYPE ")) {
@@ -36,56 +35,59 @@
 }
 
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.local_addr().expect("its address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is found");
+    listener.local_addr().expect("the listener has an address")
 }
 
-/// A control machine alone, which leads and knows a server and so a service.
+/// The only control machine is the leader and knows one server, and so one service.
 #[test]
 fn metric_names_of_a_control_machine_are_stable() {
-    let folder = std::env::temp_dir().join(format!(
+    let directory = std::env::temp_dir().join(format!(
         "badgerstream-pooler-metrics-{}",
         std::process::id()
     ));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let (peers, calls) = (free_address(), free_address());
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    let (peer_address, api_address) = (free_address(), free_address());
     let settings = format!(
         "node_name=n\nrole=r\nip=127.0.0.1\nzone=z\nbootstrap=true\nstate_dir={}\n\
-         port_range={},65535\nbind_addrs.control={calls}\nseeds={calls}\n",
-        folder.display(),
-        peers.port(),
+         port_range={},65535\nbind_addrs.control={api_address}\nseeds={api_address}\n",
+        directory.display(),
+        peer_address.port(),
     );
     let settings = Settings::parse(&settings).expect("valid settings");
     let tasks = Rc::new(LocalExecutor::new());
-    let control = ControlNode::start(&tasks, &settings, 7).expect("it starts");
-    let beat = r#"{"backend":"db","endpoint":"127.0.0.1:1","phase":"ready","call_seq":1}"#;
+    let control = ControlNode::start(&tasks, &settings, 7).expect("the machine starts");
+    let heartbeat = r#"{"backend":"db","endpoint":"127.0.0.1:1","phase":"ready","call_seq":1}"#;
     let text = async_io::block_on(tasks.run(async {
         let wait = async |what: &str, holds: &dyn Fn() -> bool| {
             let begin = clock::now();
             while !holds() {
-                assert!(clock::now() - begin < 10.0, "not within 10 s: {what}");
+                assert!(
+                    clock::now() - begin < 10.0,
+                    "waited more than 10 s until {what}"
+                );
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        wait("it is the leader", &|| {
+        wait("the machine is the leader", &|| {
             control.snapshot(clock::now()).is_leader
         })
         .await;
-        let mut stream = Async::<TcpStream>::connect(calls)
+        let mut stream = Async::<TcpStream>::connect(api_address)
             .await
-            .expect("it listens");
+            .expect("the machine accepts connections");
         let headers = [("Connection", "close")];
         let call = encode_request(
             "POST",
             "/api/Members.Heartbeat/i-1",
             "h",
             &headers,
-            beat.as_bytes(),
+            heartbeat.as_bytes(),
         );
         stream.write_all(&call).await.expect("the call is sent");
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.expect("an answer");
-        wait("a service", &|| {
+        wait("the machine knows a service", &|| {
             !control.snapshot(clock::now()).primaries_by_phase.is_empty()
         })
         .await;
@@ -95,6 +97,6 @@
         };
         metrics.text()
     }));
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
     assert_eq!(outline(&text), include_str!("fixtures/metrics_control.txt"));
 }
