--- a/crates/runtime/pooler/src/data_plane/admission.rs
+++ b/crates/runtime/pooler/src/data_plane/admission.rs
@@ -1,7 +1,7 @@
-//! Admission at a server: tasks wait for one of a bounded number of permits, by rank and arrival.
+//! Admission at a server: tasks wait for one of a limited number of permits, by rank and arrival.
 //!
-//! Each pool owns two queues, one for connections and one for slots. The order is decided by
-//! [`badgerstream_pooling::queue`]; this module parks and wakes the tasks.
+//! Each pool owns two queues, one for connections and one for slots.
+//! [`badgerstream_pooling::queue`] decides the order; this module suspends and wakes the tasks.
 
 use crate::clock;
 use badgerstream_pooling::queue::{Queue, QueueEntry};
@@ -11,33 +11,34 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// By which rank, and until when, a statement waits to be admitted.
+/// The rank with which a statement waits for admission, and how long. Times are seconds of the
+/// monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct AdmissionTerms {
-    /// 0 goes first.
+    /// Rank 0 is admitted first.
     pub(super) rank: u32,
-    /// Admitted by this second, the statement can still meet the latency target of its route.
+    /// Latest admission at which the statement can still meet the latency target of its route.
     pub(super) latest_start: f64,
-    /// The statement waits no longer than until this second.
+    /// When the statement stops waiting.
     pub(super) give_up_at: f64,
 }
 
-/// Where a waiting task stands.
+/// The state of a task in the queue.
 enum Waiter {
-    /// It is woken by this once admitted.
+    /// The task waits; this wakes it once it is admitted.
     Waiting(Waker),
-    /// It is admitted, and has not run since.
+    /// The task is admitted, but has not run since.
     Admitted,
 }
 
-/// A queue for a bounded number of permits.
+/// A queue for a limited number of permits.
 pub(super) struct AdmissionQueue {
     queue: RefCell<Queue>,
     waiters: RefCell<HashMap<QueueEntry, Waiter>>,
 }
 
 impl AdmissionQueue {
-    /// A queue that admits `limit` at once.
+    /// Creates a queue with `limit` permits.
     pub(super) fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             queue: RefCell::new(Queue::new(limit)),
@@ -45,39 +46,41 @@
         })
     }
 
-    /// Changes the limit, and admits those that it now allows.
+    /// Changes the number of permits, and admits the waiting tasks that the new limit allows.
     pub(super) fn set_limit(&self, limit: usize) {
         self.queue.borrow_mut().set_limit(limit);
         self.admit_waiting();
     }
 
-    /// How many permits there are at once.
+    /// Returns the number of permits.
     pub(super) fn limit(&self) -> usize {
         self.queue.borrow().limit()
     }
 
-    /// How many permits are held.
+    /// Returns the number of permits in use.
     pub(super) fn admitted(&self) -> usize {
         self.queue.borrow().admitted()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting tasks.
     pub(super) fn waiting_count(&self) -> usize {
         self.queue.borrow().waiting_count()
     }
 
-    /// Whether whoever comes now must wait.
+    /// Returns whether a task that arrives now must wait.
     pub(super) fn is_full(&self) -> bool {
         self.queue.borrow().is_full()
     }
 
-    /// How many would be admitted before one of this rank that came now.
+    /// Returns how many waiting tasks would be admitted before one that arrives now with this rank
+    /// and latest start (seconds of the monotonic clock).
     pub(super) fn entries_ahead(&self, rank: u32, latest_start: f64, now: f64) -> usize {
         self.queue.borrow().entries_ahead(rank, latest_start, now)
     }
 
-    /// Waits for a permit, by rank (0 first) and arrival; once `latest_start` (seconds) is past,
-    /// after those that can still be in time. Dropping the future leaves the queue.
+    /// Waits for a permit, by rank (0 first) and arrival. After `latest_start` (seconds of the
+    /// monotonic clock) the task is admitted after those that can still be in time. Dropping the
+    /// future leaves the queue.
     pub(super) async fn acquire(self: &Rc<Self>, rank: u32, latest_start: f64) -> Permit {
         let Some(entry) = self.queue.borrow_mut().enter(rank, latest_start) else {
             return Permit(self.clone());
@@ -118,7 +121,7 @@
     }
 }
 
-/// The right to use what the queue bounds; given back when dropped.
+/// The right to use one of the connections or slots that the queue limits; released when dropped.
 pub(super) struct Permit(Rc<AdmissionQueue>);
 
 impl Drop for Permit {
@@ -127,7 +130,7 @@
     }
 }
 
-/// Takes a waiting task out of the queue when its future is dropped.
+/// Removes a waiting task from the queue when its future is dropped.
 struct CancelGuard {
     admission_queue: Rc<AdmissionQueue>,
     entry: QueueEntry,
@@ -141,8 +144,8 @@
             .waiters
             .borrow_mut()
             .remove(&self.entry);
-        // Admitted, but dropped before it ran: the permit goes to the next. A task that has run
-        // removed its waiter, and holds the permit.
+        // The task was admitted but dropped before it ran: its permit goes to the next one. A task
+        // that did run has removed its waiter and holds the permit.
         if !was_waiting && matches!(waiter, Some(Waiter::Admitted)) {
             self.admission_queue.release();
         }
--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -1,16 +1,17 @@
 //! A client's session, from its first byte to its end.
 //!
-//! The listener starts one task a client, which runs [`serve`]:
+//! The listener starts one task per client, which runs [`serve`]:
 //!
-//! - [`handshake`]: the database that the client names;
-//! - `next_request`: the next line, the client's end, an idle transaction, or shutdown;
-//! - `dispatch`: what each statement asks for;
-//! - `single_statement`, `transaction`, `commit`: statements that run at a server, in the words of
-//!   `statement`, on a connection that `placement` got;
-//! - `response`, `connection`: what the client is sent, and its socket.
+//! - [`handshake`]: reads which database the client connects to;
+//! - `next_request`: waits for the next line, a disconnect, the idle timeout of a transaction, or
+//!   shutdown;
+//! - `dispatch`: answers each statement in the router or has it run at a server;
+//! - `single_statement`, `transaction`, `commit`: run statements at a server, on a connection that
+//!   `placement` obtains, with the lines that `statement` writes;
+//! - `response`, `connection`: the responses to the client, and its socket.
 //!
-//! The task owns the session and, inside a transaction, the checkout of the connection. A write that
-//! may have run is never sent again.
+//! The task owns the session and, inside a transaction, the checked-out connection. A write that may
+//! have run is never sent again.
 
 mod commit;
 mod connection;
@@ -40,17 +41,17 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// After how many milliseconds without acknowledgement of a byte a client's connection breaks
+/// A client's connection breaks when sent bytes stay unacknowledged for this long, in milliseconds
 /// (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT_MS: u32 = 10_000;
-/// The fraction of its deadline after which a statement without a placement is rejected, so that its
-/// client has time left to try elsewhere.
+/// Fraction of the statement's maximum duration after which a statement without a placement is
+/// rejected, so that its client has time left to use another router.
 const PLACEMENT_DEADLINE_FRACTION: f64 = 0.45;
-/// The first backoff after a primary refused a statement, in seconds; it doubles with each attempt.
-const BACKOFF_S: f64 = 0.02;
-/// How often the backoff doubles at most.
+/// First backoff after a primary refused a statement, in seconds; it doubles with each attempt.
+const INITIAL_BACKOFF_S: f64 = 0.02;
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// How many connections a server takes while the configuration doesn't name its service.
+/// Assumed connection limit of a server while the configuration doesn't name its service.
 const DEFAULT_MAX_CONNECTIONS: usize = 16;
 
 /// Serves a client until its session ends.
@@ -86,23 +87,23 @@
     }
 }
 
-/// A client's session and all that serves it.
+/// A client's session with its connection and its open transaction.
 struct ClientSession {
     data_plane: Rc<DataPlane>,
     database: Rc<str>,
     client: ClientConnection,
     session: Session,
     handle: Rc<SessionHandle>,
-    /// The terms of the route, as they were when the open transaction began at a server.
+    /// The terms of the route when the open transaction began at a server.
     terms: Option<RouteTerms>,
     /// The connection of the open transaction, once it has begun at a server.
     checkout: Option<Checkout>,
-    /// Whether the client was told that its transaction has failed.
+    /// Whether the client has been told that its transaction has failed.
     failure_reported: bool,
 }
 
 impl ClientSession {
-    /// Answers one request after the other until the session ends.
+    /// Answers requests one after the other until the session ends.
     async fn run(&mut self) {
         loop {
             let Some(line) = self.next_request().await else {
@@ -112,13 +113,16 @@
             let arrived_at = clock::now();
             let response = match Request::parse(&line) {
                 Ok(Request::Query { id, text }) => {
-                    // On the heap while it runs: the future of an idle session stays small.
+                    // The future of a statement is on the heap, so that that of an idle session
+                    // stays small.
                     let response = Box::pin(self.query(id, text, arrived_at)).await;
                     self.data_plane.counts.ended(text, response.end());
                     response
                 }
                 Ok(Request::Bye) => return,
-                Ok(Request::Connect { .. }) => self.malformed("connected already"),
+                Ok(Request::Connect { .. }) => {
+                    self.malformed("CONNECT in a session that is already connected")
+                }
                 Err(error) => self.malformed(&error.to_string()),
             };
             drop(line);
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Sends the response to a request; false if the session is over.
+    /// Sends the response to a request. Returns whether the session goes on.
     async fn respond(&self, response: Response) -> bool {
         match response {
             Response::Forward(raw) => self.client.write(&raw).await,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// The terms of the route of the session's database, as configured now.
+    /// Returns the terms of the route of the session's database, as configured now.
     fn route_terms(&self) -> Option<RouteTerms> {
         let config = self.data_plane.shared_view.view.borrow().config.clone()?;
         let route = config.route(&self.database)?;
@@ -166,7 +170,7 @@
     }
 }
 
-/// Counts a statement as active for as long as it lives.
+/// Counts a statement as active until this value is dropped.
 struct ActiveStatement(Rc<DataPlane>);
 
 impl ActiveStatement {
--- a/crates/runtime/pooler/src/data_plane/client/commit.rs
+++ b/crates/runtime/pooler/src/data_plane/client/commit.rs
@@ -1,4 +1,4 @@
-//! The commit of a transaction, under the lease.
+//! Commits a transaction. One that has written is committed only while the lease is valid.
 
 use super::response::{Response, error};
 use super::{ClientSession, PLACEMENT_DEADLINE_FRACTION};
@@ -11,8 +11,7 @@
 struct SentCommit {
     /// The connection that it was sent on.
     checkout: Checkout,
-    /// The primary term of the grant under which it was sent; none of a read-only transaction at a
-    /// replica.
+    /// The primary term of the grant under which it was sent; `None` at a replica.
     granted_term: Option<u64>,
     /// Whether the transaction has written.
     has_written: bool,
@@ -26,7 +25,7 @@
     /// Commits the open transaction.
     pub(super) async fn commit(&mut self, id: &str, text: &str, arrived_at: f64) -> Response {
         if let Err(response) = self.begin_at_server(arrived_at, None).await {
-            // The client has asked for the end of the transaction, and it has ended.
+            // The client has asked to end the transaction, so it ends even though COMMIT fails.
             self.finish_transaction();
             return match response {
                 Response::Error { code, text, .. } => error(code, text, TransactionState::Idle),
@@ -46,7 +45,7 @@
         let ready = self.ready_to_commit(&mut checkout, &terms.service, has_written);
         if handle.until_rejection(give_up_at, ready).await != Some(true) {
             checkout.roll_back();
-            return aborted("the primary changes");
+            return aborted("COMMIT was not sent: the connection or the lease was not available");
         }
         let line = format!("QUERY {id} {text}\r\n");
         let mut answer = ResponseReader::default();
@@ -54,7 +53,7 @@
             .data_plane
             .granted_term(&checkout.pool.server, clock::now());
         checkout.expect_commit();
-        // Nothing of the answer may reach the client before it is judged.
+        // No part of the answer may reach the client before the grant has been checked again.
         let discard = async |_: &[u8]| true;
         let (line, target_s) = (line.as_bytes(), terms.target_s);
         let exchange =
@@ -73,14 +72,14 @@
         self.conclude_commit(&commit, answer.raw, outcome)
     }
 
-    /// Waits until the commit may be sent; false if it must not be.
+    /// Waits until the commit may be sent. Returns `false` if it must not be sent.
     async fn ready_to_commit(
         &mut self,
         checkout: &mut Checkout,
         service: &str,
         has_written: bool,
     ) -> bool {
-        // Values that the client has set since its last statement are part of the commit.
+        // Values that the client has set since its last statement take effect with the commit.
         if checkout.prepare(&self.session.values, None).await.is_err() {
             return false;
         }
@@ -91,7 +90,7 @@
         self.session.primary_affinity.touch(clock::now());
         let server = &checkout.pool.server;
         loop {
-            // Writes are durable only under the lease. One that has ended may be renewed in time.
+            // Writes are durable only under the lease. A lease that has ended may be renewed in time.
             let generation = self.data_plane.shared_view.changed.generation();
             if self.data_plane.is_leased(server, clock::now()) {
                 return true;
@@ -107,7 +106,7 @@
         }
     }
 
-    /// The commit was sent: what the client may know of its outcome.
+    /// Decides the response to a commit that was sent: the server's answer, aborted, or in doubt.
     fn conclude_commit(
         &mut self,
         commit: &SentCommit,
@@ -118,10 +117,10 @@
         match outcome {
             Ok(outcome) => {
                 if outcome.error.is_none() && commit.has_written {
-                    if !self.is_granted_still(server, commit.granted_term) {
+                    if !self.is_still_granted(server, commit.granted_term) {
                         return error(
                             ErrorCode::InDoubt,
-                            "the primary changes",
+                            "the lease on the primary ended before the answer",
                             TransactionState::Idle,
                         );
                     }
@@ -129,15 +128,15 @@
                 }
                 self.forward(raw, &outcome)
             }
-            Err(ExchangeError::Unsent) => aborted("the server was lost"),
-            // Nothing was written, so there is no doubt about anything.
-            Err(_) if !commit.has_written => aborted("the server was lost"),
+            Err(ExchangeError::Unsent) => aborted("COMMIT was not sent: the connection broke"),
+            // The transaction has written nothing, so nothing is in doubt.
+            Err(_) if !commit.has_written => aborted("the server did not answer COMMIT"),
             Err(_) => {
                 let (server_id, database) = (&server.id, &self.database);
                 log::info!("event=in_doubt server={server_id} database={database}");
                 error(
                     ErrorCode::InDoubt,
-                    "no clear answer to COMMIT",
+                    "the server did not answer COMMIT; it may have committed",
                     TransactionState::Idle,
                 )
             }
--- a/crates/runtime/pooler/src/data_plane/client/connection.rs
+++ b/crates/runtime/pooler/src/data_plane/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: lines in, responses out.
+//! A client's connection: reads lines and writes responses.
 
 use crate::clock;
 use crate::data_plane::DataPlane;
@@ -9,7 +9,7 @@
 use std::future::pending;
 use std::net::TcpStream;
 
-/// After how many seconds a client that takes no bytes counts as disconnected.
+/// A client counts as disconnected if a write to it takes longer than this, in seconds.
 const WRITE_TIMEOUT_S: f64 = 10.0;
 
 /// The connection of a client.
@@ -19,7 +19,8 @@
 }
 
 impl ClientConnection {
-    /// Writes all bytes; false if the client has disconnected or takes none.
+    /// Writes all bytes. Returns `false` if the client has disconnected or didn't take them within
+    /// [`WRITE_TIMEOUT_S`].
     pub(super) async fn write(&self, bytes: &[u8]) -> bool {
         let written = net::until(
             clock::now() + WRITE_TIMEOUT_S,
@@ -29,7 +30,7 @@
         matches!(written, Some(Ok(())))
     }
 
-    /// Waits for bytes; false if the client has disconnected.
+    /// Waits for bytes. Returns `false` if the client has disconnected.
     pub(super) async fn read(&self, data_plane: &DataPlane) -> bool {
         loop {
             if self.stream.readable().await.is_err() {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Waits until the client has disconnected; returns none then. A client that sends more
-    /// meanwhile is still connected.
+    /// Waits until the client has disconnected, then returns `None`. If the client sends more bytes
+    /// meanwhile, it is still connected, and this never returns.
     pub(super) async fn until_closed<T>(&self, data_plane: &DataPlane) -> Option<T> {
         if self.lines.borrow().is_empty() && !self.read(data_plane).await {
             return None;
@@ -53,7 +54,7 @@
         pending().await
     }
 
-    /// The next complete line among the bytes that were read; none if there is none yet.
+    /// Returns the next complete line among the bytes read so far; `None` if there is none yet.
     pub(super) fn next_line(&self) -> Result<Option<Vec<u8>>, LineError> {
         let mut lines = self.lines.borrow_mut();
         Ok(lines.next_line()?.map(<[u8]>::to_vec))
--- a/crates/runtime/pooler/src/data_plane/client/dispatch.rs
+++ b/crates/runtime/pooler/src/data_plane/client/dispatch.rs
@@ -1,4 +1,4 @@
-//! What each statement asks for: answered by the router, or run at a server.
+//! Parses each statement, and answers it in the router or has it run at a server.
 
 use super::ClientSession;
 use super::response::{Response, error, retry_later};
@@ -8,15 +8,15 @@
 use badgerstream_line_protocol::{ErrorCode, ParsedStatement, StatementKind, TransactionState};
 use badgerstream_pooling::session::{SessionError, Transaction};
 
-/// What a client is told of a transaction that shutdown rejects.
-const DRAINING_REASON: &str = "the router ends";
+/// Error text for a transaction that shutdown rejects.
+pub(super) const DRAINING_REASON: &str = "the router is shutting down";
 
-/// What is rejected while the router drains.
+/// The kind of request that is rejected while the router drains.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Rejected {
-    /// A statement, inside a transaction or outside.
+enum RejectedRequest {
+    /// A statement, inside or outside a transaction.
     Statement,
-    /// The end of a transaction.
+    /// The `COMMIT` of a transaction.
     Commit,
 }
 
@@ -52,20 +52,20 @@
                 Err(_) => self.unknown_shape(name),
             },
             ParsedStatement::Begin { .. } if transaction != Transaction::None => {
-                self.malformed("inside a transaction")
+                self.malformed("BEGIN inside a transaction")
             }
             ParsedStatement::Begin { read_only } => self.begin(read_only, arrived_at),
             ParsedStatement::Abort | ParsedStatement::Commit
                 if transaction == Transaction::None =>
             {
-                self.malformed("outside a transaction")
+                self.malformed("COMMIT or ABORT outside a transaction")
             }
             ParsedStatement::Abort => {
                 self.roll_back();
                 Response::Done
             }
             ParsedStatement::Commit if self.is_draining() => {
-                self.reject_while_draining(Rejected::Commit)
+                self.reject_while_draining(RejectedRequest::Commit)
             }
             ParsedStatement::Commit => self.commit(id, text, arrived_at).await,
             ParsedStatement::Fetch => {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Opens a transaction. A server learns of it only with the first statement.
+    /// Opens a transaction. It begins at a server only with its first statement.
     fn begin(&mut self, read_only: bool, arrived_at: f64) -> Response {
         self.session.transaction = Transaction::Open {
             read_only,
@@ -103,7 +103,7 @@
     /// Runs a statement at a server.
     async fn run_at_server(&mut self, statement: &Statement<'_>) -> Response {
         if self.is_draining() {
-            return self.reject_while_draining(Rejected::Statement);
+            return self.reject_while_draining(RejectedRequest::Statement);
         }
         if self.session.transaction == Transaction::None {
             self.run_single(statement).await
@@ -112,22 +112,23 @@
         }
     }
 
-    /// Whether shutdown has come so far that what arrives now may not be sent to a server.
+    /// Returns whether shutdown has reached the stage at which requests that arrive now are no longer
+    /// sent to a server.
     fn is_draining(&self) -> bool {
         self.handle.drain_stage.get() >= DrainStage::RejectUnplaced
     }
 
-    /// Rejects what may not be sent to a server any more, and gives up the transaction.
-    fn reject_while_draining(&mut self, rejected: Rejected) -> Response {
+    /// Rejects a request that may no longer be sent to a server, and rolls back the transaction.
+    fn reject_while_draining(&mut self, rejected: RejectedRequest) -> Response {
         if self.session.transaction == Transaction::None {
             return retry_later(RETRY_AFTER_S, TransactionState::Idle);
         }
         match rejected {
-            Rejected::Commit => {
+            RejectedRequest::Commit => {
                 self.roll_back();
                 error(ErrorCode::Aborted, DRAINING_REASON, TransactionState::Idle)
             }
-            Rejected::Statement => {
+            RejectedRequest::Statement => {
                 self.fail_transaction();
                 error(
                     ErrorCode::Aborted,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// A failed transaction accepts nothing but its end.
+    /// Answers a statement in a failed transaction, which accepts only `COMMIT` and `ABORT`.
     fn in_failed_transaction(&mut self, parsed: &ParsedStatement<'_>) -> Response {
         match parsed {
             ParsedStatement::Commit => {
@@ -157,7 +158,7 @@
                 self.failure_reported = true;
                 error(
                     ErrorCode::Aborted,
-                    "the transaction was ended",
+                    "the transaction was rolled back: it was idle for too long",
                     TransactionState::Failed,
                 )
             }
@@ -169,7 +170,7 @@
         }
     }
 
-    /// The response to a change of the session's values or prepared statements.
+    /// Returns the response to a change of the session's values or prepared statements.
     fn session_update_response(&mut self, updated: Result<(), SessionError>) -> Response {
         match updated {
             Ok(()) => Response::Done,
@@ -177,7 +178,7 @@
         }
     }
 
-    /// The request can't be understood here; an open transaction fails.
+    /// Returns the error for a request that is invalid here, and fails an open transaction.
     pub(super) fn malformed(&mut self, reason: &str) -> Response {
         self.fail_open_transaction();
         error(
@@ -187,7 +188,7 @@
         )
     }
 
-    /// There is no prepared statement of this name; an open transaction fails.
+    /// Returns the error for an unknown prepared statement, and fails an open transaction.
     fn unknown_shape(&mut self, name: &str) -> Response {
         self.fail_open_transaction();
         error(ErrorCode::Unknown, name, self.session.transaction.state())
--- a/crates/runtime/pooler/src/data_plane/client/handshake.rs
+++ b/crates/runtime/pooler/src/data_plane/client/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake of a client: `CONNECT` with the database that it wants.
+//! The handshake with a client: `CONNECT` names the database that it wants.
 
 use super::connection::ClientConnection;
 use super::response::retry_after_ms;
@@ -9,13 +9,13 @@
 use badgerstream_line_protocol::Request;
 use std::rc::Rc;
 
-/// How long a client may take to send its `CONNECT`, in seconds.
+/// Timeout for the `CONNECT` of a client, in seconds.
 const HANDSHAKE_TIMEOUT_S: f64 = 10.0;
-/// For how long a client waits for the first configuration, in seconds.
+/// How long a client's `CONNECT` waits for the router's first configuration, in seconds.
 const CONFIG_TIMEOUT_S: f64 = 1.5;
 
-/// The database that the client connects to, once the client has its answer. None if it was rejected
-/// or has disconnected.
+/// Performs the handshake and returns the database that the client connects to; `None` if the client
+/// was rejected or has disconnected.
 pub(super) async fn handshake(
     data_plane: &Rc<DataPlane>,
     client: &ClientConnection,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The first line of the client; none if it disconnects.
+/// Returns the first line of the client; `None` if it disconnects.
 async fn first_line(data_plane: &DataPlane, client: &ClientConnection) -> Option<Vec<u8>> {
     loop {
         if let Some(line) = client.next_line().ok()? {
--- a/crates/runtime/pooler/src/data_plane/client/next_request.rs
+++ b/crates/runtime/pooler/src/data_plane/client/next_request.rs
@@ -1,18 +1,18 @@
-//! The next request of a client, or the end of its session: the client disconnects, its transaction
-//! is idle for too long, or the router shuts down.
+//! Waits for the next request of a client. Ends the session when the client disconnects or the router
+//! shuts down, and fails a transaction that has been idle for too long.
 
 use super::ClientSession;
+use super::dispatch::DRAINING_REASON;
 use crate::clock;
 use crate::data_plane::drain::DrainStage;
 use crate::net;
 use badgerstream_pooling::session::Transaction;
 use futures_lite::future::or;
 
-/// How long a transaction may be idle (`txn_idle_ms`) before the first configuration, in
-/// milliseconds.
+/// Idle timeout of transactions (`txn_idle_ms`) before the first configuration, in milliseconds.
 const DEFAULT_TRANSACTION_IDLE_MS: u64 = 3000;
 
-/// What ends the wait for a client's bytes.
+/// What ends the wait for bytes from a client.
 enum Input {
     /// Bytes have arrived.
     Bytes,
@@ -20,12 +20,12 @@
     Disconnected,
     /// The transaction has been idle for too long.
     TransactionIdleTimeout,
-    /// Shutdown closes the session.
+    /// The shutdown has reached the stage that closes idle sessions.
     Draining,
 }
 
 impl ClientSession {
-    /// The next line of the client; none when its session ends.
+    /// Returns the next line of the client; `None` when its session ends.
     pub(super) async fn next_request(&mut self) -> Option<Vec<u8>> {
         if let Some(line) = self.client.next_line().ok()? {
             return Some(line);
@@ -43,7 +43,7 @@
                     }
                 }
                 Input::Disconnected => return None,
-                // The client is told in the response to its next statement.
+                // The client learns of it in the response to its next statement.
                 Input::TransactionIdleTimeout => {
                     log::debug!("event=transaction_idle_timeout database={}", self.database);
                     self.fail_transaction();
@@ -64,7 +64,7 @@
                 }
             },
             async {
-                self.handle.reached(DrainStage::CloseIdle).await;
+                self.handle.wait_for_stage(DrainStage::CloseIdle).await;
                 Input::Draining
             },
         );
@@ -83,7 +83,8 @@
             .unwrap_or(Input::TransactionIdleTimeout)
     }
 
-    /// Shutdown closes the session: a request that has arrived meanwhile is still answered.
+    /// Returns a request that arrived before shutdown closes the session, so that it is still
+    /// answered. Otherwise tells a client in a transaction that it was aborted.
     async fn last_request(&self) -> Option<Vec<u8>> {
         let arrived = net::read_now(
             &self.client.stream,
@@ -97,9 +98,8 @@
             return Some(line);
         }
         if self.session.transaction != Transaction::None {
-            self.client
-                .write(b"ERROR ABORTED the router ends\r\n")
-                .await;
+            let line = format!("ERROR ABORTED {DRAINING_REASON}\r\n");
+            self.client.write(line.as_bytes()).await;
         }
         None
     }
--- a/crates/runtime/pooler/src/data_plane/client/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/placement.rs
@@ -1,6 +1,7 @@
-//! A connection for what the client asks, while the client is connected and the router serves.
+//! Waits for a connection for a client's statement, as long as the client is connected and shutdown
+//! doesn't reject the statement.
 
-use super::{BACKOFF_S, ClientSession, MAX_BACKOFF_DOUBLINGS};
+use super::{ClientSession, INITIAL_BACKOFF_S, MAX_BACKOFF_DOUBLINGS};
 use crate::clock;
 use crate::data_plane::drain::{DrainStage, SessionHandle};
 use crate::data_plane::placement::{Placement, PlacementRequest, RETRY_AFTER_S, Unplaced};
@@ -13,13 +14,13 @@
 pub(super) enum NoPlacement {
     /// The client has disconnected.
     ClientDisconnected,
-    /// There is no server in time; the client should try again after this many seconds.
+    /// No server was available in time; the client should try again after this many seconds.
     RetryAfter(f64),
 }
 
 impl ClientSession {
-    /// Waits for a connection until `give_up_at` (seconds), while the client is connected and
-    /// shutdown doesn't reject what has no placement.
+    /// Waits for a connection until `give_up_at` (seconds of the monotonic clock). Stops earlier if
+    /// the client disconnects or shutdown rejects statements without a placement.
     pub(super) async fn place(
         &self,
         request: &PlacementRequest<'_>,
@@ -34,7 +35,7 @@
             )
         };
         let rejected = async {
-            self.handle.reached(DrainStage::RejectUnplaced).await;
+            self.handle.wait_for_stage(DrainStage::RejectUnplaced).await;
             Some(Err(Unplaced {
                 retry_after_s: RETRY_AFTER_S,
             }))
@@ -48,35 +49,35 @@
         }
     }
 
-    /// Waits after a primary refused a statement, longer with each attempt.
+    /// Waits after a primary refused a statement; the wait grows with each attempt.
     pub(super) async fn back_off(&self, attempt: u32) {
         let doublings = attempt.min(MAX_BACKOFF_DOUBLINGS);
-        net::sleep_until(clock::now() + BACKOFF_S * f64::from(1 << doublings)).await;
+        net::sleep_until(clock::now() + INITIAL_BACKOFF_S * f64::from(1 << doublings)).await;
     }
 }
 
 impl SessionHandle {
-    /// The output of a future, if it is ready by `give_up_at` (seconds) and before shutdown rejects
-    /// what has no placement.
+    /// Returns the output of a future, or `None` if `give_up_at` (seconds of the monotonic clock)
+    /// passes first or shutdown rejects statements without a placement first.
     pub(super) fn until_rejection<T>(
         &self,
         give_up_at: f64,
         future: impl Future<Output = T>,
     ) -> impl Future<Output = Option<T>> {
         or(net::until(give_up_at, future), async {
-            self.reached(DrainStage::RejectUnplaced).await;
+            self.wait_for_stage(DrainStage::RejectUnplaced).await;
             None
         })
     }
 
-    /// The outcome of an exchange with a server, or `TimedOut` once shutdown answers what is in
-    /// flight.
+    /// Returns the result of an exchange with a server, or `TimedOut` once shutdown requires responses
+    /// for statements in flight.
     pub(super) fn until_final_answer<T>(
         &self,
         exchange: impl Future<Output = Result<T, ExchangeError>>,
     ) -> impl Future<Output = Result<T, ExchangeError>> {
         or(exchange, async {
-            self.reached(DrainStage::AnswerInFlight).await;
+            self.wait_for_stage(DrainStage::AnswerInFlight).await;
             Err(ExchangeError::TimedOut)
         })
     }
--- a/crates/runtime/pooler/src/data_plane/client/response.rs
+++ b/crates/runtime/pooler/src/data_plane/client/response.rs
@@ -1,33 +1,33 @@
-//! The response of a client's statement.
+//! Responses to the statements of clients.
 
 use crate::counters::StatementEnd;
 use badgerstream_line_protocol::{ErrorCode, TransactionState};
 use badgerstream_pooling::latency::MIN_RETRY_AFTER_S;
 
-/// The longest retry delay that a client is given, in seconds.
+/// Maximum retry delay given to a client, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 2.0;
 
-/// How a client's statement is answered.
+/// The response to a client's statement.
 pub(super) enum Response {
-    /// With the server's answer, unchanged.
+    /// The bytes of the server's answer.
     Forward(Vec<u8>),
-    /// With an error of the router.
+    /// An error raised by the router.
     Error {
         /// Its code.
         code: ErrorCode,
-        /// What follows the code; may be empty.
+        /// The text after the code; may be empty.
         text: String,
-        /// The state of the session afterwards.
+        /// The transaction state of the session afterwards.
         state: TransactionState,
     },
-    /// With a success of the router.
+    /// The router has completed the statement itself.
     Done,
-    /// Not at all: the client has disconnected.
+    /// No response: the client has disconnected, or its connection is to be closed.
     ClientDisconnected,
 }
 
 impl Response {
-    /// How the statement ended, for the counters.
+    /// Returns how the statement ended, for the counters.
     pub(super) fn end(&self) -> StatementEnd {
         match self {
             Self::Forward(raw) => match raw.strip_prefix(b"ERROR ") {
@@ -49,7 +49,7 @@
     std::str::from_utf8(&line[..end]).unwrap_or_default()
 }
 
-/// An error of the router.
+/// Builds an error raised by the router.
 pub(super) fn error(code: ErrorCode, text: impl Into<String>, state: TransactionState) -> Response {
     Response::Error {
         code,
@@ -58,7 +58,7 @@
     }
 }
 
-/// `RETRY`: nothing has run, and the client should try again after this many seconds.
+/// Builds a `RETRY` error: nothing has run, and the client should try again after this many seconds.
 pub(super) fn retry_later(retry_after_s: f64, state: TransactionState) -> Response {
     error(
         ErrorCode::Retry,
@@ -67,7 +67,7 @@
     )
 }
 
-/// A retry delay within its bounds, as `RETRY` carries it.
+/// Converts a retry delay to milliseconds as `RETRY` carries them, clamped to its bounds.
 pub(super) fn retry_after_ms(retry_after_s: f64) -> u32 {
     (retry_after_s.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S) * 1000.0).round() as u32
 }
--- a/crates/runtime/pooler/src/data_plane/client/single_statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -1,7 +1,7 @@
-//! A statement outside a transaction: sent to one server after the other until one answers.
+//! Statements outside a transaction: each is sent to one server after the other until one answers.
 //!
-//! Reads are retried and hedged. A write is retried only after a server has said, or it is certain,
-//! that it has not run; otherwise it is reported as in doubt.
+//! Reads are retried and hedged. A write is retried only if it certainly has not run: it was not sent,
+//! or the server has said so. Otherwise it is reported as in doubt.
 
 use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
@@ -19,28 +19,29 @@
 use std::cell::Cell;
 use std::future::pending;
 
-/// How often a read is hedged: sent again while its answer is most likely lost.
+/// Maximum number of times that a read is hedged: sent again because its answer is most likely lost.
 const MAX_HEDGED_READS: usize = 2;
-/// How many attempts at a read may fail at a server before the client is told.
+/// Maximum number of attempts at a read that fail with `FAILED` and are retried.
 const MAX_FAILED_READS: u32 = 2;
-/// The shortest time that a replica has to answer a read at the first attempt, in seconds.
+/// Minimum time given to a replica to answer the first attempt at a read, in seconds, unless the
+/// deadline requires less.
 const MIN_FIRST_ATTEMPT_S: f64 = 0.15;
-/// The shortest time to wait for a placement after the first attempt, in seconds.
+/// Minimum time to wait for a placement after the first attempt, in seconds.
 const MIN_PLACEMENT_WAIT_S: f64 = 0.05;
 
-/// A statement and its attempts.
+/// A statement and the state of its attempts.
 struct Attempts<'a> {
     statement: &'a Statement<'a>,
     request: PlacementRequest<'a>,
     is_read: bool,
-    /// When the client must have a response, in seconds.
+    /// When the client must have a response, in seconds of the monotonic clock.
     deadline: f64,
-    /// Until when the first placement is waited for, in seconds.
-    first_placement_until: f64,
-    /// Ids of servers that were tried in vain.
+    /// Deadline for the first placement, in seconds of the monotonic clock.
+    first_placement_deadline: f64,
+    /// Ids of the servers at which an attempt has failed.
     tried_servers: Vec<String>,
     hedged_reads: usize,
-    /// A connection for the next attempt, which was placed while the last answer was awaited.
+    /// A connection for the next attempt, obtained while the last answer was awaited.
     hedged_placement: Option<Placement>,
 }
 
@@ -60,27 +61,27 @@
             },
             is_read,
             deadline: arrived_at + terms.deadline_s,
-            first_placement_until: arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION,
+            first_placement_deadline: arrived_at + terms.deadline_s * PLACEMENT_DEADLINE_FRACTION,
             tried_servers: Vec::new(),
             hedged_reads: 0,
             hedged_placement: None,
         }
     }
 
-    /// Until when a placement is waited for, in seconds.
-    fn placement_until(&self, attempt: u32) -> f64 {
+    /// Returns the deadline for a placement, in seconds of the monotonic clock.
+    fn placement_deadline(&self, attempt: u32) -> f64 {
         match attempt {
-            0 => self.first_placement_until,
+            0 => self.first_placement_deadline,
             _ => self
-                .first_placement_until
+                .first_placement_deadline
                 .max(clock::now() + MIN_PLACEMENT_WAIT_S)
                 .min(self.deadline),
         }
     }
 
-    /// Until when an answer is waited for, in seconds. At the first attempt a silent replica is
-    /// given up early, so that there is time for a retry elsewhere.
-    fn answer_until(&self, now: f64, at_primary: bool, attempt: u32) -> f64 {
+    /// Returns the deadline for an answer, in seconds of the monotonic clock. At the first attempt a
+    /// silent replica gets a shorter deadline, so that there is time for a retry at another server.
+    fn answer_deadline(&self, now: f64, at_primary: bool, attempt: u32) -> f64 {
         if !self.is_read || at_primary || attempt > 0 {
             return self.deadline;
         }
@@ -92,22 +93,22 @@
     }
 }
 
-/// What becomes of a statement after an attempt.
+/// The result of one attempt at a statement.
 enum Attempt {
-    /// The client is answered.
+    /// The statement has ended with this response.
     Done(Response),
-    /// Another server is tried than the one of this id.
+    /// The attempt at the server with this id has failed; another server is tried.
     Retry(String),
-    /// The connection doesn't know the prepared statement: there is no further attempt.
+    /// The statement is not prepared on the connection; there is no further attempt.
     NotPrepared,
 }
 
-/// A statement that was sent, and what came of it.
+/// A statement that was sent, and its answer or failure.
 struct Exchange {
     answer: ResponseReader,
     /// A part of the answer has been forwarded to the client.
     is_partially_forwarded: bool,
-    /// The primary term of the grant under which it was sent; none at a replica.
+    /// The primary term of the grant under which it was sent; `None` at a replica.
     granted_term: Option<u64>,
     outcome: Result<StatementResult, ExchangeError>,
 }
@@ -149,12 +150,12 @@
         if let Some(placement) = attempts.hedged_placement.take() {
             return Ok(placement);
         }
-        let until = attempts.placement_until(attempt);
-        self.place(&attempts.request, &attempts.tried_servers, until)
+        let give_up_at = attempts.placement_deadline(attempt);
+        self.place(&attempts.request, &attempts.tried_servers, give_up_at)
             .await
     }
 
-    /// Sends the statement to one server, and decides by its answer.
+    /// Sends the statement to one server, and decides by its answer whether to retry.
     async fn attempt(
         &mut self,
         attempts: &mut Attempts<'_>,
@@ -195,7 +196,7 @@
         let granted_term = self
             .data_plane
             .granted_term(&placement.checkout.pool.server, now);
-        let give_up_at = attempts.answer_until(now, at_primary, attempt);
+        let give_up_at = attempts.answer_deadline(now, at_primary, attempt);
         let target_s = attempts.request.terms.target_s;
         let mut answer = ResponseReader::default();
         let is_partially_forwarded = Cell::new(false);
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Waits on for an answer that is overdue. Ends with `Overdue` if a read can be hedged: another
-    /// connection was placed before the answer came.
+    /// Waits further for an overdue answer. For a read it obtains another connection meanwhile, and
+    /// returns `Overdue` if that is ready before the answer, so that the read is hedged.
     async fn wait_or_hedge(
         &self,
         attempts: &mut Attempts<'_>,
@@ -233,7 +234,8 @@
         answer: &mut ResponseReader,
         forward: impl AsyncFn(&[u8]) -> bool,
     ) -> Result<StatementResult, ExchangeError> {
-        // It most likely takes no slot at the server any more. Its answer is still used if it comes.
+        // The statement most likely takes no slot at the server any more. Its answer is still used
+        // if it arrives.
         placement.checkout.release_slot();
         let may_hedge = attempts.is_read && attempts.hedged_reads < MAX_HEDGED_READS;
         let hedge = async {
@@ -268,7 +270,7 @@
         }
     }
 
-    /// The server has answered.
+    /// Decides the result of an attempt that the server has answered.
     async fn conclude_answer(
         &mut self,
         attempts: &Attempts<'_>,
@@ -281,11 +283,11 @@
         let server_id = pool.server.id.clone();
         match outcome.error {
             None => {
-                if !attempts.is_read && !self.is_granted_still(&pool.server, exchange.granted_term)
+                if !attempts.is_read && !self.is_still_granted(&pool.server, exchange.granted_term)
                 {
                     return Attempt::Done(error(
                         ErrorCode::InDoubt,
-                        "the primary changes",
+                        "the lease on the primary ended before the answer",
                         TransactionState::Idle,
                     ));
                 }
@@ -306,7 +308,7 @@
                     code.as_str()
                 );
                 let at_primary = placement.proof.is_none();
-                // Not kept during the backoff.
+                // Releases the connection before the backoff.
                 drop(placement);
                 if at_primary {
                     self.back_off(attempt).await;
@@ -320,7 +322,7 @@
         }
     }
 
-    /// There is no complete answer.
+    /// Decides the result of an attempt without a complete answer.
     fn conclude_failure(
         &self,
         attempts: &Attempts<'_>,
@@ -334,7 +336,8 @@
             ExchangeError::ClientDisconnected => {
                 return Attempt::Done(Response::ClientDisconnected);
             }
-            // Half an answer can't be taken back: the client sees its connection close.
+            // A part of the answer has reached the client and can't be withdrawn: the client sees
+            // its connection close.
             _ if exchange.is_partially_forwarded => {
                 return Attempt::Done(Response::ClientDisconnected);
             }
@@ -345,7 +348,7 @@
                 log::info!("event=in_doubt server={server_id} database={database}");
                 return Attempt::Done(error(
                     ErrorCode::InDoubt,
-                    "no clear answer",
+                    "the server did not answer; the write may have run",
                     TransactionState::Idle,
                 ));
             }
@@ -357,7 +360,7 @@
                 if clock::now() >= attempts.deadline {
                     return Attempt::Done(error(
                         ErrorCode::Timeout,
-                        "no answer",
+                        format!("no answer within {} s", attempts.request.terms.deadline_s),
                         TransactionState::Idle,
                     ));
                 }
@@ -366,15 +369,15 @@
         Attempt::Retry(server_id)
     }
 
-    /// Whether the grant under which a write was sent is still in force when its answer comes. Once
-    /// it was given back, the next primary may have been chosen without this write, so a success
-    /// that comes later must not be acknowledged to the client.
-    pub(super) fn is_granted_still(&self, server: &Server, granted_term: Option<u64>) -> bool {
+    /// Returns whether the grant under which a write was sent is still in force. Once it was given
+    /// back, the next primary may have been chosen without this write, so a success that arrives
+    /// later must not be acknowledged to the client.
+    pub(super) fn is_still_granted(&self, server: &Server, granted_term: Option<u64>) -> bool {
         granted_term.is_some() && self.data_plane.granted_term(server, clock::now()) == granted_term
     }
 
-    /// The server's answer as the response. Should it leave the server's session in a transaction,
-    /// that ends with its connection: the client is told that it is idle.
+    /// Returns the server's answer as the response. If the answer leaves a transaction open at the
+    /// server, closing the connection ends it, so the state reported to the client is idle.
     pub(super) fn forward(&self, mut raw: Vec<u8>, outcome: &StatementResult) -> Response {
         if outcome.state != TransactionState::Idle
             && let Some(newline) = raw.windows(7).rposition(|w| w.starts_with(b"\nIDLE "))
--- a/crates/runtime/pooler/src/data_plane/client/statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/statement.rs
@@ -1,4 +1,4 @@
-//! A statement that runs at a server, and its line there.
+//! A statement that runs at a server, and the protocol line that is sent for it.
 
 use crate::data_plane::pool::Checkout;
 use badgerstream_line_protocol::StatementKind;
@@ -7,15 +7,15 @@
 /// A statement of a client that runs at a server.
 #[derive(Clone, Copy)]
 pub(super) struct Statement<'a> {
-    /// The client's id of it.
+    /// The id that the client gave it.
     pub(super) id: &'a str,
     /// Its text, as the client sent it.
     pub(super) text: &'a str,
     /// Whether it reads or writes.
     pub(super) kind: StatementKind,
-    /// The prepared statement that it executes, if it does.
+    /// The `EXECUTE` of a prepared statement, if it is one.
     pub(super) execution: Option<Execution<'a>>,
-    /// When it arrived, in seconds.
+    /// When it arrived, in seconds of the monotonic clock.
     pub(super) arrived_at: f64,
 }
 
@@ -24,18 +24,18 @@
 pub(super) struct Execution<'a> {
     /// The prepared statement.
     pub(super) shape: &'a Shape,
-    /// What follows its name.
+    /// The text after its name.
     pub(super) parameters: &'a str,
 }
 
 impl<'a> Statement<'a> {
-    /// The prepared statement that the connection must know.
+    /// Returns the statement that must be prepared on the connection.
     pub(super) fn shape(&self) -> Option<&'a Shape> {
         self.execution.map(|execution| execution.shape)
     }
 
-    /// Its line for this connection, where the prepared statement has a name of the router. None if
-    /// the connection doesn't know it. `waitpos` is empty or ends with a blank.
+    /// Returns its line for this connection, with the router's name of the prepared statement; `None`
+    /// if that isn't prepared there. `waitpos` is empty or ends with a blank.
     pub(super) fn line(&self, checkout: &Checkout, waitpos: &str) -> Option<Vec<u8>> {
         let id = self.id;
         let line = match self.execution {
--- a/crates/runtime/pooler/src/data_plane/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -1,5 +1,5 @@
-//! A transaction: begun at a server with its first statement, and run on the same connection to its
-//! end.
+//! Transactions: each begins at a server with its first statement, and runs on the same connection to
+//! its end.
 
 use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
@@ -14,14 +14,17 @@
 use badgerstream_pooling::choice::Access;
 use badgerstream_pooling::session::{Shape, Transaction, Values};
 
-/// How long beginning a transaction may take at one server, in seconds.
+/// Timeout for beginning a transaction at one server, in seconds.
 const BEGIN_TIMEOUT_S: f64 = 0.5;
-/// The shortest time that a transaction which has begun waits for its first slot, in seconds.
+/// Minimum time for which a transaction that has begun waits for its first slot, in seconds.
 const MIN_ADMISSION_WAIT_S: f64 = 0.05;
 
 impl ClientSession {
-    /// Begins the open transaction at a server, unless it has begun. `arrived_at` is when the
-    /// statement arrived that needs it. On failure, the response to that statement.
+    /// Begins the open transaction at a server unless that has been done. `arrived_at` is when the
+    /// statement that needs the server arrived, in seconds of the monotonic clock.
+    ///
+    /// # Errors
+    /// The response to that statement.
     pub(super) async fn begin_at_server(
         &mut self,
         arrived_at: f64,
@@ -42,7 +45,7 @@
             self.fail_transaction();
             return Err(error(
                 ErrorCode::Aborted,
-                "the database is gone",
+                format!("database {} is no longer configured", self.database),
                 TransactionState::Failed,
             ));
         };
@@ -75,8 +78,8 @@
         }
     }
 
-    /// Begins the open transaction at one server after the other until one has begun it, and waits
-    /// for its first slot there.
+    /// Tries one server after the other until the open transaction has begun at one of them, and
+    /// waits for its first slot there.
     async fn begin_with_retries(
         &mut self,
         request: &PlacementRequest<'_>,
@@ -107,7 +110,8 @@
         Err(NoPlacement::RetryAfter(RETRY_AFTER_S))
     }
 
-    /// Begins the open transaction on this connection; none if another server is to be tried.
+    /// Begins the open transaction on this connection. Returns `None` if another server is to be
+    /// tried.
     async fn begin_on(
         &mut self,
         mut placement: Placement,
@@ -127,7 +131,8 @@
         let give_up_at = (clock::now() + BEGIN_TIMEOUT_S).min(deadline);
         let mut answer = ResponseReader::default();
         let discard = async |_: &[u8]| true;
-        // Nothing has run in the transaction, so it may begin elsewhere once the answer is overdue.
+        // Nothing has run in the transaction, so once the answer is overdue it may begin at another
+        // server.
         let begun = placement.checkout.exchange_until_overdue(
             line.as_bytes(),
             &mut answer,
@@ -142,7 +147,7 @@
         if let (Some(ErrorCode::Lagging), Some(proof)) = (outcome.error, placement.proof) {
             placement.checkout.pool.mark_lagging(proof);
         }
-        // Not kept during the backoff.
+        // Releases the connection before the backoff.
         drop(placement);
         if at_primary {
             self.back_off(attempt).await;
@@ -168,7 +173,7 @@
         else {
             return Response::ClientDisconnected;
         };
-        // A transaction that began under a grant which has changed since can't commit.
+        // If the grant has changed since the transaction began, the transaction can't commit.
         let is_usable = *read_only
             || !self
                 .data_plane
@@ -182,7 +187,7 @@
             self.fail_transaction();
             return error(
                 ErrorCode::Aborted,
-                "the transaction was lost",
+                "the transaction can't continue at its server",
                 TransactionState::Failed,
             );
         };
@@ -200,7 +205,7 @@
         self.conclude_in_transaction(answer.raw, outcome)
     }
 
-    /// A statement inside the transaction has ended.
+    /// Updates the session after a statement inside the transaction, and returns the response.
     fn conclude_in_transaction(
         &mut self,
         raw: Vec<u8>,
@@ -220,20 +225,21 @@
             }
             Err(ExchangeError::ClientDisconnected) => Response::ClientDisconnected,
             Err(_) => {
-                // Closing the connection rolls back, even where only the answer was lost, so the
-                // client may begin again at once.
+                // Closing the connection rolls the transaction back, even if only the answer was
+                // lost, so the client may begin again at once.
                 self.checkout = None;
                 self.fail_transaction();
                 error(
                     ErrorCode::Aborted,
-                    "the server was lost",
+                    "the server did not answer; the transaction is rolled back",
                     TransactionState::Failed,
                 )
             }
         }
     }
 
-    /// The open transaction fails: it is rolled back, and accepts nothing but its end.
+    /// Rolls back the open transaction and marks it as failed: it then accepts only `COMMIT` and
+    /// `ABORT`.
     pub(super) fn fail_transaction(&mut self) {
         if let Some(checkout) = self.checkout.take() {
             checkout.roll_back();
@@ -242,7 +248,7 @@
         self.failure_reported = true;
     }
 
-    /// Ends the transaction, and rolls it back.
+    /// Ends the transaction and rolls it back.
     pub(super) fn roll_back(&mut self) {
         if let Some(checkout) = self.checkout.take() {
             checkout.roll_back();
@@ -250,7 +256,7 @@
         self.finish_transaction();
     }
 
-    /// The transaction has ended.
+    /// Resets the session's state after the end of its transaction.
     pub(super) fn finish_transaction(&mut self) {
         self.session.transaction = Transaction::None;
         self.terms = None;
@@ -258,7 +264,7 @@
     }
 }
 
-/// Brings the connection of a transaction to the session's state, and waits for a slot.
+/// Sets the session's state on the connection of a transaction, and waits for a slot.
 async fn prepare_and_admit(
     checkout: &mut Checkout,
     values: &Values,
--- a/crates/runtime/pooler/src/data_plane/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/drain.rs
@@ -1,36 +1,38 @@
 //! Graceful shutdown of clients' sessions, in stages.
 //!
-//! The maintenance task advances every [`SessionHandle`] after SIGTERM; the session's own task
-//! waits for the stages and acts on them. No stage is ever taken back.
+//! After SIGTERM the maintenance task advances every [`SessionHandle`]; the session's own task waits
+//! for the stages and acts on them. A session never returns to an earlier stage.
 
 use super::ACCEPT_AFTER_TERM_S;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// The fraction of the grace period after which what is still in flight gets its last answer.
-/// Servers are waited for during the first five sixths of it, and the process exits a little later
-/// than this (`process::shutdown`).
+/// Fraction of the grace period after which clients of statements still in flight get a response
+/// without waiting for the server. It lies shortly after the first five sixths of the grace period,
+/// in which servers are waited for, and shortly before the process exits (`process::shutdown`).
 const FINAL_ANSWER_GRACE_FRACTION: f64 = 0.86;
-/// The fraction of the grace period that open transactions have to end.
+/// Fraction of the grace period within which open transactions may still end normally.
 const TRANSACTION_GRACE_FRACTION: f64 = 0.5;
 
-/// How far the shutdown of a session has come. Each stage includes those before it.
+/// Stage of the shutdown of a session. Each stage includes the earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(super) enum DrainStage {
-    /// No shutdown.
+    /// The session is served normally.
     #[default]
     Serving,
     /// The session is closed as soon as it is idle.
     CloseIdle,
-    /// What has not been sent to a server is rejected, so that its client may go elsewhere.
+    /// Statements that have not been sent to a server are rejected, so that their clients can use
+    /// another router.
     RejectUnplaced,
-    /// What is in flight at a server is answered by what is known of it.
+    /// Statements in flight at a server get a response from what is known of them: timed out or in
+    /// doubt.
     AnswerInFlight,
 }
 
 impl DrainStage {
-    /// The stage `elapsed_s` seconds after SIGTERM, of a grace period of `grace_s` seconds.
+    /// Returns the stage `elapsed_s` seconds after SIGTERM for a grace period of `grace_s` seconds.
     pub(super) fn at(elapsed_s: f64, grace_s: f64, in_transaction: bool) -> Self {
         if elapsed_s > grace_s * FINAL_ANSWER_GRACE_FRACTION {
             Self::AnswerInFlight
@@ -44,23 +46,23 @@
     }
 }
 
-/// A client's session as the rest of the data plane sees it. The session's task and the maintenance
-/// task share it.
+/// The part of a client's session that its task shares with the maintenance task and the listener.
 #[derive(Default)]
 pub(super) struct SessionHandle {
-    /// Since when the session is idle outside a transaction, in seconds; none while it works.
+    /// Since when the session has been idle outside a transaction, in seconds of the monotonic
+    /// clock; `None` while it runs a statement.
     pub(super) idle_since: Cell<Option<f64>>,
     /// Whether the session is inside a transaction.
     pub(super) in_transaction: Cell<bool>,
-    /// How far its shutdown has come.
+    /// Current stage of its shutdown.
     pub(super) drain_stage: Cell<DrainStage>,
-    /// The session's task, while it waits for a stage.
+    /// Waker of the session's task while it waits for a stage.
     waker: RefCell<Option<Waker>>,
 }
 
 impl SessionHandle {
-    /// Waits until the session's shutdown has come this far.
-    pub(super) async fn reached(&self, stage: DrainStage) {
+    /// Waits until the session's shutdown has reached this stage.
+    pub(super) async fn wait_for_stage(&self, stage: DrainStage) {
         poll_fn(|cx| {
             if self.drain_stage.get() >= stage {
                 return Poll::Ready(());
@@ -71,7 +73,8 @@
         .await;
     }
 
-    /// Brings the shutdown to this stage, unless it is there already, and wakes the session.
+    /// Advances the shutdown to this stage and wakes the session. Does nothing if the stage is
+    /// already reached.
     pub(super) fn advance_to(&self, stage: DrainStage) {
         if self.drain_stage.get() >= stage {
             return;
--- a/crates/runtime/pooler/src/data_plane/listener.rs
+++ b/crates/runtime/pooler/src/data_plane/listener.rs
@@ -1,4 +1,5 @@
-//! The listener on the front: accepts clients, bounded by descriptors, and starts their sessions.
+//! The client-facing listener ("front"): accepts clients up to a limit derived from the file
+//! descriptors, and starts their sessions.
 
 use super::drain::SessionHandle;
 use super::{ACCEPT_AFTER_TERM_S, DataPlane, client};
@@ -10,29 +11,29 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Descriptors kept for files and for connections other than clients'.
+/// File descriptors reserved for files and for connections other than those of clients.
 const RESERVED_DESCRIPTORS: usize = 500;
-/// The least number of clients at once that is allowed, however few descriptors there are.
+/// Lower bound of the client limit, however few file descriptors there are.
 const MIN_CLIENT_LIMIT: usize = 16;
-/// Clients beyond the limit that are accepted while idle ones are being closed for them.
+/// Maximum number of clients accepted beyond the limit while idle sessions are closed to make room.
 const MAX_EXCESS_CLIENTS: usize = 64;
-/// Between two attempts to bind the front, in seconds.
+/// Pause between two attempts to bind the front address, in seconds.
 const BIND_RETRY_S: f64 = 0.5;
-/// After a connection could not be accepted, in seconds.
+/// Pause after a failed accept, in seconds.
 const ACCEPT_RETRY_S: f64 = 0.05;
 
 impl DataPlane {
-    /// Accepts clients until the router has drained for a while. `first_bind` is the outcome of the
-    /// first attempt to bind the front.
+    /// Accepts clients until [`ACCEPT_AFTER_TERM_S`] after SIGTERM. `first_bind` is the result of the
+    /// first attempt to bind the front address.
     pub(super) async fn accept(
         self: Rc<Self>,
-        front: SocketAddr,
+        front_address: SocketAddr,
         first_bind: io::Result<Async<TcpListener>>,
     ) {
-        let listener = bind_with_retry(front, first_bind).await;
-        log::info!("event=front_open front={front}");
-        // The listener lives until this returns, so that connections which the platform still
-        // passes on after SIGTERM are served from its backlog.
+        let listener = bind_with_retry(front_address, first_bind).await;
+        log::info!("event=front_open front={front_address}");
+        // The listener stays open until this returns, so that connections which the platform still
+        // sends after SIGTERM are accepted from its backlog.
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
@@ -63,7 +64,7 @@
             .is_some_and(|started_at| clock::now() > started_at + ACCEPT_AFTER_TERM_S)
     }
 
-    /// The most clients at once.
+    /// Maximum number of clients at the same time.
     fn max_clients(&self) -> usize {
         self.limits
             .file_limit
@@ -71,7 +72,7 @@
             .max(MIN_CLIENT_LIMIT)
     }
 
-    /// Serves a client in a task of its own.
+    /// Starts a task that serves a client.
     fn start_session(self: &Rc<Self>, stream: Async<TcpStream>) {
         let id = self.next_session_id.get();
         self.next_session_id.set(id + 1);
@@ -85,8 +86,8 @@
         self.tasks.spawn(session).detach();
     }
 
-    /// Closes the session that has been idle for longest. To a client that has asked nothing this
-    /// is no failure.
+    /// Closes the session that has been idle longest. Its client is waiting for no response, so no
+    /// statement fails.
     fn close_longest_idle(&self) {
         let sessions = self.sessions.borrow();
         let idle = sessions.values().filter(|session| {
@@ -104,22 +105,24 @@
     }
 }
 
-/// The listener, once the front can be bound.
+/// Returns the listener once the front address is bound, retrying until it is.
 async fn bind_with_retry(
-    front: SocketAddr,
+    front_address: SocketAddr,
     first_bind: io::Result<Async<TcpListener>>,
 ) -> Async<TcpListener> {
     let mut bound = first_bind;
     loop {
         match bound {
             Ok(listener) => return listener,
-            Err(error) => log::error!("event=front_bind_failed front={front} error={error}"),
+            Err(error) => {
+                log::error!("event=front_bind_failed front={front_address} error={error}")
+            }
         }
         net::sleep_until(clock::now() + BIND_RETRY_S).await;
-        bound = bind(front);
+        bound = bind(front_address);
     }
 }
 
-pub(super) fn bind(front: SocketAddr) -> io::Result<Async<TcpListener>> {
-    Async::<TcpListener>::bind(front)
+pub(super) fn bind(front_address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    Async::<TcpListener>::bind(front_address)
 }
--- a/crates/runtime/pooler/src/data_plane/maintenance.rs
+++ b/crates/runtime/pooler/src/data_plane/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic work: quotas and idle connections of the pools, and the stages of shutdown.
+//! Periodic work: updates the quotas of the pools, closes idle connections, and advances the shutdown
+//! of the sessions.
 
 use super::DataPlane;
 use super::drain::DrainStage;
@@ -7,11 +8,11 @@
 use badgerstream_pooler_config::config::Config;
 use std::rc::Rc;
 
-/// Between two checks while the router serves, in seconds.
+/// Interval of the checks while the router serves, in seconds.
 const CHECK_INTERVAL_S: f64 = 0.25;
-/// Between two checks while the router drains, in seconds.
+/// Interval of the checks while the router drains, in seconds.
 const DRAIN_CHECK_INTERVAL_S: f64 = 0.05;
-/// The pools are swept no more often than this, in seconds.
+/// Minimum interval between two sweeps of the pools, in seconds.
 const SWEEP_INTERVAL_S: f64 = 1.0;
 
 impl DataPlane {
@@ -20,12 +21,12 @@
         let mut swept_at = clock::now();
         loop {
             let is_draining = self.shared_view.shutdown_started_at.get().is_some();
-            let interval = if is_draining {
+            let interval_s = if is_draining {
                 DRAIN_CHECK_INTERVAL_S
             } else {
                 CHECK_INTERVAL_S
             };
-            net::sleep_until(clock::now() + interval).await;
+            net::sleep_until(clock::now() + interval_s).await;
             let now = clock::now();
             if let Some(started_at) = self.shared_view.shutdown_started_at.get() {
                 self.advance_drain(now - started_at);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Brings every session to its stage, `elapsed_s` seconds after SIGTERM.
+    /// Advances every session to its stage `elapsed_s` seconds after SIGTERM.
     fn advance_drain(&self, elapsed_s: f64) {
         for session in self.sessions.borrow().values() {
             let in_transaction = session.in_transaction.get();
@@ -48,8 +49,8 @@
         }
     }
 
-    /// Updates quotas, closes connections that were idle for long, and drops the pools of servers
-    /// that have departed.
+    /// Updates quotas, closes connections that have been idle too long, and drops the pools of servers
+    /// that have departed or changed their endpoint.
     fn sweep_pools(&self, now: f64) {
         let mut pools = self.pools.borrow_mut();
         let view = self.shared_view.view.borrow();
@@ -72,8 +73,8 @@
     }
 }
 
-/// How many connections each server of this service takes (`max_conns`); none if the configuration
-/// doesn't name the service.
+/// Returns the connection limit of each server of this service (`max_conns`); `None` if the
+/// configuration doesn't name the service.
 pub(super) fn max_connections(config: &Config, service: &str) -> Option<usize> {
     config
         .services
--- a/crates/runtime/pooler/src/data_plane/mod.rs
+++ b/crates/runtime/pooler/src/data_plane/mod.rs
@@ -1,26 +1,26 @@
-//! The data plane of a router: clients' sessions on the front, pooled onto connections to database
-//! servers.
+//! The data plane of a router: serves the sessions of the clients that connect to the front (the
+//! client-facing listener) over pooled connections to database servers.
 //!
-//! The way of a statement:
+//! How a statement is processed:
 //!
 //! 1. `listener` accepts the client's connection and starts a task that serves its session
 //!    (`client`);
-//! 2. `client::dispatch` parses the statement, and answers it if it needs no server;
+//! 2. `client::dispatch` parses the statement and answers it itself if no server is needed;
 //! 3. `placement` chooses a server by the route's consistency and the freshness proofs of
 //!    `service_state`;
-//! 4. `admission` queues it for a connection and a slot there, by rank and arrival;
-//! 5. `pool` hands out a connection (`server_connection`) and brings it to the session's values
-//!    and prepared statement; the lease is checked once more;
-//! 6. `pool::exchange` sends it and reads the answer; `client::single_statement`, `transaction` and
-//!    `commit` decide whether it is forwarded, retried elsewhere, or reported as in doubt.
+//! 4. `admission` queues the statement for a connection and a slot there, by rank and arrival;
+//! 5. `pool` hands out a connection (`server_connection`) and sets the session's values and
+//!    prepared statement on it; `placement` then checks the lease once more;
+//! 6. `pool::exchange` sends the statement and reads the answer; `client::single_statement`,
+//!    `transaction` and `commit` decide whether the answer is forwarded, the statement is retried
+//!    on another server, or its outcome is reported as in doubt.
 //!
-//! `maintenance` sweeps the pools and, after SIGTERM, brings sessions through the stages of
+//! `maintenance` sweeps the pools and, after SIGTERM, moves the sessions through the stages of
 //! `drain`.
 //!
-//! All decisions are those of `badgerstream_pooling`; this module owns the sessions, pools and
-//! service states, and reads the view, which [`crate::leader_session`] writes. It never changes the
-//! view. Without a valid lease it places nothing at a primary and commits no write. `process`
-//! starts it, `metrics` reads it.
+//! The policies are in `badgerstream_pooling`; this module owns the sessions, pools and service
+//! states. It reads the view, which only [`crate::leader_session`] writes. Without a valid lease it
+//! places nothing on a primary and commits no write. `process` starts it, `metrics` reads it.
 
 mod admission;
 mod client;
@@ -46,26 +46,26 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// For how long after SIGTERM connections are accepted as before, in seconds: the platform passes
-/// some on until two of its readiness checks have failed.
+/// How long connections are still accepted after SIGTERM, in seconds: the platform keeps sending
+/// new ones until two of its readiness checks have failed.
 const ACCEPT_AFTER_TERM_S: f64 = 2.0;
-/// How many routers share a server's connections until control says so.
+/// Number of routers assumed to share a server's connections until control sends the number.
 const DEFAULT_ROUTER_COUNT: usize = 9;
 
 /// Limits and identity of a router.
 #[derive(Debug, Clone)]
 pub struct DataPlaneLimits {
-    /// The most file descriptors of the process.
+    /// Maximum number of file descriptors of the process.
     pub file_limit: usize,
-    /// The name of this router in the `CONNECT` that it sends to servers.
+    /// Name of this router, sent to servers in `CONNECT`.
     pub name: String,
-    /// The seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// The grace period from SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
 }
 
-/// A server's health as the traffic to it shows.
+/// Health of a server, derived from the statements and connections sent to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerHealth {
     /// The service.
@@ -74,8 +74,8 @@
     pub server_id: String,
     /// When it last answered anything, in seconds of the monotonic clock; 0 for never.
     pub last_answer_at: f64,
-    /// Since when statements or connections get no answer, in seconds of the monotonic clock; none
-    /// while they do, or nothing is sent.
+    /// Since when statements or connections have had no answer, in seconds of the monotonic clock;
+    /// `None` while the server answers or nothing is sent to it.
     pub failing_since: Option<f64>,
 }
 
@@ -85,13 +85,13 @@
     shared_view: SharedView,
     limits: DataPlaneLimits,
     scratch: Scratch,
-    /// By server id.
+    /// Pools by server id.
     pools: RefCell<HashMap<String, Rc<Pool>>>,
-    /// By name of the service.
+    /// Service states by service name.
     services: RefCell<HashMap<String, ServiceState>>,
     sessions: RefCell<HashMap<u64, Rc<SessionHandle>>>,
     next_session_id: Cell<u64>,
-    /// Statements that are not answered yet.
+    /// Number of statements without a response so far.
     active_statements: Cell<usize>,
     router_count: Cell<usize>,
     counts: StatementCounts,
@@ -99,12 +99,12 @@
 }
 
 impl DataPlane {
-    /// Binds the front and serves on it for as long as the executor runs. A front that can't be
-    /// bound is logged and tried again every half second.
+    /// Binds the front address and serves clients there for as long as the executor runs. If
+    /// binding fails, logs the error and retries every half second.
     pub fn start(
         tasks: &Rc<LocalExecutor<'static>>,
         shared_view: SharedView,
-        front: SocketAddr,
+        front_address: SocketAddr,
         limits: DataPlaneLimits,
     ) -> Rc<Self> {
         let data_plane = Rc::new(Self {
@@ -121,16 +121,17 @@
             random: RefCell::new(fastrand::Rng::with_seed(limits.seed)),
             limits,
         });
-        // Bound before this returns, so that whoever learns that the router serves can connect.
-        let first_bind = listener::bind(front);
+        // Bound before this returns, so that clients can connect as soon as the router reports
+        // that it serves.
+        let first_bind = listener::bind(front_address);
         tasks
-            .spawn(data_plane.clone().accept(front, first_bind))
+            .spawn(data_plane.clone().accept(front_address, first_bind))
             .detach();
         tasks.spawn(data_plane.clone().maintain()).detach();
         data_plane
     }
 
-    /// The health of the servers of these services that anything was sent to.
+    /// Returns the health of those servers of these services that have a pool.
     pub fn server_health(&self, services: &[String], now: f64) -> Vec<ServerHealth> {
         self.pools
             .borrow()
@@ -145,12 +146,13 @@
             .collect()
     }
 
-    /// Counts of statements and their ends.
+    /// Returns the counts of statements by how they ended.
     pub fn counts(&self) -> &StatementCounts {
         &self.counts
     }
 
-    /// Connections and queues of the pools, summed by service and sorted by its name.
+    /// Returns the connections and queue lengths of the pools, summed per service and sorted by
+    /// service name.
     pub fn pool_usage(&self) -> Vec<PoolUsage> {
         let mut by_service: BTreeMap<String, PoolUsage> = BTreeMap::new();
         for pool in self.pools.borrow().values() {
@@ -159,18 +161,18 @@
             sum.service = usage.service;
             sum.idle += usage.idle;
             sum.in_use += usage.in_use;
-            sum.working += usage.working;
+            sum.slots_in_use += usage.slots_in_use;
             sum.waiting += usage.waiting;
         }
         by_service.into_values().collect()
     }
 
-    /// How many clients are connected.
+    /// Returns the number of connected clients.
     pub fn client_count(&self) -> usize {
         self.sessions.borrow().len()
     }
 
-    /// How many statements are not answered yet, plus how many transactions are open.
+    /// Returns the number of statements without a response plus the number of open transactions.
     pub fn open_work(&self) -> usize {
         let in_transaction = self
             .sessions
@@ -181,13 +183,14 @@
         self.active_statements.get() + in_transaction
     }
 
-    /// Whether this server may be used as the primary now. A grant that is being revoked counts as
-    /// given back.
+    /// Returns whether this server may be used as the primary now. A grant that is being revoked no
+    /// longer permits it.
     fn is_leased(&self, server: &Server, now: f64) -> bool {
         self.granted_term(server, now).is_some()
     }
 
-    /// The primary term in which this server may be used as the primary now.
+    /// Returns the primary term in which this server may be used as the primary now; `None` if it
+    /// may not.
     fn granted_term(&self, server: &Server, now: f64) -> Option<u64> {
         let view = self.shared_view.view.borrow();
         view.primary(&server.service, now)
@@ -195,7 +198,8 @@
             .map(|grant| grant.primary_term)
     }
 
-    /// Whether the grant of this service is for another server than this one, or is being revoked.
+    /// Returns whether the grant of this service names a server other than this one or is being
+    /// revoked.
     fn is_granted_elsewhere(&self, service: &str, server: &Server) -> bool {
         let view = self.shared_view.view.borrow();
         view.grants
@@ -203,8 +207,8 @@
             .is_some_and(|grant| grant.server_id != server.id || grant.revoking)
     }
 
-    /// The pool of a server. A server that has come back at another endpoint, or in another service,
-    /// gets a new one.
+    /// Returns the pool of a server, creating it if needed. A server that has returned with another
+    /// endpoint or service gets a new pool.
     fn pool(&self, server: &Server, max_connections: usize) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get(&server.id)
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -1,7 +1,7 @@
-//! Placement of a statement: the choice of a server, the wait for a connection to it, and the check
-//! of the lease just before use.
+//! Placement of a statement: chooses a server, waits for a connection to it, and checks the lease
+//! just before the connection is used.
 //!
-//! The client sessions call [`DataPlane::place`]. Nothing is sent for the statement here.
+//! The client sessions call [`DataPlane::place`]. The statement itself is not sent here.
 
 use super::DataPlane;
 use super::admission::AdmissionTerms;
@@ -16,37 +16,37 @@
 use futures_lite::future::or;
 use std::rc::Rc;
 
-/// The retry delay of a client for whom there is no server, in seconds.
+/// Retry delay given to a client when no server is available, in seconds.
 pub(super) const RETRY_AFTER_S: f64 = 0.2;
-/// A route that allows fewer attempts than this is given as many.
+/// Lower bound of the attempts that a route allows.
 const MIN_ATTEMPTS: u32 = 2;
-/// Attempts beyond those that a route allows.
+/// Attempts added to those that a route allows.
 const EXTRA_ATTEMPTS: u32 = 2;
-/// After how many seconds a primary that is unknown or in a backoff is checked again.
+/// Interval at which a primary that is unknown or in a backoff is checked again, in seconds.
 const PRIMARY_RECHECK_INTERVAL_S: f64 = 0.05;
 
-/// How a route wants its statements handled, as configured when the statement or its transaction
-/// arrived.
+/// How statements of a route are to be handled, as configured when the statement arrived or its
+/// transaction began at a server.
 #[derive(Debug, Clone)]
 pub(super) struct RouteTerms {
     /// The service that holds the database.
     pub(super) service: Rc<str>,
-    /// The consistency of reads.
+    /// The consistency that its reads require.
     pub(super) consistency: Consistency,
-    /// The most that a statement may take, in seconds.
+    /// Maximum duration of a statement from its arrival, in seconds.
     pub(super) deadline_s: f64,
     /// The latency target of a statement, in seconds.
     pub(super) target_s: f64,
-    /// 0 goes first.
+    /// Rank in the admission queues; rank 0 is admitted first.
     pub(super) rank: u32,
-    /// The attempts that the route allows (`tries`).
+    /// Number of attempts that the route allows (`tries`).
     pub(super) configured_attempts: u32,
-    /// How many connections a server of the service takes.
+    /// Maximum number of connections that each server of the service accepts.
     pub(super) max_connections: usize,
 }
 
 impl RouteTerms {
-    /// The terms of a route.
+    /// Returns the terms of a route.
     pub(super) fn from_route(route: &Route, max_connections: usize) -> Self {
         let staleness_s = route.staleness_ms.map(|ms| ms as f64 / 1000.0);
         let consistency = match (route.mode, staleness_s) {
@@ -65,39 +65,41 @@
         }
     }
 
-    /// How many attempts a statement has at most.
+    /// Maximum number of attempts at a statement.
     pub(super) fn max_attempts(&self) -> u32 {
         self.configured_attempts.max(MIN_ATTEMPTS) + EXTRA_ATTEMPTS
     }
 
-    /// A retry delay in seconds, bounded by how long a statement may take.
+    /// Limits a retry delay, in seconds, to the maximum duration of a statement, but to no less than
+    /// [`RETRY_AFTER_S`].
     pub(super) fn bound_retry_after(&self, retry_after_s: f64) -> f64 {
         retry_after_s.min(self.deadline_s.max(RETRY_AFTER_S))
     }
 }
 
-/// What needs a connection.
+/// A statement or transaction that needs a connection.
 pub(super) struct PlacementRequest<'a> {
     /// The terms of its route.
     pub(super) terms: &'a RouteTerms,
     /// Whether it reads or writes.
     pub(super) access: Access,
-    /// When its first byte, or that of its transaction, arrived, in seconds.
+    /// When it arrived, or the `BEGIN` of its transaction did, in seconds of the monotonic clock.
     pub(super) arrived_at: f64,
-    /// When the statement arrived that waits now, in seconds: its latency target counts from there.
+    /// When the statement that now waits arrived, in seconds of the monotonic clock: its latency
+    /// target counts from then.
     pub(super) waiting_since: f64,
-    /// The prepared statement that the connection must know.
+    /// The statement that must be prepared on the connection.
     pub(super) shape: Option<&'a Shape>,
-    /// Whether it takes a slot of the server, as everything but `BEGIN` does.
+    /// Whether it takes a slot of the server; everything but `BEGIN` does.
     pub(super) takes_slot: bool,
 }
 
 impl PlacementRequest<'_> {
-    /// How it waits for admission at this server, until `give_up_at` at most.
+    /// Returns the terms for its admission at this server, which ends at `give_up_at` at the latest.
     pub(super) fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
         let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean_s();
         AdmissionTerms {
-            // Rank 0 is kept for what has begun already.
+            // Rank 0 is reserved for transactions that have begun at the server.
             rank: self.terms.rank.saturating_add(1),
             latest_start,
             give_up_at,
@@ -105,18 +107,18 @@
     }
 }
 
-/// A connection that the statement may be sent on now.
+/// A connection on which the statement may be sent now.
 pub(super) struct Placement {
     /// The connection.
     pub(super) checkout: Checkout,
-    /// The position that `WAITPOS` must demand of the replica; none at the primary.
+    /// The position that the replica must have reached, sent with `WAITPOS`; `None` at the primary.
     pub(super) proof: Option<Position>,
 }
 
-/// There is no connection in time; nothing has run.
+/// No connection was available in time. The statement has not run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Unplaced {
-    /// After how many seconds the client should try again.
+    /// Delay after which the client should try again, in seconds.
     pub(super) retry_after_s: f64,
 }
 
@@ -124,7 +126,8 @@
 enum PlacementTarget {
     Primary(Rc<Pool>),
     Replica(Rc<Pool>, Position),
-    /// None until this second, or until the view changes.
+    /// No server is usable now; choose again at this second of the monotonic clock, or when the
+    /// view changes.
     RetryAt(f64),
 }
 
@@ -132,19 +135,20 @@
 struct AdmissionWait<'a> {
     pool: &'a Rc<Pool>,
     is_primary: bool,
-    /// The generation of the view at the choice.
+    /// Generation of the view when the server was chosen.
     generation: u64,
-    /// Until when it may last, in seconds.
+    /// When the wait ends at the latest, in seconds of the monotonic clock.
     give_up_at: f64,
 }
 
 impl DataPlane {
-    /// Waits for a connection to a server that may serve this, until `give_up_at` (seconds) at
-    /// most. `tried_servers` were tried in vain and are used only if there is no other.
+    /// Waits until `give_up_at` (seconds of the monotonic clock) for a connection to a server that may
+    /// serve this request. Replicas in `tried_servers` are not used again; a primary among them is
+    /// used only if there is no suitable replica.
     ///
     /// # Errors
-    /// [`Unplaced`] if there is no connection by then, or as soon as it is certain that there will
-    /// be none.
+    /// [`Unplaced`] if no connection is available by then, or as soon as the estimated wait exceeds
+    /// it.
     pub(super) async fn place(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
@@ -202,7 +206,7 @@
                 give_up_at,
             };
             let acquired = self.acquire_while_valid(request, session, &wait).await?;
-            // Time has passed: the lease may have ended meanwhile.
+            // The lease may have ended during the wait.
             if let Some(checkout) = acquired
                 && (proof.is_some() || self.is_leased(&pool.server, clock::now()))
             {
@@ -211,8 +215,8 @@
         }
     }
 
-    /// Waits for a connection to this server. None if the server can't be reached, or is no longer
-    /// valid: another choice is due.
+    /// Waits for a connection to this server. Returns `None` if the server can't be reached or is no
+    /// longer valid: the caller then chooses again.
     async fn acquire_while_valid(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
@@ -242,8 +246,8 @@
         }
     }
 
-    /// Waits until this server is no longer valid for what waits there. Other changes of the view
-    /// don't cost a statement its position in the queue.
+    /// Waits until this server is no longer valid for the waiting statement. Other changes of the
+    /// view are ignored, so that the statement keeps its position in the queue.
     async fn until_invalid(&self, pool: &Pool, is_primary: bool, mut generation: u64) {
         loop {
             self.shared_view.changed.notified_since(generation).await;
@@ -266,7 +270,7 @@
         }
     }
 
-    /// The server for this, as things are now.
+    /// Chooses a server for this request by the present state of view, pools and health.
     fn choose_target(
         &self,
         request: &PlacementRequest<'_>,
@@ -299,12 +303,13 @@
         }
         match primary {
             Some(pool) if pool.health().is_up(now) => PlacementTarget::Primary(pool),
-            // The end of a backoff is polled for; a change of the view wakes the statement at once.
+            // The end of a backoff wakes nobody, so it is polled for; a change of the view wakes the
+            // statement at once.
             _ => PlacementTarget::RetryAt(now + PRIMARY_RECHECK_INTERVAL_S),
         }
     }
 
-    /// The next replica in rotation that is up and may have this position.
+    /// Returns the next replica in rotation that is up and may have reached this position.
     fn next_replica(
         &self,
         view: &View,
@@ -330,7 +335,7 @@
                 health.is_up(now) && health.may_have_position(proof, now)
             })
             .collect();
-        // The rotation counts through a fixed order, and that of the map is none.
+        // The rotation needs a fixed order, which the map doesn't have.
         replicas.sort_by(|a, b| a.server.id.cmp(&b.server.id));
         let index = self.update_service(service, |state| {
             state.rotation.next(replicas.len(), |_| true)
--- a/crates/runtime/pooler/src/data_plane/pool.rs
+++ b/crates/runtime/pooler/src/data_plane/pool.rs
@@ -1,12 +1,12 @@
-//! The connections to one server, and what its answers say of it.
+//! The connection pool of one server, and the server's health as its answers show it.
 //!
-//! - `checkout`: a connection while one client uses it; `acquire` and `idle` get it, `prepare`
-//!   brings it to the session's state, `exchange` sends a statement, `drain` reads an answer that
-//!   nobody waits for any more;
-//! - `health`: health, latency and unanswered statements.
+//! - `checkout`: a connection in use by one client; `acquire` and `idle` provide it, `prepare`
+//!   sets the session's state on it, `exchange` sends a statement, `drain` reads an answer that
+//!   no client waits for any more;
+//! - `health`: the server's health and latency, and its unanswered statements.
 //!
-//! The data plane owns one [`Pool`] a server; placement and the client sessions use it. It doesn't
-//! know the lease, and retries nothing.
+//! The data plane owns one [`Pool`] per server; placement and the client sessions use it. The pool
+//! doesn't check the lease and retries no statement.
 
 mod acquire;
 mod checkout;
@@ -32,11 +32,11 @@
 use std::future::pending;
 use std::rc::Rc;
 
-/// The connections to one server. Times are seconds of the monotonic clock.
+/// The connection pool of one server. Times are seconds of the monotonic clock.
 pub(super) struct Pool {
     /// The server.
     pub(super) server: Server,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections; the most recently used one is last.
     idle: RefCell<Vec<ServerConnection>>,
     connection_admission: Rc<AdmissionQueue>,
     slot_admission: Rc<AdmissionQueue>,
@@ -46,35 +46,35 @@
     latency: Cell<Latency>,
     /// When the server last answered anything; 0 for never.
     last_answer_at: Cell<f64>,
-    /// When the newest statement was sent that has been answered.
+    /// Latest send time among the statements that have been answered.
     newest_answered_sent_at: Cell<f64>,
-    /// Since when connections fail, until the next answer.
+    /// Since when connections have failed; cleared by the next answer.
     failing_since: Cell<Option<f64>>,
-    /// When the statements were sent that have not been answered.
+    /// Send times of the statements that have not been answered.
     unanswered_sent_at: RefCell<Vec<f64>>,
 }
 
-/// Connections and queues of a pool, or of all pools of a service.
+/// Connections and queue length of one pool, or the sums over all pools of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PoolUsage {
     /// The service.
     pub service: String,
-    /// Idle connections.
+    /// Number of idle connections.
     pub idle: usize,
-    /// Connections that are checked out or being opened.
+    /// Number of connections that are checked out or being opened.
     pub in_use: usize,
-    /// Slots that are taken.
-    pub working: usize,
-    /// Statements that wait for a connection or a slot.
+    /// Number of slots in use.
+    pub slots_in_use: usize,
+    /// Number of statements that wait for a connection or a slot.
     pub waiting: usize,
 }
 
-/// There is no connection; nothing has run.
+/// Why no connection could be checked out. No statement of the client has been sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum CheckoutError {
-    /// The server can't be reached, or another one is at its address.
+    /// The server can't be reached, or another server now has its address.
     Unreachable,
-    /// Admission would come too late: in about this many seconds.
+    /// The estimated wait for admission exceeds the statement's limit.
     Busy {
         /// The estimated wait, in seconds.
         wait_s: f64,
@@ -82,7 +82,8 @@
 }
 
 impl Pool {
-    /// A pool for this server, which takes `max_connections` of `router_count` routers.
+    /// Creates the pool of a server that accepts `max_connections` in total from `router_count`
+    /// routers.
     pub(super) fn new(server: Server, max_connections: usize, router_count: usize) -> Rc<Self> {
         let quota = ConnectionQuota::new(max_connections, router_count);
         let in_flight = in_flight_limit(server.slots as usize, router_count, 1.0);
@@ -102,19 +103,19 @@
         })
     }
 
-    /// Its connections and queues.
+    /// Returns the numbers of its connections, used slots and waiting statements.
     pub(super) fn usage(&self) -> PoolUsage {
         PoolUsage {
             service: self.server.service.clone(),
             idle: self.idle.borrow().len(),
             in_use: self.connection_admission.admitted(),
-            working: self.slot_admission.admitted(),
+            slots_in_use: self.slot_admission.admitted(),
             waiting: self.connection_admission.waiting_count()
                 + self.slot_admission.waiting_count(),
         }
     }
 
-    /// Changes how many connections the server takes, or of how many routers.
+    /// Updates how many connections the server accepts and how many routers share them.
     pub(super) fn set_quota(&self, max_connections: usize, router_count: usize) {
         let mut quota = self.connection_quota.get();
         quota.update(max_connections, router_count);
@@ -125,7 +126,8 @@
         self.update_in_flight_limit();
     }
 
-    /// Follows the latency: across a slow network more is in flight.
+    /// Adapts the limit of statements in flight to the latency: a slow network needs more of them
+    /// to keep the server's slots busy.
     fn update_in_flight_limit(&self) {
         let limit = in_flight_limit(
             self.server.slots as usize,
@@ -137,12 +139,13 @@
         }
     }
 
-    /// Whether whoever comes now must wait.
+    /// Returns whether a statement that arrives now must wait for a connection or a slot.
     pub(super) fn is_full(&self) -> bool {
         self.slot_admission.is_full() || self.connection_admission.is_full()
     }
 
-    /// The estimated seconds until admission of one that comes now: rather too many than too few.
+    /// Estimates how many seconds a statement that arrives now waits for admission. The estimate
+    /// errs on the high side.
     pub(super) fn estimated_wait(&self, terms: &AdmissionTerms, now: f64) -> f64 {
         let ahead =
             |queue: &AdmissionQueue| queue.entries_ahead(terms.rank, terms.latest_start, now);
@@ -152,8 +155,8 @@
         )
     }
 
-    /// Waits for a permit of this queue. Fails as soon as it is clear that admission comes too
-    /// late, which is estimated at the beginning and once the latest start is past.
+    /// Waits for a permit of this queue. The wait is estimated at the beginning and again when the
+    /// latest start has passed; if an estimate exceeds the statement's limit, this fails at once.
     async fn admit(
         &self,
         queue: &Rc<AdmissionQueue>,
@@ -176,7 +179,7 @@
         .await
     }
 
-    /// Fails if the estimated wait ends after the statement gives up.
+    /// Fails if the estimated wait ends after `terms.give_up_at`.
     fn check_wait(&self, terms: &AdmissionTerms) -> Result<(), CheckoutError> {
         let now = clock::now();
         let wait_s = self.estimated_wait(terms, now);
--- a/crates/runtime/pooler/src/data_plane/pool/acquire.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/acquire.rs
@@ -1,4 +1,4 @@
-//! A connection for a checkout: an idle one, or a new one.
+//! Obtains the connection for a checkout: an idle one if possible, otherwise a new one.
 
 use super::health::UnansweredStatement;
 use super::{CheckoutError, Pool};
@@ -9,31 +9,32 @@
 use badgerstream_pooling::session::Values;
 use std::rc::Rc;
 
-/// The first backoff after a server refused a connection for having too many, in seconds; it
-/// doubles with each refusal.
-const CONNECTION_LIMIT_BACKOFF_S: f64 = 0.05;
-/// The longest backoff, in seconds.
-const MAX_CONNECTION_LIMIT_BACKOFF_S: f64 = 8.0 * CONNECTION_LIMIT_BACKOFF_S;
+/// First backoff after a server refused a connection because of its connection limit, in seconds;
+/// it doubles with each refusal.
+const INITIAL_CONNECTION_LIMIT_BACKOFF_S: f64 = 0.05;
+/// Maximum backoff after such a refusal, in seconds.
+const MAX_CONNECTION_LIMIT_BACKOFF_S: f64 = 8.0 * INITIAL_CONNECTION_LIMIT_BACKOFF_S;
 
 impl Pool {
-    /// The idle connection whose state is nearest to these values, or a new one.
+    /// Returns the idle connection whose session state needs the fewest changes to hold these
+    /// values, or opens a new connection.
     pub(super) async fn acquire_connection(
         self: &Rc<Self>,
         data_plane: &DataPlane,
         values: &Values,
     ) -> Result<ServerConnection, CheckoutError> {
-        let mut backoff = CONNECTION_LIMIT_BACKOFF_S;
+        let mut backoff_s = INITIAL_CONNECTION_LIMIT_BACKOFF_S;
         loop {
             if let Some(connection) = self.take_idle(values, &data_plane.scratch) {
                 return Ok(connection);
             }
             match self.open(data_plane).await {
                 Ok(connection) => return Ok(connection),
-                Err(OpenError::Full) => {
+                Err(OpenError::ConnectionLimit) => {
                     let now = clock::now();
-                    self.mark_full(now);
-                    sleep_until(now + backoff).await;
-                    backoff = (backoff * 2.0).min(MAX_CONNECTION_LIMIT_BACKOFF_S);
+                    self.record_connection_limit(now);
+                    sleep_until(now + backoff_s).await;
+                    backoff_s = (backoff_s * 2.0).min(MAX_CONNECTION_LIMIT_BACKOFF_S);
                 }
                 Err(error) => {
                     self.mark_unreachable();
@@ -63,8 +64,8 @@
         Ok(opened.connection)
     }
 
-    /// The server takes no more connections: the quota is reduced for a while.
-    fn mark_full(&self, now: f64) {
+    /// Records that the server has reached its connection limit, and reduces the quota for a while.
+    fn record_connection_limit(&self, now: f64) {
         let mut quota = self.connection_quota.get();
         quota.record_refusal(now);
         self.connection_quota.set(quota);
--- a/crates/runtime/pooler/src/data_plane/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -1,4 +1,4 @@
-//! A connection in use by one client: taken from the pool, and returned as its state allows.
+//! A connection in use by one client: it is taken from the pool, and returned if its state allows.
 
 use super::health::UnansweredStatement;
 use super::{CheckoutError, Pool};
@@ -11,19 +11,22 @@
 use badgerstream_pooling::session::{Shape, Values};
 use std::rc::Rc;
 
-/// How long statements of the router itself may take, in seconds.
+/// Timeout of the statements that the router sends on its own, in seconds.
 pub(super) const INTERNAL_STATEMENT_TIMEOUT_S: f64 = 1.0;
-/// The rank of what has begun already, and keeps others waiting until it ends.
-const RANK_OF_BEGUN: u32 = 0;
+/// Rank of statements in transactions that have begun at the server: they go first, as an open
+/// transaction keeps other statements waiting until it ends.
+const OPEN_TRANSACTION_RANK: u32 = 0;
 
-/// What becomes of a connection when its [`Checkout`] is dropped.
+/// What happens to a connection when its [`Checkout`] is dropped.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Reuse {
-    /// It is idle, and returned to the pool.
+    /// The connection is idle and is returned to the pool.
     Clean,
-    /// A statement outside a transaction is unanswered: it is returned once the answer is in.
+    /// A statement outside a transaction is unanswered: the connection is returned to the pool once
+    /// the answer has been read.
     Pending,
-    /// A transaction is open, or its state is unknown: it is closed, which rolls back.
+    /// A transaction is open or the connection's state is unknown: the connection is closed, which
+    /// rolls the transaction back.
     Closed,
 }
 
@@ -32,26 +35,26 @@
     pub(super) data_plane: Rc<DataPlane>,
     /// The server's pool.
     pub(in crate::data_plane) pool: Rc<Pool>,
-    /// None once it broke.
+    /// `None` once the connection has broken.
     pub(super) connection: Option<ServerConnection>,
     pub(super) connection_permit: Option<Permit>,
     pub(super) slot_permit: Option<Permit>,
     pub(super) reuse: Reuse,
-    /// The router changed values or prepared statements inside the transaction that is open.
+    /// The router changed values or prepared statements inside the open transaction.
     pub(super) changed_in_transaction: bool,
-    /// The last statement is a `COMMIT`: if it succeeds, changes inside the transaction persist.
+    /// The last statement is a `COMMIT`: if it succeeds, those changes persist.
     pub(super) commits: bool,
     pub(super) unanswered: Option<UnansweredStatement>,
-    /// The last statement takes a slot of the server, so that its answer shows the latency.
+    /// The last statement takes a slot of the server, so the time to its answer counts as latency.
     pub(super) takes_slot: bool,
 }
 
 impl Checkout {
-    /// Waits for a connection, brings it to these values and this shape, and waits for a slot if
-    /// what comes next takes one. The router's own statements take none.
+    /// Waits for a connection, sets these values and prepares this shape on it, and waits for a slot
+    /// if `takes_slot`. The router's own statements take no slot.
     ///
     /// # Errors
-    /// [`CheckoutError`]; nothing of the client has been sent.
+    /// [`CheckoutError`]; no statement of the client has been sent then.
     pub(in crate::data_plane) async fn acquire(
         data_plane: &Rc<DataPlane>,
         pool: &Rc<Pool>,
@@ -84,15 +87,16 @@
         Ok(checkout)
     }
 
-    /// The number in the router's name for this shape, on this connection.
+    /// Returns the number in the name that the router gave this shape on this connection; `None` if
+    /// it is not prepared there.
     pub(in crate::data_plane) fn prepared_number(&self, shape: &Shape) -> Option<u32> {
         self.connection
             .as_ref()
             .and_then(|connection| connection.state.prepared_number(shape))
     }
 
-    /// Waits for the first slot of a transaction, by its rank and latest start. False if there is
-    /// none in time.
+    /// Waits for the first slot of a transaction, by its rank and latest start. Returns whether it
+    /// got one in time.
     pub(in crate::data_plane) async fn acquire_first_slot(
         &mut self,
         terms: &AdmissionTerms,
@@ -103,28 +107,31 @@
         self.slot_permit.is_some()
     }
 
-    /// Waits for a slot, unless it has one. It goes first: what has begun keeps others waiting.
+    /// Waits for a slot unless the checkout has one. It goes before statements that have not begun,
+    /// as an open transaction keeps others waiting.
     pub(in crate::data_plane) async fn acquire_slot(&mut self) {
         if self.slot_permit.is_none() {
             let queue = &self.pool.slot_admission;
-            self.slot_permit = Some(queue.acquire(RANK_OF_BEGUN, f64::INFINITY).await);
+            self.slot_permit = Some(queue.acquire(OPEN_TRANSACTION_RANK, f64::INFINITY).await);
         }
     }
 
-    /// Gives the slot back.
+    /// Releases the slot.
     pub(in crate::data_plane) fn release_slot(&mut self) {
         self.slot_permit = None;
     }
 
-    /// The next statement is a `COMMIT`: with its success, changes inside the transaction persist.
+    /// Records that the next statement is a `COMMIT`: if it succeeds, changes of values and prepared
+    /// statements inside the transaction persist.
     pub(in crate::data_plane) fn expect_commit(&mut self) {
         self.commits = true;
     }
 
-    /// Rolls an open transaction back in a task of its own, so that the connection can be reused.
+    /// Rolls back an open transaction in a separate task, so that the connection can be reused.
     pub(in crate::data_plane) fn roll_back(mut self) {
         if self.unanswered.is_some() {
-            // The next answer on it isn't that of our `ABORT`. Closing it rolls back, too.
+            // The next answer on the connection would not be that to our `ABORT`. Dropping the
+            // checkout closes the connection, which rolls back as well.
             return;
         }
         let data_plane = self.data_plane.clone();
@@ -132,7 +139,7 @@
         let abort = async move {
             let give_up_at = clock::now() + INTERNAL_STATEMENT_TIMEOUT_S;
             let discard = async |_: &[u8]| true;
-            // Without success the connection isn't clean, and is closed with the checkout.
+            // If this fails, the connection isn't clean and is closed with the checkout.
             let _ = self
                 .exchange(
                     b"QUERY - ABORT\r\n",
--- a/crates/runtime/pooler/src/data_plane/pool/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/drain.rs
@@ -1,4 +1,4 @@
-//! The answer of a statement that nobody waits for any more: read to its end, so that the
+//! Reads the answer to a statement that no client waits for any more to its end, so that the
 //! connection can be reused.
 
 use super::Pool;
@@ -8,15 +8,16 @@
 use crate::net::{self, Scratch};
 use badgerstream_line_protocol::{ResponseReader, StatementResult, TransactionState};
 
-/// For how long an abandoned answer is awaited, in seconds.
+/// How long to wait for an abandoned answer, in seconds.
 const DRAIN_TIMEOUT_S: f64 = 3.0;
-/// For how long an abandoned answer is awaited that is overdue already, in seconds.
+/// How long to wait for an abandoned answer that is already overdue, in seconds.
 const OVERDUE_DRAIN_TIMEOUT_S: f64 = 0.5;
 
 impl Checkout {
-    /// Reads the pending answer in a task of its own. The server still works on it: its slot is
-    /// taken until it answers, and closing the connection would waste that work. If the answer is
-    /// overdue, the server has most likely answered, and the slot is free.
+    /// Reads the pending answer in a separate task. The server still works on the statement, so the
+    /// slot stays taken until the answer arrives, and closing the connection would waste that work.
+    /// If the answer is overdue, the server has most likely sent it, so the slot is released at
+    /// once.
     pub(super) fn drain(&mut self, mut connection: ServerConnection) {
         let is_overdue = self.is_overtaken();
         let timeout = if is_overdue {
@@ -46,7 +47,8 @@
 }
 
 impl Pool {
-    /// The answer has come. `sent_at` is when its statement was sent, if it took a slot.
+    /// Records an abandoned answer that has arrived, and keeps the connection if it is clean.
+    /// `sent_at` is when the statement was sent, if it took a slot.
     fn conclude_drain(
         &self,
         connection: ServerConnection,
@@ -55,7 +57,7 @@
     ) {
         self.mark_answered(outcome.position);
         if let Some(sent_at) = sent_at {
-            // It was not lost but slow, and so may be others.
+            // The answer was slow, not lost: others may be slow too, so it counts as latency.
             self.record_answer(sent_at);
         }
         if outcome.state == TransactionState::Idle
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -1,4 +1,4 @@
-//! A statement and its answer on a connection in use.
+//! Sends a statement on a checked-out connection and reads the answer.
 
 use super::Pool;
 use super::checkout::{Checkout, Reuse};
@@ -9,27 +9,27 @@
     ErrorCode, ExecutionOutcome, ResponseReader, StatementResult, TransactionState,
 };
 
-/// Between two checks whether an answer that is late has been overtaken, in seconds.
+/// Interval at which a late answer is checked for having been overtaken, in seconds.
 const OVERDUE_CHECK_INTERVAL_S: f64 = 0.05;
 
-/// Why a statement has no outcome.
+/// Why a statement has no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::data_plane) enum ExchangeError {
     /// No byte of it was sent.
     Unsent,
-    /// It was sent, at least in part, and the connection broke.
+    /// At least a part of it was sent, and the connection broke.
     Broken,
-    /// It was sent, and there is no answer in time.
+    /// It was sent, and no answer came in time.
     TimedOut,
-    /// It was sent, and its answer is most likely lost: overdue, while statements sent later are
-    /// answered.
+    /// It was sent, and its answer is most likely lost: it is overdue, while a statement sent later
+    /// has been answered.
     Overdue,
     /// A part of its answer was forwarded to a client that has disconnected.
     ClientDisconnected,
 }
 
 impl ExchangeError {
-    /// Whether the statement may have run.
+    /// Returns whether the statement may have run.
     pub(in crate::data_plane) fn execution_outcome(self) -> ExecutionOutcome {
         match self {
             Self::Unsent => ExecutionOutcome::NotRun,
@@ -41,9 +41,9 @@
 }
 
 impl Checkout {
-    /// Sends a statement and waits for its outcome until `give_up_at` (seconds). `answer` then
-    /// holds what is to be forwarded; of a long answer, earlier parts are given to `forward`, which
-    /// returns whether the client is still connected.
+    /// Sends a statement and waits for its answer until `give_up_at` (seconds of the monotonic
+    /// clock). Afterwards `answer` holds the bytes to forward. Earlier parts of a long answer are
+    /// passed to `forward`, which returns whether the client is still connected.
     pub(in crate::data_plane) async fn exchange(
         &mut self,
         line: &[u8],
@@ -55,8 +55,8 @@
             return Err(ExchangeError::Unsent);
         };
         let sent_at = clock::now();
-        // Under the lease there is no other primary at this moment, so its log has every commit
-        // that was acknowledged: the answer's position is a freshness proof.
+        // While the lease is valid no other server is primary, so this server's log holds every
+        // acknowledged commit: the position in its answer is a freshness proof.
         let under_lease = self.data_plane.is_leased(&self.pool.server, sent_at);
         if self.reuse == Reuse::Clean {
             self.reuse = Reuse::Pending;
@@ -74,14 +74,14 @@
                 });
             }
         }
-        // The router's own statements take no slot: their answers say nothing of the latency.
+        // The router's own statements take no slot: their answers don't count as latency.
         self.takes_slot = !line.starts_with(b"QUERY - ");
         self.unanswered = Some(UnansweredStatement::new(&self.pool, sent_at, under_lease));
         self.await_answer(answer, give_up_at, forward).await
     }
 
-    /// As [`Checkout::exchange`], but fails with [`ExchangeError::Overdue`] as soon as the answer of
-    /// a statement with this latency target (seconds) is most likely lost.
+    /// Like [`Checkout::exchange`], but fails with [`ExchangeError::Overdue`] as soon as the answer
+    /// is most likely lost. `target_s` is the latency target of the statement, in seconds.
     pub(in crate::data_plane) async fn exchange_until_overdue(
         &mut self,
         line: &[u8],
@@ -103,14 +103,15 @@
             if self.is_overtaken() {
                 return Err(ExchangeError::Overdue);
             }
-            // Until others are answered, the server may just be slow.
+            // As long as no later statement has been answered, the server may just be slow.
             let next_check = overdue_at(now, &self.pool).min(now + OVERDUE_CHECK_INTERVAL_S);
             outcome = self.await_answer(answer, next_check, &forward).await;
         }
         outcome
     }
 
-    /// Waits on, until `give_up_at` (seconds), for the answer of what was sent and has timed out.
+    /// Waits until `give_up_at` (seconds of the monotonic clock) for the answer to the statement
+    /// that was sent; may be called again after it has timed out.
     pub(in crate::data_plane) async fn await_answer(
         &mut self,
         answer: &mut ResponseReader,
@@ -147,8 +148,8 @@
         }
     }
 
-    /// The answer is in: records what it says of the server, and decides whether the connection can
-    /// be reused.
+    /// Records the server's health, latency and position from a complete answer, and decides whether
+    /// the connection can be reused.
     fn conclude(&mut self, outcome: &StatementResult) {
         self.pool.mark_answered(outcome.position);
         let is_idle = outcome.state == TransactionState::Idle;
@@ -169,7 +170,8 @@
         let Some(connection) = &mut self.connection else {
             return;
         };
-        // After `UNKNOWN` the server doesn't hold what the connection's state says.
+        // `UNKNOWN` shows that the server doesn't hold the session state recorded for the
+        // connection.
         let is_clean =
             is_idle && connection.is_clean() && outcome.error != Some(ErrorCode::Unknown);
         self.reuse = if is_clean {
@@ -179,13 +181,13 @@
         };
         let is_committed = self.commits && outcome.error.is_none();
         if is_idle && std::mem::take(&mut self.changed_in_transaction) && !is_committed {
-            // The protocol leaves open whether a rollback undoes `SET` and `PREPARE`, too.
+            // The protocol doesn't specify whether a rollback also undoes `SET` and `PREPARE`.
             connection.state.mark_uncertain();
         }
     }
 
-    /// Whether the server has answered what was sent after this statement, so that its answer is
-    /// most likely lost.
+    /// Returns whether the server has answered a statement that was sent after this one, so that the
+    /// answer to this one is most likely lost.
     pub(in crate::data_plane) fn is_overtaken(&self) -> bool {
         self.unanswered.as_ref().is_some_and(|unanswered| {
             !unanswered.partially_forwarded
--- a/crates/runtime/pooler/src/data_plane/pool/health.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/health.rs
@@ -1,4 +1,5 @@
-//! What the answers of a server say of it: whether it is up, how fast it is, since when it fails.
+//! Health and latency of a server as its answers show them: whether it is up, how fast it answers,
+//! and since when it has been failing.
 
 use super::Pool;
 use crate::clock;
@@ -7,28 +8,28 @@
 use badgerstream_pooling::latency::Latency;
 use std::rc::Rc;
 
-/// After how many seconds without an answer to a statement the server counts as failing.
+/// A server counts as failing when a statement has been unanswered for this many seconds.
 const UNANSWERED_FAILING_AFTER_S: f64 = 0.3;
 
 impl Pool {
-    /// How fast the server answers.
+    /// Returns the measured latency of the server.
     pub(in crate::data_plane) fn latency(&self) -> Latency {
         self.latency.get()
     }
 
-    /// The health of the server.
+    /// Returns the health of the server.
     pub(in crate::data_plane) fn health(&self) -> Health {
         self.health.get()
     }
 
-    /// The server lacks this position.
+    /// Records that the server's data has not reached this position.
     pub(in crate::data_plane) fn mark_lagging(&self, position: Position) {
         let mut health = self.health.get();
         health.record_lag(clock::now(), position);
         self.health.set(health);
     }
 
-    /// The server could not be reached: a backoff begins.
+    /// Records that the server could not be reached, and starts a backoff.
     pub(super) fn mark_unreachable(&self) {
         let mut health = self.health.get();
         health.record_failure(clock::now());
@@ -36,8 +37,8 @@
         self.mark_failing();
     }
 
-    /// A connection broke. That may be a fault of this connection only, so no backoff begins: the
-    /// next connection shows whether the server can be reached.
+    /// Records that a connection broke. Only this connection may be at fault, so no backoff starts:
+    /// the next connection shows whether the server can be reached.
     pub(super) fn mark_failing(&self) {
         let now = clock::now();
         if self.failing_since.get().is_none() {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The server answered something.
+    /// Records that the server answered, and the position that it reported, if any.
     pub(super) fn mark_answered(&self, position: Option<Position>) {
         let mut health = self.health.get();
         health.record_response(position);
@@ -54,7 +55,7 @@
         self.failing_since.set(None);
     }
 
-    /// The server answered a statement that was sent at this second.
+    /// Records the latency of an answered statement, sent at this second of the monotonic clock.
     pub(super) fn record_answer(&self, sent_at: f64) {
         let mut latency = self.latency.get();
         latency.record_response(clock::now() - sent_at);
@@ -64,20 +65,21 @@
             .set(self.newest_answered_sent_at.get().max(sent_at));
     }
 
-    /// The server answered a statement that takes no slot and was sent at this second.
+    /// Records the round trip of an answered statement that takes no slot, sent at this second of
+    /// the monotonic clock.
     pub(super) fn record_round_trip(&self, sent_at: f64) {
         let mut latency = self.latency.get();
         latency.record_round_trip(clock::now() - sent_at);
         self.latency.set(latency);
     }
 
-    /// When the server last answered, in seconds of the monotonic clock; 0 for never.
+    /// Returns when the server last answered, in seconds of the monotonic clock; 0 for never.
     pub(in crate::data_plane) fn last_answer_at(&self) -> f64 {
         self.last_answer_at.get()
     }
 
-    /// Since when the server doesn't answer, in seconds of the monotonic clock; none while it does,
-    /// or nothing is sent.
+    /// Returns since when the server has not answered, in seconds of the monotonic clock; `None`
+    /// while it answers or nothing is sent to it.
     pub(in crate::data_plane) fn failing_since(&self, now: f64) -> Option<f64> {
         let last_answer_at = self.last_answer_at.get();
         let oldest_unanswered = self
@@ -96,12 +98,12 @@
     }
 }
 
-/// A statement that was sent and not answered. The pool counts it for as long as this lives.
+/// A statement that was sent and not answered. The pool counts it until this value is dropped.
 pub(super) struct UnansweredStatement {
     pool: Rc<Pool>,
-    /// When it was sent, in seconds.
+    /// When it was sent, in seconds of the monotonic clock.
     pub(super) sent_at: f64,
-    /// The lease was valid then.
+    /// The lease was valid when it was sent.
     pub(super) under_lease: bool,
     /// A part of its answer has been forwarded.
     pub(super) partially_forwarded: bool,
--- a/crates/runtime/pooler/src/data_plane/pool/prepare.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/prepare.rs
@@ -1,4 +1,4 @@
-//! Brings a connection to the values and the prepared statement that the next statement needs.
+//! Sets the session values and the prepared statement that the next statement needs on a connection.
 
 use super::Pool;
 use super::checkout::{Checkout, INTERNAL_STATEMENT_TIMEOUT_S, Reuse};
@@ -11,13 +11,13 @@
 use futures_lite::future::or;
 use thiserror::Error;
 
-/// The connection could not be brought to the session's state, and is closed.
+/// The session state could not be set on the connection, which has been closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the connection to the server can't be brought to the state of the session")]
+#[error("setting the session state on the server connection failed; the connection is closed")]
 pub(in crate::data_plane) struct PrepareFailed;
 
 impl Checkout {
-    /// Makes the connection hold exactly these values and know this shape.
+    /// Sets exactly these values on the connection and prepares this shape there.
     ///
     /// # Errors
     /// [`PrepareFailed`]; the connection is closed then.
@@ -39,7 +39,7 @@
         } else {
             TransactionState::Idle
         };
-        // Until all changes are acknowledged, its state is unknown.
+        // Until all changes are acknowledged, the state of the connection is unknown.
         self.reuse = Reuse::Closed;
         let sent_at = clock::now();
         let (pool, scratch) = (&self.pool, &self.data_plane.scratch);
@@ -68,7 +68,8 @@
     }
 }
 
-/// Sends the changes, and waits until the server has acknowledged all of them in this state.
+/// Sends the changes and waits until the server has acknowledged each of them with this transaction
+/// state.
 async fn apply(
     connection: &mut ServerConnection,
     changes: &[StateChange],
@@ -99,8 +100,8 @@
     Ok(())
 }
 
-/// Fails once the answer to what was sent then is most likely lost: another connection can do the
-/// same.
+/// Fails once the answer to the changes sent at `sent_at` is most likely lost, as the statement can
+/// still use another connection.
 async fn fail_when_overtaken(pool: &Pool, sent_at: f64) -> Result<(), PrepareFailed> {
     loop {
         sleep_until(clock::now() + pool.latency().overdue_after_s(0.0)).await;
--- a/crates/runtime/pooler/src/data_plane/server_connection.rs
+++ b/crates/runtime/pooler/src/data_plane/server_connection.rs
@@ -1,7 +1,8 @@
-//! A connection to a database server: the handshake, and lines out and answers in.
+//! A connection to a database server: performs the handshake, sends lines and reads answers.
 //!
-//! The pool of the server owns it while it is idle, a checkout while a client uses it. It knows
-//! what session state it holds, and decides nothing.
+//! The server's pool owns the connection while it is idle, a checkout owns it while a client uses
+//! it. The connection records the session state that the server holds for it; its owners decide how
+//! it is used.
 
 use crate::clock;
 use crate::net::{self, Scratch, WriteError};
@@ -14,27 +15,27 @@
 use std::net::{SocketAddr, TcpStream};
 use thiserror::Error;
 
-/// How long opening a connection may take, with the handshake, in seconds.
+/// Timeout for opening a connection, including the handshake, in seconds.
 pub(super) const OPEN_TIMEOUT_S: f64 = 1.0;
-/// After how many milliseconds without acknowledgement of a byte a connection breaks
+/// A connection breaks when sent bytes stay unacknowledged for this long, in milliseconds
 /// (`TCP_USER_TIMEOUT`).
 pub(super) const USER_TIMEOUT_MS: u32 = 1800;
-/// An answer longer than this is forwarded in parts, in bytes.
+/// Maximum size of an answer that is buffered whole, in bytes; longer ones are forwarded in parts.
 pub(super) const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// A connection to a server.
 pub(super) struct ServerConnection {
     stream: Async<TcpStream>,
     lines: LineBuffer,
-    /// The session state that it holds.
+    /// Session state that the server holds for this connection.
     pub(super) state: ConnectionState,
-    /// Since when it is idle, in seconds of the monotonic clock.
+    /// Since when it has been idle, in seconds of the monotonic clock.
     pub(super) idle_since: f64,
 }
 
-/// The server that a connection is opened to.
+/// Address and identity of the server that a connection is opened to.
 pub(super) struct ServerAddress<'a> {
-    /// Where it listens.
+    /// Address at which it listens.
     pub(super) endpoint: SocketAddr,
     /// Its service.
     pub(super) service: &'a str,
@@ -42,38 +43,38 @@
     pub(super) server_id: &'a str,
 }
 
-/// A connection that was opened, and the server's position if it said so.
-pub(super) struct Opened {
+/// An opened connection, and the server's position if the handshake reported it.
+pub(super) struct OpenedConnection {
     pub(super) connection: ServerConnection,
     pub(super) position: Option<Position>,
 }
 
-/// Why a connection could not be opened; nothing has run.
+/// Why a connection could not be opened. No statement has been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OpenError {
-    /// No answer in time, or the connection was refused or broke.
+    /// The server did not answer in time, or the connection was refused or broke.
     Unreachable,
-    /// Another server is at the address.
+    /// Another server now has this address.
     WrongNode,
-    /// The server has as many connections as it takes.
-    Full,
-    /// Any other refusal.
+    /// The server has reached its connection limit.
+    ConnectionLimit,
+    /// The server answered the handshake with another error or an invalid line.
     Refused,
 }
 
-/// The connection broke while an answer was awaited, or what came is no answer.
+/// The connection broke before the end of an answer, or the server sent an invalid one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the connection to the server broke before the end of an answer")]
+#[error("the connection to the server broke or sent invalid data before the end of an answer")]
 pub(super) struct AnswerLost;
 
 impl ServerConnection {
-    /// Opens a connection to this server, within [`OPEN_TIMEOUT_S`]. `router` is the name that the
-    /// server is given in `CONNECT`.
+    /// Opens a connection to this server within [`OPEN_TIMEOUT_S`]. `router` is the router's name,
+    /// sent in `CONNECT`.
     pub(super) async fn open(
         address: &ServerAddress<'_>,
         router: &str,
         scratch: &Scratch,
-    ) -> Result<Opened, OpenError> {
+    ) -> Result<OpenedConnection, OpenError> {
         let handshake = Self::handshake(address, router, scratch);
         net::until(clock::now() + OPEN_TIMEOUT_S, handshake)
             .await
@@ -84,7 +85,7 @@
         address: &ServerAddress<'_>,
         router: &str,
         scratch: &Scratch,
-    ) -> Result<Opened, OpenError> {
+    ) -> Result<OpenedConnection, OpenError> {
         let stream = net::connect(address.endpoint, USER_TIMEOUT_MS)
             .await
             .map_err(|_| OpenError::Unreachable)?;
@@ -100,8 +101,9 @@
             }
             match net::read(&stream, scratch, &mut lines).await {
                 Ok(n) if n > 0 => {}
-                // It accepted the connection and closed it: it has too many, or it shuts down.
-                _ => return Err(OpenError::Full),
+                // The server accepted the connection and then closed it: it has reached its
+                // connection limit or is shutting down.
+                _ => return Err(OpenError::ConnectionLimit),
             }
         };
         let connection = Self {
@@ -110,13 +112,14 @@
             state: ConnectionState::default(),
             idle_since: 0.0,
         };
-        Ok(Opened {
+        Ok(OpenedConnection {
             connection,
             position,
         })
     }
 
-    /// Whether the server has closed it, or sent what nothing asked for: it is of no more use.
+    /// Returns whether the server has closed the connection or sent unsolicited data, so that it
+    /// can't be reused.
     pub(super) fn is_unusable(&mut self, scratch: &Scratch) -> bool {
         !self.lines.is_empty()
             || !matches!(
@@ -125,13 +128,14 @@
             )
     }
 
-    /// Sends complete lines.
+    /// Sends complete protocol lines.
     pub(super) async fn send(&self, bytes: &[u8]) -> Result<(), WriteError> {
         net::write(&self.stream, bytes).await
     }
 
-    /// Waits for the rest of an answer. None once it is longer than
-    /// [`MAX_BUFFERED_ANSWER_BYTES`]: forward `answer.raw`, clear it, and call again.
+    /// Waits for the rest of an answer. Returns `None` when the buffered part has reached
+    /// [`MAX_BUFFERED_ANSWER_BYTES`]: the caller then forwards `answer.raw`, clears it and calls
+    /// again.
     pub(super) async fn read_answer(
         &mut self,
         answer: &mut ResponseReader,
@@ -151,19 +155,19 @@
         }
     }
 
-    /// Whether nothing is left of an earlier answer.
+    /// Returns whether no unread bytes of an earlier answer are left.
     pub(super) fn is_clean(&self) -> bool {
         self.lines.is_empty()
     }
 
-    /// Frees buffers before it becomes idle.
+    /// Shrinks the line buffer and records that the connection is idle from now on.
     pub(super) fn prepare_for_idle(&mut self) {
         self.lines.shrink();
         self.idle_since = clock::now();
     }
 }
 
-/// The position that a server's answer to `CONNECT` carries.
+/// Returns the position in a server's answer to `CONNECT`, if it carries one.
 fn greeting_position(line: &[u8]) -> Result<Option<Position>, OpenError> {
     match ResponseLine::parse(line) {
         Some(ResponseLine::Idle {
@@ -177,7 +181,7 @@
         Some(ResponseLine::Error {
             code: ErrorCode::ConnLimit,
             ..
-        }) => Err(OpenError::Full),
+        }) => Err(OpenError::ConnectionLimit),
         _ => Err(OpenError::Refused),
     }
 }
--- a/crates/runtime/pooler/src/data_plane/service_state.rs
+++ b/crates/runtime/pooler/src/data_plane/service_state.rs
@@ -1,5 +1,5 @@
-//! What the data plane remembers of each service: freshness proofs, the rotation over replicas, and
-//! the streak of refusals.
+//! State that the data plane keeps for each service: freshness proofs, the rotation over replicas,
+//! and the streak of refused placements.
 
 use super::DataPlane;
 use crate::view::Server;
@@ -11,11 +11,11 @@
 /// The state of one service.
 #[derive(Default)]
 pub(super) struct ServiceState {
-    /// Positions that its primary answered under the lease.
+    /// Positions that its primary reported while the lease was valid.
     pub(super) history: PositionHistory,
-    /// Which replica is next.
+    /// Chooses the next replica.
     pub(super) rotation: Rotation,
-    /// Statements without a placement.
+    /// Consecutive statements without a placement.
     pub(super) refusals: RefusalStreak,
 }
 
@@ -24,18 +24,19 @@
 pub struct ProofAge {
     /// The service.
     pub service: String,
-    /// How long ago its primary was queried, in seconds.
+    /// Time since the query to its primary that gave the proof, in seconds.
     pub age_s: f64,
 }
 
 impl DataPlane {
-    /// Records a position of the primary that control knows: it covers every commit acknowledged
+    /// Records a position of the primary that control reported: it covers every commit acknowledged
     /// before `covers_from`, in seconds of the monotonic clock.
     pub fn record_confirmed_position(&self, service: &str, covers_from: f64, position: Position) {
         self.update_service(service, |state| state.history.record(covers_from, position));
     }
 
-    /// Records what a server answered that was queried at `queried_at` under the lease.
+    /// Records the position in a server's answer to a query that was sent at `queried_at` (seconds of
+    /// the monotonic clock) while the lease was valid.
     pub(super) fn record_answer_position(
         &self,
         server: &Server,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The age of the newest freshness proof of each service that has one.
+    /// Returns the age of the newest freshness proof of each service that has one.
     pub fn proof_ages(&self, now: f64) -> Vec<ProofAge> {
         let services = self.services.borrow();
         services
@@ -63,18 +64,19 @@
             .collect()
     }
 
-    /// Reads or changes the state of a service, which is created at its first use.
+    /// Reads or changes the state of a service, creating it at its first use.
     pub(super) fn update_service<T>(
         &self,
         service: &str,
         update: impl FnOnce(&mut ServiceState) -> T,
     ) -> T {
         let mut services = self.services.borrow_mut();
-        // Looked up first: on the path of every statement nothing is allocated for the key.
+        // Every statement comes here: looking the state up first avoids allocating a key.
         if let Some(state) = services.get_mut(service) {
             return update(state);
         }
-        // A random first replica, so that routers which start together don't all use the same.
+        // Starts at a random replica, so that routers which start together don't all use the same
+        // one.
         let rotation = Rotation {
             next: self.random.borrow_mut().usize(..),
         };
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -107,7 +107,7 @@
     );
     let slots_in_use = pools
         .iter()
-        .map(|pool| (service_label(&pool.service), pool.working as f64));
+        .map(|pool| (service_label(&pool.service), pool.slots_in_use as f64));
     exposition.gauges(
         "router_slots_in_use",
         "Places to work that are taken at servers of a service",
