--- a/crates/runtime/pooler/src/leader_session.rs
+++ b/crates/runtime/pooler/src/leader_session.rs
@@ -1,10 +1,10 @@
-//! A router's session with the leading control machine: it renews the lease on primaries, reports
-//! on servers, and applies all updates to the view.
+//! A router's session with the leader of the control machines: renews the lease on primaries, sends
+//! health reports on servers, and applies all updates to the view.
 //!
 //! One task runs [`LeaderSession::run`]; it is the only writer of the view. The session ends when
-//! the leader sends nothing for the silence time-out while a request is unanswered. Whoever still
-//! receives something has not lost the leader, however long a frame takes on a slow link. `search`
-//! decides which control machine to try; nothing here sends to database servers.
+//! a request is unanswered and no byte has arrived from the leader for the silence timeout. As long as
+//! bytes arrive the leader is not lost, however long a frame takes on a slow link. `search` decides
+//! which control machine to try; nothing here sends to database servers.
 
 mod search;
 mod update;
@@ -24,51 +24,52 @@
 use std::task::{Context, Poll};
 use update::UnconfirmedServers;
 
-/// A connection that lasted for so many seconds was a session with a leader.
+/// A connection that lasted longer than this counts as a session with a leader, in seconds.
 const MIN_SESSION_S: f64 = 1.0;
-/// Pause after a connection failed, in seconds.
+/// Pause after a failed connection, in seconds.
 const RECONNECT_INTERVAL_S: f64 = 0.02;
 /// Pause while no control machine is known, in seconds.
 const NO_NODE_INTERVAL_S: f64 = 0.1;
-/// The shortest wait between two looks at the timers of a connection, in seconds.
+/// Minimum wait between two checks of the timers of a connection, in seconds.
 const MIN_WAIT_S: f64 = 0.001;
-/// Messages that were read and not applied yet; further ones are not read before.
+/// Maximum number of messages that are read but not yet applied; reading pauses at this limit.
 const MAX_QUEUED_MESSAGES: usize = 64;
 /// Size of a connection's read buffer, in bytes.
-const READ_BYTES: usize = 1024;
+const READ_BUFFER_BYTES: usize = 1024;
 
-/// What a session needs to know of its router and its timing.
+/// Identity of the router, and timing of its session.
 #[derive(Clone, Debug)]
 pub struct LeaderSessionConfig {
     /// The router's name.
     pub router: String,
-    /// Random, drawn at the start of the router's process.
+    /// Random number drawn when the router's process started.
     pub process_incarnation: u64,
-    /// The port at which control machines accept routers.
+    /// The port on which control machines accept routers.
     pub port: u16,
-    /// Between two lease requests, in seconds.
+    /// Interval between two lease requests, in seconds.
     pub renew_interval_s: f64,
-    /// Without a byte for so many seconds after a request, another control machine is tried.
+    /// If no byte arrives for this many seconds while a request is unanswered, another control machine
+    /// is tried.
     pub silence_timeout_s: f64,
 }
 
-/// Reports when the servers of these services last answered, as of this time of the monotonic
-/// clock.
+/// Returns the health reports on the servers of these services at this time, in seconds of the
+/// monotonic clock.
 type HealthReports = dyn Fn(&[String], f64) -> Vec<HealthReport>;
 
 /// The session of one router.
 pub struct LeaderSession {
     config: LeaderSessionConfig,
     shared: SharedView,
-    /// The newest leader's term, and how far its updates are applied.
+    /// The term of the newest leader, and the number of its last applied update.
     update_watermark: Cell<(Term, u64)>,
     control_nodes: RefCell<ControlNodes>,
     unconfirmed_servers: RefCell<UnconfirmedServers>,
     health_reports: Box<HealthReports>,
-    /// Services of whose servers the leader wants health reports.
+    /// Services for whose servers the leader wants health reports.
     health_reports_wanted: RefCell<Vec<String>>,
-    /// The text of the configuration in force, to which deltas are applied; empty if the full text
-    /// has to be sent.
+    /// The text of the configuration in force, to which deltas are applied; empty if the leader has to
+    /// send the full text.
     config_text: RefCell<Rc<[u8]>>,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl RequestTimer {
-    /// The first request of a connection was sent just now.
+    /// Creates the timer of a connection whose first request was sent at `now`.
     fn start(now: f64) -> RequestTimer {
         RequestTimer {
             sent_at: now,
@@ -94,7 +95,7 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Since when nothing has come though a response is due; `None` if none is due.
+    /// Returns since when nothing has been received although a response is due; `None` if none is due.
     fn silent_since(&self, last_received: f64) -> Option<f64> {
         self.unanswered_since
             .map(|sent_at| sent_at.max(last_received))
@@ -102,8 +103,8 @@
 }
 
 impl LeaderSession {
-    /// A session that isn't connected yet. `health_reports` says what the data plane saw of the
-    /// servers of some services.
+    /// Creates a session that isn't connected yet. `health_reports` returns what the data plane
+    /// observed of the servers of the given services at the given time.
     pub fn new(
         config: LeaderSessionConfig,
         shared: SharedView,
@@ -121,8 +122,8 @@
         })
     }
 
-    /// Adds control machines that may be tried: the seeds, at the start and whenever the settings
-    /// change.
+    /// Adds the seeds to the control machines that may be tried. Called at the start and whenever the
+    /// settings change.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         let node = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(ip) => Some(u32::from(ip)),
@@ -132,7 +133,7 @@
         self.control_nodes.borrow_mut().add_others(&seeds);
     }
 
-    /// Finds the leader and holds the session with it, over and over, for as long as the process
+    /// Searches for the leader and holds a session with it, repeatedly, for as long as the process
     /// runs.
     pub async fn run(self: Rc<Self>) {
         let mut search = LeaderSearch::new(self.config.process_incarnation as usize);
@@ -163,8 +164,8 @@
         }
     }
 
-    /// One connection, until it breaks or the machine says that it doesn't lead; returns the leader
-    /// that it names, if any.
+    /// Runs one connection until it breaks or the machine answers that it isn't the leader. Returns the
+    /// leader that the machine names, if any.
     async fn run_connection(&self, node: NodeId) -> io::Result<Option<NodeId>> {
         let address = SocketAddr::from((Ipv4Addr::from(node), self.config.port));
         let user_timeout_s = self.config.silence_timeout_s * 2.0;
@@ -177,7 +178,7 @@
                 stream: &stream,
                 last_received: &last_received,
             };
-            let mut reader = io::BufReader::with_capacity(READ_BYTES, source);
+            let mut reader = io::BufReader::with_capacity(READ_BUFFER_BYTES, source);
             loop {
                 let Frame::RouterUpdate(message) = frames::read(&mut reader).await? else {
                     return Err(io::ErrorKind::InvalidData.into());
@@ -190,7 +191,7 @@
         future::or(read, self.hold_lease(&stream, &messages, &last_received)).await
     }
 
-    /// Requests the lease again and again, and applies the messages that come.
+    /// Requests the lease at the renew interval, and applies the messages received.
     async fn hold_lease(
         &self,
         stream: &Async<TcpStream>,
@@ -216,8 +217,8 @@
                     if is_response {
                         timer.unanswered_since = None;
                     }
-                    // An update that responds to nothing: the leader waits to learn that it is
-                    // applied here.
+                    // The leader waits for the acknowledgement of an update that isn't a response, so
+                    // the next request is sent at once.
                     !is_response
                 }
                 None => clock::now() - timer.sent_at >= renew_interval_s,
@@ -229,8 +230,12 @@
         }
     }
 
-    /// For how many seconds to wait for a message: until the next request is due, or the silence
-    /// time-out ends.
+    /// Returns how many seconds to wait for a message: until the next request is due or the silence
+    /// timeout ends.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::TimedOut`] once the silence timeout has passed.
     fn wait_s(&self, timer: &RequestTimer, last_received: f64) -> io::Result<f64> {
         let now = clock::now();
         let silence_timeout_s = self.config.silence_timeout_s;
@@ -243,7 +248,7 @@
         Ok((silence_ends.min(renew_at) - now).max(MIN_WAIT_S))
     }
 
-    /// Sends a lease request, which also acknowledges the updates that are applied.
+    /// Sends a lease request, which also acknowledges the applied updates.
     async fn request_lease(&self, stream: &Async<TcpStream>) -> io::Result<()> {
         let now = clock::now();
         let request = LeaseRequest {
@@ -262,7 +267,7 @@
         .await
     }
 
-    /// The epoch of the configuration to which deltas can be applied here; 0 asks for the full
+    /// Returns the epoch of the configuration to which deltas can be applied here; 0 asks for the full
     /// text.
     fn known_config_epoch(&self) -> u64 {
         if self.config_text.borrow().is_empty() {
@@ -281,11 +286,11 @@
     }
 }
 
-/// A connection that notes when something was last received on it, also within a frame that takes
-/// long.
+/// A connection that records when bytes were last received on it, also within a frame that takes a
+/// long time.
 struct TimedReader<'a> {
     stream: &'a Async<TcpStream>,
-    /// In seconds of the monotonic clock.
+    /// When bytes were last received, in seconds of the monotonic clock.
     last_received: &'a Cell<f64>,
 }
 
--- a/crates/runtime/pooler/src/leader_session/search.rs
+++ b/crates/runtime/pooler/src/leader_session/search.rs
@@ -1,37 +1,37 @@
-//! Which control machine a router tries next while it looks for the leader. Decides only; the
-//! session connects and sleeps.
+//! Chooses which control machine a router tries next while it searches for the leader, and how long
+//! it pauses in between. The session itself connects and sleeps.
 
 use badgerstream_control::NodeId;
 
-/// How many control machines are remembered besides the voters.
+/// Maximum number of control machines remembered in addition to the voters.
 const MAX_OTHER_NODES: usize = 16;
-/// The first pause after all machines said that they know of no leader, in seconds.
+/// First pause after a machine answered that it knows of no leader, in seconds.
 const MIN_BACKOFF_S: f64 = 0.04;
-/// By how much each pause is longer than the one before.
+/// Factor by which each pause is longer than the previous one.
 const BACKOFF_FACTOR: f64 = 1.5;
-/// All routers search at the same time: the longest pause keeps them together below so many
-/// attempts a second.
+/// Maximum attempts per second of all routers together, which search at the same time when a leader
+/// is lost: the longest pause is chosen so that they stay below it.
 const MAX_ATTEMPTS_PER_S: f64 = 1500.0;
-/// The number of routers before control has told how many there are.
+/// Number of routers assumed until control sends the number.
 const DEFAULT_ROUTER_COUNT: usize = 300;
 
-/// The control machines that are known.
+/// The known control machines.
 #[derive(Default)]
 pub(super) struct ControlNodes {
-    /// The voters as the last leader sent them; empty before that.
+    /// The voters as last received from a leader; empty before that.
     voters: Vec<NodeId>,
-    /// Other control machines that may exist; those that were named last are at the end.
+    /// Other control machines that may exist; the most recently named ones are last.
     others: Vec<NodeId>,
 }
 
 impl ControlNodes {
-    /// The voters as the leader sends them.
+    /// Replaces the voters by those that the leader has sent.
     pub(super) fn set_voters(&mut self, voters: Vec<NodeId>) {
         self.voters = voters;
     }
 
-    /// Adds machines to try where the voters don't answer: the settings name them, or a machine
-    /// that doesn't lead does, which may know only of machines that no longer exist.
+    /// Adds machines to try when the voters don't answer. They are named by the settings or by a
+    /// machine that isn't the leader; such a machine may know only machines that no longer exist.
     pub(super) fn add_others(&mut self, nodes: &[NodeId]) {
         self.others.retain(|node| !nodes.contains(node));
         self.others.extend(nodes);
@@ -39,7 +39,8 @@
         self.others.drain(..excess);
     }
 
-    /// The machine to try after so many attempts in vain: the voters in turn, and then all.
+    /// Returns the machine to try after this many failed attempts: first the voters in turn, then all
+    /// machines in turn.
     fn in_turn(&self, turn: usize, attempts: usize) -> Option<NodeId> {
         let others = self
             .others
@@ -52,17 +53,17 @@
 
 /// The search for the leader.
 pub(super) struct LeaderSearch {
-    /// The leader that the last machine named.
+    /// The leader that the last machine named, if it is to be tried next.
     named_leader: Option<NodeId>,
     turn: usize,
-    /// Attempts since the last session.
+    /// Number of attempts since the last session with a leader.
     attempts: usize,
     backoff_s: f64,
 }
 
 impl LeaderSearch {
-    /// A search that starts at this turn: random, so that routers that start together don't all try
-    /// the same machine.
+    /// Starts a search at this turn. The caller passes a random number, so that routers that start
+    /// together don't all try the same machine.
     pub(super) fn new(first_turn: usize) -> LeaderSearch {
         LeaderSearch {
             named_leader: None,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The machine to try next; `None` while none is known.
+    /// Returns the machine to try next; `None` while none is known.
     pub(super) fn next_node(&mut self, nodes: &ControlNodes) -> Option<NodeId> {
         let in_turn = || nodes.in_turn(self.turn, self.attempts);
         let node = self.named_leader.take().or_else(in_turn);
@@ -81,14 +82,14 @@
         node
     }
 
-    /// A session with a leader has ended: the search begins anew.
+    /// Resets the search after a session with a leader has ended.
     pub(super) fn session_ended(&mut self) {
         self.backoff_s = MIN_BACKOFF_S;
         self.attempts = 0;
     }
 
-    /// A machine said that it doesn't lead, and which one does as far as it knows; returns for how
-    /// many seconds to pause before the next attempt, if at all.
+    /// Records that a machine isn't the leader, and which leader it named. Returns how many seconds to
+    /// pause before the next attempt; `None` if the named leader is to be tried at once.
     pub(super) fn not_leader(
         &mut self,
         node: NodeId,
@@ -107,7 +108,7 @@
     }
 }
 
-/// The longest pause between two attempts, in seconds.
+/// Returns the maximum pause between two attempts, in seconds, before jitter.
 fn max_backoff_s(router_count: Option<usize>) -> f64 {
     let routers = router_count.unwrap_or(DEFAULT_ROUTER_COUNT);
     (routers as f64 / MAX_ATTEMPTS_PER_S).max(MIN_BACKOFF_S)
--- a/crates/runtime/pooler/src/leader_session/update.rs
+++ b/crates/runtime/pooler/src/leader_session/update.rs
@@ -1,4 +1,4 @@
-//! Applying the leader's updates to the view.
+//! Applies the leader's updates to the view.
 
 use super::LeaderSession;
 use crate::clock;
@@ -8,17 +8,17 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A server that a new leader doesn't name is kept for so many seconds: its heartbeat may not have
-/// reached it yet.
+/// How long a server that a new leader has not named is kept, in seconds: the server's heartbeat may
+/// not have reached that leader yet.
 const UNCONFIRMED_TIMEOUT_S: f64 = 6.0;
 
-/// Servers that the newest leader has not named, and since when it leads, in seconds of the
-/// monotonic clock.
+/// Ids of the servers that the newest leader has not named yet, each with the time of that leader's
+/// snapshot in seconds of the monotonic clock.
 #[derive(Default)]
 pub(super) struct UnconfirmedServers(HashMap<String, f64>);
 
 impl UnconfirmedServers {
-    /// A new leader sends a snapshot: no known server is confirmed by it yet.
+    /// Marks all known servers as unconfirmed, as a new leader sends a snapshot.
     fn reset<'a>(&mut self, known: impl Iterator<Item = &'a String>, now: f64) {
         self.0 = known.map(|id| (id.clone(), now)).collect();
     }
@@ -27,7 +27,7 @@
         self.0.remove(id);
     }
 
-    /// Removes and returns those that were not confirmed in time.
+    /// Removes and returns the servers that were not confirmed in time.
     fn expire(&mut self, now: f64) -> Vec<String> {
         self.0
             .extract_if(|_, since| now - *since >= UNCONFIRMED_TIMEOUT_S)
@@ -37,8 +37,8 @@
 }
 
 impl LeaderSession {
-    /// Applies an update to the view and wakes those that wait for a change; returns whether it
-    /// responds to a lease request.
+    /// Applies an update to the view and wakes the tasks that wait for a change. Returns whether the
+    /// update responds to a lease request.
     pub(super) fn apply(&self, message: RouterMessage) -> bool {
         let RouterMessage::Update {
             update_watermark,
@@ -57,7 +57,7 @@
         };
         let is_response = request_sent_at.is_some();
         if update_watermark.0 < self.update_watermark.get().0 {
-            // From a former leader: a newer one has sent updates already.
+            // The update is from a former leader: a newer one has already sent updates.
             return is_response;
         }
         let now = clock::now();
@@ -77,12 +77,11 @@
         if let Some(sent_at) = request_sent_at
             && lease_duration > 0.0
         {
-            // The lease counts from when it was requested, so that it ends here before the leader
-            // takes it for ended.
+            // The lease starts when it was requested, so that it ends here before the leader considers
+            // it ended.
             changed |= view.extend_lease(sent_at + lease_duration, now);
         }
-        // A response may be older than an update that came before it: what is known by now isn't
-        // taken back.
+        // A response may be older than an update received before it: the watermark never goes back.
         self.update_watermark
             .set(self.update_watermark.get().max(update_watermark));
         if router_count > 0 {
@@ -99,16 +98,16 @@
         is_response
     }
 
-    /// A new leader sends everything anew: what the former one granted expires, and no server is
-    /// confirmed yet.
+    /// Prepares the view for the snapshot of a new leader: the grants of the former leader become
+    /// expiring, and all servers become unconfirmed.
     fn begin_snapshot(&self, view: &mut View, now: f64) {
         view.expire_grants(now);
         let mut unconfirmed = self.unconfirmed_servers.borrow_mut();
         unconfirmed.reset(view.servers.keys(), now);
     }
 
-    /// Applies what the leader says of servers; returns whether one was removed that it didn't name
-    /// in time.
+    /// Applies the leader's list of servers. Returns whether a server was removed because the leader
+    /// didn't name it in time.
     fn apply_members(&self, view: &mut View, members: Vec<MemberInfo>, now: f64) -> bool {
         let mut unconfirmed = self.unconfirmed_servers.borrow_mut();
         for member in members {
@@ -126,7 +125,7 @@
         !expired.is_empty()
     }
 
-    /// Puts a newer configuration in force; returns whether there was one.
+    /// Puts the update's configuration in force if it is newer; returns whether it was.
     fn apply_config(&self, view: &mut View, update: &ConfigUpdate) -> bool {
         let Some(config) = self.resolve_config(update) else {
             return false;
@@ -142,8 +141,9 @@
         is_newer
     }
 
-    /// The configuration of an update, on top of the text that is known. One that doesn't fit or
-    /// can't be read makes the next lease request ask for the full text.
+    /// Resolves the configuration of an update, which may be a delta to the known text. If the delta
+    /// doesn't apply or the result is invalid, returns `None`, and the next lease request asks for the
+    /// full text.
     fn resolve_config(&self, update: &ConfigUpdate) -> Option<Config> {
         let text = update.resolve(&self.config_text.borrow());
         let config = text.as_ref().and_then(|text| Config::parse(text).ok());
@@ -157,7 +157,7 @@
     }
 }
 
-/// The service of a grant, and the grant in the terms of the view.
+/// Converts a grant to the service it is for and the grant as the view holds it.
 fn grant_of(grant: PrimaryGrant) -> (String, Grant) {
     let of_service = Grant {
         server_id: grant.server_id,
@@ -167,7 +167,8 @@
     (grant.service, of_service)
 }
 
-/// A server of the view; `None` if its endpoint is no address, as it can't be connected to then.
+/// Converts a member to a server of the view; `None` if its endpoint is not a socket address, as the
+/// router can't connect to it then.
 fn server_of(member: MemberInfo) -> Option<Server> {
     Some(Server {
         endpoint: member.endpoint.parse().ok()?,
--- a/crates/runtime/pooler/src/view.rs
+++ b/crates/runtime/pooler/src/view.rs
@@ -1,9 +1,9 @@
-//! What the data plane of a router goes by: the configuration in force, the known servers, and
-//! which primaries may be used until when.
+//! The router's view of the cluster: the configuration in force, the known servers, and which
+//! primaries may be used until when.
 //!
-//! The session with the leader ([`crate::leader_session`]) writes it, the data plane, readiness and
-//! metrics read it, all on one thread. The view is never borrowed across an await; who waits for a
-//! change uses [`SharedView::changed`].
+//! The session with the leader ([`crate::leader_session`]) writes the view; the data plane, readiness
+//! and metrics read it, all on one thread. It is never borrowed across an await; a task that waits
+//! for a change uses [`SharedView::changed`].
 
 use crate::notify::Notify;
 use badgerstream_pooler_config::config::Config;
@@ -20,29 +20,29 @@
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub endpoint: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// How many statements it works on at once.
+    /// Maximum number of statements that it runs at the same time.
     pub slots: u32,
-    /// It drains: nothing new is sent there, unless it still is the primary in use.
+    /// Whether it drains: it gets no new statements, unless it is still the primary in use.
     pub draining: bool,
 }
 
-/// The right to use a server as the primary of a service, as long as the lease runs.
+/// The right to use a server as the primary of a service while the lease is valid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
     /// The server.
     pub server_id: String,
-    /// The primary term that it leads.
+    /// The primary term in which it is the primary.
     pub primary_term: u64,
-    /// The grant is being taken back, as another server becomes primary: new writes are held rather
-    /// than refused.
+    /// Whether the grant is being revoked because another server becomes primary: new writes wait
+    /// for the next grant rather than being rejected at once.
     pub revoking: bool,
 }
 
-/// A grant of a former leader, which its lease still covers.
+/// A grant of a former leader that is still covered by that leader's lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExpiringGrant {
     /// The grant.
@@ -51,27 +51,27 @@
     pub until: f64,
 }
 
-/// What a router knows.
+/// What a router knows of the cluster.
 #[derive(Default)]
 pub struct View {
-    /// The configuration in force; `None` before the first.
+    /// The configuration in force; `None` until the first is received.
     pub config: Option<Rc<Config>>,
     /// Servers by id.
     pub servers: HashMap<String, Server>,
-    /// The primary of each service under the lease.
+    /// The present leader's grant for each service, by service name.
     pub grants: HashMap<String, Grant>,
-    /// When the lease on all grants ends, in seconds of the monotonic clock; nothing may be sent to
-    /// a primary after it.
+    /// When the lease on all these grants ends, in seconds of the monotonic clock; nothing may be sent
+    /// to a primary under them after that.
     pub lease_until: f64,
-    /// Grants of the former leader: the present one has said nothing of these services yet, or
-    /// grants the same.
+    /// Grants of former leaders by service name, for services that the present leader has not granted
+    /// yet or for which it has made the same grant.
     pub expiring_grants: HashMap<String, ExpiringGrant>,
-    /// How many routers share the servers' connections and slots; `None` while that isn't known.
+    /// Number of routers that share the servers' connections and slots; `None` while it isn't known.
     pub router_count: Option<usize>,
 }
 
 impl View {
-    /// The primary of this service, if it may be used now.
+    /// Returns the grant for the primary of this service if it may be used now.
     pub fn primary(&self, service: &str, now: f64) -> Option<&Grant> {
         let granted = self
             .grants
@@ -85,8 +85,8 @@
         })
     }
 
-    /// When the last lease ends, of the present leader or the former one, in seconds of the
-    /// monotonic clock.
+    /// Returns when the last of the leases of the present leader and former leaders ends, in seconds
+    /// of the monotonic clock.
     pub fn leased_until(&self) -> f64 {
         self.expiring_grants
             .values()
@@ -94,8 +94,8 @@
             .fold(self.lease_until, f64::max)
     }
 
-    /// A new leader sends a snapshot: what the one before granted may be used to the end of its
-    /// lease, and no longer.
+    /// Turns the present grants into expiring ones because a new leader sends a snapshot: they may be
+    /// used until the former leader's lease ends, and no longer.
     pub fn expire_grants(&mut self, now: f64) {
         let until = self.lease_until;
         let former: Vec<(String, Grant)> = self
@@ -111,12 +111,12 @@
                 .map(|(service, grant)| (service, ExpiringGrant { grant, until }));
             self.expiring_grants.extend(expiring);
         }
-        // The lease of the former leader covers nothing that the new one grants.
+        // The former leader's lease doesn't cover grants of the new one.
         self.lease_until = f64::NEG_INFINITY;
     }
 
-    /// Takes a grant of the present leader. If the former one granted the same, that grant stays
-    /// usable until the new lease covers it.
+    /// Records a grant of the present leader. If a former leader made the same grant, that one stays
+    /// usable until its lease ends, so that there is no gap before the new lease.
     pub fn set_grant(&mut self, service: String, grant: Grant) {
         let is_same = self.expiring_grants.get(&service).is_some_and(|expiring| {
             expiring.grant.server_id == grant.server_id
@@ -128,8 +128,8 @@
         self.grants.insert(service, grant);
     }
 
-    /// Extends the lease; returns whether it had run out, so that those who wait for one are to be
-    /// woken.
+    /// Extends the lease. Returns whether it had expired, in which case the caller must wake the tasks
+    /// that wait for a lease.
     pub fn extend_lease(&mut self, until: f64, now: f64) -> bool {
         let had_expired = self.lease_until < now;
         self.lease_until = self.lease_until.max(until);
@@ -137,13 +137,13 @@
     }
 }
 
-/// The view as the parts of a router share it, with a way to wait for its changes.
+/// The view as shared by the parts of a router, with a way to wait for its changes.
 #[derive(Clone, Default)]
 pub struct SharedView {
     /// The view; never borrowed across an await.
     pub view: Rc<RefCell<View>>,
-    /// Notified at each change, also of the lease.
+    /// Notified at each change, including the renewal of an expired lease and the start of shutdown.
     pub changed: Rc<Notify>,
-    /// When SIGTERM came, in seconds of the monotonic clock.
+    /// When SIGTERM was received, in seconds of the monotonic clock; `None` before.
     pub shutdown_started_at: Rc<Cell<Option<f64>>>,
 }
