--- a/crates/runtime/pooler/src/control/peers.rs
+++ b/crates/runtime/pooler/src/control/peers.rs
@@ -156,7 +156,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    net::configure(&stream, INCOMING_USER_TIMEOUT_S);
+                    net::try_set_options(&stream, INCOMING_USER_TIMEOUT_S);
                     self.tasks
                         .spawn(self.clone().serve_connection(stream))
                         .detach();
--- a/crates/runtime/pooler/src/control/platform.rs
+++ b/crates/runtime/pooler/src/control/platform.rs
@@ -71,8 +71,8 @@
     ) -> Result<u16, ExchangeError> {
         exchange::run(PLATFORM_CALL_TIMEOUT_S, async |progress| {
             let mut stream = Async::<TcpStream>::connect(platform).await?;
-            net::configure(&stream, PLATFORM_CALL_TIMEOUT_S);
-            net::reset_on_close(&stream, true);
+            net::try_set_options(&stream, PLATFORM_CALL_TIMEOUT_S);
+            net::set_reset_on_close(&stream, true);
             let request = promotion::encode_promotion_request(
                 &promotion.service,
                 &promotion.server_id,
@@ -92,7 +92,7 @@
             }
             progress.send(&stream, &request).await?;
             let status = read_status_code(&mut stream).await?;
-            net::reset_on_close(&stream, false);
+            net::set_reset_on_close(&stream, false);
             Ok(status)
         })
         .await
--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -60,7 +60,7 @@
     stream: Async<TcpStream>,
     handle: Rc<SessionHandle>,
 ) {
-    if net::options(&stream, USER_TIMEOUT_MS).is_err() {
+    if net::set_options(&stream, USER_TIMEOUT_MS).is_err() {
         return;
     }
     let client = ClientConnection {
--- a/crates/runtime/pooler/src/data_plane/client/connection.rs
+++ b/crates/runtime/pooler/src/data_plane/client/connection.rs
@@ -22,7 +22,7 @@
     /// Writes all bytes. Returns `false` if the client has disconnected or didn't take them within
     /// [`WRITE_TIMEOUT_S`].
     pub(super) async fn write(&self, bytes: &[u8]) -> bool {
-        let written = net::until(
+        let written = net::with_deadline(
             clock::now() + WRITE_TIMEOUT_S,
             net::write(&self.stream, bytes),
         )
@@ -37,7 +37,7 @@
                 return false;
             }
             let mut lines = self.lines.borrow_mut();
-            match net::read_now(&self.stream, &data_plane.scratch, &mut lines) {
+            match net::try_read(&self.stream, &data_plane.scratch, &mut lines) {
                 Ok(None) => {}
                 Ok(Some(n)) => return n > 0,
                 Err(_) => return false,
--- a/crates/runtime/pooler/src/data_plane/client/handshake.rs
+++ b/crates/runtime/pooler/src/data_plane/client/handshake.rs
@@ -21,7 +21,7 @@
     client: &ClientConnection,
 ) -> Option<Rc<str>> {
     let first_line = first_line(data_plane, client);
-    let line = net::until(clock::now() + HANDSHAKE_TIMEOUT_S, first_line).await??;
+    let line = net::with_deadline(clock::now() + HANDSHAKE_TIMEOUT_S, first_line).await??;
     let Ok(Request::Connect { database, .. }) = Request::parse(&line) else {
         client
             .write(b"ERROR MALFORMED CONNECT comes first\r\n")
@@ -42,7 +42,7 @@
             return is_connected.then(|| database.into());
         }
         let changed = data_plane.shared_view.changed.notified_since(generation);
-        if net::until(give_up_at, changed).await.is_none() {
+        if net::with_deadline(give_up_at, changed).await.is_none() {
             let line = format!("ERROR RETRY {}\r\n", retry_after_ms(RETRY_AFTER_S));
             client.write(line.as_bytes()).await;
             return None;
--- a/crates/runtime/pooler/src/data_plane/client/next_request.rs
+++ b/crates/runtime/pooler/src/data_plane/client/next_request.rs
@@ -78,7 +78,7 @@
                 .map_or(DEFAULT_TRANSACTION_IDLE_MS, |c| c.limits.txn_idle_ms)
         };
         let idle_until = clock::now() + idle_ms as f64 / 1000.0;
-        net::until(idle_until, read)
+        net::with_deadline(idle_until, read)
             .await
             .unwrap_or(Input::TransactionIdleTimeout)
     }
@@ -86,7 +86,7 @@
     /// Returns a request that arrived before shutdown closes the session, so that it is still
     /// answered. Otherwise tells a client in a transaction that it was aborted.
     async fn last_request(&self) -> Option<Vec<u8>> {
-        let arrived = net::read_now(
+        let arrived = net::try_read(
             &self.client.stream,
             &self.data_plane.scratch,
             &mut self.client.lines.borrow_mut(),
--- a/crates/runtime/pooler/src/data_plane/client/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/placement.rs
@@ -64,7 +64,7 @@
         give_up_at: f64,
         future: impl Future<Output = T>,
     ) -> impl Future<Output = Option<T>> {
-        or(net::until(give_up_at, future), async {
+        or(net::with_deadline(give_up_at, future), async {
             self.wait_for_stage(DrainStage::RejectUnplaced).await;
             None
         })
--- a/crates/runtime/pooler/src/data_plane/mod.rs
+++ b/crates/runtime/pooler/src/data_plane/mod.rs
@@ -110,7 +110,7 @@
         let data_plane = Rc::new(Self {
             tasks: tasks.clone(),
             shared_view,
-            scratch: RefCell::new(vec![0; net::READ_SIZE]),
+            scratch: RefCell::new(vec![0; net::READ_BUFFER_BYTES]),
             pools: RefCell::default(),
             services: RefCell::default(),
             sessions: RefCell::default(),
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -195,7 +195,7 @@
                 PlacementTarget::Replica(pool, proof) => (pool, Some(proof)),
                 PlacementTarget::RetryAt(at) => {
                     let changed = self.shared_view.changed.notified_since(generation);
-                    net::until(at.min(give_up_at), changed).await;
+                    net::with_deadline(at.min(give_up_at), changed).await;
                     continue;
                 }
             };
@@ -234,7 +234,7 @@
                 .await;
             None
         };
-        match net::until(wait.give_up_at, or(acquire, invalid)).await {
+        match net::with_deadline(wait.give_up_at, or(acquire, invalid)).await {
             None => Err(Unplaced {
                 retry_after_s: pool.estimated_wait(&terms, clock::now()),
             }),
--- a/crates/runtime/pooler/src/data_plane/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -102,7 +102,8 @@
         terms: &AdmissionTerms,
     ) -> bool {
         let pool = self.pool.clone();
-        let admitted = net::until(terms.give_up_at, pool.admit(&pool.slot_admission, terms)).await;
+        let admitted =
+            net::with_deadline(terms.give_up_at, pool.admit(&pool.slot_admission, terms)).await;
         self.slot_permit = admitted.and_then(Result::ok);
         self.slot_permit.is_some()
     }
--- a/crates/runtime/pooler/src/data_plane/pool/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/drain.rs
@@ -37,7 +37,7 @@
         let drain = async move {
             let give_up_at = clock::now() + timeout;
             let discarded = discard_answer(&mut connection, &data_plane.scratch);
-            if let Some(Ok(outcome)) = net::until(give_up_at, discarded).await {
+            if let Some(Ok(outcome)) = net::with_deadline(give_up_at, discarded).await {
                 pool.conclude_drain(connection, &outcome, sent_at);
             }
             drop(held_until_drained);
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -61,7 +61,7 @@
         if self.reuse == Reuse::Clean {
             self.reuse = Reuse::Pending;
         }
-        match net::until(give_up_at, connection.send(line)).await {
+        match net::with_deadline(give_up_at, connection.send(line)).await {
             Some(Ok(())) => {}
             failed => {
                 self.connection = None;
@@ -123,7 +123,7 @@
         };
         loop {
             let read = connection.read_answer(answer, &self.data_plane.scratch);
-            match net::until(give_up_at, read).await {
+            match net::with_deadline(give_up_at, read).await {
                 None => return Err(ExchangeError::TimedOut),
                 Some(Err(_)) => {
                     self.connection = None;
--- a/crates/runtime/pooler/src/data_plane/pool/prepare.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/prepare.rs
@@ -49,7 +49,8 @@
             Ok(())
         };
         let give_up_at = sent_at + INTERNAL_STATEMENT_TIMEOUT_S;
-        match net::until(give_up_at, or(applied, fail_when_overtaken(pool, sent_at))).await {
+        match net::with_deadline(give_up_at, or(applied, fail_when_overtaken(pool, sent_at))).await
+        {
             Some(Ok(())) => {
                 self.reuse = if in_transaction {
                     Reuse::Closed
--- a/crates/runtime/pooler/src/data_plane/server_connection.rs
+++ b/crates/runtime/pooler/src/data_plane/server_connection.rs
@@ -76,7 +76,7 @@
         scratch: &Scratch,
     ) -> Result<OpenedConnection, OpenError> {
         let handshake = Self::handshake(address, router, scratch);
-        net::until(clock::now() + OPEN_TIMEOUT_S, handshake)
+        net::with_deadline(clock::now() + OPEN_TIMEOUT_S, handshake)
             .await
             .unwrap_or(Err(OpenError::Unreachable))
     }
@@ -123,7 +123,7 @@
     pub(super) fn is_unusable(&mut self, scratch: &Scratch) -> bool {
         !self.lines.is_empty()
             || !matches!(
-                net::read_now(&self.stream, scratch, &mut self.lines),
+                net::try_read(&self.stream, scratch, &mut self.lines),
                 Ok(None)
             )
     }
--- a/crates/runtime/pooler/src/exchange.rs
+++ b/crates/runtime/pooler/src/exchange.rs
@@ -1,8 +1,8 @@
-//! One request to another process and its answer, and what the end of it proves of whether the
-//! request has run.
+//! An exchange of one request and its answer with another process, which records whether the request
+//! may have run.
 //!
-//! Used where a request must not run twice: commands to database servers and promotions. The caller
-//! owns the connection; the only state here is how far one exchange has come.
+//! Used for requests that must not run twice: commands to database servers and promotions. The caller
+//! owns the connection; this module keeps only the progress of one exchange.
 
 use crate::net;
 use async_io::Async;
@@ -12,11 +12,11 @@
 use std::net::TcpStream;
 use thiserror::Error as ThisError;
 
-/// The request was not sent, as this machine has lost the authority to send it.
+/// The request was not sent because this machine may no longer send it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ThisError)]
 pub enum AuthorityError {
-    /// This machine no longer knows that it is the leader.
-    #[error("another machine may lead by now")]
+    /// This machine can't be sure any more that it is the leader.
+    #[error("not sent: another machine may be the leader by now")]
     NotLeader,
 }
 
@@ -26,17 +26,17 @@
     }
 }
 
-/// Why an exchange came to no answer.
+/// Why an exchange ended without an answer.
 #[derive(Debug)]
 pub struct ExchangeError {
-    /// Whether the request may have run all the same.
+    /// Whether the request may have run nevertheless.
     pub execution_outcome: ExecutionOutcome,
-    /// What went wrong.
+    /// The error that ended the exchange.
     pub error: Error,
 }
 
 impl ExchangeError {
-    /// Whether it ended with an [`AuthorityError`].
+    /// Returns whether the exchange ended with an [`AuthorityError`].
     pub fn is_authority_lost(&self) -> bool {
         self.error
             .get_ref()
@@ -44,15 +44,15 @@
     }
 }
 
-/// How far an exchange has come.
+/// The progress of an exchange: whether its request may have run.
 pub struct Progress(Cell<ExecutionOutcome>);
 
 impl Progress {
-    /// Sends the complete request. From its first byte on it may have run.
+    /// Sends the complete request. Once its first byte is written, it may have run.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BrokenPipe`] if not all of it could be written.
+    /// [`ErrorKind::BrokenPipe`] if the request could not be written completely.
     pub async fn send(&self, stream: &Async<TcpStream>, request: &[u8]) -> Result<()> {
         self.0.set(ExecutionOutcome::MayHaveRun);
         net::write(stream, request).await.map_err(|error| {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Runs an exchange for so many seconds at most. The exchange must send its request by
+/// Runs an exchange for at most `timeout_s` seconds. The exchange must send its request with
 /// [`Progress::send`].
 ///
 /// # Errors
--- a/crates/runtime/pooler/src/http.rs
+++ b/crates/runtime/pooler/src/http.rs
@@ -50,7 +50,7 @@
         if connections.get() >= MAX_CONNECTIONS {
             continue;
         }
-        net::configure(&stream, USER_TIMEOUT_S);
+        net::try_set_options(&stream, USER_TIMEOUT_S);
         connections.set(connections.get() + 1);
         let handler = handler.clone();
         let in_flight = in_flight.clone();
--- a/crates/runtime/pooler/src/net.rs
+++ b/crates/runtime/pooler/src/net.rs
@@ -1,8 +1,7 @@
-//! TCP sockets and deadlines: socket options, reads into memory that all connections share, writes
-//! that tell whether any byte left, and futures that give up at a time of the monotonic clock.
+//! TCP sockets and deadlines: socket options, reads into a buffer that all connections share, writes
+//! that report whether any byte was written, and futures with a deadline on the monotonic clock.
 //!
-//! It holds no state of its own and knows nothing of what the bytes mean; every other module that
-//! has a socket uses it.
+//! The module is stateless and doesn't interpret the bytes; all modules with sockets use it.
 
 use crate::clock;
 use async_io::{Async, Timer};
@@ -17,11 +16,11 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Size of the shared read buffer, in bytes. One buffer serves all connections, so that an idle one
-/// holds none.
-pub const READ_SIZE: usize = 16 * 1024;
+/// Size of the shared read buffer, in bytes. All connections share one buffer, so that idle ones need
+/// none.
+pub const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Memory that every reader uses in turn, never across an await.
+/// Read buffer shared by all connections of a thread; never borrowed across an await.
 pub type Scratch = RefCell<Vec<u8>>;
 
 /// Sleeps until this time of the monotonic clock, in seconds.
@@ -29,7 +28,7 @@
     Timer::after(duration_until(at)).await;
 }
 
-/// Sleeps for so many seconds.
+/// Sleeps for this many seconds.
 pub async fn sleep(seconds: f64) {
     Timer::after(Duration::from_secs_f64(seconds)).await;
 }
@@ -38,19 +37,19 @@
     Duration::from_secs_f64((at - clock::now()).clamp(0.0, 1e6))
 }
 
-/// The output of a future, or `None` if it isn't ready at this time of the monotonic clock, in
-/// seconds.
-pub fn until<F: Future>(at: f64, future: F) -> Until<F> {
-    Until {
+/// Returns the output of a future, or `None` if it isn't ready at this deadline, in seconds of the
+/// monotonic clock.
+pub fn with_deadline<F: Future>(deadline: f64, future: F) -> WithDeadline<F> {
+    WithDeadline {
         future,
-        timer: Timer::after(duration_until(at)),
+        timer: Timer::after(duration_until(deadline)),
     }
 }
 
 pin_project! {
-    /// The future of [`until`]. It holds the inner future once; an `async` block that awaits its
-    /// argument holds it twice, and these futures are nested on the path of every statement.
-    pub struct Until<F> {
+    /// The future returned by [`with_deadline`]. It stores the inner future once. An `async` block that
+    /// awaits its argument would store it twice, and these futures are nested for every statement.
+    pub struct WithDeadline<F> {
         #[pin]
         future: F,
         #[pin]
@@ -58,7 +57,7 @@
     }
 }
 
-impl<F: Future> Future for Until<F> {
+impl<F: Future> Future for WithDeadline<F> {
     type Output = Option<F::Output>;
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
@@ -70,7 +69,7 @@
     }
 }
 
-/// Runs an operation for so many seconds at most.
+/// Runs an operation for at most `timeout_s` seconds.
 ///
 /// # Errors
 ///
@@ -86,19 +85,19 @@
     future::or(operation, timed_out)
 }
 
-/// Connects to a server and sets the socket options. The caller bounds the wait.
+/// Connects to a server and sets the socket options. The caller limits the wait.
 ///
 /// # Errors
 ///
 /// Those of the system.
 pub async fn connect(address: SocketAddr, user_timeout_ms: u32) -> io::Result<Async<TcpStream>> {
     let stream = Async::<TcpStream>::connect(address).await?;
-    options(&stream, user_timeout_ms)?;
+    set_options(&stream, user_timeout_ms)?;
     Ok(stream)
 }
 
-/// Connects to another process of ours within a time-out; a peer that then acknowledges nothing for
-/// `user_timeout_s` seconds is given up.
+/// Connects to another badgerstream process within `connect_timeout_s` seconds. Later the connection
+/// breaks if sent bytes stay unacknowledged for `user_timeout_s` seconds.
 ///
 /// # Errors
 ///
@@ -109,43 +108,43 @@
     user_timeout_s: f64,
 ) -> io::Result<Async<TcpStream>> {
     let stream = with_timeout(connect_timeout_s, Async::<TcpStream>::connect(address)).await?;
-    configure(&stream, user_timeout_s);
+    try_set_options(&stream, user_timeout_s);
     Ok(stream)
 }
 
-/// Sets `TCP_NODELAY` and `TCP_USER_TIMEOUT`: small messages leave at once, and a peer that
-/// acknowledges nothing for so many milliseconds is given up.
+/// Sets `TCP_NODELAY` and `TCP_USER_TIMEOUT`: small messages are sent at once, and the connection
+/// breaks if sent bytes stay unacknowledged for `user_timeout_ms` milliseconds.
 ///
 /// # Errors
 ///
 /// Those of the system.
-pub fn options(stream: &Async<TcpStream>, user_timeout_ms: u32) -> io::Result<()> {
+pub fn set_options(stream: &Async<TcpStream>, user_timeout_ms: u32) -> io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     rustix::net::sockopt::set_tcp_user_timeout(stream.get_ref(), user_timeout_ms)?;
     Ok(())
 }
 
-/// As [`options`], with seconds, for connections that work without these options as well: where the
-/// system refuses one it only takes longer to notice that the peer is unreachable.
-pub fn configure(stream: &Async<TcpStream>, user_timeout_s: f64) {
+/// Like [`set_options`] with a timeout in seconds, but ignores errors. For connections that also work
+/// without these options: if the system rejects one, an unreachable peer is only noticed later.
+pub fn try_set_options(stream: &Async<TcpStream>, user_timeout_s: f64) {
     let _ = stream.get_ref().set_nodelay(true);
     let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, (user_timeout_s * 1000.0) as u32);
 }
 
-/// Whether closing a connection resets it (`SO_LINGER` of zero): what was sent on it and has not
-/// arrived is lost then. This holds for a process that is killed as well.
-pub fn reset_on_close(stream: &Async<TcpStream>, resets: bool) {
+/// Sets whether closing a connection resets it (`SO_LINGER` of zero). A reset discards bytes that were
+/// sent but have not arrived. The setting also applies if the process is killed.
+pub fn set_reset_on_close(stream: &Async<TcpStream>, resets: bool) {
     let linger = resets.then_some(Duration::ZERO);
     let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), linger);
 }
 
-/// Reads what has arrived, without waiting: the number of bytes, 0 at the end of the stream, `None`
-/// if nothing has arrived.
+/// Reads the bytes that have arrived, without waiting. Returns their number, 0 at the end of the
+/// stream, or `None` if nothing has arrived.
 ///
 /// # Errors
 ///
 /// Those of the system.
-pub fn read_now(
+pub fn try_read(
     stream: &Async<TcpStream>,
     scratch: &Scratch,
     into: &mut LineBuffer,
@@ -164,7 +163,7 @@
     }
 }
 
-/// Waits for bytes and reads them: the number of bytes, 0 at the end of the stream.
+/// Waits for bytes and reads them. Returns their number, or 0 at the end of the stream.
 ///
 /// # Errors
 ///
@@ -176,7 +175,7 @@
 ) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        if let Some(n) = read_now(stream, scratch, into)? {
+        if let Some(n) = try_read(stream, scratch, into)? {
             return Ok(n);
         }
     }
@@ -185,7 +184,7 @@
 /// A write that was not completed.
 #[derive(Debug)]
 pub struct WriteError {
-    /// No byte left this process, so the other side can't have seen any of it.
+    /// No byte was written, so the peer can't have received any of it.
     pub nothing_written: bool,
 }
 
@@ -193,7 +192,7 @@
 ///
 /// # Errors
 ///
-/// [`WriteError`] once the connection takes no more of them.
+/// [`WriteError`] if the connection breaks before all bytes are written.
 pub async fn write(stream: &Async<TcpStream>, bytes: &[u8]) -> Result<(), WriteError> {
     let mut rest = bytes;
     while !rest.is_empty() {
--- a/crates/runtime/pooler/src/server_commands.rs
+++ b/crates/runtime/pooler/src/server_commands.rs
@@ -1,9 +1,10 @@
-//! The commands that the leading control machine sends to one database server, over one connection.
+//! Sends the commands of the leader of the control machines to one database server, over one
+//! connection.
 //!
-//! The control driver starts [`run`] for a server once it has a command for it, and gives further
-//! commands through a channel; the connection belongs to that task. `docs/design/calls.md` says
-//! which command may be sent again. A connection whose exchange came to no answer is reset, so that
-//! what a network partition holds up of the command is lost, and never used again.
+//! The control driver starts [`run`] for a server once it has a command for it, and passes further
+//! commands through a channel; that task owns the connection. `docs/design/calls.md` says which
+//! commands may be sent again. A connection whose exchange ended without an answer is reset and never
+//! reused, so that bytes of the command which a network partition delays are lost.
 
 use crate::exchange::{self, AuthorityError, ExchangeError, Progress};
 use crate::{clock, net};
@@ -17,15 +18,15 @@
 use std::net::{SocketAddr, TcpStream};
 use thiserror::Error as ThisError;
 
-/// A connection without a command for so many seconds is closed.
+/// A connection without a command for this many seconds is closed.
 pub const IDLE_TIMEOUT_S: f64 = 6.0;
 /// Size of the read buffer, in bytes.
-const READ_BYTES: usize = 512;
+const READ_BUFFER_BYTES: usize = 512;
 
 /// The server that commands are sent to.
 #[derive(Clone, Debug)]
 pub struct CommandTarget {
-    /// The server's id, so that another server that reuses its address isn't taken for it.
+    /// The server's id, so that another server that reuses its address isn't mistaken for it.
     pub server_id: String,
     /// Its service.
     pub service: String,
@@ -33,7 +34,7 @@
     pub endpoint: SocketAddr,
 }
 
-/// A command, and the authority under which it was decided on.
+/// A command with the fencing token of the leader that decided on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencedCommand {
     /// The command.
@@ -43,8 +44,8 @@
 }
 
 impl FencedCommand {
-    /// Whether it may run at any time and any number of times. All commands but `STATUS` change the
-    /// server: a duplicate that arrives late may undo what was decided since.
+    /// Returns whether the command may run at any time and any number of times. All commands except
+    /// `STATUS` change the server: a duplicate that arrives late may undo a later decision.
     pub fn is_idempotent(self) -> bool {
         self.command == ServerCommand::Status
     }
@@ -59,26 +60,27 @@
     }
 }
 
-/// Time-outs of a connection, in seconds.
+/// Timeouts of a connection, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct CommandTimeouts {
-    /// For an answer.
+    /// Timeout for an answer.
     pub answer_s: f64,
-    /// For the next command, before the connection is closed; with 0 it is closed after its answer.
+    /// Timeout for the next command, after which the connection is closed; with 0 it is closed after
+    /// each answer.
     pub idle_s: f64,
 }
 
-/// What a server answered in place of what was expected.
+/// An unexpected reply of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ThisError)]
 enum ReplyError {
-    /// Another server has the address by now.
-    #[error("another server is at this address")]
+    /// Another server now has the address.
+    #[error("the server at this address has another id than the one in CONNECT")]
     WrongServer,
-    /// Any other error of the line protocol, by its word.
-    #[error("{0}")]
+    /// The server answered `CONNECT` with another error of the line protocol, whose code this is.
+    #[error("the server answered CONNECT with {0}")]
     Rejected(&'static str),
-    /// No reply of the line protocol.
-    #[error("the reply can't be read")]
+    /// The reply is not a line of the line protocol.
+    #[error("the server's reply is not a valid line of the protocol")]
     Malformed,
 }
 
@@ -93,8 +95,9 @@
     }
 }
 
-/// Sends the commands that come until none has come for the idle time-out, and reports what became
-/// of each. `may_act` is called just before a command leaves that only the present leader may send.
+/// Sends the commands from the channel until none has arrived for the idle timeout, and reports the
+/// outcome of each. `may_act` is called just before sending a command that only the present leader may
+/// send.
 pub async fn run(
     target: CommandTarget,
     commands: Receiver<FencedCommand>,
@@ -121,11 +124,12 @@
         report(command, outcome);
     }
     if let Some(connection) = session.connection {
-        net::reset_on_close(&connection.stream, false);
+        net::set_reset_on_close(&connection.stream, false);
     }
 }
 
-/// The next command; `None` when there will be no more, or none has come within the idle time-out.
+/// Returns the next command; `None` if the channel is closed or no command arrives within the idle
+/// timeout.
 async fn next_command(
     commands: &Receiver<FencedCommand>,
     idle_timeout_s: f64,
@@ -141,12 +145,12 @@
 struct ServerSession {
     target: CommandTarget,
     answer_timeout_s: f64,
-    /// `None` before the first exchange and after one that came to no answer.
+    /// `None` before the first exchange and after an exchange without an answer.
     connection: Option<ServerConnection>,
 }
 
 impl ServerSession {
-    /// The status that a server answers a command with; `None` if it answered without one.
+    /// Sends a command and returns the status in the server's answer; `None` if the answer has none.
     async fn execute(
         &mut self,
         command: FencedCommand,
@@ -156,8 +160,8 @@
             .take_if(|connection| !connection.is_usable());
         let reused = self.connection.is_some();
         match self.exchange(command, may_act).await {
-            // The server may have closed the connection while it was idle: a new one tells whether
-            // it is reachable.
+            // The server may have closed the connection while it was idle: a new connection shows
+            // whether the server is reachable.
             Err(error) if reused && may_retry(command, &error) => {
                 self.exchange(command, may_act).await
             }
@@ -178,8 +182,8 @@
                 Some(connection) => connection,
                 None => ServerConnection::open(target, answer_timeout_s).await?,
             };
-            // A process that was suspended or partitioned since this was decided must not send it:
-            // another machine may lead.
+            // If the process was suspended or partitioned since the command was decided on, another
+            // machine may be the leader by now, so the command must not be sent.
             if !command.is_idempotent() && !may_act(command) {
                 return Err(AuthorityError::NotLeader.into());
             }
@@ -188,13 +192,13 @@
                 .await?;
             Ok((connection, status))
         });
-        // Without an answer the connection is dropped in there, which resets it.
+        // On failure the connection has been dropped inside the exchange, which resets it.
         let (connection, status) = exchanged.await?;
         self.connection = Some(connection);
         Ok(status)
     }
 
-    /// What the controller learns of a command that came to no answer.
+    /// Logs a command that ended without an answer, and returns its outcome for the controller.
     fn outcome_of_error(&self, command: FencedCommand, error: &ExchangeError) -> CommandOutcome {
         log::debug!(
             "event=command_failed server={} command={:?} execution_outcome={:?} error={}",
@@ -211,7 +215,7 @@
     }
 }
 
-/// Whether a command that failed on a connection that had been idle is sent once more on a new one.
+/// Returns whether a command that failed on a reused connection may be sent again on a new one.
 fn may_retry(command: FencedCommand, error: &ExchangeError) -> bool {
     let given_up = error.is_authority_lost() || error.error.kind() == ErrorKind::TimedOut;
     !given_up
@@ -226,13 +230,13 @@
 }
 
 impl ServerConnection {
-    /// Opens a connection to the server of this id.
+    /// Opens a connection and verifies with `CONNECT` that the server has the expected id.
     async fn open(target: &CommandTarget, answer_timeout_s: f64) -> Result<ServerConnection> {
         let stream = Async::<TcpStream>::connect(target.endpoint).await?;
-        // Bytes that are not acknowledged in time are dropped, also if this process is suspended or
-        // killed meanwhile.
-        net::configure(&stream, answer_timeout_s);
-        net::reset_on_close(&stream, true);
+        // The system drops bytes that are not acknowledged in time, even if this process is suspended
+        // or killed meanwhile.
+        net::try_set_options(&stream, answer_timeout_s);
+        net::set_reset_on_close(&stream, true);
         let mut connection = ServerConnection {
             stream,
             lines: LineBuffer::default(),
@@ -257,13 +261,13 @@
         }
     }
 
-    /// Whether it may carry another exchange: the server has neither closed it nor sent anything
-    /// unasked.
+    /// Returns whether the connection may be used for another exchange: the server has neither closed
+    /// it nor sent unsolicited data.
     fn is_usable(&mut self) -> bool {
-        let scratch = RefCell::new(vec![0; READ_BYTES]);
+        let scratch = RefCell::new(vec![0; READ_BUFFER_BYTES]);
         self.lines.is_empty()
             && matches!(
-                net::read_now(&self.stream, &scratch, &mut self.lines),
+                net::try_read(&self.stream, &scratch, &mut self.lines),
                 Ok(None)
             )
     }
@@ -298,7 +302,7 @@
     }
 
     async fn read_line(&mut self) -> Result<Vec<u8>> {
-        let scratch = RefCell::new(vec![0; READ_BYTES]);
+        let scratch = RefCell::new(vec![0; READ_BUFFER_BYTES]);
         loop {
             if let Some(line) = self
                 .lines
@@ -314,8 +318,9 @@
     }
 }
 
-/// Parses the row that answers `STATUS` (`line-protocol`): role, primary term, position received,
-/// highest term, lag in ms, busy, connections.
+/// Parses the row that answers `STATUS` (`line-protocol`): role, primary term, received position,
+/// highest term, lag in ms, busy slots, connections. The last three are ignored. Returns `None` if a
+/// field is missing or invalid.
 pub fn parse_status(text: &[u8]) -> Option<ServerStatus> {
     let text = std::str::from_utf8(text).ok()?;
     let mut words = text.split_ascii_whitespace();
