--- a/crates/runtime/pooler/src/tests/data_plane/consistency.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/consistency.rs
@@ -1,4 +1,4 @@
-//! Where reads go, and which position they demand there.
+//! Tests of where reads are placed and which position they require there.
 
 use super::harness::{Client, Fault, run_test};
 use crate::clock;
@@ -8,10 +8,10 @@
 fn bounded_reads_rotate_over_proven_replicas_and_fall_back_to_primary() {
     run_test(async |harness| {
         let mut a = Client::open(harness.front, "bounded").await;
-        // Without a proof the primary is used, and its answer is one.
+        // Without a freshness proof the primary is used; its answer is such a proof.
         harness.primary.log.set(5);
         assert!(a.query("a1", "FETCH x").await.ends_with("IDLE I 3.5"));
-        // The session that used the primary keeps to it; another one doesn't.
+        // The session that used the primary stays there; another session doesn't.
         assert!(a.query("a2", "FETCH x").await.ends_with("IDLE I 3.5"));
         harness.replicas.iter().for_each(|r| r.log.set(6));
         let mut b = Client::open(harness.front, "bounded").await;
@@ -31,7 +31,7 @@
                 .iter()
                 .all(|r| r.faults.borrow().is_empty())
         );
-        // After a broken connection the read is retried elsewhere.
+        // After a broken connection the read is retried at another server.
         let mut c = Client::open(harness.front, "bounded").await;
         harness
             .replicas
@@ -80,7 +80,8 @@
         let mut a = Client::open(harness.front, "house").await;
         harness.primary.log.set(6);
         assert_eq!(a.query("a1", "PUT x y").await, "COMPLETE s.a1|IDLE I 3.7");
-        // The session keeps to the primary. Without one it reads at a replica that has its write.
+        // The session stays at the primary. Without a lease it reads from a replica that has its
+        // write.
         assert!(a.query("a2", "FETCH x").await.ends_with("IDLE I 3.7"));
         harness.update_view(|view| view.lease_until = 0.0);
         assert!(a.query("a3", "FETCH x").await.ends_with("IDLE I 3.9"));
--- a/crates/runtime/pooler/src/tests/data_plane/harness.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/harness.rs
@@ -1,4 +1,4 @@
-//! What the tests share: scripted servers, plain clients, and a router between them.
+//! Shared by the tests of the data plane: scripted servers, simple clients, and a router between them.
 
 use crate::data_plane::{DataPlane, DataPlaneLimits};
 use crate::notify::Notify;
@@ -13,51 +13,51 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// What a scripted server does with a statement instead of running and answering it.
+/// A fault that a scripted server applies to a statement.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum Fault {
-    /// It answers this error without running it.
+    /// The server answers with this error without running the statement.
     Error(&'static str),
-    /// It runs it and doesn't answer.
+    /// The server runs the statement and doesn't answer.
     NoAnswer,
-    /// It runs it and closes the connection.
+    /// The server runs the statement and closes the connection without an answer.
     CloseConnection,
-    /// It runs it, and answers when `release_answers` notifies.
+    /// The server runs the statement, and answers when `release_answers` notifies.
     DelayedAnswer,
 }
 
 /// A statement as a server received it.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ReceivedStatement {
-    /// Which connection of the server, in the order in which they were opened.
+    /// Number of the connection, in the order in which the server accepted them.
     pub(super) connection: usize,
     pub(super) id: String,
     pub(super) text: String,
-    /// The session values at that moment, `name=value;` each.
+    /// The session values when it was received, each as `name=value;`.
     pub(super) values: String,
-    /// What the prepared name that it executes stands for.
+    /// The text of the prepared statement that it executes, if it is an `EXECUTE`.
     pub(super) shape: Option<String>,
 }
 
-/// A database server with one counter for its log, and faults by text.
+/// A database server whose log is a counter, with faults selected by statement text.
 #[derive(Default)]
 pub(super) struct ScriptedServer {
-    /// The number of its position, in term 3.
+    /// The number in its log position; the term is always 3.
     pub(super) log: Cell<u64>,
-    /// How many writes were kept.
+    /// Number of committed writes.
     pub(super) writes: Cell<u64>,
-    /// How many transactions were rolled back.
+    /// Number of transactions that were rolled back.
     pub(super) rolled_back: Cell<usize>,
-    /// How many connections were accepted.
+    /// Number of accepted connections.
     pub(super) connections: Cell<usize>,
-    /// How many connections are open.
+    /// Number of open connections.
     pub(super) open_connections: Cell<usize>,
     pub(super) received: RefCell<Vec<ReceivedStatement>>,
-    /// The next statement whose text contains this meets the fault.
+    /// Pending faults: each applies to the next statement whose text contains its string.
     pub(super) faults: RefCell<Vec<(&'static str, Fault)>>,
     /// All connections are closed when this notifies.
     pub(super) close_all: Notify,
-    /// Delayed answers are given when this notifies.
+    /// Delayed answers are sent when this notifies.
     pub(super) release_answers: Notify,
     changed: Notify,
 }
@@ -69,14 +69,14 @@
     lines: LineBuffer,
     /// `I` outside a transaction, `T` inside.
     state: char,
-    /// Writes of the open transaction.
+    /// Number of writes in the open transaction.
     pending_writes: u64,
     values: BTreeMap<String, String>,
     prepared: BTreeMap<String, String>,
 }
 
-/// The answer to a statement that ran.
-struct Ran {
+/// The result of a statement that ran.
+struct RunResult {
     stamp: String,
     row: String,
 }
@@ -101,12 +101,12 @@
         (server, address)
     }
 
-    /// The next statement whose text contains this meets the fault.
+    /// Applies a fault to the next statement whose text contains this.
     pub(super) fn inject(&self, text: &'static str, fault: Fault) {
         self.faults.borrow_mut().push((text, fault));
     }
 
-    /// Waits until this holds.
+    /// Waits until the condition holds.
     pub(super) async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         loop {
             let generation = self.changed.generation();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The texts of the statements that it received.
+    /// Returns the texts of the received statements.
     pub(super) fn texts(&self) -> Vec<String> {
         self.received
             .borrow()
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Runs a statement and answers it, or does what its fault says. None if the connection is to
+    /// Runs a statement and answers it, or applies its fault. Returns `None` if the connection is to
     /// be closed.
     async fn answer(&self, session: &mut ServerSession, id: &str, text: &str) -> Option<()> {
         let shape = session.executed_shape(text);
@@ -229,11 +229,17 @@
             .map(|index| faults.remove(index).1)
     }
 
-    fn run(&self, session: &mut ServerSession, id: &str, text: &str, shape: Option<String>) -> Ran {
+    fn run(
+        &self,
+        session: &mut ServerSession,
+        id: &str,
+        text: &str,
+        shape: Option<String>,
+    ) -> RunResult {
         let words: Vec<&str> = text.splitn(3, ' ').collect();
         let is_write = words[0] == "PUT" || shape.is_some_and(|shape| shape.starts_with("PUT"));
         let is_read = words[0] == "FETCH" || words[0] == "EXECUTE" && !is_write;
-        let mut ran = Ran {
+        let mut ran = RunResult {
             stamp: "-".to_owned(),
             row: String::new(),
         };
@@ -268,14 +274,14 @@
                 ran.stamp = format!("s.{id}");
                 ran.row = format!("ROW r.{id}\r\n");
             }
-            _ => panic!("{text}"),
+            _ => panic!("the scripted server does not know the statement {text}"),
         }
         ran
     }
 }
 
 impl ServerSession {
-    /// The next line; none once the connection is closed.
+    /// Returns the next line; `None` once the connection is closed.
     async fn next_line(&mut self) -> Option<Vec<u8>> {
         let mut bytes = [0; 1024];
         loop {
@@ -299,34 +305,34 @@
         self.send(&lines).await
     }
 
-    /// What the prepared name of an `EXECUTE` stands for.
+    /// Returns the text of the prepared statement that an `EXECUTE` names; `None` for other statements.
     fn executed_shape(&self, text: &str) -> Option<String> {
         let words: Vec<&str> = text.splitn(3, ' ').collect();
         (words[0] == "EXECUTE").then(|| self.prepared[words[1]].clone())
     }
 
-    /// Leaves the transaction; returns its writes.
+    /// Ends the transaction and returns the number of its writes.
     fn end_transaction(&mut self) -> u64 {
         self.state = 'I';
         std::mem::take(&mut self.pending_writes)
     }
 }
 
-/// A plain client.
+/// A simple client.
 pub(super) struct Client {
     stream: Async<TcpStream>,
     lines: LineBuffer,
 }
 
 impl Client {
-    /// Connects to a database and waits until it is accepted.
+    /// Connects to a database and waits until the router has accepted the connection.
     pub(super) async fn open(router: SocketAddr, database: &str) -> Self {
         let mut client = Self::start(router, database).await;
         assert_eq!(client.line().await.as_deref(), Some("IDLE I -"));
         client
     }
 
-    /// Sends `CONNECT` with a database.
+    /// Sends `CONNECT` with a database, without waiting for the response.
     pub(super) async fn start(router: SocketAddr, database: &str) -> Self {
         let stream = Async::<TcpStream>::connect(router).await.unwrap();
         let mut client = Self {
@@ -342,7 +348,7 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// The next line, none at the end.
+    /// Returns the next line; `None` at the end of the stream.
     pub(super) async fn line(&mut self) -> Option<String> {
         loop {
             if let Some(line) = self.lines.next_line().unwrap() {
@@ -357,13 +363,13 @@
         }
     }
 
-    /// Sends a statement; the complete answer, its lines joined by `|`.
+    /// Sends a statement and returns the complete response, its lines joined by `|`.
     pub(super) async fn query(&mut self, id: &str, text: &str) -> String {
         self.send(&format!("QUERY {id} {text}\r\n")).await;
         self.answer().await
     }
 
-    /// The next complete answer, its lines joined by `|`.
+    /// Returns the next complete response, its lines joined by `|`.
     pub(super) async fn answer(&mut self) -> String {
         let mut all = Vec::new();
         while let Some(line) = self.line().await {
@@ -377,7 +383,7 @@
     }
 }
 
-/// A router before a primary (`i-0`) and two replicas.
+/// A router with a primary (`i-0`) and two replicas.
 pub(super) struct Harness {
     pub(super) shared_view: SharedView,
     pub(super) data_plane: Rc<DataPlane>,
@@ -394,7 +400,7 @@
     "backends":[{"name":"db","probe":"/health","max_conns":1,"protocol":"h1","tls":false,"sync_replicas":1}],
     "limits":{"txn_idle_ms":60000}}"#;
 
-/// The configuration with a short latency target, so that answers are overdue soon, and with enough
+/// Changes the configuration to a short latency target, so that answers are soon overdue, and to enough
 /// connections.
 pub(super) fn short_target(config: String) -> String {
     config
@@ -430,20 +436,20 @@
         }
     }
 
-    /// Changes what the router knows.
+    /// Changes the router's view.
     pub(super) fn update_view(&self, update: impl FnOnce(&mut View)) {
         update(&mut self.shared_view.view.borrow_mut());
         self.shared_view.changed.notify_waiters();
     }
 
-    /// Puts a changed configuration in force.
+    /// Applies a change to the configuration text and puts the result in force.
     pub(super) fn configure(&self, change: impl FnOnce(String) -> String) {
         let config = Config::parse(change(CONFIG.to_owned()).as_bytes()).unwrap();
         self.update_view(|view| view.config = Some(Rc::new(config)));
     }
 }
 
-/// Servers at these endpoints, the first of them primary under a lease that doesn't end.
+/// Adds servers at these endpoints to the view; the first is primary under a lease that doesn't end.
 fn fill_view(view: &mut View, endpoints: &[SocketAddr]) {
     for (i, endpoint) in endpoints.iter().enumerate() {
         let id = format!("i-{i}");
@@ -469,7 +475,7 @@
     view.config = Some(Rc::new(Config::parse(CONFIG.as_bytes()).unwrap()));
 }
 
-/// Runs a test against a router of its own.
+/// Runs a test against a new router.
 pub(super) fn run_test(test: impl AsyncFnOnce(Harness)) {
     let tasks = Rc::new(LocalExecutor::new());
     let harness = Harness::start(&tasks);
--- a/crates/runtime/pooler/src/tests/data_plane/leases.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/leases.rs
@@ -1,4 +1,4 @@
-//! Primaries are used under the lease and the grant only.
+//! Tests that primaries are used only with a valid lease and grant.
 
 use super::harness::{Client, Fault, run_test};
 use crate::view::{ExpiringGrant, Grant};
@@ -10,7 +10,7 @@
         let mut a = Client::open(harness.front, "short").await;
         assert_eq!(a.query("a1", "FETCH x").await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(a.query("a2", "PUT x 1").await, "ERROR RETRY 200|IDLE I -");
-        // Queued until there is a lease.
+        // The statement waits until there is a lease.
         let mut b = Client::open(harness.front, "lead").await;
         b.send("QUERY b1 PUT x 1\r\n").await;
         assert_eq!(a.query("a3", "BEGIN").await, "COMPLETE -|IDLE T -");
@@ -65,8 +65,8 @@
     });
 }
 
-/// A write whose answer comes after the grant of its primary was revoked, has ended or has changed
-/// isn't acknowledged: the next primary may lack it.
+/// A write is reported as in doubt if its answer arrives after the grant of its primary was revoked,
+/// ended or changed: the next primary may not have the write.
 #[test]
 fn success_after_grant_ended_is_in_doubt() {
     let changes: [fn(&mut crate::view::View); 4] = [
@@ -98,7 +98,7 @@
     }
 }
 
-/// A grant stays the same when another leader of control repeats it.
+/// A write is acknowledged if a new leader of the control machines has repeated the same grant.
 #[test]
 fn success_under_same_grant_of_new_leader_is_acknowledged() {
     run_test(async |harness| {
--- a/crates/runtime/pooler/src/tests/data_plane/lost_answers.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are lost while the connection stays open.
+//! Tests with answers that are lost while the connection stays open.
 
 use super::harness::{Client, Fault, run_test, short_target};
 use crate::clock;
@@ -13,7 +13,7 @@
             Client::open(harness.front, "lead").await,
         );
         a.send("QUERY a1 FETCH lost\r\n").await;
-        // Twice, each time on another connection.
+        // The answer is lost twice, each time on another connection.
         harness
             .primary
             .faults
@@ -31,7 +31,7 @@
             );
         }
         assert_eq!(a.answer().await, "ROW r.a1|COMPLETE s.a1|IDLE I 3.0");
-        // Well before its deadline, which is a minute away.
+        // The answer came well before the deadline of one minute.
         assert!(clock::now() - began < 30.0);
         let received = harness.primary.received.borrow();
         let connections: std::collections::BTreeSet<_> = received
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn write_with_lost_answer_is_sent_once_and_blocks_no_one() {
+fn write_with_lost_answer_is_sent_once_and_blocks_no_other_statement() {
     run_test(async |harness| {
         harness.configure(short_target);
         let mut b = Client::open(harness.front, "lead").await;
         let mut lost = Vec::new();
         let began = clock::now();
-        // More than may be in flight at once.
+        // These are more statements than may be in flight at the same time.
         for i in 0..6 {
             let mut a = Client::open(harness.front, "lead").await;
             harness.primary.inject("PUT", Fault::NoAnswer);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn lost_answer_to_internal_statement_costs_only_its_connection() {
+fn lost_answer_to_internal_statement_replaces_only_its_connection() {
     run_test(async |harness| {
         harness.configure(short_target);
         let (mut a, mut b) = (
--- a/crates/runtime/pooler/src/tests/data_plane/observation.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/observation.rs
@@ -1,4 +1,4 @@
-//! What a router shows of itself: server health, metrics, and the size of a session.
+//! Tests of what can be observed of a router: server health, metrics, and the size of a session.
 
 use super::harness::{Client, Fault, Harness, run_test};
 use crate::clock;
@@ -8,7 +8,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Replicas too: a server that answers routers is alive, even if control can't reach it.
+/// The health reports include replicas: a server that answers routers is up, even if control can't
+/// reach it.
 #[test]
 fn server_health_covers_all_queried_servers_of_a_service() {
     run_test(async |harness| {
@@ -51,7 +52,9 @@
                 .server_health(&services, now)
                 .into_iter()
                 .find(|health| health.server_id == "i-0");
-            health.expect("it was queried").failing_since
+            health
+                .expect("the primary was queried, so its health is known")
+                .failing_since
         };
         assert_eq!(primary(now), None);
         assert!(primary(now + 5.0).is_some_and(|since| since <= now));
@@ -69,11 +72,15 @@
             .unwrap();
         let size =
             std::mem::size_of_val(&client::serve(&harness.data_plane, stream, Rc::default()));
-        assert!(size < 2048, "{size} bytes");
+        assert!(
+            size < 2048,
+            "the future of an idle session takes {size} bytes, limit 2048"
+        );
     });
 }
 
-/// Monitoring relies on the names: a router that has served a statement exposes all of its metrics.
+/// Monitoring relies on the metric names. A router that has served a statement exposes all its
+/// metrics.
 #[test]
 fn router_metric_names_are_stable() {
     run_test(async |harness| {
--- a/crates/runtime/pooler/src/tests/data_plane/pooling.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/pooling.rs
@@ -1,4 +1,4 @@
-//! Sessions that share connections: their values, their requests, their databases.
+//! Tests of sessions that share connections: session values, requests in fragments, databases.
 
 use super::harness::{Client, run_test};
 
@@ -77,7 +77,7 @@
         a.query("a1", "BEGIN").await;
         a.query("a2", "PUT x 1").await;
         harness.configure(|text| text.replace("\"lead\"", "\"led\""));
-        // The configuration applies from the next transaction on.
+        // A new configuration applies to the next transaction, not to the open one.
         assert_eq!(a.query("a3", "COMMIT").await, "COMPLETE s.a3|IDLE I 3.1");
         assert_eq!(a.query("a4", "FETCH x").await, "ERROR NODB lead|IDLE I -");
         Client::open(harness.front, "led").await;
--- a/crates/runtime/pooler/src/tests/data_plane/retries.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/retries.rs
@@ -1,4 +1,4 @@
-//! What is retried, and what is in doubt.
+//! Tests of which statements are retried and which are reported as in doubt.
 
 use super::harness::{Client, Fault, run_test, short_target};
 
@@ -22,7 +22,7 @@
         );
         assert_eq!(harness.primary.writes.get(), 2);
 
-        // No answer until the deadline.
+        // The server doesn't answer before the deadline.
         let mut b = Client::open(harness.front, "short").await;
         harness.primary.inject("PUT", Fault::NoAnswer);
         assert_eq!(
@@ -52,10 +52,10 @@
         harness.primary.inject("BEGIN", Fault::Error("RETRY busy"));
         assert_eq!(a.query("a3", "PUT x 1").await, "COMPLETE s.a3|IDLE T 3.1");
         assert_eq!(a.query("a4", "COMMIT").await, "COMPLETE s.a4|IDLE I 3.2");
-        // What has run and failed is forwarded, not retried.
+        // The error of a statement that ran and failed is forwarded; the statement isn't retried.
         harness.primary.inject("PUT", Fault::Error("FAILED no"));
         assert_eq!(a.query("a5", "PUT x 1").await, "ERROR FAILED no|IDLE I 3.2");
-        // An idle connection that the server has closed is not used.
+        // An idle connection that the server has closed isn't used again.
         harness.primary.close_all.notify_waiters();
         harness
             .primary
@@ -80,8 +80,8 @@
                 .await;
             lost.push(a);
         }
-        // Without a known latency there is no estimate: it waits until its deadline allows, and is
-        // given the shortest retry delay.
+        // Without a known latency the wait can't be estimated: the statement waits as long as its
+        // deadline allows, and then gets the minimum retry delay.
         let mut c = Client::open(harness.front, "short").await;
         assert_eq!(c.query("c1", "PUT x 1").await, "ERROR RETRY 50|IDLE I -");
         assert_eq!(c.query("c2", "BEGIN").await, "COMPLETE -|IDLE T -");
@@ -93,7 +93,7 @@
         );
         assert_eq!(c.query("c4", "ABORT").await, "COMPLETE -|IDLE I -");
         assert_eq!(harness.primary.writes.get(), 2);
-        // With fewer routers its quota is larger.
+        // With fewer routers the quota of this router is larger.
         harness.data_plane.router_count.set(1);
         harness.configure(short_target);
         let mut d = Client::open(harness.front, "lead").await;
--- a/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of a router.
+//! Tests of the graceful shutdown of a router.
 
 use super::harness::{Client, Fault, run_test};
 use crate::clock;
@@ -48,7 +48,7 @@
         for text in ["PUT x 2", "PUT x 3", "FETCH x"] {
             harness.primary.inject(text, Fault::NoAnswer);
         }
-        // In flight at the server, which doesn't answer.
+        // These statements are in flight at the server, which doesn't answer them.
         inside.send("QUERY i3 PUT x 2\r\n").await;
         writer.send("QUERY w1 PUT x 3\r\n").await;
         reader.send("QUERY r1 FETCH x\r\n").await;
@@ -56,7 +56,7 @@
             .primary
             .wait_until(|p| p.faults.borrow().is_empty())
             .await;
-        // No server can be used for these.
+        // The following statements wait for a placement, as the lease has ended.
         harness.update_view(|view| view.lease_until = 0.0);
         held.send("QUERY h1 PUT x 4\r\n").await;
         assert_eq!(begun.query("b1", "BEGIN").await, "COMPLETE -|IDLE T -");
@@ -90,8 +90,8 @@
     });
 }
 
-/// For grace periods of three and six seconds: what is in flight is waited for through the first
-/// five sixths, and its last answer is sent before the process exits.
+/// Checks for grace periods of 3 s and 6 s that statements in flight are waited for during the first
+/// five sixths, and that their clients get a response before the process exits.
 #[test]
 fn drain_stages_follow_the_grace_period() {
     for grace in [3.0, 6.0] {
@@ -102,7 +102,7 @@
         assert_eq!(
             DrainStage::at(0.49 * grace, grace, true),
             DrainStage::Serving,
-            "half of it is a transaction's"
+            "open transactions may go on for half of the grace period"
         );
         assert_eq!(
             DrainStage::at(0.51 * grace, grace, true),
@@ -120,13 +120,13 @@
     assert_eq!(
         DrainStage::at(1.9, 6.0, false),
         DrainStage::Serving,
-        "some connections still come"
+        "the platform still sends connections"
     );
     assert_eq!(DrainStage::at(2.1, 6.0, false), DrainStage::CloseIdle);
     assert_eq!(DrainStage::at(2.1, 6.0, true), DrainStage::Serving);
 }
 
-/// A statement that arrives when its answer can't be waited for any more isn't run.
+/// A request that arrives after the router has stopped sending statements to servers is rejected.
 #[test]
 fn late_requests_are_rejected_while_draining() {
     run_test(async |harness| {
--- a/crates/runtime/pooler/src/tests/data_plane/transactions.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions: their connection, their end, and what ends them early.
+//! Tests of transactions: their connection, their end, and the events that end them early.
 
 use super::harness::{Client, Fault, run_test};
 
@@ -7,7 +7,8 @@
     run_test(async |harness| {
         let mut a = Client::open(harness.front, "lead").await;
         assert_eq!(a.query("a1", "BEGIN").await, "COMPLETE -|IDLE T -");
-        // It begins at the server with its first statement: without one the server sees nothing.
+        // A transaction begins at the server with its first statement. This one has none, so the
+        // server receives nothing.
         assert_eq!(a.query("a2", "ABORT").await, "COMPLETE -|IDLE I -");
         assert!(harness.primary.texts().is_empty());
 
--- a/crates/runtime/pooler/src/tests/leader_session.rs
+++ b/crates/runtime/pooler/src/tests/leader_session.rs
@@ -1,4 +1,4 @@
-//! A router's session with a scripted control machine on loopback.
+//! Tests of a router's session with a scripted control machine on loopback.
 
 use crate::clock;
 use crate::frames::{self, Frame};
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const OLD: Term = Term(1 << 32);
-const NEW: Term = Term(2 << 32);
+const OLD_TERM: Term = Term(1 << 32);
+const NEW_TERM: Term = Term(2 << 32);
 
 /// The listener of a scripted control machine, and the view of the router that connects to it.
 struct Fixture {
@@ -60,7 +60,7 @@
         self.listener.accept().await.unwrap().0
     }
 
-    /// Whether this service's primary may be used now.
+    /// Returns whether the server of this id may be used as the primary of service `a` now.
     fn may_use(&self, id: &str) -> bool {
         self.shared
             .view
@@ -132,14 +132,14 @@
     response
 }
 
-/// A router that still receives bytes stays with its leader, though a response takes three times
-/// the silence time-out.
+/// The session continues as long as bytes arrive, even if a response takes three times the silence
+/// timeout.
 #[test]
-fn leader_that_still_sends_is_not_left() {
+fn session_continues_while_bytes_arrive() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 51), async |fixture| {
         let mut stream = fixture.accept().await;
         read_request(&mut stream).await;
-        let mut snapshot = update((OLD, 1), true);
+        let mut snapshot = update((OLD_TERM, 1), true);
         if let RouterMessage::Update { members, .. } = &mut snapshot {
             members.extend((0..200).map(|n| MemberInfo {
                 id: format!("server-{n}-{:x}", fastrand::u64(..)),
@@ -164,30 +164,30 @@
         };
         let reconnects = async {
             fixture.accept().await;
-            panic!("it connected again");
+            panic!("the router reconnected although bytes were arriving");
         };
         future::or(trickle, reconnects).await;
         assert_eq!(fixture.shared.view.borrow().servers.len(), 200);
     });
 }
 
-/// A response that was under way while an update came covers less than is known by now: nothing of
-/// that is forgotten.
+/// A response that was sent before an update but arrives after it must not revert the update or its
+/// acknowledgement.
 #[test]
-fn older_response_takes_back_nothing() {
+fn older_response_does_not_revert_a_newer_update() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 52), async |fixture| {
         let mut stream = fixture.accept().await;
         let first = read_request(&mut stream).await;
-        send(&mut stream, snapshot_with_grant((OLD, 5), "x", false)).await;
-        send(&mut stream, response(&first, (OLD, 3), 1.0, &[])).await;
+        send(&mut stream, snapshot_with_grant((OLD_TERM, 5), "x", false)).await;
+        send(&mut stream, response(&first, (OLD_TERM, 3), 1.0, &[])).await;
         assert_eq!(
             read_request(&mut stream).await.update_watermark,
-            (OLD, 5),
+            (OLD_TERM, 5),
             "in response to the update"
         );
         assert_eq!(
             read_request(&mut stream).await.update_watermark,
-            (OLD, 5),
+            (OLD_TERM, 5),
             "at the renewal interval"
         );
         assert!(fixture.may_use("x"));
@@ -195,20 +195,20 @@
 }
 
 /// Between the snapshot of a new leader and its first lease, a primary that both leaders grant is
-/// used under the old lease, to its end and no longer.
+/// used until the old lease ends, and no longer.
 #[test]
 fn primary_granted_by_both_leaders_is_used_without_a_gap() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 53), async |fixture| {
         let mut stream = fixture.accept().await;
         let request = read_request(&mut stream).await;
-        send(&mut stream, snapshot_with_grant((OLD, 1), "x", false)).await;
+        send(&mut stream, snapshot_with_grant((OLD_TERM, 1), "x", false)).await;
         let leased = read_request(&mut stream).await;
-        send(&mut stream, response(&leased, (OLD, 1), 1.2, &[])).await;
+        send(&mut stream, response(&leased, (OLD_TERM, 1), 1.2, &[])).await;
         let until = leased.sent_at + 1.2;
-        send(&mut stream, response(&request, (NEW, 0), 0.0, &[])).await;
-        send(&mut stream, snapshot_with_grant((NEW, 1), "x", false)).await;
+        send(&mut stream, response(&request, (NEW_TERM, 0), 0.0, &[])).await;
+        send(&mut stream, snapshot_with_grant((NEW_TERM, 1), "x", false)).await;
         let mut request = read_request(&mut stream).await;
-        while request.update_watermark != (NEW, 1) {
+        while request.update_watermark != (NEW_TERM, 1) {
             request = read_request(&mut stream).await;
         }
         assert!(
@@ -217,61 +217,65 @@
         );
         assert!(fixture.may_use("x"));
         while request.sent_at < until {
-            send(&mut stream, response(&request, (NEW, 1), 0.0, &[])).await;
+            send(&mut stream, response(&request, (NEW_TERM, 1), 0.0, &[])).await;
             request = read_request(&mut stream).await;
         }
         assert!(!fixture.may_use("x"));
-        send(&mut stream, response(&request, (NEW, 1), 1.0, &[])).await;
+        send(&mut stream, response(&request, (NEW_TERM, 1), 1.0, &[])).await;
         read_request(&mut stream).await;
         assert!(fixture.may_use("x"));
     });
 }
 
-/// A primary that the new leader revokes, or replaces by another server, is not used under the old
-/// lease.
+/// If the new leader revokes the grant of a primary or grants another server, the old primary is no
+/// longer used under the old lease.
 #[test]
 fn grant_revoked_by_a_new_leader_is_not_used() {
     for (n, (id, revoking)) in [("x", true), ("y", false)].into_iter().enumerate() {
         Fixture::run(Ipv4Addr::new(127, 0, 0, 54 + n as u8), async |fixture| {
             let mut stream = fixture.accept().await;
             read_request(&mut stream).await;
-            send(&mut stream, snapshot_with_grant((OLD, 1), "x", false)).await;
+            send(&mut stream, snapshot_with_grant((OLD_TERM, 1), "x", false)).await;
             let leased = read_request(&mut stream).await;
-            send(&mut stream, response(&leased, (OLD, 1), 5.0, &[])).await;
-            send(&mut stream, snapshot_with_grant((NEW, 1), id, revoking)).await;
-            while read_request(&mut stream).await.update_watermark != (NEW, 1) {}
+            send(&mut stream, response(&leased, (OLD_TERM, 1), 5.0, &[])).await;
+            send(
+                &mut stream,
+                snapshot_with_grant((NEW_TERM, 1), id, revoking),
+            )
+            .await;
+            while read_request(&mut stream).await.update_watermark != (NEW_TERM, 1) {}
             assert!(!fixture.may_use("x") && !fixture.may_use("y"));
         });
     }
 }
 
-/// The lease of a leader that has sent no snapshot yet covers nothing that another leader granted.
+/// The responses of a new leader that has sent no snapshot yet don't extend grants of the old one.
 #[test]
 fn response_of_a_new_leader_does_not_extend_old_grants() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 56), async |fixture| {
         let mut stream = fixture.accept().await;
         read_request(&mut stream).await;
-        send(&mut stream, snapshot_with_grant((OLD, 1), "x", false)).await;
+        send(&mut stream, snapshot_with_grant((OLD_TERM, 1), "x", false)).await;
         let leased = read_request(&mut stream).await;
-        send(&mut stream, response(&leased, (OLD, 1), 0.4, &[])).await;
+        send(&mut stream, response(&leased, (OLD_TERM, 1), 0.4, &[])).await;
         let mut request = read_request(&mut stream).await;
         while request.sent_at < leased.sent_at + 0.5 {
-            send(&mut stream, response(&request, (NEW, 0), 0.0, &[])).await;
+            send(&mut stream, response(&request, (NEW_TERM, 0), 0.0, &[])).await;
             request = read_request(&mut stream).await;
         }
-        assert_eq!(request.update_watermark, (NEW, 0));
+        assert_eq!(request.update_watermark, (NEW_TERM, 0));
         assert!(!fixture.may_use("x"));
     });
 }
 
-/// A lease request reports on the services that the leader asked about, and on no others.
+/// A lease request reports on exactly the services that the leader asked for.
 #[test]
 fn health_reports_cover_only_the_services_asked_for() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 57), async |fixture| {
         let mut stream = fixture.accept().await;
         let request = read_request(&mut stream).await;
         assert!(request.health_reports.is_empty());
-        send(&mut stream, response(&request, (OLD, 0), 0.0, &["b"])).await;
+        send(&mut stream, response(&request, (OLD_TERM, 0), 0.0, &["b"])).await;
         let request = read_request(&mut stream).await;
         let services: Vec<&str> = request
             .health_reports
@@ -279,12 +283,12 @@
             .map(|report| report.service.as_str())
             .collect();
         assert_eq!(services, ["b"]);
-        send(&mut stream, response(&request, (OLD, 0), 0.0, &[])).await;
+        send(&mut stream, response(&request, (OLD_TERM, 0), 0.0, &[])).await;
         assert!(read_request(&mut stream).await.health_reports.is_empty());
     });
 }
 
-/// While there is no leader all routers search for one: each attempts it less and less often.
+/// While there is no leader, all routers search for one, so each makes attempts at growing intervals.
 #[test]
 fn attempts_back_off_while_there_is_no_leader() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 58), async |fixture| {
@@ -311,8 +315,11 @@
         })
         .await;
         let took = clock::now() - began;
-        // At 40 ms each it would be 1 s.
-        assert!((2.5..60.0).contains(&took), "25 times in {took:.2} s");
+        // Without backoff, 25 attempts at intervals of 40 ms would take 1 s.
+        assert!(
+            (2.5..60.0).contains(&took),
+            "25 attempts took {took:.2} s, expected 2.5 to 60 s"
+        );
     });
 }
 
@@ -340,8 +347,8 @@
     message
 }
 
-/// A delta is applied to the known text. One for another text changes nothing: the router requests
-/// the full text, and goes on with what it has.
+/// A delta is applied to the known text. If it is for another text, the router keeps its configuration
+/// and requests the full text.
 #[test]
 fn config_delta_applies_or_the_full_text_is_requested() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 55), async |fixture| {
@@ -358,7 +365,7 @@
         };
         send(
             &mut stream,
-            config_update((OLD, 1), ConfigUpdate::Full(config(3, 500))),
+            config_update((OLD_TERM, 1), ConfigUpdate::Full(config(3, 500))),
         )
         .await;
         assert_eq!(
@@ -371,7 +378,7 @@
         let two = vec![step((3, 500), (5, 500)), step((5, 500), (6, 700))];
         send(
             &mut stream,
-            config_update((OLD, 2), ConfigUpdate::Deltas(two)),
+            config_update((OLD_TERM, 2), ConfigUpdate::Deltas(two)),
         )
         .await;
         assert_eq!(
@@ -379,14 +386,14 @@
             (6, Some(6))
         );
         let other = ConfigUpdate::Deltas(vec![step((7, 500), (8, 500))]);
-        send(&mut stream, config_update((OLD, 3), other)).await;
+        send(&mut stream, config_update((OLD_TERM, 3), other)).await;
         assert_eq!(
             (read_request(&mut stream).await.config_epoch, in_force()),
             (0, Some(6))
         );
         send(
             &mut stream,
-            config_update((OLD, 4), ConfigUpdate::Full(config(8, 500))),
+            config_update((OLD_TERM, 4), ConfigUpdate::Full(config(8, 500))),
         )
         .await;
         assert_eq!(
@@ -396,15 +403,15 @@
     });
 }
 
-/// A control machine that lost its disk knows only the machines in its settings, none of which may
-/// exist by now: a router that gets these named returns to the machines that it knew.
+/// A control machine that lost its disk knows only the machines in its settings, and these may no
+/// longer exist. A router to which it names them must still return to the machines it knew before.
 #[test]
-fn router_returns_from_machines_that_no_longer_exist() {
+fn router_returns_to_known_machines_when_the_named_ones_do_not_exist() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 59), async |fixture| {
         let nonexistent = |last: u8| u32::from(Ipv4Addr::new(127, 0, 0, last));
         for _ in 0..3 {
             let accepted = net::with_timeout(3.0, async { Ok(fixture.accept().await) }).await;
-            let mut stream = accepted.expect("it comes back");
+            let mut stream = accepted.expect("the router reconnects within 3 s");
             read_request(&mut stream).await;
             let voters = vec![nonexistent(60), nonexistent(61), nonexistent(62)];
             send(
@@ -415,11 +422,11 @@
                 },
             )
             .await;
-            // It has processed that once it closes the connection.
+            // The router has processed the message once it closes the connection.
             let closed =
                 net::with_timeout(3.0, async { Ok(frames::read(&mut stream).await.is_err()) })
                     .await;
-            assert!(closed.expect("it goes on"));
+            assert!(closed.expect("the router closes the connection within 3 s"));
         }
     });
 }
--- a/crates/runtime/pooler/src/tests/server_commands.rs
+++ b/crates/runtime/pooler/src/tests/server_commands.rs
@@ -1,4 +1,4 @@
-//! Commands to a scripted server on loopback: what is sent, how often, and which outcome is
+//! Tests of commands to a scripted server on loopback: what is sent, how often, and which outcome is
 //! reported.
 
 use crate::server_commands::{CommandTarget, CommandTimeouts, FencedCommand, IDLE_TIMEOUT_S, run};
@@ -14,34 +14,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Short, so that time-outs don't take long.
+/// The answer timeout is short, so that the tests don't take long.
 const TIMEOUTS: CommandTimeouts = CommandTimeouts {
     answer_s: 0.3,
     idle_s: IDLE_TIMEOUT_S,
 };
+/// The answer to `STATUS`, which the server gives to all commands.
 const ROW: &str = "ROW follower 3 3.7 0 12 2 17\r\nCOMPLETE -\r\nIDLE I 3.7\r\n";
 
-/// What the server does with a command.
+/// How the scripted server handles a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// It answers with its status row.
+    /// The server answers with its status row.
     Answer,
-    /// It answers, and closes the connection once its answer is written.
+    /// The server answers, and closes the connection after its answer.
     AnswerAndClose,
-    /// It closes the connection without an answer.
+    /// The server closes the connection without an answer.
     Close,
-    /// It breaks off in the middle of its answer.
+    /// The server closes the connection in the middle of its answer.
     HalfAnswer,
-    /// It sends nothing for as long as the caller waits.
+    /// The server doesn't answer.
     Silence,
 }
 
 #[derive(Default)]
 struct Server {
-    /// What it does with one command after the other; it answers all that come after.
+    /// How it handles the next commands, in order; it answers all later ones.
     steps: RefCell<VecDeque<Step>>,
-    /// The commands that it received, each with its connection.
-    got: RefCell<Vec<(usize, String)>>,
+    /// The received commands, each with the number of its connection.
+    received: RefCell<Vec<(usize, String)>>,
     connections: Cell<usize>,
     /// How its connections ended; `None` for an orderly close.
     ends: RefCell<Vec<Option<ErrorKind>>>,
@@ -93,7 +94,7 @@
                 stream.write_all(b"IDLE I 3.7\r\n").await?;
                 continue;
             }
-            self.got
+            self.received
                 .borrow_mut()
                 .push((connection, line["QUERY - ".len()..].to_owned()));
             let step = self.steps.borrow_mut().pop_front().unwrap_or(Step::Answer);
@@ -107,7 +108,7 @@
         }
     }
 
-    async fn until(&self, holds: impl Fn(&Server) -> bool) {
+    async fn wait_until(&self, holds: impl Fn(&Server) -> bool) {
         loop {
             let generation = self.changed.generation();
             if holds(self) {
@@ -118,8 +119,8 @@
     }
 }
 
-/// Sends these commands one after the other to a server that follows these steps; returns the
-/// outcome of each.
+/// Sends these commands one after the other to a server that follows these steps, and returns the
+/// server and the outcome of each command.
 fn execute(
     steps: &[Step],
     commands: &[ServerCommand],
@@ -146,11 +147,11 @@
                 .unwrap();
             let outcome = reports.recv().await.unwrap();
             outcomes.borrow_mut().push(outcome);
-            // The client sees a connection that the server has closed before it sends the next
-            // command.
-            let closed = server.got.borrow().len();
+            // Waits until the server has closed the connection, if it does, so that the client can
+            // notice that before it sends the next command.
+            let command_count = server.received.borrow().len();
             server
-                .until(|s| s.ends.borrow().len() >= ended_by_server(steps, closed))
+                .wait_until(|s| s.ends.borrow().len() >= closed_by_server(steps, command_count))
                 .await;
         }
         sender.close();
@@ -164,21 +165,23 @@
     (server, outcomes.into_inner())
 }
 
-/// How many connections the server has closed itself after so many commands.
-fn ended_by_server(steps: &[Step], statements: usize) -> usize {
+/// Returns the number of connections that the server closes itself in the steps for this many
+/// commands.
+fn closed_by_server(steps: &[Step], commands: usize) -> usize {
     let ends = |step: &&Step| matches!(step, Step::AnswerAndClose | Step::Close | Step::HalfAnswer);
-    steps.iter().take(statements).filter(ends).count()
+    steps.iter().take(commands).filter(ends).count()
 }
 
 fn texts(server: &Server) -> Vec<String> {
     server
-        .got
+        .received
         .borrow()
         .iter()
         .map(|(_, text)| text.clone())
         .collect()
 }
 
+/// The commands that change the server, with their texts.
 const CHANGES: [(ServerCommand, &str); 3] = [
     (ServerCommand::Pause(4), "PAUSE 4"),
     (ServerCommand::Resume, "RESUME"),
@@ -189,8 +192,8 @@
 fn unanswered_changing_command_is_never_retried() {
     for (command, text) in CHANGES {
         for end in [Step::Close, Step::HalfAnswer] {
-            // The connection has carried an exchange before: a reset of it may have struck after
-            // the last byte.
+            // The connection is reused. It may have broken only after the last byte of the command
+            // was sent, so the command may have run.
             let (server, outcomes) = execute(
                 &[Step::Answer, end],
                 &[ServerCommand::Status, command],
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn connection_closed_while_idle_carries_no_command() {
+fn command_after_an_idle_close_is_sent_on_a_new_connection() {
     for (command, text) in CHANGES {
         let (server, outcomes) = execute(
             &[Step::AnswerAndClose],
@@ -231,7 +234,7 @@
             true,
         );
         assert_eq!(
-            *server.got.borrow(),
+            *server.received.borrow(),
             [(0, "STATUS".to_owned()), (1, text.to_owned())]
         );
         assert!(
@@ -282,7 +285,7 @@
             })
             .await
             .unwrap();
-        server.until(|s| s.ends.borrow().len() == 1).await;
+        server.wait_until(|s| s.ends.borrow().len() == 1).await;
         sender
             .send(FencedCommand {
                 command: ServerCommand::Pause(4),
@@ -295,7 +298,7 @@
     async_io::block_on(tasks.run(future::zip(work, running)));
     assert_eq!(server.ends.borrow()[0], Some(ErrorKind::ConnectionReset));
     assert_eq!(
-        *server.got.borrow(),
+        *server.received.borrow(),
         [(0, "RESUME".to_owned()), (1, "PAUSE 4".to_owned())]
     );
     assert!(matches!(
@@ -310,7 +313,7 @@
     ));
 }
 
-/// Whether the connection is still open 300 ms after the answer to its one command.
+/// Returns whether the connection is still open 300 ms after the answer to its only command.
 fn is_kept(idle_s: f64) -> bool {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let endpoint = listener.get_ref().local_addr().unwrap();
