--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -113,8 +113,8 @@
             let arrived_at = clock::now();
             let response = match Request::parse(&line) {
                 Ok(Request::Query { id, text }) => {
-                    // The future of a statement is on the heap, so that that of an idle session
-                    // stays small.
+                    // The future of a statement is on the heap, so that the future
+                    // of an idle session stays small.
                     let response = Box::pin(self.query(id, text, arrived_at)).await;
                     self.data_plane.counts.ended(text, response.end());
                     response
--- a/crates/runtime/pooler/src/data_plane/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/drain.rs
@@ -26,8 +26,7 @@
     /// Statements that have not been sent to a server are rejected, so that their clients can use
     /// another router.
     RejectUnplaced,
-    /// Statements in flight at a server get a response from what is known of them: timed out or in
-    /// doubt.
+    /// The clients of statements in flight at a server get a response without waiting any longer.
     AnswerInFlight,
 }
 
@@ -50,7 +49,7 @@
 #[derive(Default)]
 pub(super) struct SessionHandle {
     /// Since when the session has been idle outside a transaction, in seconds of the monotonic
-    /// clock; `None` while it runs a statement.
+    /// clock; `None` otherwise.
     pub(super) idle_since: Cell<Option<f64>>,
     /// Whether the session is inside a transaction.
     pub(super) in_transaction: Cell<bool>,
--- a/crates/runtime/pooler/src/data_plane/mod.rs
+++ b/crates/runtime/pooler/src/data_plane/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! 1. `listener` accepts the client's connection and starts a task that serves its session
 //!    (`client`);
-//! 2. `client::dispatch` parses the statement and answers it itself if no server is needed;
+//! 2. `client::dispatch` parses the statement, and answers it directly if it needs no server;
 //! 3. `placement` chooses a server by the route's consistency and the freshness proofs of
 //!    `service_state`;
 //! 4. `admission` queues the statement for a connection and a slot there, by rank and arrival;
@@ -68,9 +68,9 @@
 /// Health of a server, derived from the statements and connections sent to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerHealth {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The server.
+    /// Id of the server.
     pub server_id: String,
     /// When it last answered anything, in seconds of the monotonic clock; 0 for never.
     pub last_answer_at: f64,
--- a/crates/runtime/pooler/src/data_plane/pool.rs
+++ b/crates/runtime/pooler/src/data_plane/pool.rs
@@ -57,7 +57,7 @@
 /// Connections and queue length of one pool, or the sums over all pools of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PoolUsage {
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// Number of idle connections.
     pub idle: usize,
--- a/crates/runtime/pooler/src/data_plane/service_state.rs
+++ b/crates/runtime/pooler/src/data_plane/service_state.rs
@@ -22,7 +22,7 @@
 /// The age of a service's newest freshness proof.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProofAge {
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// Time since the query to its primary that gave the proof, in seconds.
     pub age_s: f64,
--- a/crates/runtime/pooler/src/leader_session.rs
+++ b/crates/runtime/pooler/src/leader_session.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    fn sent(&mut self, now: f64) {
+    fn record_sent(&mut self, now: f64) {
         self.sent_at = now;
         self.unanswered_since.get_or_insert(now);
     }
@@ -146,12 +146,12 @@
             let connected_at = clock::now();
             let result = self.run_connection(node).await;
             if clock::now() - connected_at > MIN_SESSION_S {
-                search.session_ended();
+                search.reset();
             }
             match result {
                 Ok(leader) => {
                     let router_count = self.shared.view.borrow().router_count;
-                    if let Some(pause_s) = search.not_leader(node, leader, router_count) {
+                    if let Some(pause_s) = search.record_not_leader(node, leader, router_count) {
                         net::sleep(pause_s).await;
                     }
                 }
@@ -202,7 +202,7 @@
         self.request_lease(stream).await?;
         let mut timer = RequestTimer::start(clock::now());
         loop {
-            let wait_s = self.wait_s(&timer, last_received.get())?;
+            let wait_s = self.next_wait_s(&timer, last_received.get())?;
             let message = future::or(async { messages.recv().await.ok() }, async {
                 net::sleep(wait_s).await;
                 None
@@ -225,7 +225,7 @@
             };
             if must_renew {
                 self.request_lease(stream).await?;
-                timer.sent(clock::now());
+                timer.record_sent(clock::now());
             }
         }
     }
@@ -236,7 +236,7 @@
     /// # Errors
     ///
     /// [`io::ErrorKind::TimedOut`] once the silence timeout has passed.
-    fn wait_s(&self, timer: &RequestTimer, last_received: f64) -> io::Result<f64> {
+    fn next_wait_s(&self, timer: &RequestTimer, last_received: f64) -> io::Result<f64> {
         let now = clock::now();
         let silence_timeout_s = self.config.silence_timeout_s;
         let silent_since = timer.silent_since(last_received);
--- a/crates/runtime/pooler/src/leader_session/search.rs
+++ b/crates/runtime/pooler/src/leader_session/search.rs
@@ -41,7 +41,7 @@
 
     /// Returns the machine to try after this many failed attempts: first the voters in turn, then all
     /// machines in turn.
-    fn in_turn(&self, turn: usize, attempts: usize) -> Option<NodeId> {
+    fn node_in_turn(&self, turn: usize, attempts: usize) -> Option<NodeId> {
         let others = self
             .others
             .iter()
@@ -75,7 +75,7 @@
 
     /// Returns the machine to try next; `None` while none is known.
     pub(super) fn next_node(&mut self, nodes: &ControlNodes) -> Option<NodeId> {
-        let in_turn = || nodes.in_turn(self.turn, self.attempts);
+        let in_turn = || nodes.node_in_turn(self.turn, self.attempts);
         let node = self.named_leader.take().or_else(in_turn);
         self.turn = self.turn.wrapping_add(1);
         self.attempts += 1;
@@ -83,14 +83,14 @@
     }
 
     /// Resets the search after a session with a leader has ended.
-    pub(super) fn session_ended(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.backoff_s = MIN_BACKOFF_S;
         self.attempts = 0;
     }
 
     /// Records that a machine isn't the leader, and which leader it named. Returns how many seconds to
     /// pause before the next attempt; `None` if the named leader is to be tried at once.
-    pub(super) fn not_leader(
+    pub(super) fn record_not_leader(
         &mut self,
         node: NodeId,
         leader: Option<NodeId>,
--- a/crates/runtime/pooler/src/leader_session/update.rs
+++ b/crates/runtime/pooler/src/leader_session/update.rs
@@ -67,7 +67,7 @@
             self.begin_snapshot(&mut view, now);
         }
         for grant in grants {
-            let (service, grant) = grant_of(grant);
+            let (service, grant) = to_view_grant(grant);
             view.set_grant(service, grant);
         }
         changed |= self.apply_members(&mut view, members, now);
@@ -114,7 +114,7 @@
             unconfirmed.confirm(&member.id);
             if member.departed {
                 view.servers.remove(&member.id);
-            } else if let Some(server) = server_of(member) {
+            } else if let Some(server) = to_view_server(member) {
                 view.servers.insert(server.id.clone(), server);
             }
         }
@@ -158,18 +158,18 @@
 }
 
 /// Converts a grant to the service it is for and the grant as the view holds it.
-fn grant_of(grant: PrimaryGrant) -> (String, Grant) {
-    let of_service = Grant {
+fn to_view_grant(grant: PrimaryGrant) -> (String, Grant) {
+    let view_grant = Grant {
         server_id: grant.server_id,
         primary_term: grant.primary_term,
         revoking: grant.revoking,
     };
-    (grant.service, of_service)
+    (grant.service, view_grant)
 }
 
 /// Converts a member to a server of the view; `None` if its endpoint is not a socket address, as the
 /// router can't connect to it then.
-fn server_of(member: MemberInfo) -> Option<Server> {
+fn to_view_server(member: MemberInfo) -> Option<Server> {
     Some(Server {
         endpoint: member.endpoint.parse().ok()?,
         id: member.id,
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -31,7 +31,7 @@
     exposition.gauge(
         "router_lease_remaining_seconds",
         "How long primaries may still be used; 0 without a lease",
-        (view.leased_until() - now).max(0.0),
+        (view.last_lease_expires_at() - now).max(0.0),
     );
     exposition.gauge(
         "router_grants",
--- a/crates/runtime/pooler/src/process/readiness.rs
+++ b/crates/runtime/pooler/src/process/readiness.rs
@@ -30,7 +30,7 @@
         let view = self.shared.view.borrow();
         view.config.is_some()
             && !view.servers.is_empty()
-            && clock::now() < view.leased_until() + LEASE_GRACE_S
+            && clock::now() < view.last_lease_expires_at() + LEASE_GRACE_S
             && self.shared.shutdown_started_at.get().is_none()
     }
 }
--- a/crates/runtime/pooler/src/tests/data_plane/consistency.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/consistency.rs
@@ -83,7 +83,7 @@
         // The session stays at the primary. Without a lease it reads from a replica that has its
         // write.
         assert!(a.query("a2", "FETCH x").await.ends_with("IDLE I 3.7"));
-        harness.update_view(|view| view.lease_until = 0.0);
+        harness.update_view(|view| view.lease_expires_at = 0.0);
         assert!(a.query("a3", "FETCH x").await.ends_with("IDLE I 3.9"));
         let texts: Vec<_> = harness.replicas.iter().flat_map(|r| r.texts()).collect();
         assert_eq!(texts, ["WAITPOS 3.7 FETCH x"]);
--- a/crates/runtime/pooler/src/tests/data_plane/harness.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/harness.rs
@@ -471,7 +471,7 @@
             revoking: false,
         },
     );
-    view.lease_until = 1e9;
+    view.lease_expires_at = 1e9;
     view.config = Some(Rc::new(Config::parse(CONFIG.as_bytes()).unwrap()));
 }
 
--- a/crates/runtime/pooler/src/tests/data_plane/leases.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/leases.rs
@@ -6,7 +6,7 @@
 #[test]
 fn nothing_is_sent_to_primary_without_lease() {
     run_test(async |harness| {
-        harness.update_view(|view| view.lease_until = 0.0);
+        harness.update_view(|view| view.lease_expires_at = 0.0);
         let mut a = Client::open(harness.front, "short").await;
         assert_eq!(a.query("a1", "FETCH x").await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(a.query("a2", "PUT x 1").await, "ERROR RETRY 200|IDLE I -");
@@ -17,7 +17,7 @@
         assert_eq!(a.query("a4", "PUT x 1").await, "ERROR RETRY 200|IDLE E -");
         assert_eq!(a.query("a5", "ABORT").await, "COMPLETE -|IDLE I -");
         assert!(harness.primary.texts().is_empty());
-        harness.update_view(|view| view.lease_until = 1e9);
+        harness.update_view(|view| view.lease_expires_at = 1e9);
         assert_eq!(b.answer().await, "COMPLETE s.b1|IDLE I 3.1");
     });
 }
@@ -71,7 +71,7 @@
 fn success_after_grant_ended_is_in_doubt() {
     let changes: [fn(&mut crate::view::View); 4] = [
         |view| view.grants.get_mut("db").unwrap().revoking = true,
-        |view| view.lease_until = 0.0,
+        |view| view.lease_expires_at = 0.0,
         |view| view.grants.get_mut("db").unwrap().primary_term = 4,
         |view| view.grants.get_mut("db").unwrap().server_id = "i-1".into(),
     ];
@@ -108,9 +108,14 @@
         harness.primary.wait_until(|f| f.writes.get() == 1).await;
         harness.update_view(|view| {
             let grant = view.grants.remove("db").unwrap();
-            view.expiring_grants
-                .insert("db".into(), ExpiringGrant { grant, until: 1e9 });
-            view.lease_until = f64::NEG_INFINITY;
+            view.expiring_grants.insert(
+                "db".into(),
+                ExpiringGrant {
+                    grant,
+                    expires_at: 1e9,
+                },
+            );
+            view.lease_expires_at = f64::NEG_INFINITY;
         });
         harness.primary.release_answers.notify_waiters();
         assert_eq!(a.answer().await, "COMPLETE s.a1|IDLE I 3.1");
--- a/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
@@ -57,7 +57,7 @@
             .wait_until(|p| p.faults.borrow().is_empty())
             .await;
         // The following statements wait for a placement, as the lease has ended.
-        harness.update_view(|view| view.lease_until = 0.0);
+        harness.update_view(|view| view.lease_expires_at = 0.0);
         held.send("QUERY h1 PUT x 4\r\n").await;
         assert_eq!(begun.query("b1", "BEGIN").await, "COMPLETE -|IDLE T -");
         begun.send("QUERY b2 PUT x 5\r\n").await;
@@ -166,7 +166,7 @@
         let mut a = Client::open(harness.front, "lead").await;
         a.query("a1", "BEGIN").await;
         a.query("a2", "PUT x 1").await;
-        harness.update_view(|view| view.lease_until = 0.0);
+        harness.update_view(|view| view.lease_expires_at = 0.0);
         a.send("QUERY a3 COMMIT\r\n").await;
         harness
             .shared_view
--- a/crates/runtime/pooler/src/tests/leader_session.rs
+++ b/crates/runtime/pooler/src/tests/leader_session.rs
@@ -204,7 +204,7 @@
         send(&mut stream, snapshot_with_grant((OLD_TERM, 1), "x", false)).await;
         let leased = read_request(&mut stream).await;
         send(&mut stream, response(&leased, (OLD_TERM, 1), 1.2, &[])).await;
-        let until = leased.sent_at + 1.2;
+        let lease_expires_at = leased.sent_at + 1.2;
         send(&mut stream, response(&request, (NEW_TERM, 0), 0.0, &[])).await;
         send(&mut stream, snapshot_with_grant((NEW_TERM, 1), "x", false)).await;
         let mut request = read_request(&mut stream).await;
@@ -212,11 +212,11 @@
             request = read_request(&mut stream).await;
         }
         assert!(
-            clock::now() < until,
+            clock::now() < lease_expires_at,
             "the machine is too slow for this test"
         );
         assert!(fixture.may_use("x"));
-        while request.sent_at < until {
+        while request.sent_at < lease_expires_at {
             send(&mut stream, response(&request, (NEW_TERM, 1), 0.0, &[])).await;
             request = read_request(&mut stream).await;
         }
--- a/crates/runtime/pooler/src/view.rs
+++ b/crates/runtime/pooler/src/view.rs
@@ -48,7 +48,7 @@
     /// The grant.
     pub grant: Grant,
     /// When the lease of that leader ends, in seconds of the monotonic clock.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 /// What a router knows of the cluster.
@@ -62,7 +62,7 @@
     pub grants: HashMap<String, Grant>,
     /// When the lease on all these grants ends, in seconds of the monotonic clock; nothing may be sent
     /// to a primary under them after that.
-    pub lease_until: f64,
+    pub lease_expires_at: f64,
     /// Grants of former leaders by service name, for services that the present leader has not granted
     /// yet or for which it has made the same grant.
     pub expiring_grants: HashMap<String, ExpiringGrant>,
@@ -76,43 +76,43 @@
         let granted = self
             .grants
             .get(service)
-            .filter(|grant| now < self.lease_until && !grant.revoking);
+            .filter(|grant| now < self.lease_expires_at && !grant.revoking);
         granted.or_else(|| {
             self.expiring_grants
                 .get(service)
-                .filter(|expiring| now < expiring.until)
+                .filter(|expiring| now < expiring.expires_at)
                 .map(|expiring| &expiring.grant)
         })
     }
 
     /// Returns when the last of the leases of the present leader and former leaders ends, in seconds
     /// of the monotonic clock.
-    pub fn leased_until(&self) -> f64 {
+    pub fn last_lease_expires_at(&self) -> f64 {
         self.expiring_grants
             .values()
-            .map(|expiring| expiring.until)
-            .fold(self.lease_until, f64::max)
+            .map(|expiring| expiring.expires_at)
+            .fold(self.lease_expires_at, f64::max)
     }
 
     /// Turns the present grants into expiring ones because a new leader sends a snapshot: they may be
     /// used until the former leader's lease ends, and no longer.
     pub fn expire_grants(&mut self, now: f64) {
-        let until = self.lease_until;
+        let expires_at = self.lease_expires_at;
         let former: Vec<(String, Grant)> = self
             .grants
             .drain()
             .filter(|(_, grant)| !grant.revoking)
             .collect();
         self.expiring_grants
-            .retain(|_, expiring| now < expiring.until);
-        if now < until {
+            .retain(|_, expiring| now < expiring.expires_at);
+        if now < expires_at {
             let expiring = former
                 .into_iter()
-                .map(|(service, grant)| (service, ExpiringGrant { grant, until }));
+                .map(|(service, grant)| (service, ExpiringGrant { grant, expires_at }));
             self.expiring_grants.extend(expiring);
         }
         // The former leader's lease doesn't cover grants of the new one.
-        self.lease_until = f64::NEG_INFINITY;
+        self.lease_expires_at = f64::NEG_INFINITY;
     }
 
     /// Records a grant of the present leader. If a former leader made the same grant, that one stays
@@ -130,9 +130,9 @@
 
     /// Extends the lease. Returns whether it had expired, in which case the caller must wake the tasks
     /// that wait for a lease.
-    pub fn extend_lease(&mut self, until: f64, now: f64) -> bool {
-        let had_expired = self.lease_until < now;
-        self.lease_until = self.lease_until.max(until);
+    pub fn extend_lease(&mut self, expires_at: f64, now: f64) -> bool {
+        let had_expired = self.lease_expires_at < now;
+        self.lease_expires_at = self.lease_expires_at.max(expires_at);
         had_expired
     }
 }
