--- a/crates/runtime/pooler/src/data_plane/listener.rs
+++ b/crates/runtime/pooler/src/data_plane/listener.rs
@@ -115,7 +115,7 @@
         match bound {
             Ok(listener) => return listener,
             Err(error) => {
-                log::error!("event=front_bind_failed front={front_address} error={error}")
+                log::error!("event=front_bind_failed front={front_address} error={error}");
             }
         }
         net::sleep_until(clock::now() + BIND_RETRY_S).await;
--- a/crates/testing/testbed/src/cluster_host.rs
+++ b/crates/testing/testbed/src/cluster_host.rs
@@ -180,7 +180,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    net::configure(&stream, WRITE_TIMEOUT_S);
+                    net::try_set_options(&stream, WRITE_TIMEOUT_S);
                     let connection = self.clone().serve_connection(id.clone(), stream);
                     self.executor.spawn(connection).detach();
                 }
--- a/crates/testing/testbed/src/fault_relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -5,7 +5,7 @@
 use async_channel::{Sender, bounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_pooler::net::reset_on_close;
+use badgerstream_pooler::net::set_reset_on_close;
 use badgerstream_pooler::notify::Notify;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::cell::{Cell, RefCell};
@@ -124,7 +124,7 @@
     /// Carries both directions of a connection until its end.
     async fn carry(self: Rc<Self>, caller: Async<TcpStream>) {
         let Ok(callee) = Async::<TcpStream>::connect(self.target).await else {
-            return reset_on_close(&caller, true);
+            return set_reset_on_close(&caller, true);
         };
         for end in [&caller, &callee] {
             let _ = end.get_ref().set_nodelay(true);
@@ -143,8 +143,8 @@
         };
         let closed = future::or(both, reset).await;
         if !closed {
-            reset_on_close(&caller, true);
-            reset_on_close(&callee, true);
+            set_reset_on_close(&caller, true);
+            set_reset_on_close(&callee, true);
         }
     }
 
