--- a/crates/runtime/pooler/src/data_plane/client/commit.rs
+++ b/crates/runtime/pooler/src/data_plane/client/commit.rs
@@ -130,13 +130,15 @@
             }
             Err(ExchangeError::Unsent) => aborted("COMMIT was not sent: the connection broke"),
             // The transaction has written nothing, so nothing is in doubt.
-            Err(_) if !commit.has_written => aborted("the server did not answer COMMIT"),
+            Err(_) if !commit.has_written => {
+                aborted("no complete answer to COMMIT; nothing was written")
+            }
             Err(_) => {
                 let (server_id, database) = (&server.id, &self.database);
                 log::info!("event=in_doubt server={server_id} database={database}");
                 error(
                     ErrorCode::InDoubt,
-                    "the server did not answer COMMIT; it may have committed",
+                    "no complete answer to COMMIT; it may have committed",
                     TransactionState::Idle,
                 )
             }
--- a/crates/runtime/pooler/src/data_plane/client/single_statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -348,7 +348,7 @@
                 log::info!("event=in_doubt server={server_id} database={database}");
                 return Attempt::Done(error(
                     ErrorCode::InDoubt,
-                    "the server did not answer; the write may have run",
+                    "no complete answer from the server; the write may have run",
                     TransactionState::Idle,
                 ));
             }
@@ -360,7 +360,10 @@
                 if clock::now() >= attempts.deadline {
                     return Attempt::Done(error(
                         ErrorCode::Timeout,
-                        format!("no answer within {} s", attempts.request.terms.deadline_s),
+                        format!(
+                            "no complete answer within {} s",
+                            attempts.request.terms.deadline_s
+                        ),
                         TransactionState::Idle,
                     ));
                 }
--- a/crates/runtime/pooler/src/data_plane/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -231,7 +231,7 @@
                 self.fail_transaction();
                 error(
                     ErrorCode::Aborted,
-                    "the server did not answer; the transaction is rolled back",
+                    "no complete answer from the server; the transaction is rolled back",
                     TransactionState::Failed,
                 )
             }
--- a/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
@@ -70,12 +70,12 @@
         assert_eq!(begun.answer().await, "ERROR RETRY 200|IDLE E -");
         assert_eq!(
             writer.answer().await,
-            "ERROR INDOUBT the server did not answer; the write may have run|IDLE I -"
+            "ERROR INDOUBT no complete answer from the server; the write may have run|IDLE I -"
         );
         assert_eq!(reader.answer().await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(
             inside.answer().await,
-            "ERROR ABORTED the server did not answer; the transaction is rolled back|IDLE E -"
+            "ERROR ABORTED no complete answer from the server; the transaction is rolled back|IDLE E -"
         );
         assert_eq!(held.line().await, None);
         assert_eq!(
--- a/crates/runtime/pooler/src/tests/data_plane/transactions.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/transactions.rs
@@ -72,7 +72,7 @@
         harness.primary.inject("PUT", Fault::CloseConnection);
         assert_eq!(
             a.query("a2", "PUT x 1").await,
-            "ERROR ABORTED the server did not answer; the transaction is rolled back|IDLE E -"
+            "ERROR ABORTED no complete answer from the server; the transaction is rolled back|IDLE E -"
         );
         assert_eq!(
             a.query("a3", "PUT x 1").await,
