--- a/crates/runtime/pooler/src/clock.rs
+++ b/crates/runtime/pooler/src/clock.rs
@@ -1,5 +1,5 @@
-//! The monotonic clock of this process. Times in this crate are seconds on it, as `f64`, unless stated
-//! otherwise; they are unrelated to the time of day.
+//! The monotonic clock of this process. Times in this crate are seconds on it, as `f64`, unless
+//! stated otherwise; they are unrelated to the time of day.
 
 use std::sync::OnceLock;
 use std::time::Instant;
--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -10,8 +10,8 @@
 //!   `placement` obtains, with the lines that `statement` writes;
 //! - `response`, `connection`: the responses to the client, and its socket.
 //!
-//! The task owns the session and, inside a transaction, the checked-out connection. A write that may
-//! have run is never sent again.
+//! The task owns the session and, inside a transaction, the checked-out connection. A write that
+//! may have run is never sent again.
 
 mod commit;
 mod connection;
--- a/crates/runtime/pooler/src/data_plane/client/commit.rs
+++ b/crates/runtime/pooler/src/data_plane/client/commit.rs
@@ -90,7 +90,8 @@
         self.session.primary_affinity.touch(clock::now());
         let server = &checkout.pool.server;
         loop {
-            // Writes are durable only under the lease. A lease that has ended may be renewed in time.
+            // Writes are durable only under the lease. A lease that has ended may be renewed in
+            // time.
             let generation = self.data_plane.shared_view.changed.generation();
             if self.data_plane.is_leased(server, clock::now()) {
                 return true;
--- a/crates/runtime/pooler/src/data_plane/client/dispatch.rs
+++ b/crates/runtime/pooler/src/data_plane/client/dispatch.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Returns whether shutdown has reached the stage at which requests that arrive now are no longer
-    /// sent to a server.
+    /// Returns whether shutdown has reached the stage at which requests that arrive now are no
+    /// longer sent to a server.
     fn is_draining(&self) -> bool {
         self.handle.drain_stage.get() >= DrainStage::RejectUnplaced
     }
--- a/crates/runtime/pooler/src/data_plane/client/handshake.rs
+++ b/crates/runtime/pooler/src/data_plane/client/handshake.rs
@@ -14,8 +14,8 @@
 /// How long a client's `CONNECT` waits for the router's first configuration, in seconds.
 const CONFIG_TIMEOUT_S: f64 = 1.5;
 
-/// Performs the handshake and returns the database that the client connects to; `None` if the client
-/// was rejected or has disconnected.
+/// Performs the handshake and returns the database that the client connects to; `None` if the
+/// client was rejected or has disconnected.
 pub(super) async fn handshake(
     data_plane: &Rc<DataPlane>,
     client: &ClientConnection,
--- a/crates/runtime/pooler/src/data_plane/client/next_request.rs
+++ b/crates/runtime/pooler/src/data_plane/client/next_request.rs
@@ -1,5 +1,5 @@
-//! Waits for the next request of a client. Ends the session when the client disconnects or the router
-//! shuts down, and fails a transaction that has been idle for too long.
+//! Waits for the next request of a client. Ends the session when the client disconnects or the
+//! router shuts down, and fails a transaction that has been idle for too long.
 
 use super::ClientSession;
 use super::dispatch::DRAINING_REASON;
--- a/crates/runtime/pooler/src/data_plane/client/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/placement.rs
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Returns the result of an exchange with a server, or `TimedOut` once shutdown requires responses
-    /// for statements in flight.
+    /// Returns the result of an exchange with a server, or `TimedOut` once shutdown requires
+    /// responses for statements in flight.
     pub(super) fn until_final_answer<T>(
         &self,
         exchange: impl Future<Output = Result<T, ExchangeError>>,
--- a/crates/runtime/pooler/src/data_plane/client/response.rs
+++ b/crates/runtime/pooler/src/data_plane/client/response.rs
@@ -58,7 +58,8 @@
     }
 }
 
-/// Builds a `RETRY` error: nothing has run, and the client should try again after this many seconds.
+/// Builds a `RETRY` error: nothing has run, and the client should try again after this many
+/// seconds.
 pub(super) fn retry_later(retry_after_s: f64, state: TransactionState) -> Response {
     error(
         ErrorCode::Retry,
--- a/crates/runtime/pooler/src/data_plane/client/single_statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -1,7 +1,7 @@
 //! Statements outside a transaction: each is sent to one server after the other until one answers.
 //!
-//! Reads are retried and hedged. A write is retried only if it certainly has not run: it was not sent,
-//! or the server has said so. Otherwise it is reported as in doubt.
+//! Reads are retried and hedged. A write is retried only if it certainly has not run: it was not
+//! sent, or the server has said so. Otherwise it is reported as in doubt.
 
 use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
@@ -19,7 +19,8 @@
 use std::cell::Cell;
 use std::future::pending;
 
-/// Maximum number of times that a read is hedged: sent again because its answer is most likely lost.
+/// Maximum number of times that a read is hedged: sent again because its answer is most likely
+/// lost.
 const MAX_HEDGED_READS: usize = 2;
 /// Maximum number of attempts at a read that fail with `FAILED` and are retried.
 const MAX_FAILED_READS: u32 = 2;
@@ -79,8 +80,9 @@
         }
     }
 
-    /// Returns the deadline for an answer, in seconds of the monotonic clock. At the first attempt a
-    /// silent replica gets a shorter deadline, so that there is time for a retry at another server.
+    /// Returns the deadline for an answer, in seconds of the monotonic clock. At the first attempt
+    /// a silent replica gets a shorter deadline, so that there is time for a retry at another
+    /// server.
     fn answer_deadline(&self, now: f64, at_primary: bool, attempt: u32) -> f64 {
         if !self.is_read || at_primary || attempt > 0 {
             return self.deadline;
--- a/crates/runtime/pooler/src/data_plane/client/statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/statement.rs
@@ -34,8 +34,8 @@
         self.execution.map(|execution| execution.shape)
     }
 
-    /// Returns its line for this connection, with the router's name of the prepared statement; `None`
-    /// if that isn't prepared there. `waitpos` is empty or ends with a blank.
+    /// Returns its line for this connection, with the router's name of the prepared statement;
+    /// `None` if that isn't prepared there. `waitpos` is empty or ends with a blank.
     pub(super) fn line(&self, checkout: &Checkout, waitpos: &str) -> Option<Vec<u8>> {
         let id = self.id;
         let line = match self.execution {
--- a/crates/runtime/pooler/src/data_plane/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -1,5 +1,5 @@
-//! Transactions: each begins at a server with its first statement, and runs on the same connection to
-//! its end.
+//! Transactions: each begins at a server with its first statement, and runs on the same connection
+//! to its end.
 
 use super::placement::NoPlacement;
 use super::response::{Response, error, retry_later};
--- a/crates/runtime/pooler/src/data_plane/drain.rs
+++ b/crates/runtime/pooler/src/data_plane/drain.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown of clients' sessions, in stages.
 //!
-//! After SIGTERM the maintenance task advances every [`SessionHandle`]; the session's own task waits
-//! for the stages and acts on them. A session never returns to an earlier stage.
+//! After SIGTERM the maintenance task advances every [`SessionHandle`]; the session's own task
+//! waits for the stages and acts on them. A session never returns to an earlier stage.
 
 use super::ACCEPT_AFTER_TERM_S;
 use std::cell::{Cell, RefCell};
--- a/crates/runtime/pooler/src/data_plane/listener.rs
+++ b/crates/runtime/pooler/src/data_plane/listener.rs
@@ -23,8 +23,8 @@
 const ACCEPT_RETRY_S: f64 = 0.05;
 
 impl DataPlane {
-    /// Accepts clients until [`ACCEPT_AFTER_TERM_S`] after SIGTERM. `first_bind` is the result of the
-    /// first attempt to bind the front address.
+    /// Accepts clients until [`ACCEPT_AFTER_TERM_S`] after SIGTERM. `first_bind` is the result of
+    /// the first attempt to bind the front address.
     pub(super) async fn accept(
         self: Rc<Self>,
         front_address: SocketAddr,
--- a/crates/runtime/pooler/src/data_plane/maintenance.rs
+++ b/crates/runtime/pooler/src/data_plane/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic work: updates the quotas of the pools, closes idle connections, and advances the shutdown
-//! of the sessions.
+//! Periodic work: updates the quotas of the pools, closes idle connections, and advances the
+//! shutdown of the sessions.
 
 use super::DataPlane;
 use super::drain::DrainStage;
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Updates quotas, closes connections that have been idle too long, and drops the pools of servers
-    /// that have departed or changed their endpoint.
+    /// Updates quotas, closes connections that have been idle too long, and drops the pools of
+    /// servers that have departed or changed their endpoint.
     fn sweep_pools(&self, now: f64) {
         let mut pools = self.pools.borrow_mut();
         let view = self.shared_view.view.borrow();
--- a/crates/runtime/pooler/src/data_plane/placement.rs
+++ b/crates/runtime/pooler/src/data_plane/placement.rs
@@ -70,8 +70,8 @@
         self.configured_attempts.max(MIN_ATTEMPTS) + EXTRA_ATTEMPTS
     }
 
-    /// Limits a retry delay, in seconds, to the maximum duration of a statement, but to no less than
-    /// [`RETRY_AFTER_S`].
+    /// Limits a retry delay, in seconds, to the maximum duration of a statement, but to no less
+    /// than [`RETRY_AFTER_S`].
     pub(super) fn bound_retry_after(&self, retry_after_s: f64) -> f64 {
         retry_after_s.min(self.deadline_s.max(RETRY_AFTER_S))
     }
@@ -95,7 +95,8 @@
 }
 
 impl PlacementRequest<'_> {
-    /// Returns the terms for its admission at this server, which ends at `give_up_at` at the latest.
+    /// Returns the terms for its admission at this server, which ends at `give_up_at` at the
+    /// latest.
     pub(super) fn admission_terms(&self, pool: &Pool, give_up_at: f64) -> AdmissionTerms {
         let latest_start = self.waiting_since + self.terms.target_s - pool.latency().mean_s();
         AdmissionTerms {
@@ -142,9 +143,9 @@
 }
 
 impl DataPlane {
-    /// Waits until `give_up_at` (seconds of the monotonic clock) for a connection to a server that may
-    /// serve this request. Replicas in `tried_servers` are not used again; a primary among them is
-    /// used only if there is no suitable replica.
+    /// Waits until `give_up_at` (seconds of the monotonic clock) for a connection to a server that
+    /// may serve this request. Replicas in `tried_servers` are not used again; a primary among them
+    /// is used only if there is no suitable replica.
     ///
     /// # Errors
     /// [`Unplaced`] if no connection is available by then, or as soon as the estimated wait exceeds
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Waits for a connection to this server. Returns `None` if the server can't be reached or is no
-    /// longer valid: the caller then chooses again.
+    /// Waits for a connection to this server. Returns `None` if the server can't be reached or is
+    /// no longer valid: the caller then chooses again.
     async fn acquire_while_valid(
         self: &Rc<Self>,
         request: &PlacementRequest<'_>,
@@ -303,8 +304,8 @@
         }
         match primary {
             Some(pool) if pool.health().is_up(now) => PlacementTarget::Primary(pool),
-            // The end of a backoff wakes nobody, so it is polled for; a change of the view wakes the
-            // statement at once.
+            // The end of a backoff wakes nobody, so it is polled for; a change of the view wakes
+            // the statement at once.
             _ => PlacementTarget::RetryAt(now + PRIMARY_RECHECK_INTERVAL_S),
         }
     }
--- a/crates/runtime/pooler/src/data_plane/pool/checkout.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/checkout.rs
@@ -50,8 +50,8 @@
 }
 
 impl Checkout {
-    /// Waits for a connection, sets these values and prepares this shape on it, and waits for a slot
-    /// if `takes_slot`. The router's own statements take no slot.
+    /// Waits for a connection, sets these values and prepares this shape on it, and waits for a
+    /// slot if `takes_slot`. The router's own statements take no slot.
     ///
     /// # Errors
     /// [`CheckoutError`]; no statement of the client has been sent then.
@@ -122,8 +122,8 @@
         self.slot_permit = None;
     }
 
-    /// Records that the next statement is a `COMMIT`: if it succeeds, changes of values and prepared
-    /// statements inside the transaction persist.
+    /// Records that the next statement is a `COMMIT`: if it succeeds, changes of values and
+    /// prepared statements inside the transaction persist.
     pub(in crate::data_plane) fn expect_commit(&mut self) {
         self.commits = true;
     }
--- a/crates/runtime/pooler/src/data_plane/pool/exchange.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/exchange.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Records the server's health, latency and position from a complete answer, and decides whether
-    /// the connection can be reused.
+    /// Records the server's health, latency and position from a complete answer, and decides
+    /// whether the connection can be reused.
     fn conclude(&mut self, outcome: &StatementResult) {
         self.pool.mark_answered(outcome.position);
         let is_idle = outcome.state == TransactionState::Idle;
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Returns whether the server has answered a statement that was sent after this one, so that the
-    /// answer to this one is most likely lost.
+    /// Returns whether the server has answered a statement that was sent after this one, so that
+    /// the answer to this one is most likely lost.
     pub(in crate::data_plane) fn is_overtaken(&self) -> bool {
         self.unanswered.as_ref().is_some_and(|unanswered| {
             !unanswered.partially_forwarded
--- a/crates/runtime/pooler/src/data_plane/pool/idle.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/idle.rs
@@ -1,5 +1,5 @@
-//! Idle connections: they are kept for the next client, and closed when they have been idle too long
-//! or exceed the quota.
+//! Idle connections: they are kept for the next client, and closed when they have been idle too
+//! long or exceed the quota.
 
 use super::Pool;
 use crate::clock;
@@ -11,8 +11,8 @@
 const IDLE_TIMEOUT_S: f64 = 30.0;
 
 impl Pool {
-    /// Closes connections that have been idle longer than [`IDLE_TIMEOUT_S`] or exceed the quota, and
-    /// sets the admission limit to the quota.
+    /// Closes connections that have been idle longer than [`IDLE_TIMEOUT_S`] or exceed the quota,
+    /// and sets the admission limit to the quota.
     pub(in crate::data_plane) fn sweep(&self, now: f64) {
         let limit = self.connection_quota.get().limit(now);
         let closed: Vec<ServerConnection> = {
--- a/crates/runtime/pooler/src/data_plane/pool/prepare.rs
+++ b/crates/runtime/pooler/src/data_plane/pool/prepare.rs
@@ -1,4 +1,5 @@
-//! Sets the session values and the prepared statement that the next statement needs on a connection.
+//! Sets the session values and the prepared statement that the next statement needs on a
+//! connection.
 
 use super::Pool;
 use super::checkout::{Checkout, INTERNAL_STATEMENT_TIMEOUT_S, Reuse};
--- a/crates/runtime/pooler/src/data_plane/service_state.rs
+++ b/crates/runtime/pooler/src/data_plane/service_state.rs
@@ -35,8 +35,8 @@
         self.update_service(service, |state| state.history.record(covers_from, position));
     }
 
-    /// Records the position in a server's answer to a query that was sent at `queried_at` (seconds of
-    /// the monotonic clock) while the lease was valid.
+    /// Records the position in a server's answer to a query that was sent at `queried_at` (seconds
+    /// of the monotonic clock) while the lease was valid.
     pub(super) fn record_answer_position(
         &self,
         server: &Server,
--- a/crates/runtime/pooler/src/exchange.rs
+++ b/crates/runtime/pooler/src/exchange.rs
@@ -1,8 +1,8 @@
-//! An exchange of one request and its answer with another process, which records whether the request
-//! may have run.
+//! An exchange of one request and its answer with another process, which records whether the
+//! request may have run.
 //!
-//! Used for requests that must not run twice: commands to database servers and promotions. The caller
-//! owns the connection; this module keeps only the progress of one exchange.
+//! Used for requests that must not run twice: commands to database servers and promotions. The
+//! caller owns the connection; this module keeps only the progress of one exchange.
 
 use crate::net;
 use async_io::Async;
--- a/crates/runtime/pooler/src/leader_session.rs
+++ b/crates/runtime/pooler/src/leader_session.rs
@@ -1,10 +1,10 @@
 //! A router's session with the leader of the control machines: renews the lease on primaries, sends
 //! health reports on servers, and applies all updates to the view.
 //!
-//! One task runs [`LeaderSession::run`]; it is the only writer of the view. The session ends when
-//! a request is unanswered and no byte has arrived from the leader for the silence timeout. As long as
-//! bytes arrive the leader is not lost, however long a frame takes on a slow link. `search` decides
-//! which control machine to try; nothing here sends to database servers.
+//! One task runs [`LeaderSession::run`]; it is the only writer of the view. The session ends when a
+//! request is unanswered and no byte has arrived from the leader for the silence timeout. As long
+//! as bytes arrive the leader is not lost, however long a frame takes on a slow link. `search`
+//! decides which control machine to try; nothing here sends to database servers.
 
 mod search;
 mod update;
@@ -48,8 +48,8 @@
     pub port: u16,
     /// Interval between two lease requests, in seconds.
     pub renew_interval_s: f64,
-    /// If no byte arrives for this many seconds while a request is unanswered, another control machine
-    /// is tried.
+    /// If no byte arrives for this many seconds while a request is unanswered, another control
+    /// machine is tried.
     pub silence_timeout_s: f64,
 }
 
@@ -68,8 +68,8 @@
     health_reports: Box<HealthReports>,
     /// Services for whose servers the leader wants health reports.
     health_reports_wanted: RefCell<Vec<String>>,
-    /// The text of the configuration in force, to which deltas are applied; empty if the leader has to
-    /// send the full text.
+    /// The text of the configuration in force, to which deltas are applied; empty if the leader has
+    /// to send the full text.
     config_text: RefCell<Rc<[u8]>>,
 }
 
@@ -95,7 +95,8 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Returns since when nothing has been received although a response is due; `None` if none is due.
+    /// Returns since when nothing has been received although a response is due; `None` if none is
+    /// due.
     fn silent_since(&self, last_received: f64) -> Option<f64> {
         self.unanswered_since
             .map(|sent_at| sent_at.max(last_received))
@@ -122,8 +123,8 @@
         })
     }
 
-    /// Adds the seeds to the control machines that may be tried. Called at the start and whenever the
-    /// settings change.
+    /// Adds the seeds to the control machines that may be tried. Called at the start and whenever
+    /// the settings change.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         let node = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(ip) => Some(u32::from(ip)),
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Runs one connection until it breaks or the machine answers that it isn't the leader. Returns the
-    /// leader that the machine names, if any.
+    /// Runs one connection until it breaks or the machine answers that it isn't the leader. Returns
+    /// the leader that the machine names, if any.
     async fn run_connection(&self, node: NodeId) -> io::Result<Option<NodeId>> {
         let address = SocketAddr::from((Ipv4Addr::from(node), self.config.port));
         let user_timeout_s = self.config.silence_timeout_s * 2.0;
@@ -217,8 +218,8 @@
                     if is_response {
                         timer.unanswered_since = None;
                     }
-                    // The leader waits for the acknowledgement of an update that isn't a response, so
-                    // the next request is sent at once.
+                    // The leader waits for the acknowledgement of an update that isn't a response,
+                    // so the next request is sent at once.
                     !is_response
                 }
                 None => clock::now() - timer.sent_at >= renew_interval_s,
@@ -267,8 +268,8 @@
         .await
     }
 
-    /// Returns the epoch of the configuration to which deltas can be applied here; 0 asks for the full
-    /// text.
+    /// Returns the epoch of the configuration to which deltas can be applied here; 0 asks for the
+    /// full text.
     fn known_config_epoch(&self) -> u64 {
         if self.config_text.borrow().is_empty() {
             return 0;
--- a/crates/runtime/pooler/src/leader_session/search.rs
+++ b/crates/runtime/pooler/src/leader_session/search.rs
@@ -39,8 +39,8 @@
         self.others.drain(..excess);
     }
 
-    /// Returns the machine to try after this many failed attempts: first the voters in turn, then all
-    /// machines in turn.
+    /// Returns the machine to try after this many failed attempts: first the voters in turn, then
+    /// all machines in turn.
     fn node_in_turn(&self, turn: usize, attempts: usize) -> Option<NodeId> {
         let others = self
             .others
@@ -88,8 +88,8 @@
         self.attempts = 0;
     }
 
-    /// Records that a machine isn't the leader, and which leader it named. Returns how many seconds to
-    /// pause before the next attempt; `None` if the named leader is to be tried at once.
+    /// Records that a machine isn't the leader, and which leader it named. Returns how many seconds
+    /// to pause before the next attempt; `None` if the named leader is to be tried at once.
     pub(super) fn record_not_leader(
         &mut self,
         node: NodeId,
--- a/crates/runtime/pooler/src/leader_session/update.rs
+++ b/crates/runtime/pooler/src/leader_session/update.rs
@@ -8,8 +8,8 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// How long a server that a new leader has not named is kept, in seconds: the server's heartbeat may
-/// not have reached that leader yet.
+/// How long a server that a new leader has not named is kept, in seconds: the server's heartbeat
+/// may not have reached that leader yet.
 const UNCONFIRMED_TIMEOUT_S: f64 = 6.0;
 
 /// Ids of the servers that the newest leader has not named yet, each with the time of that leader's
@@ -37,8 +37,8 @@
 }
 
 impl LeaderSession {
-    /// Applies an update to the view and wakes the tasks that wait for a change. Returns whether the
-    /// update responds to a lease request.
+    /// Applies an update to the view and wakes the tasks that wait for a change. Returns whether
+    /// the update responds to a lease request.
     pub(super) fn apply(&self, message: RouterMessage) -> bool {
         let RouterMessage::Update {
             update_watermark,
@@ -77,8 +77,8 @@
         if let Some(sent_at) = request_sent_at
             && lease_duration > 0.0
         {
-            // The lease starts when it was requested, so that it ends here before the leader considers
-            // it ended.
+            // The lease starts when it was requested, so that it ends here before the leader
+            // considers it ended.
             changed |= view.extend_lease(sent_at + lease_duration, now);
         }
         // A response may be older than an update received before it: the watermark never goes back.
@@ -106,8 +106,8 @@
         unconfirmed.reset(view.servers.keys(), now);
     }
 
-    /// Applies the leader's list of servers. Returns whether a server was removed because the leader
-    /// didn't name it in time.
+    /// Applies the leader's list of servers. Returns whether a server was removed because the
+    /// leader didn't name it in time.
     fn apply_members(&self, view: &mut View, members: Vec<MemberInfo>, now: f64) -> bool {
         let mut unconfirmed = self.unconfirmed_servers.borrow_mut();
         for member in members {
@@ -141,9 +141,9 @@
         is_newer
     }
 
-    /// Resolves the configuration of an update, which may be a delta to the known text. If the delta
-    /// doesn't apply or the result is invalid, returns `None`, and the next lease request asks for the
-    /// full text.
+    /// Resolves the configuration of an update, which may be a delta to the known text. If the
+    /// delta doesn't apply or the result is invalid, returns `None`, and the next lease request
+    /// asks for the full text.
     fn resolve_config(&self, update: &ConfigUpdate) -> Option<Config> {
         let text = update.resolve(&self.config_text.borrow());
         let config = text.as_ref().and_then(|text| Config::parse(text).ok());
@@ -167,8 +167,8 @@
     (grant.service, view_grant)
 }
 
-/// Converts a member to a server of the view; `None` if its endpoint is not a socket address, as the
-/// router can't connect to it then.
+/// Converts a member to a server of the view; `None` if its endpoint is not a socket address, as
+/// the router can't connect to it then.
 fn to_view_server(member: MemberInfo) -> Option<Server> {
     Some(Server {
         endpoint: member.endpoint.parse().ok()?,
--- a/crates/runtime/pooler/src/net.rs
+++ b/crates/runtime/pooler/src/net.rs
@@ -1,5 +1,6 @@
-//! TCP sockets and deadlines: socket options, reads into a buffer that all connections share, writes
-//! that report whether any byte was written, and futures with a deadline on the monotonic clock.
+//! TCP sockets and deadlines: socket options, reads into a buffer that all connections share,
+//! writes that report whether any byte was written, and futures with a deadline on the monotonic
+//! clock.
 //!
 //! The module is stateless and doesn't interpret the bytes; all modules with sockets use it.
 
@@ -16,8 +17,8 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Size of the shared read buffer, in bytes. All connections share one buffer, so that idle ones need
-/// none.
+/// Size of the shared read buffer, in bytes. All connections share one buffer, so that idle ones
+/// need none.
 pub const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Read buffer shared by all connections of a thread; never borrowed across an await.
@@ -47,8 +48,9 @@
 }
 
 pin_project! {
-    /// The future returned by [`with_deadline`]. It stores the inner future once. An `async` block that
-    /// awaits its argument would store it twice, and these futures are nested for every statement.
+    /// The future returned by [`with_deadline`]. It stores the inner future once. An `async` block
+    /// that awaits its argument would store it twice, and these futures are nested for every
+    /// statement.
     pub struct WithDeadline<F> {
         #[pin]
         future: F,
@@ -96,8 +98,8 @@
     Ok(stream)
 }
 
-/// Connects to another badgerstream process within `connect_timeout_s` seconds. Later the connection
-/// breaks if sent bytes stay unacknowledged for `user_timeout_s` seconds.
+/// Connects to another badgerstream process within `connect_timeout_s` seconds. Later the
+/// connection breaks if sent bytes stay unacknowledged for `user_timeout_s` seconds.
 ///
 /// # Errors
 ///
@@ -124,15 +126,16 @@
     Ok(())
 }
 
-/// Like [`set_options`] with a timeout in seconds, but ignores errors. For connections that also work
-/// without these options: if the system rejects one, an unreachable peer is only noticed later.
+/// Like [`set_options`] with a timeout in seconds, but ignores errors. For connections that also
+/// work without these options: if the system rejects one, an unreachable peer is only noticed
+/// later.
 pub fn try_set_options(stream: &Async<TcpStream>, user_timeout_s: f64) {
     let _ = stream.get_ref().set_nodelay(true);
     let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, (user_timeout_s * 1000.0) as u32);
 }
 
-/// Sets whether closing a connection resets it (`SO_LINGER` of zero). A reset discards bytes that were
-/// sent but have not arrived. The setting also applies if the process is killed.
+/// Sets whether closing a connection resets it (`SO_LINGER` of zero). A reset discards bytes that
+/// were sent but have not arrived. The setting also applies if the process is killed.
 pub fn set_reset_on_close(stream: &Async<TcpStream>, resets: bool) {
     let linger = resets.then_some(Duration::ZERO);
     let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), linger);
--- a/crates/runtime/pooler/src/notify.rs
+++ b/crates/runtime/pooler/src/notify.rs
@@ -4,8 +4,8 @@
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Notifies the tasks that wait for a change. It numbers its notifications, so that a task misses none
-/// between reading the state and waiting for the next change.
+/// Notifies the tasks that wait for a change. It numbers its notifications, so that a task misses
+/// none between reading the state and waiting for the next change.
 #[derive(Default)]
 pub struct Notify {
     generation: Cell<u64>,
--- a/crates/runtime/pooler/src/server_commands.rs
+++ b/crates/runtime/pooler/src/server_commands.rs
@@ -3,8 +3,8 @@
 //!
 //! The control driver starts [`run`] for a server once it has a command for it, and passes further
 //! commands through a channel; that task owns the connection. `docs/design/calls.md` says which
-//! commands may be sent again. A connection whose exchange ended without an answer is reset and never
-//! reused, so that bytes of the command which a network partition delays are lost.
+//! commands may be sent again. A connection whose exchange ended without an answer is reset and
+//! never reused, so that bytes of the command which a network partition delays are lost.
 
 use crate::exchange::{self, AuthorityError, ExchangeError, Progress};
 use crate::{clock, net};
@@ -65,8 +65,8 @@
 pub struct CommandTimeouts {
     /// Timeout for an answer.
     pub answer_s: f64,
-    /// Timeout for the next command, after which the connection is closed; with 0 it is closed after
-    /// each answer.
+    /// Timeout for the next command, after which the connection is closed; with 0 it is closed
+    /// after each answer.
     pub idle_s: f64,
 }
 
@@ -96,8 +96,8 @@
 }
 
 /// Sends the commands from the channel until none has arrived for the idle timeout, and reports the
-/// outcome of each. `may_act` is called just before sending a command that only the present leader may
-/// send.
+/// outcome of each. `may_act` is called just before sending a command that only the present leader
+/// may send.
 pub async fn run(
     target: CommandTarget,
     commands: Receiver<FencedCommand>,
@@ -150,7 +150,8 @@
 }
 
 impl ServerSession {
-    /// Sends a command and returns the status in the server's answer; `None` if the answer has none.
+    /// Sends a command and returns the status in the server's answer; `None` if the answer has
+    /// none.
     async fn execute(
         &mut self,
         command: FencedCommand,
@@ -233,8 +234,8 @@
     /// Opens a connection and verifies with `CONNECT` that the server has the expected id.
     async fn open(target: &CommandTarget, answer_timeout_s: f64) -> Result<ServerConnection> {
         let stream = Async::<TcpStream>::connect(target.endpoint).await?;
-        // The system drops bytes that are not acknowledged in time, even if this process is suspended
-        // or killed meanwhile.
+        // The system drops bytes that are not acknowledged in time, even if this process is
+        // suspended or killed meanwhile.
         net::try_set_options(&stream, answer_timeout_s);
         net::set_reset_on_close(&stream, true);
         let mut connection = ServerConnection {
@@ -261,8 +262,8 @@
         }
     }
 
-    /// Returns whether the connection may be used for another exchange: the server has neither closed
-    /// it nor sent unsolicited data.
+    /// Returns whether the connection may be used for another exchange: the server has neither
+    /// closed it nor sent unsolicited data.
     fn is_usable(&mut self) -> bool {
         let scratch = RefCell::new(vec![0; READ_BUFFER_BYTES]);
         self.lines.is_empty()
@@ -319,8 +320,8 @@
 }
 
 /// Parses the row that answers `STATUS` (`line-protocol`): role, primary term, received position,
-/// highest term, lag in ms, busy slots, connections. The last three are ignored. Returns `None` if a
-/// field is missing or invalid.
+/// highest term, lag in ms, busy slots, connections. The last three are ignored. Returns `None` if
+/// a field is missing or invalid.
 pub fn parse_status(text: &[u8]) -> Option<ServerStatus> {
     let text = std::str::from_utf8(text).ok()?;
     let mut words = text.split_ascii_whitespace();
--- a/crates/runtime/pooler/src/tests/data_plane/harness.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/harness.rs
@@ -1,4 +1,5 @@
-//! Shared by the tests of the data plane: scripted servers, simple clients, and a router between them.
+//! Shared by the tests of the data plane: scripted servers, simple clients, and a router between
+//! them.
 
 use crate::data_plane::{DataPlane, DataPlaneLimits};
 use crate::notify::Notify;
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Runs a statement and answers it, or applies its fault. Returns `None` if the connection is to
-    /// be closed.
+    /// Runs a statement and answers it, or applies its fault. Returns `None` if the connection is
+    /// to be closed.
     async fn answer(&self, session: &mut ServerSession, id: &str, text: &str) -> Option<()> {
         let shape = session.executed_shape(text);
         self.received.borrow_mut().push(ReceivedStatement {
@@ -305,7 +306,8 @@
         self.send(&lines).await
     }
 
-    /// Returns the text of the prepared statement that an `EXECUTE` names; `None` for other statements.
+    /// Returns the text of the prepared statement that an `EXECUTE` names; `None` for other
+    /// statements.
     fn executed_shape(&self, text: &str) -> Option<String> {
         let words: Vec<&str> = text.splitn(3, ' ').collect();
         (words[0] == "EXECUTE").then(|| self.prepared[words[1]].clone())
@@ -400,8 +402,8 @@
     "backends":[{"name":"db","probe":"/health","max_conns":1,"protocol":"h1","tls":false,"sync_replicas":1}],
     "limits":{"txn_idle_ms":60000}}"#;
 
-/// Changes the configuration to a short latency target, so that answers are soon overdue, and to enough
-/// connections.
+/// Changes the configuration to a short latency target, so that answers are soon overdue, and to
+/// enough connections.
 pub(super) fn short_target(config: String) -> String {
     config
         .replace("\"target_ms\":20000", "\"target_ms\":40")
@@ -449,7 +451,8 @@
     }
 }
 
-/// Adds servers at these endpoints to the view; the first is primary under a lease that doesn't end.
+/// Adds servers at these endpoints to the view; the first is primary under a lease that doesn't
+/// end.
 fn fill_view(view: &mut View, endpoints: &[SocketAddr]) {
     for (i, endpoint) in endpoints.iter().enumerate() {
         let id = format!("i-{i}");
--- a/crates/runtime/pooler/src/tests/data_plane/leases.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/leases.rs
@@ -65,8 +65,8 @@
     });
 }
 
-/// A write is reported as in doubt if its answer arrives after the grant of its primary was revoked,
-/// ended or changed: the next primary may not have the write.
+/// A write is reported as in doubt if its answer arrives after the grant of its primary was
+/// revoked, ended or changed: the next primary may not have the write.
 #[test]
 fn success_after_grant_ended_is_in_doubt() {
     let changes: [fn(&mut crate::view::View); 4] = [
--- a/crates/runtime/pooler/src/tests/data_plane/mod.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the data plane between scripted servers and simple clients on loopback, all on one thread.
-//! The tests don't sleep: every wait is for an event.
+//! Tests of the data plane between scripted servers and simple clients on loopback, all on one
+//! thread. The tests don't sleep: every wait is for an event.
 
 mod consistency;
 mod harness;
--- a/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
@@ -90,8 +90,8 @@
     });
 }
 
-/// Checks for grace periods of 3 s and 6 s that statements in flight are waited for during the first
-/// five sixths, and that their clients get a response before the process exits.
+/// Checks for grace periods of 3 s and 6 s that statements in flight are waited for during the
+/// first five sixths, and that their clients get a response before the process exits.
 #[test]
 fn drain_stages_follow_the_grace_period() {
     for grace in [3.0, 6.0] {
--- a/crates/runtime/pooler/src/tests/leader_session.rs
+++ b/crates/runtime/pooler/src/tests/leader_session.rs
@@ -288,7 +288,8 @@
     });
 }
 
-/// While there is no leader, all routers search for one, so each makes attempts at growing intervals.
+/// While there is no leader, all routers search for one, so each makes attempts at growing
+/// intervals.
 #[test]
 fn attempts_back_off_while_there_is_no_leader() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 58), async |fixture| {
@@ -347,8 +348,8 @@
     message
 }
 
-/// A delta is applied to the known text. If it is for another text, the router keeps its configuration
-/// and requests the full text.
+/// A delta is applied to the known text. If it is for another text, the router keeps its
+/// configuration and requests the full text.
 #[test]
 fn config_delta_applies_or_the_full_text_is_requested() {
     Fixture::run(Ipv4Addr::new(127, 0, 0, 55), async |fixture| {
--- a/crates/runtime/pooler/src/tests/server_commands.rs
+++ b/crates/runtime/pooler/src/tests/server_commands.rs
@@ -1,5 +1,5 @@
-//! Tests of commands to a scripted server on loopback: what is sent, how often, and which outcome is
-//! reported.
+//! Tests of commands to a scripted server on loopback: what is sent, how often, and which outcome
+//! is reported.
 
 use crate::server_commands::{CommandTarget, CommandTimeouts, FencedCommand, IDLE_TIMEOUT_S, run};
 use async_executor::LocalExecutor;
--- a/crates/runtime/pooler/src/view.rs
+++ b/crates/runtime/pooler/src/view.rs
@@ -1,9 +1,9 @@
 //! The router's view of the cluster: the configuration in force, the known servers, and which
 //! primaries may be used until when.
 //!
-//! The session with the leader ([`crate::leader_session`]) writes the view; the data plane, readiness
-//! and metrics read it, all on one thread. It is never borrowed across an await; a task that waits
-//! for a change uses [`SharedView::changed`].
+//! The session with the leader ([`crate::leader_session`]) writes the view; the data plane,
+//! readiness and metrics read it, all on one thread. It is never borrowed across an await; a task
+//! that waits for a change uses [`SharedView::changed`].
 
 use crate::notify::Notify;
 use badgerstream_pooler_config::config::Config;
@@ -60,13 +60,14 @@
     pub servers: HashMap<String, Server>,
     /// The present leader's grant for each service, by service name.
     pub grants: HashMap<String, Grant>,
-    /// When the lease on all these grants ends, in seconds of the monotonic clock; nothing may be sent
-    /// to a primary under them after that.
+    /// When the lease on all these grants ends, in seconds of the monotonic clock; nothing may be
+    /// sent to a primary under them after that.
     pub lease_expires_at: f64,
-    /// Grants of former leaders by service name, for services that the present leader has not granted
-    /// yet or for which it has made the same grant.
+    /// Grants of former leaders by service name, for services that the present leader has not
+    /// granted yet or for which it has made the same grant.
     pub expiring_grants: HashMap<String, ExpiringGrant>,
-    /// Number of routers that share the servers' connections and slots; `None` while it isn't known.
+    /// Number of routers that share the servers' connections and slots; `None` while it isn't
+    /// known.
     pub router_count: Option<usize>,
 }
 
@@ -85,8 +86,8 @@
         })
     }
 
-    /// Returns when the last of the leases of the present leader and former leaders ends, in seconds
-    /// of the monotonic clock.
+    /// Returns when the last of the leases of the present leader and former leaders ends, in
+    /// seconds of the monotonic clock.
     pub fn last_lease_expires_at(&self) -> f64 {
         self.expiring_grants
             .values()
@@ -94,8 +95,8 @@
             .fold(self.lease_expires_at, f64::max)
     }
 
-    /// Turns the present grants into expiring ones because a new leader sends a snapshot: they may be
-    /// used until the former leader's lease ends, and no longer.
+    /// Turns the present grants into expiring ones because a new leader sends a snapshot: they may
+    /// be used until the former leader's lease ends, and no longer.
     pub fn expire_grants(&mut self, now: f64) {
         let expires_at = self.lease_expires_at;
         let former: Vec<(String, Grant)> = self
@@ -115,8 +116,8 @@
         self.lease_expires_at = f64::NEG_INFINITY;
     }
 
-    /// Records a grant of the present leader. If a former leader made the same grant, that one stays
-    /// usable until its lease ends, so that there is no gap before the new lease.
+    /// Records a grant of the present leader. If a former leader made the same grant, that one
+    /// stays usable until its lease ends, so that there is no gap before the new lease.
     pub fn set_grant(&mut self, service: String, grant: Grant) {
         let is_same = self.expiring_grants.get(&service).is_some_and(|expiring| {
             expiring.grant.server_id == grant.server_id
@@ -128,8 +129,8 @@
         self.grants.insert(service, grant);
     }
 
-    /// Extends the lease. Returns whether it had expired, in which case the caller must wake the tasks
-    /// that wait for a lease.
+    /// Extends the lease. Returns whether it had expired, in which case the caller must wake the
+    /// tasks that wait for a lease.
     pub fn extend_lease(&mut self, expires_at: f64, now: f64) -> bool {
         let had_expired = self.lease_expires_at < now;
         self.lease_expires_at = self.lease_expires_at.max(expires_at);
@@ -142,7 +143,8 @@
 pub struct SharedView {
     /// The view; never borrowed across an await.
     pub view: Rc<RefCell<View>>,
-    /// Notified at each change, including the renewal of an expired lease and the start of shutdown.
+    /// Notified at each change, including the renewal of an expired lease and the start of
+    /// shutdown.
     pub changed: Rc<Notify>,
     /// When SIGTERM was received, in seconds of the monotonic clock; `None` before.
     pub shutdown_started_at: Rc<Cell<Option<f64>>>,
