--- a/crates/runtime/pooler/src/data_plane/client/handshake.rs
+++ b/crates/runtime/pooler/src/data_plane/client/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake of a client: `CONNECT` with the database that it wants.
+//! The handshake with a client: `CONNECT` names the database that it wants.
 
 use super::connection::ClientConnection;
 use super::response::retry_after_ms;
@@ -9,19 +9,19 @@
 use badgerstream_line_protocol::Request;
 use std::rc::Rc;
 
-/// How long a client may take to send its `CONNECT`, in seconds.
+/// Timeout for the `CONNECT` of a client, in seconds.
 const HANDSHAKE_TIMEOUT_S: f64 = 10.0;
-/// For how long a client waits for the first configuration, in seconds.
+/// How long a client's `CONNECT` waits for the router's first configuration, in seconds.
 const CONFIG_TIMEOUT_S: f64 = 1.5;
 
-/// The database that the client connects to, once the client has its answer. None if it was rejected
-/// or has disconnected.
+/// Performs the handshake and returns the database that the client connects to; `None` if the
+/// client was rejected or has disconnected.
 pub(super) async fn handshake(
     data_plane: &Rc<DataPlane>,
     client: &ClientConnection,
 ) -> Option<Rc<str>> {
     let first_line = first_line(data_plane, client);
-    let line = net::until(clock::now() + HANDSHAKE_TIMEOUT_S, first_line).await??;
+    let line = net::with_deadline(clock::now() + HANDSHAKE_TIMEOUT_S, first_line).await??;
     let Ok(Request::Connect { database, .. }) = Request::parse(&line) else {
         client
             .write(b"ERROR MALFORMED CONNECT comes first\r\n")
@@ -42,7 +42,7 @@
             return is_connected.then(|| database.into());
         }
         let changed = data_plane.shared_view.changed.notified_since(generation);
-        if net::until(give_up_at, changed).await.is_none() {
+        if net::with_deadline(give_up_at, changed).await.is_none() {
             let line = format!("ERROR RETRY {}\r\n", retry_after_ms(RETRY_AFTER_S));
             client.write(line.as_bytes()).await;
             return None;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The first line of the client; none if it disconnects.
+/// Returns the first line of the client; `None` if it disconnects.
 async fn first_line(data_plane: &DataPlane, client: &ClientConnection) -> Option<Vec<u8>> {
     loop {
         if let Some(line) = client.next_line().ok()? {
--- a/crates/runtime/pooler/src/http.rs
+++ b/crates/runtime/pooler/src/http.rs
@@ -52,7 +52,7 @@
         if connection_count.get() >= MAX_CONNECTIONS {
             continue;
         }
-        net::configure(&stream, USER_TIMEOUT_S);
+        net::try_set_options(&stream, USER_TIMEOUT_S);
         connection_count.set(connection_count.get() + 1);
         let handler = handler.clone();
         let in_flight = in_flight.clone();
--- a/crates/runtime/pooler/src/metrics/router.rs
+++ b/crates/runtime/pooler/src/metrics/router.rs
@@ -31,7 +31,7 @@
     exposition.gauge(
         "router_lease_remaining_seconds",
         "Remaining duration of the lease, during which primaries may be used; 0 without a lease",
-        (view.leased_until() - now).max(0.0),
+        (view.last_lease_expires_at() - now).max(0.0),
     );
     exposition.gauge(
         "router_grants",
@@ -107,7 +107,7 @@
     );
     let slots_in_use = pools
         .iter()
-        .map(|pool| (service_label(&pool.service), pool.working as f64));
+        .map(|pool| (service_label(&pool.service), pool.slots_in_use as f64));
     exposition.gauges(
         "router_slots_in_use",
         "Slots in use at the servers of a service",
--- a/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of a router.
+//! Tests of the graceful shutdown of a router.
 
 use super::harness::{Client, Fault, run_test};
 use crate::clock;
@@ -19,7 +19,7 @@
         assert_eq!(idle.line().await, None);
         assert_eq!(
             a.line().await.as_deref(),
-            Some("ERROR ABORTED the router ends")
+            Some("ERROR ABORTED the router is shutting down")
         );
         assert_eq!(a.line().await, None);
         harness
@@ -48,7 +48,7 @@
         for text in ["PUT x 2", "PUT x 3", "FETCH x"] {
             harness.primary.inject(text, Fault::NoAnswer);
         }
-        // In flight at the server, which doesn't answer.
+        // These statements are in flight at the server, which doesn't answer them.
         inside.send("QUERY i3 PUT x 2\r\n").await;
         writer.send("QUERY w1 PUT x 3\r\n").await;
         reader.send("QUERY r1 FETCH x\r\n").await;
@@ -56,8 +56,8 @@
             .primary
             .wait_until(|p| p.faults.borrow().is_empty())
             .await;
-        // No server can be used for these.
-        harness.update_view(|view| view.lease_until = 0.0);
+        // The following statements wait for a placement, as the lease has ended.
+        harness.update_view(|view| view.lease_expires_at = 0.0);
         held.send("QUERY h1 PUT x 4\r\n").await;
         assert_eq!(begun.query("b1", "BEGIN").await, "COMPLETE -|IDLE T -");
         begun.send("QUERY b2 PUT x 5\r\n").await;
@@ -70,12 +70,12 @@
         assert_eq!(begun.answer().await, "ERROR RETRY 200|IDLE E -");
         assert_eq!(
             writer.answer().await,
-            "ERROR INDOUBT no clear answer|IDLE I -"
+            "ERROR INDOUBT no complete answer from the server; the write may have run|IDLE I -"
         );
         assert_eq!(reader.answer().await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(
             inside.answer().await,
-            "ERROR ABORTED the server was lost|IDLE E -"
+            "ERROR ABORTED no complete answer from the server; the transaction is rolled back|IDLE E -"
         );
         assert_eq!(held.line().await, None);
         assert_eq!(
@@ -90,8 +90,8 @@
     });
 }
 
-/// For grace periods of three and six seconds: what is in flight is waited for through the first
-/// five sixths, and its last answer is sent before the process exits.
+/// Checks for grace periods of 3 s and 6 s that statements in flight are waited for during the
+/// first five sixths, and that their clients get a response before the process exits.
 #[test]
 fn drain_stages_follow_the_grace_period() {
     for grace in [3.0, 6.0] {
@@ -102,7 +102,7 @@
         assert_eq!(
             DrainStage::at(0.49 * grace, grace, true),
             DrainStage::Serving,
-            "half of it is a transaction's"
+            "open transactions may go on for half of the grace period"
         );
         assert_eq!(
             DrainStage::at(0.51 * grace, grace, true),
@@ -120,13 +120,13 @@
     assert_eq!(
         DrainStage::at(1.9, 6.0, false),
         DrainStage::Serving,
-        "some connections still come"
+        "the platform still sends connections"
     );
     assert_eq!(DrainStage::at(2.1, 6.0, false), DrainStage::CloseIdle);
     assert_eq!(DrainStage::at(2.1, 6.0, true), DrainStage::Serving);
 }
 
-/// A statement that arrives when its answer can't be waited for any more isn't run.
+/// A request that arrives after the router has stopped sending statements to servers is rejected.
 #[test]
 fn late_requests_are_rejected_while_draining() {
     run_test(async |harness| {
@@ -144,12 +144,12 @@
             .for_each(|s| s.drain_stage.set(DrainStage::RejectUnplaced));
         assert_eq!(
             a.query("a3", "COMMIT").await,
-            "ERROR ABORTED the router ends|IDLE I -"
+            "ERROR ABORTED the router is shutting down|IDLE I -"
         );
         assert_eq!(a.line().await, None);
         assert_eq!(
             c.query("c2", "FETCH x").await,
-            "ERROR ABORTED the router ends|IDLE E -"
+            "ERROR ABORTED the router is shutting down|IDLE E -"
         );
         assert_eq!(b.query("b1", "PUT x 2").await, "ERROR RETRY 200|IDLE I -");
         harness
@@ -166,7 +166,7 @@
         let mut a = Client::open(harness.front, "lead").await;
         a.query("a1", "BEGIN").await;
         a.query("a2", "PUT x 1").await;
-        harness.update_view(|view| view.lease_until = 0.0);
+        harness.update_view(|view| view.lease_expires_at = 0.0);
         a.send("QUERY a3 COMMIT\r\n").await;
         harness
             .shared_view
@@ -175,7 +175,7 @@
         harness.shared_view.changed.notify_waiters();
         assert_eq!(
             a.answer().await,
-            "ERROR ABORTED the primary changes|IDLE I -"
+            "ERROR ABORTED COMMIT was not sent: the connection or the lease was not available|IDLE I -"
         );
         assert_eq!(harness.primary.writes.get(), 0);
     });
