--- a/crates/runtime/router/src/budget.rs
+++ b/crates/runtime/router/src/budget.rs
@@ -1,4 +1,5 @@
-//! The descriptors that clients and nodes share, and which connections make room where they run short.
+//! Budget of file descriptors shared by client and node connections, and the order in which idle connections are
+//! closed when it runs out.
 
 use async_channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -6,67 +7,68 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What the process itself holds: standard streams, the listener, the poller, the signals' pipe, discovery.
-const OWN: usize = 24;
+/// Descriptors reserved for the process itself: standard streams, listener, poller, signal pipe, discovery.
+const RESERVED_DESCRIPTORS: usize = 24;
 
 pub(crate) struct Budget {
     used: Cell<usize>,
     clients: Cell<usize>,
-    most: Cell<usize>,
+    limit: Cell<usize>,
     freed: (Sender<()>, Receiver<()>),
-    numbered: Cell<u64>,
-    idle: RefCell<BTreeMap<Rank, Waiting>>,
+    last_number: Cell<u64>,
+    idle: RefCell<BTreeMap<CloseRank, IdleConnection>>,
     closing: Cell<Closing>,
 }
 
-/// Who makes room first: the silent, in the order in which they came, then whoever is idle for longest.
-type Rank = (bool, u64);
+/// Order in which connections are closed to free descriptors: first clients without a complete message, in the order
+/// in which they connected, then the connection that has been idle for longest.
+type CloseRank = (bool, u64);
 
-/// Since when it waits, and what asks it to close.
-type Waiting = (Kind, Instant, Sender<()>);
+/// Kind of an idle connection, start of its wait, and the channel that requests its closing.
+type IdleConnection = (WaitKind, Instant, Sender<()>);
 
-/// What a connection is while it waits.
+/// Kind of a connection that waits for bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Kind {
-    /// A client that has asked nothing yet, or stopped within a message.
-    Silent,
-    Client,
-    Node,
+pub(crate) enum WaitKind {
+    /// A client that has sent no statement yet, or only part of a message.
+    Incomplete,
+    IdleClient,
+    IdleNode,
 }
 
-/// Which clients' connections are to be closed as they fall idle. The silent come last: their first statement
-/// may be on its way.
+/// Which client connections are closed once they wait for bytes. Clients without a complete message come last,
+/// because their first statement may be on its way.
 #[derive(Clone, Copy, PartialEq)]
 enum Closing {
     None,
-    AllButSilent,
-    All,
+    IdleClients,
+    AllClients,
 }
 
-/// One descriptor, until it is dropped.
+/// Reserves one descriptor until it is dropped.
 pub(crate) struct Lease {
     budget: Rc<Budget>,
     client: bool,
     number: u64,
 }
 
-/// A waiting connection's place; it leaves with it.
-pub(crate) struct Place {
+/// Registers a connection as waiting for bytes until it is dropped.
+pub(crate) struct IdleEntry {
     budget: Rc<Budget>,
-    rank: Rank,
-    unwanted: Receiver<()>,
+    rank: CloseRank,
+    close_requests: Receiver<()>,
 }
 
 impl Budget {
     pub(crate) fn new(descriptors: usize) -> Rc<Budget> {
-        let (used, clients, most, numbered) = Default::default();
+        let (used, clients, limit, last_number) = Default::default();
         let (idle, closing) = (RefCell::default(), Cell::new(Closing::None));
         let budget = Rc::new(Budget {
             used,
             clients,
-            most,
+            limit,
             freed: bounded(1),
-            numbered,
+            last_number,
             idle,
             closing,
         });
@@ -74,144 +76,147 @@
         budget
     }
 
-    /// What is in use beyond a smaller budget stays so until it ends.
+    /// Changes the number of descriptors. Connections in excess of a smaller budget stay open until they end.
     pub(crate) fn resize(&self, descriptors: usize) {
-        self.most.set(descriptors.saturating_sub(OWN).max(8));
+        self.limit
+            .set(descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8));
         let _ = self.freed.0.try_send(());
     }
 
-    /// How many clients are connected.
+    /// Returns the number of connected clients.
     pub(crate) fn clients(&self) -> usize {
         self.clients.get()
     }
 
-    /// One for a node, or none when all are in use.
+    /// Returns a descriptor for a node connection, or `None` if all are in use.
     pub(crate) fn for_node(self: &Rc<Self>) -> Option<Lease> {
-        self.lease(self.most.get())
+        self.lease(self.limit.get())
     }
 
-    /// One for a client. A quarter is left to the nodes: a statement that is taken needs a connection there.
+    /// Returns a descriptor for a client connection, or `None` if all of the clients' share are in use. A quarter is
+    /// kept for node connections, because accepted statements need them.
     pub(crate) fn for_client(self: &Rc<Self>) -> Option<Lease> {
-        self.lease(self.most.get() - self.most.get() / 4)
+        self.lease(self.limit.get() - self.limit.get() / 4)
     }
 
-    fn lease(self: &Rc<Self>, most: usize) -> Option<Lease> {
+    fn lease(self: &Rc<Self>, limit: usize) -> Option<Lease> {
         let used = self.used.get();
-        (used < most).then(|| {
+        (used < limit).then(|| {
             self.used.set(used + 1);
             Lease {
                 budget: self.clone(),
                 client: false,
-                number: self.number(),
+                number: self.next_number(),
             }
         })
     }
 
-    fn number(&self) -> u64 {
-        self.numbered.set(self.numbered.get() + 1);
-        self.numbered.get()
+    fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 
-    /// Until some connection has ended, or waits and could make room.
+    /// Completes once a connection has ended, or has become idle and could be closed.
     pub(crate) async fn freed(&self) {
         let _ = self.freed.1.recv().await;
     }
 
-    /// Asks a waiting connection to close, if there is one: it does once its task has its turn, unless there
-    /// is something to read on it.
-    pub(crate) fn make_room(&self) -> bool {
+    /// Requests that the first idle connection by rank close, and returns whether there was one. It closes once its
+    /// task runs, unless it has bytes to read.
+    pub(crate) fn close_one_idle(&self) -> bool {
         self.idle
             .borrow_mut()
             .pop_first()
-            .is_some_and(|(_, (.., unwant))| unwant.try_send(()).is_ok())
+            .is_some_and(|(_, (.., close))| close.try_send(()).is_ok())
     }
 
-    /// From now on clients' connections close as they fall idle, but for the silent.
-    pub(crate) fn close_all_but_silent(&self) {
-        self.close(Closing::AllButSilent);
+    /// From now on closes each idle client, except those without a complete message.
+    pub(crate) fn close_idle_clients(&self) {
+        self.close(Closing::IdleClients);
     }
 
-    /// From now on every client's connection closes as it falls idle.
-    pub(crate) fn close_all(&self) {
-        self.close(Closing::All);
+    /// From now on closes every client that waits for bytes, including those without a complete message.
+    pub(crate) fn close_all_clients(&self) {
+        self.close(Closing::AllClients);
     }
 
     fn close(&self, closing: Closing) {
         self.closing.set(closing);
-        for (.., unwant) in self
+        for (.., close) in self
             .idle
             .borrow()
             .values()
             .filter(|idle| self.closes(idle.0))
         {
-            let _ = unwant.try_send(());
+            let _ = close.try_send(());
         }
     }
 
-    /// Closes clients that wait for so long, while more are connected than ask at a time: some ask once and stay
-    /// for good, and their side may have no connection left to ask on either.
-    pub(crate) fn thin_out(&self, waited: Duration) {
-        let mut beyond = self.clients.get().saturating_sub(self.most.get() / 4);
+    /// Closes clients idle for at least `min_idle` while more than a quarter of the budget is used by clients. Some
+    /// clients send one statement and never disconnect, and may run out of connections on their own side.
+    pub(crate) fn close_excess_idle_clients(&self, min_idle: Duration) {
+        let mut excess = self.clients.get().saturating_sub(self.limit.get() / 4);
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, (kind, since, unwant)| {
-            let goes = *kind == Kind::Client && since.elapsed() >= waited && beyond > 0;
-            beyond -= usize::from(goes && unwant.try_send(()).is_ok());
-            !goes
+        idle.retain(|_, (kind, since, close)| {
+            let closes = *kind == WaitKind::IdleClient && since.elapsed() >= min_idle && excess > 0;
+            excess -= usize::from(closes && close.try_send(()).is_ok());
+            !closes
         });
     }
 
-    fn closes(&self, kind: Kind) -> bool {
+    /// Returns whether a connection of this kind closes because of a shutdown.
+    fn closes(&self, kind: WaitKind) -> bool {
         match self.closing.get() {
             Closing::None => false,
-            Closing::AllButSilent => kind == Kind::Client,
-            Closing::All => kind != Kind::Node,
+            Closing::IdleClients => kind == WaitKind::IdleClient,
+            Closing::AllClients => kind != WaitKind::IdleNode,
         }
     }
 }
 
 impl Lease {
-    /// A client has come for it.
+    /// Marks the descriptor as used by a client connection.
     pub(crate) fn connected(&mut self) {
         self.client = true;
         self.budget.clients.set(self.budget.clients.get() + 1);
     }
 
-    /// Its connection has nothing to do until something can be read on it.
-    pub(crate) fn wait(&self, kind: Kind) -> Place {
-        let silent = kind == Kind::Silent;
+    /// Registers the connection as waiting for bytes.
+    pub(crate) fn register_idle(&self, kind: WaitKind) -> IdleEntry {
+        let incomplete = kind == WaitKind::Incomplete;
         let rank = (
-            !silent,
-            if silent {
+            !incomplete,
+            if incomplete {
                 self.number
             } else {
-                self.budget.number()
+                self.budget.next_number()
             },
         );
-        let (unwant, unwanted) = bounded(1);
+        let (close, close_requests) = bounded(1);
         if self.budget.closes(kind) {
-            let _ = unwant.try_send(());
+            let _ = close.try_send(());
         }
         self.budget
             .idle
             .borrow_mut()
-            .insert(rank, (kind, Instant::now(), unwant));
+            .insert(rank, (kind, Instant::now(), close));
         let _ = self.budget.freed.0.try_send(());
-        Place {
+        IdleEntry {
             budget: self.budget.clone(),
             rank,
-            unwanted,
+            close_requests,
         }
     }
 }
 
-impl Place {
-    /// Until the connection is wanted closed.
-    pub(crate) async fn unwanted(&self) {
-        let _ = self.unwanted.recv().await;
+impl IdleEntry {
+    /// Completes once the connection is requested to close.
+    pub(crate) async fn close_requested(&self) {
+        let _ = self.close_requests.recv().await;
     }
 }
 
-impl Drop for Place {
+impl Drop for IdleEntry {
     fn drop(&mut self) {
         self.budget.idle.borrow_mut().remove(&self.rank);
     }
--- a/crates/runtime/router/src/client.rs
+++ b/crates/runtime/router/src/client.rs
@@ -1,9 +1,9 @@
-//! A client's connection: statements in, one final answer each.
+//! Serves a client connection: each statement gets exactly one final answer.
 
-use crate::budget::{Kind, Lease};
+use crate::budget::{Lease, WaitKind};
 use crate::decide::{Final, Ticket};
-use crate::execute::{Router, Row};
-use crate::wire::{self, Seldom};
+use crate::execute::{Row, StatementDispatcher};
+use crate::wire::{self, LogThrottle};
 use async_io::{Async, Timer};
 use badgerstream_postgres_protocol::client::{Client, Turn};
 use badgerstream_postgres_protocol::comment::{Fault, Statement};
@@ -19,44 +19,44 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A client that takes no answer holds a descriptor and memory: no longer than this.
-const STUCK: Duration = Duration::from_secs(30);
-/// A client that has asked nothing since it came, or stops within a message, is closed after this, however
-/// many bytes it sends meanwhile: who comes to ask sends all of it at once.
-const UNASKED: Duration = Duration::from_millis(2200);
-/// Until then its first bytes may be on their way, and it makes room for nobody.
-const JUST_COME: Duration = Duration::from_millis(100);
+/// Maximum time to write an answer: a client that does not read it holds a descriptor and memory.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time from connecting to the first statement, and from the first to the last byte of a message, however
+/// many bytes arrive meanwhile. Ordinary clients send each message at once.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// Time for which a new client is not closed to free a descriptor: its first bytes may be on their way.
+const NEW_CLIENT_GRACE: Duration = Duration::from_millis(100);
 
-/// The places of the names that statements carry.
-pub(crate) struct Names {
+/// Indexes of the workload and customer names used in statement comments, and the ids of open statements.
+pub(crate) struct NameIndex {
     workloads: HashMap<String, (usize, Workload)>,
     customers: HashMap<String, usize>,
-    /// The ids of the statements that are open: no other may take one's name meanwhile.
+    /// Ids of the open statements; a second statement with such an id is rejected.
     open: RefCell<HashSet<String>>,
 }
 
-/// What an open statement holds until its answer: its id, and its share of the memory.
-pub(crate) struct Opened {
-    names: Rc<Names>,
+/// Reserves a statement's id and memory until it is answered.
+pub(crate) struct Reservation {
+    names: Rc<NameIndex>,
     id: String,
     _memory: Hold,
 }
 
-impl Drop for Opened {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.names.open.borrow_mut().remove(&self.id);
     }
 }
 
-impl Names {
+impl NameIndex {
     pub(crate) fn new(
         workloads: Vec<String>,
         kinds: Vec<Workload>,
         customers: Vec<String>,
-    ) -> Names {
+    ) -> NameIndex {
         let workloads = workloads.into_iter().zip(kinds).enumerate();
         let customers = customers.into_iter().enumerate();
-        Names {
+        NameIndex {
             workloads: workloads
                 .map(|(i, (name, kind))| (name, (i, kind)))
                 .collect(),
@@ -66,54 +66,69 @@
     }
 }
 
-/// Takes a statement, unless no node may see it.
-pub(crate) fn take(
-    desk: &Rc<Router>,
-    names: &Rc<Names>,
+/// Accepts a statement for routing, or returns the error for its client; in that case nothing has run.
+pub(crate) fn accept_statement(
+    dispatcher: &Rc<StatementDispatcher>,
+    names: &Rc<NameIndex>,
     memory: &Rc<Memory>,
     s: Statement,
-) -> Result<(Ticket<Statement, Row>, Opened), Fault> {
-    let (workload, kind) = *names
-        .workloads
-        .get(&s.workload)
-        .ok_or(("42704", "the workload in c is unknown"))?;
+) -> Result<(Ticket<Statement, Row>, Reservation), Fault> {
+    let (workload, kind) = *names.workloads.get(&s.workload).ok_or((
+        "42704",
+        "the workload named in comment field c is not configured",
+    ))?;
     if s.writes != (kind.consistency == Consistency::Primary) {
-        return Err(("42601", "the workload in c does not fit the statement"));
+        return Err((
+            "42601",
+            "the workload named in comment field c does not match the statement: one of them writes, the other reads",
+        ));
     }
     if matches!(kind.repeat, Repeat::Deduplicated { .. }) && s.mark.is_none() {
-        return Err(("42601", "the workload in c needs the mark k"));
+        return Err((
+            "42601",
+            "the workload named in comment field c requires the deduplication mark in field k",
+        ));
     }
-    if !desk.knows_group(s.group) {
-        return Err(("42704", "the group in cluster is unknown"));
+    if !dispatcher.knows_group(s.group) {
+        return Err((
+            "42704",
+            "the replication group named in comment field cluster has no listed node",
+        ));
     }
-    // Nothing has run: 53300 tells that it may come again.
-    let held = memory
-        .hold(s.size())
-        .ok_or(("53300", "too many large statements are open"))?;
+    // 53300 tells the client that it may repeat the statement: nothing has run.
+    let held = memory.hold(s.size()).ok_or((
+        "53300",
+        "no memory left for another large statement; try again later",
+    ))?;
     if !names.open.borrow_mut().insert(s.id.clone()) {
-        return Err(("42710", "a statement with this id is open"));
+        return Err(("42710", "another statement with this id is still open"));
     }
-    let opened = Opened {
+    let opened = Reservation {
         names: names.clone(),
         id: s.id.clone(),
         _memory: held,
     };
     let has_session = s.writes || kind.consistency == Consistency::OwnWrites;
-    let session = if has_session { number(&s.key) } else { 0 };
-    // A customer without a quota has no place in the list.
+    let session = if has_session {
+        session_number(&s.key)
+    } else {
+        0
+    };
+    // Customers without a quota are not listed and have no index.
     let customer = names
         .customers
         .get(&s.customer)
         .copied()
         .unwrap_or(usize::MAX);
     let (group, wait, after, size, marked) = (s.group, s.wait, s.after, s.size(), s.mark.is_some());
-    let ticket = desk.arrived(s, workload, group, session, customer, wait, after);
-    desk.carries(&ticket, size, marked);
+    let ticket = dispatcher.arrived(s, workload, group, session, customer, wait, after);
+    dispatcher.describe_statement(&ticket, size, marked);
     Ok((ticket, opened))
 }
 
-/// Two sessions with one number would only be pinned together, and 0 means none.
-fn number(session: &str) -> u64 {
+/// Returns the number of a session; 0 is reserved for none. A hash collision only makes two sessions use the same
+/// node.
+fn session_number(session: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     session.hash(&mut hasher);
     hasher.finish().max(1)
@@ -122,20 +137,20 @@
 /// Serves a client until its connection ends.
 pub(crate) async fn serve(
     stream: Async<TcpStream>,
-    desk: Rc<Router>,
-    names: Rc<Names>,
+    dispatcher: Rc<StatementDispatcher>,
+    names: Rc<NameIndex>,
     memory: Rc<Memory>,
     lease: &Lease,
-    malformed: Rc<Seldom>,
+    malformed: Rc<LogThrottle>,
 ) {
     let mut output = Ring::within(message::LONGEST, &memory);
-    let Err(close) = talk(&stream, &mut output, &desk, &names, &memory, lease).await;
+    let Err(close) = talk(&stream, &mut output, &dispatcher, &names, &memory, lease).await;
     if let Close::Malformed(_) = close {
-        // What the machine had to say about it.
+        // Send the error message that the protocol machine has written.
         let _ = flush(&stream, &mut output).await;
-        if let Some(passed) = malformed.due() {
+        if let Some(suppressed) = malformed.due() {
             tracing::warn!(
-                "a client's connection has ended: {close} ({passed} more such lines were left out)"
+                "client connection closed: {close} ({suppressed} similar lines suppressed)"
             );
         }
     }
@@ -144,52 +159,55 @@
 async fn talk(
     stream: &Async<TcpStream>,
     output: &mut Ring,
-    desk: &Rc<Router>,
-    names: &Rc<Names>,
+    dispatcher: &Rc<StatementDispatcher>,
+    names: &Rc<NameIndex>,
     memory: &Rc<Memory>,
     lease: &Lease,
 ) -> Result<Infallible, Close> {
     let (mut machine, mut input) = (Client::default(), Ring::within(message::LONGEST, memory));
-    // When the message began that is not whole yet; for the first, when its client came.
+    // Start of the message that is still incomplete; before the first statement, the time of connecting.
     let mut begun = Some(Instant::now());
     loop {
         match machine.next(&mut input, output)? {
             Turn::Read => {
                 if machine.fresh() || !input.is_empty() {
                     let since = *begun.get_or_insert_with(Instant::now);
-                    let left = UNASKED.saturating_sub(since.elapsed());
-                    let read = silent(stream, &mut input, lease, since);
+                    let left = MESSAGE_TIMEOUT.saturating_sub(since.elapsed());
+                    let read = read_incomplete(stream, &mut input, lease, since);
                     wire::within(left, Close::Silent, read).await?;
                 } else {
-                    idle(stream, &mut input, lease, Kind::Client).await?;
+                    read_idle(stream, &mut input, lease, WaitKind::IdleClient).await?;
                 }
                 continue;
             }
             Turn::Write => {}
-            Turn::Execute(statement) => match take(desk, names, memory, *statement) {
-                Err(fault) => machine.failed(output, fault),
-                Ok((ticket, _opened)) => match answer(stream, &mut input, &ticket).await? {
-                    Final::Completed(row) => machine.completed(output, row),
-                    Final::Rejected(after) => machine.rejected(output, after),
-                    Final::Aborted => machine.aborted(output),
-                },
-            },
+            Turn::Execute(statement) => {
+                match accept_statement(dispatcher, names, memory, *statement) {
+                    Err(fault) => machine.failed(output, fault),
+                    Ok((ticket, _opened)) => match answer(stream, &mut input, &ticket).await? {
+                        Final::Completed(row) => machine.completed(output, row),
+                        Final::Rejected(after) => machine.rejected(output, after),
+                        Final::Aborted => machine.aborted(output),
+                    },
+                }
+            }
         }
         flush(stream, output).await?;
         if !machine.fresh() {
             begun = None;
         }
-        // Hundreds of messages at once must leave the other connections their turns.
+        // Yield so that many messages at once can't starve other connections.
         future::yield_now().await;
     }
 }
 
 async fn flush(stream: &Async<TcpStream>, output: &mut Ring) -> Result<(), Close> {
-    wire::within(STUCK, Close::Silent, wire::write(stream, output)).await
+    wire::within(WRITE_TIMEOUT, Close::Silent, wire::write(stream, output)).await
 }
 
-/// Reads on; once some time is over without a byte, the connection is the first to make room.
-async fn silent(
+/// Waits for bytes of an incomplete message. After the grace period without a byte, the connection is among the
+/// first that may be closed to free a descriptor.
+async fn read_incomplete(
     stream: &Async<TcpStream>,
     input: &mut Ring,
     lease: &Lease,
@@ -197,46 +215,46 @@
 ) -> Result<(), Close> {
     let read = async { wire::read(stream, input).await.map(|()| true) };
     let quiet = async {
-        Timer::after(JUST_COME.saturating_sub(since.elapsed())).await;
+        Timer::after(NEW_CLIENT_GRACE.saturating_sub(since.elapsed())).await;
         Ok(false)
     };
     if future::or(read, quiet).await? {
         Ok(())
     } else {
-        idle(stream, input, lease, Kind::Silent).await
+        read_idle(stream, input, lease, WaitKind::Incomplete).await
     }
 }
 
-/// Reads on, unless the router wants the connection closed: never one whose bytes are unread.
-async fn idle(
+/// Waits for bytes, or closes the connection if the budget asks for its descriptor and no bytes are unread.
+async fn read_idle(
     stream: &Async<TcpStream>,
     input: &mut Ring,
     lease: &Lease,
-    kind: Kind,
+    kind: WaitKind,
 ) -> Result<(), Close> {
-    let unwanted = {
-        let wanted = lease.wait(kind);
+    let close_requested = {
+        let entry = lease.register_idle(kind);
         let read = async { wire::read(stream, input).await.map(|()| false) };
         future::or(read, async {
-            wanted.unwanted().await;
+            entry.close_requested().await;
             Ok(true)
         })
         .await?
     };
-    if unwanted && !wire::read_now(stream, input)? {
+    if close_requested && !wire::read_now(stream, input)? {
         Err(Close::Idle)
     } else {
         Ok(())
     }
 }
 
-/// The final answer; meanwhile the client may leave, or send its next statement.
+/// Waits for the final answer. Meanwhile the client may disconnect or send its next statement.
 async fn answer(
     stream: &Async<TcpStream>,
     input: &mut Ring,
     ticket: &Ticket<Statement, Row>,
 ) -> Result<Final<Row>, Close> {
-    let left = async {
+    let disconnected = async {
         loop {
             if input.room().is_empty() {
                 future::pending::<()>().await;
@@ -244,5 +262,5 @@
             wire::read(stream, input).await?;
         }
     };
-    future::or(async { Ok(ticket.answer().await) }, left).await
+    future::or(async { Ok(ticket.answer().await) }, disconnected).await
 }
--- a/crates/runtime/router/src/decide.rs
+++ b/crates/runtime/router/src/decide.rs
@@ -1,46 +1,48 @@
-//! The way into the decisions, for every front: facts in, final answers and orders out. It owns the clock,
-//! the statements' numbers and the Instance, and knows no protocol: `S` is whatever a front executes, `A`
-//! whatever an execution brings back.
+//! Connects the routing [`Instance`] to the tasks of the router: passes events to the instance, and final answers
+//! and orders back. Owns the clock and the statement numbers, and is independent of the protocol: `S` is the type of
+//! a statement, `A` the type of an answer.
 
 use async_channel::{Receiver, Sender, bounded};
 use badgerstream_routing::recovery::Recovery;
 use badgerstream_routing::{ExecutionOutcome, Instance, Outbox, Role};
 
-/// What a load report tells of its node.
+/// Contents of a node's load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Report {
+    /// Whether the node is the primary.
     pub primary: Option<bool>,
-    /// Minus infinity where none was told.
+    /// Replication position, in seconds of Unix time; minus infinity if the report has none.
     pub lsn: f64,
-    /// Up to where its log was taken over from the primary before it, and since when it leads.
-    pub took_over: Option<(f64, f64)>,
-    /// How many connections it holds, and how many were opened there in the last 100 ms.
+    /// Position up to which the node's log comes from the previous primary, and the time of its promotion.
+    pub promotion: Option<(f64, f64)>,
+    /// Number of connections open at the node, and of those opened in the last 100 ms.
     pub connections: Option<(f64, f64)>,
-    /// How many connections it holds by the field that counts routers, and how many of them are this router's.
-    pub held: Option<(f64, f64)>,
+    /// Number of connections open at the node according to the field used to count routers, and the number of those
+    /// that belong to this router.
+    pub fleet_connections: Option<(f64, f64)>,
 }
 
 impl Report {
-    /// What it tells beyond role and position.
-    pub(crate) fn tell(&self, instance: &mut Instance, now: f64, node: u32) {
-        if let Some((branch, promoted)) = self.took_over {
+    /// Passes the contents other than role and position to the instance.
+    pub(crate) fn apply(&self, instance: &mut Instance, now: f64, node: u32) {
+        if let Some((branch, promoted)) = self.promotion {
             instance.record_promotion(now, node, branch, promoted);
         }
         if let Some((held, opened)) = self.connections {
             instance.opens_reported(now, node, held, opened);
         }
-        if let Some((held, own)) = self.held {
+        if let Some((held, own)) = self.fleet_connections {
             instance.connections_reported(now, node, held, own);
         }
     }
 }
 
-/// The fields of a load report that tell the last two of these, where settings name them.
+/// Names of the load report fields for the optional contents of a [`Report`], where the settings name them.
 #[derive(Clone, Default)]
-pub(crate) struct Fields {
-    pub log: Option<Rc<(String, String)>>,
+pub(crate) struct ReportFields {
+    pub promotion: Option<Rc<(String, String)>>,
     pub connections: Option<Rc<(String, String)>>,
-    pub held: Option<Rc<String>>,
+    pub fleet_connections: Option<Rc<String>>,
 }
 
 use futures_lite::future;
@@ -49,7 +51,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Never goes back. It starts at Unix time, so that positions and births told by others share it.
+/// Monotonic clock that starts at Unix time, so that it is comparable with positions and start times reported by
+/// other processes.
 pub(crate) struct Clock {
     anchor: f64,
     start: Instant,
@@ -71,33 +74,36 @@
     }
 }
 
-/// The one final answer of a statement.
+/// Final answer to a statement; each statement gets exactly one.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Final<A> {
     Completed(A),
-    /// Trying again is harmless, after so many seconds.
+    /// The statement may be retried without harm after this number of seconds.
     Rejected(f64),
+    /// It is unknown whether the statement was executed.
     Aborted,
 }
 
-/// What the front has to do. An execution is no longer wanted once its channel is closed.
+/// An instruction of the instance that the router has to carry out.
 pub(crate) enum Order<S> {
-    /// `asks`: not the statement itself is sent, but the question how an earlier execution of it ended.
+    /// Execute a statement on a node within `limit` seconds. With `is_inquiry`, the router sends an inquiry about the
+    /// outcome of an earlier execution instead of the statement. The execution is cancelled once the channel
+    /// `cancelled` is closed.
     Execute {
         stmt: u32,
         execution: u8,
         node: u32,
         limit: f64,
-        asks: bool,
+        is_inquiry: bool,
         statement: Rc<S>,
-        unwanted: Receiver<()>,
+        cancelled: Receiver<()>,
     },
     Probe {
         node: u32,
     },
 }
 
-struct Taken<S, A> {
+struct OpenStatement<S, A> {
     statement: Rc<S>,
     answer: Sender<Final<A>>,
     executions: u8,
@@ -105,30 +111,32 @@
 
 struct Running {
     node: u32,
-    sent: f64,
-    wanted: Sender<()>,
+    sent_at: f64,
+    cancel: Sender<()>,
 }
 
 struct Inner<S, A> {
     instance: Instance,
     clock: Clock,
-    numbered: u32,
-    /// When the instance asked to be woken, in microseconds: a later asking takes none of them back.
+    last_number: u32,
+    /// Times at which the instance asked to be woken, in microseconds of the clock. A later request does not replace
+    /// earlier ones.
     wakes: BTreeSet<u64>,
-    /// Lives until the final answer.
-    taken: HashMap<u32, Taken<S, A>>,
-    /// Lives until the execution's end, which may come after its statement's.
+    /// Statements without a final answer so far.
+    open: HashMap<u32, OpenStatement<S, A>>,
+    /// Executions that have not ended, by statement and index; one may outlast its statement.
     running: HashMap<(u32, u8), Running>,
 }
 
-pub(crate) struct Desk<S: 'static, A: 'static> {
+/// Passes events to the routing instance and carries out its decisions; see the description of the module.
+pub(crate) struct Dispatcher<S: 'static, A: 'static> {
     inner: RefCell<Inner<S, A>>,
-    told: (Sender<()>, Receiver<()>),
+    changed: (Sender<()>, Receiver<()>),
 }
 
-/// A statement that was taken. Dropped before its answer, its client has gone.
+/// Handle of an accepted statement. Dropping it before the answer means that the client has disconnected.
 pub(crate) struct Ticket<S: 'static, A: 'static> {
-    desk: Rc<Desk<S, A>>,
+    dispatcher: Rc<Dispatcher<S, A>>,
     stmt: u32,
     answer: Receiver<Final<A>>,
 }
@@ -142,38 +150,39 @@
 impl<S: 'static, A: 'static> Drop for Ticket<S, A> {
     fn drop(&mut self) {
         let stmt = self.stmt;
-        let mut inner = self.desk.inner.borrow_mut();
-        if inner.taken.remove(&stmt).is_some() {
+        let mut inner = self.dispatcher.inner.borrow_mut();
+        if inner.open.remove(&stmt).is_some() {
             inner.instance.abandoned(stmt);
-            self.desk.touch();
+            self.dispatcher.request_settle();
         }
     }
 }
 
-/// An execution that is out. Dropped without a word, its connection's end is all that is known.
-pub(crate) struct Out<S: 'static, A: 'static> {
-    desk: Rc<Desk<S, A>>,
+/// Handle of a running execution. Dropping it without calling `ended` reports that the connection was lost.
+pub(crate) struct RunningExecution<S: 'static, A: 'static> {
+    dispatcher: Rc<Dispatcher<S, A>>,
     key: (u32, u8),
 }
 
-impl<S: 'static, A: 'static> Out<S, A> {
-    /// It ended. `lsn` is minus infinity where none was told, a report tells role and position.
+impl<S: 'static, A: 'static> RunningExecution<S, A> {
+    /// Reports the end of the execution. `lsn` is minus infinity if the answer has no position; `report` is the load
+    /// report that came with the answer.
     pub(crate) fn ended(
         self,
-        ending: ExecutionOutcome,
+        outcome: ExecutionOutcome,
         role: Option<Role>,
         lsn: f64,
         report: Option<Report>,
         answer: Option<A>,
     ) {
-        self.desk
-            .executed(self.key, ending, role, lsn, report, answer);
+        self.dispatcher
+            .executed(self.key, outcome, role, lsn, report, answer);
     }
 }
 
-impl<S: 'static, A: 'static> Drop for Out<S, A> {
+impl<S: 'static, A: 'static> Drop for RunningExecution<S, A> {
     fn drop(&mut self) {
-        self.desk.executed(
+        self.dispatcher.executed(
             self.key,
             ExecutionOutcome::ConnectionLost,
             None,
@@ -184,39 +193,40 @@
     }
 }
 
-impl<S: 'static, A: 'static> Desk<S, A> {
-    pub(crate) fn new(instance: Instance, clock: Clock) -> Rc<Desk<S, A>> {
-        let (taken, running) = (HashMap::new(), HashMap::new());
+impl<S: 'static, A: 'static> Dispatcher<S, A> {
+    pub(crate) fn new(instance: Instance, clock: Clock) -> Rc<Dispatcher<S, A>> {
+        let (open, running) = (HashMap::new(), HashMap::new());
         let inner = Inner {
             instance,
             clock,
-            numbered: 0,
+            last_number: 0,
             wakes: BTreeSet::new(),
-            taken,
+            open,
             running,
         };
-        Rc::new(Desk {
+        Rc::new(Dispatcher {
             inner: RefCell::new(inner),
-            told: bounded(1),
+            changed: bounded(1),
         })
     }
 
-    /// Tells the instance a fact; it settles once all that is ready now has been told.
-    pub(crate) fn tell<T>(&self, fact: impl FnOnce(&mut Instance, f64) -> T) -> T {
+    /// Passes an event to the instance. The instance settles once all events that are ready now have been passed.
+    pub(crate) fn update<T>(&self, event: impl FnOnce(&mut Instance, f64) -> T) -> T {
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
-        let told = fact(&mut inner.instance, now);
-        self.touch();
-        told
+        let result = event(&mut inner.instance, now);
+        self.request_settle();
+        result
     }
 
-    fn touch(&self) {
-        // A full channel says the same.
-        let _ = self.told.0.try_send(());
+    /// Requests settling.
+    fn request_settle(&self) {
+        // If the channel is full, settling is already requested.
+        let _ = self.changed.0.try_send(());
     }
 
-    /// Takes a statement whose last byte has just arrived. `wait` is how long its client waits, `after` the
-    /// position that it must see.
+    /// Accepts a statement whose last byte has just arrived. `wait` is the time its client waits, in seconds; `after`
+    /// is the position that the statement must see.
     pub(crate) fn arrived(
         self: &Rc<Self>,
         statement: S,
@@ -229,9 +239,10 @@
     ) -> Ticket<S, A> {
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
-        inner.numbered = inner.numbered.wrapping_add(1);
-        let stmt = inner.numbered;
-        // 0 would mean that nothing was written; a commit that is rounded up may lie just ahead.
+        inner.last_number = inner.last_number.wrapping_add(1);
+        let stmt = inner.last_number;
+        // An age of 0 would mean that the session has not written, but a commit position that was rounded up may lie
+        // slightly in the future.
         let age = after.map_or(0.0, |at| (now - at).max(1e-6));
         inner.instance.arrived(
             now,
@@ -245,93 +256,99 @@
             age,
         );
         let (sender, answer) = bounded(1);
-        let taken = Taken {
+        let open = OpenStatement {
             statement: Rc::new(statement),
             answer: sender,
             executions: 0,
         };
-        inner.taken.insert(stmt, taken);
-        self.touch();
+        inner.open.insert(stmt, open);
+        self.request_settle();
         Ticket {
-            desk: self.clone(),
+            dispatcher: self.clone(),
             stmt,
             answer,
         }
     }
 
-    /// What is known of a statement beside its routing, see [`Instance::carries`].
-    pub(crate) fn carries(&self, ticket: &Ticket<S, A>, bytes: usize, marked: bool) {
+    /// Passes the size of a statement and whether it has a deduplication mark, see
+    /// [`Instance::describe_statement`].
+    pub(crate) fn describe_statement(&self, ticket: &Ticket<S, A>, bytes: usize, marked: bool) {
         self.inner
             .borrow_mut()
             .instance
             .describe_statement(ticket.stmt, bytes, marked);
     }
 
-    /// The fields of load reports in which nodes tell of their logs and of their connections, if any do.
-    pub(crate) fn fields(&self) -> Fields {
+    /// Returns the names of the optional load report fields in the current settings.
+    pub(crate) fn report_fields(&self) -> ReportFields {
         let inner = self.inner.borrow();
         let pair =
             |(a, b): (&String, &String)| (!a.is_empty()).then(|| Rc::new((a.clone(), b.clone())));
         let succession = inner.instance.succession.as_ref().map(|of| of.settings());
         let recovery = inner.instance.recovery.as_ref().map(|of| of.settings());
         let fleet = inner.instance.fleet.as_ref().map(|of| of.settings());
-        Fields {
-            log: succession.and_then(|of| pair((&of.branch_field, &of.promoted_field))),
+        ReportFields {
+            promotion: succession.and_then(|of| pair((&of.branch_field, &of.promoted_field))),
             connections: recovery.and_then(|of| pair((&of.held_field, &of.opened_field))),
-            held: fleet
+            fleet_connections: fleet
                 .filter(|of| !of.held_field.is_empty())
                 .map(|of| Rc::new(of.held_field.clone())),
         }
     }
 
-    /// Asks what coming back allows; none where nothing is held back. With `tells`, the instance looks again at
-    /// what waits.
+    /// Accesses restart pacing; returns `None` if it is off. With `changes`, the instance settles afterwards, so that
+    /// waiting statements may proceed.
     pub(crate) fn recovery<T>(
         &self,
-        tells: bool,
-        ask: impl FnOnce(&mut Recovery, f64) -> T,
+        changes: bool,
+        access: impl FnOnce(&mut Recovery, f64) -> T,
     ) -> Option<T> {
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
-        let told = ask(inner.instance.recovery.as_mut()?, now);
-        if tells {
-            self.touch();
+        let result = access(inner.instance.recovery.as_mut()?, now);
+        if changes {
+            self.request_settle();
         }
-        Some(told)
+        Some(result)
     }
 
-    /// Whether any node of such a group was ever listed.
+    /// Returns whether a node of this group was ever listed.
     pub(crate) fn knows_group(&self, group: u16) -> bool {
         self.inner.borrow().instance.groups.contains_key(&group)
     }
 
-    pub(crate) fn out(self: &Rc<Self>, stmt: u32, execution: u8) -> Out<S, A> {
-        Out {
-            desk: self.clone(),
+    pub(crate) fn running_execution(
+        self: &Rc<Self>,
+        stmt: u32,
+        execution: u8,
+    ) -> RunningExecution<S, A> {
+        RunningExecution {
+            dispatcher: self.clone(),
             key: (stmt, execution),
         }
     }
 
-    /// Whether what let an execution go still holds, for one that had to wait for its connection: a drain
-    /// counts from the first byte, the age of data from the last.
-    pub(crate) fn still_stands(&self, stmt: u32, node: u32) -> bool {
+    /// Returns whether an execution that had to wait for its connection may still be sent to the node: the node must
+    /// accept new executions, as a drain applies until the first byte is sent, and its data must still be fresh
+    /// enough, as their age counts from the last byte of the statement.
+    pub(crate) fn may_still_send(&self, stmt: u32, node: u32) -> bool {
         let inner = self.inner.borrow();
         let (now, instance) = (inner.clock.now(), &inner.instance);
         let Some(known) = instance.nodes.get(&node) else {
             return false;
         };
-        let current = instance
+        let fresh_enough = instance
             .statements
             .get(&stmt)
             .is_some_and(|s| instance.fresh_enough(s, node, now));
-        current && !known.is_closed(&instance.drain, true, now)
+        fresh_enough && !known.is_closed(&instance.drain, true, now)
     }
 
-    /// Every end of an execution comes through here, once.
+    /// Records the end of an execution; called exactly once for each.
     fn executed(
         &self,
         key: (u32, u8),
-        ending: ExecutionOutcome,
+        outcome: ExecutionOutcome,
         role: Option<Role>,
         lsn: f64,
         report: Option<Report>,
@@ -342,59 +359,60 @@
             return;
         };
         let (now, (stmt, execution)) = (inner.clock.now(), key);
-        let vain = ending == ExecutionOutcome::Completed
+        let untrusted = outcome == ExecutionOutcome::Completed
             && !inner.instance.trusts_completion(stmt, running.node);
-        let ending = if vain {
+        let outcome = if untrusted {
             ExecutionOutcome::ConnectionLost
         } else {
-            ending
+            outcome
         };
-        if let (ExecutionOutcome::Completed, Some(answer)) = (ending, answer)
-            && let Some(taken) = inner.taken.remove(&stmt)
+        if let (ExecutionOutcome::Completed, Some(answer)) = (outcome, answer)
+            && let Some(open) = inner.open.remove(&stmt)
         {
-            let _ = taken.answer.try_send(Final::Completed(answer));
+            let _ = open.answer.try_send(Final::Completed(answer));
         }
-        let over = !inner.taken.contains_key(&stmt);
-        let (node, took) = (running.node, now - running.sent);
-        inner
-            .instance
-            .executed(now, stmt, execution, node, ending, took, over, role, lsn);
+        let answered = !inner.open.contains_key(&stmt);
+        let (node, took) = (running.node, now - running.sent_at);
+        inner.instance.executed(
+            now, stmt, execution, node, outcome, took, answered, role, lsn,
+        );
         if let Some(report) = report {
             inner
                 .instance
                 .reported(now, node, report.primary, report.lsn);
-            report.tell(&mut inner.instance, now, node);
+            report.apply(&mut inner.instance, now, node);
         }
-        self.touch();
+        self.request_settle();
     }
 
-    /// Settles whenever something was told or the instance asked to be woken.
-    pub(crate) async fn run(self: Rc<Self>, carry: impl Fn(Order<S>)) {
+    /// Settles after events and at the times at which the instance asked to be woken.
+    pub(crate) async fn run(self: Rc<Self>, run_order: impl Fn(Order<S>)) {
         let mut timer = async_io::Timer::never();
         loop {
-            // What else is ready at this moment is told first.
+            // Let the tasks that are ready now pass their events first.
             future::yield_now().await;
-            let _ = self.told.1.try_recv();
-            if let Some(after) = self.settle(&carry) {
+            let _ = self.changed.1.try_recv();
+            if let Some(after) = self.settle(&run_order) {
                 timer.set_after(after);
             }
-            let told = async {
-                let _ = self.told.1.recv().await;
+            let changed = async {
+                let _ = self.changed.1.recv().await;
             };
             let woken = async {
                 (&mut timer).await;
             };
-            future::or(told, woken).await;
+            future::or(changed, woken).await;
         }
     }
 
-    /// One settling, and what it asks for; tells when the next is due, if nothing is told before.
-    pub(crate) fn settle(&self, carry: &impl Fn(Order<S>)) -> Option<Duration> {
-        let mut asked = Asked::default();
+    /// Settles once and carries out the resulting actions. Returns the time until the next settling if no event comes
+    /// before, or `None` if the instance did not ask to be woken.
+    pub(crate) fn settle(&self, run_order: &impl Fn(Order<S>)) -> Option<Duration> {
+        let mut collected = Collected::default();
         let mut inner = self.inner.borrow_mut();
         let now = inner.clock.now();
-        inner.instance.settle(now, &mut asked);
-        let wakes = asked
+        inner.instance.settle(now, &mut collected);
+        let wakes = collected
             .wakes
             .iter()
             .map(|after| ((now + after.clamp(0.0, 3600.0)) * 1e6) as u64 + 1);
@@ -406,17 +424,17 @@
             .first()
             .map(|at| Duration::from_micros(at - now_us));
         drop(inner);
-        for line in asked.lines {
+        for line in collected.lines {
             tracing::info!("{line}");
         }
-        for action in asked.actions {
+        for action in collected.actions {
             match action {
-                Action::Execute(stmt, node, limit, asks) => {
-                    self.execute(now, stmt, node, limit, asks, carry);
+                Action::Execute(stmt, node, limit, is_inquiry) => {
+                    self.execute(now, stmt, node, limit, is_inquiry, run_order);
                 }
                 Action::Cancel(stmt, execution) => self.cancel(stmt, execution),
                 Action::Conclude(stmt, last) => self.conclude(stmt, last),
-                Action::Probe(node) => carry(Order::Probe { node }),
+                Action::Probe(node) => run_order(Order::Probe { node }),
             }
         }
         next
@@ -428,68 +446,73 @@
         stmt: u32,
         node: u32,
         limit: f64,
-        asks: bool,
-        carry: &impl Fn(Order<S>),
+        is_inquiry: bool,
+        run_order: &impl Fn(Order<S>),
     ) {
         let mut inner = self.inner.borrow_mut();
-        let Some(taken) = inner.taken.get_mut(&stmt) else {
-            tracing::error!("statement {stmt} is over and was to be executed");
+        let Some(open) = inner.open.get_mut(&stmt) else {
+            tracing::error!(
+                "not executing statement {stmt} on node {node}: it is already answered"
+            );
             return;
         };
-        let (execution, statement) = (taken.executions, taken.statement.clone());
-        taken.executions += 1;
-        let (wanted, unwanted) = bounded(1);
+        let (execution, statement) = (open.executions, open.statement.clone());
+        open.executions += 1;
+        let (cancel, cancelled) = bounded(1);
         inner.running.insert(
             (stmt, execution),
             Running {
                 node,
-                sent: now,
-                wanted,
+                sent_at: now,
+                cancel,
             },
         );
         drop(inner);
-        carry(Order::Execute {
+        run_order(Order::Execute {
             stmt,
             execution,
             node,
             limit,
-            asks,
+            is_inquiry,
             statement,
-            unwanted,
+            cancelled,
         });
     }
 
-    /// Its end is told by who executes it: an answer that is there already still counts for what it tells.
+    /// Requests cancellation. The executing task still reports the end, since an answer that has already arrived
+    /// carries information about its node.
     fn cancel(&self, stmt: u32, execution: u8) {
         if let Some(running) = self.inner.borrow().running.get(&(stmt, execution)) {
-            running.wanted.close();
+            running.cancel.close();
         }
     }
 
     fn conclude(&self, stmt: u32, last: Final<A>) {
-        if let Some(taken) = self.inner.borrow_mut().taken.remove(&stmt) {
-            let _ = taken.answer.try_send(last);
+        if let Some(open) = self.inner.borrow_mut().open.remove(&stmt) {
+            let _ = open.answer.try_send(last);
         }
     }
 }
 
 enum Action<A> {
+    /// Statement, node, timeout in seconds, and whether to send an inquiry instead of the statement.
     Execute(u32, u32, f64, bool),
+    /// Statement and index of the execution.
     Cancel(u32, u8),
     Conclude(u32, Final<A>),
     Probe(u32),
 }
 
-/// Nothing is carried out while the instance is borrowed.
-struct Asked<A> {
+/// Collects what the instance requests while it settles; carried out once the instance is no longer borrowed.
+struct Collected<A> {
     actions: Vec<Action<A>>,
     lines: Vec<String>,
     wakes: Vec<f64>,
 }
 
-impl<A> Default for Asked<A> {
-    fn default() -> Asked<A> {
-        Asked {
+impl<A> Default for Collected<A> {
+    fn default() -> Collected<A> {
+        Collected {
             actions: Vec::new(),
             lines: Vec::new(),
             wakes: Vec::new(),
@@ -497,7 +520,7 @@
     }
 }
 
-impl<A> Outbox for Asked<A> {
+impl<A> Outbox for Collected<A> {
     fn execute(&mut self, stmt: u32, node: u32, limit: f64) {
         self.actions.push(Action::Execute(stmt, node, limit, false));
     }
--- a/crates/runtime/router/src/execute.rs
+++ b/crates/runtime/router/src/execute.rs
@@ -1,9 +1,9 @@
-//! One execution on a node's connection, and one probe.
+//! Carries out the orders of the routing instance: executions of statements on node connections, and probes.
 
-use crate::decide::{Desk, Fields, Order, Report};
-use crate::ending;
+use crate::decide::{Dispatcher, Order, Report, ReportFields};
+use crate::outcome;
 use crate::pool::{Connection, Pool};
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use crate::wire;
 use async_channel::Receiver;
 use badgerstream_postgres_protocol::Close;
@@ -15,14 +15,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A row as the node gave it.
+/// A row, encoded as the node sent it.
 pub(crate) type Row = Vec<u8>;
-pub(crate) type Router = Desk<Statement, Row>;
+pub(crate) type StatementDispatcher = Dispatcher<Statement, Row>;
 
-pub(crate) async fn carry(
-    desk: Rc<Router>,
+pub(crate) async fn run_order(
+    dispatcher: Rc<StatementDispatcher>,
     pool: Rc<Pool>,
-    roster: Rc<Roster>,
+    registry: Rc<NodeRegistry>,
     order: Order<Statement>,
 ) {
     match order {
@@ -31,85 +31,92 @@
             execution,
             node,
             limit,
-            asks,
+            is_inquiry,
             statement,
-            unwanted,
+            cancelled,
         } => {
             execute(
-                desk, pool, roster, stmt, execution, node, limit, asks, statement, unwanted,
+                dispatcher, pool, registry, stmt, execution, node, limit, is_inquiry, statement,
+                cancelled,
             )
             .await;
         }
-        Order::Probe { node } => crate::probe::probe(desk, pool, roster, node).await,
+        Order::Probe { node } => crate::probe::probe(dispatcher, pool, registry, node).await,
     }
 }
 
 async fn execute(
-    desk: Rc<Router>,
+    dispatcher: Rc<StatementDispatcher>,
     pool: Rc<Pool>,
-    roster: Rc<Roster>,
+    registry: Rc<NodeRegistry>,
     stmt: u32,
     execution: u8,
     node: u32,
     limit: f64,
-    asks: bool,
+    is_inquiry: bool,
     statement: Rc<Statement>,
-    unwanted: Receiver<()>,
+    cancelled: Receiver<()>,
 ) {
-    let out = desk.out(stmt, execution);
+    let running = dispatcher.running_execution(stmt, execution);
     let limit = Duration::from_secs_f64(limit.clamp(0.0, 86_400.0));
-    let (until, written) = (Instant::now() + limit, Rc::new(Cell::new(false)));
-    let (own, told) = ((desk.clone(), pool.clone()), written.clone());
+    let (deadline, written) = (Instant::now() + limit, Rc::new(Cell::new(false)));
+    let (shared, written_flag) = ((dispatcher.clone(), pool.clone()), written.clone());
     let mut run = Box::pin(async move {
-        let (desk, pool) = own;
-        let (mut connection, waited) = pool.take(node, roster.dial(node)?).await?;
-        if waited && !desk.still_stands(stmt, node) {
-            pool.put(node, connection);
+        let (dispatcher, pool) = shared;
+        let (mut connection, waited) = pool.acquire(node, registry.address(node)?).await?;
+        if waited && !dispatcher.may_still_send(stmt, node) {
+            pool.release(node, connection);
             return Err(Close::Withdrawn);
         }
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let left = left.as_secs_f64();
-        let text = if asks {
+        let text = if is_inquiry {
             statement.for_inquiry(left)
         } else {
             statement.for_node(left)
         };
-        let answer = connection.query(&text, &told).await?;
+        let answer = connection.query(&text, &written_flag).await?;
         Ok((connection, answer))
     });
-    let cancelled = async {
-        let _ = unwanted.recv().await;
+    let cancellation = async {
+        let _ = cancelled.recv().await;
         Err(Close::Cancelled)
     };
     let ended: Result<(Connection, Answer), Close> =
-        wire::within(limit, Close::TimedOut, future::or(&mut run, cancelled)).await;
+        wire::within(limit, Close::TimedOut, future::or(&mut run, cancellation)).await;
     match ended {
         Ok((connection, answer)) => {
-            pool.put(node, connection);
+            pool.release(node, connection);
             let role = answer
                 .primary
                 .map(|leads| if leads { Role::Primary } else { Role::Replica });
             let lsn = answer.as_of.unwrap_or(f64::NEG_INFINITY);
-            let own = pool.held(node);
+            let own_connections = pool.open_connections(node);
             let report = answer
                 .vitals
                 .as_deref()
-                .map(|vitals| report(vitals, &desk.fields(), own));
+                .map(|vitals| report(vitals, &dispatcher.report_fields(), own_connections));
             match answer.row {
-                Ok(row) => out.ended(ExecutionOutcome::Completed, role, lsn, report, Some(row)),
-                Err(code) => out.ended(ending::of_error(code, asks), role, lsn, report, None),
+                Ok(row) => running.ended(ExecutionOutcome::Completed, role, lsn, report, Some(row)),
+                Err(code) => running.ended(
+                    outcome::from_error(code, is_inquiry),
+                    role,
+                    lsn,
+                    report,
+                    None,
+                ),
             }
         }
         Err(close) => {
             tracing::debug!(
-                "node {node}: execution ended, {close}, written {}",
+                "node {node}: execution of statement {stmt} failed: {close}; statement completely sent: {}",
                 written.get()
             );
             if written.get() && matches!(close, Close::Cancelled | Close::TimedOut) {
                 pool.linger(node, run);
             }
-            out.ended(
-                ending::of_close(close, written.get()),
+            running.ended(
+                outcome::from_close(close, written.get()),
                 None,
                 f64::NEG_INFINITY,
                 None,
@@ -119,29 +126,29 @@
     }
 }
 
-/// Positions in load reports come as whole milliseconds, and nothing says that they are rounded down.
-const ROUNDING_S: f64 = 0.001;
+/// Maximum rounding error of positions in load reports: they are whole milliseconds, and may be rounded up.
+const POSITION_ROUNDING_S: f64 = 0.001;
 
-/// Role, position and log that a load report tells; `own` is how many connections this router has there.
-pub(crate) fn report(vitals: &str, fields: &Fields, own: usize) -> Report {
-    let primary = vital(vitals, badgerstream_router_config::ROLE).map(|told| told >= 0.5);
+/// Parses a load report. `own_connections` is the number of this router's open connections to the node.
+pub(crate) fn report(vitals: &str, fields: &ReportFields, own_connections: usize) -> Report {
+    let primary = vital(vitals, badgerstream_router_config::ROLE).map(|role| role >= 0.5);
     let lsn = vital(vitals, badgerstream_router_config::POSITION)
-        .map_or(f64::NEG_INFINITY, |at| at - ROUNDING_S);
+        .map_or(f64::NEG_INFINITY, |at| at - POSITION_ROUNDING_S);
     let both = |f: &Rc<(String, String)>| vital(vitals, &f.0).zip(vital(vitals, &f.1));
-    let (took_over, connections) = (
-        fields.log.as_ref().and_then(both),
+    let (promotion, connections) = (
+        fields.promotion.as_ref().and_then(both),
         fields.connections.as_ref().and_then(both),
     );
-    let held = fields
-        .held
+    let fleet_connections = fields
+        .fleet_connections
         .as_ref()
         .and_then(|field| vital(vitals, field))
-        .map(|held| (held, own as f64));
+        .map(|held| (held, own_connections as f64));
     Report {
         primary,
         lsn,
-        took_over,
+        promotion,
         connections,
-        held,
+        fleet_connections,
     }
 }
--- a/crates/runtime/router/src/lib.rs
+++ b/crates/runtime/router/src/lib.rs
@@ -1,21 +1,22 @@
-//! badgerstream: routes the statements of a replicated store's clients.
+//! The router process: speaks the Postgres wire protocol to clients and nodes, and routes each statement to a
+//! node of its replication group.
 
-// Decoded fields go straight into a call, and each part takes its own few settings.
+// Decoded message fields and individual settings are passed as separate arguments.
 #![allow(clippy::too_many_arguments)]
 
-mod belief;
 mod budget;
 mod client;
 mod decide;
-mod ending;
 mod execute;
-mod gate;
 mod listen;
+mod outcome;
 mod pool;
 mod probe;
 mod reload;
+mod restart_pacing;
 mod shutdown;
 mod spawn;
+mod status_log;
 #[cfg(test)]
 mod tests;
 mod watch;
@@ -31,57 +32,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Discovery is on the same machine: who waits longer for it would only keep clients waiting.
-const FIRST_LIST: Duration = Duration::from_millis(250);
+/// Maximum wait for the first list from discovery before the first client is accepted. Discovery runs on the
+/// same machine; a longer wait would only delay clients.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The parts of the memory that large answers and large statements may take at a time: each byte stands in up
-/// to three places on its way, and the program itself needs some.
-const FOR_ANSWERS: f64 = 0.2;
-const FOR_STATEMENTS: f64 = 0.1;
+/// Shares of the memory limit for large answers and for large statements. Each byte can be held in up to three
+/// buffers at once, and the process itself needs memory too.
+const ANSWER_MEMORY_SHARE: f64 = 0.2;
+const STATEMENT_MEMORY_SHARE: f64 = 0.1;
 
 const USAGE: &str = "\
 badgerstream routes the statements of a replicated store's clients
 
-usage: badgerstream serve          serve, as told by the file that RELAY_CONFIG names
-       badgerstream check FILE     say what is wrong with such a file, without serving
-                                   both take --settings FILE, our own settings in JSON5
+usage: badgerstream serve          serve clients, using the start file named by RELAY_CONFIG
+       badgerstream check FILE     validate a start file without serving
+                                   both accept --settings FILE, the router's settings in JSON5
        badgerstream version        print the version
-       badgerstream help           print this
+       badgerstream help           print this text
 
-badgerstream serve --help and badgerstream check --help tell more.";
+See badgerstream serve --help and badgerstream check --help for details.";
 
-const SERVE: &str = "\
+const SERVE_USAGE: &str = "\
 usage: badgerstream serve [--settings FILE]
 
-Serves until SIGTERM or SIGINT, and then until all that was taken is answered. SIGHUP makes it read the file
-again: discovery and limits.sockets take effect at once, for what else has changed a log line asks for a
-restart. A file that is missing or wrong changes nothing.
+Serves clients until SIGTERM or SIGINT, then exits once every accepted statement is answered. SIGHUP reloads the
+start file: changes to discovery and limits.sockets take effect at once; each other change is logged as needing
+a restart. If a file is missing or invalid, nothing changes.
 
---settings FILE    our own settings, JSON5; see deploy/settings.json5. Read again at SIGHUP, too. Without it
-                   all that it can turn on is off
-RELAY_CONFIG       the file to start from, JSON; see examples/router.json
+--settings FILE    the router's settings, JSON5; see deploy/settings.json5. Reloaded at SIGHUP too. Without it,
+                   every feature that it can enable is off
+RELAY_CONFIG       the start file, JSON; see examples/router.json
 RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY
-                   where they are set, they go before what the file says at the start
-BADGERSTREAM_LOG   what to log on standard error: error, warn, info (as without it) or debug";
+                   override the start file's name, listen and discovery at start
+BADGERSTREAM_LOG   log level on standard error: error, warn, info (the default) or debug";
 
-const CHECK: &str = "\
+const CHECK_USAGE: &str = "\
 usage: badgerstream check FILE [--settings FILE]
 
-Reads FILE, and the settings, as serve would, opens nothing, and says in one line what is wrong, if anything is.";
+Validates FILE and the settings as serve would, without opening a socket, and prints the first error on one line.";
 
-/// What the binary does: the arguments are the process's own.
+/// Entry point of the binary; uses the arguments of the process.
 pub fn main() -> ExitCode {
     main_with(std::env::args_os().skip(1))
 }
 
-/// The same with these arguments, for rigs that run a router as a process of their own.
+/// Runs the router with the given arguments, for test programs that start a router as their own child process.
 pub fn main_with(arguments: impl IntoIterator<Item = impl Into<std::ffi::OsString>>) -> ExitCode {
     match command(arguments) {
         Ok(Command::Serve(files)) => report(start(files)),
         Ok(Command::Check(files)) => {
-            report(checked(&files).map(|_| println!("{} can be served", files.file)))
+            report(check(&files).map(|_| println!("{} is valid", files.file)))
         }
-        Ok(Command::Tell(text)) => {
+        Ok(Command::Print(text)) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
@@ -92,17 +94,17 @@
     }
 }
 
-/// What a router is set by.
+/// Paths of the start file and of the optional settings file.
 #[derive(Clone, Default)]
-struct Files {
+struct ConfigFiles {
     file: String,
     settings: Option<String>,
 }
 
 enum Command {
     Serve(Option<String>),
-    Check(Files),
-    Tell(&'static str),
+    Check(ConfigFiles),
+    Print(&'static str),
 }
 
 fn command(
@@ -125,15 +127,15 @@
         return Err("--settings belongs to serve or check".into());
     }
     match (&words[..], help) {
-        (["help"], _) | ([], true) => Ok(Command::Tell(USAGE)),
-        (["serve"], true) => Ok(Command::Tell(SERVE)),
-        (["check", ..], true) => Ok(Command::Tell(CHECK)),
-        (["version"], _) => Ok(Command::Tell(concat!(
+        (["help"], _) | ([], true) => Ok(Command::Print(USAGE)),
+        (["serve"], true) => Ok(Command::Print(SERVE_USAGE)),
+        (["check", ..], true) => Ok(Command::Print(CHECK_USAGE)),
+        (["version"], _) => Ok(Command::Print(concat!(
             "badgerstream ",
             env!("CARGO_PKG_VERSION")
         ))),
         (["serve"], false) => Ok(Command::Serve(settings)),
-        (["check", file], false) => Ok(Command::Check(Files {
+        (["check", file], false) => Ok(Command::Check(ConfigFiles {
             file: file.to_string(),
             settings,
         })),
@@ -153,57 +155,62 @@
     }
 }
 
-/// What the environment says goes before the file at the start; a reload takes the file by itself.
+/// Starts the router. Environment variables override the start file here; a reload uses the file alone.
 fn start(settings: Option<String>) -> Result<(), String> {
-    let told = |variable: &str| std::env::var(variable).ok();
-    let file = told("RELAY_CONFIG").ok_or("the variable RELAY_CONFIG is missing")?;
-    let files = Files { file, settings };
+    let env = |variable: &str| std::env::var(variable).ok();
+    let file = env("RELAY_CONFIG").ok_or("the variable RELAY_CONFIG is missing")?;
+    let files = ConfigFiles { file, settings };
     let (provision, own) = read(&files)?;
-    let address = |variable: &str, told_by_file: SocketAddr| {
-        let parsed = told(variable).map_or(Ok(told_by_file), |text| text.parse());
-        parsed.map_err(|e| format!("the variable {variable} can't be read: {e}"))
+    let address = |variable: &str, from_file: SocketAddr| {
+        let parsed = env(variable).map_or(Ok(from_file), |text| text.parse());
+        parsed.map_err(|e| {
+            format!("the variable {variable} can't be parsed as an address and port: {e}")
+        })
     };
     let listen = address("RELAY_LISTEN", provision.listen)?;
     let discovery = address("RELAY_DISCOVERY", provision.discovery)?;
-    let name = told("RELAY_NAME").unwrap_or(provision.name.clone());
+    let name = env("RELAY_NAME").unwrap_or(provision.name.clone());
     serve(files, provision, own, &name, listen, discovery)
 }
 
-/// The part of a memory limit, in bytes.
-fn part(provision: &Provision, part: f64) -> usize {
-    (provision.memory_mb * part * f64::from(1 << 20)) as usize
+/// Returns the given share of the memory limit, in bytes.
+fn memory_share_bytes(provision: &Provision, share: f64) -> usize {
+    (provision.memory_mb * share * f64::from(1 << 20)) as usize
 }
 
-fn read(files: &Files) -> Result<(Provision, Own), String> {
+fn read(files: &ConfigFiles) -> Result<(Provision, Own), String> {
     let text = |file: &str| std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"));
     let file = &files.file;
     let provision = Provision::read(&text(file)?).map_err(|e| format!("{file}: {e}"))?;
     let own = match &files.settings {
         None => Own::default(),
-        Some(file) => Own::read(&text(file)?, part(&provision, FOR_STATEMENTS))
-            .map_err(|e| format!("{file}: {e}"))?,
+        Some(file) => Own::read(
+            &text(file)?,
+            memory_share_bytes(&provision, STATEMENT_MEMORY_SHARE),
+        )
+        .map_err(|e| format!("{file}: {e}"))?,
     };
     Ok((provision, own))
 }
 
-/// Files that can be served: whatever is wrong with them is found here.
-fn checked(files: &Files) -> Result<(Provision, Own), String> {
+/// Reads and fully validates the files: every error in them is found here.
+fn check(files: &ConfigFiles) -> Result<(Provision, Own), String> {
     let (provision, own) = read(files)?;
-    router(&provision, own.clone()).map_err(|e| format!("{}: {e}", files.file))?;
+    prepare(&provision, own.clone()).map_err(|e| format!("{}: {e}", files.file))?;
     Ok((provision, own))
 }
 
-/// What the file comes to before anything is opened.
-struct Ready {
-    desk: Rc<execute::Router>,
-    roster: Rc<watch::Roster>,
-    names: Rc<client::Names>,
+/// Everything that is built from the files before a socket is opened.
+struct Prepared {
+    dispatcher: Rc<execute::StatementDispatcher>,
+    registry: Rc<watch::NodeRegistry>,
+    names: Rc<client::NameIndex>,
     seq: u64,
-    dial_limit: f64,
-    node_idle_limit: f64,
+    dial_timeout: f64,
+    node_idle_timeout: f64,
 }
 
-fn router(provision: &Provision, own: Own) -> Result<Ready, String> {
+fn prepare(provision: &Provision, own: Own) -> Result<Prepared, String> {
     let pairs = &provision.pairs;
     let (mut instance, reading) = badgerstream_router_config::instance(provision.seed, pairs)?;
     instance.configure_succession(own.succession, provision.seed);
@@ -215,37 +222,37 @@
         .split(',')
         .map(str::to_string)
         .collect();
-    let roster = watch::Roster::new(zones);
-    let seq = roster
-        .list(&mut instance, clock.now(), &provision.known)
+    let registry = watch::NodeRegistry::new(zones);
+    let seq = registry
+        .apply_list(&mut instance, clock.now(), &provision.known)
         .map_err(|e| format!("/known: {e}"))?;
-    let names = client::Names::new(
+    let names = client::NameIndex::new(
         pairs.names("classes")?,
         reading.workloads,
         pairs.names("tenants")?,
     );
-    Ok(Ready {
-        desk: decide::Desk::new(instance, clock),
-        roster,
+    Ok(Prepared {
+        dispatcher: decide::Dispatcher::new(instance, clock),
+        registry,
         names: Rc::new(names),
         seq,
-        dial_limit: positive(pairs, "policy_limits.dial_timeout_ms")?,
-        node_idle_limit: positive(pairs, "policy_limits.keepalive_ms")?,
+        dial_timeout: positive_seconds(pairs, "policy_limits.dial_timeout_ms")?,
+        node_idle_timeout: positive_seconds(pairs, "policy_limits.keepalive_ms")?,
     })
 }
 
-/// Without any time, no connection would ever come up or be kept.
-fn positive(pairs: &Pairs, path: &str) -> Result<f64, String> {
-    let told = pairs.seconds(path)?;
-    if told > 0.0 {
-        Ok(told)
+/// Reads a duration in seconds that must be above zero: with zero, no connection could be opened or kept.
+fn positive_seconds(pairs: &Pairs, path: &str) -> Result<f64, String> {
+    let seconds = pairs.seconds(path)?;
+    if seconds > 0.0 {
+        Ok(seconds)
     } else {
         Err(format!("setting {path} is no time: 0"))
     }
 }
 
 fn serve(
-    files: Files,
+    files: ConfigFiles,
     provision: Provision,
     own: Own,
     name: &str,
@@ -259,91 +266,107 @@
         .with_ansi(false)
         .with_writer(std::io::stderr)
         .init();
-    let Ready {
-        desk,
-        roster,
+    let Prepared {
+        dispatcher,
+        registry,
         names,
         seq,
-        dial_limit,
-        node_idle_limit,
-    } = router(&provision, own)?;
-    let hangups = reload::signals()?;
+        dial_timeout,
+        node_idle_timeout,
+    } = prepare(&provision, own)?;
+    let hangups = reload::hangup_signals()?;
     let listener =
         Async::<TcpListener>::bind(address).map_err(|e| format!("listening on {address}: {e}"))?;
     let (tasks, budget) = (
         spawn::Tasks::default(),
         budget::Budget::new(provision.descriptors),
     );
-    let memory = |of: f64| Memory::new(part(&provision, of));
-    let (answers, statements) = (memory(FOR_ANSWERS), memory(FOR_STATEMENTS));
-    let gate = gate::Gate::of(&desk);
+    let memory = |share: f64| Memory::new(memory_share_bytes(&provision, share));
+    let (answers, statements) = (memory(ANSWER_MEMORY_SHARE), memory(STATEMENT_MEMORY_SHARE));
+    let restart_pacing = restart_pacing::RestartPacing::for_dispatcher(&dispatcher);
     let pool = pool::Pool::new(
         tasks.clone(),
         budget.clone(),
         answers,
-        gate,
-        dial_limit,
-        node_idle_limit,
+        restart_pacing,
+        dial_timeout,
+        node_idle_timeout,
     );
-    let carry = {
-        let (tasks, desk, pool, roster) =
-            (tasks.clone(), desk.clone(), pool.clone(), roster.clone());
+    let run_order = {
+        let (tasks, dispatcher, pool, registry) = (
+            tasks.clone(),
+            dispatcher.clone(),
+            pool.clone(),
+            registry.clone(),
+        );
         move |order| {
-            let work = execute::carry(desk.clone(), pool.clone(), roster.clone(), order);
-            tasks.spawn("an execution", work).detach();
+            let work =
+                execute::run_order(dispatcher.clone(), pool.clone(), registry.clone(), order);
+            tasks.spawn("statement execution", work).detach();
         }
     };
-    let decisions = tasks.spawn("the decisions", desk.clone().run(carry));
-    let (heard, first_list) = async_channel::bounded(1);
-    let watches = reload::Watches::begin(
+    let routing = tasks.spawn("routing", dispatcher.clone().run(run_order));
+    let (list_received, first_list) = async_channel::bounded(1);
+    let watches = reload::Watches::start(
         tasks.clone(),
-        desk.clone(),
-        roster.clone(),
+        dispatcher.clone(),
+        registry.clone(),
         discovery,
         seq,
-        heard,
+        list_received,
     );
     tasks
-        .spawn("idle clients", listen::thin_out(budget.clone()))
+        .spawn(
+            "idle client limit",
+            listen::limit_idle_clients(budget.clone()),
+        )
         .detach();
     tasks
-        .spawn("what is gone", watch::forget(desk.clone(), roster))
+        .spawn(
+            "removal of departed nodes",
+            watch::remove_departed(dispatcher.clone(), registry),
+        )
         .detach();
     let reload = reload::reload(
         hangups,
         provision,
-        move || checked(&files),
+        move || check(&files),
         watches,
         budget.clone(),
     );
-    tasks.spawn("reload", reload).detach();
+    tasks.spawn("configuration reload", reload).detach();
     tasks
-        .spawn("what is believed", belief::tell(desk.clone(), pool.clone()))
+        .spawn(
+            "node status log",
+            status_log::log_periodically(dispatcher.clone(), pool.clone()),
+        )
+        .detach();
+    tasks
+        .spawn("idle connection retirement", pool.clone().retire_idle())
         .detach();
-    tasks.spawn("the pool", pool.clone().retire()).detach();
     let accept = listen::listen(
         listener,
         tasks.clone(),
-        desk,
+        dispatcher,
         names,
         statements,
         budget.clone(),
     );
-    let accept = tasks.spawn("the listener", async move {
-        // The list that was handed over may be old: what discovery has to tell comes first, if it is there.
-        let heard = async { first_list.recv().await.map_err(|_| Close::Left) };
-        let _ = wire::within(FIRST_LIST, Close::Silent, heard).await;
+    let accept = tasks.spawn("listener", async move {
+        // The list in the start file may be outdated: wait briefly for the current one from discovery.
+        let list_received = async { first_list.recv().await.map_err(|_| Close::Left) };
+        let _ = wire::within(FIRST_LIST_TIMEOUT, Close::Silent, list_received).await;
         accept.await;
     });
     tracing::info!("{name} serves on {address}");
-    // These two all clients need: without them it is better to start anew.
-    let broken = async {
-        future::or(decisions, accept).await;
-        Err("the decisions or the listener have ended".to_string())
+    // No client can be served without these two tasks: if either ends, the process must be restarted.
+    let failed = async {
+        future::or(routing, accept).await;
+        Err("the routing task or the listener task ended".to_string())
     };
-    let ended = async {
+    let shut_down = async {
         shutdown::shutdown(budget).await;
         Ok(())
     };
-    async_io::block_on(tasks.run(future::or(ended, broken)))
+    async_io::block_on(tasks.run(future::or(shut_down, failed)))
 }
--- a/crates/runtime/router/src/listen.rs
+++ b/crates/runtime/router/src/listen.rs
@@ -1,10 +1,10 @@
-//! Accepting clients for as long as descriptors last, and for as long as the router runs.
+//! Accepts client connections while file descriptors are available.
 
 use crate::budget::Budget;
-use crate::client::{self, Names};
-use crate::execute::Router;
+use crate::client::{self, NameIndex};
+use crate::execute::StatementDispatcher;
 use crate::spawn::Tasks;
-use crate::wire::Seldom;
+use crate::wire::LogThrottle;
 use async_io::{Async, Timer};
 use badgerstream_postgres_protocol::Memory;
 use futures_lite::future;
@@ -12,33 +12,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// So long a connection without an open statement may wait in any case: who asks again does so sooner.
-const WAITS: Duration = Duration::from_millis(250);
+/// Minimum idle time before a client connection may be closed to limit their number. Clients that send another
+/// statement do so sooner.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(250);
 
-/// Closes clients that stay without asking, for as long as the router runs.
-pub(crate) async fn thin_out(budget: Rc<Budget>) {
+/// Periodically closes idle clients if too many are connected, while the router runs.
+pub(crate) async fn limit_idle_clients(budget: Rc<Budget>) {
     loop {
-        Timer::after(WAITS / 4).await;
-        budget.thin_out(WAITS);
+        Timer::after(MIN_IDLE_TIME / 4).await;
+        budget.close_excess_idle_clients(MIN_IDLE_TIME);
     }
 }
 
 pub(crate) async fn listen(
     listener: Async<TcpListener>,
     tasks: Tasks,
-    desk: Rc<Router>,
-    names: Rc<Names>,
+    dispatcher: Rc<StatementDispatcher>,
+    names: Rc<NameIndex>,
     memory: Rc<Memory>,
     budget: Rc<Budget>,
 ) {
-    let (malformed, refused) = (Rc::new(Seldom::new()), Seldom::new());
+    let (malformed, accept_errors) = (Rc::new(LogThrottle::new()), LogThrottle::new());
     loop {
-        // A flood of connections must leave the others their turns, and who makes room needs one to do so.
+        // Yield so that a flood of new connections can't starve other tasks, including those that close to free a
+        // descriptor.
         future::yield_now().await;
-        // Nobody makes room for a client that has not come.
+        // Free a descriptor only once a client is waiting to be accepted.
         let _ = listener.readable().await;
         let Some(mut lease) = budget.for_client() else {
-            if !budget.make_room() {
+            if !budget.close_one_idle() {
                 budget.freed().await;
             }
             continue;
@@ -47,21 +49,24 @@
             Ok((stream, _)) => {
                 let _ = stream.get_ref().set_nodelay(true);
                 lease.connected();
-                let (desk, names, memory) = (desk.clone(), names.clone(), memory.clone());
+                let (dispatcher, names, memory) =
+                    (dispatcher.clone(), names.clone(), memory.clone());
                 let malformed = malformed.clone();
                 let serve = async move {
-                    client::serve(stream, desk, names, memory, &lease, malformed).await;
-                    // Only now is its descriptor free.
+                    client::serve(stream, dispatcher, names, memory, &lease, malformed).await;
+                    // The descriptor is closed now.
                     drop(lease);
                 };
-                tasks.spawn("a client's connection", serve).detach();
+                tasks.spawn("client connection", serve).detach();
             }
             Err(e) => {
-                // Out of descriptors after all, or a client that was gone before it was accepted.
-                if let Some(passed) = refused.due() {
-                    tracing::warn!("accepting: {e} ({passed} more such lines were left out)");
+                // The process has no descriptor left in spite of the budget, or the client left before it was accepted.
+                if let Some(suppressed) = accept_errors.due() {
+                    tracing::warn!(
+                        "accepting a client connection failed: {e} ({suppressed} similar lines suppressed)"
+                    );
                 }
-                budget.make_room();
+                budget.close_one_idle();
                 Timer::after(Duration::from_millis(5)).await;
             }
         }
--- a/crates/runtime/router/src/main.rs
+++ b/crates/runtime/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary; all it does is in the library, which rigs of this workspace start as processes of their own.
+//! The router binary. Its code is in the library, which test programs of this workspace also run as a process.
 
 fn main() -> std::process::ExitCode {
     badgerstream::main()
--- a/crates/runtime/router/src/ending.rs
+++ b/crates/runtime/router/src/outcome.rs
@@ -1,14 +1,14 @@
-//! What the end of an execution means to the decisions: the one place where the ways in which a connection
-//! can end, and the codes of errors, become an [`ExecutionOutcome`].
+//! Maps the reason why a connection ended, or the SQLSTATE of an error, to an [`ExecutionOutcome`].
 
 use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::ExecutionOutcome;
 
-/// The connection ended under an execution. Unless its last byte was `written`, the node never began.
-pub(crate) fn of_close(close: Close, written: bool) -> ExecutionOutcome {
+/// Returns the outcome of an execution whose connection ended. Unless the last byte of the statement was `written`,
+/// the node did not begin to execute it.
+pub(crate) fn from_close(close: Close, written: bool) -> ExecutionOutcome {
     match (close, written) {
         (Close::TimedOut, true) => ExecutionOutcome::TimedOut,
-        // What had no place here tells nothing of the node.
+        // An answer that does not fit this router's memory says nothing about the node.
         (Close::Cancelled | Close::NoMemory, true) => ExecutionOutcome::Cancelled,
         (Close::Malformed(_), true) => ExecutionOutcome::InvalidAnswer,
         (Close::TimedOut | Close::Cancelled | Close::Withdrawn, false) => {
@@ -24,12 +24,12 @@
     }
 }
 
-/// The node answered with an error. Asked how a write ended, only 02000 says that it never ran and never will:
-/// who is no primary can't tell.
-pub(crate) fn of_error(code: [u8; 5], asks: bool) -> ExecutionOutcome {
+/// Returns the outcome of an execution that the node answered with an error. For an inquiry about an earlier write,
+/// only 02000 proves that the write has not run and never will: a node that is not the primary can't know.
+pub(crate) fn from_error(code: [u8; 5], is_inquiry: bool) -> ExecutionOutcome {
     match &code {
-        b"02000" if asks => ExecutionOutcome::NotEligible,
-        b"25006" | b"72000" if asks => ExecutionOutcome::Rejected,
+        b"02000" if is_inquiry => ExecutionOutcome::NotEligible,
+        b"25006" | b"72000" if is_inquiry => ExecutionOutcome::Rejected,
         b"25006" | b"72000" => ExecutionOutcome::NotEligible,
         b"53300" => ExecutionOutcome::Rejected,
         _ => ExecutionOutcome::Errored,
--- a/crates/runtime/router/src/pool.rs
+++ b/crates/runtime/router/src/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to nodes: one statement at a time each, the last used first.
+//! Pool of connections to nodes. Each connection executes one statement at a time; the most recently used idle
+//! connection is reused first.
 
-use crate::budget::{Budget, Kind, Lease};
-use crate::gate::Gate;
+use crate::budget::{Budget, Lease, WaitKind};
+use crate::restart_pacing::RestartPacing;
 use crate::spawn::Tasks;
 use crate::wire;
 use async_channel::{Sender, bounded};
@@ -19,8 +20,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An idle connection is retired at this share of the time after which its node closes it.
-const RETIRED_AT: f64 = 0.5;
+/// Idle connections are closed after this share of the idle timeout of their node.
+const IDLE_TIMEOUT_SHARE: f64 = 0.5;
 
 pub(crate) struct Connection {
     stream: Rc<Async<TcpStream>>,
@@ -28,15 +29,15 @@
     input: Ring,
     output: Ring,
     address: SocketAddr,
-    /// Counts as busy until it is dropped or falls idle.
+    /// Counts the connection as busy until it is dropped or becomes idle.
     busy: Option<Busy>,
-    /// Given back with the connection.
+    /// The descriptor of the connection.
     lease: Lease,
 }
 
 impl Connection {
-    /// Sends a query and waits for its answer. `written` is set once its last byte is with the system: until
-    /// then the node cannot have begun.
+    /// Sends a query and waits for its answer. Sets `written` once the last byte is handed to the operating system;
+    /// before that the node can't have begun to execute the query.
     pub(crate) async fn query(
         &mut self,
         text: &str,
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Whether nothing has come since it fell idle, its end least of all.
-    fn quiet(&mut self) -> bool {
+    /// Returns whether the connection is open and has no unread bytes.
+    fn is_quiet(&mut self) -> bool {
         self.input.is_empty() && wire::read_now(&self.stream, &mut self.input) == Ok(false)
     }
 }
 
-/// One of a node's connections that are opening or at work.
+/// Counts one connection of a node as busy, that is opening or executing, until it is dropped.
 struct Busy(Rc<Cell<usize>>);
 
 impl Busy {
@@ -77,8 +78,8 @@
     }
 }
 
-/// A node that is there may still break a connection as it comes up.
-fn refused(e: std::io::Error) -> Close {
+/// Returns the reason for a failed connect: a reachable node may also reset a connection while it is opened.
+fn connect_error(e: std::io::Error) -> Close {
     if e.kind() == ErrorKind::ConnectionReset {
         Close::Broken
     } else {
@@ -90,24 +91,26 @@
     number: u64,
     connection: Connection,
     since: Instant,
-    /// Notices at once when the node closes it, or when it has to make room.
+    /// Detects at once that the node closes the connection, or that the budget asks for its descriptor.
     watch: Task<()>,
 }
 
-type Waiting = Sender<Result<Connection, Close>>;
+/// An execution that waits for a connection.
+type Waiter = Sender<Result<Connection, Close>>;
 
 #[derive(Default)]
-struct Stand {
+struct NodeConnections {
     idle: Vec<Idle>,
-    waiting: VecDeque<Waiting>,
-    /// Those that are opening or at work, and those that are opening.
+    waiting: VecDeque<Waiter>,
+    /// Number of connections that are opening or executing.
     busy: Rc<Cell<usize>>,
+    /// Number of connections that are opening under restart pacing; included in `busy`.
     opening: usize,
-    /// When more may be opened is asked again later.
-    asks: bool,
+    /// Whether another attempt to open connections is scheduled.
+    retry_scheduled: bool,
 }
 
-impl Stand {
+impl NodeConnections {
     fn counts(&self) -> recovery::ConnectionCounts {
         let opening = self.opening;
         recovery::ConnectionCounts {
@@ -118,20 +121,21 @@
     }
 }
 
-/// Idle connections are looked over this often where their number is decided.
-const LOOK_OVER: Duration = Duration::from_millis(500);
-/// When more may be opened is asked again after this at the latest: a phase may be over.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// Interval between checks of idle connections if restart pacing limits their number.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum delay before restart pacing is queried again for permission to open connections: its phase may have
+/// changed meanwhile.
+const MAX_OPEN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 pub(crate) struct Pool {
-    nodes: RefCell<HashMap<u32, Stand>>,
-    numbered: Cell<u64>,
+    nodes: RefCell<HashMap<u32, NodeConnections>>,
+    last_number: Cell<u64>,
     tasks: Tasks,
     budget: Rc<Budget>,
     memory: Rc<Memory>,
-    gate: Gate,
-    dial_limit: Duration,
-    idle_limit: Duration,
+    restart_pacing: RestartPacing,
+    dial_timeout: Duration,
+    idle_timeout: Duration,
 }
 
 impl Pool {
@@ -139,37 +143,37 @@
         tasks: Tasks,
         budget: Rc<Budget>,
         memory: Rc<Memory>,
-        gate: Gate,
-        dial_limit: f64,
-        node_idle_limit: f64,
+        restart_pacing: RestartPacing,
+        dial_timeout: f64,
+        node_idle_timeout: f64,
     ) -> Rc<Pool> {
         Rc::new(Pool {
             nodes: RefCell::default(),
-            numbered: Cell::new(0),
+            last_number: Cell::new(0),
             tasks,
             budget,
             memory,
-            gate,
-            dial_limit: Duration::from_secs_f64(dial_limit),
-            idle_limit: Duration::from_secs_f64(node_idle_limit * RETIRED_AT),
+            restart_pacing,
+            dial_timeout: Duration::from_secs_f64(dial_timeout),
+            idle_timeout: Duration::from_secs_f64(node_idle_timeout * IDLE_TIMEOUT_SHARE),
         })
     }
 
-    /// How long a node may take to let a connection in, or to answer a probe.
-    pub(crate) fn dial_limit(&self) -> Duration {
-        self.dial_limit
+    /// Timeout for opening a connection to a node, and for a probe.
+    pub(crate) fn dial_timeout(&self) -> Duration {
+        self.dial_timeout
     }
 
-    /// An idle connection, else the first that is opened or falls idle. True with it if it had to be waited
-    /// for.
-    pub(crate) async fn take(
+    /// Returns an idle connection if there is one, else the first that is opened or becomes idle, and whether it had
+    /// to be waited for.
+    pub(crate) async fn acquire(
         self: &Rc<Self>,
         node: u32,
         address: SocketAddr,
     ) -> Result<(Connection, bool), Close> {
         while let Some(mut idle) = self.last_idle(node) {
             drop(idle.watch);
-            if idle.connection.address == address && idle.connection.quiet() {
+            if idle.connection.address == address && idle.connection.is_quiet() {
                 idle.connection.busy = Some(Busy::new(&self.busy(node)));
                 return Ok((idle.connection, false));
             }
@@ -181,7 +185,7 @@
             .or_default()
             .waiting
             .push_back(waiting.clone());
-        if self.gate.ask(|_, _| ()).is_some() {
+        if self.restart_pacing.query(|_, _| ()).is_some() {
             self.open_more(node, address);
             return Ok((
                 connection.recv().await.unwrap_or(Err(Close::Refused))?,
@@ -191,14 +195,14 @@
         let (pool, own) = (self.clone(), waiting);
         let dial = async move {
             match pool
-                .dial(address, Busy::new(&pool.busy(node)), pool.dial_limit)
+                .dial(address, Busy::new(&pool.busy(node)), pool.dial_timeout)
                 .await
             {
-                Ok(connection) => pool.put(node, connection),
+                Ok(connection) => pool.release(node, connection),
                 Err(close) => pool.dial_failed(node, &own, close),
             }
         };
-        self.tasks.spawn("a connection's opening", dial).detach();
+        self.tasks.spawn("connection opening", dial).detach();
         let connection = connection.recv().await.unwrap_or(Err(Close::Refused))?;
         Ok((connection, true))
     }
@@ -216,18 +220,18 @@
             .clone()
     }
 
-    /// How many of a node's connections are busy, and how many are idle.
-    pub(crate) fn stand(&self, node: u32) -> (usize, usize) {
+    /// Returns the numbers of busy and of idle connections to a node.
+    pub(crate) fn connection_counts(&self, node: u32) -> (usize, usize) {
         self.nodes
             .borrow()
             .get(&node)
             .map_or((0, 0), |s| (s.busy.get(), s.idle.len()))
     }
 
-    /// How many connections to a node are up.
-    pub(crate) fn held(&self, node: u32) -> usize {
-        let up = |s: &Stand| s.busy.get().saturating_sub(s.opening) + s.idle.len();
-        self.nodes.borrow().get(&node).map_or(0, up)
+    /// Returns the number of open connections to a node.
+    pub(crate) fn open_connections(&self, node: u32) -> usize {
+        let open = |s: &NodeConnections| s.busy.get().saturating_sub(s.opening) + s.idle.len();
+        self.nodes.borrow().get(&node).map_or(0, open)
     }
 
     #[cfg(test)]
@@ -235,13 +239,13 @@
         self.nodes.borrow().values().map(|s| s.idle.len()).sum()
     }
 
-    /// A descriptor for a connection to a node: what waits elsewhere makes room for it.
+    /// Waits for a descriptor for a node connection, closing idle connections if necessary.
     async fn lease(&self) -> Lease {
         loop {
             if let Some(lease) = self.budget.for_node() {
                 return lease;
             }
-            if self.budget.make_room() {
+            if self.budget.close_one_idle() {
                 future::yield_now().await;
             } else {
                 self.budget.freed().await;
@@ -249,74 +253,92 @@
         }
     }
 
-    /// Opens as many as those that wait need and as may be opened now.
+    /// Opens as many connections as there are waiters, as far as restart pacing allows it now.
     fn open_more(self: &Rc<Self>, node: u32, address: SocketAddr) {
         loop {
-            let stand = {
+            let connections = {
                 let mut nodes = self.nodes.borrow_mut();
-                let stand = nodes.entry(node).or_default();
-                // Who was cancelled waits no more.
-                stand.waiting.retain(|waiting| !waiting.is_closed());
-                if stand.opening >= stand.waiting.len() {
+                let connections = nodes.entry(node).or_default();
+                // Remove waiters that were cancelled.
+                connections.waiting.retain(|waiting| !waiting.is_closed());
+                if connections.opening >= connections.waiting.len() {
                     return;
                 }
-                stand.counts()
+                connections.counts()
             };
             match self
-                .gate
-                .ask(|recovery, now| recovery.may_open(now, node, stand))
+                .restart_pacing
+                .query(|recovery, now| recovery.may_open(now, node, connections))
             {
                 None | Some(OpenDecision::Now) => self.open_one(node, address),
-                Some(OpenDecision::After(wait)) => return self.ask_again(node, address, wait),
+                Some(OpenDecision::After(wait)) => return self.schedule_open(node, address, wait),
             }
         }
     }
 
-    fn ask_again(self: &Rc<Self>, node: u32, address: SocketAddr, wait: f64) {
+    /// Schedules another call of `open_more` after `wait` seconds, unless one is already scheduled.
+    fn schedule_open(self: &Rc<Self>, node: u32, address: SocketAddr, wait: f64) {
         if std::mem::replace(
-            &mut self.nodes.borrow_mut().entry(node).or_default().asks,
+            &mut self
+                .nodes
+                .borrow_mut()
+                .entry(node)
+                .or_default()
+                .retry_scheduled,
             true,
         ) {
             return;
         }
-        let (pool, wait) = (self.clone(), Duration::from_secs_f64(wait).min(ASK_AGAIN));
-        let again = async move {
+        let (pool, wait) = (
+            self.clone(),
+            Duration::from_secs_f64(wait).min(MAX_OPEN_RETRY_DELAY),
+        );
+        let retry = async move {
             Timer::after(wait).await;
-            pool.nodes.borrow_mut().entry(node).or_default().asks = false;
+            pool.nodes
+                .borrow_mut()
+                .entry(node)
+                .or_default()
+                .retry_scheduled = false;
             pool.open_more(node, address);
         };
-        self.tasks.spawn("a connection's turn", again).detach();
+        self.tasks
+            .spawn("delayed connection opening", retry)
+            .detach();
     }
 
-    /// One that is not bound to who asked for it: it serves whoever waits longest, and takes the time that its
-    /// node needs.
+    /// Opens a connection for the waiter that has waited longest, independent of who requested it, with the connect
+    /// timeout from restart pacing.
     fn open_one(self: &Rc<Self>, node: u32, address: SocketAddr) {
         self.nodes.borrow_mut().entry(node).or_default().opening += 1;
         let pool = self.clone();
         let dial = async move {
-            let patience = pool.gate.ask(|recovery, _| recovery.connect_timeout_s());
-            let patience = patience.map_or(pool.dial_limit, Duration::from_secs_f64);
+            let timeout = pool
+                .restart_pacing
+                .query(|recovery, _| recovery.connect_timeout_s());
+            let timeout = timeout.map_or(pool.dial_timeout, Duration::from_secs_f64);
             let begun = Instant::now();
             let opened = pool
-                .dial(address, Busy::new(&pool.busy(node)), patience)
+                .dial(address, Busy::new(&pool.busy(node)), timeout)
                 .await;
             pool.nodes.borrow_mut().entry(node).or_default().opening -= 1;
             match opened {
                 Ok(connection) => {
                     let took = begun.elapsed().as_secs_f64();
-                    pool.gate
-                        .tell(|recovery, now| recovery.connection_opened(now, node, took));
-                    pool.put(node, connection);
+                    pool.restart_pacing
+                        .record(|recovery, now| recovery.connection_opened(now, node, took));
+                    pool.release(node, connection);
                 }
                 Err(close) => {
-                    let why = if close == Close::TurnedAway {
+                    let failure = if close == Close::TurnedAway {
                         OpenFailure::NodeFull
                     } else {
                         OpenFailure::Unreachable
                     };
-                    pool.gate
-                        .tell(|recovery, now| recovery.connection_failed(now, node, why));
-                    // Nobody gets one there now: whoever waits may go elsewhere.
+                    pool.restart_pacing
+                        .record(|recovery, now| recovery.connection_failed(now, node, failure));
+                    // No connection can be opened to this node now: fail the waiters, so that their
+                    // statements can be sent to other nodes.
                     let waiting = std::mem::take(
                         &mut pool.nodes.borrow_mut().entry(node).or_default().waiting,
                     );
@@ -327,34 +349,32 @@
             }
             pool.open_more(node, address);
         };
-        self.tasks.spawn("a connection's opening", dial).detach();
+        self.tasks.spawn("connection opening", dial).detach();
     }
 
-    /// Lets an execution that nobody waits for any more end on its connection, for a while: its node has the work
-    /// in any case, and a new connection would cost it more.
+    /// Lets an execution that is cancelled or timed out complete on its connection, for a limited time, and then keeps
+    /// the connection. The node executes the statement in any case, and opening a new connection would cost it more.
     pub(crate) fn linger(
         self: &Rc<Self>,
         node: u32,
         run: impl Future<Output = Result<(Connection, Answer), Close>> + 'static,
     ) {
         let Some(linger) = self
-            .gate
-            .ask(|recovery, _| recovery.linger_s())
+            .restart_pacing
+            .query(|recovery, _| recovery.linger_s())
             .filter(|linger| *linger > 0.0)
         else {
             return;
         };
         let pool = self.clone();
-        let end = async move {
+        let completion = async move {
             let ended = wire::within(Duration::from_secs_f64(linger), Close::TimedOut, run).await;
-            // What broke or took too long is closed, as it would have been at once.
+            // On an error or timeout the connection is closed, as it would have been without lingering.
             if let Ok((connection, _)) = ended {
-                pool.put(node, connection);
+                pool.release(node, connection);
             }
         };
-        self.tasks
-            .spawn("an execution that is not waited for", end)
-            .detach();
+        self.tasks.spawn("cancelled execution", completion).detach();
     }
 
     async fn dial(
@@ -368,7 +388,7 @@
         let opened = async {
             let stream = Async::<TcpStream>::connect(address)
                 .await
-                .map_err(refused)?;
+                .map_err(connect_error)?;
             let _ = stream.get_ref().set_nodelay(true);
             let [mut input, mut output] =
                 [(); 2].map(|()| Ring::within(message::LONGEST, &self.memory));
@@ -391,8 +411,8 @@
         wire::within(limit, Close::Silent, opened).await
     }
 
-    /// Tells who asked for it, unless another connection has come first.
-    fn dial_failed(&self, node: u32, own: &Waiting, close: Close) {
+    /// Fails the waiter that requested the connection, unless it has already received another one.
+    fn dial_failed(&self, node: u32, own: &Waiter, close: Close) {
         let mut nodes = self.nodes.borrow_mut();
         let waiting = &mut nodes.entry(node).or_default().waiting;
         if let Some(at) = waiting.iter().position(|w| w.same_channel(own)) {
@@ -401,47 +421,47 @@
         }
     }
 
-    /// A connection that is free again: to the first who waits for one, else it stands idle. One that has
-    /// ended, even with its answer, serves nobody.
-    pub(crate) fn put(self: &Rc<Self>, node: u32, mut connection: Connection) {
-        if !connection.quiet() {
+    /// Returns a connection to the pool: passes it to the first waiter, or keeps it as idle. Drops a connection that
+    /// the node has closed, even if it did so together with its answer.
+    pub(crate) fn release(self: &Rc<Self>, node: u32, mut connection: Connection) {
+        if !connection.is_quiet() {
             return;
         }
         let mut nodes = self.nodes.borrow_mut();
-        let stand = nodes.entry(node).or_default();
-        while let Some(waiting) = stand.waiting.pop_front() {
+        let connections = nodes.entry(node).or_default();
+        while let Some(waiting) = connections.waiting.pop_front() {
             match waiting.try_send(Ok(connection)) {
                 Ok(()) => return,
-                // Who waited has been cancelled.
+                // The waiter was cancelled.
                 Err(back) => match back.into_inner() {
                     Ok(back) => connection = back,
                     Err(_) => return,
                 },
             }
         }
-        let number = self.numbered.get() + 1;
-        self.numbered.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let (pool, stream) = (Rc::downgrade(self), connection.stream.clone());
-        let place = connection.lease.wait(Kind::Node);
+        let entry = connection.lease.register_idle(WaitKind::IdleNode);
         connection.busy = None;
-        let watch = self.tasks.spawn("an idle connection", async move {
+        let watch = self.tasks.spawn("idle connection watch", async move {
             loop {
-                let told = async { stream.readable().await.is_err() };
-                let unwanted = async {
-                    place.unwanted().await;
+                let failed = async { stream.readable().await.is_err() };
+                let close_requested = async {
+                    entry.close_requested().await;
                     true
                 };
-                let wanted = !future::or(told, unwanted).await;
-                // The poller may be mistaken: only what can be read is news.
+                let keep = !future::or(failed, close_requested).await;
+                // The poller may report readiness by mistake, so the check reads from the socket.
                 if pool
                     .upgrade()
-                    .is_none_or(|pool: Rc<Pool>| pool.ended_idle(node, number, wanted))
+                    .is_none_or(|pool: Rc<Pool>| pool.remove_if_ended(node, number, keep))
                 {
                     break;
                 }
             }
         });
-        stand.idle.push(Idle {
+        connections.idle.push(Idle {
             number,
             connection,
             since: Instant::now(),
@@ -449,47 +469,51 @@
         });
     }
 
-    /// Takes an idle connection away if it is not wanted, has ended or spoken; false if it stays.
-    fn ended_idle(&self, node: u32, number: u64, wanted: bool) -> bool {
+    /// Removes an idle connection unless `keep` is set and the connection is open without unread bytes. Returns whether
+    /// it is no longer in the pool.
+    fn remove_if_ended(&self, node: u32, number: u64, keep: bool) -> bool {
         let mut nodes = self.nodes.borrow_mut();
-        let Some(stand) = nodes.get_mut(&node) else {
+        let Some(connections) = nodes.get_mut(&node) else {
             return true;
         };
-        let Some(at) = stand.idle.iter().position(|i| i.number == number) else {
+        let Some(at) = connections.idle.iter().position(|i| i.number == number) else {
             return true;
         };
-        if wanted && stand.idle[at].connection.quiet() {
+        if keep && connections.idle[at].connection.is_quiet() {
             return false;
         }
-        stand.idle.remove(at).watch.detach();
+        connections.idle.remove(at).watch.detach();
         true
     }
 
-    /// Retires what stood idle for long, for as long as the router runs.
-    pub(crate) async fn retire(self: Rc<Self>) {
+    /// Periodically closes connections that have been idle for too long, while the router runs.
+    pub(crate) async fn retire_idle(self: Rc<Self>) {
         loop {
-            let decided = self.gate.ask(|_, _| ()).is_some();
-            Timer::after(if decided {
-                LOOK_OVER.min(self.idle_limit / 8)
+            let is_paced = self.restart_pacing.query(|_, _| ()).is_some();
+            Timer::after(if is_paced {
+                IDLE_CHECK_INTERVAL.min(self.idle_timeout / 8)
             } else {
-                self.idle_limit / 8
+                self.idle_timeout / 8
             })
             .await;
-            self.nodes.borrow_mut().retain(|node, stand| {
-                stand
+            self.nodes.borrow_mut().retain(|node, connections| {
+                connections
                     .idle
-                    .retain(|idle| idle.since.elapsed() < self.idle_limit);
-                let counts = stand.counts();
+                    .retain(|idle| idle.since.elapsed() < self.idle_timeout);
+                let counts = connections.counts();
                 if let Some(keep) = self
-                    .gate
-                    .ask(|recovery, now| recovery.idle_to_keep(now, *node, counts))
+                    .restart_pacing
+                    .query(|recovery, now| recovery.idle_to_keep(now, *node, counts))
                 {
-                    // The last used are kept.
-                    stand.idle.drain(..stand.idle.len().saturating_sub(keep));
+                    // Keep the most recently used ones.
+                    connections
+                        .idle
+                        .drain(..connections.idle.len().saturating_sub(keep));
                 }
-                let used =
-                    !stand.idle.is_empty() || !stand.waiting.is_empty() || stand.busy.get() > 0;
-                used || stand.asks || stand.opening > 0
+                let used = !connections.idle.is_empty()
+                    || !connections.waiting.is_empty()
+                    || connections.busy.get() > 0;
+                used || connections.retry_scheduled || connections.opening > 0
             });
         }
     }
--- a/crates/runtime/router/src/reload.rs
+++ b/crates/runtime/router/src/reload.rs
@@ -1,9 +1,9 @@
-//! SIGHUP: the file is read again, and what changed in it takes effect without an end to anything.
+//! Reloads the start file and the settings at SIGHUP and applies changes without interrupting statements.
 
 use crate::budget::Budget;
-use crate::execute::Router;
+use crate::execute::StatementDispatcher;
 use crate::spawn::Tasks;
-use crate::watch::{self, Roster};
+use crate::watch::{self, NodeRegistry};
 use async_channel::Sender;
 use async_executor::Task;
 use async_signal::{Signal, Signals};
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The watch that tells the list, and the one that is to take its place once it has told something: until
-/// then the list must go on from where it comes now.
+/// The current discovery watch, and the one that replaces it once it has received something; until then the node
+/// list must stay up to date from the current one.
 pub(crate) struct Watches {
     tasks: Tasks,
-    desk: Rc<Router>,
-    roster: Rc<Roster>,
+    dispatcher: Rc<StatementDispatcher>,
+    registry: Rc<NodeRegistry>,
     seq: Rc<Cell<u64>>,
     address: Cell<SocketAddr>,
     current: RefCell<Option<Task<()>>>,
@@ -26,47 +26,47 @@
 }
 
 impl Watches {
-    /// Begins with the first watch, which tells `heard` of its first answer.
-    pub(crate) fn begin(
+    /// Starts the first watch, which sends to `first_answer` at its first answer.
+    pub(crate) fn start(
         tasks: Tasks,
-        desk: Rc<Router>,
-        roster: Rc<Roster>,
+        dispatcher: Rc<StatementDispatcher>,
+        registry: Rc<NodeRegistry>,
         address: SocketAddr,
         seq: u64,
-        heard: Sender<()>,
+        first_answer: Sender<()>,
     ) -> Rc<Watches> {
         let (current, next) = (RefCell::default(), RefCell::default());
-        let (seq, told) = (Rc::new(Cell::new(seq)), address);
+        let seq = Rc::new(Cell::new(seq));
         let watches = Watches {
             tasks,
-            desk,
-            roster,
+            dispatcher,
+            registry,
             seq,
-            address: Cell::new(told),
+            address: Cell::new(address),
             current,
             next,
         };
         let first = watches.watch(address, move || {
-            let _ = heard.try_send(());
+            let _ = first_answer.try_send(());
         });
         *watches.current.borrow_mut() = Some(first);
         Rc::new(watches)
     }
 
-    fn watch(&self, address: SocketAddr, heard: impl Fn() + 'static) -> Task<()> {
+    fn watch(&self, address: SocketAddr, on_answer: impl Fn() + 'static) -> Task<()> {
         let watch = watch::watch(
-            self.desk.clone(),
-            self.roster.clone(),
+            self.dispatcher.clone(),
+            self.registry.clone(),
             address,
             self.seq.clone(),
-            heard,
+            on_answer,
         );
         self.tasks.spawn("discovery", watch)
     }
 
-    /// Discovery is there now. A watch that never told anything ends; the one in use goes on until the new one
-    /// tells something.
-    pub(crate) fn moved(self: &Rc<Self>, address: SocketAddr) {
+    /// Sets the address of discovery. The current watch continues until the new one receives something; an earlier
+    /// replacement that has received nothing ends.
+    pub(crate) fn set_address(self: &Rc<Self>, address: SocketAddr) {
         if self.address.replace(address) == address {
             return;
         }
@@ -79,17 +79,17 @@
         self.next.replace(Some(next));
     }
 
-    /// The next watch has told something: it is the one in use from now on.
+    /// Replaces the current watch by the next one, which has received something.
     fn adopt(&self, address: SocketAddr) {
         if let Some(next) = self.next.take() {
-            tracing::info!("discovery is watched at {address} now");
-            // The one before it ends with its task.
+            tracing::info!("now watching discovery at {address}");
+            // Dropping the task of the previous watch ends it.
             self.current.replace(Some(next));
         }
     }
 }
 
-/// Reads the file anew at each signal, for as long as the router runs.
+/// Reloads the files at each SIGHUP, while the router runs.
 pub(crate) async fn reload(
     mut signals: Signals,
     started: Provision,
@@ -99,37 +99,41 @@
 ) {
     while signals.next().await.is_some() {
         match read() {
-            Ok((told, own)) => {
-                watches.desk.tell(|instance, now| {
-                    instance.configure_succession(own.succession, told.seed);
-                    instance.set_restart_pacing(now, own.recovery, told.seed, &started.name);
-                    instance.set_fleet_sharing(own.fleet, told.seed, &started.name);
-                    watches.roster.name_all(instance);
+            Ok((reloaded, own)) => {
+                watches.dispatcher.update(|instance, now| {
+                    instance.configure_succession(own.succession, reloaded.seed);
+                    instance.set_restart_pacing(now, own.recovery, reloaded.seed, &started.name);
+                    instance.set_fleet_sharing(own.fleet, reloaded.seed, &started.name);
+                    watches.registry.name_all(instance);
                 });
-                watches.moved(told.discovery);
-                budget.resize(told.descriptors);
+                watches.set_address(reloaded.discovery);
+                budget.resize(reloaded.descriptors);
                 tracing::info!(
                     "the file was read again, discovery is at {}",
-                    told.discovery
+                    reloaded.discovery
                 );
                 let fixed = [
-                    ("name", started.name != told.name),
-                    ("listen", started.listen != told.listen),
-                    ("limits.memory_mb", started.memory_mb != told.memory_mb),
-                    ("settings", started.pairs != told.pairs),
+                    ("name", started.name != reloaded.name),
+                    ("listen", started.listen != reloaded.listen),
+                    ("limits.memory_mb", started.memory_mb != reloaded.memory_mb),
+                    ("settings", started.pairs != reloaded.pairs),
                 ];
                 for (field, _) in fixed.iter().filter(|f| f.1) {
-                    tracing::warn!("{field} has changed in the file: that needs a restart");
+                    tracing::warn!(
+                        "{field} has changed in the file: that needs a restart; until then the router keeps the old value"
+                    );
                 }
             }
             Err(problem) => {
-                tracing::error!("the file was not taken, all goes on as before: {problem}");
+                tracing::error!(
+                    "the file was not taken, the router keeps its configuration: {problem}"
+                );
             }
         }
     }
 }
 
-/// To be called before anybody may send SIGHUP: unheard, it would end the process.
-pub(crate) fn signals() -> Result<Signals, String> {
-    Signals::new([Signal::Hup]).map_err(|e| format!("SIGHUP can't be heard: {e}"))
+/// Registers the handler for SIGHUP; without a handler the signal would terminate the process.
+pub(crate) fn hangup_signals() -> Result<Signals, String> {
+    Signals::new([Signal::Hup]).map_err(|e| format!("registering a handler for SIGHUP failed: {e}"))
 }
--- a/crates/runtime/router/src/spawn.rs
+++ b/crates/runtime/router/src/spawn.rs
@@ -1,4 +1,4 @@
-//! Tasks of the one thread. A defect in one must not end the others.
+//! Tasks of the single-threaded executor. A panic in one task does not end the others.
 
 use async_executor::{LocalExecutor, Task};
 use futures_lite::FutureExt;
@@ -12,12 +12,12 @@
 impl Tasks {
     pub(crate) fn spawn(
         &self,
-        what: &'static str,
+        name: &'static str,
         task: impl Future<Output = ()> + 'static,
     ) -> Task<()> {
         self.0.spawn(async move {
             if AssertUnwindSafe(task).catch_unwind().await.is_err() {
-                tracing::error!("{what} has panicked; its connection is closed");
+                tracing::error!("task \"{name}\" panicked; a connection that it served is closed");
             }
         })
     }
--- a/crates/runtime/router/src/belief.rs
+++ b/crates/runtime/router/src/status_log.rs
@@ -1,31 +1,32 @@
-//! What the decisions believe of each node beside what stands on the sockets, a line a node and second at `debug`,
-//! and what was given up by which rule (`badgerstream::tally`).
+//! Periodic debug log: the routing state and connection counts of each node, and the counts of statements given up
+//! by each rule (target `badgerstream::tally`).
 
-use crate::execute::Router;
+use crate::execute::StatementDispatcher;
 use crate::pool::Pool;
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
 
-const PERIOD: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells for as long as the router runs, if anybody wants to know.
-pub(crate) async fn tell(desk: Rc<Router>, pool: Rc<Pool>) {
-    let wanted = || {
+/// Logs once per interval while the router runs and debug logging is enabled for one of the targets.
+pub(crate) async fn log_periodically(dispatcher: Rc<StatementDispatcher>, pool: Rc<Pool>) {
+    let is_enabled = || {
         tracing::enabled!(tracing::Level::DEBUG)
             || tracing::enabled!(target: "badgerstream::tally", tracing::Level::DEBUG)
     };
-    while wanted() {
-        Timer::after(PERIOD).await;
-        desk.tell(|instance, now| {
+    while is_enabled() {
+        Timer::after(LOG_INTERVAL).await;
+        dispatcher.update(|instance, now| {
             instance.count_waiting(now);
             tracing::debug!(target: "badgerstream::tally", "tally {}", instance.tally.log_line());
             for (id, node) in &instance.nodes {
-                let (busy, idle) = pool.stand(*id);
+                let (busy, idle) = pool.connection_counts(*id);
                 let group = &instance.groups[&node.group];
                 tracing::debug!(
-                    "node {id} of group {}: {:?}{}, {} out and {busy} busy, {idle} idle, room {:.1}, strain {:.2}, \
-                     pace {:.3} s, heard {:.2} s ago, position {:.2} s old, {} faults, suspect {}, {} wait for the group",
+                    "node {id} of group {}: {:?}{}, {} executions in flight, {busy} connections busy, {idle} idle, \
+                     concurrency limit {:.1}, congestion {:.2}, latency {:.3} s, last heard {:.2} s ago, \
+                     position {:.2} s old, {} faults, suspect {}, {} statements waiting for the group",
                     node.group,
                     node.status,
                     if group.primary == Some(*id) { " primary" } else { "" },
--- a/crates/runtime/router/src/tests/clients.rs
+++ b/crates/runtime/router/src/tests/clients.rs
@@ -1,10 +1,10 @@
 //! Clients' connections from end to end, against a stand-in for a node.
 
 use super::Script::{Answers, Hangs};
-use super::{READ, Script, answer, carried, desk, kinds, messages, node, run};
+use super::{READ, Script, answer, carried, dispatcher, kinds, messages, node, run};
 use crate::budget::Budget;
-use crate::client::Names;
-use crate::execute::Router;
+use crate::client::NameIndex;
+use crate::execute::StatementDispatcher;
 use crate::listen::listen;
 use crate::spawn::Tasks;
 use async_io::Async;
@@ -14,38 +14,40 @@
 use std::rc::Rc;
 use test_case::test_case;
 
-/// A router before one stand-in: where it listens, its desk and its descriptors.
+/// A router before one stand-in: where it listens, its dispatcher and its descriptors.
 fn router(
     tasks: &Tasks,
     script: Script,
     descriptors: usize,
-) -> (SocketAddr, Rc<Router>, Rc<Budget>) {
-    let (desk, roster) = desk(&[node(&[script])]);
+) -> (SocketAddr, Rc<StatementDispatcher>, Rc<Budget>) {
+    let (dispatcher, registry) = dispatcher(&[node(&[script])]);
     let budget = Budget::new(descriptors);
     let pool = super::pool(tasks, &budget);
     tasks
         .spawn(
             "the decisions",
-            desk.clone().run(carried(tasks, &desk, &pool, &roster)),
+            dispatcher
+                .clone()
+                .run(carried(tasks, &dispatcher, &pool, &registry)),
         )
         .detach();
     let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     let names = ["any", "write"].map(str::to_string).to_vec();
     let (names, memory) = (
-        Rc::new(Names::new(names, kinds(), Vec::new())),
+        Rc::new(NameIndex::new(names, kinds(), Vec::new())),
         Memory::new(1 << 18),
     );
     let accept = listen(
         listener,
         tasks.clone(),
-        desk.clone(),
+        dispatcher.clone(),
         names,
         memory,
         budget.clone(),
     );
     tasks.spawn("the listener", accept).detach();
-    (address, desk, budget)
+    (address, dispatcher, budget)
 }
 
 struct Caller(Async<TcpStream>);
@@ -126,18 +128,20 @@
 #[test]
 fn a_client_that_leaves_is_told_at_once() {
     let tasks = Tasks::default();
-    let (address, desk, budget) = router(&tasks, Hangs, 1024);
+    let (address, dispatcher, budget) = router(&tasks, Hangs, 1024);
     run(&tasks, async {
         let mut caller = Caller::new(address, READ).await;
         assert_eq!(caller.heard().await, "RSSSZ");
-        while desk.tell(|instance, _| instance.nodes[&0].in_flight == 0) {
+        while dispatcher.update(|instance, _| instance.nodes[&0].in_flight == 0) {
             futures_lite::future::yield_now().await;
         }
         drop(caller);
-        while budget.clients() > 0 || desk.tell(|instance, _| instance.nodes[&0].in_flight > 0) {
+        while budget.clients() > 0
+            || dispatcher.update(|instance, _| instance.nodes[&0].in_flight > 0)
+        {
             futures_lite::future::yield_now().await;
         }
-        desk.tell(|instance, _| assert!(instance.statements.is_empty()));
+        dispatcher.update(|instance, _| assert!(instance.statements.is_empty()));
     });
 }
 
@@ -151,7 +155,7 @@
             (idle.heard().await, idle.heard().await),
             ("RSSSZ".to_string(), "IZ".to_string())
         );
-        budget.close_all_but_silent();
+        budget.close_idle_clients();
         assert_eq!(idle.heard().await, "end");
         // Who still comes is answered, and closed behind the answer.
         let mut late = Caller::new(address, READ).await;
@@ -231,18 +235,21 @@
 #[test]
 fn an_id_that_is_open_is_not_taken_again() {
     let tasks = Tasks::default();
-    let (address, desk, _) = router(&tasks, Hangs, 1024);
+    let (address, dispatcher, _) = router(&tasks, Hangs, 1024);
     run(&tasks, async {
         let mut first = Caller::new(address, READ).await;
         assert_eq!(first.heard().await, "RSSSZ");
-        let out = || desk.tell(|instance, _| instance.nodes[&0].in_flight);
+        let out = || dispatcher.update(|instance, _| instance.nodes[&0].in_flight);
         while out() == 0 {
             futures_lite::future::yield_now().await;
         }
         let mut second = Caller::new(address, READ).await;
         assert_eq!(second.heard().await + &second.heard().await, "RSSSZE42710Z");
         assert_eq!(
-            (out(), desk.tell(|instance, _| instance.statements.len())),
+            (
+                out(),
+                dispatcher.update(|instance, _| instance.statements.len())
+            ),
             (1, 1),
             "the first goes on"
         );
--- a/crates/runtime/router/src/tests/decide.rs
+++ b/crates/runtime/router/src/tests/decide.rs
@@ -1,14 +1,14 @@
 //! The way into the decisions: exactly one answer a statement, and the truth of executions.
 
-use super::{desk, ended, node, settled};
-use crate::decide::{Desk, Final, Order, Ticket};
+use super::{dispatcher, ended, node, settled};
+use crate::decide::{Dispatcher, Final, Order, Ticket};
 use crate::spawn::Tasks;
 use badgerstream_routing::{ExecutionOutcome, NodeStatus};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use test_case::test_case;
 
-type Any = Desk<&'static str, &'static str>;
+type Any = Dispatcher<&'static str, &'static str>;
 
 fn nodes() -> Vec<SocketAddr> {
     (1..4)
@@ -18,9 +18,9 @@
 
 /// A read that was taken, and the execution that it was sent on.
 fn sent() -> (Rc<Any>, Ticket<&'static str, &'static str>, u32, u8) {
-    let (desk, _) = desk(&nodes());
-    let ticket = desk.arrived("read", 0, 2, 0, 0, 60.0, None);
-    let mut orders = settled(&desk);
+    let (dispatcher, _) = dispatcher(&nodes());
+    let ticket = dispatcher.arrived("read", 0, 2, 0, 0, 60.0, None);
+    let mut orders = settled(&dispatcher);
     let Some(Order::Execute {
         stmt,
         execution,
@@ -31,7 +31,7 @@
         panic!("nothing sent")
     };
     assert!(orders.is_empty() && *statement == "read");
-    (desk, ticket, stmt, execution)
+    (dispatcher, ticket, stmt, execution)
 }
 
 fn answer(tasks: &Tasks, ticket: &Ticket<&'static str, &'static str>) -> Final<&'static str> {
@@ -41,8 +41,8 @@
 #[test]
 fn a_completion_is_the_answer() {
     let tasks = Tasks::default();
-    let (desk, ticket, stmt, execution) = sent();
-    desk.out(stmt, execution).ended(
+    let (dispatcher, ticket, stmt, execution) = sent();
+    dispatcher.running_execution(stmt, execution).ended(
         ExecutionOutcome::Completed,
         None,
         f64::NEG_INFINITY,
@@ -50,8 +50,8 @@
         Some("row"),
     );
     assert_eq!(answer(&tasks, &ticket), Final::Completed("row"));
-    settled(&desk);
-    desk.tell(|instance, _| {
+    settled(&dispatcher);
+    dispatcher.update(|instance, _| {
         assert!(instance.statements.is_empty(), "it is over there, too");
         assert_eq!(
             instance.nodes.values().map(|n| n.in_flight).sum::<usize>(),
@@ -63,8 +63,8 @@
 #[test]
 fn the_second_completion_of_a_statement_goes_nowhere() {
     let tasks = Tasks::default();
-    let (desk, ticket, stmt, execution) = sent();
-    let [first, late] = [0, 1].map(|_| desk.out(stmt, execution));
+    let (dispatcher, ticket, stmt, execution) = sent();
+    let [first, late] = [0, 1].map(|_| dispatcher.running_execution(stmt, execution));
     first.ended(
         ExecutionOutcome::Completed,
         None,
@@ -89,44 +89,44 @@
 
 #[test]
 fn an_execution_that_fails_is_sent_anew() {
-    let (desk, _ticket, stmt, execution) = sent();
-    desk.out(stmt, execution).ended(
+    let (dispatcher, _ticket, stmt, execution) = sent();
+    dispatcher.running_execution(stmt, execution).ended(
         ExecutionOutcome::Rejected,
         None,
         f64::NEG_INFINITY,
         None,
         None,
     );
-    let orders = settled(&desk);
+    let orders = settled(&dispatcher);
     assert!(matches!(orders[..], [Order::Execute { execution: 1, .. }]));
 }
 
 #[test]
 fn an_execution_that_is_lost_without_a_word_may_have_run() {
-    let (desk, _ticket, stmt, execution) = sent();
-    drop(desk.out(stmt, execution));
-    assert_eq!(ended(&desk), Some(ExecutionOutcome::ConnectionLost));
+    let (dispatcher, _ticket, stmt, execution) = sent();
+    drop(dispatcher.running_execution(stmt, execution));
+    assert_eq!(ended(&dispatcher), Some(ExecutionOutcome::ConnectionLost));
 }
 
 #[test]
 fn a_client_that_left_frees_its_executions() {
-    let (desk, _) = desk::<&str, &str>(&nodes());
-    let ticket = desk.arrived("read", 0, 2, 0, 0, 60.0, None);
+    let (dispatcher, _) = dispatcher::<&str, &str>(&nodes());
+    let ticket = dispatcher.arrived("read", 0, 2, 0, 0, 60.0, None);
     let Some(Order::Execute {
         stmt,
         execution,
-        unwanted,
+        cancelled,
         ..
-    }) = settled(&desk).pop()
+    }) = settled(&dispatcher).pop()
     else {
         panic!("unsent")
     };
-    assert!(!unwanted.is_closed());
+    assert!(!cancelled.is_closed());
     drop(ticket);
-    assert!(settled(&desk).is_empty() && unwanted.is_closed());
-    desk.tell(|instance, _| assert!(instance.statements.is_empty()));
+    assert!(settled(&dispatcher).is_empty() && cancelled.is_closed());
+    dispatcher.update(|instance, _| assert!(instance.statements.is_empty()));
     // Two ends of one execution count once, and an answer goes nowhere.
-    let [first, second] = [0, 1].map(|_| desk.out(stmt, execution));
+    let [first, second] = [0, 1].map(|_| dispatcher.running_execution(stmt, execution));
     first.ended(
         ExecutionOutcome::Cancelled,
         None,
@@ -141,7 +141,7 @@
         None,
         Some("row"),
     );
-    desk.tell(|instance, _| {
+    dispatcher.update(|instance, _| {
         assert_eq!(
             instance.nodes.values().map(|n| n.in_flight).sum::<usize>(),
             0
@@ -156,8 +156,8 @@
 
 #[test]
 fn a_settling_takes_no_wake_back() {
-    let (desk, _) = desk::<&str, &str>(&nodes());
-    let beat = || desk.settle(&|_| {});
+    let (dispatcher, _) = dispatcher::<&str, &str>(&nodes());
+    let beat = || dispatcher.settle(&|_| {});
     assert!(beat().is_some());
     assert!(
         beat().is_some(),
@@ -168,51 +168,51 @@
 #[test]
 fn no_time_left_means_an_answer_at_once() {
     let tasks = Tasks::default();
-    let (desk, _) = desk::<&str, &str>(&nodes());
-    let ticket = desk.arrived("read", 0, 2, 0, 0, 0.0, None);
-    assert!(settled(&desk).is_empty());
+    let (dispatcher, _) = dispatcher::<&str, &str>(&nodes());
+    let ticket = dispatcher.arrived("read", 0, 2, 0, 0, 0.0, None);
+    assert!(settled(&dispatcher).is_empty());
     assert_eq!(answer(&tasks, &ticket), Final::Rejected(0.0));
 }
 
 #[test_case(NodeStatus::Ready, true; "in service")]
 #[test_case(NodeStatus::Gone, false; "gone")]
 fn what_let_it_go_is_looked_at_again(standing: NodeStatus, expected: bool) {
-    let (desk, _ticket, stmt, _) = sent();
-    desk.tell(|instance, now| {
+    let (dispatcher, _ticket, stmt, _) = sent();
+    dispatcher.update(|instance, now| {
         instance
             .nodes
             .get_mut(&1)
             .unwrap()
             .set_status(standing, now);
     });
-    assert_eq!(desk.still_stands(stmt, 1), expected);
+    assert_eq!(dispatcher.may_still_send(stmt, 1), expected);
     assert!(
-        !desk.still_stands(stmt + 1, 1) && !desk.still_stands(stmt, 9),
+        !dispatcher.may_still_send(stmt + 1, 1) && !dispatcher.may_still_send(stmt, 9),
         "neither is known"
     );
 }
 
 #[test]
 fn a_read_that_waited_too_long_for_its_connection_is_not_sent() {
-    let (desk, _ticket, stmt, _) = sent();
-    desk.tell(|instance, now| {
+    let (dispatcher, _ticket, stmt, _) = sent();
+    dispatcher.update(|instance, now| {
         let s = instance.statements.get_mut(&stmt).unwrap();
         s.workload.consistency = badgerstream_routing::Consistency::Recent { max_age_s: 0.5 };
         instance.nodes.get_mut(&1).unwrap().lsn = now - 0.6;
     });
-    assert!(!desk.still_stands(stmt, 1));
+    assert!(!dispatcher.may_still_send(stmt, 1));
 }
 
 #[test]
 fn positions_share_the_clock() {
-    let (desk, _) = desk::<&str, &str>(&[node(&[super::Script::Hangs])]);
+    let (dispatcher, _) = dispatcher::<&str, &str>(&[node(&[super::Script::Hangs])]);
     let unix = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
         .as_secs_f64();
-    desk.tell(|_, now| assert!((now - unix).abs() < 60.0));
-    let _ticket = desk.arrived("read", 0, 2, 5, 0, 60.0, Some(unix + 0.0005));
-    desk.tell(|instance, _| {
+    dispatcher.update(|_, now| assert!((now - unix).abs() < 60.0));
+    let _ticket = dispatcher.arrived("read", 0, 2, 5, 0, 60.0, Some(unix + 0.0005));
+    dispatcher.update(|instance, _| {
         let owed = instance.statements.values().next().unwrap().required_lsn;
         assert!(
             owed > unix,
--- a/crates/runtime/router/src/tests/mod.rs
+++ b/crates/runtime/router/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the router's tests share: a desk with one group of nodes, and stand-ins that listen on free ports.
+//! What the router's tests share: a dispatcher with one group of nodes, and stand-ins that listen on free ports.
 
 mod clients;
 mod decide;
@@ -8,12 +8,12 @@
 mod watch;
 
 use crate::budget::Budget;
-use crate::decide::{Clock, Desk, Order};
-use crate::execute::Router;
-use crate::gate::Gate;
+use crate::decide::{Clock, Dispatcher, Order};
+use crate::execute::StatementDispatcher;
 use crate::pool::Pool;
+use crate::restart_pacing::RestartPacing;
 use crate::spawn::Tasks;
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use badgerstream_postgres_protocol::comment::Statement;
 use badgerstream_postgres_protocol::message::{self, put};
 use badgerstream_postgres_protocol::{Memory, Ring};
@@ -82,12 +82,18 @@
     )
 }
 
-pub(crate) fn desk<S: 'static, A: 'static>(dials: &[SocketAddr]) -> (Rc<Desk<S, A>>, Rc<Roster>) {
-    let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
-    roster
-        .list(&mut born, clock.now(), &listed(1, dials))
+pub(crate) fn dispatcher<S: 'static, A: 'static>(
+    dials: &[SocketAddr],
+) -> (Rc<Dispatcher<S, A>>, Rc<NodeRegistry>) {
+    let (mut born, clock, registry) = (
+        instance(),
+        Clock::new(),
+        NodeRegistry::new(vec!["a".to_string()]),
+    );
+    registry
+        .apply_list(&mut born, clock.now(), &listed(1, dials))
         .unwrap();
-    (Desk::new(born, clock), roster)
+    (Dispatcher::new(born, clock), registry)
 }
 
 /// With times so generous that no verdict hangs on how fast the machine is.
@@ -96,28 +102,28 @@
         tasks.clone(),
         budget.clone(),
         Memory::new(usize::MAX),
-        Gate::open(),
+        RestartPacing::disabled(),
         60.0,
         600.0,
     )
 }
 
 /// The same with decisions on what may be opened.
-pub(crate) fn pool_behind(tasks: &Tasks, gate: Gate) -> Rc<Pool> {
+pub(crate) fn pool_behind(tasks: &Tasks, restart_pacing: RestartPacing) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
         Budget::new(1024),
         Memory::new(usize::MAX),
-        gate,
+        restart_pacing,
         60.0,
         600.0,
     )
 }
 
 /// What a settling orders.
-pub(crate) fn settled<S: 'static, A: 'static>(desk: &Rc<Desk<S, A>>) -> Vec<Order<S>> {
+pub(crate) fn settled<S: 'static, A: 'static>(dispatcher: &Rc<Dispatcher<S, A>>) -> Vec<Order<S>> {
     let orders = RefCell::new(Vec::new());
-    desk.settle(&|order| {
+    dispatcher.settle(&|order| {
         orders.borrow_mut().push(order);
     });
     orders.into_inner()
@@ -132,8 +138,10 @@
 }
 
 /// How the first execution of a statement ended, by what the instance was told.
-pub(crate) fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<ExecutionOutcome> {
-    desk.tell(|instance, _| {
+pub(crate) fn ended<S: 'static, A: 'static>(
+    dispatcher: &Dispatcher<S, A>,
+) -> Option<ExecutionOutcome> {
+    dispatcher.update(|instance, _| {
         instance
             .statements
             .values()
@@ -145,13 +153,19 @@
 /// Executes orders for real, against the stand-ins.
 pub(crate) fn carried(
     tasks: &Tasks,
-    desk: &Rc<Router>,
+    dispatcher: &Rc<StatementDispatcher>,
     pool: &Rc<Pool>,
-    roster: &Rc<Roster>,
+    registry: &Rc<NodeRegistry>,
 ) -> impl Fn(Order<Statement>) + use<> {
-    let (tasks, desk, pool, roster) = (tasks.clone(), desk.clone(), pool.clone(), roster.clone());
+    let (tasks, dispatcher, pool, registry) = (
+        tasks.clone(),
+        dispatcher.clone(),
+        pool.clone(),
+        registry.clone(),
+    );
     move |order| {
-        let work = crate::execute::carry(desk.clone(), pool.clone(), roster.clone(), order);
+        let work =
+            crate::execute::run_order(dispatcher.clone(), pool.clone(), registry.clone(), order);
         tasks.spawn("an execution", work).detach();
     }
 }
--- a/crates/runtime/router/src/tests/nodes.rs
+++ b/crates/runtime/router/src/tests/nodes.rs
@@ -1,7 +1,9 @@
 //! Executions on real connections, against stand-ins: what proves a statement unrun, and what does not.
 
 use super::Script::{Answers, AnswersOnce, Greets, Hangs};
-use super::{Script, answer, carried, desk, ended, error, messages, node, row, run, statement};
+use super::{
+    Script, answer, carried, dispatcher, ended, error, messages, node, row, run, statement,
+};
 use crate::budget::Budget;
 use crate::decide::{Final, Order};
 use crate::pool::Pool;
@@ -18,20 +20,20 @@
 /// The ending of one execution with this limit, on a connection that is there already or not.
 fn executed(address: SocketAddr, limit: f64, connected: bool) -> Option<ExecutionOutcome> {
     let tasks = Tasks::default();
-    let (desk, roster) = desk(&[address]);
+    let (dispatcher, registry) = dispatcher(&[address]);
     let pool = pool(&tasks);
     if connected {
-        let connection = run(&tasks, pool.take(0, address)).unwrap().0;
-        pool.put(0, connection);
+        let connection = run(&tasks, pool.acquire(0, address)).unwrap().0;
+        pool.release(0, connection);
     }
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    let orders = super::settled(&desk);
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let orders = super::settled(&dispatcher);
     let Some(Order::Execute {
         stmt,
         execution,
         node,
         statement,
-        unwanted,
+        cancelled,
         ..
     }) = orders.into_iter().next()
     else {
@@ -42,15 +44,15 @@
         execution,
         node,
         limit,
-        asks: false,
+        is_inquiry: false,
         statement,
-        unwanted,
+        cancelled,
     };
     run(
         &tasks,
-        crate::execute::carry(desk.clone(), pool, roster, order),
+        crate::execute::run_order(dispatcher.clone(), pool, registry, order),
     );
-    ended(&desk)
+    ended(&dispatcher)
 }
 
 #[test_case(&[Answers(answer)], ExecutionOutcome::Completed; "a row")]
@@ -74,11 +76,11 @@
 #[test]
 fn what_no_longer_stands_once_its_connection_is_up_is_not_written() {
     let tasks = Tasks::default();
-    let (desk, roster) = desk(&[node(&[Answers(answer)])]);
+    let (dispatcher, registry) = dispatcher(&[node(&[Answers(answer)])]);
     let pool = pool(&tasks);
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    let order = super::settled(&desk).pop().expect("sent");
-    desk.tell(|instance, now| {
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let order = super::settled(&dispatcher).pop().expect("sent");
+    dispatcher.update(|instance, now| {
         instance
             .nodes
             .get_mut(&0)
@@ -87,10 +89,10 @@
     });
     run(
         &tasks,
-        crate::execute::carry(desk.clone(), pool.clone(), roster, order),
+        crate::execute::run_order(dispatcher.clone(), pool.clone(), registry, order),
     );
     assert_eq!(
-        (ended(&desk), pool.idle()),
+        (ended(&dispatcher), pool.idle()),
         (Some(ExecutionOutcome::NeverIssued), 1)
     );
 }
@@ -99,25 +101,25 @@
 #[test_case(true, ExecutionOutcome::Cancelled; "under way")]
 fn what_is_no_longer_wanted_ends(connected: bool, expected: ExecutionOutcome) {
     let tasks = Tasks::default();
-    let (desk, roster) = desk(&[node(&[Hangs])]);
+    let (dispatcher, registry) = dispatcher(&[node(&[Hangs])]);
     let pool = pool(&tasks);
     if connected {
-        let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap()))
+        let connection = run(&tasks, pool.acquire(0, registry.address(0).unwrap()))
             .unwrap()
             .0;
-        pool.put(0, connection);
+        pool.release(0, connection);
     }
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    let order = super::settled(&desk).pop().expect("sent");
-    let Order::Execute { unwanted, .. } = &order else {
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let order = super::settled(&dispatcher).pop().expect("sent");
+    let Order::Execute { cancelled, .. } = &order else {
         panic!("no execution")
     };
-    unwanted.close();
+    cancelled.close();
     run(
         &tasks,
-        crate::execute::carry(desk.clone(), pool, roster, order),
+        crate::execute::run_order(dispatcher.clone(), pool, registry, order),
     );
-    assert_eq!(ended(&desk), Some(expected));
+    assert_eq!(ended(&dispatcher), Some(expected));
 }
 
 #[test]
@@ -154,13 +156,13 @@
     let pool = pool(&tasks);
     run(&tasks, async {
         for round in 0..3 {
-            let (mut connection, waited) = pool.take(0, address).await.unwrap();
+            let (mut connection, waited) = pool.acquire(0, address).await.unwrap();
             assert_eq!(waited, round == 0);
             connection
                 .query("SELECT 1", &Default::default())
                 .await
                 .unwrap();
-            pool.put(0, connection);
+            pool.release(0, connection);
         }
     });
 }
@@ -173,17 +175,17 @@
     );
     let pool = pool(&tasks);
     run(&tasks, async {
-        let (mut connection, _) = pool.take(0, address).await.unwrap();
+        let (mut connection, _) = pool.acquire(0, address).await.unwrap();
         connection
             .query("SELECT 1", &Default::default())
             .await
             .unwrap();
-        pool.put(0, connection);
+        pool.release(0, connection);
         // The stand-in closes it; that is seen without a statement.
         while pool.idle() > 0 {
             futures_lite::future::yield_now().await;
         }
-        let (mut connection, waited) = pool.take(0, address).await.unwrap();
+        let (mut connection, waited) = pool.acquire(0, address).await.unwrap();
         assert!(waited, "a new one was opened");
         assert!(
             connection
@@ -200,14 +202,14 @@
     let (tasks, address) = (Tasks::default(), node(&[script]));
     let pool = pool(&tasks);
     run(&tasks, async {
-        let (mut connection, _) = pool.take(0, address).await.unwrap();
+        let (mut connection, _) = pool.acquire(0, address).await.unwrap();
         assert!(
             connection
                 .query("SELECT 1", &Default::default())
                 .await
                 .is_ok()
         );
-        pool.put(0, connection);
+        pool.release(0, connection);
         assert_eq!(pool.idle(), 0);
     });
 }
@@ -218,9 +220,9 @@
     let (before, now) = (node(&[Answers(answer)]), node(&[Answers(answer)]));
     let pool = pool(&tasks);
     run(&tasks, async {
-        let (connection, _) = pool.take(0, before).await.unwrap();
-        pool.put(0, connection);
-        assert!(pool.take(0, now).await.unwrap().1);
+        let (connection, _) = pool.acquire(0, before).await.unwrap();
+        pool.release(0, connection);
+        assert!(pool.acquire(0, now).await.unwrap().1);
         assert_eq!(pool.idle(), 0);
     });
 }
@@ -230,13 +232,13 @@
     let (tasks, address) = (Tasks::default(), node(&[Answers(answer), Hangs]));
     let pool = pool(&tasks);
     run(&tasks, async {
-        let (connection, _) = pool.take(0, address).await.unwrap();
+        let (connection, _) = pool.acquire(0, address).await.unwrap();
         // Its own would never come up: nobody greets there.
         let silent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-        let waits = pool.take(0, silent.local_addr().unwrap());
+        let waits = pool.acquire(0, silent.local_addr().unwrap());
         let frees = async {
             futures_lite::future::yield_now().await;
-            pool.put(0, connection);
+            pool.release(0, connection);
             std::future::pending().await
         };
         assert!(futures_lite::future::or(waits, frees).await.is_ok());
@@ -251,14 +253,14 @@
     run(&tasks, async {
         let mut taken = Vec::new();
         for _ in 0..8 {
-            taken.push(pool.take(0, address).await.unwrap().0);
+            taken.push(pool.acquire(0, address).await.unwrap().0);
         }
-        let mut waits = std::pin::pin!(pool.take(1, address));
+        let mut waits = std::pin::pin!(pool.acquire(1, address));
         assert!(
             futures_lite::future::poll_once(&mut waits).await.is_none(),
             "all are at work"
         );
-        pool.put(0, taken.pop().unwrap());
+        pool.release(0, taken.pop().unwrap());
         assert!(
             waits.await.is_ok(),
             "the idle one made room for another node's"
@@ -269,15 +271,17 @@
 #[test]
 fn a_statement_goes_through_to_its_answer() {
     let tasks = Tasks::default();
-    let (desk, roster) = desk(&[node(&[Answers(answer)])]);
+    let (dispatcher, registry) = dispatcher(&[node(&[Answers(answer)])]);
     let pool = pool(&tasks);
     tasks
         .spawn(
             "the decisions",
-            desk.clone().run(carried(&tasks, &desk, &pool, &roster)),
+            dispatcher
+                .clone()
+                .run(carried(&tasks, &dispatcher, &pool, &registry)),
         )
         .detach();
-    let ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     assert_eq!(run(&tasks, ticket.answer()), Final::Completed(row()));
 }
 
@@ -292,12 +296,12 @@
         );
         messages(&[described, (b'D', value), (b'C', b"SHOW\0"), (b'Z', b"I")])
     };
-    let (desk, roster) = desk(&[node(&[Answers(vitals)])]);
+    let (dispatcher, registry) = dispatcher(&[node(&[Answers(vitals)])]);
     run(
         &tasks,
-        crate::probe::probe(desk.clone(), pool(&tasks), roster, 0),
+        crate::probe::probe(dispatcher.clone(), pool(&tasks), registry, 0),
     );
-    desk.tell(|instance, _| {
+    dispatcher.update(|instance, _| {
         assert_eq!(
             (instance.nodes[&0].lsn, instance.nodes[&0].denied_primary_at),
             (4.999, 4.999)
--- a/crates/runtime/router/src/tests/parts.rs
+++ b/crates/runtime/router/src/tests/parts.rs
@@ -1,10 +1,10 @@
 //! The small parts: what ends mean, the shared descriptors, idle clients, lists that change.
 
 use super::{instance, listed};
-use crate::budget::{Budget, Kind, Place};
-use crate::ending;
+use crate::budget::{Budget, IdleEntry, WaitKind};
+use crate::outcome;
 use crate::spawn::Tasks;
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::{ExecutionOutcome, NodeStatus};
 use futures_lite::{FutureExt, future};
@@ -75,8 +75,8 @@
 ) {
     assert_eq!(
         (
-            ending::of_close(close, false),
-            ending::of_close(close, true)
+            outcome::from_close(close, false),
+            outcome::from_close(close, true)
         ),
         (unwritten, written)
     );
@@ -97,10 +97,10 @@
 }
 
 /// Who of these is asked to close, in this order.
-fn asked(places: &[&Place]) -> Vec<usize> {
+fn asked(places: &[&IdleEntry]) -> Vec<usize> {
     let tasks = Tasks::default();
     let is_asked =
-        |i: &usize| super::run(&tasks, future::poll_once(places[*i].unwanted())).is_some();
+        |i: &usize| super::run(&tasks, future::poll_once(places[*i].close_requested())).is_some();
     (0..places.len()).filter(is_asked).collect()
 }
 
@@ -109,46 +109,50 @@
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..5).map(|_| budget.for_client().unwrap()).collect();
     let kinds = [
-        Kind::Node,
-        Kind::Client,
-        Kind::Silent,
-        Kind::Silent,
-        Kind::Client,
+        WaitKind::IdleNode,
+        WaitKind::IdleClient,
+        WaitKind::Incomplete,
+        WaitKind::Incomplete,
+        WaitKind::IdleClient,
     ];
     let mut places: Vec<_> = leases
         .iter()
         .zip(kinds)
-        .map(|(l, kind)| l.wait(kind))
+        .map(|(l, kind)| l.register_idle(kind))
         .collect();
     // A silent one that reads a byte keeps its turn: it came when it came.
     drop(places.remove(2));
-    places.insert(2, leases[2].wait(Kind::Silent));
+    places.insert(2, leases[2].register_idle(WaitKind::Incomplete));
     for expected in [&[2][..], &[2, 3], &[0, 2, 3], &[0, 1, 2, 3]] {
-        assert!(budget.make_room());
+        assert!(budget.close_one_idle());
         assert_eq!(asked(&places.iter().collect::<Vec<_>>()), expected);
     }
     drop(places);
-    assert!(!budget.make_room(), "who is at work does not wait");
+    assert!(!budget.close_one_idle(), "who is at work does not wait");
 }
 
 #[test]
 fn at_the_end_who_has_just_come_is_closed_last() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..3).map(|_| budget.for_client().unwrap()).collect();
-    let [silent, client, node] = [(0, Kind::Silent), (1, Kind::Client), (2, Kind::Node)]
-        .map(|(i, kind)| leases[i].wait(kind));
-    budget.close_all_but_silent();
+    let [silent, client, node] = [
+        (0, WaitKind::Incomplete),
+        (1, WaitKind::IdleClient),
+        (2, WaitKind::IdleNode),
+    ]
+    .map(|(i, kind)| leases[i].register_idle(kind));
+    budget.close_idle_clients();
     assert_eq!(
         asked(&[&silent, &client, &node]),
         [1],
         "its first statement may be on its way"
     );
     assert_eq!(
-        asked(&[&leases[1].wait(Kind::Client)]),
+        asked(&[&leases[1].register_idle(WaitKind::IdleClient)]),
         [0],
         "who falls idle later closes, too"
     );
-    budget.close_all();
+    budget.close_all_clients();
     assert_eq!(asked(&[&silent, &client, &node]), [0, 1]);
 }
 
@@ -162,25 +166,25 @@
         .take(6)
         .for_each(|lease| lease.connected());
     let kinds = [
-        Kind::Client,
-        Kind::Client,
-        Kind::Silent,
-        Kind::Client,
-        Kind::Client,
-        Kind::Client,
-        Kind::Node,
+        WaitKind::IdleClient,
+        WaitKind::IdleClient,
+        WaitKind::Incomplete,
+        WaitKind::IdleClient,
+        WaitKind::IdleClient,
+        WaitKind::IdleClient,
+        WaitKind::IdleNode,
     ];
     let places: Vec<_> = leases
         .iter()
         .zip(kinds)
-        .map(|(lease, kind)| lease.wait(kind))
+        .map(|(lease, kind)| lease.register_idle(kind))
         .collect();
-    budget.thin_out(Duration::from_secs(60));
+    budget.close_excess_idle_clients(Duration::from_secs(60));
     assert!(
         asked(&places.iter().collect::<Vec<_>>()).is_empty(),
         "nobody has waited for long"
     );
-    budget.thin_out(Duration::ZERO);
+    budget.close_excess_idle_clients(Duration::ZERO);
     assert_eq!(
         asked(&places.iter().collect::<Vec<_>>()),
         [0, 1],
@@ -200,7 +204,7 @@
 
 #[test]
 fn lines_that_peers_can_cause_are_counted_not_written() {
-    let seldom = crate::wire::Seldom::new();
+    let seldom = crate::wire::LogThrottle::new();
     assert_eq!(
         (seldom.due(), seldom.due(), seldom.due()),
         (Some(0), None, None)
@@ -237,19 +241,19 @@
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    let (mut born, roster) = (instance(), Roster::new(Vec::new()));
+    let (mut born, registry) = (instance(), NodeRegistry::new(Vec::new()));
     for day in 0..100 {
         let now = 100.0 * f64::from(day);
         let mut list = listed(1, &dials);
         for host in list["hosts"].as_array_mut().unwrap() {
             host["host"] = format!("{}-{day}", host["host"]).into();
         }
-        roster.list(&mut born, now, &list).unwrap();
-        roster.forget(&born.forget_gone(now + 50.0));
+        registry.apply_list(&mut born, now, &list).unwrap();
+        registry.remove(&born.forget_gone(now + 50.0));
     }
     // The last two, and the two before them, which are gone for half a minute.
     assert_eq!((born.nodes.len(), born.groups[&2].members.len()), (4, 4));
-    assert!(roster.dial(0) == Err(Close::Refused) && roster.dial(199).is_ok());
+    assert!(registry.address(0) == Err(Close::Refused) && registry.address(199).is_ok());
 }
 
 #[test]
@@ -257,11 +261,14 @@
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    let (mut born, roster) = (instance(), Roster::new(Vec::new()));
-    assert_eq!(roster.list(&mut born, 1.0, &listed(41, &dials)), Ok(41));
+    let (mut born, registry) = (instance(), NodeRegistry::new(Vec::new()));
+    assert_eq!(
+        registry.apply_list(&mut born, 1.0, &listed(41, &dials)),
+        Ok(41)
+    );
     let change = json!({"seq": 43, "whole": false, "hosts": [
         {"host": "s-1", "dial": "127.0.0.9:9", "site": "a", "block": 2, "health": "terminating", "born_ms": 0}]});
-    assert_eq!(roster.list(&mut born, 2.0, &change), Ok(43));
+    assert_eq!(registry.apply_list(&mut born, 2.0, &change), Ok(43));
     assert_eq!(
         (born.nodes[&0].status, born.nodes[&1].status),
         (NodeStatus::Ready, NodeStatus::Draining)
@@ -269,13 +276,13 @@
     assert_eq!(
         (
             born.nodes[&1].unavailable_since,
-            roster.dial(1).unwrap().port(),
-            roster.dial(0).unwrap().port()
+            registry.address(1).unwrap().port(),
+            registry.address(0).unwrap().port()
         ),
         (2.0, 9, 1)
     );
-    roster
-        .list(&mut born, 3.0, &listed(44, &dials[..1]))
+    registry
+        .apply_list(&mut born, 3.0, &listed(44, &dials[..1]))
         .unwrap();
     assert_eq!(
         born.nodes[&1].status,
@@ -283,8 +290,8 @@
         "a whole list leaves it out"
     );
     assert!(
-        roster
-            .list(
+        registry
+            .apply_list(
                 &mut born,
                 4.0,
                 &json!({"seq": 45, "whole": true, "hosts": [{}]})
--- a/crates/runtime/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -2,12 +2,12 @@
 
 use super::Script::{Answers, AnswersLate};
 use super::{answer, ended, instance, listed, node, pool_behind, run, settled, statement};
-use crate::decide::{Clock, Desk, Order};
-use crate::execute::Router;
-use crate::gate::Gate;
+use crate::decide::{Clock, Dispatcher, Order};
+use crate::execute::StatementDispatcher;
 use crate::pool::Pool;
+use crate::restart_pacing::RestartPacing;
 use crate::spawn::Tasks;
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use async_io::Timer;
 use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::ExecutionOutcome;
@@ -23,7 +23,7 @@
 const MOMENT: Duration = Duration::from_millis(50);
 
 /// A router that has just started, with times so generous that only what is told leads on.
-fn returning(dials: &[SocketAddr], linger_ms: f64) -> (Rc<Router>, Rc<Roster>) {
+fn returning(dials: &[SocketAddr], linger_ms: f64) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
     let settings = Settings {
         list_wait_ms: EVER,
         sounding_ms: EVER,
@@ -31,30 +31,41 @@
         linger_ms,
         ..Settings::default()
     };
-    let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
+    let (mut born, clock, registry) = (
+        instance(),
+        Clock::new(),
+        NodeRegistry::new(vec!["a".to_string()]),
+    );
     born.set_restart_pacing(clock.now(), Some(settings), 1, "r");
-    roster
-        .list(&mut born, clock.now(), &listed(1, dials))
+    registry
+        .apply_list(&mut born, clock.now(), &listed(1, dials))
         .unwrap();
-    (Desk::new(born, clock), roster)
+    (Dispatcher::new(born, clock), registry)
 }
 
 /// The same, at full pace: the only router that there is, with a connection that came up.
-fn returned(dials: &[SocketAddr], linger_ms: f64) -> (Rc<Router>, Rc<Roster>) {
-    let (desk, roster) = returning(dials, linger_ms);
-    desk.tell(|instance, now| instance.discovery_answered(now));
-    desk.recovery(true, |recovery, now| {
+fn returned(dials: &[SocketAddr], linger_ms: f64) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
+    let (dispatcher, registry) = returning(dials, linger_ms);
+    dispatcher.update(|instance, now| instance.discovery_answered(now));
+    dispatcher.recovery(true, |recovery, now| {
         recovery.connection_opened(now, 0, 0.0);
     });
     assert_eq!(
-        desk.recovery(false, |recovery, _| recovery.phase()),
+        dispatcher.recovery(false, |recovery, _| recovery.phase()),
         Some(Phase::Full)
     );
-    (desk, roster)
+    (dispatcher, registry)
 }
 
-fn pool(tasks: &Tasks, desk: &Rc<Router>, gated: bool) -> Rc<Pool> {
-    pool_behind(tasks, if gated { Gate::of(desk) } else { Gate::open() })
+fn pool(tasks: &Tasks, dispatcher: &Rc<StatementDispatcher>, gated: bool) -> Rc<Pool> {
+    pool_behind(
+        tasks,
+        if gated {
+            RestartPacing::for_dispatcher(dispatcher)
+        } else {
+            RestartPacing::disabled()
+        },
+    )
 }
 
 /// Somebody listens and never says a word.
@@ -66,13 +77,13 @@
 
 #[test]
 fn nothing_goes_out_before_the_list() {
-    let (desk, _) = returning(&[node(&[Answers(answer)])], 0.0);
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    assert!(settled(&desk).is_empty());
-    desk.tell(|instance, now| instance.discovery_answered(now));
+    let (dispatcher, _) = returning(&[node(&[Answers(answer)])], 0.0);
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    assert!(settled(&dispatcher).is_empty());
+    dispatcher.update(|instance, now| instance.discovery_answered(now));
     let sent = |order: &Order<_>| matches!(order, Order::Execute { .. });
     assert!(
-        settled(&desk).iter().any(sent),
+        settled(&dispatcher).iter().any(sent),
         "to the node that shows how things stand"
     );
 }
@@ -82,18 +93,18 @@
 fn those_that_wait_at_one_node_open(gated: bool, opening: usize) {
     let tasks = Tasks::default();
     let (door, address) = silent();
-    let (desk, _) = returned(&[address], 0.0);
-    let pool = pool(&tasks, &desk, gated);
+    let (dispatcher, _) = returned(&[address], 0.0);
+    let pool = pool(&tasks, &dispatcher, gated);
     let all = async {
         let takes = future::zip(
-            pool.take(0, address),
-            future::zip(pool.take(0, address), pool.take(0, address)),
+            pool.acquire(0, address),
+            future::zip(pool.acquire(0, address), pool.acquire(0, address)),
         );
         future::or(async { drop(takes.await) }, async {
             _ = Timer::after(MOMENT).await;
         })
         .await;
-        pool.stand(0).0
+        pool.connection_counts(0).0
     };
     assert_eq!(run(&tasks, all), opening);
     drop(door);
@@ -103,11 +114,11 @@
 fn all_that_wait_hear_that_nobody_is_there() {
     let tasks = Tasks::default();
     let address = silent().1;
-    let (desk, _) = returned(&[address], 0.0);
-    let pool = pool(&tasks, &desk, true);
+    let (dispatcher, _) = returned(&[address], 0.0);
+    let pool = pool(&tasks, &dispatcher, true);
     let both = run(
         &tasks,
-        future::zip(pool.take(0, address), pool.take(0, address)),
+        future::zip(pool.acquire(0, address), pool.acquire(0, address)),
     );
     assert!(matches!(
         (both.0.err(), both.1.err()),
@@ -119,24 +130,24 @@
 #[test_case(0.0, 0; "closed, as ever")]
 fn an_execution_that_nobody_waits_for(linger_ms: f64, idle: usize) {
     let tasks = Tasks::default();
-    let (desk, roster) = returned(&[node(&[AnswersLate(answer)])], linger_ms);
-    let pool = pool(&tasks, &desk, true);
-    let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap()))
+    let (dispatcher, registry) = returned(&[node(&[AnswersLate(answer)])], linger_ms);
+    let pool = pool(&tasks, &dispatcher, true);
+    let connection = run(&tasks, pool.acquire(0, registry.address(0).unwrap()))
         .unwrap()
         .0;
-    pool.put(0, connection);
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    let order = settled(&desk).pop().expect("sent");
-    let Order::Execute { unwanted, .. } = &order else {
+    pool.release(0, connection);
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let order = settled(&dispatcher).pop().expect("sent");
+    let Order::Execute { cancelled, .. } = &order else {
         panic!("no execution")
     };
-    unwanted.close();
+    cancelled.close();
     run(
         &tasks,
-        crate::execute::carry(desk.clone(), pool.clone(), roster, order),
+        crate::execute::run_order(dispatcher.clone(), pool.clone(), registry, order),
     );
     assert_eq!(
-        ended(&desk),
+        ended(&dispatcher),
         Some(ExecutionOutcome::Cancelled),
         "whatever becomes of it, it was given up"
     );
@@ -154,16 +165,16 @@
 
 #[test]
 fn turned_on_in_service_it_holds_nothing_back() {
-    let (desk, roster) = super::desk(&[node(&[Answers(answer)])]);
-    desk.tell(|instance, now| {
+    let (dispatcher, registry) = super::dispatcher(&[node(&[Answers(answer)])]);
+    dispatcher.update(|instance, now| {
         instance.set_restart_pacing(now, Some(Settings::default()), 1, "r");
-        roster.name_all(instance);
+        registry.name_all(instance);
     });
     let _ticket: crate::decide::Ticket<_, Vec<u8>> =
-        desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    assert!(!settled(&desk).is_empty());
+        dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    assert!(!settled(&dispatcher).is_empty());
     assert_eq!(
-        desk.recovery(false, |recovery, _| recovery.known_nodes()),
+        dispatcher.recovery(false, |recovery, _| recovery.known_nodes()),
         Some(1)
     );
 }
--- a/crates/runtime/router/src/tests/watch.rs
+++ b/crates/runtime/router/src/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The watch, against a stand-in for discovery.
 
-use super::{desk, listed, run};
-use crate::execute::Router;
+use super::{dispatcher, listed, run};
+use crate::execute::StatementDispatcher;
 use crate::reload::Watches;
 use crate::spawn::Tasks;
 use badgerstream_routing::NodeStatus;
@@ -47,17 +47,24 @@
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    let (tasks, (desk, roster)) = (Tasks::default(), desk(&dials));
+    let (tasks, (dispatcher, registry)) = (Tasks::default(), dispatcher(&dials));
     let (address, asked) = discovery(answers);
     let (heard, first) = async_channel::bounded(1);
-    let _watches = Watches::begin(tasks.clone(), desk.clone(), roster, address, 41, heard);
-    let desk: &Router = &desk;
+    let _watches = Watches::start(
+        tasks.clone(),
+        dispatcher.clone(),
+        registry,
+        address,
+        41,
+        heard,
+    );
+    let dispatcher: &StatementDispatcher = &dispatcher;
     run(&tasks, async {
         first.recv().await.unwrap();
-        while desk.tell(|instance, _| instance.nodes[&1].status == NodeStatus::Ready) {
+        while dispatcher.update(|instance, _| instance.nodes[&1].status == NodeStatus::Ready) {
             futures_lite::future::yield_now().await;
         }
-        desk.tell(|instance, _| assert_eq!(instance.nodes[&0].status, NodeStatus::Ready));
+        dispatcher.update(|instance, _| assert_eq!(instance.nodes[&0].status, NodeStatus::Ready));
     });
     asked
         .try_iter()
@@ -110,7 +117,7 @@
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    let (tasks, (desk, roster)) = (Tasks::default(), desk(&dials));
+    let (tasks, (dispatcher, registry)) = (Tasks::default(), dispatcher(&dials));
     let quiet = || vec![told(&[json!({"seq": 43, "whole": false, "hosts": []})])];
     let ((before, asked_before), (after, asked)) =
         (discovery(quiet()), discovery(vec![told(&[drains()])]));
@@ -120,12 +127,20 @@
         .local_addr()
         .unwrap();
     let (heard, first) = async_channel::bounded(1);
-    let watches = Watches::begin(tasks.clone(), desk.clone(), roster, before, 41, heard);
-    let draining = || desk.tell(|instance, _| instance.nodes[&1].status == NodeStatus::Draining);
+    let watches = Watches::start(
+        tasks.clone(),
+        dispatcher.clone(),
+        registry,
+        before,
+        41,
+        heard,
+    );
+    let draining =
+        || dispatcher.update(|instance, _| instance.nodes[&1].status == NodeStatus::Draining);
     run(&tasks, async {
         first.recv().await.unwrap();
         for address in [before, nowhere, after] {
-            watches.moved(address);
+            watches.set_address(address);
         }
         while !draining() {
             futures_lite::future::yield_now().await;
--- a/crates/runtime/router/src/wire.rs
+++ b/crates/runtime/router/src/wire.rs
@@ -1,4 +1,4 @@
-//! Reading and writing between a socket and its rings.
+//! Reads and writes between a socket and its ring buffers; timeouts; throttling of log lines.
 
 use async_io::{Async, Timer};
 use badgerstream_postgres_protocol::{Close, Ring};
@@ -9,10 +9,11 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Memory that is short is looked for this often.
-const SHORT: Duration = Duration::from_millis(5);
+/// Delay between attempts to get memory for a large message.
+const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// This work, or that end of it once so much time is over; what is done counts even if both are there.
+/// Runs `work` with a timeout: returns the error `late` if `limit` passes first. Work that is complete when the
+/// timeout is noticed still counts.
 pub(crate) async fn within<T>(
     limit: Duration,
     late: Close,
@@ -25,14 +26,14 @@
     future::or(work, timer).await
 }
 
-/// Reads what is there, at least one byte.
+/// Waits for at least one byte and reads what is available.
 pub(crate) async fn read(stream: &Async<TcpStream>, input: &mut Ring) -> Result<(), Close> {
     while input.room().is_empty() {
         if input.len() >= input.most() {
             return Err(Close::NoMemory);
         }
-        // Others hold what there is for large messages: theirs end, or their time does.
-        Timer::after(SHORT).await;
+        // Other connections hold the memory for large messages, until these messages end or time out.
+        Timer::after(MEMORY_RETRY_DELAY).await;
     }
     let count = stream
         .read_with(|mut s| s.read(input.room()))
@@ -42,7 +43,7 @@
     if count == 0 { Err(Close::Left) } else { Ok(()) }
 }
 
-/// What can be had without waiting: true if there were bytes.
+/// Reads what is available without waiting. Returns whether any bytes were read.
 pub(crate) fn read_now(stream: &Async<TcpStream>, input: &mut Ring) -> Result<bool, Close> {
     if input.room().is_empty() {
         return Ok(false);
@@ -60,12 +61,12 @@
 
 pub(crate) async fn write(stream: &Async<TcpStream>, output: &mut Ring) -> Result<(), Close> {
     while !output.is_empty() {
-        // Most writes fit at once: the poller is asked only for those that do not.
+        // Most writes succeed at once; only the others wait for the poller.
         let count = match stream.get_ref().write(output.front()) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
                 stream.write_with(|mut s| s.write(output.front())).await
             }
-            told => told,
+            result => result,
         };
         match count {
             Ok(0) | Err(_) => return Err(Close::Broken),
@@ -75,15 +76,15 @@
     Ok(())
 }
 
-/// Lines of the log that peers can cause: one a second, with how many were passed over since.
-pub(crate) struct Seldom(Cell<Option<Instant>>, Cell<u64>);
+/// Throttles a log line that peers can cause to one per second, and counts the suppressed lines.
+pub(crate) struct LogThrottle(Cell<Option<Instant>>, Cell<u64>);
 
-impl Seldom {
-    pub(crate) const fn new() -> Seldom {
-        Seldom(Cell::new(None), Cell::new(0))
+impl LogThrottle {
+    pub(crate) const fn new() -> LogThrottle {
+        LogThrottle(Cell::new(None), Cell::new(0))
     }
 
-    /// How many were passed over, if a line may be written now.
+    /// Returns the number of suppressed lines if a line may be written now; otherwise counts one more.
     pub(crate) fn due(&self) -> Option<u64> {
         if self
             .0
