--- a/crates/protocol/router-config/src/lib.rs
+++ b/crates/protocol/router-config/src/lib.rs
@@ -1,24 +1,20 @@
-//! What a router is handed at start, turned into the types of `badgerstream-routing`: one reading for every
-//! front. Lines of path=value and nested JSON come to the same pairs.
-
-#![allow(
-    missing_docs,
-    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
-)]
+//! Parses the start file of a router (JSON) and its settings file (JSON5) into the types of `badgerstream-routing`.
+//! Lines of path=value and nested JSON are both flattened to the same settings, see [`FlatSettings`].
 
+mod flat_settings;
 mod instance;
-mod own;
-mod pairs;
-mod start;
+mod router_settings;
+mod start_config;
 
-pub use instance::{Reading, instance};
-pub use own::{Fault, Own, json5_file};
-pub use pairs::Pairs;
-pub use start::Provision;
+pub use flat_settings::FlatSettings;
+pub use instance::{FrontSettings, instance};
+pub use router_settings::{FileError, RouterSettings, parse_json5};
+pub use start_config::StartConfig;
 
-/// The figures of a load report that tell a node's position and role.
-pub const POSITION: &str = "x0";
-pub const ROLE: &str = "x1";
+/// Column of a load report that holds the node's replication position.
+pub const POSITION_COLUMN: &str = "x0";
+/// Column of a load report that holds the node's role: 1 for the primary, 0 for a replica.
+pub const ROLE_COLUMN: &str = "x1";
 
 #[cfg(test)]
 mod tests;
--- a/crates/protocol/router-config/src/own.rs
+++ b/crates/protocol/router-config/src/router_settings.rs
@@ -1,107 +1,121 @@
-//! Our own settings: a file of JSON5 beside the one that the platform hands over. What is wrong in it is told
-//! with its line and column.
+//! The router's settings file, JSON5, which is separate from the start file of the platform. Errors in it are reported
+//! with line and column.
 
 use badgerstream_routing::{fleet, recovery, succession};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-/// What may be left out is off.
+/// Contents of the settings file. A feature whose section is missing is off.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Own {
-    /// What happens while a group's primary changes.
+pub struct RouterSettings {
+    /// Handling of statements while the primary of a group changes.
     pub succession: Option<succession::Settings>,
-    /// What happens while many routers come back at once.
+    /// Restart pacing: limits the load when many routers restart at once.
     pub recovery: Option<recovery::Settings>,
-    /// What is decided as one of many routers.
+    /// Fleet sharing: coordination with the other routers.
     pub fleet: Option<fleet::Settings>,
 }
 
-/// Why such a file can't be used.
+/// An error in a JSON5 file and its position.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("line {line}, column {column}: {problem}")]
-pub struct Fault {
-    /// Both count from 1.
+pub struct FileError {
+    /// Line, from 1.
     pub line: usize,
+    /// Column in bytes, from 1.
     pub column: usize,
+    /// Description of the error.
     pub problem: String,
 }
 
-impl Own {
-    /// `bytes` is what the process may spend on statements that wait.
-    pub fn read(text: &str, bytes: usize) -> Result<Own, Fault> {
-        json5_file(text, |own: &Own| {
-            let succession = own
+impl RouterSettings {
+    /// Parses and validates a settings file. `max_held_bytes` is the memory available for statements that wait, in
+    /// bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is not valid JSON5, has an unknown field, or has a value of the wrong type or out of range.
+    pub fn parse(text: &str, max_held_bytes: usize) -> Result<RouterSettings, FileError> {
+        parse_json5(text, |settings: &RouterSettings| {
+            let succession = settings
                 .succession
                 .as_ref()
-                .and_then(|s| s.fault(bytes))
+                .and_then(|s| s.fault(max_held_bytes))
                 .map(|f| ("succession", f));
             let recovery = || {
-                own.recovery
+                settings
+                    .recovery
                     .as_ref()
                     .and_then(|r| r.fault())
                     .map(|f| ("recovery", f))
             };
             let fleet = || {
-                own.fleet
+                settings
+                    .fleet
                     .as_ref()
                     .and_then(|f| f.fault())
                     .map(|f| ("fleet", f))
             };
-            let (part, (field, why)) = succession.or_else(recovery).or_else(fleet)?;
-            Some((format!("{part}.{field}"), why))
+            let (section, (field, problem)) = succession.or_else(recovery).or_else(fleet)?;
+            Some((format!("{section}.{field}"), problem))
         })
     }
 }
 
-/// Reads a file of ours. `fault` finds what is wrong beyond types: a field's path, and why.
-pub fn json5_file<T: DeserializeOwned>(
+/// Parses a JSON5 file. `validate` checks what types can't express: it returns the path of the first invalid field and
+/// the problem, or `None`.
+///
+/// # Errors
+///
+/// Fails if the text is not valid JSON5, does not match the type, or `validate` finds a problem.
+pub fn parse_json5<T: DeserializeOwned>(
     text: &str,
-    fault: impl FnOnce(&T) -> Option<(String, String)>,
-) -> Result<T, Fault> {
-    let told: T = json5::from_str(text).map_err(|e| {
+    validate: impl FnOnce(&T) -> Option<(String, String)>,
+) -> Result<T, FileError> {
+    let value: T = json5::from_str(text).map_err(|e| {
         let at = e.position().map_or((1, 1), |p| (p.line + 1, p.column + 1));
-        // The library ends its own text with the place.
-        let told = e.to_string();
-        let problem = told
+        // The library appends the position to its message.
+        let message = e.to_string();
+        let problem = message
             .rsplit_once(" at line ")
-            .map_or(told.as_str(), |(problem, _)| problem);
-        Fault {
+            .map_or(message.as_str(), |(problem, _)| problem);
+        FileError {
             line: at.0,
             column: at.1,
             problem: problem.to_string(),
         }
     })?;
-    match fault(&told) {
-        None => Ok(told),
-        Some((path, why)) => {
-            let (line, column) = place(text, &path);
-            Err(Fault {
+    match validate(&value) {
+        None => Ok(value),
+        Some((path, problem)) => {
+            let (line, column) = position(text, &path);
+            Err(FileError {
                 line,
                 column,
-                problem: format!("{path} {why}"),
+                problem: format!("{path} {problem}"),
             })
         }
     }
 }
 
-/// Where the last part of such a path stands, for a value that has the right type and is still wrong. One that
-/// was left out has the place of what it would be in.
-fn place(text: &str, path: &str) -> (usize, usize) {
-    let bare = without_comments(text);
+/// Returns line and column of the last key of a path, for a value that has the right type but is invalid. For a field
+/// that is missing, returns the position of the innermost enclosing key that exists.
+fn position(text: &str, path: &str) -> (usize, usize) {
+    let stripped = without_comments(text);
     let at = path
         .split('.')
-        .try_fold(0, |from, key| key_behind(&bare, from, key).ok_or(from));
+        .try_fold(0, |from, key| find_key(&stripped, from, key).ok_or(from));
     let at = at.unwrap_or_else(|found| found);
-    let before = &bare[..at];
+    let before = &stripped[..at];
     (
         before.matches('\n').count() + 1,
         before.len() - before.rfind('\n').map_or(0, |end| end + 1) + 1,
     )
 }
 
-/// The first place behind `from` where this key, quoted or not, is followed by a colon.
-fn key_behind(text: &str, from: usize, key: &str) -> Option<usize> {
+/// Returns the first offset from `from` on where this key, quoted or not, is followed by a colon.
+fn find_key(text: &str, from: usize, key: &str) -> Option<usize> {
     text[from..]
         .match_indices(key)
         .map(|(at, _)| from + at)
@@ -114,7 +128,7 @@
         })
 }
 
-/// Comments as blanks: all else keeps its place, counted in bytes.
+/// Replaces comments by spaces, so that all other text keeps its byte offset.
 fn without_comments(text: &str) -> String {
     let (mut bytes, mut at) = (text.as_bytes().to_vec(), 0);
     let (mut quote, mut comment) = (None, None);
--- a/crates/protocol/router-config/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -2,7 +2,7 @@
 
 mod setting_names;
 
-use crate::{Own, Pairs, Provision, instance};
+use crate::{FlatSettings, RouterSettings, StartConfig, instance};
 use badgerstream_routing::{Consistency, DedupScope, Repeat};
 use test_case::test_case;
 
@@ -23,9 +23,9 @@
 "stop_sending_within_ms":250.0},
 "siblings":2,"tenants":[{"name":"radio andina","quota_per_s":135.0}],"tick_ms":5.0,"zones":["surco","ate"]}}"#;
 
-fn started(from: &str, to: &str) -> Result<Provision, String> {
+fn started(from: &str, to: &str) -> Result<StartConfig, String> {
     assert!(START.contains(from));
-    Provision::read(&START.replace(from, to))
+    StartConfig::parse(&START.replace(from, to))
 }
 
 #[test]
@@ -39,7 +39,7 @@
         (start.listen.port(), start.discovery.port(), start.memory_mb),
         (6432, 8500, 192.0)
     );
-    let (born, reading) = instance(start.seed, &start.pairs).unwrap();
+    let (born, reading) = instance(start.seed, &start.settings).unwrap();
     assert_eq!(
         (
             born.routers,
@@ -69,8 +69,8 @@
 
 #[test]
 fn json_and_lines_come_to_the_same() {
-    let json = started("", "").unwrap().pairs;
-    let lines = Pairs::from_lines(
+    let json = started("", "").unwrap().settings;
+    let lines = FlatSettings::from_lines(
         "classes.count=2\nclasses.1.aim_ms=600.0\nzones=surco,ate\ndomain.notes=a__b",
     );
     for path in ["classes.count", "classes.1.aim_ms", "zones", "domain.notes"] {
@@ -84,21 +84,21 @@
 }
 
 #[test_case("\"siblings\":2,", "", "setting siblings is missing"; "missing")]
-#[test_case("\"siblings\":2", "\"siblings\":\"many\"", "setting siblings cannot be read: \"many\""; "unreadable")]
-#[test_case("\"pure\"", "\"often\"", "setting classes.0.repeat is unknown: \"often\""; "unknown choice")]
-#[test_case("\"tick_ms\":5.0", "\"tick_ms\":-5.0", "setting tick_ms is no time: -5"; "a negative time")]
-#[test_case("[\"recent\",\"update\"]", "[\"recent\"]", "setting domain.needs_by_class has no entry 1"; "too short")]
+#[test_case("\"siblings\":2", "\"siblings\":\"many\"", "setting siblings has the invalid value \"many\""; "unreadable")]
+#[test_case("\"pure\"", "\"often\"", "setting classes.0.repeat has the unknown value \"often\", expected pure, token or side_effect"; "unknown choice")]
+#[test_case("\"tick_ms\":5.0", "\"tick_ms\":-5.0", "setting tick_ms must be a time from 0 to below 1e15 ms, found -5"; "a negative time")]
+#[test_case("[\"recent\",\"update\"]", "[\"recent\"]", "setting domain.needs_by_class has 1 entries, expected one for each of 2 classes"; "too short")]
 fn wrong_settings(from: &str, to: &str, expected: &str) {
     let start = started(from, to).unwrap();
-    assert_eq!(instance(1, &start.pairs).err().unwrap(), expected);
+    assert_eq!(instance(1, &start.settings).err().unwrap(), expected);
 }
 
-#[test_case("{\"name\"", "\"name\"", "it is no JSON"; "no json")]
+#[test_case("{\"name\"", "\"name\"", "the file is not valid JSON"; "no json")]
 #[test_case("\"name\":\"n0\",", "", "/name is missing"; "no name")]
-#[test_case("\"127.0.0.1:6432\"", "\"here\"", "/listen can't be read"; "no address")]
-#[test_case("92094eb940cf389a", "seed", "/seed can't be read"; "no seed")]
-#[test_case("\"sockets\":1024", "\"sockets\":\"all\"", "/limits/sockets is no number"; "no limit")]
-#[test_case("\"memory_mb\":192", "\"memory_mb\":-1", "/limits/memory_mb is no number"; "no memory")]
+#[test_case("\"127.0.0.1:6432\"", "\"here\"", "/listen must be an IP address and port, found \"here\""; "no address")]
+#[test_case("92094eb940cf389a", "seed", "/seed must be a hexadecimal number of 64 bits, found \"seed\""; "no seed")]
+#[test_case("\"sockets\":1024", "\"sockets\":\"all\"", "/limits/sockets must be a number of at least 0, found \"all\""; "no limit")]
+#[test_case("\"memory_mb\":192", "\"memory_mb\":-1", "/limits/memory_mb must be a number of at least 0, found -1"; "no memory")]
 #[test_case("\"known\"", "\"unknown\"", "/known is missing"; "no list")]
 fn wrong_files(from: &str, to: &str, expected: &str) {
     let problem = started(from, to).err().unwrap();
@@ -109,16 +109,17 @@
 #[test_case("{succession: {}}", Some(2 << 20); "on with what goes without saying")]
 #[test_case("// ours\n{succession: {hold: {statements: 9, bytes: 1048576,}, /* more */ }}", Some(1 << 20); "with comments")]
 fn own_settings_are_read(text: &str, bytes: Option<usize>) {
-    let own = Own::read(text, 4 << 20).unwrap();
+    let own = RouterSettings::parse(text, 4 << 20).unwrap();
     assert_eq!(own.succession.map(|s| s.hold.bytes), bytes);
 }
 
 #[test]
 fn the_file_with_every_setting_says_what_goes_without_saying() {
-    let told = Own::read(include_str!("../../../../deploy/settings.json5"), 16 << 20).unwrap();
+    let told =
+        RouterSettings::parse(include_str!("../../../../deploy/settings.json5"), 16 << 20).unwrap();
     assert_eq!(
         told,
-        Own::read("{succession: {}, recovery: {}, fleet: {}}", 16 << 20).unwrap()
+        RouterSettings::parse("{succession: {}, recovery: {}, fleet: {}}", 16 << 20).unwrap()
     );
 }
 
@@ -138,7 +139,7 @@
 #[test_case("{succession: { // hold: {bytes: 1}\n hold: {statements: 2, bytes: 4}}}", (1, 2), "hold_group.bytes is 1048576, more than hold.bytes, the limit of 4 bytes for all groups together"; "a bound that was left out")]
 #[test_case("{succession: {\n branch_field: 'x2'}}", (2, 2), "branch_field and promoted_field must both be set or both be empty"; "half a pair")]
 fn wrong_own_settings_name_their_place(text: &str, place: (usize, usize), problem: &str) {
-    let fault = Own::read(text, 4 << 20).unwrap_err();
+    let fault = RouterSettings::parse(text, 4 << 20).unwrap_err();
     assert!(fault.problem.contains(problem), "{fault}");
     assert_eq!((fault.line, fault.column), place, "{fault}");
 }
--- a/crates/protocol/router-config/src/tests/setting_names.rs
+++ b/crates/protocol/router-config/src/tests/setting_names.rs
@@ -1,7 +1,7 @@
 //! Operators' files name the settings: each name is read into the field that it stands for. The values differ from
 //! each other and from the defaults, so that two names exchanged are seen.
 
-use crate::{Own, Pairs, instance};
+use crate::{FlatSettings, RouterSettings, instance};
 use badgerstream_routing::{Consistency, DedupScope, Repeat};
 
 const OWN_SETTINGS: &str = include_str!("setting_names.json5");
@@ -9,7 +9,7 @@
 
 #[test]
 fn each_name_of_the_settings_file_is_read_into_its_field() {
-    let own = Own::read(OWN_SETTINGS, 64 << 20).unwrap();
+    let own = RouterSettings::parse(OWN_SETTINGS, 64 << 20).unwrap();
     let s = own.succession.unwrap();
     assert_eq!((s.hold.statements, s.hold.bytes), (11, 1012));
     assert_eq!((s.hold_group.statements, s.hold_group.bytes), (13, 914));
@@ -60,7 +60,7 @@
             .unwrap();
         let name = &OWN_SETTINGS[begin + 1..at];
         let changed = format!("{}z{}", &OWN_SETTINGS[..at], &OWN_SETTINGS[at..]);
-        let fault = Own::read(&changed, 64 << 20).unwrap_err();
+        let fault = RouterSettings::parse(&changed, 64 << 20).unwrap_err();
         let expected = format!("unknown field `{name}z`");
         assert!(fault.problem.contains(&expected), "{name}: {fault}");
         names += 1;
@@ -70,7 +70,7 @@
 
 #[test]
 fn each_name_of_the_settings_of_an_instance_is_read_into_its_field() {
-    let (born, reading) = instance(1, &Pairs::from_lines(SETTINGS)).unwrap();
+    let (born, reading) = instance(1, &FlatSettings::from_lines(SETTINGS)).unwrap();
     let [first, second, third] = &reading.workloads[..] else {
         panic!("three workloads")
     };
@@ -91,7 +91,11 @@
         (Repeat::NonIdempotent, Consistency::Primary)
     );
     assert_eq!(
-        (reading.origin, reading.position_column, reading.role_column),
+        (
+            reading.origin_s,
+            reading.position_column,
+            reading.role_column
+        ),
         (1.25, Some(1), Some(2))
     );
     assert!(reading.subscribes);
@@ -139,7 +143,7 @@
             .filter(|other| *other != line)
             .map(|other| format!("{other}\n"))
             .collect();
-        match instance(1, &Pairs::from_lines(&without)) {
+        match instance(1, &FlatSettings::from_lines(&without)) {
             Ok(_) => {}
             Err(problem) => {
                 assert!(problem.contains(name), "{name}: {problem}");
--- a/crates/runtime/router/src/execute.rs
+++ b/crates/runtime/router/src/execute.rs
@@ -131,8 +131,8 @@
 
 /// Parses a load report. `own_connections` is the number of this router's open connections to the node.
 pub(crate) fn report(vitals: &str, fields: &ReportFields, own_connections: usize) -> Report {
-    let primary = vital(vitals, badgerstream_router_config::ROLE).map(|role| role >= 0.5);
-    let lsn = vital(vitals, badgerstream_router_config::POSITION)
+    let primary = vital(vitals, badgerstream_router_config::ROLE_COLUMN).map(|role| role >= 0.5);
+    let lsn = vital(vitals, badgerstream_router_config::POSITION_COLUMN)
         .map_or(f64::NEG_INFINITY, |at| at - POSITION_ROUNDING_S);
     let both = |f: &Rc<(String, String)>| vital(vitals, &f.0).zip(vital(vitals, &f.1));
     let (promotion, connections) = (
--- a/crates/runtime/router/src/lib.rs
+++ b/crates/runtime/router/src/lib.rs
@@ -24,7 +24,7 @@
 
 use async_io::Async;
 use badgerstream_postgres_protocol::{Close, Memory};
-use badgerstream_router_config::{Own, Pairs, Provision};
+use badgerstream_router_config::{FlatSettings, RouterSettings, StartConfig};
 use futures_lite::future;
 use lexopt::prelude::*;
 use std::net::{SocketAddr, TcpListener};
@@ -76,7 +76,7 @@
     main_with(std::env::args_os().skip(1))
 }
 
-/// Runs the router with the given arguments, for test programs that start a router as their own child process.
+/// Runs the router with the given arguments, for test programs that start a router as their router_settings child process.
 pub fn main_with(arguments: impl IntoIterator<Item = impl Into<std::ffi::OsString>>) -> ExitCode {
     match command(arguments) {
         Ok(Command::Serve(files)) => report(start(files)),
@@ -160,44 +160,51 @@
     let env = |variable: &str| std::env::var(variable).ok();
     let file = env("RELAY_CONFIG").ok_or("the variable RELAY_CONFIG is missing")?;
     let files = ConfigFiles { file, settings };
-    let (provision, own) = read(&files)?;
+    let (start_config, router_settings) = read(&files)?;
     let address = |variable: &str, from_file: SocketAddr| {
         let parsed = env(variable).map_or(Ok(from_file), |text| text.parse());
         parsed.map_err(|e| {
             format!("the variable {variable} can't be parsed as an address and port: {e}")
         })
     };
-    let listen = address("RELAY_LISTEN", provision.listen)?;
-    let discovery = address("RELAY_DISCOVERY", provision.discovery)?;
-    let name = env("RELAY_NAME").unwrap_or(provision.name.clone());
-    serve(files, provision, own, &name, listen, discovery)
+    let listen = address("RELAY_LISTEN", start_config.listen)?;
+    let discovery = address("RELAY_DISCOVERY", start_config.discovery)?;
+    let name = env("RELAY_NAME").unwrap_or(start_config.name.clone());
+    serve(
+        files,
+        start_config,
+        router_settings,
+        &name,
+        listen,
+        discovery,
+    )
 }
 
 /// Returns the given share of the memory limit, in bytes.
-fn memory_share_bytes(provision: &Provision, share: f64) -> usize {
-    (provision.memory_mb * share * f64::from(1 << 20)) as usize
+fn memory_share_bytes(start_config: &StartConfig, share: f64) -> usize {
+    (start_config.memory_mb * share * f64::from(1 << 20)) as usize
 }
 
-fn read(files: &ConfigFiles) -> Result<(Provision, Own), String> {
+fn read(files: &ConfigFiles) -> Result<(StartConfig, RouterSettings), String> {
     let text = |file: &str| std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"));
     let file = &files.file;
-    let provision = Provision::read(&text(file)?).map_err(|e| format!("{file}: {e}"))?;
-    let own = match &files.settings {
-        None => Own::default(),
-        Some(file) => Own::read(
+    let start_config = StartConfig::parse(&text(file)?).map_err(|e| format!("{file}: {e}"))?;
+    let router_settings = match &files.settings {
+        None => RouterSettings::default(),
+        Some(file) => RouterSettings::parse(
             &text(file)?,
-            memory_share_bytes(&provision, STATEMENT_MEMORY_SHARE),
+            memory_share_bytes(&start_config, STATEMENT_MEMORY_SHARE),
         )
         .map_err(|e| format!("{file}: {e}"))?,
     };
-    Ok((provision, own))
+    Ok((start_config, router_settings))
 }
 
 /// Reads and fully validates the files: every error in them is found here.
-fn check(files: &ConfigFiles) -> Result<(Provision, Own), String> {
-    let (provision, own) = read(files)?;
-    prepare(&provision, own.clone()).map_err(|e| format!("{}: {e}", files.file))?;
-    Ok((provision, own))
+fn check(files: &ConfigFiles) -> Result<(StartConfig, RouterSettings), String> {
+    let (start_config, router_settings) = read(files)?;
+    prepare(&start_config, router_settings.clone()).map_err(|e| format!("{}: {e}", files.file))?;
+    Ok((start_config, router_settings))
 }
 
 /// Everything that is built from the files before a socket is opened.
@@ -210,51 +217,60 @@
     node_idle_timeout: f64,
 }
 
-fn prepare(provision: &Provision, own: Own) -> Result<Prepared, String> {
-    let pairs = &provision.pairs;
-    let (mut instance, reading) = badgerstream_router_config::instance(provision.seed, pairs)?;
-    instance.configure_succession(own.succession, provision.seed);
+fn prepare(
+    start_config: &StartConfig,
+    router_settings: RouterSettings,
+) -> Result<Prepared, String> {
+    let platform_settings = &start_config.settings;
+    let (mut instance, front) =
+        badgerstream_router_config::instance(start_config.seed, platform_settings)?;
+    instance.configure_succession(router_settings.succession, start_config.seed);
     let clock = decide::Clock::new();
-    instance.set_restart_pacing(clock.now(), own.recovery, provision.seed, &provision.name);
-    instance.set_fleet_sharing(own.fleet, provision.seed, &provision.name);
-    let zones = pairs
+    instance.set_restart_pacing(
+        clock.now(),
+        router_settings.recovery,
+        start_config.seed,
+        &start_config.name,
+    );
+    instance.set_fleet_sharing(router_settings.fleet, start_config.seed, &start_config.name);
+    let zones = platform_settings
         .text("zones")?
         .split(',')
         .map(str::to_string)
         .collect();
     let registry = watch::NodeRegistry::new(zones);
     let seq = registry
-        .apply_list(&mut instance, clock.now(), &provision.known)
+        .apply_list(&mut instance, clock.now(), &start_config.known)
         .map_err(|e| format!("/known: {e}"))?;
     let names = client::NameIndex::new(
-        pairs.names("classes")?,
-        reading.workloads,
-        pairs.names("tenants")?,
+        platform_settings.names("classes")?,
+        front.workloads,
+        platform_settings.names("tenants")?,
     );
     Ok(Prepared {
         dispatcher: decide::Dispatcher::new(instance, clock),
         registry,
         names: Rc::new(names),
         seq,
-        dial_timeout: positive_seconds(pairs, "policy_limits.dial_timeout_ms")?,
-        node_idle_timeout: positive_seconds(pairs, "policy_limits.keepalive_ms")?,
+        dial_timeout: positive_seconds(platform_settings, "policy_limits.dial_timeout_ms")?,
+        node_idle_timeout: positive_seconds(platform_settings, "policy_limits.keepalive_ms")?,
     })
 }
 
 /// Reads a duration in seconds that must be above zero: with zero, no connection could be opened or kept.
-fn positive_seconds(pairs: &Pairs, path: &str) -> Result<f64, String> {
-    let seconds = pairs.seconds(path)?;
+fn positive_seconds(platform_settings: &FlatSettings, path: &str) -> Result<f64, String> {
+    let seconds = platform_settings.seconds(path)?;
     if seconds > 0.0 {
         Ok(seconds)
     } else {
-        Err(format!("setting {path} is no time: 0"))
+        Err(format!("setting {path} must be a time above 0 ms, found 0"))
     }
 }
 
 fn serve(
     files: ConfigFiles,
-    provision: Provision,
-    own: Own,
+    start_config: StartConfig,
+    router_settings: RouterSettings,
     name: &str,
     address: SocketAddr,
     discovery: SocketAddr,
@@ -273,15 +289,15 @@
         seq,
         dial_timeout,
         node_idle_timeout,
-    } = prepare(&provision, own)?;
+    } = prepare(&start_config, router_settings)?;
     let hangups = reload::hangup_signals()?;
     let listener =
         Async::<TcpListener>::bind(address).map_err(|e| format!("listening on {address}: {e}"))?;
     let (tasks, budget) = (
         spawn::Tasks::default(),
-        budget::Budget::new(provision.descriptors),
+        budget::Budget::new(start_config.descriptors),
     );
-    let memory = |share: f64| Memory::new(memory_share_bytes(&provision, share));
+    let memory = |share: f64| Memory::new(memory_share_bytes(&start_config, share));
     let (answers, statements) = (memory(ANSWER_MEMORY_SHARE), memory(STATEMENT_MEMORY_SHARE));
     let restart_pacing = restart_pacing::RestartPacing::for_dispatcher(&dispatcher);
     let pool = pool::Pool::new(
@@ -329,7 +345,7 @@
         .detach();
     let reload = reload::reload(
         hangups,
-        provision,
+        start_config,
         move || check(&files),
         watches,
         budget.clone(),
--- a/crates/runtime/router/src/reload.rs
+++ b/crates/runtime/router/src/reload.rs
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 use async_executor::Task;
 use async_signal::{Signal, Signals};
-use badgerstream_router_config::{Own, Provision};
+use badgerstream_router_config::{RouterSettings, StartConfig};
 use futures_lite::StreamExt;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -92,18 +92,23 @@
 /// Reloads the files at each SIGHUP, while the router runs.
 pub(crate) async fn reload(
     mut signals: Signals,
-    started: Provision,
-    read: impl Fn() -> Result<(Provision, Own), String>,
+    started: StartConfig,
+    read: impl Fn() -> Result<(StartConfig, RouterSettings), String>,
     watches: Rc<Watches>,
     budget: Rc<Budget>,
 ) {
     while signals.next().await.is_some() {
         match read() {
-            Ok((reloaded, own)) => {
+            Ok((reloaded, router_settings)) => {
                 watches.dispatcher.update(|instance, now| {
-                    instance.configure_succession(own.succession, reloaded.seed);
-                    instance.set_restart_pacing(now, own.recovery, reloaded.seed, &started.name);
-                    instance.set_fleet_sharing(own.fleet, reloaded.seed, &started.name);
+                    instance.configure_succession(router_settings.succession, reloaded.seed);
+                    instance.set_restart_pacing(
+                        now,
+                        router_settings.recovery,
+                        reloaded.seed,
+                        &started.name,
+                    );
+                    instance.set_fleet_sharing(router_settings.fleet, reloaded.seed, &started.name);
                     watches.registry.name_all(instance);
                 });
                 watches.set_address(reloaded.discovery);
@@ -116,7 +121,7 @@
                     ("name", started.name != reloaded.name),
                     ("listen", started.listen != reloaded.listen),
                     ("limits.memory_mb", started.memory_mb != reloaded.memory_mb),
-                    ("settings", started.pairs != reloaded.pairs),
+                    ("settings", started.settings != reloaded.settings),
                 ];
                 for (field, _) in fixed.iter().filter(|f| f.1) {
                     tracing::warn!(
--- a/crates/runtime/router/tests/command.rs
+++ b/crates/runtime/router/tests/command.rs
@@ -58,10 +58,10 @@
 }
 
 #[test_case("whole", "", "", None; "nothing is wrong")]
-#[test_case("cut", "{", "", Some("it is no JSON"); "no json")]
+#[test_case("cut", "{", "", Some("the file is not valid JSON"); "no json")]
 #[test_case("deaf", "\"listen\"", "\"hear\"", Some("/listen is missing"); "a missing field")]
 #[test_case("alone", "\"siblings\"", "\"cousins\"", Some("setting siblings is missing"); "a missing setting")]
-#[test_case("quick", "\"dial_timeout_ms\": 250.0", "\"dial_timeout_ms\": 0", Some("dial_timeout_ms is no time: 0"); "no time")]
+#[test_case("quick", "\"dial_timeout_ms\": 250.0", "\"dial_timeout_ms\": 0", Some("dial_timeout_ms must be a time above 0 ms, found 0"); "no time")]
 #[test_case("ill", "in_service", "ill", Some("/known: a list of nodes can't be read"); "a wrong list")]
 fn a_file_is_checked(name: &str, from: &str, to: &str, expected: Option<&str>) {
     let file = file(name, from, to);
--- a/crates/testing/bench-adapter/src/link.rs
+++ b/crates/testing/bench-adapter/src/link.rs
@@ -1,7 +1,7 @@
 //! Hosts the instances of the routing policy: each decoded event becomes a call of the instance that it is for.
 
 use crate::codec::{Batch, ENTRY_BYTES, Fields, Reply};
-use badgerstream_router_config::{Pairs, Reading};
+use badgerstream_router_config::{FlatSettings, FrontSettings};
 use badgerstream_routing::{ExecutionOutcome, Instance, NodeStatus, Outbox, Role};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -43,7 +43,7 @@
 /// An instance, and what is needed to decode its events.
 struct Hosted {
     instance: Instance,
-    reading: Reading,
+    reading: FrontSettings,
 }
 
 /// Writes the actions of one instance as records of the reply.
@@ -202,7 +202,7 @@
             let text = std::str::from_utf8(batch.tail(span, 1)?)
                 .map_err(|e| format!("the settings of instance {id} are not valid UTF-8: {e}"))?;
             let (instance, reading) =
-                badgerstream_router_config::instance(seed, &Pairs::from_lines(text))?;
+                badgerstream_router_config::instance(seed, &FlatSettings::from_lines(text))?;
             if reading.subscribes {
                 subscribe(id, reply);
             }
@@ -290,7 +290,7 @@
                 };
                 let position_ms = note / 4;
                 let lsn = if position_ms > 0 {
-                    reading.origin + f64::from(position_ms) / 1e3
+                    reading.origin_s + f64::from(position_ms) / 1e3
                 } else {
                     f64::NEG_INFINITY
                 };
@@ -336,10 +336,10 @@
 /// Returns role and position from a load report: whether the node is the primary, if reported, and its position in
 /// seconds, minus infinity if not reported. The position was rounded to an f32, perhaps upwards: the next lower f32
 /// certainly does not exceed it.
-fn report(reading: &Reading, n: u8, values: [f32; 4]) -> (Option<bool>, f64) {
+fn report(reading: &FrontSettings, n: u8, values: [f32; 4]) -> (Option<bool>, f64) {
     let value = |column: Option<usize>| column.filter(|c| *c < usize::from(n)).map(|c| values[c]);
     let lsn = value(reading.position_column).map_or(f64::NEG_INFINITY, |x| {
-        reading.origin + f64::from(x.next_down().max(0.0))
+        reading.origin_s + f64::from(x.next_down().max(0.0))
     });
     (value(reading.role_column).map(|x| x >= 0.5), lsn)
 }
--- a/crates/testing/experiments/src/crowd.rs
+++ b/crates/testing/experiments/src/crowd.rs
@@ -4,7 +4,7 @@
 //! in docs/design/choices-that-add-up.md. Equal seeds give equal runs.
 
 use badgerstream_process_harness::router::{Told, WORKLOADS};
-use badgerstream_router_config::{Own, Provision};
+use badgerstream_router_config::{RouterSettings, StartConfig};
 use badgerstream_routing::{ExecutionOutcome, Instance, NodeStatus, Outbox, Role};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -208,7 +208,7 @@
 
 pub struct Crowd<'a> {
     shape: &'a Shape,
-    own: &'a Own,
+    own: &'a RouterSettings,
     seed: u64,
     deeds: &'a [(f64, Do)],
     chance: fastrand::Rng,
@@ -234,7 +234,7 @@
 pub fn play(
     shape: &Shape,
     deeds: &[(f64, Do)],
-    own: &Own,
+    own: &RouterSettings,
     up: usize,
     seed: u64,
 ) -> Result<Ran, String> {
@@ -337,9 +337,9 @@
             cold: (s.cold_from, (s.cold_s * 1e3) as u64),
             fall: ((s.window_s * 1e3) as u64, s.factor),
         };
-        let provision = Provision::read(&told.config().to_string())?;
+        let provision = StartConfig::parse(&told.config().to_string())?;
         let (mut instance, _) =
-            badgerstream_router_config::instance(provision.seed, &provision.pairs)?;
+            badgerstream_router_config::instance(provision.seed, &provision.settings)?;
         instance.set_fleet_sharing(self.own.fleet.clone(), provision.seed, &name);
         Ok(instance)
     }
--- a/crates/testing/experiments/src/fleet.rs
+++ b/crates/testing/experiments/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::crowd::{Do, Of, Ran, Second, Shape, play};
 use crate::router::Fault;
-use badgerstream_router_config::Own;
+use badgerstream_router_config::RouterSettings;
 use plotters::prelude::*;
 use serde::Serialize;
 use serde_json::json;
@@ -222,7 +222,7 @@
 }
 
 /// The experiment's settings: routers are named, but where the fleet grows.
-fn own(options: &Options, routers: usize) -> Result<Own, Fault> {
+fn own(options: &Options, routers: usize) -> Result<RouterSettings, Fault> {
     let text = match &options.settings {
         Some(file) => std::fs::read_to_string(file).map_err(|e| Fault::File(file.clone(), e))?,
         None => {
@@ -235,7 +235,7 @@
                 .to_string()
         }
     };
-    Own::read(&text, 1 << 20).map_err(|e| Fault::Wrong(e.to_string()))
+    RouterSettings::parse(&text, 1 << 20).map_err(|e| Fault::Wrong(e.to_string()))
 }
 
 fn share(seconds: &[Second]) -> f64 {
@@ -347,7 +347,7 @@
     let played = |routers: usize, with: bool| {
         let (shape, own) = (shape(options, routers), own(options, routers)?);
         let (deeds, up) = deeds(options.plan, &shape, options.seed);
-        let own = if with { own } else { Own::default() };
+        let own = if with { own } else { RouterSettings::default() };
         let ran = play(&shape, &deeds, &own, up, options.seed).map_err(Fault::Wrong)?;
         Ok::<(Figures, Ran), Fault>((figures(&ran, options.plan, &deeds), ran))
     };
--- a/crates/testing/load-generator/src/scenario.rs
+++ b/crates/testing/load-generator/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario file: JSON5, checked before anything is sent.
 
-use badgerstream_router_config::{Fault, json5_file};
+use badgerstream_router_config::{FileError, parse_json5};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -256,8 +256,8 @@
 impl Scenario {
     /// # Errors
     /// What is wrong, with its line and column.
-    pub fn read(text: &str) -> Result<Scenario, Fault> {
-        json5_file(text, Scenario::fault)
+    pub fn read(text: &str) -> Result<Scenario, FileError> {
+        parse_json5(text, Scenario::fault)
     }
 
     pub fn seconds(&self) -> f64 {
--- a/crates/testing/process-harness/src/script.rs
+++ b/crates/testing/process-harness/src/script.rs
@@ -1,7 +1,7 @@
 //! What goes wrong between processes, and when: a script in JSON5, checked before anything starts, and the plan
 //! that is drawn from it and a seed. The same script and seed give the same plan.
 
-use badgerstream_router_config::{Fault as Wrong, json5_file};
+use badgerstream_router_config::{FileError as Wrong, parse_json5};
 use badgerstream_store_emulator::Shape;
 use badgerstream_store_emulator::group::Replication;
 use serde::{Deserialize, Serialize};
@@ -331,7 +331,7 @@
     /// # Errors
     /// What is wrong, with its line and column.
     pub fn read(text: &str) -> Result<Script, Wrong> {
-        json5_file(text, Script::fault)
+        parse_json5(text, Script::fault)
     }
 
     /// What is wrong beyond types: a field's path, and why.
