--- a/crates/protocol/postgres-protocol/src/close.rs
+++ b/crates/protocol/postgres-protocol/src/close.rs
@@ -1,49 +1,50 @@
-//! Every way in which a connection can end, towards clients, nodes and discovery alike.
+//! Reasons why a connection to a client, a node or discovery ended.
 
 use std::fmt;
 
+/// Why a connection, or an execution on it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
-    /// The peer ended it, in order.
-    Left,
-    /// It was reset, or the system gave an error on it.
-    Broken,
-    /// Nobody accepted it.
+    /// The peer closed the connection in order.
+    PeerClosed,
+    /// The connection was reset, or a system call on it failed.
+    IoError,
+    /// The connection was not accepted, or its address is unknown.
     Refused,
-    /// It did not come up in time, or fell silent for longer than it may.
-    Silent,
-    /// The node would not have it: it holds as many as it takes.
-    TurnedAway,
-    /// What came can't be trusted any more.
+    /// The connection was not established in time, or the peer sent or read nothing for too long.
+    PeerTimeout,
+    /// The node rejected the connection because it has its maximum number of connections.
+    TooManyConnections,
+    /// The peer sent something invalid, described by the text.
     Malformed(&'static str),
-    /// The execution's limit ran out.
+    /// The execution reached its timeout.
     TimedOut,
-    /// The execution is no longer wanted.
+    /// The execution was cancelled.
     Cancelled,
-    /// The execution must not be sent any more: what let it go has changed meanwhile.
+    /// The execution was not sent: while it waited for a connection, its node became ineligible.
     Withdrawn,
-    /// It was never opened, as descriptors are short.
+    /// The connection was not opened because no file descriptor was available.
     NoDescriptor,
-    /// Its bytes had no place: peers hold as much memory as they may.
+    /// Received bytes did not fit into the memory budget.
     NoMemory,
-    /// It stood idle: too long, while descriptors were short, or at the router's end.
+    /// The connection was idle and was closed because of its idle time, to free a descriptor, or for the shutdown.
     Idle,
 }
 
 impl fmt::Display for Close {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Close::Left => "the peer left",
-            Close::Broken => "the connection broke",
+            Close::PeerClosed => "the peer closed the connection",
+            Close::IoError => "the connection failed with an I/O error",
             Close::Refused => "the connection was refused",
-            Close::Silent => "the peer was silent",
-            Close::TurnedAway => "the node takes no more connections",
+            Close::PeerTimeout => "the peer did not respond in time",
+            Close::TooManyConnections => "the node has its maximum number of connections",
             Close::Malformed(what) => what,
-            Close::TimedOut => "the limit ran out",
-            Close::Cancelled => "cancelled",
-            Close::Withdrawn => "withdrawn before it was sent",
-            Close::NoDescriptor => "descriptors are short",
-            Close::NoMemory => "memory is short",
+            Close::TimedOut => "the execution timed out",
+            Close::Cancelled => "the execution was cancelled",
+            Close::Withdrawn => "the execution was not sent because its node became ineligible",
+            Close::NoDescriptor => "no file descriptor is available",
+            Close::NoMemory => "the memory budget is exhausted",
             Close::Idle => "closed while idle",
         })
     }
--- a/crates/protocol/postgres-protocol/src/discovery.rs
+++ b/crates/protocol/postgres-protocol/src/discovery.rs
@@ -1,16 +1,17 @@
-//! Discovery's watch: an HTTP answer in chunks that stays open and holds one list of nodes a line.
+//! Parses a discovery watch: an HTTP response that stays open, with one list of nodes per line.
 
 use crate::Close;
-use crate::ring::Ring;
+use crate::ring_buffer::RingBuffer;
 use badgerstream_routing::NodeStatus;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A list of a thousand nodes takes some 160 KiB.
-const LONGEST_LINE: usize = 1 << 22;
-const LONGEST_HEAD: usize = 1 << 14;
+/// Maximum size of a line in bytes; a list of 1000 nodes takes about 160 KiB.
+const MAX_LINE_BYTES: usize = 1 << 22;
+/// Maximum size of the response's head, in bytes.
+const MAX_HEAD_BYTES: usize = 1 << 14;
 
-/// The request that opens a watch for what changes after `seq`.
+/// Returns the HTTP request for a watch of the changes after list version `seq`.
 pub fn request(host: SocketAddr, seq: u64) -> String {
     format!(
         "GET /v1/servers?stream=1&index={seq} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
@@ -18,19 +19,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Part {
+enum ParseState {
     Head,
-    /// The line that tells a chunk's length.
-    Length,
-    /// So many bytes are left of a chunk, or of a body whose end is the connection's.
+    /// The line with the length of a chunk.
+    ChunkLength,
+    /// Number of bytes left of a chunk, or of a body without chunks.
     Body(u64),
-    /// The line end behind a chunk.
-    Behind,
-    Over,
+    /// The end of line after a chunk.
+    ChunkEnd,
+    End,
 }
 
+/// Parser of a watch's response.
 pub struct Watch {
-    part: Part,
+    state: ParseState,
     chunked: bool,
     line: Vec<u8>,
 }
@@ -38,7 +40,7 @@
 impl Default for Watch {
     fn default() -> Watch {
         Watch {
-            part: Part::Head,
+            state: ParseState::Head,
             chunked: false,
             line: Vec::new(),
         }
@@ -46,39 +48,43 @@
 }
 
 impl Watch {
-    /// The next whole line, empty if nothing has changed; none while bytes are missing.
-    pub fn next(&mut self, input: &mut Ring) -> Result<Option<Vec<u8>>, Close> {
+    /// Returns the next complete line, which is empty if nothing has changed, or `None` while it is incomplete.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the response has ended, is invalid, is no success, or has a line longer than 4 MiB.
+    pub fn next(&mut self, input: &mut RingBuffer) -> Result<Option<Vec<u8>>, Close> {
         loop {
-            match self.part {
-                Part::Head => {
+            match self.state {
+                ParseState::Head => {
                     if !self.head(input)? {
                         return Ok(None);
                     }
                 }
-                Part::Length => {
+                ParseState::ChunkLength => {
                     if !self.length(input)? {
                         return Ok(None);
                     }
                 }
-                Part::Behind => {
+                ParseState::ChunkEnd => {
                     if input.len() < 2 {
                         return Ok(None);
                     }
                     if input.take(2) != b"\r\n" {
                         return Err(Close::Malformed(
-                            "a chunk of discovery's answer does not end",
+                            "a chunk of discovery's response does not end with a line end",
                         ));
                     }
-                    self.part = Part::Length;
+                    self.state = ParseState::ChunkLength;
                 }
-                Part::Body(0) => {
-                    self.part = if self.chunked {
-                        Part::Behind
+                ParseState::Body(0) => {
+                    self.state = if self.chunked {
+                        ParseState::ChunkEnd
                     } else {
-                        Part::Over
+                        ParseState::End
                     }
                 }
-                Part::Body(left) => {
+                ParseState::Body(left) => {
                     let front = input.front();
                     if front.is_empty() {
                         return Ok(None);
@@ -88,117 +94,127 @@
                     let count = end.map_or(within, |at| at + 1);
                     self.line.extend(&front[..count]);
                     input.skip(count);
-                    self.part = Part::Body(left - count as u64);
-                    if self.line.len() > LONGEST_LINE {
-                        return Err(Close::Malformed("a line of discovery's answer is too long"));
+                    self.state = ParseState::Body(left - count as u64);
+                    if self.line.len() > MAX_LINE_BYTES {
+                        return Err(Close::Malformed(
+                            "a line of discovery's response is longer than 4 MiB",
+                        ));
                     }
                     if end.is_some() {
                         return Ok(Some(std::mem::take(&mut self.line)));
                     }
                 }
-                Part::Over => return Err(Close::Left),
+                ParseState::End => return Err(Close::PeerClosed),
             }
         }
     }
 
-    fn head(&mut self, input: &mut Ring) -> Result<bool, Close> {
-        let mut bytes = vec![0; input.len().min(LONGEST_HEAD)];
+    fn head(&mut self, input: &mut RingBuffer) -> Result<bool, Close> {
+        let mut bytes = vec![0; input.len().min(MAX_HEAD_BYTES)];
         input.copy(0, &mut bytes);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut answer = httparse::Response::new(&mut headers);
         let parsed = answer
             .parse(&bytes)
-            .map_err(|_| Close::Malformed("discovery's answer is no HTTP"))?;
+            .map_err(|_| Close::Malformed("discovery's response is not valid HTTP"))?;
         let httparse::Status::Complete(length) = parsed else {
-            let too_long = bytes.len() == LONGEST_HEAD;
+            let too_long = bytes.len() == MAX_HEAD_BYTES;
             return if too_long {
-                Err(Close::Malformed("discovery's answer has no body"))
+                Err(Close::Malformed(
+                    "the head of discovery's response is longer than 16 KiB",
+                ))
             } else {
                 Ok(false)
             };
         };
         if answer.code != Some(200) {
-            return Err(Close::Malformed("discovery answers with an error"));
+            return Err(Close::Malformed(
+                "discovery's response does not have status 200",
+            ));
         }
-        let named = |name: &str| {
+        let header = |name: &str| {
             answer
                 .headers
                 .iter()
                 .find(|h| h.name.eq_ignore_ascii_case(name))
         };
         self.chunked =
-            named("transfer-encoding").is_some_and(|h| h.value.eq_ignore_ascii_case(b"chunked"));
-        let length_told =
-            named("content-length").map(|h| std::str::from_utf8(h.value).ok()?.parse().ok());
-        self.part = match length_told {
-            _ if self.chunked => Part::Length,
-            Some(told) => {
-                Part::Body(told.ok_or(Close::Malformed("discovery's answer has no length"))?)
-            }
-            None => Part::Body(u64::MAX),
+            header("transfer-encoding").is_some_and(|h| h.value.eq_ignore_ascii_case(b"chunked"));
+        let content_length =
+            header("content-length").map(|h| std::str::from_utf8(h.value).ok()?.parse().ok());
+        self.state = match content_length {
+            _ if self.chunked => ParseState::ChunkLength,
+            Some(length) => ParseState::Body(length.ok_or(Close::Malformed(
+                "discovery's response has an invalid Content-Length",
+            ))?),
+            None => ParseState::Body(u64::MAX),
         };
         input.skip(length);
         Ok(true)
     }
 
-    fn length(&mut self, input: &mut Ring) -> Result<bool, Close> {
+    fn length(&mut self, input: &mut RingBuffer) -> Result<bool, Close> {
         let mut bytes = [0; 128];
         let count = input.len().min(bytes.len());
         input.copy(0, &mut bytes[..count]);
-        let wrong = Close::Malformed("a chunk of discovery's answer has no length");
-        match httparse::parse_chunk_size(&bytes[..count]).map_err(|_| wrong)? {
+        let malformed = Close::Malformed("a chunk of discovery's response has an invalid length");
+        match httparse::parse_chunk_size(&bytes[..count]).map_err(|_| malformed)? {
             httparse::Status::Complete((read, size)) => {
                 input.skip(read);
-                self.part = if size == 0 {
-                    Part::Over
+                self.state = if size == 0 {
+                    ParseState::End
                 } else {
-                    Part::Body(size)
+                    ParseState::Body(size)
                 };
                 Ok(true)
             }
-            httparse::Status::Partial if count == bytes.len() => Err(wrong),
+            httparse::Status::Partial if count == bytes.len() => Err(malformed),
             httparse::Status::Partial => Ok(false),
         }
     }
 }
 
-/// Reads a list: its version, and whether it is whole. Each of its nodes goes to `host` as name, address,
-/// zone, group, standing, start (seconds of Unix time) and whether it is listed as a primary. Nothing is told
-/// of a list that can't be read to its end: half a list would make nodes vanish.
-pub fn list(
-    told: &Value,
+/// Parses a list of nodes and returns its version and whether it is complete. Calls `host` for each node with name,
+/// address, zone, group, status, start time (seconds of Unix time) and whether it is listed as primary.
+///
+/// # Errors
+///
+/// Fails if any part of the list is invalid. `host` is not called in this case, because nodes would disappear with a
+/// partial list.
+pub fn parse_list(
+    list: &Value,
     mut host: impl FnMut(&str, SocketAddr, &str, u16, NodeStatus, f64, bool),
 ) -> Result<(u64, bool), Close> {
-    let wrong = Close::Malformed("a list of nodes can't be read");
-    let seq = told["seq"].as_u64().ok_or(wrong)?;
-    let whole = told["whole"].as_bool().ok_or(wrong)?;
-    let hosts = told["hosts"].as_array().ok_or(wrong)?;
-    let read: Option<Vec<_>> = hosts.iter().map(entry).collect();
-    for (name, dial, zone, group, standing, since, leads) in read.ok_or(wrong)? {
-        host(name, dial, zone, group, standing, since, leads);
+    let malformed = Close::Malformed("a list of nodes has a missing or invalid field");
+    let seq = list["seq"].as_u64().ok_or(malformed)?;
+    let whole = list["whole"].as_bool().ok_or(malformed)?;
+    let hosts = list["hosts"].as_array().ok_or(malformed)?;
+    let nodes: Option<Vec<_>> = hosts.iter().map(parse_node).collect();
+    for (name, address, zone, group, status, since, leads) in nodes.ok_or(malformed)? {
+        host(name, address, zone, group, status, since, leads);
     }
     Ok((seq, whole))
 }
 
 #[allow(clippy::type_complexity)]
-fn entry(host: &Value) -> Option<(&str, SocketAddr, &str, u16, NodeStatus, f64, bool)> {
-    let standing = match host["health"].as_str()? {
+fn parse_node(host: &Value) -> Option<(&str, SocketAddr, &str, u16, NodeStatus, f64, bool)> {
+    let status = match host["health"].as_str()? {
         "in_service" => NodeStatus::Ready,
         "terminating" => NodeStatus::Draining,
         "terminated" => NodeStatus::Gone,
         _ => return None,
     };
     let group = u16::try_from(host["block"].as_u64()?).ok()?;
-    let born = host["born_ms"].as_f64().filter(|ms| *ms >= 0.0)? / 1e3;
+    let since = host["born_ms"].as_f64().filter(|ms| *ms >= 0.0)? / 1e3;
     let leads = host.get("rank").and_then(Value::as_str) == Some("source");
-    let dial = host["dial"].as_str()?.parse().ok()?;
+    let address = host["dial"].as_str()?.parse().ok()?;
     Some((
         host["host"].as_str()?,
-        dial,
+        address,
         host["site"].as_str()?,
         group,
-        standing,
-        born,
+        status,
+        since,
         leads,
     ))
 }
--- a/crates/protocol/postgres-protocol/src/lib.rs
+++ b/crates/protocol/postgres-protocol/src/lib.rs
@@ -1,10 +1,6 @@
-//! The platform's protocols as state machines that are fed bytes: `PostgreSQL`'s version 3 towards clients and
-//! nodes, HTTP towards discovery. No sockets and no decisions here; a driver reads, feeds and writes.
-
-#![allow(
-    missing_docs,
-    reason = "the router in service and its rigs get their documentation with the second part of this work (issue 55)"
-)]
+//! The router's protocols as state machines without input and output: the `PostgreSQL` protocol, version 3, for
+//! clients and nodes, and HTTP for discovery. The caller reads bytes from a socket into a [`RingBuffer`], and writes
+//! the output.
 
 pub mod client;
 pub mod close;
@@ -12,10 +8,10 @@
 pub mod discovery;
 pub mod message;
 pub mod node;
-pub mod ring;
+pub mod ring_buffer;
 
 pub use close::Close;
-pub use ring::{Memory, Ring};
+pub use ring_buffer::{MemoryBudget, RingBuffer};
 
 #[cfg(test)]
 mod tests;
--- a/crates/protocol/postgres-protocol/src/tests/client.rs
+++ b/crates/protocol/postgres-protocol/src/tests/client.rs
@@ -1,7 +1,7 @@
 use super::{READ, all, message, outline, ring};
-use crate::client::{Client, Turn};
-use crate::message::LONGEST;
-use crate::{Close, Ring};
+use crate::client::{Client, ClientAction};
+use crate::message::MAX_MESSAGE_BYTES;
+use crate::{Close, RingBuffer};
 use test_case::test_case;
 
 fn startup(version: u32, body: &[u8]) -> Vec<u8> {
@@ -23,14 +23,17 @@
 
 /// Feeds bytes in pieces of a size, answers every statement with a row, and tells the answers and the end.
 fn fed(bytes: &[u8], piece: usize) -> (Vec<u8>, Result<(), Close>) {
-    let (mut client, mut input, mut output) =
-        (Client::default(), Ring::new(LONGEST), Ring::new(LONGEST));
+    let (mut client, mut input, mut output) = (
+        Client::default(),
+        RingBuffer::new(MAX_MESSAGE_BYTES),
+        RingBuffer::new(MAX_MESSAGE_BYTES),
+    );
     let mut pieces = bytes.chunks(piece);
     loop {
         match client.next(&mut input, &mut output) {
-            Ok(Turn::Write) => {}
-            Ok(Turn::Execute(_)) => client.completed(&mut output, message(b'D', b"v")),
-            Ok(Turn::Read) => match pieces.next() {
+            Ok(ClientAction::Write) => {}
+            Ok(ClientAction::Execute(_)) => client.completed(&mut output, message(b'D', b"v")),
+            Ok(ClientAction::Read) => match pieces.next() {
                 Some(piece) => input.push(piece),
                 None => return (all(output), Ok(())),
             },
@@ -55,33 +58,36 @@
     let (answers, end) = fed(&bytes, piece);
     assert_eq!(&answers[..2], b"NN", "neither TLS nor GSS");
     assert_eq!(outline(&answers[2..]), "R S S S Z I Z D Z E0A000 Z D Z");
-    assert_eq!(end, Err(Close::Left));
+    assert_eq!(end, Err(Close::PeerClosed));
 }
 
 #[test]
 fn one_statement_at_a_time() {
-    let (mut client, mut output) = (Client::default(), Ring::new(LONGEST));
+    let (mut client, mut output) = (Client::default(), RingBuffer::new(MAX_MESSAGE_BYTES));
     let mut input = ring(&[hello(), query(READ), query(READ)].concat());
-    assert_eq!(client.next(&mut input, &mut output), Ok(Turn::Write));
-    assert!(client.fresh());
+    assert_eq!(
+        client.next(&mut input, &mut output),
+        Ok(ClientAction::Write)
+    );
+    assert!(client.awaits_first_message());
     assert!(matches!(
         client.next(&mut input, &mut output),
-        Ok(Turn::Execute(_))
+        Ok(ClientAction::Execute(_))
     ));
-    assert!(!client.fresh());
+    assert!(!client.awaits_first_message());
     let waiting = input.len();
-    assert_eq!(client.next(&mut input, &mut output), Ok(Turn::Read));
+    assert_eq!(client.next(&mut input, &mut output), Ok(ClientAction::Read));
     assert_eq!(input.len(), waiting, "the second stays where it is");
     client.aborted(&mut output);
     assert!(matches!(
         client.next(&mut input, &mut output),
-        Ok(Turn::Execute(_))
+        Ok(ClientAction::Execute(_))
     ));
 }
 
 #[test]
 fn rejections_carry_the_time_to_come_back() {
-    let (mut client, mut output) = (Client::default(), Ring::new(LONGEST));
+    let (mut client, mut output) = (Client::default(), RingBuffer::new(MAX_MESSAGE_BYTES));
     client.rejected(&mut output, 1.5);
     let told = all(output);
     assert_eq!(outline(&told), "E53300 Z");
@@ -90,7 +96,7 @@
 
 #[test]
 fn an_abort_is_no_refusal() {
-    let (mut client, mut output) = (Client::default(), Ring::new(LONGEST));
+    let (mut client, mut output) = (Client::default(), RingBuffer::new(MAX_MESSAGE_BYTES));
     client.aborted(&mut output);
     assert_eq!(outline(&all(output)), "E40003 Z");
 }
--- a/crates/protocol/postgres-protocol/src/tests/comment.rs
+++ b/crates/protocol/postgres-protocol/src/tests/comment.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_read_is_split() {
-    let s = Statement::read(&READ.replace("d=480", "d=480,after=1767225600123")).unwrap();
+    let s = Statement::parse(&READ.replace("d=480", "d=480,after=1767225600123")).unwrap();
     assert_eq!(
         (s.writes, s.key.as_str(), s.mark.is_some()),
         (false, "7f3a", false)
@@ -16,12 +16,12 @@
         (s.workload.as_str(), s.customer.as_str(), s.group),
         ("basket", "acme", 2)
     );
-    assert_eq!((s.wait, s.after), (0.48, Some(1_767_225_600.123)));
+    assert_eq!((s.wait_s, s.after), (0.48, Some(1_767_225_600.123)));
 }
 
 #[test]
 fn a_write_is_split() {
-    let s = Statement::read(WRITE).unwrap();
+    let s = Statement::parse(WRITE).unwrap();
     assert_eq!(
         (s.writes, s.key.as_str(), s.mark.is_some(), s.after),
         (true, "7f3a", true, None)
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_node_gets_all_unchanged_but_the_wait() {
-    let s = Statement::read(WRITE).unwrap();
+    let s = Statement::parse(WRITE).unwrap();
     assert_eq!(s.for_node(0.1239), WRITE.replace("d=480", "d=123"));
     assert_eq!(
         s.for_node(0.0),
@@ -63,10 +63,10 @@
 #[test_case("INSERT INTO records (k, v) VALUES ('7', '\\x9g') RETURNING v /* id=9,c=b,d=480,cluster=2 */", "22P02"; "no hex")]
 #[test_case("INSERT INTO records (k, v) VALUES ('7', '\\x9f') /* id=9,c=b,d=480,cluster=2 */", "42601"; "returns nothing")]
 fn no_node_sees_it(text: &str, code: &str) {
-    assert_eq!(Statement::read(text).unwrap_err().0, code);
+    assert_eq!(Statement::parse(text).unwrap_err().0, code);
 }
 
 #[test]
 fn unknown_marks_are_passed_over() {
-    assert!(Statement::read(&READ.replace("id=", "r=1,new=x,id=")).is_ok());
+    assert!(Statement::parse(&READ.replace("id=", "r=1,new=x,id=")).is_ok());
 }
--- a/crates/protocol/postgres-protocol/src/tests/damage.rs
+++ b/crates/protocol/postgres-protocol/src/tests/damage.rs
@@ -1,12 +1,12 @@
 //! Streams with bytes changed, lost, doubled or made up: whatever comes, the machines say what is wrong.
 
 use super::{READ, message};
-use crate::client::{Client, Turn};
+use crate::client::{Client, ClientAction};
 use crate::comment::Statement;
 use crate::discovery::Watch;
-use crate::message::LONGEST;
+use crate::message::MAX_MESSAGE_BYTES;
 use crate::node::Node;
-use crate::{Close, Ring};
+use crate::{Close, RingBuffer};
 
 const ROUNDS: u64 = 3000;
 
@@ -26,11 +26,14 @@
 }
 
 /// Damages a stream in many ways and feeds it in pieces; false from `feed` ends a round.
-fn hurt(whole: &[u8], mut feed: impl FnMut() -> Box<dyn FnMut(&mut Ring) -> bool>) {
+fn hurt(whole: &[u8], mut feed: impl FnMut() -> Box<dyn FnMut(&mut RingBuffer) -> bool>) {
     for seed in 0..ROUNDS {
         let mut chance = fastrand::Rng::with_seed(seed);
-        let (bytes, mut input, mut machine) =
-            (damaged(whole, &mut chance), Ring::new(LONGEST), feed());
+        let (bytes, mut input, mut machine) = (
+            damaged(whole, &mut chance),
+            RingBuffer::new(MAX_MESSAGE_BYTES),
+            feed(),
+        );
         for piece in bytes.chunks(chance.usize(1..40)) {
             input.push(piece);
             if !machine(&mut input) {
@@ -53,13 +56,13 @@
     ]
     .concat();
     hurt(&whole, || {
-        let (mut client, mut output) = (Client::default(), Ring::new(LONGEST));
+        let (mut client, mut output) = (Client::default(), RingBuffer::new(MAX_MESSAGE_BYTES));
         Box::new(move |input| {
             loop {
                 match client.next(input, &mut output) {
-                    Ok(Turn::Read) => return true,
-                    Ok(Turn::Write) => output.skip(output.len()),
-                    Ok(Turn::Execute(_)) => client.aborted(&mut output),
+                    Ok(ClientAction::Read) => return true,
+                    Ok(ClientAction::Write) => output.skip(output.len()),
+                    Ok(ClientAction::Execute(_)) => client.aborted(&mut output),
                     Err(_) => return false,
                 }
             }
@@ -90,7 +93,7 @@
     ]
     .concat();
     hurt(&whole, || {
-        let mut output = Ring::new(LONGEST);
+        let mut output = RingBuffer::new(MAX_MESSAGE_BYTES);
         let mut node = Node::start(&mut output);
         Box::new(move |input| {
             loop {
@@ -114,7 +117,7 @@
                 match watch.next(input) {
                     Ok(None) => return true,
                     Ok(Some(_)) => {}
-                    Err(close) => return close == Close::Left,
+                    Err(close) => return close == Close::PeerClosed,
                 }
             }
         })
@@ -126,9 +129,9 @@
     for seed in 0..ROUNDS {
         let bytes = damaged(READ.as_bytes(), &mut fastrand::Rng::with_seed(seed));
         let text = String::from_utf8_lossy(&bytes);
-        if let Ok(s) = Statement::read(&text) {
-            let passed_on = s.for_node(s.wait / 2.0);
-            let again = Statement::read(&passed_on).unwrap();
+        if let Ok(s) = Statement::parse(&text) {
+            let passed_on = s.for_node(s.wait_s / 2.0);
+            let again = Statement::parse(&passed_on).unwrap();
             assert_eq!((again.key, again.group), (s.key, s.group), "{passed_on}");
         }
     }
--- a/crates/protocol/postgres-protocol/src/tests/discovery.rs
+++ b/crates/protocol/postgres-protocol/src/tests/discovery.rs
@@ -1,6 +1,6 @@
 use super::ring;
-use crate::discovery::{Watch, list, request};
-use crate::{Close, Ring};
+use crate::discovery::{Watch, parse_list, request};
+use crate::{Close, RingBuffer};
 use serde_json::json;
 use test_case::test_case;
 
@@ -9,7 +9,8 @@
 
 /// The lines of an answer that is fed in pieces, and how it ended.
 fn lines(bytes: &[u8], piece: usize) -> (Vec<String>, Option<Close>) {
-    let (mut watch, mut input, mut lines) = (Watch::default(), Ring::new(1 << 16), Vec::new());
+    let (mut watch, mut input, mut lines) =
+        (Watch::default(), RingBuffer::new(1 << 16), Vec::new());
     for piece in bytes.chunks(piece) {
         input.push(piece);
         loop {
@@ -32,13 +33,16 @@
         format!("{HEAD}4\r\n{{\"a\"\r\n4\r\n:1}}\n\r\n1\r\n\n\r\n6\r\n{{}}\n[]\n\r\n0\r\n\r\n");
     let (told, end) = lines(bytes.as_bytes(), piece);
     assert_eq!(told, ["{\"a\":1}\n", "\n", "{}\n", "[]\n"]);
-    assert_eq!(end, Some(Close::Left));
+    assert_eq!(end, Some(Close::PeerClosed));
 }
 
 #[test]
 fn a_body_without_chunks_is_read_too() {
     let (told, end) = lines(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n", 2);
-    assert_eq!((told, end), (vec!["{}\n".to_string()], Some(Close::Left)));
+    assert_eq!(
+        (told, end),
+        (vec!["{}\n".to_string()], Some(Close::PeerClosed))
+    );
 }
 
 #[test_case("nonsense\r\n\r\n"; "no http")]
@@ -79,7 +83,7 @@
          "health": "terminating", "share": 1.0, "born_ms": 1767225600123u64, "rank": "source"},
         {"host": "s-2", "dial": "127.0.0.2:6432", "site": "b", "block": 3, "health": "in_service", "born_ms": 0}]});
     let mut nodes = Vec::new();
-    let heard = list(&told, |name, dial, zone, group, standing, since, leads| {
+    let heard = parse_list(&told, |name, dial, zone, group, standing, since, leads| {
         nodes.push(format!(
             "{name} {dial} {zone} {group} {standing:?} {since} {leads}"
         ));
@@ -104,6 +108,6 @@
     bad[field] = wrong;
     let told = json!({"seq": 43, "whole": true, "hosts": [good, bad]});
     let mut count = 0;
-    assert!(list(&told, |_, _, _, _, _, _, _| count += 1).is_err());
+    assert!(parse_list(&told, |_, _, _, _, _, _, _| count += 1).is_err());
     assert_eq!(count, 0);
 }
--- a/crates/protocol/postgres-protocol/src/tests/mod.rs
+++ b/crates/protocol/postgres-protocol/src/tests/mod.rs
@@ -5,27 +5,27 @@
 mod damage;
 mod discovery;
 mod node;
-mod ring;
+mod ring_buffer;
 
-use crate::Ring;
+use crate::RingBuffer;
 use crate::message::put;
 
 pub(crate) const READ: &str =
     "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */";
 
-pub(crate) fn ring(bytes: &[u8]) -> Ring {
-    let mut ring = Ring::new(1 << 18);
+pub(crate) fn ring(bytes: &[u8]) -> RingBuffer {
+    let mut ring = RingBuffer::new(1 << 18);
     ring.push(bytes);
     ring
 }
 
-pub(crate) fn all(mut ring: Ring) -> Vec<u8> {
+pub(crate) fn all(mut ring: RingBuffer) -> Vec<u8> {
     let length = ring.len();
     ring.take(length)
 }
 
 pub(crate) fn message(kind: u8, body: &[u8]) -> Vec<u8> {
-    let mut ring = Ring::new(1 << 18);
+    let mut ring = RingBuffer::new(1 << 18);
     put(&mut ring, kind, &[body]);
     all(ring)
 }
--- a/crates/protocol/postgres-protocol/src/tests/node.rs
+++ b/crates/protocol/postgres-protocol/src/tests/node.rs
@@ -1,11 +1,11 @@
 use super::{READ, all, message, outline, ring};
-use crate::message::{LONGEST, put_status};
-use crate::node::{Answer, Heard, Node, vital};
-use crate::{Close, Ring};
+use crate::message::{MAX_MESSAGE_BYTES, put_status};
+use crate::node::{Answer, Node, NodeEvent, load_figure};
+use crate::{Close, RingBuffer};
 use test_case::test_case;
 
 fn status(name: &str, value: &str) -> Vec<u8> {
-    let mut output = Ring::new(LONGEST);
+    let mut output = RingBuffer::new(MAX_MESSAGE_BYTES);
     put_status(&mut output, name, value);
     all(output)
 }
@@ -53,16 +53,19 @@
 
 /// A node that was greeted and asked, fed an answer in pieces; what it comes to once all is read.
 fn answered(bytes: &[u8], piece: usize) -> Result<Option<Answer>, Close> {
-    let (mut input, mut output) = (Ring::new(LONGEST), Ring::new(LONGEST));
+    let (mut input, mut output) = (
+        RingBuffer::new(MAX_MESSAGE_BYTES),
+        RingBuffer::new(MAX_MESSAGE_BYTES),
+    );
     let mut node = Node::start(&mut output);
     input.push(&greeting());
-    assert_eq!(node.next(&mut input), Ok(Some(Heard::Ready)));
+    assert_eq!(node.next(&mut input), Ok(Some(NodeEvent::Ready)));
     output.skip(output.len());
     node.execute(&mut output, READ);
     assert_eq!(outline(&all(output)), "Q");
     for piece in bytes.chunks(piece) {
         input.push(piece);
-        if let Some(Heard::Answer(answer)) = node.next(&mut input)? {
+        if let Some(NodeEvent::Answer(answer)) = node.next(&mut input)? {
             return Ok(Some(answer));
         }
     }
@@ -169,16 +172,16 @@
 
 #[test]
 fn bytes_while_idle_end_the_connection() {
-    let mut node = Node::start(&mut Ring::new(LONGEST));
+    let mut node = Node::start(&mut RingBuffer::new(MAX_MESSAGE_BYTES));
     let mut input = ring(&[greeting(), done()].concat());
-    assert_eq!(node.next(&mut input), Ok(Some(Heard::Ready)));
+    assert_eq!(node.next(&mut input), Ok(Some(NodeEvent::Ready)));
     assert!(matches!(node.next(&mut input), Err(Close::Malformed(_))));
 }
 
-#[test_case("53300", Close::TurnedAway; "it holds too many connections")]
+#[test_case("53300", Close::TooManyConnections; "it holds too many connections")]
 #[test_case("57P03", Close::Refused; "it does not start")]
 fn a_start_that_fails(code: &str, expected: Close) {
-    let mut node = Node::start(&mut Ring::new(LONGEST));
+    let mut node = Node::start(&mut RingBuffer::new(MAX_MESSAGE_BYTES));
     assert_eq!(node.next(&mut ring(&error(code))), Err(expected));
 }
 
@@ -187,5 +190,5 @@
 #[test_case("x0=NaN", "x0", None; "no number")]
 #[test_case("x0,=,x1=", "x1", None; "no form")]
 fn figures_of_a_report(report: &str, name: &str, expected: Option<f64>) {
-    assert_eq!(vital(report, name), expected);
+    assert_eq!(load_figure(report, name), expected);
 }
--- a/crates/protocol/postgres-protocol/src/tests/ring.rs
+++ b/crates/protocol/postgres-protocol/src/tests/ring_buffer.rs
@@ -1,8 +1,8 @@
-use crate::{Memory, Ring};
+use crate::{MemoryBudget, RingBuffer};
 
 #[test]
 fn what_goes_in_comes_out_across_the_end() {
-    let mut ring = Ring::new(1 << 12);
+    let mut ring = RingBuffer::new(1 << 12);
     let (mut put, mut got) = (0u32, Vec::new());
     for step in 0..2000usize {
         let count = ring.room().len().min(step % 97);
@@ -21,7 +21,7 @@
 
 #[test]
 fn it_grows_to_its_most_and_gives_memory_back() {
-    let mut ring = Ring::new(1 << 16);
+    let mut ring = RingBuffer::new(1 << 16);
     assert_eq!(ring.room().len(), 1 << 10, "it starts small");
     while !ring.room().is_empty() {
         let count = ring.room().len();
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_copy_runs_over_the_break() {
-    let mut ring = Ring::new(1 << 10);
+    let mut ring = RingBuffer::new(1 << 10);
     ring.push(&[1; 1000]);
     ring.skip(999);
     ring.push(&[2; 40]);
@@ -50,7 +50,7 @@
 
 #[test]
 fn bytes_are_adopted_as_they_are_where_nothing_stands_before_them() {
-    let mut ring = Ring::new(1 << 10);
+    let mut ring = RingBuffer::new(1 << 10);
     let large = vec![7; 1 << 15];
     let place = large.as_ptr();
     ring.adopt(large);
@@ -63,11 +63,11 @@
 
 #[test]
 fn a_message_that_is_known_to_come_takes_its_place_at_once_or_not_at_all() {
-    let memory = Memory::new(1 << 16);
-    let mut rings = [(); 2].map(|()| Ring::within(1 << 20, &memory));
+    let memory = MemoryBudget::new(1 << 16);
+    let mut rings = [(); 2].map(|()| RingBuffer::with_memory(1 << 20, &memory));
     for ring in &mut rings {
         ring.push(&[0; 1 << 10]);
-        ring.want(40_000);
+        ring.expect_len(40_000);
     }
     assert_eq!(
         (rings[0].room().len(), rings[1].room().len()),
--- a/crates/protocol/router-config/src/lib.rs
+++ b/crates/protocol/router-config/src/lib.rs
@@ -1,5 +1,5 @@
 //! Parses the start file of a router (JSON) and its settings file (JSON5) into the types of `badgerstream-routing`.
-//! Lines of path=value and nested JSON are both flattened to the same settings, see [`FlatSettings`].
+//! Settings of the platform come as lines of path=value or as nested JSON; both become [`FlatSettings`].
 
 mod flat_settings;
 mod instance;
--- a/crates/protocol/router-config/src/router_settings.rs
+++ b/crates/protocol/router-config/src/router_settings.rs
@@ -121,10 +121,10 @@
         .map(|(at, _)| from + at)
         .find(|at| {
             let before = text[..*at].chars().next_back().unwrap_or(' ');
-            let behind = text[at + key.len()..]
+            let after = text[at + key.len()..]
                 .trim_start_matches(['"', '\''])
                 .trim_start();
-            !(before.is_alphanumeric() || before == '_') && behind.starts_with(':')
+            !(before.is_alphanumeric() || before == '_') && after.starts_with(':')
         })
 }
 
--- a/crates/runtime/router/src/client.rs
+++ b/crates/runtime/router/src/client.rs
@@ -5,10 +5,10 @@
 use crate::execute::{Row, StatementDispatcher};
 use crate::wire::{self, LogThrottle};
 use async_io::{Async, Timer};
-use badgerstream_postgres_protocol::client::{Client, Turn};
-use badgerstream_postgres_protocol::comment::{Fault, Statement};
-use badgerstream_postgres_protocol::ring::Hold;
-use badgerstream_postgres_protocol::{Close, Memory, Ring, message};
+use badgerstream_postgres_protocol::client::{Client, ClientAction};
+use badgerstream_postgres_protocol::comment::{ClientError, Statement};
+use badgerstream_postgres_protocol::ring_buffer::MemoryReservation;
+use badgerstream_postgres_protocol::{Close, MemoryBudget, RingBuffer, message};
 use badgerstream_routing::{Consistency, Repeat, Workload};
 use futures_lite::future;
 use std::cell::RefCell;
@@ -39,7 +39,7 @@
 pub(crate) struct Reservation {
     names: Rc<NameIndex>,
     id: String,
-    _memory: Hold,
+    _memory: MemoryReservation,
 }
 
 impl Drop for Reservation {
@@ -70,9 +70,9 @@
 pub(crate) fn accept_statement(
     dispatcher: &Rc<StatementDispatcher>,
     names: &Rc<NameIndex>,
-    memory: &Rc<Memory>,
+    memory: &Rc<MemoryBudget>,
     s: Statement,
-) -> Result<(Ticket<Statement, Row>, Reservation), Fault> {
+) -> Result<(Ticket<Statement, Row>, Reservation), ClientError> {
     let (workload, kind) = *names.workloads.get(&s.workload).ok_or((
         "42704",
         "the workload named in comment field c is not configured",
@@ -96,7 +96,7 @@
         ));
     }
     // 53300 tells the client that it may repeat the statement: nothing has run.
-    let held = memory.hold(s.size()).ok_or((
+    let held = memory.reserve(s.size()).ok_or((
         "53300",
         "no memory left for another large statement; try again later",
     ))?;
@@ -120,7 +120,8 @@
         .get(&s.customer)
         .copied()
         .unwrap_or(usize::MAX);
-    let (group, wait, after, size, marked) = (s.group, s.wait, s.after, s.size(), s.mark.is_some());
+    let (group, wait, after, size, marked) =
+        (s.group, s.wait_s, s.after, s.size(), s.mark.is_some());
     let ticket = dispatcher.arrived(s, workload, group, session, customer, wait, after);
     dispatcher.describe_statement(&ticket, size, marked);
     Ok((ticket, opened))
@@ -139,11 +140,11 @@
     stream: Async<TcpStream>,
     dispatcher: Rc<StatementDispatcher>,
     names: Rc<NameIndex>,
-    memory: Rc<Memory>,
+    memory: Rc<MemoryBudget>,
     lease: &Lease,
     malformed: Rc<LogThrottle>,
 ) {
-    let mut output = Ring::within(message::LONGEST, &memory);
+    let mut output = RingBuffer::with_memory(message::MAX_MESSAGE_BYTES, &memory);
     let Err(close) = talk(&stream, &mut output, &dispatcher, &names, &memory, lease).await;
     if let Close::Malformed(_) = close {
         // Send the error message that the protocol machine has written.
@@ -158,30 +159,33 @@
 
 async fn talk(
     stream: &Async<TcpStream>,
-    output: &mut Ring,
+    output: &mut RingBuffer,
     dispatcher: &Rc<StatementDispatcher>,
     names: &Rc<NameIndex>,
-    memory: &Rc<Memory>,
+    memory: &Rc<MemoryBudget>,
     lease: &Lease,
 ) -> Result<Infallible, Close> {
-    let (mut machine, mut input) = (Client::default(), Ring::within(message::LONGEST, memory));
+    let (mut machine, mut input) = (
+        Client::default(),
+        RingBuffer::with_memory(message::MAX_MESSAGE_BYTES, memory),
+    );
     // Start of the message that is still incomplete; before the first statement, the time of connecting.
     let mut begun = Some(Instant::now());
     loop {
         match machine.next(&mut input, output)? {
-            Turn::Read => {
-                if machine.fresh() || !input.is_empty() {
+            ClientAction::Read => {
+                if machine.awaits_first_message() || !input.is_empty() {
                     let since = *begun.get_or_insert_with(Instant::now);
                     let left = MESSAGE_TIMEOUT.saturating_sub(since.elapsed());
                     let read = read_incomplete(stream, &mut input, lease, since);
-                    wire::within(left, Close::Silent, read).await?;
+                    wire::within(left, Close::PeerTimeout, read).await?;
                 } else {
                     read_idle(stream, &mut input, lease, WaitKind::IdleClient).await?;
                 }
                 continue;
             }
-            Turn::Write => {}
-            Turn::Execute(statement) => {
+            ClientAction::Write => {}
+            ClientAction::Execute(statement) => {
                 match accept_statement(dispatcher, names, memory, *statement) {
                     Err(fault) => machine.failed(output, fault),
                     Ok((ticket, _opened)) => match answer(stream, &mut input, &ticket).await? {
@@ -193,7 +197,7 @@
             }
         }
         flush(stream, output).await?;
-        if !machine.fresh() {
+        if !machine.awaits_first_message() {
             begun = None;
         }
         // Yield so that many messages at once can't starve other connections.
@@ -201,15 +205,20 @@
     }
 }
 
-async fn flush(stream: &Async<TcpStream>, output: &mut Ring) -> Result<(), Close> {
-    wire::within(WRITE_TIMEOUT, Close::Silent, wire::write(stream, output)).await
+async fn flush(stream: &Async<TcpStream>, output: &mut RingBuffer) -> Result<(), Close> {
+    wire::within(
+        WRITE_TIMEOUT,
+        Close::PeerTimeout,
+        wire::write(stream, output),
+    )
+    .await
 }
 
 /// Waits for bytes of an incomplete message. After the grace period without a byte, the connection is among the
 /// first that may be closed to free a descriptor.
 async fn read_incomplete(
     stream: &Async<TcpStream>,
-    input: &mut Ring,
+    input: &mut RingBuffer,
     lease: &Lease,
     since: Instant,
 ) -> Result<(), Close> {
@@ -228,7 +237,7 @@
 /// Waits for bytes, or closes the connection if the budget asks for its descriptor and no bytes are unread.
 async fn read_idle(
     stream: &Async<TcpStream>,
-    input: &mut Ring,
+    input: &mut RingBuffer,
     lease: &Lease,
     kind: WaitKind,
 ) -> Result<(), Close> {
@@ -251,7 +260,7 @@
 /// Waits for the final answer. Meanwhile the client may disconnect or send its next statement.
 async fn answer(
     stream: &Async<TcpStream>,
-    input: &mut Ring,
+    input: &mut RingBuffer,
     ticket: &Ticket<Statement, Row>,
 ) -> Result<Final<Row>, Close> {
     let disconnected = async {
--- a/crates/runtime/router/src/execute.rs
+++ b/crates/runtime/router/src/execute.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use badgerstream_postgres_protocol::Close;
 use badgerstream_postgres_protocol::comment::Statement;
-use badgerstream_postgres_protocol::node::{Answer, vital};
+use badgerstream_postgres_protocol::node::{Answer, load_figure};
 use badgerstream_routing::{ExecutionOutcome, Role};
 use futures_lite::future;
 use std::cell::Cell;
@@ -131,10 +131,11 @@
 
 /// Parses a load report. `own_connections` is the number of this router's open connections to the node.
 pub(crate) fn report(vitals: &str, fields: &ReportFields, own_connections: usize) -> Report {
-    let primary = vital(vitals, badgerstream_router_config::ROLE_COLUMN).map(|role| role >= 0.5);
-    let lsn = vital(vitals, badgerstream_router_config::POSITION_COLUMN)
+    let primary =
+        load_figure(vitals, badgerstream_router_config::ROLE_COLUMN).map(|role| role >= 0.5);
+    let lsn = load_figure(vitals, badgerstream_router_config::POSITION_COLUMN)
         .map_or(f64::NEG_INFINITY, |at| at - POSITION_ROUNDING_S);
-    let both = |f: &Rc<(String, String)>| vital(vitals, &f.0).zip(vital(vitals, &f.1));
+    let both = |f: &Rc<(String, String)>| load_figure(vitals, &f.0).zip(load_figure(vitals, &f.1));
     let (promotion, connections) = (
         fields.promotion.as_ref().and_then(both),
         fields.connections.as_ref().and_then(both),
@@ -142,7 +143,7 @@
     let fleet_connections = fields
         .fleet_connections
         .as_ref()
-        .and_then(|field| vital(vitals, field))
+        .and_then(|field| load_figure(vitals, field))
         .map(|held| (held, own_connections as f64));
     Report {
         primary,
--- a/crates/runtime/router/src/lib.rs
+++ b/crates/runtime/router/src/lib.rs
@@ -23,7 +23,7 @@
 mod wire;
 
 use async_io::Async;
-use badgerstream_postgres_protocol::{Close, Memory};
+use badgerstream_postgres_protocol::{Close, MemoryBudget};
 use badgerstream_router_config::{FlatSettings, RouterSettings, StartConfig};
 use futures_lite::future;
 use lexopt::prelude::*;
@@ -76,7 +76,7 @@
     main_with(std::env::args_os().skip(1))
 }
 
-/// Runs the router with the given arguments, for test programs that start a router as their router_settings child process.
+/// Runs the router with the given arguments, for test programs that start a router as their own child process.
 pub fn main_with(arguments: impl IntoIterator<Item = impl Into<std::ffi::OsString>>) -> ExitCode {
     match command(arguments) {
         Ok(Command::Serve(files)) => report(start(files)),
@@ -297,7 +297,7 @@
         spawn::Tasks::default(),
         budget::Budget::new(start_config.descriptors),
     );
-    let memory = |share: f64| Memory::new(memory_share_bytes(&start_config, share));
+    let memory = |share: f64| MemoryBudget::new(memory_share_bytes(&start_config, share));
     let (answers, statements) = (memory(ANSWER_MEMORY_SHARE), memory(STATEMENT_MEMORY_SHARE));
     let restart_pacing = restart_pacing::RestartPacing::for_dispatcher(&dispatcher);
     let pool = pool::Pool::new(
@@ -370,8 +370,8 @@
     );
     let accept = tasks.spawn("listener", async move {
         // The list in the start file may be outdated: wait briefly for the current one from discovery.
-        let list_received = async { first_list.recv().await.map_err(|_| Close::Left) };
-        let _ = wire::within(FIRST_LIST_TIMEOUT, Close::Silent, list_received).await;
+        let list_received = async { first_list.recv().await.map_err(|_| Close::PeerClosed) };
+        let _ = wire::within(FIRST_LIST_TIMEOUT, Close::PeerTimeout, list_received).await;
         accept.await;
     });
     tracing::info!("{name} serves on {address}");
--- a/crates/runtime/router/src/listen.rs
+++ b/crates/runtime/router/src/listen.rs
@@ -6,7 +6,7 @@
 use crate::spawn::Tasks;
 use crate::wire::LogThrottle;
 use async_io::{Async, Timer};
-use badgerstream_postgres_protocol::Memory;
+use badgerstream_postgres_protocol::MemoryBudget;
 use futures_lite::future;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     tasks: Tasks,
     dispatcher: Rc<StatementDispatcher>,
     names: Rc<NameIndex>,
-    memory: Rc<Memory>,
+    memory: Rc<MemoryBudget>,
     budget: Rc<Budget>,
 ) {
     let (malformed, accept_errors) = (Rc::new(LogThrottle::new()), LogThrottle::new());
--- a/crates/runtime/router/src/outcome.rs
+++ b/crates/runtime/router/src/outcome.rs
@@ -15,8 +15,8 @@
             ExecutionOutcome::NeverIssued
         }
         (Close::NoDescriptor | Close::NoMemory, false) => ExecutionOutcome::NeverIssued,
-        (Close::TurnedAway, false) => ExecutionOutcome::Rejected,
-        (Close::Left | Close::Broken | Close::Malformed(_), false) => {
+        (Close::TooManyConnections, false) => ExecutionOutcome::Rejected,
+        (Close::PeerClosed | Close::IoError | Close::Malformed(_), false) => {
             ExecutionOutcome::SendInterrupted
         }
         (_, false) => ExecutionOutcome::ConnectFailed,
--- a/crates/runtime/router/src/pool.rs
+++ b/crates/runtime/router/src/pool.rs
@@ -8,8 +8,8 @@
 use async_channel::{Sender, bounded};
 use async_executor::Task;
 use async_io::{Async, Timer};
-use badgerstream_postgres_protocol::node::{Answer, Heard, Node};
-use badgerstream_postgres_protocol::{Close, Memory, Ring, message};
+use badgerstream_postgres_protocol::node::{Answer, Node, NodeEvent};
+use badgerstream_postgres_protocol::{Close, MemoryBudget, RingBuffer, message};
 use badgerstream_routing::recovery::{self, OpenDecision, OpenFailure};
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -26,8 +26,8 @@
 pub(crate) struct Connection {
     stream: Rc<Async<TcpStream>>,
     machine: Node,
-    input: Ring,
-    output: Ring,
+    input: RingBuffer,
+    output: RingBuffer,
     address: SocketAddr,
     /// Counts the connection as busy until it is dropped or becomes idle.
     busy: Option<Busy>,
@@ -47,7 +47,7 @@
         wire::write(&self.stream, &mut self.output).await?;
         written.set(true);
         loop {
-            if let Some(Heard::Answer(answer)) = self.machine.next(&mut self.input)? {
+            if let Some(NodeEvent::Answer(answer)) = self.machine.next(&mut self.input)? {
                 return Ok(answer);
             }
             if let Err(close) = wire::read(&self.stream, &mut self.input).await {
@@ -81,7 +81,7 @@
 /// Returns the reason for a failed connect: a reachable node may also reset a connection while it is opened.
 fn connect_error(e: std::io::Error) -> Close {
     if e.kind() == ErrorKind::ConnectionReset {
-        Close::Broken
+        Close::IoError
     } else {
         Close::Refused
     }
@@ -132,7 +132,7 @@
     last_number: Cell<u64>,
     tasks: Tasks,
     budget: Rc<Budget>,
-    memory: Rc<Memory>,
+    memory: Rc<MemoryBudget>,
     restart_pacing: RestartPacing,
     dial_timeout: Duration,
     idle_timeout: Duration,
@@ -142,7 +142,7 @@
     pub(crate) fn new(
         tasks: Tasks,
         budget: Rc<Budget>,
-        memory: Rc<Memory>,
+        memory: Rc<MemoryBudget>,
         restart_pacing: RestartPacing,
         dial_timeout: f64,
         node_idle_timeout: f64,
@@ -330,7 +330,7 @@
                     pool.release(node, connection);
                 }
                 Err(close) => {
-                    let failure = if close == Close::TurnedAway {
+                    let failure = if close == Close::TooManyConnections {
                         OpenFailure::NodeFull
                     } else {
                         OpenFailure::Unreachable
@@ -391,10 +391,10 @@
                 .map_err(connect_error)?;
             let _ = stream.get_ref().set_nodelay(true);
             let [mut input, mut output] =
-                [(); 2].map(|()| Ring::within(message::LONGEST, &self.memory));
+                [(); 2].map(|()| RingBuffer::with_memory(message::MAX_MESSAGE_BYTES, &self.memory));
             let mut machine = Node::start(&mut output);
             wire::write(&stream, &mut output).await?;
-            while machine.next(&mut input)? != Some(Heard::Ready) {
+            while machine.next(&mut input)? != Some(NodeEvent::Ready) {
                 wire::read(&stream, &mut input).await?;
             }
             let stream = Rc::new(stream);
@@ -408,7 +408,7 @@
                 lease,
             })
         };
-        wire::within(limit, Close::Silent, opened).await
+        wire::within(limit, Close::PeerTimeout, opened).await
     }
 
     /// Fails the waiter that requested the connection, unless it has already received another one.
--- a/crates/runtime/router/src/reload.rs
+++ b/crates/runtime/router/src/reload.rs
@@ -125,7 +125,7 @@
                 ];
                 for (field, _) in fixed.iter().filter(|f| f.1) {
                     tracing::warn!(
-                        "{field} has changed in the file: that needs a restart; until then the router keeps the old value"
+                        "{field} has changed in the file: that needs a restart; until then the old value stays in use"
                     );
                 }
             }
--- a/crates/runtime/router/src/tests/clients.rs
+++ b/crates/runtime/router/src/tests/clients.rs
@@ -8,7 +8,7 @@
 use crate::listen::listen;
 use crate::spawn::Tasks;
 use async_io::Async;
-use badgerstream_postgres_protocol::Memory;
+use badgerstream_postgres_protocol::MemoryBudget;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -36,7 +36,7 @@
     let names = ["any", "write"].map(str::to_string).to_vec();
     let (names, memory) = (
         Rc::new(NameIndex::new(names, kinds(), Vec::new())),
-        Memory::new(1 << 18),
+        MemoryBudget::new(1 << 18),
     );
     let accept = listen(
         listener,
--- a/crates/runtime/router/src/tests/mod.rs
+++ b/crates/runtime/router/src/tests/mod.rs
@@ -16,7 +16,7 @@
 use crate::watch::NodeRegistry;
 use badgerstream_postgres_protocol::comment::Statement;
 use badgerstream_postgres_protocol::message::{self, put};
-use badgerstream_postgres_protocol::{Memory, Ring};
+use badgerstream_postgres_protocol::{MemoryBudget, RingBuffer};
 use badgerstream_routing::{
     Consistency, ExecutionOutcome, Instance, PolicyLimits, Repeat, Workload,
 };
@@ -101,7 +101,7 @@
     Pool::new(
         tasks.clone(),
         budget.clone(),
-        Memory::new(usize::MAX),
+        MemoryBudget::new(usize::MAX),
         RestartPacing::disabled(),
         60.0,
         600.0,
@@ -113,7 +113,7 @@
     Pool::new(
         tasks.clone(),
         Budget::new(1024),
-        Memory::new(usize::MAX),
+        MemoryBudget::new(usize::MAX),
         restart_pacing,
         60.0,
         600.0,
@@ -134,7 +134,7 @@
 }
 
 pub(crate) fn statement() -> Statement {
-    Statement::read(READ).unwrap()
+    Statement::parse(READ).unwrap()
 }
 
 /// How the first execution of a statement ended, by what the instance was told.
@@ -205,7 +205,7 @@
 }
 
 fn play(mut stream: TcpStream, script: Script) {
-    let mut input = Ring::new(message::LONGEST);
+    let mut input = RingBuffer::new(message::MAX_MESSAGE_BYTES);
     while input.len() < 8 {
         if !more(&mut stream, &mut input) {
             return;
@@ -237,14 +237,14 @@
     }
 }
 
-fn more(stream: &mut TcpStream, input: &mut Ring) -> bool {
+fn more(stream: &mut TcpStream, input: &mut RingBuffer) -> bool {
     let count = stream.read(input.room()).unwrap_or(0);
     input.filled(count);
     count > 0
 }
 
 pub(crate) fn messages(parts: &[(u8, &[u8])]) -> Vec<u8> {
-    let mut ring = Ring::new(message::LONGEST);
+    let mut ring = RingBuffer::new(message::MAX_MESSAGE_BYTES);
     parts
         .iter()
         .for_each(|(kind, body)| put(&mut ring, *kind, &[body]));
--- a/crates/runtime/router/src/tests/parts.rs
+++ b/crates/runtime/router/src/tests/parts.rs
@@ -14,12 +14,12 @@
 use test_case::test_case;
 
 #[test_case(
-    Close::Left,
+    Close::PeerClosed,
     ExecutionOutcome::SendInterrupted,
     ExecutionOutcome::ConnectionLost
 )]
 #[test_case(
-    Close::Broken,
+    Close::IoError,
     ExecutionOutcome::SendInterrupted,
     ExecutionOutcome::ConnectionLost
 )]
@@ -29,12 +29,12 @@
     ExecutionOutcome::ConnectionLost
 )]
 #[test_case(
-    Close::Silent,
+    Close::PeerTimeout,
     ExecutionOutcome::ConnectFailed,
     ExecutionOutcome::ConnectionLost
 )]
 #[test_case(
-    Close::TurnedAway,
+    Close::TooManyConnections,
     ExecutionOutcome::Rejected,
     ExecutionOutcome::ConnectionLost
 )]
@@ -217,13 +217,13 @@
     let within = |work| {
         super::run(
             &tasks,
-            crate::wire::within(Duration::ZERO, Close::Silent, work),
+            crate::wire::within(Duration::ZERO, Close::PeerTimeout, work),
         )
     };
     assert_eq!(within(future::ready(Ok(7)).boxed_local()), Ok(7));
     assert_eq!(
         within(future::pending::<Result<i32, Close>>().boxed_local()),
-        Err(Close::Silent)
+        Err(Close::PeerTimeout)
     );
 }
 
--- a/crates/runtime/router/src/watch.rs
+++ b/crates/runtime/router/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::execute::StatementDispatcher;
 use crate::wire;
 use async_io::{Async, Timer};
-use badgerstream_postgres_protocol::{Close, Ring, discovery};
+use badgerstream_postgres_protocol::{Close, RingBuffer, discovery};
 use badgerstream_routing::Instance;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -100,7 +100,7 @@
     ) -> Result<u64, Close> {
         instance.list_begins();
         let (seq, whole) =
-            discovery::list(list, |name, address, zone, group, status, since, leads| {
+            discovery::parse_list(list, |name, address, zone, group, status, since, leads| {
                 let (node, zone) = (self.node(name, address), self.zone(zone));
                 instance.node_named(node, name);
                 instance.list_member(now, node, (group, zone), status, since, leads);
@@ -164,7 +164,7 @@
     tries: &mut u32,
     on_answer: &impl Fn(),
 ) -> Close {
-    let (mut input, mut output) = (Ring::new(1 << 16), Ring::new(1 << 12));
+    let (mut input, mut output) = (RingBuffer::new(1 << 16), RingBuffer::new(1 << 12));
     let mut machine = discovery::Watch::default();
     output.push(discovery::request(address, seq.get()).as_bytes());
     let opened = async {
@@ -174,7 +174,7 @@
         wire::write(&stream, &mut output).await?;
         Ok(stream)
     };
-    let stream = match wire::within(WATCH_TIMEOUT, Close::Silent, opened).await {
+    let stream = match wire::within(WATCH_TIMEOUT, Close::PeerTimeout, opened).await {
         Ok(stream) => stream,
         Err(close) => return close,
     };
@@ -193,7 +193,7 @@
             }
             Ok(None) => {
                 let read = wire::read(&stream, &mut input);
-                if let Err(close) = wire::within(WATCH_TIMEOUT, Close::Silent, read).await {
+                if let Err(close) = wire::within(WATCH_TIMEOUT, Close::PeerTimeout, read).await {
                     return close;
                 }
             }
--- a/crates/runtime/router/src/wire.rs
+++ b/crates/runtime/router/src/wire.rs
@@ -1,7 +1,7 @@
 //! Reads and writes between a socket and its ring buffers; timeouts; throttling of log lines.
 
 use async_io::{Async, Timer};
-use badgerstream_postgres_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::{Close, RingBuffer};
 use futures_lite::future;
 use std::cell::Cell;
 use std::future::Future;
@@ -27,9 +27,9 @@
 }
 
 /// Waits for at least one byte and reads what is available.
-pub(crate) async fn read(stream: &Async<TcpStream>, input: &mut Ring) -> Result<(), Close> {
+pub(crate) async fn read(stream: &Async<TcpStream>, input: &mut RingBuffer) -> Result<(), Close> {
     while input.room().is_empty() {
-        if input.len() >= input.most() {
+        if input.len() >= input.max_len() {
             return Err(Close::NoMemory);
         }
         // Other connections hold the memory for large messages, until these messages end or time out.
@@ -38,28 +38,32 @@
     let count = stream
         .read_with(|mut s| s.read(input.room()))
         .await
-        .map_err(|_| Close::Broken)?;
+        .map_err(|_| Close::IoError)?;
     input.filled(count);
-    if count == 0 { Err(Close::Left) } else { Ok(()) }
+    if count == 0 {
+        Err(Close::PeerClosed)
+    } else {
+        Ok(())
+    }
 }
 
 /// Reads what is available without waiting. Returns whether any bytes were read.
-pub(crate) fn read_now(stream: &Async<TcpStream>, input: &mut Ring) -> Result<bool, Close> {
+pub(crate) fn read_now(stream: &Async<TcpStream>, input: &mut RingBuffer) -> Result<bool, Close> {
     if input.room().is_empty() {
         return Ok(false);
     }
     match stream.get_ref().read(input.room()) {
-        Ok(0) => Err(Close::Left),
+        Ok(0) => Err(Close::PeerClosed),
         Ok(count) => {
             input.filled(count);
             Ok(true)
         }
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Ok(false),
-        Err(_) => Err(Close::Broken),
+        Err(_) => Err(Close::IoError),
     }
 }
 
-pub(crate) async fn write(stream: &Async<TcpStream>, output: &mut Ring) -> Result<(), Close> {
+pub(crate) async fn write(stream: &Async<TcpStream>, output: &mut RingBuffer) -> Result<(), Close> {
     while !output.is_empty() {
         // Most writes succeed at once; only the others wait for the poller.
         let count = match stream.get_ref().write(output.front()) {
@@ -69,7 +73,7 @@
             result => result,
         };
         match count {
-            Ok(0) | Err(_) => return Err(Close::Broken),
+            Ok(0) | Err(_) => return Err(Close::IoError),
             Ok(count) => output.skip(count),
         }
     }
--- a/crates/runtime/router/tests/command.rs
+++ b/crates/runtime/router/tests/command.rs
@@ -62,7 +62,7 @@
 #[test_case("deaf", "\"listen\"", "\"hear\"", Some("/listen is missing"); "a missing field")]
 #[test_case("alone", "\"siblings\"", "\"cousins\"", Some("setting siblings is missing"); "a missing setting")]
 #[test_case("quick", "\"dial_timeout_ms\": 250.0", "\"dial_timeout_ms\": 0", Some("dial_timeout_ms must be a time above 0 ms, found 0"); "no time")]
-#[test_case("ill", "in_service", "ill", Some("/known: a list of nodes can't be read"); "a wrong list")]
+#[test_case("ill", "in_service", "ill", Some("/known: a list of nodes has a missing or invalid field"); "a wrong list")]
 fn a_file_is_checked(name: &str, from: &str, to: &str, expected: Option<&str>) {
     let file = file(name, from, to);
     let (code, _, problem) = run(&["check", &file], None);
--- a/crates/testing/experiments/src/client.rs
+++ b/crates/testing/experiments/src/client.rs
@@ -2,7 +2,7 @@
 
 use badgerstream_postgres_protocol::message::{self, put};
 use badgerstream_postgres_protocol::node::Node;
-use badgerstream_postgres_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::{Close, RingBuffer};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
 
 pub struct Client {
     router: SocketAddr,
-    connection: Option<(TcpStream, Ring)>,
+    connection: Option<(TcpStream, RingBuffer)>,
     /// Statements sent again on a new connection, as the one they were sent on had been closed before.
     pub resent: usize,
 }
@@ -69,9 +69,9 @@
         if self.connection.is_none() {
             let stream = TcpStream::connect(self.router).map_err(|_| Lost::Closed)?;
             stream.set_nodelay(true).map_err(|_| Lost::Closed)?;
-            let mut start = Ring::new(message::LONGEST);
+            let mut start = RingBuffer::new(message::MAX_MESSAGE_BYTES);
             Node::start(&mut start);
-            let mut connection = (stream, Ring::new(message::LONGEST));
+            let mut connection = (stream, RingBuffer::new(message::MAX_MESSAGE_BYTES));
             send(&mut connection.0, &mut start)?;
             loop {
                 if next(&mut connection, until)?.0 == b'Z' {
@@ -81,7 +81,7 @@
             self.connection = Some(connection);
         }
         let connection = self.connection.as_mut().ok_or(Lost::Closed)?;
-        let mut query = Ring::new(message::LONGEST);
+        let mut query = RingBuffer::new(message::MAX_MESSAGE_BYTES);
         put(&mut query, b'Q', &[text.as_bytes(), &[0]]);
         send(&mut connection.0, &mut query)?;
         let mut outcome = None;
@@ -114,7 +114,7 @@
     })
 }
 
-fn send(stream: &mut TcpStream, ring: &mut Ring) -> Result<(), Lost> {
+fn send(stream: &mut TcpStream, ring: &mut RingBuffer) -> Result<(), Lost> {
     while !ring.is_empty() {
         stream.write_all(ring.front()).map_err(|_| Lost::Closed)?;
         ring.skip(ring.front().len());
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn next(connection: &mut (TcpStream, Ring), until: Instant) -> Result<(u8, Vec<u8>), Lost> {
+fn next(connection: &mut (TcpStream, RingBuffer), until: Instant) -> Result<(u8, Vec<u8>), Lost> {
     let (stream, input) = connection;
     loop {
         if let Some(message) = message::next(input).map_err(|_| Lost::Wrong)? {
--- a/crates/testing/load-generator/src/connection.rs
+++ b/crates/testing/load-generator/src/connection.rs
@@ -3,7 +3,7 @@
 
 use badgerstream_postgres_protocol::message::{self, put};
 use badgerstream_postgres_protocol::node::Node;
-use badgerstream_postgres_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::{Close, RingBuffer};
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, socket_with, sockopt};
 use std::io::{ErrorKind, Read, Write};
@@ -60,8 +60,8 @@
 pub struct Connection {
     stream: TcpStream,
     state: State,
-    input: Ring,
-    output: Ring,
+    input: RingBuffer,
+    output: RingBuffer,
     answer: Option<Answer>,
     position: Option<u64>,
     heard_any: bool,
@@ -90,12 +90,12 @@
             }
             Err(_) => return Err(Unopened::Refused),
         }
-        let mut output = Ring::new(message::LONGEST);
+        let mut output = RingBuffer::new(message::MAX_MESSAGE_BYTES);
         Node::start(&mut output);
         Ok(Connection {
             stream: TcpStream::from(socket),
             state: State::Opening,
-            input: Ring::new(message::LONGEST),
+            input: RingBuffer::new(message::MAX_MESSAGE_BYTES),
             output,
             answer: None,
             position: None,
@@ -163,7 +163,7 @@
                 Ok(count) => self.output.skip(count),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(Close::Broken),
+                Err(_) => return Err(Close::IoError),
             }
         }
         if self.state == State::Asking {
@@ -177,7 +177,7 @@
             let room = self.input.room();
             let size = room.len();
             match self.stream.read(room) {
-                Ok(0) => return Err(Close::Left),
+                Ok(0) => return Err(Close::PeerClosed),
                 Ok(count) => {
                     self.input.filled(count);
                     if self.state == State::Asking && !self.heard_any {
@@ -195,7 +195,7 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(Close::Broken),
+                Err(_) => return Err(Close::IoError),
             }
         }
     }
@@ -206,7 +206,7 @@
                 self.state = State::Idle;
                 heard.push(Heard::Ready);
             }
-            (State::Greeting, b'E') => return Err(Close::TurnedAway),
+            (State::Greeting, b'E') => return Err(Close::TooManyConnections),
             (State::Greeting, _) | (_, b'T' | b'C' | b'N') => {}
             (_, b'S') => self.status(body),
             (State::Asking, b'D') => {
--- a/crates/testing/load-generator/src/engine.rs
+++ b/crates/testing/load-generator/src/engine.rs
@@ -577,7 +577,7 @@
         if !there.connection.is_up() {
             self.opening -= usize::from(there.reserved.is_none());
             self.sockets.refused += 1;
-            let ended = if close == Close::TurnedAway {
+            let ended = if close == Close::TooManyConnections {
                 Ended::Rejected(None)
             } else {
                 Ended::Unreached
@@ -763,5 +763,5 @@
 
 /// Whether an end of this kind may have crossed a statement that was never read.
 fn lost(close: Close) -> bool {
-    matches!(close, Close::Left | Close::Broken)
+    matches!(close, Close::PeerClosed | Close::IoError)
 }
--- a/crates/testing/load-generator/src/record.rs
+++ b/crates/testing/load-generator/src/record.rs
@@ -3,7 +3,7 @@
 //! same, and counts.
 
 use crate::trace::{Fault, Row, Writer};
-use badgerstream_postgres_protocol::Ring;
+use badgerstream_postgres_protocol::RingBuffer;
 use badgerstream_postgres_protocol::comment::Statement;
 use badgerstream_postgres_protocol::message;
 use std::collections::{HashSet, VecDeque};
@@ -125,7 +125,7 @@
     });
     let mut reading = Reading {
         startup: true,
-        input: Ring::new(message::LONGEST),
+        input: RingBuffer::new(message::MAX_MESSAGE_BYTES),
         lost: false,
     };
     let (mut from, mut to, mut piece) = (client, &upstream, vec![0; PIECE]);
@@ -150,7 +150,7 @@
 /// What a client's bytes hold.
 struct Reading {
     startup: bool,
-    input: Ring,
+    input: RingBuffer,
     /// No longer understood: the rest is passed on unread.
     lost: bool,
 }
@@ -199,7 +199,7 @@
         if text.trim().is_empty() {
             return;
         }
-        let Ok(statement) = Statement::read(text) else {
+        let Ok(statement) = Statement::parse(text) else {
             self.recorded.unreadable += 1;
             return;
         };
@@ -227,7 +227,7 @@
             key: statement.key,
             writes: statement.writes,
             marked: statement.writes && statement.mark.is_some(),
-            patience_ms: statement.wait * 1e3,
+            patience_ms: statement.wait_s * 1e3,
             slo_ms: 0.0,
             own: statement.after.is_some() && !statement.writes,
             retry,
--- a/crates/testing/load-generator/src/tests/lines.rs
+++ b/crates/testing/load-generator/src/tests/lines.rs
@@ -31,12 +31,12 @@
     let (mut writes, mut first) = (0, 0);
     for work in &all {
         let name = ["read", "write"][usize::from(work.workload)];
-        let read = Statement::read(&work.text(name, &FIRST)).unwrap();
+        let read = Statement::parse(&work.text(name, &FIRST)).unwrap();
         assert_eq!(
             (read.writes, read.mark.is_some()),
             (work.workload == 1, work.workload == 1)
         );
-        assert_eq!((read.wait, read.workload.as_str()), (0.002, name));
+        assert_eq!((read.wait_s, read.workload.as_str()), (0.002, name));
         writes += usize::from(read.writes);
         first += usize::from(!read.writes && read.key == "k0");
     }
@@ -101,7 +101,7 @@
             position: Some(77),
         });
         let text = read.text("again", &Asked { wrote, ..FIRST });
-        assert_eq!(Statement::read(&text).unwrap().after, Some(0.077));
+        assert_eq!(Statement::parse(&text).unwrap().after, Some(0.077));
     }
 }
 
@@ -110,7 +110,7 @@
     let all = works(long());
     let write = all.iter().find(|work| work.writes.is_some()).unwrap();
     let [first, second] = [1, 2].map(|attempt| write.text("write", &Asked { attempt, ..FIRST }));
-    let [a, b] = [&first, &second].map(|text| Statement::read(text).unwrap());
+    let [a, b] = [&first, &second].map(|text| Statement::parse(text).unwrap());
     assert!(a.id != b.id && a.mark == b.mark);
     assert!(second.contains(",r=1") && !first.contains(",r=1"));
 }
--- a/crates/testing/load-generator/src/tests/record.rs
+++ b/crates/testing/load-generator/src/tests/record.rs
@@ -46,7 +46,7 @@
     let mut heard: Vec<_> = server
         .heard()
         .iter()
-        .map(|(_, text)| Statement::read(text).unwrap())
+        .map(|(_, text)| Statement::parse(text).unwrap())
         .map(|s| {
             (
                 s.key.clone(),
--- a/crates/testing/load-generator/src/tests/replay.rs
+++ b/crates/testing/load-generator/src/tests/replay.rs
@@ -61,7 +61,7 @@
     let all: Vec<Statement> = server
         .heard()
         .iter()
-        .map(|(_, text)| Statement::read(text).unwrap())
+        .map(|(_, text)| Statement::parse(text).unwrap())
         .collect();
     let marks = |run: &str| {
         all.iter()
@@ -148,7 +148,7 @@
     let mut keys: Vec<String> = server
         .heard()
         .iter()
-        .map(|(_, text)| Statement::read(text).unwrap().key)
+        .map(|(_, text)| Statement::parse(text).unwrap().key)
         .collect();
     keys.sort();
     assert_eq!(keys, ["a", "a.1", "a.2", "b", "b.1", "b.2"]);
--- a/crates/testing/load-generator/src/tests/sending.rs
+++ b/crates/testing/load-generator/src/tests/sending.rs
@@ -146,7 +146,7 @@
     // No mark was answered twice, and no id came twice.
     let (mut ids, mut marks) = (BTreeSet::new(), BTreeMap::<String, u32>::new());
     for (_, text) in server.heard() {
-        let read = Statement::read(&text).unwrap();
+        let read = Statement::parse(&text).unwrap();
         assert!(ids.insert(read.id.clone()), "{} came twice", read.id);
         *marks.entry(read.mark.unwrap_or_default()).or_default() += 1;
     }
@@ -210,7 +210,7 @@
     let mut last = String::new();
     let mut stale = 0;
     for (_, text) in server.heard() {
-        let read = Statement::read(&text).unwrap();
+        let read = Statement::parse(&text).unwrap();
         if read.writes {
             last = read.key;
         } else {
@@ -241,7 +241,7 @@
     let ids: BTreeSet<String> = server
         .heard()
         .iter()
-        .map(|(_, text)| Statement::read(text).unwrap().id)
+        .map(|(_, text)| Statement::parse(text).unwrap().id)
         .collect();
     assert_eq!(
         (played.summary.statements, ids.len(), server.asked()),
--- a/crates/testing/process-harness/src/relay.rs
+++ b/crates/testing/process-harness/src/relay.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender, bounded, unbounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use badgerstream_postgres_protocol::Ring;
+use badgerstream_postgres_protocol::RingBuffer;
 use badgerstream_postgres_protocol::message::{self, put};
 use badgerstream_postgres_protocol::node::Node;
 use futures_lite::future;
@@ -388,7 +388,7 @@
 pub async fn admitted(router: SocketAddr) -> bool {
     let asked = async {
         let stream = Async::<TcpStream>::connect(router).await?;
-        let mut greeting = Ring::new(message::LONGEST);
+        let mut greeting = RingBuffer::new(message::MAX_MESSAGE_BYTES);
         Node::start(&mut greeting);
         put(&mut greeting, b'Q', &[&[0]]);
         write_all(&stream, greeting.front()).await?;
--- a/crates/testing/store-emulator/src/node.rs
+++ b/crates/testing/store-emulator/src/node.rs
@@ -2,9 +2,9 @@
 
 use crate::group::{Entry, Group, Outcome, Written};
 use crate::{Shape, now};
-use badgerstream_postgres_protocol::comment::{Statement, inquired};
+use badgerstream_postgres_protocol::comment::{Statement, inquiry_mark};
 use badgerstream_postgres_protocol::message::{self, put, put_error, put_status};
-use badgerstream_postgres_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::{Close, RingBuffer};
 use std::collections::{HashMap, VecDeque};
 use std::io::{Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
@@ -244,7 +244,10 @@
     fn serve(&self, mut stream: TcpStream, held: usize) -> Result<(), Close> {
         let _ = stream.set_nodelay(true);
         let from = stream.peer_addr().ok().map(|peer| peer.ip());
-        let (mut input, mut output) = (Ring::new(message::LONGEST), Ring::new(message::LONGEST));
+        let (mut input, mut output) = (
+            RingBuffer::new(message::MAX_MESSAGE_BYTES),
+            RingBuffer::new(message::MAX_MESSAGE_BYTES),
+        );
         greet(&mut stream, &mut input)?;
         let full = self.shape.connections > 0 && held > self.shape.connections;
         self.arrived(from, if full { What::Full } else { What::Opened });
@@ -270,7 +273,7 @@
             send(&mut stream, &mut output)?;
             let (kind, body) = next(&mut stream, &mut input)?;
             if kind != b'Q' {
-                return Err(Close::Left);
+                return Err(Close::PeerClosed);
             }
             let epoch = locked(&self.store).epoch(self.member);
             self.wait_while_hung();
@@ -284,7 +287,7 @@
             // It may have been hung meanwhile, or killed: then nothing more is said.
             self.wait_while_hung();
             if !self.open.load(Ordering::SeqCst) {
-                return Err(Close::Broken);
+                return Err(Close::IoError);
             }
             self.tell_state(commit, &mut output);
             put(&mut output, b'Z', &[b"I"]);
@@ -292,7 +295,7 @@
     }
 
     /// Role and position, the commit's own behind a write.
-    fn tell_state(&self, commit: Option<u64>, output: &mut Ring) {
+    fn tell_state(&self, commit: Option<u64>, output: &mut RingBuffer) {
         let store = locked(&self.store);
         let position = commit.unwrap_or_else(|| store.position(self.member, now()));
         put_status(
@@ -329,13 +332,13 @@
         text: &str,
         epoch: u64,
         from: Option<IpAddr>,
-        output: &mut Ring,
+        output: &mut RingBuffer,
     ) -> Result<Option<u64>, Close> {
-        if let Some(mark) = inquired(text) {
+        if let Some(mark) = inquiry_mark(text) {
             self.outcome(mark, output);
             return Ok(None);
         }
-        match Statement::read(text) {
+        match Statement::parse(text) {
             Ok(s) => {
                 if self.shape.loud {
                     println!("{}: {text}", self.name);
@@ -392,7 +395,7 @@
         text: &str,
         s: &Statement,
         epoch: u64,
-        output: &mut Ring,
+        output: &mut RingBuffer,
     ) -> Result<Option<u64>, Close> {
         if !s.writes {
             let value = locked(&self.store).read(now(), self.member, &s.key);
@@ -406,7 +409,7 @@
         };
         if armed == Some(Point::Before) {
             self.kill();
-            return Err(Close::Broken);
+            return Err(Close::IoError);
         }
         let written = loop {
             let entry = Entry {
@@ -427,7 +430,7 @@
         };
         if armed.is_some() {
             self.kill();
-            return Err(Close::Broken);
+            return Err(Close::IoError);
         }
         match written {
             Written::Done { at, value, .. } => {
@@ -441,11 +444,11 @@
                 put_error(output, "ERROR", "25006", "this is a replica", "");
                 Ok(None)
             }
-            Written::Blocked => Err(Close::Broken),
+            Written::Blocked => Err(Close::IoError),
         }
     }
 
-    fn outcome(&self, mark: &str, output: &mut Ring) {
+    fn outcome(&self, mark: &str, output: &mut RingBuffer) {
         if !self.shape.outcomes {
             return put_error(output, "ERROR", "0A000", "outcomes are not told here", "");
         }
@@ -473,7 +476,7 @@
 }
 
 /// Reads a startup message.
-pub(crate) fn greet(stream: &mut TcpStream, input: &mut Ring) -> Result<(), Close> {
+pub(crate) fn greet(stream: &mut TcpStream, input: &mut RingBuffer) -> Result<(), Close> {
     while input.len() < 4 {
         read(stream, input)?;
     }
@@ -491,7 +494,7 @@
 }
 
 /// The next whole message.
-pub(crate) fn next(stream: &mut TcpStream, input: &mut Ring) -> Result<(u8, Vec<u8>), Close> {
+pub(crate) fn next(stream: &mut TcpStream, input: &mut RingBuffer) -> Result<(u8, Vec<u8>), Close> {
     loop {
         match message::next(input)? {
             Some(message) => return Ok(message),
@@ -500,20 +503,24 @@
     }
 }
 
-pub(crate) fn send(stream: &mut TcpStream, output: &mut Ring) -> Result<(), Close> {
+pub(crate) fn send(stream: &mut TcpStream, output: &mut RingBuffer) -> Result<(), Close> {
     while !output.is_empty() {
         stream
             .write_all(output.front())
-            .map_err(|_| Close::Broken)?;
+            .map_err(|_| Close::IoError)?;
         output.skip(output.front().len());
     }
     Ok(())
 }
 
-fn read(stream: &mut TcpStream, input: &mut Ring) -> Result<(), Close> {
-    let count = stream.read(input.room()).map_err(|_| Close::Broken)?;
+fn read(stream: &mut TcpStream, input: &mut RingBuffer) -> Result<(), Close> {
+    let count = stream.read(input.room()).map_err(|_| Close::IoError)?;
     input.filled(count);
-    if count == 0 { Err(Close::Left) } else { Ok(()) }
+    if count == 0 {
+        Err(Close::PeerClosed)
+    } else {
+        Ok(())
+    }
 }
 
 /// The bytes that an INSERT writes in hex behind `\x`.
@@ -528,7 +535,7 @@
 }
 
 /// One column `v` of type bytea, in binary; no record comes as null.
-pub(crate) fn row(output: &mut Ring, value: Option<&[u8]>, done: &str) {
+pub(crate) fn row(output: &mut RingBuffer, value: Option<&[u8]>, done: &str) {
     let described: [&[u8]; 6] = [
         &[0, 1],
         b"v\0",
--- a/crates/testing/store-emulator/src/scripted.rs
+++ b/crates/testing/store-emulator/src/scripted.rs
@@ -3,7 +3,7 @@
 
 use crate::node::{self, greet, locked, send};
 use badgerstream_postgres_protocol::message::{self, put, put_error, put_status};
-use badgerstream_postgres_protocol::{Close, Ring};
+use badgerstream_postgres_protocol::{Close, RingBuffer};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -112,7 +112,10 @@
 impl State {
     fn serve(&self, mut stream: TcpStream) -> Result<(), Close> {
         let _ = stream.set_nodelay(true);
-        let (mut input, mut output) = (Ring::new(message::LONGEST), Ring::new(message::LONGEST));
+        let (mut input, mut output) = (
+            RingBuffer::new(message::MAX_MESSAGE_BYTES),
+            RingBuffer::new(message::MAX_MESSAGE_BYTES),
+        );
         greet(&mut stream, &mut input)?;
         put(&mut output, b'R', &[&[0; 4]]);
         put(&mut output, b'Z', &[b"I"]);
@@ -120,7 +123,7 @@
             send(&mut stream, &mut output)?;
             let (kind, body) = node::next(&mut stream, &mut input)?;
             if kind != b'Q' {
-                return Err(Close::Left);
+                return Err(Close::PeerClosed);
             }
             let text =
                 String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
@@ -148,7 +151,7 @@
         turn: Turn,
         text: &str,
         stream: &mut TcpStream,
-        output: &mut Ring,
+        output: &mut RingBuffer,
     ) -> Result<(), Close> {
         match turn {
             Turn::Reject(after) => {
@@ -160,7 +163,7 @@
                 // Until the client leaves.
                 let mut rest = Vec::new();
                 let _ = stream.read_to_end(&mut rest);
-                return Err(Close::Silent);
+                return Err(Close::PeerTimeout);
             }
             _ => self.row(text, output),
         }
@@ -173,27 +176,27 @@
             Turn::BreakOff => {
                 let half = output.len() / 3;
                 let bytes = output.take(half);
-                stream.write_all(&bytes).map_err(|_| Close::Broken)?;
+                stream.write_all(&bytes).map_err(|_| Close::IoError)?;
                 let _ = stream.shutdown(Shutdown::Both);
-                return Err(Close::Broken);
+                return Err(Close::IoError);
             }
             Turn::Drip(pause) => {
                 while !output.is_empty() {
                     let byte = output.take(1);
-                    stream.write_all(&byte).map_err(|_| Close::Broken)?;
+                    stream.write_all(&byte).map_err(|_| Close::IoError)?;
                     thread::sleep(pause);
                 }
             }
             Turn::Leave => {
                 send(stream, output)?;
-                return Err(Close::Left);
+                return Err(Close::PeerClosed);
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn row(&self, text: &str, output: &mut Ring) {
+    fn row(&self, text: &str, output: &mut RingBuffer) {
         let mut written = locked(&self.written);
         if text.starts_with("INSERT") {
             *written = node::value(text);
