--- a/crates/protocol/postgres-protocol/src/tests/client.rs
+++ b/crates/protocol/postgres-protocol/src/tests/client.rs
@@ -21,7 +21,7 @@
     message(b'Q', &[text.as_bytes(), &[0]].concat())
 }
 
-/// Feeds bytes in pieces of a size, answers every statement with a row, and tells the answers and the end.
+/// Feeds bytes in pieces of this size and answers each statement with a row; returns the output and how it ended.
 fn fed(bytes: &[u8], piece: usize) -> (Vec<u8>, Result<(), Close>) {
     let (mut client, mut input, mut output) = (
         Client::default(),
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn an_abort_is_no_refusal() {
+fn an_abort_differs_from_a_rejection() {
     let (mut client, mut output) = (Client::default(), RingBuffer::new(MAX_MESSAGE_BYTES));
     client.aborted(&mut output);
     assert_eq!(outline(&all(output)), "E40003 Z");
 }
 
 #[test]
-fn the_extended_protocol_is_declined_up_to_its_end() {
+fn the_extended_protocol_is_rejected_up_to_its_sync() {
     let asked = [
         message(b'P', b"\0\0\0\0"),
         message(b'B', b""),
--- a/crates/protocol/postgres-protocol/src/tests/comment.rs
+++ b/crates/protocol/postgres-protocol/src/tests/comment.rs
@@ -6,7 +6,7 @@
                      /* id=9b1f,c=order,t=acme,d=480,k=5c0f,cluster=2 */";
 
 #[test]
-fn a_read_is_split() {
+fn a_read_is_parsed() {
     let s = Statement::parse(&READ.replace("d=480", "d=480,after=1767225600123")).unwrap();
     assert_eq!(
         (s.writes, s.key.as_str(), s.mark.is_some()),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_write_is_split() {
+fn a_write_is_parsed() {
     let s = Statement::parse(WRITE).unwrap();
     assert_eq!(
         (s.writes, s.key.as_str(), s.mark.is_some(), s.after),
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn a_node_gets_all_unchanged_but_the_wait() {
+fn the_text_for_a_node_differs_only_in_the_wait() {
     let s = Statement::parse(WRITE).unwrap();
     assert_eq!(s.for_node(0.1239), WRITE.replace("d=480", "d=123"));
     assert_eq!(
         s.for_node(0.0),
         WRITE.replace("d=480", "d=1"),
-        "0 would be no time at all"
+        "the minimum is 1 ms"
     );
 }
 
@@ -62,11 +62,11 @@
 #[test_case("SELECT v FROM records WHERE k = '7' /* id=9,c=b,d=480,cluster=2,after=x */", "22023"; "no position")]
 #[test_case("INSERT INTO records (k, v) VALUES ('7', '\\x9g') RETURNING v /* id=9,c=b,d=480,cluster=2 */", "22P02"; "no hex")]
 #[test_case("INSERT INTO records (k, v) VALUES ('7', '\\x9f') /* id=9,c=b,d=480,cluster=2 */", "42601"; "returns nothing")]
-fn no_node_sees_it(text: &str, code: &str) {
+fn an_invalid_statement_is_rejected(text: &str, code: &str) {
     assert_eq!(Statement::parse(text).unwrap_err().0, code);
 }
 
 #[test]
-fn unknown_marks_are_passed_over() {
+fn unknown_marks_are_ignored() {
     assert!(Statement::parse(&READ.replace("id=", "r=1,new=x,id=")).is_ok());
 }
--- a/crates/protocol/postgres-protocol/src/tests/damage.rs
+++ b/crates/protocol/postgres-protocol/src/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Streams with bytes changed, lost, doubled or made up: whatever comes, the machines say what is wrong.
+//! Streams with bytes changed, lost, doubled or random: the state machines report errors and never panic.
 
 use super::{READ, message};
 use crate::client::{Client, ClientAction};
@@ -25,7 +25,7 @@
     bytes
 }
 
-/// Damages a stream in many ways and feeds it in pieces; false from `feed` ends a round.
+/// Damages a stream in many ways and feeds it in pieces; a round ends once `feed` returns false.
 fn hurt(whole: &[u8], mut feed: impl FnMut() -> Box<dyn FnMut(&mut RingBuffer) -> bool>) {
     for seed in 0..ROUNDS {
         let mut chance = fastrand::Rng::with_seed(seed);
--- a/crates/protocol/postgres-protocol/src/tests/discovery.rs
+++ b/crates/protocol/postgres-protocol/src/tests/discovery.rs
@@ -7,7 +7,7 @@
 const HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The lines of an answer that is fed in pieces, and how it ended.
+/// Feeds a response in pieces; returns its lines and how it ended.
 fn lines(bytes: &[u8], piece: usize) -> (Vec<String>, Option<Close>) {
     let (mut watch, mut input, mut lines) =
         (Watch::default(), RingBuffer::new(1 << 16), Vec::new());
@@ -28,7 +28,7 @@
 #[test_case(13; "in thirteens")]
 #[test_case(10_000; "at once")]
 fn lines_come_out_of_chunks(piece: usize) {
-    // A line over two chunks, an empty one, two in one chunk, the end.
+    // A line in two chunks, an empty line, two lines in one chunk, the end.
     let bytes =
         format!("{HEAD}4\r\n{{\"a\"\r\n4\r\n:1}}\n\r\n1\r\n\n\r\n6\r\n{{}}\n[]\n\r\n0\r\n\r\n");
     let (told, end) = lines(bytes.as_bytes(), piece);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn it_asks_for_what_comes_after_its_version() {
+fn the_request_has_the_known_version() {
     let asked = request("127.0.0.1:8500".parse().unwrap(), 41);
     assert!(
         asked.starts_with("GET /v1/servers?stream=1&index=41 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n")
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_list_is_told_node_by_node() {
+fn a_list_is_passed_on_node_by_node() {
     let told = json!({"seq": 43, "whole": true, "hosts": [
         {"host": "s-1", "dial": "127.0.0.1:6432", "site": "a", "class": "m2", "block": 3,
          "health": "terminating", "share": 1.0, "born_ms": 1767225600123u64, "rank": "source"},
@@ -101,7 +101,7 @@
 #[test_case("block", json!(70000); "no group")]
 #[test_case("born_ms", json!(-1); "born before time")]
 #[test_case("host", json!(7); "no name")]
-fn nothing_is_told_of_half_a_list(field: &str, wrong: serde_json::Value) {
+fn an_invalid_list_passes_on_no_node(field: &str, wrong: serde_json::Value) {
     let good = json!({"host": "s-1", "dial": "127.0.0.1:6432", "site": "a", "block": 3,
                       "health": "in_service", "born_ms": 0});
     let mut bad = good.clone();
--- a/crates/protocol/postgres-protocol/src/tests/mod.rs
+++ b/crates/protocol/postgres-protocol/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state machines share: bytes as the other side would write them, fed in any pieces.
+//! Shared by the tests of the state machines: messages as bytes, and summaries of messages.
 
 mod client;
 mod comment;
@@ -30,16 +30,16 @@
     all(ring)
 }
 
-/// What stands in messages: their types, and for an `ErrorResponse` its code.
+/// Returns the types of messages, and for an `ErrorResponse` its SQLSTATE.
 pub(crate) fn outline(mut bytes: &[u8]) -> String {
-    let mut told = Vec::new();
+    let mut outline = Vec::new();
     while let Some((head, rest)) = bytes.split_at_checked(5) {
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
         let (body, behind) = rest.split_at(length - 4);
         let code = (head[0] == b'E').then(|| crate::message::error_code(body).unwrap());
         let code = code.map_or(String::new(), |c| String::from_utf8(c.to_vec()).unwrap());
-        told.push(format!("{}{code}", head[0] as char));
+        outline.push(format!("{}{code}", head[0] as char));
         bytes = behind;
     }
-    told.join(" ")
+    outline.join(" ")
 }
--- a/crates/protocol/postgres-protocol/src/tests/node.rs
+++ b/crates/protocol/postgres-protocol/src/tests/node.rs
@@ -51,7 +51,7 @@
     .concat()
 }
 
-/// A node that was greeted and asked, fed an answer in pieces; what it comes to once all is read.
+/// Starts a connection, sends a query, feeds an answer in pieces, and returns the result.
 fn answered(bytes: &[u8], piece: usize) -> Result<Option<Answer>, Close> {
     let (mut input, mut output) = (
         RingBuffer::new(MAX_MESSAGE_BYTES),
@@ -75,7 +75,7 @@
 #[test_case(1; "byte by byte")]
 #[test_case(11; "in elevens")]
 #[test_case(10_000; "at once")]
-fn a_row_comes_through_as_it_was(piece: usize) {
+fn a_row_is_returned_unchanged(piece: usize) {
     let row = [described(1), row(1, b"\x9f\x00\x03"), done()].concat();
     let told = [
         status("rank", "copy"),
@@ -96,7 +96,7 @@
 #[test_case(&status("rank", "queen"); "an unknown role")]
 #[test_case(&status("as_of", "soon"); "no position")]
 #[test_case(&message(b'S', b"rank"); "no pair")]
-fn what_a_node_says_of_itself_never_spoils_its_row(told: &[u8]) {
+fn an_invalid_status_does_not_affect_the_row(told: &[u8]) {
     let bytes = [
         &[described(1), row(1, b"v"), done()].concat(),
         told,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_error_tells_of_its_node_too() {
+fn an_answer_with_an_error_has_the_status_of_its_node() {
     let bytes = [
         error("25006"),
         status("rank", "copy"),
@@ -131,7 +131,7 @@
 #[test_case(&error("XX000"), Some(false); "an error and the end")]
 #[test_case(&row(1, b"v")[..8], None; "half a message")]
 #[test_case(&[], None; "nothing")]
-fn the_connection_ends_under_it(bytes: &[u8], whole: Option<bool>) {
+fn the_connection_ends_during_an_answer(bytes: &[u8], whole: Option<bool>) {
     assert_eq!(answered(bytes, 5).unwrap().map(|a| a.row.is_ok()), whole);
 }
 
@@ -150,7 +150,7 @@
 #[test_case(b"D\x7f\0\0\0"; "an endless message")]
 #[test_case(&message(b'D', b"\0\x01\0\0\0\x09v"); "a value cut short")]
 #[test_case(&message(b'E', b"SERROR\0\0"); "an error without a code")]
-#[test_case(&message(b'N', b"\0").repeat(100); "a flood")]
+#[test_case(&message(b'N', b"\0").repeat(100); "too many messages")]
 fn no_completion(bytes: &[u8]) {
     assert!(matches!(answered(bytes, 6), Err(Close::Malformed(_))));
 }
@@ -161,7 +161,7 @@
 #[test_case(b"D\0\0\0\x10\0\x01\0\0\0\x40v"; "a value that is longer than its row")]
 #[test_case(b"D\0\0\0\x10\0\x01\xff\xff\xff\xff"; "no value in a row that has some")]
 #[test_case(b"C\0\x01\0\0SELECT 1"; "a completion of 64 KiB")]
-fn what_does_not_fit_its_length_is_not_waited_for(begun: &[u8]) {
+fn an_incomplete_message_with_an_invalid_header_fails_at_once(begun: &[u8]) {
     for piece in [1, 100] {
         assert!(matches!(
             answered(&[described(1), begun.to_vec()].concat(), piece),
--- a/crates/protocol/postgres-protocol/src/tests/ring_buffer.rs
+++ b/crates/protocol/postgres-protocol/src/tests/ring_buffer.rs
@@ -1,7 +1,7 @@
 use crate::{MemoryBudget, RingBuffer};
 
 #[test]
-fn what_goes_in_comes_out_across_the_end() {
+fn bytes_keep_their_order_across_the_wrap() {
     let mut ring = RingBuffer::new(1 << 12);
     let (mut put, mut got) = (0u32, Vec::new());
     for step in 0..2000usize {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn it_grows_to_its_most_and_gives_memory_back() {
+fn it_grows_to_its_maximum_and_releases_memory() {
     let mut ring = RingBuffer::new(1 << 16);
     assert_eq!(ring.room().len(), 1 << 10, "it starts small");
     while !ring.room().is_empty() {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_copy_runs_over_the_break() {
+fn a_copy_continues_across_the_wrap() {
     let mut ring = RingBuffer::new(1 << 10);
     ring.push(&[1; 1000]);
     ring.skip(999);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn bytes_are_adopted_as_they_are_where_nothing_stands_before_them() {
+fn an_empty_buffer_adopts_a_vector_without_copying() {
     let mut ring = RingBuffer::new(1 << 10);
     let large = vec![7; 1 << 15];
     let place = large.as_ptr();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_message_that_is_known_to_come_takes_its_place_at_once_or_not_at_all() {
+fn an_expected_message_gets_its_whole_memory_at_once_or_none() {
     let memory = MemoryBudget::new(1 << 16);
     let mut rings = [(); 2].map(|()| RingBuffer::with_memory(1 << 20, &memory));
     for ring in &mut rings {
--- a/crates/protocol/router-config/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -1,4 +1,4 @@
-//! The file that a router starts from, whole and with one thing wrong.
+//! The start file and the settings file, valid and with one error.
 
 mod setting_names;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_file_is_read() {
+fn a_start_file_is_parsed() {
     let start = started("", "").unwrap();
     assert_eq!(
         (start.name.as_str(), start.seed, start.descriptors),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn json_and_lines_come_to_the_same() {
+fn json_and_lines_give_the_same_settings() {
     let json = started("", "").unwrap().settings;
     let lines = FlatSettings::from_lines(
         "classes.count=2\nclasses.1.aim_ms=600.0\nzones=surco,ate\ndomain.notes=a__b",
@@ -88,7 +88,7 @@
 #[test_case("\"pure\"", "\"often\"", "setting classes.0.repeat has the unknown value \"often\", expected pure, token or side_effect"; "unknown choice")]
 #[test_case("\"tick_ms\":5.0", "\"tick_ms\":-5.0", "setting tick_ms must be a time from 0 to below 1e15 ms, found -5"; "a negative time")]
 #[test_case("[\"recent\",\"update\"]", "[\"recent\"]", "setting domain.needs_by_class has 1 entries, expected one for each of 2 classes"; "too short")]
-fn wrong_settings(from: &str, to: &str, expected: &str) {
+fn invalid_settings_are_reported(from: &str, to: &str, expected: &str) {
     let start = started(from, to).unwrap();
     assert_eq!(instance(1, &start.settings).err().unwrap(), expected);
 }
@@ -100,7 +100,7 @@
 #[test_case("\"sockets\":1024", "\"sockets\":\"all\"", "/limits/sockets must be a number of at least 0, found \"all\""; "no limit")]
 #[test_case("\"memory_mb\":192", "\"memory_mb\":-1", "/limits/memory_mb must be a number of at least 0, found -1"; "no memory")]
 #[test_case("\"known\"", "\"unknown\"", "/known is missing"; "no list")]
-fn wrong_files(from: &str, to: &str, expected: &str) {
+fn invalid_start_files_are_reported(from: &str, to: &str, expected: &str) {
     let problem = started(from, to).err().unwrap();
     assert!(problem.starts_with(expected), "{problem}");
 }
@@ -108,13 +108,13 @@
 #[test_case("{}", None; "nothing is on")]
 #[test_case("{succession: {}}", Some(2 << 20); "on with what goes without saying")]
 #[test_case("// ours\n{succession: {hold: {statements: 9, bytes: 1048576,}, /* more */ }}", Some(1 << 20); "with comments")]
-fn own_settings_are_read(text: &str, bytes: Option<usize>) {
+fn router_settings_are_parsed(text: &str, bytes: Option<usize>) {
     let own = RouterSettings::parse(text, 4 << 20).unwrap();
     assert_eq!(own.succession.map(|s| s.hold.bytes), bytes);
 }
 
 #[test]
-fn the_file_with_every_setting_says_what_goes_without_saying() {
+fn the_file_with_every_setting_has_the_defaults() {
     let told =
         RouterSettings::parse(include_str!("../../../../deploy/settings.json5"), 16 << 20).unwrap();
     assert_eq!(
@@ -138,7 +138,7 @@
 #[test_case("{succession: {hold_group: {statements: 1, bytes: 8},\n hold: {statements: 2, bytes: 999999999}}}", (2, 24), "hold.bytes is 999999999, more than the 4194304 bytes that the memory limit leaves"; "more memory than there is")]
 #[test_case("{succession: { // hold: {bytes: 1}\n hold: {statements: 2, bytes: 4}}}", (1, 2), "hold_group.bytes is 1048576, more than hold.bytes, the limit of 4 bytes for all groups together"; "a bound that was left out")]
 #[test_case("{succession: {\n branch_field: 'x2'}}", (2, 2), "branch_field and promoted_field must both be set or both be empty"; "half a pair")]
-fn wrong_own_settings_name_their_place(text: &str, place: (usize, usize), problem: &str) {
+fn errors_in_router_settings_have_a_position(text: &str, place: (usize, usize), problem: &str) {
     let fault = RouterSettings::parse(text, 4 << 20).unwrap_err();
     assert!(fault.problem.contains(problem), "{fault}");
     assert_eq!((fault.line, fault.column), place, "{fault}");
--- a/crates/protocol/router-config/src/tests/setting_names.rs
+++ b/crates/protocol/router-config/src/tests/setting_names.rs
@@ -1,15 +1,15 @@
-//! Operators' files name the settings: each name is read into the field that it stands for. The values differ from
-//! each other and from the defaults, so that two names exchanged are seen.
+//! Each setting name in operators' files is parsed into its field. The values differ from each other and from the
+//! defaults, so that a mix-up of two names is detected.
 
 use crate::{FlatSettings, RouterSettings, instance};
 use badgerstream_routing::{Consistency, DedupScope, Repeat};
 
-const OWN_SETTINGS: &str = include_str!("setting_names.json5");
+const ROUTER_SETTINGS: &str = include_str!("setting_names.json5");
 const SETTINGS: &str = include_str!("setting_names.txt");
 
 #[test]
-fn each_name_of_the_settings_file_is_read_into_its_field() {
-    let own = RouterSettings::parse(OWN_SETTINGS, 64 << 20).unwrap();
+fn each_name_of_the_settings_file_is_parsed_into_its_field() {
+    let own = RouterSettings::parse(ROUTER_SETTINGS, 64 << 20).unwrap();
     let s = own.succession.unwrap();
     assert_eq!((s.hold.statements, s.hold.bytes), (11, 1012));
     assert_eq!((s.hold_group.statements, s.hold_group.bytes), (13, 914));
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_changed_name_in_the_settings_file_is_refused() {
+fn an_unknown_name_in_the_settings_file_is_rejected() {
     let mut names = 0;
-    for (at, _) in OWN_SETTINGS.match_indices(':') {
-        let begin = OWN_SETTINGS[..at]
+    for (at, _) in ROUTER_SETTINGS.match_indices(':') {
+        let begin = ROUTER_SETTINGS[..at]
             .rfind(|c: char| !(c.is_ascii_alphanumeric() || c == '_'))
             .unwrap();
-        let name = &OWN_SETTINGS[begin + 1..at];
-        let changed = format!("{}z{}", &OWN_SETTINGS[..at], &OWN_SETTINGS[at..]);
+        let name = &ROUTER_SETTINGS[begin + 1..at];
+        let changed = format!("{}z{}", &ROUTER_SETTINGS[..at], &ROUTER_SETTINGS[at..]);
         let fault = RouterSettings::parse(&changed, 64 << 20).unwrap_err();
         let expected = format!("unknown field `{name}z`");
         assert!(fault.problem.contains(&expected), "{name}: {fault}");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn each_name_of_the_settings_of_an_instance_is_read_into_its_field() {
+fn each_name_of_the_instance_settings_is_parsed_into_its_field() {
     let (born, reading) = instance(1, &FlatSettings::from_lines(SETTINGS)).unwrap();
     let [first, second, third] = &reading.workloads[..] else {
         panic!("three workloads")
@@ -132,9 +132,9 @@
     );
 }
 
-/// `instance` reads each of these names once or more; one that it no longer looks for would be passed over silently.
+/// `instance` requires each of these names; without this test, a name that it no longer looks up would go unnoticed.
 #[test]
-fn a_required_name_that_is_missing_is_told_by_its_name() {
+fn a_missing_required_setting_is_reported_by_name() {
     let mut missing = Vec::new();
     for line in SETTINGS.lines() {
         let name = line.split('=').next().unwrap();
--- a/crates/runtime/router/src/tests/clients.rs
+++ b/crates/runtime/router/src/tests/clients.rs
@@ -1,7 +1,7 @@
-//! Clients' connections from end to end, against a stand-in for a node.
+//! Client connections from end to end, with a fake node.
 
 use super::Script::{Answers, Hangs};
-use super::{READ, Script, answer, carried, dispatcher, kinds, messages, node, run};
+use super::{READ, Script, answer, dispatcher, executor, kinds, messages, node, run};
 use crate::budget::Budget;
 use crate::client::NameIndex;
 use crate::execute::StatementDispatcher;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use test_case::test_case;
 
-/// A router before one stand-in: where it listens, its dispatcher and its descriptors.
+/// Starts a router with one fake node; returns its address, dispatcher and descriptor budget.
 fn router(
     tasks: &Tasks,
     script: Script,
@@ -25,10 +25,10 @@
     let pool = super::pool(tasks, &budget);
     tasks
         .spawn(
-            "the decisions",
+            "routing",
             dispatcher
                 .clone()
-                .run(carried(tasks, &dispatcher, &pool, &registry)),
+                .run(executor(tasks, &dispatcher, &pool, &registry)),
         )
         .detach();
     let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
@@ -46,14 +46,14 @@
         memory,
         budget.clone(),
     );
-    tasks.spawn("the listener", accept).detach();
+    tasks.spawn("listener", accept).detach();
     (address, dispatcher, budget)
 }
 
 struct Caller(Async<TcpStream>);
 
 impl Caller {
-    /// Connects, with a first query straight behind the startup.
+    /// Connects and sends the startup message and a first query at once.
     async fn new(address: SocketAddr, first: &str) -> Caller {
         let mut caller = Caller(Async::<TcpStream>::connect(address).await.unwrap());
         caller.send(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0").await;
@@ -65,24 +65,24 @@
         self.0.write_all(bytes).await.unwrap();
     }
 
-    /// The messages up to the next `ReadyForQuery`: their types, and the codes of errors.
-    async fn heard(&mut self) -> String {
-        let mut told = String::new();
+    /// Reads messages up to the next `ReadyForQuery`; returns their types, and the SQLSTATE of errors.
+    async fn receive(&mut self) -> String {
+        let mut received = String::new();
         loop {
             let mut head = [0; 5];
             if self.0.read_exact(&mut head).await.is_err() {
-                return told + "end";
+                return received + "end";
             }
             let mut body =
                 vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
             self.0.read_exact(&mut body).await.unwrap();
-            told.push(head[0] as char);
+            received.push(head[0] as char);
             if head[0] == b'E' {
                 let code = badgerstream_postgres_protocol::message::error_code(&body).unwrap();
-                told += std::str::from_utf8(&code).unwrap();
+                received += std::str::from_utf8(&code).unwrap();
             }
             if head[0] == b'Z' {
-                return told;
+                return received;
             }
         }
     }
@@ -101,37 +101,37 @@
         caller
             .send(&[query(READ), query("BEGIN"), query(READ)].concat())
             .await;
-        assert_eq!(caller.heard().await, "RSSSZ");
+        assert_eq!(caller.receive().await, "RSSSZ");
         for expected in ["IZ", "TDCZ", "E0A000Z", "TDCZ"] {
-            assert_eq!(caller.heard().await, expected);
+            assert_eq!(caller.receive().await, expected);
         }
         caller.send(&messages(&[(b'X', b"")])).await;
-        assert_eq!(caller.heard().await, "end");
+        assert_eq!(caller.receive().await, "end");
     });
 }
 
 #[test_case("c=any", "c=none", "E42704Z"; "an unknown workload")]
-#[test_case("c=any", "c=write", "E42601Z"; "a read as a write")]
+#[test_case("c=any", "c=write", "E42601Z"; "a read with a workload that writes")]
 #[test_case("cluster=2", "cluster=3", "E42704Z"; "an unknown group")]
-#[test_case("d=60000", "d=1", "E53300Z"; "no time for anything")]
+#[test_case("d=60000", "d=1", "E53300Z"; "a wait that is too short")]
 #[test_case("t=acme", "t=stranger", "TDCZ"; "a customer without a quota")]
-fn a_statement_gets(from: &str, to: &str, expected: &str) {
+fn a_statement_is_answered_with(from: &str, to: &str, expected: &str) {
     let tasks = Tasks::default();
     let (address, ..) = router(&tasks, Answers(answer), 1024);
     run(&tasks, async {
         let mut caller = Caller::new(address, &READ.replace(from, to)).await;
-        assert_eq!(caller.heard().await, "RSSSZ");
-        assert_eq!(caller.heard().await, expected);
+        assert_eq!(caller.receive().await, "RSSSZ");
+        assert_eq!(caller.receive().await, expected);
     });
 }
 
 #[test]
-fn a_client_that_leaves_is_told_at_once() {
+fn a_disconnect_is_noticed_at_once() {
     let tasks = Tasks::default();
     let (address, dispatcher, budget) = router(&tasks, Hangs, 1024);
     run(&tasks, async {
         let mut caller = Caller::new(address, READ).await;
-        assert_eq!(caller.heard().await, "RSSSZ");
+        assert_eq!(caller.receive().await, "RSSSZ");
         while dispatcher.update(|instance, _| instance.nodes[&0].in_flight == 0) {
             futures_lite::future::yield_now().await;
         }
@@ -146,126 +146,135 @@
 }
 
 #[test]
-fn at_the_end_idle_connections_close_and_no_statement_is_lost() {
+fn shutdown_closes_idle_connections_and_loses_no_statement() {
     let tasks = Tasks::default();
     let (address, _, budget) = router(&tasks, Answers(answer), 1024);
     run(&tasks, async {
         let mut idle = Caller::new(address, "").await;
         assert_eq!(
-            (idle.heard().await, idle.heard().await),
+            (idle.receive().await, idle.receive().await),
             ("RSSSZ".to_string(), "IZ".to_string())
         );
         budget.close_idle_clients();
-        assert_eq!(idle.heard().await, "end");
-        // Who still comes is answered, and closed behind the answer.
+        assert_eq!(idle.receive().await, "end");
+        // A client that still connects is answered and then closed.
         let mut late = Caller::new(address, READ).await;
-        let heard = late.heard().await;
+        let heard = late.receive().await;
         assert!(heard == "RSSSZ", "{heard}");
-        assert_eq!(late.heard().await, "TDCZ");
-        assert_eq!(late.heard().await, "end");
+        assert_eq!(late.receive().await, "TDCZ");
+        assert_eq!(late.receive().await, "end");
     });
 }
 
 #[test]
 fn more_clients_than_descriptors_are_all_served() {
     let tasks = Tasks::default();
-    // Eight connections, two of them kept for nodes.
+    // Eight connections, two of which are kept for nodes.
     let (address, ..) = router(&tasks, Answers(answer), 32);
     run(&tasks, async {
         let mut kept = Vec::new();
         for _ in 0..40 {
             let mut caller = Caller::new(address, READ).await;
-            assert_eq!(caller.heard().await, "RSSSZ");
-            assert_eq!(caller.heard().await, "TDCZ");
+            assert_eq!(caller.receive().await, "RSSSZ");
+            assert_eq!(caller.receive().await, "TDCZ");
             kept.push(caller);
         }
     });
 }
 
 #[test]
-fn a_stranger_ends_only_its_own_connection() {
+fn an_invalid_client_ends_only_its_own_connection() {
     let tasks = Tasks::default();
     let (address, ..) = router(&tasks, Answers(answer), 1024);
     run(&tasks, async {
-        let mut stranger = Caller(Async::<TcpStream>::connect(address).await.unwrap());
-        stranger.send(b"GET / HTTP/1.1\r\n\r\n").await;
-        assert_eq!(stranger.heard().await, "E08P01end");
+        let mut invalid = Caller(Async::<TcpStream>::connect(address).await.unwrap());
+        invalid.send(b"GET / HTTP/1.1\r\n\r\n").await;
+        assert_eq!(invalid.receive().await, "E08P01end");
         let mut caller = Caller::new(address, READ).await;
-        assert_eq!(caller.heard().await + &caller.heard().await, "RSSSZTDCZ");
+        assert_eq!(
+            caller.receive().await + &caller.receive().await,
+            "RSSSZTDCZ"
+        );
     });
 }
 
-/// What a caller that sent this hears until its connection ends.
-async fn heard_to_the_end(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends these bytes and returns the messages received until the connection ends.
+async fn received_until_end(address: SocketAddr, bytes: &[u8]) -> String {
     let mut caller = Caller(Async::<TcpStream>::connect(address).await.unwrap());
     caller.send(bytes).await;
-    let mut told = String::new();
-    while !told.ends_with("end") {
-        told += &caller.heard().await;
+    let mut received = String::new();
+    while !received.ends_with("end") {
+        received += &caller.receive().await;
     }
-    told
+    received
 }
 
-#[test_case(b"", "end"; "nothing at all")]
+#[test_case(b"", "end"; "no bytes")]
 #[test_case(b"\0\0\0\x12\0\x03", "end"; "half a startup")]
-#[test_case(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0", "RSSSZend"; "a startup and nothing behind it")]
+#[test_case(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0", "RSSSZend"; "a startup without a query")]
 #[test_case(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0Q\0\0\0\x40SELECT v", "RSSSZend"; "half a query")]
 #[test_case(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0Q\0\0\0\x05\0Q\0\0", "RSSSZIZend"; "half a second query")]
 #[test_case(b"\0\0\0\x12\0\x03\0\0user\0svc\0\0Q\x03\x93\x87\0SEL", "RSSSZE08P01end"; "a query of 60 MB")]
-fn who_does_not_ask_is_closed(bytes: &[u8], expected: &str) {
+fn a_client_without_a_complete_message_is_closed(bytes: &[u8], expected: &str) {
     let tasks = Tasks::default();
     let (address, ..) = router(&tasks, Answers(answer), 1024);
-    assert_eq!(run(&tasks, heard_to_the_end(address, bytes)), expected);
+    assert_eq!(run(&tasks, received_until_end(address, bytes)), expected);
 }
 
 #[test]
-fn who_has_asked_may_stay() {
+fn a_client_that_sent_a_statement_may_stay() {
     let tasks = Tasks::default();
     let (address, ..) = router(&tasks, Answers(answer), 1024);
     run(&tasks, async {
         let mut caller = Caller::new(address, READ).await;
-        assert_eq!(caller.heard().await + &caller.heard().await, "RSSSZTDCZ");
-        // Whoever came at the same time and asked nothing is closed meanwhile.
-        assert_eq!(heard_to_the_end(address, b"").await, "end");
+        assert_eq!(
+            caller.receive().await + &caller.receive().await,
+            "RSSSZTDCZ"
+        );
+        // A client that connected later and sent nothing is closed meanwhile.
+        assert_eq!(received_until_end(address, b"").await, "end");
         caller.send(&query(READ)).await;
-        assert_eq!(caller.heard().await, "TDCZ");
+        assert_eq!(caller.receive().await, "TDCZ");
     });
 }
 
 #[test]
-fn an_id_that_is_open_is_not_taken_again() {
+fn the_id_of_an_open_statement_is_rejected() {
     let tasks = Tasks::default();
     let (address, dispatcher, _) = router(&tasks, Hangs, 1024);
     run(&tasks, async {
         let mut first = Caller::new(address, READ).await;
-        assert_eq!(first.heard().await, "RSSSZ");
-        let out = || dispatcher.update(|instance, _| instance.nodes[&0].in_flight);
-        while out() == 0 {
+        assert_eq!(first.receive().await, "RSSSZ");
+        let in_flight = || dispatcher.update(|instance, _| instance.nodes[&0].in_flight);
+        while in_flight() == 0 {
             futures_lite::future::yield_now().await;
         }
         let mut second = Caller::new(address, READ).await;
-        assert_eq!(second.heard().await + &second.heard().await, "RSSSZE42710Z");
+        assert_eq!(
+            second.receive().await + &second.receive().await,
+            "RSSSZE42710Z"
+        );
         assert_eq!(
             (
-                out(),
+                in_flight(),
                 dispatcher.update(|instance, _| instance.statements.len())
             ),
             (1, 1),
-            "the first goes on"
+            "the first statement continues"
         );
         drop(first);
-        while out() > 0 {
+        while in_flight() > 0 {
             futures_lite::future::yield_now().await;
         }
-        // With its statement gone, the id is free.
+        // The id is free once its statement is gone.
         second.send(&query(READ)).await;
-        while out() == 0 {
+        while in_flight() == 0 {
             futures_lite::future::yield_now().await;
         }
     });
 }
 
-/// A statement of the longest kind that is served.
+/// A statement with a key of 64 KiB.
 fn large(id: usize) -> Vec<u8> {
     query(
         &READ
@@ -275,32 +284,32 @@
 }
 
 #[test]
-fn many_large_statements_share_what_memory_there_is() {
+fn large_statements_share_the_memory_budget() {
     let tasks = Tasks::default();
-    // 256 KiB for all that peers send: two of these stand, a third has no place.
+    // The budget of 256 KiB has space for two of these statements, but not for a third.
     let (address, ..) = router(&tasks, Hangs, 1024);
     run(&tasks, async {
         let mut callers = Vec::new();
         for id in 0..4 {
             let mut caller = Caller::new(address, "").await;
             caller.send(&large(id)).await;
-            assert_eq!(caller.heard().await + &caller.heard().await, "RSSSZIZ");
+            assert_eq!(caller.receive().await + &caller.receive().await, "RSSSZIZ");
             callers.push(caller);
         }
         let last = callers.pop().expect("four");
-        let told = futures_lite::future::or(heard_any(&mut callers), async {
+        let received = futures_lite::future::or(heard_any(&mut callers), async {
             last.0.readable().await.is_ok()
         });
-        assert!(told.await);
+        assert!(received.await);
         let mut caller = Caller::new(
             address,
             &READ.replace("9b1f", "small").replace("d=60000", "d=1"),
         )
         .await;
         assert_eq!(
-            caller.heard().await + &caller.heard().await,
+            caller.receive().await + &caller.receive().await,
             "RSSSZE53300Z",
-            "small ones are still taken"
+            "small statements are still accepted"
         );
     });
 }
@@ -320,9 +329,9 @@
     .await
 }
 
-/// Flushes ask for nothing and get nothing: a connection that sends them without end is always ready.
+/// `Flush` messages need no answer, so a connection that sends them without pause is always ready to read.
 #[test]
-fn a_flood_on_one_connection_leaves_the_others_their_turns() {
+fn a_flood_on_one_connection_does_not_starve_others() {
     let tasks = Tasks::default();
     let (address, ..) = router(&tasks, Answers(answer), 1024);
     std::thread::spawn(move || {
@@ -337,7 +346,7 @@
     run(&tasks, async {
         let mut caller = Caller::new(address, READ).await;
         for _ in 0..20 {
-            while caller.heard().await != "TDCZ" {}
+            while caller.receive().await != "TDCZ" {}
             caller.send(&query(READ)).await;
         }
     });
--- a/crates/runtime/router/src/tests/decide.rs
+++ b/crates/runtime/router/src/tests/decide.rs
@@ -1,4 +1,4 @@
-//! The way into the decisions: exactly one answer a statement, and the truth of executions.
+//! The dispatcher: each statement gets exactly one answer, and each execution's outcome is recorded once.
 
 use super::{dispatcher, ended, node, settled};
 use crate::decide::{Dispatcher, Final, Order, Ticket};
@@ -16,7 +16,7 @@
         .collect()
 }
 
-/// A read that was taken, and the execution that it was sent on.
+/// Accepts a read and returns its ticket, number and first execution.
 fn sent() -> (Rc<Any>, Ticket<&'static str, &'static str>, u32, u8) {
     let (dispatcher, _) = dispatcher(&nodes());
     let ticket = dispatcher.arrived("read", 0, 2, 0, 0, 60.0, None);
@@ -28,7 +28,7 @@
         ..
     }) = orders.pop()
     else {
-        panic!("nothing sent")
+        panic!("no execution was ordered")
     };
     assert!(orders.is_empty() && *statement == "read");
     (dispatcher, ticket, stmt, execution)
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_completion_is_the_answer() {
+fn a_completed_execution_answers_its_statement() {
     let tasks = Tasks::default();
     let (dispatcher, ticket, stmt, execution) = sent();
     dispatcher.running_execution(stmt, execution).ended(
@@ -52,7 +52,10 @@
     assert_eq!(answer(&tasks, &ticket), Final::Completed("row"));
     settled(&dispatcher);
     dispatcher.update(|instance, _| {
-        assert!(instance.statements.is_empty(), "it is over there, too");
+        assert!(
+            instance.statements.is_empty(),
+            "the instance has no open statement either"
+        );
         assert_eq!(
             instance.nodes.values().map(|n| n.in_flight).sum::<usize>(),
             0
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn the_second_completion_of_a_statement_goes_nowhere() {
+fn a_second_completion_of_a_statement_is_ignored() {
     let tasks = Tasks::default();
     let (dispatcher, ticket, stmt, execution) = sent();
     let [first, late] = [0, 1].map(|_| dispatcher.running_execution(stmt, execution));
@@ -83,12 +86,12 @@
     assert_eq!(
         answer(&tasks, &ticket),
         Final::Aborted,
-        "the channel is closed behind the one answer"
+        "the channel is closed after the one answer"
     );
 }
 
 #[test]
-fn an_execution_that_fails_is_sent_anew() {
+fn a_failed_execution_is_repeated() {
     let (dispatcher, _ticket, stmt, execution) = sent();
     dispatcher.running_execution(stmt, execution).ended(
         ExecutionOutcome::Rejected,
@@ -102,14 +105,14 @@
 }
 
 #[test]
-fn an_execution_that_is_lost_without_a_word_may_have_run() {
+fn a_dropped_execution_counts_as_connection_lost() {
     let (dispatcher, _ticket, stmt, execution) = sent();
     drop(dispatcher.running_execution(stmt, execution));
     assert_eq!(ended(&dispatcher), Some(ExecutionOutcome::ConnectionLost));
 }
 
 #[test]
-fn a_client_that_left_frees_its_executions() {
+fn a_disconnected_client_cancels_its_executions() {
     let (dispatcher, _) = dispatcher::<&str, &str>(&nodes());
     let ticket = dispatcher.arrived("read", 0, 2, 0, 0, 60.0, None);
     let Some(Order::Execute {
@@ -119,13 +122,13 @@
         ..
     }) = settled(&dispatcher).pop()
     else {
-        panic!("unsent")
+        panic!("no execution was ordered")
     };
     assert!(!cancelled.is_closed());
     drop(ticket);
     assert!(settled(&dispatcher).is_empty() && cancelled.is_closed());
     dispatcher.update(|instance, _| assert!(instance.statements.is_empty()));
-    // Two ends of one execution count once, and an answer goes nowhere.
+    // Two ends of one execution count once, and the answer is ignored.
     let [first, second] = [0, 1].map(|_| dispatcher.running_execution(stmt, execution));
     first.ended(
         ExecutionOutcome::Cancelled,
@@ -149,24 +152,24 @@
         assert_eq!(
             instance.nodes.values().map(|n| n.answers).sum::<f64>(),
             12.0,
-            "none but the first guesses"
+            "nothing was added to the initial estimates"
         );
     });
 }
 
 #[test]
-fn a_settling_takes_no_wake_back() {
+fn settling_keeps_earlier_wake_requests() {
     let (dispatcher, _) = dispatcher::<&str, &str>(&nodes());
-    let beat = || dispatcher.settle(&|_| {});
-    assert!(beat().is_some());
+    let settle = || dispatcher.settle(&|_| {});
+    assert!(settle().is_some());
     assert!(
-        beat().is_some(),
-        "the beat asked for before is still to come"
+        settle().is_some(),
+        "the wake requested by the first call is still due"
     );
 }
 
 #[test]
-fn no_time_left_means_an_answer_at_once() {
+fn a_statement_without_time_left_is_rejected_at_once() {
     let tasks = Tasks::default();
     let (dispatcher, _) = dispatcher::<&str, &str>(&nodes());
     let ticket = dispatcher.arrived("read", 0, 2, 0, 0, 0.0, None);
@@ -176,19 +179,15 @@
 
 #[test_case(NodeStatus::Ready, true; "in service")]
 #[test_case(NodeStatus::Gone, false; "gone")]
-fn what_let_it_go_is_looked_at_again(standing: NodeStatus, expected: bool) {
+fn eligibility_is_checked_again_before_sending(status: NodeStatus, expected: bool) {
     let (dispatcher, _ticket, stmt, _) = sent();
     dispatcher.update(|instance, now| {
-        instance
-            .nodes
-            .get_mut(&1)
-            .unwrap()
-            .set_status(standing, now);
+        instance.nodes.get_mut(&1).unwrap().set_status(status, now);
     });
     assert_eq!(dispatcher.may_still_send(stmt, 1), expected);
     assert!(
         !dispatcher.may_still_send(stmt + 1, 1) && !dispatcher.may_still_send(stmt, 9),
-        "neither is known"
+        "an unknown statement and an unknown node are not eligible"
     );
 }
 
@@ -204,7 +203,7 @@
 }
 
 #[test]
-fn positions_share_the_clock() {
+fn the_clock_is_comparable_with_positions() {
     let (dispatcher, _) = dispatcher::<&str, &str>(&[node(&[super::Script::Hangs])]);
     let unix = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -213,10 +212,10 @@
     dispatcher.update(|_, now| assert!((now - unix).abs() < 60.0));
     let _ticket = dispatcher.arrived("read", 0, 2, 5, 0, 60.0, Some(unix + 0.0005));
     dispatcher.update(|instance, _| {
-        let owed = instance.statements.values().next().unwrap().required_lsn;
+        let required = instance.statements.values().next().unwrap().required_lsn;
         assert!(
-            owed > unix,
-            "a commit that is rounded up to just ahead of now is owed all the same"
+            required > unix,
+            "a commit position that was rounded up into the future is still required"
         );
     });
 }
--- a/crates/runtime/router/src/tests/mod.rs
+++ b/crates/runtime/router/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the router's tests share: a dispatcher with one group of nodes, and stand-ins that listen on free ports.
+//! Shared by the router's tests: a dispatcher with one group of nodes, and fake nodes that listen on free ports.
 
 mod clients;
 mod decide;
@@ -32,7 +32,7 @@
 pub(crate) const READ: &str =
     "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=any,t=acme,d=60000,cluster=2 */";
 
-/// Reads that any member answers, and writes that only the primary takes.
+/// Two workloads: reads that any node answers, and writes that only the primary executes.
 pub(crate) fn kinds() -> Vec<Workload> {
     let any = Workload {
         slo: 30.0,
@@ -53,7 +53,7 @@
     ]
 }
 
-/// A whole list of nodes of group 2, named by their addresses; the first is the primary.
+/// A complete list of nodes of group 2 with these addresses; the first is the primary.
 pub(crate) fn listed(seq: u64, dials: &[SocketAddr]) -> Value {
     let host = |(i, dial): (usize, &SocketAddr)| {
         json!({"host": format!("s-{i}"), "dial": dial.to_string(), "site": "a", "block": 2,
@@ -96,7 +96,7 @@
     (Dispatcher::new(born, clock), registry)
 }
 
-/// With times so generous that no verdict hangs on how fast the machine is.
+/// A pool with timeouts so long that no result depends on the speed of the machine.
 pub(crate) fn pool(tasks: &Tasks, budget: &Rc<Budget>) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
@@ -108,8 +108,8 @@
     )
 }
 
-/// The same with decisions on what may be opened.
-pub(crate) fn pool_behind(tasks: &Tasks, restart_pacing: RestartPacing) -> Rc<Pool> {
+/// The same with restart pacing.
+pub(crate) fn paced_pool(tasks: &Tasks, restart_pacing: RestartPacing) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
         Budget::new(1024),
@@ -120,7 +120,7 @@
     )
 }
 
-/// What a settling orders.
+/// Settles once and returns the orders.
 pub(crate) fn settled<S: 'static, A: 'static>(dispatcher: &Rc<Dispatcher<S, A>>) -> Vec<Order<S>> {
     let orders = RefCell::new(Vec::new());
     dispatcher.settle(&|order| {
@@ -137,7 +137,7 @@
     Statement::parse(READ).unwrap()
 }
 
-/// How the first execution of a statement ended, by what the instance was told.
+/// The outcome of the first execution of a statement, as recorded by the instance.
 pub(crate) fn ended<S: 'static, A: 'static>(
     dispatcher: &Dispatcher<S, A>,
 ) -> Option<ExecutionOutcome> {
@@ -150,8 +150,8 @@
     })
 }
 
-/// Executes orders for real, against the stand-ins.
-pub(crate) fn carried(
+/// Returns a function that executes orders against the fake nodes.
+pub(crate) fn executor(
     tasks: &Tasks,
     dispatcher: &Rc<StatementDispatcher>,
     pool: &Rc<Pool>,
@@ -166,11 +166,11 @@
     move |order| {
         let work =
             crate::execute::run_order(dispatcher.clone(), pool.clone(), registry.clone(), order);
-        tasks.spawn("an execution", work).detach();
+        tasks.spawn("statement execution", work).detach();
     }
 }
 
-/// A stand-in for a node: what it does with each connection, in their order; the last goes for all further.
+/// Starts a fake node with one script for each connection, in order; the last applies to all further ones.
 pub(crate) fn node(scripts: &[Script]) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let (address, mut scripts) = (
@@ -196,18 +196,18 @@
     Answers(fn() -> Vec<u8>),
     /// The same, a moment later.
     AnswersLate(fn() -> Vec<u8>),
-    /// Answers one query so, and closes.
+    /// Answers one query with these bytes and closes the connection.
     AnswersOnce(fn() -> Vec<u8>),
-    /// Greets with this in place of a welcome, and closes.
+    /// Answers the startup message with these bytes and closes the connection.
     Greets(fn() -> Vec<u8>),
-    /// Reads on and says nothing.
+    /// Reads and never answers.
     Hangs,
 }
 
 fn play(mut stream: TcpStream, script: Script) {
     let mut input = RingBuffer::new(message::MAX_MESSAGE_BYTES);
     while input.len() < 8 {
-        if !more(&mut stream, &mut input) {
+        if !read_more(&mut stream, &mut input) {
             return;
         }
     }
@@ -221,7 +221,7 @@
     let _ = stream.write_all(&messages(&[(b'R', &[0; 4]), (b'Z', b"I")]));
     loop {
         while let Ok(None) = message::next(&mut input) {
-            if !more(&mut stream, &mut input) {
+            if !read_more(&mut stream, &mut input) {
                 return;
             }
         }
@@ -237,7 +237,7 @@
     }
 }
 
-fn more(stream: &mut TcpStream, input: &mut RingBuffer) -> bool {
+fn read_more(stream: &mut TcpStream, input: &mut RingBuffer) -> bool {
     let count = stream.read(input.room()).unwrap_or(0);
     input.filled(count);
     count > 0
@@ -252,11 +252,11 @@
     ring.take(length)
 }
 
-const DESCRIBED: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+const ROW_DESCRIPTION: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
 pub(crate) fn row() -> Vec<u8> {
     messages(&[
-        (b'T', DESCRIBED),
+        (b'T', ROW_DESCRIPTION),
         (b'D', b"\0\x01\0\0\0\x01v"),
         (b'C', b"SELECT 1\0"),
     ])
--- a/crates/runtime/router/src/tests/nodes.rs
+++ b/crates/runtime/router/src/tests/nodes.rs
@@ -1,8 +1,8 @@
-//! Executions on real connections, against stand-ins: what proves a statement unrun, and what does not.
+//! Executions on real connections to fake nodes: which outcomes prove that a statement has not run.
 
 use super::Script::{Answers, AnswersOnce, Greets, Hangs};
 use super::{
-    Script, answer, carried, dispatcher, ended, error, messages, node, row, run, statement,
+    Script, answer, dispatcher, ended, error, executor, messages, node, row, run, statement,
 };
 use crate::budget::Budget;
 use crate::decide::{Final, Order};
@@ -17,7 +17,7 @@
     super::pool(tasks, &Budget::new(1024))
 }
 
-/// The ending of one execution with this limit, on a connection that is there already or not.
+/// Returns the outcome of one execution with this timeout in seconds, on an open connection or a new one.
 fn executed(address: SocketAddr, limit: f64, connected: bool) -> Option<ExecutionOutcome> {
     let tasks = Tasks::default();
     let (dispatcher, registry) = dispatcher(&[address]);
@@ -37,7 +37,7 @@
         ..
     }) = orders.into_iter().next()
     else {
-        panic!("nothing was sent")
+        panic!("no execution was ordered")
     };
     let order = Order::Execute {
         stmt,
@@ -56,25 +56,25 @@
 }
 
 #[test_case(&[Answers(answer)], ExecutionOutcome::Completed; "a row")]
-#[test_case(&[AnswersOnce(row)], ExecutionOutcome::Completed; "a row, and the end before the last message")]
+#[test_case(&[AnswersOnce(row)], ExecutionOutcome::Completed; "a row, and the connection ends before the last message")]
 #[test_case(&[Answers(|| error("53300"))], ExecutionOutcome::Rejected; "full")]
 #[test_case(&[Answers(|| error("25006"))], ExecutionOutcome::NotEligible; "not the primary")]
 #[test_case(&[Answers(|| error("72000"))], ExecutionOutcome::NotEligible; "too far behind")]
 #[test_case(&[Answers(|| error("XX000"))], ExecutionOutcome::Errored; "an error")]
-#[test_case(&[AnswersOnce(Vec::new)], ExecutionOutcome::ConnectionLost; "the end after the last byte was written")]
+#[test_case(&[AnswersOnce(Vec::new)], ExecutionOutcome::ConnectionLost; "the connection ends after the statement was written")]
 #[test_case(&[AnswersOnce(|| row()[..20].to_vec())], ExecutionOutcome::ConnectionLost; "half a row")]
-#[test_case(&[Answers(|| messages(&[(b'Z', b"I")]))], ExecutionOutcome::InvalidAnswer; "an answer out of turn")]
+#[test_case(&[Answers(|| messages(&[(b'Z', b"I")]))], ExecutionOutcome::InvalidAnswer; "a message out of order")]
 #[test_case(&[Answers(|| b"D\xc0\0\0\0\0\x01".to_vec())], ExecutionOutcome::InvalidAnswer; "a value said to hold 3 GB")]
 #[test_case(&[Greets(|| error("53300"))], ExecutionOutcome::Rejected; "too many connections")]
-#[test_case(&[Greets(|| error("57P03"))], ExecutionOutcome::ConnectFailed; "not let in")]
-#[test_case(&[Greets(Vec::new)], ExecutionOutcome::SendInterrupted; "the end before the statement was written")]
-#[test_case(&[Greets(|| b"!\0\0\0\x04".to_vec())], ExecutionOutcome::SendInterrupted; "a greeting that is none")]
-fn an_execution_ends(scripts: &[Script], expected: ExecutionOutcome) {
+#[test_case(&[Greets(|| error("57P03"))], ExecutionOutcome::ConnectFailed; "startup rejected")]
+#[test_case(&[Greets(Vec::new)], ExecutionOutcome::SendInterrupted; "the connection ends before the statement was written")]
+#[test_case(&[Greets(|| b"!\0\0\0\x04".to_vec())], ExecutionOutcome::SendInterrupted; "an invalid startup answer")]
+fn an_execution_has_the_outcome(scripts: &[Script], expected: ExecutionOutcome) {
     assert_eq!(executed(node(scripts), 60.0, false), Some(expected));
 }
 
 #[test]
-fn what_no_longer_stands_once_its_connection_is_up_is_not_written() {
+fn a_statement_is_not_sent_if_its_node_is_gone_once_connected() {
     let tasks = Tasks::default();
     let (dispatcher, registry) = dispatcher(&[node(&[Answers(answer)])]);
     let pool = pool(&tasks);
@@ -98,8 +98,8 @@
 }
 
 #[test_case(false, ExecutionOutcome::NeverIssued; "before a byte was written")]
-#[test_case(true, ExecutionOutcome::Cancelled; "under way")]
-fn what_is_no_longer_wanted_ends(connected: bool, expected: ExecutionOutcome) {
+#[test_case(true, ExecutionOutcome::Cancelled; "after it was written")]
+fn a_cancelled_execution_ends(connected: bool, expected: ExecutionOutcome) {
     let tasks = Tasks::default();
     let (dispatcher, registry) = dispatcher(&[node(&[Hangs])]);
     let pool = pool(&tasks);
@@ -112,7 +112,7 @@
     let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     let order = super::settled(&dispatcher).pop().expect("sent");
     let Order::Execute { cancelled, .. } = &order else {
-        panic!("no execution")
+        panic!("no execution was ordered")
     };
     cancelled.close();
     run(
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn nobody_listens() {
+fn an_unreachable_node_fails_the_connect() {
     let closed = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .unwrap()
         .local_addr()
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_limit_that_ran_out_before_a_byte_was_written_proves_it_unrun() {
+fn a_timeout_before_writing_proves_the_statement_unrun() {
     assert_eq!(
         executed(node(&[Hangs]), 0.0, false),
         Some(ExecutionOutcome::NeverIssued)
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_limit_that_runs_out_under_a_statement_proves_nothing() {
+fn a_timeout_after_writing_proves_nothing() {
     assert_eq!(
         executed(node(&[Hangs]), 0.0, true),
         Some(ExecutionOutcome::TimedOut)
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_last_used_is_used_again() {
+fn the_most_recently_used_connection_is_reused() {
     let (tasks, address) = (Tasks::default(), node(&[Answers(answer), Hangs]));
     let pool = pool(&tasks);
     run(&tasks, async {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn no_statement_meets_a_connection_that_was_closed_while_idle() {
+fn a_connection_closed_while_idle_is_not_reused() {
     let (tasks, address) = (
         Tasks::default(),
         node(&[AnswersOnce(answer), Answers(answer)]),
@@ -181,7 +181,7 @@
             .await
             .unwrap();
         pool.release(0, connection);
-        // The stand-in closes it; that is seen without a statement.
+        // The fake node closes it; the pool detects this without a statement.
         while pool.idle() > 0 {
             futures_lite::future::yield_now().await;
         }
@@ -196,9 +196,9 @@
     });
 }
 
-#[test_case(AnswersOnce(row); "the answer's last message never came")]
-#[test_case(AnswersOnce(|| [answer(), answer()].concat()); "an answer too many")]
-fn a_connection_that_ended_with_its_answer_is_not_kept(script: Script) {
+#[test_case(AnswersOnce(row); "the last message of the answer is missing")]
+#[test_case(AnswersOnce(|| [answer(), answer()].concat()); "a second answer")]
+fn a_connection_in_an_invalid_state_is_not_kept(script: Script) {
     let (tasks, address) = (Tasks::default(), node(&[script]));
     let pool = pool(&tasks);
     run(&tasks, async {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_connection_to_an_address_of_before_is_not_used() {
+fn a_connection_to_a_previous_address_is_not_reused() {
     let tasks = Tasks::default();
     let (before, now) = (node(&[Answers(answer)]), node(&[Answers(answer)]));
     let pool = pool(&tasks);
@@ -228,12 +228,12 @@
 }
 
 #[test]
-fn who_waits_gets_what_falls_free_first() {
+fn a_waiter_gets_the_first_connection_that_is_released() {
     let (tasks, address) = (Tasks::default(), node(&[Answers(answer), Hangs]));
     let pool = pool(&tasks);
     run(&tasks, async {
         let (connection, _) = pool.acquire(0, address).await.unwrap();
-        // Its own would never come up: nobody greets there.
+        // The waiter's own connection is never established: the listener does not answer.
         let silent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let waits = pool.acquire(0, silent.local_addr().unwrap());
         let frees = async {
@@ -246,9 +246,9 @@
 }
 
 #[test]
-fn short_of_descriptors_idle_connections_go_and_nothing_dies() {
+fn idle_connections_are_closed_to_free_descriptors() {
     let (tasks, address) = (Tasks::default(), node(&[Answers(answer)]));
-    // Room for eight connections beside what the process holds itself.
+    // Eight connections, in addition to the descriptors reserved for the process.
     let pool = super::pool(&tasks, &Budget::new(32));
     run(&tasks, async {
         let mut taken = Vec::new();
@@ -258,27 +258,27 @@
         let mut waits = std::pin::pin!(pool.acquire(1, address));
         assert!(
             futures_lite::future::poll_once(&mut waits).await.is_none(),
-            "all are at work"
+            "all connections are busy"
         );
         pool.release(0, taken.pop().unwrap());
         assert!(
             waits.await.is_ok(),
-            "the idle one made room for another node's"
+            "the idle connection was closed for the other node"
         );
     });
 }
 
 #[test]
-fn a_statement_goes_through_to_its_answer() {
+fn a_statement_is_executed_and_answered() {
     let tasks = Tasks::default();
     let (dispatcher, registry) = dispatcher(&[node(&[Answers(answer)])]);
     let pool = pool(&tasks);
     tasks
         .spawn(
-            "the decisions",
+            "routing",
             dispatcher
                 .clone()
-                .run(carried(&tasks, &dispatcher, &pool, &registry)),
+                .run(executor(&tasks, &dispatcher, &pool, &registry)),
         )
         .detach();
     let ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_probe_tells_position_and_role() {
+fn a_probe_updates_position_and_role() {
     let tasks = Tasks::default();
     let vitals = || {
         let value = b"\0\x01\0\0\0\x09x0=5,x1=0";
--- a/crates/runtime/router/src/tests/parts.rs
+++ b/crates/runtime/router/src/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The small parts: what ends mean, the shared descriptors, idle clients, lists that change.
+//! Outcomes of closed connections, the descriptor budget, idle clients, and changes of the node list.
 
 use super::{instance, listed};
 use crate::budget::{Budget, IdleEntry, WaitKind};
@@ -68,7 +68,7 @@
     ExecutionOutcome::NeverIssued,
     ExecutionOutcome::ConnectionLost
 )]
-fn only_what_was_not_written_is_proved_unrun(
+fn only_unwritten_statements_are_proved_unrun(
     close: Close,
     unwritten: ExecutionOutcome,
     written: ExecutionOutcome,
@@ -92,20 +92,20 @@
     drop(clients);
     assert!(
         budget.for_client().is_some(),
-        "what ends gives its own back"
+        "a connection that ends returns its descriptor"
     );
 }
 
-/// Who of these is asked to close, in this order.
-fn asked(places: &[&IdleEntry]) -> Vec<usize> {
+/// Indexes of the entries that are requested to close.
+fn requested_to_close(entries: &[&IdleEntry]) -> Vec<usize> {
     let tasks = Tasks::default();
-    let is_asked =
-        |i: &usize| super::run(&tasks, future::poll_once(places[*i].close_requested())).is_some();
-    (0..places.len()).filter(is_asked).collect()
+    let is_requested =
+        |i: &usize| super::run(&tasks, future::poll_once(entries[*i].close_requested())).is_some();
+    (0..entries.len()).filter(is_requested).collect()
 }
 
 #[test]
-fn the_silent_make_room_first_then_who_is_idle_for_longest() {
+fn incomplete_clients_close_first_then_the_longest_idle() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..5).map(|_| budget.for_client().unwrap()).collect();
     let kinds = [
@@ -115,27 +115,30 @@
         WaitKind::Incomplete,
         WaitKind::IdleClient,
     ];
-    let mut places: Vec<_> = leases
+    let mut entries: Vec<_> = leases
         .iter()
         .zip(kinds)
         .map(|(l, kind)| l.register_idle(kind))
         .collect();
-    // A silent one that reads a byte keeps its turn: it came when it came.
-    drop(places.remove(2));
-    places.insert(2, leases[2].register_idle(WaitKind::Incomplete));
+    // A client with an incomplete message keeps its rank after it has read a byte: the rank is by connect time.
+    drop(entries.remove(2));
+    entries.insert(2, leases[2].register_idle(WaitKind::Incomplete));
     for expected in [&[2][..], &[2, 3], &[0, 2, 3], &[0, 1, 2, 3]] {
         assert!(budget.close_one_idle());
-        assert_eq!(asked(&places.iter().collect::<Vec<_>>()), expected);
+        assert_eq!(
+            requested_to_close(&entries.iter().collect::<Vec<_>>()),
+            expected
+        );
     }
-    drop(places);
-    assert!(!budget.close_one_idle(), "who is at work does not wait");
+    drop(entries);
+    assert!(!budget.close_one_idle(), "busy connections are not closed");
 }
 
 #[test]
-fn at_the_end_who_has_just_come_is_closed_last() {
+fn shutdown_closes_clients_without_a_statement_last() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..3).map(|_| budget.for_client().unwrap()).collect();
-    let [silent, client, node] = [
+    let [incomplete, client, node] = [
         (0, WaitKind::Incomplete),
         (1, WaitKind::IdleClient),
         (2, WaitKind::IdleNode),
@@ -143,22 +146,22 @@
     .map(|(i, kind)| leases[i].register_idle(kind));
     budget.close_idle_clients();
     assert_eq!(
-        asked(&[&silent, &client, &node]),
+        requested_to_close(&[&incomplete, &client, &node]),
         [1],
-        "its first statement may be on its way"
+        "the first statement of the incomplete client may be on its way"
     );
     assert_eq!(
-        asked(&[&leases[1].register_idle(WaitKind::IdleClient)]),
+        requested_to_close(&[&leases[1].register_idle(WaitKind::IdleClient)]),
         [0],
-        "who falls idle later closes, too"
+        "a connection that becomes idle later closes, too"
     );
     budget.close_all_clients();
-    assert_eq!(asked(&[&silent, &client, &node]), [0, 1]);
+    assert_eq!(requested_to_close(&[&incomplete, &client, &node]), [0, 1]);
 }
 
-/// Found in an incident: clients that asked once and stayed left the others no connection.
+/// Guards against an incident: clients that sent one statement and stayed connected left no connection for others.
 #[test]
-fn who_stays_without_asking_goes_while_many_are_connected() {
+fn idle_clients_are_closed_while_many_are_connected() {
     let budget = Budget::new(24 + 16);
     let mut leases: Vec<_> = (0..7).map(|_| budget.for_client().unwrap()).collect();
     leases
@@ -174,21 +177,21 @@
         WaitKind::IdleClient,
         WaitKind::IdleNode,
     ];
-    let places: Vec<_> = leases
+    let entries: Vec<_> = leases
         .iter()
         .zip(kinds)
         .map(|(lease, kind)| lease.register_idle(kind))
         .collect();
     budget.close_excess_idle_clients(Duration::from_secs(60));
     assert!(
-        asked(&places.iter().collect::<Vec<_>>()).is_empty(),
-        "nobody has waited for long"
+        requested_to_close(&entries.iter().collect::<Vec<_>>()).is_empty(),
+        "no client has been idle for long"
     );
     budget.close_excess_idle_clients(Duration::ZERO);
     assert_eq!(
-        asked(&places.iter().collect::<Vec<_>>()),
+        requested_to_close(&entries.iter().collect::<Vec<_>>()),
         [0, 1],
-        "a quarter stays, the longest idle go"
+        "clients down to a quarter of the budget stay, the longest idle are closed"
     );
 }
 
@@ -203,16 +206,16 @@
 }
 
 #[test]
-fn lines_that_peers_can_cause_are_counted_not_written() {
-    let seldom = crate::wire::LogThrottle::new();
+fn repeated_log_lines_are_suppressed_and_counted() {
+    let throttle = crate::wire::LogThrottle::new();
     assert_eq!(
-        (seldom.due(), seldom.due(), seldom.due()),
+        (throttle.due(), throttle.due(), throttle.due()),
         (Some(0), None, None)
     );
 }
 
 #[test]
-fn what_takes_too_long_ends_but_what_is_there_counts() {
+fn a_timeout_ends_pending_work_but_not_completed_work() {
     let tasks = Tasks::default();
     let within = |work| {
         super::run(
@@ -237,7 +240,7 @@
 }
 
 #[test]
-fn nodes_that_are_replaced_for_ever_leave_nothing_behind() {
+fn replaced_nodes_are_removed_completely() {
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
@@ -251,13 +254,13 @@
         registry.apply_list(&mut born, now, &list).unwrap();
         registry.remove(&born.forget_gone(now + 50.0));
     }
-    // The last two, and the two before them, which are gone for half a minute.
+    // The last two nodes, and the two before them, which have been gone for 50 s.
     assert_eq!((born.nodes.len(), born.groups[&2].members.len()), (4, 4));
     assert!(registry.address(0) == Err(Close::Refused) && registry.address(199).is_ok());
 }
 
 #[test]
-fn a_list_changes_standing_and_address() {
+fn a_list_changes_status_and_address() {
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
@@ -287,7 +290,7 @@
     assert_eq!(
         born.nodes[&1].status,
         NodeStatus::Gone,
-        "a whole list leaves it out"
+        "a complete list does not have it"
     );
     assert!(
         registry
@@ -301,6 +304,6 @@
     assert_eq!(
         born.nodes[&0].status,
         NodeStatus::Ready,
-        "half a list takes nobody away"
+        "an invalid list removes no node"
     );
 }
--- a/crates/runtime/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -1,7 +1,7 @@
-//! Coming back on real connections: what the decisions hold back stays back, and goes once they allow it.
+//! Restart pacing with real connections: statements and connections wait until it allows them.
 
 use super::Script::{Answers, AnswersLate};
-use super::{answer, ended, instance, listed, node, pool_behind, run, settled, statement};
+use super::{answer, ended, instance, listed, node, paced_pool, run, settled, statement};
 use crate::decide::{Clock, Dispatcher, Order};
 use crate::execute::StatementDispatcher;
 use crate::pool::Pool;
@@ -18,16 +18,16 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// More than any machine takes.
-const EVER: f64 = 500_000.0;
+/// Longer than any test takes, in milliseconds.
+const FOREVER_MS: f64 = 500_000.0;
 const MOMENT: Duration = Duration::from_millis(50);
 
-/// A router that has just started, with times so generous that only what is told leads on.
-fn returning(dials: &[SocketAddr], linger_ms: f64) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
+/// A router that has just started, with timeouts so long that only events change its phase.
+fn started(dials: &[SocketAddr], linger_ms: f64) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
     let settings = Settings {
-        list_wait_ms: EVER,
-        sounding_ms: EVER,
-        stood_still_ms: EVER,
+        list_wait_ms: FOREVER_MS,
+        sounding_ms: FOREVER_MS,
+        stood_still_ms: FOREVER_MS,
         linger_ms,
         ..Settings::default()
     };
@@ -43,9 +43,12 @@
     (Dispatcher::new(born, clock), registry)
 }
 
-/// The same, at full pace: the only router that there is, with a connection that came up.
-fn returned(dials: &[SocketAddr], linger_ms: f64) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
-    let (dispatcher, registry) = returning(dials, linger_ms);
+/// The same in phase full: it is the only router, and a connection has been opened.
+fn in_full_phase(
+    dials: &[SocketAddr],
+    linger_ms: f64,
+) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
+    let (dispatcher, registry) = started(dials, linger_ms);
     dispatcher.update(|instance, now| instance.discovery_answered(now));
     dispatcher.recovery(true, |recovery, now| {
         recovery.connection_opened(now, 0, 0.0);
@@ -57,10 +60,10 @@
     (dispatcher, registry)
 }
 
-fn pool(tasks: &Tasks, dispatcher: &Rc<StatementDispatcher>, gated: bool) -> Rc<Pool> {
-    pool_behind(
+fn pool(tasks: &Tasks, dispatcher: &Rc<StatementDispatcher>, paced: bool) -> Rc<Pool> {
+    paced_pool(
         tasks,
-        if gated {
+        if paced {
             RestartPacing::for_dispatcher(dispatcher)
         } else {
             RestartPacing::disabled()
@@ -68,33 +71,33 @@
     )
 }
 
-/// Somebody listens and never says a word.
-fn silent() -> (TcpListener, SocketAddr) {
-    let door = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let address = door.local_addr().unwrap();
-    (door, address)
+/// A listener that never answers on a connection.
+fn unresponsive() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
 #[test]
-fn nothing_goes_out_before_the_list() {
-    let (dispatcher, _) = returning(&[node(&[Answers(answer)])], 0.0);
+fn no_statement_is_sent_before_the_list_arrives() {
+    let (dispatcher, _) = started(&[node(&[Answers(answer)])], 0.0);
     let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
     assert!(settled(&dispatcher).is_empty());
     dispatcher.update(|instance, now| instance.discovery_answered(now));
     let sent = |order: &Order<_>| matches!(order, Order::Execute { .. });
     assert!(
         settled(&dispatcher).iter().any(sent),
-        "to the node that shows how things stand"
+        "the statement is sent once the list has arrived"
     );
 }
 
-#[test_case(true, 1; "one after another")]
-#[test_case(false, 3; "each its own, as ever")]
-fn those_that_wait_at_one_node_open(gated: bool, opening: usize) {
+#[test_case(true, 1; "one at a time with restart pacing")]
+#[test_case(false, 3; "one per waiter without restart pacing")]
+fn waiters_at_one_node_open_connections(paced: bool, opening: usize) {
     let tasks = Tasks::default();
-    let (door, address) = silent();
-    let (dispatcher, _) = returned(&[address], 0.0);
-    let pool = pool(&tasks, &dispatcher, gated);
+    let (listener, address) = unresponsive();
+    let (dispatcher, _) = in_full_phase(&[address], 0.0);
+    let pool = pool(&tasks, &dispatcher, paced);
     let all = async {
         let takes = future::zip(
             pool.acquire(0, address),
@@ -107,14 +110,14 @@
         pool.connection_counts(0).0
     };
     assert_eq!(run(&tasks, all), opening);
-    drop(door);
+    drop(listener);
 }
 
 #[test]
-fn all_that_wait_hear_that_nobody_is_there() {
+fn all_waiters_fail_if_the_node_is_unreachable() {
     let tasks = Tasks::default();
-    let address = silent().1;
-    let (dispatcher, _) = returned(&[address], 0.0);
+    let address = unresponsive().1;
+    let (dispatcher, _) = in_full_phase(&[address], 0.0);
     let pool = pool(&tasks, &dispatcher, true);
     let both = run(
         &tasks,
@@ -126,11 +129,11 @@
     ));
 }
 
-#[test_case(EVER, 1; "its connection is there for the next")]
-#[test_case(0.0, 0; "closed, as ever")]
-fn an_execution_that_nobody_waits_for(linger_ms: f64, idle: usize) {
+#[test_case(FOREVER_MS, 1; "the connection is kept with lingering")]
+#[test_case(0.0, 0; "the connection is closed without lingering")]
+fn a_cancelled_execution_lingers(linger_ms: f64, idle: usize) {
     let tasks = Tasks::default();
-    let (dispatcher, registry) = returned(&[node(&[AnswersLate(answer)])], linger_ms);
+    let (dispatcher, registry) = in_full_phase(&[node(&[AnswersLate(answer)])], linger_ms);
     let pool = pool(&tasks, &dispatcher, true);
     let connection = run(&tasks, pool.acquire(0, registry.address(0).unwrap()))
         .unwrap()
@@ -149,7 +152,7 @@
     assert_eq!(
         ended(&dispatcher),
         Some(ExecutionOutcome::Cancelled),
-        "whatever becomes of it, it was given up"
+        "it counts as cancelled whether or not it completes"
     );
     let waited = async {
         for _ in 0..600 {
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn turned_on_in_service_it_holds_nothing_back() {
+fn enabling_restart_pacing_at_run_time_holds_nothing_back() {
     let (dispatcher, registry) = super::dispatcher(&[node(&[Answers(answer)])]);
     dispatcher.update(|instance, now| {
         instance.set_restart_pacing(now, Some(Settings::default()), 1, "r");
--- a/crates/runtime/router/tests/command.rs
+++ b/crates/runtime/router/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what it says, on which stream, and with which exit code.
+//! The command line: output, stream and exit code of each sub-command, reload and shutdown.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -21,14 +21,14 @@
     (output.status.code(), said, problem)
 }
 
-/// A whole file to start from, with one piece changed, in a place of its own.
+/// Writes a copy of the example start file with one text replaced, and returns its path.
 fn file(name: &str, from: &str, to: &str) -> String {
     let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../../examples/router.json");
     let text = std::fs::read_to_string(example).unwrap();
     assert!(text.contains(from));
-    let place = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&place, text.replacen(from, to, 1)).unwrap();
-    place.to_str().unwrap().to_string()
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&path, text.replacen(from, to, 1)).unwrap();
+    path.to_str().unwrap().to_string()
 }
 
 #[test_case(&[], "a sub-command is missing"; "nothing")]
@@ -36,7 +36,7 @@
 #[test_case(&["serve", "now"], "there is no such command: serve now"; "a word too many")]
 #[test_case(&["check"], "check needs a file"; "a word too few")]
 #[test_case(&["serve", "--fast"], "invalid option '--fast'"; "an unknown option")]
-fn wrong_words_get_the_usage(arguments: &[&str], expected: &str) {
+fn invalid_arguments_print_the_usage(arguments: &[&str], expected: &str) {
     let (code, said, problem) = run(arguments, None);
     assert_eq!((code, said.as_str()), (Some(2), ""));
     assert!(
@@ -51,18 +51,18 @@
 #[test_case(&["check", "--help"], "usage: badgerstream check FILE")]
 #[test_case(&["version"], concat!("badgerstream ", env!("CARGO_PKG_VERSION")))]
 #[test_case(&["--version"], concat!("badgerstream ", env!("CARGO_PKG_VERSION")))]
-fn what_is_asked_for_is_said(arguments: &[&str], expected: &str) {
+fn help_and_version_are_printed(arguments: &[&str], expected: &str) {
     let (code, said, problem) = run(arguments, None);
     assert_eq!((code, problem.as_str()), (Some(0), ""));
     assert!(said.contains(expected), "{said}");
 }
 
-#[test_case("whole", "", "", None; "nothing is wrong")]
+#[test_case("whole", "", "", None; "a valid file")]
 #[test_case("cut", "{", "", Some("the file is not valid JSON"); "no json")]
 #[test_case("deaf", "\"listen\"", "\"hear\"", Some("/listen is missing"); "a missing field")]
 #[test_case("alone", "\"siblings\"", "\"cousins\"", Some("setting siblings is missing"); "a missing setting")]
-#[test_case("quick", "\"dial_timeout_ms\": 250.0", "\"dial_timeout_ms\": 0", Some("dial_timeout_ms must be a time above 0 ms, found 0"); "no time")]
-#[test_case("ill", "in_service", "ill", Some("/known: a list of nodes has a missing or invalid field"); "a wrong list")]
+#[test_case("quick", "\"dial_timeout_ms\": 250.0", "\"dial_timeout_ms\": 0", Some("dial_timeout_ms must be a time above 0 ms, found 0"); "a timeout of zero")]
+#[test_case("ill", "in_service", "ill", Some("/known: a list of nodes has a missing or invalid field"); "an invalid list")]
 fn a_file_is_checked(name: &str, from: &str, to: &str, expected: Option<&str>) {
     let file = file(name, from, to);
     let (code, _, problem) = run(&["check", &file], None);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_start_without_its_file_names_what_is_missing() {
+fn a_start_without_a_file_reports_what_is_missing() {
     assert_eq!(
         run(&["serve"], None).2,
         "badgerstream: the variable RELAY_CONFIG is missing\n"
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_address_in_use_is_named() {
+fn an_address_in_use_is_reported() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let file = file("taken", "127.0.0.1:6432", &address);
@@ -114,7 +114,7 @@
     assert!((0..count).any(|header| long(begin + header * size) == INTERPRETER));
 }
 
-/// A router that ends with its test, whatever becomes of that.
+/// A router process that is killed when its test ends, even if the test fails.
 struct Serving(std::process::Child);
 
 impl Drop for Serving {
@@ -124,11 +124,11 @@
     }
 }
 
-/// The address that a process listens at, by its descriptors and by the kernel's table of TCP sockets (proc(5), net/tcp).
-/// A router that listens at port 0 gets a free port from the kernel. A port that the test had looked for and released
-/// could be taken by another process before the router listens at it.
+/// Returns the address on which a process listens, from its descriptors and the kernel's table of TCP sockets (proc(5),
+/// net/tcp). The router listens on port 0 and gets a free port from the kernel, because a port that the test found and
+/// released could be taken by another process before the router uses it.
 fn listening_address(process: u32) -> String {
-    // The state of a socket that listens, TCP_LISTEN.
+    // Socket state TCP_LISTEN.
     const LISTENS: &str = "0A";
     let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap();
     let sockets: Vec<String> = descriptors
@@ -148,15 +148,15 @@
     format!("127.0.0.1:{}", ports[0])
 }
 
-/// The fleet's terms: one process, no further program, no door for a Unix socket, no `io_uring`; and nothing of
-/// ours is needed or started by a default.
+/// Requirements of the platform: one process without child processes, no listening Unix socket, and no `io_uring`. The
+/// router's settings file is optional, and defaults start nothing else.
 #[test]
-fn it_serves_alone_without_settings_of_ours() {
-    let place = file("alone-and-plain", "127.0.0.1:6432", "127.0.0.1:0");
+fn it_serves_as_one_process_without_a_settings_file() {
+    let path = file("alone-and-plain", "127.0.0.1:6432", "127.0.0.1:0");
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
     command
         .arg("serve")
-        .env("RELAY_CONFIG", &place)
+        .env("RELAY_CONFIG", &path)
         .env_remove("RELAY_LISTEN");
     let mut serving = Serving(
         command
@@ -172,7 +172,7 @@
     let first = lines.next().unwrap_or_default();
     assert!(first.contains("serves on"), "{first}");
     let address = listening_address(router.id());
-    // Once it answers, all of its tasks have begun: what listens for signals, too.
+    // Once it answers a client, all of its tasks have started, including the signal handlers.
     let mut client = TcpStream::connect(&address).unwrap();
     let body = b"\0\x03\0\0user\0svc\0database\0main\0\0";
     client
@@ -184,10 +184,10 @@
     let own = PathBuf::from(format!("/proc/{}", router.id()));
     for thread in std::fs::read_dir(own.join("task")).unwrap() {
         let children = std::fs::read_to_string(thread.unwrap().path().join("children")).unwrap();
-        assert_eq!(children.trim(), "", "it has started a process");
+        assert_eq!(children.trim(), "", "it has started a child process");
     }
     let unix = std::fs::read_to_string("/proc/net/unix").unwrap();
-    // Who listens has __SO_ACCEPTCON among its flags (proc(5), net/unix); the pair that wakes the signals' task
+    // A listening socket has the flag __SO_ACCEPTCON (proc(5), net/unix); the socket pair that wakes the signal task
     // does not.
     let listens = |line: &&str| line.split_whitespace().nth(3) == Some("00010000");
     let listening = unix.lines().filter(listens);
@@ -195,7 +195,7 @@
         .filter_map(|line| line.split_whitespace().nth(6))
         .collect();
     for open in std::fs::read_dir(own.join("fd")).unwrap() {
-        // One that was closed meanwhile is none.
+        // Skip descriptors that were closed meanwhile.
         let Ok(open) = std::fs::read_link(open.unwrap().path()) else {
             continue;
         };
@@ -205,7 +205,7 @@
             .and_then(|rest| rest.strip_suffix(']'));
         assert!(
             !inode.is_some_and(|inode| inodes.contains(&inode)),
-            "a door for a Unix socket"
+            "a listening Unix socket"
         );
         assert!(!open.contains("io_uring"), "{open}");
     }
@@ -219,10 +219,10 @@
     assert!(router.wait().unwrap().success());
 }
 
-/// A file that goes bad and good again under a router that is told so each time: it serves on, says what it
-/// made of it in one line, and ends in order when asked to.
+/// The start file becomes invalid and valid again, with a SIGHUP each time: the router keeps serving, logs the result
+/// in one line, and shuts down in order at SIGTERM.
 #[test]
-fn a_reload_never_ends_it() {
+fn a_reload_never_ends_the_router() {
     let free = || {
         TcpListener::bind("127.0.0.1:0")
             .unwrap()
@@ -231,12 +231,12 @@
             .to_string()
     };
     let moved = free();
-    let place = file("reloaded", "127.0.0.1:6432", "127.0.0.1:0");
-    let good = std::fs::read_to_string(&place).unwrap();
+    let path = file("reloaded", "127.0.0.1:6432", "127.0.0.1:0");
+    let good = std::fs::read_to_string(&path).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
     command
         .arg("serve")
-        .env("RELAY_CONFIG", &place)
+        .env("RELAY_CONFIG", &path)
         .env("RELAY_DISCOVERY", free())
         .stderr(Stdio::piped());
     let mut router = command.spawn().unwrap();
@@ -249,7 +249,7 @@
             .unwrap_or_default();
         assert!(line.contains(text), "{text}: {line}");
     };
-    let told = |signal: &str| {
+    let send = |signal: &str| {
         let id = router.id().to_string();
         assert!(
             Command::new("kill")
@@ -280,16 +280,16 @@
             &format!("the file was read again, discovery is at {moved}"),
         ),
     ] {
-        std::fs::write(&place, text).unwrap();
-        told("-HUP");
+        std::fs::write(&path, text).unwrap();
+        send("-HUP");
         until(expected);
         TcpStream::connect(&address).unwrap();
     }
     until("settings has changed in the file: that needs a restart");
-    std::fs::remove_file(&place).unwrap();
-    told("-HUP");
+    std::fs::remove_file(&path).unwrap();
+    send("-HUP");
     until("the file was not taken");
-    told("-TERM");
+    send("-TERM");
     until("asked to end");
     assert!(router.wait().unwrap().success());
 }
--- a/crates/runtime/router/tests/log_targets.rs
+++ b/crates/runtime/router/tests/log_targets.rs
@@ -1,4 +1,4 @@
-//! Operators filter the log by its targets, and a command adds up the line of counts: target and keys are held here.
+//! Operators filter the log by its targets, and a command sums up the line of counts: these tests fix targets and keys.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 /// The discard service (RFC 863), which test machines do not run: connections are refused.
 const NOBODY_LISTENS: &str = "127.0.0.1:9";
 
-/// A router that is ended with its test.
+/// A router process that is killed when its test ends.
 struct Serving(Child);
 
 impl Drop for Serving {
@@ -17,7 +17,7 @@
     }
 }
 
-/// The first line that a router writes with this filter of its log, without its time.
+/// Returns the first line that a router logs with this filter, without its time.
 fn first_line(filter: &str) -> String {
     let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../../examples/router.json");
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerstream"));
