--- a/crates/protocol/postgres-protocol/src/node.rs
+++ b/crates/protocol/postgres-protocol/src/node.rs
@@ -5,7 +5,7 @@
 use crate::message::{self, put};
 use crate::ring_buffer::RingBuffer;
 
-/// Maximum number of messages of an answer; valid answers have only a few.
+/// Maximum number of messages of a startup or an answer; valid ones have only a few.
 const MAX_MESSAGES: usize = 64;
 
 /// Maximum length of a message other than a row, in bytes.
@@ -94,7 +94,7 @@
             self.messages += 1;
             if self.messages > MAX_MESSAGES {
                 return Err(Close::Malformed(
-                    "the node sent more than 64 messages for one answer",
+                    "the node sent more than 64 messages for one startup or answer",
                 ));
             }
             let event = match (self.state, kind) {
--- a/crates/protocol/router-config/src/tests.rs
+++ b/crates/protocol/router-config/src/tests.rs
@@ -105,20 +105,20 @@
     assert!(problem.starts_with(expected), "{problem}");
 }
 
-#[test_case("{}", None; "nothing is on")]
-#[test_case("{succession: {}}", Some(2 << 20); "on with what goes without saying")]
+#[test_case("{}", None; "everything off")]
+#[test_case("{succession: {}}", Some(2 << 20); "on with the defaults")]
 #[test_case("// ours\n{succession: {hold: {statements: 9, bytes: 1048576,}, /* more */ }}", Some(1 << 20); "with comments")]
 fn router_settings_are_parsed(text: &str, bytes: Option<usize>) {
-    let own = RouterSettings::parse(text, 4 << 20).unwrap();
-    assert_eq!(own.succession.map(|s| s.hold.bytes), bytes);
+    let settings = RouterSettings::parse(text, 4 << 20).unwrap();
+    assert_eq!(settings.succession.map(|s| s.hold.bytes), bytes);
 }
 
 #[test]
 fn the_file_with_every_setting_has_the_defaults() {
-    let told =
+    let settings =
         RouterSettings::parse(include_str!("../../../../deploy/settings.json5"), 16 << 20).unwrap();
     assert_eq!(
-        told,
+        settings,
         RouterSettings::parse("{succession: {}, recovery: {}, fleet: {}}", 16 << 20).unwrap()
     );
 }
@@ -126,17 +126,17 @@
 #[test_case("{recovery: {\n  opens_in_100ms: 0.2}}", (2, 3), "recovery.opens_in_100ms is 0.2"; "less than one")]
 #[test_case("{recovery: {\n  routers: ['a', 'a']}}", (2, 3), "names \"a\" twice"; "one router twice")]
 #[test_case("{recovery: {\n  held_field: 'x4'}}", (2, 3), "recovery.held_field is \"x4\" and opened_field is \"\"; set both or neither"; "half of the fields")]
-#[test_case("{fleet: {\n  copies: 1.5}}", (2, 3), "fleet.copies is 1.5, expected a share from 0 to 1"; "more copies than statements")]
+#[test_case("{fleet: {\n  copies: 1.5}}", (2, 3), "fleet.copies is 1.5, expected a share from 0 to 1"; "a share above 1")]
 #[test_case("{fleet: {\n  routers: ['a', 'a']}}", (2, 3), "names \"a\" twice"; "one of the fleet twice")]
-#[test_case("{fleet: {\n  subset: -1}}", (2, 11), "expected"; "fewer than none")]
+#[test_case("{fleet: {\n  subset: -1}}", (2, 11), "expected"; "a negative number")]
 #[test_case("{recovery: {list_wait_ms: 'soon'}}", (1, 27), "expected number"; "no number")]
-#[test_case("{succession: {hold: {statements: 9, bytes: 64}\n", (1, 14), "EOF"; "cut")]
-#[test_case("{\n  succesion: {}}", (2, 3), "unknown field `succesion`"; "a slip of the pen")]
+#[test_case("{succession: {hold: {statements: 9, bytes: 64}\n", (1, 14), "EOF"; "truncated")]
+#[test_case("{\n  succesion: {}}", (2, 3), "unknown field `succesion`"; "a misspelt name")]
 #[test_case("{succession: {\n  longest_hold_ms: '3s'}}", (2, 20), "expected number"; "a unit")]
 #[test_case("{succession: {\n  least_chance: 7}}", (2, 3), "least_chance is 7, must be a share from 0 to 1"; "no share")]
 #[test_case("{succession: {\n\n    longest_hold_ms: 0}}", (3, 5), "longest_hold_ms is 0, must be a time from 1 ms to 3600000 ms (one hour)"; "no time")]
-#[test_case("{succession: {hold_group: {statements: 1, bytes: 8},\n hold: {statements: 2, bytes: 999999999}}}", (2, 24), "hold.bytes is 999999999, more than the 4194304 bytes that the memory limit leaves"; "more memory than there is")]
-#[test_case("{succession: { // hold: {bytes: 1}\n hold: {statements: 2, bytes: 4}}}", (1, 2), "hold_group.bytes is 1048576, more than hold.bytes, the limit of 4 bytes for all groups together"; "a bound that was left out")]
+#[test_case("{succession: {hold_group: {statements: 1, bytes: 8},\n hold: {statements: 2, bytes: 999999999}}}", (2, 24), "hold.bytes is 999999999, more than the 4194304 bytes that the memory limit leaves"; "more memory than available")]
+#[test_case("{succession: { // hold: {bytes: 1}\n hold: {statements: 2, bytes: 4}}}", (1, 2), "hold_group.bytes is 1048576, more than hold.bytes, the limit of 4 bytes for all groups together"; "a default bound that is too large")]
 #[test_case("{succession: {\n branch_field: 'x2'}}", (2, 2), "branch_field and promoted_field must both be set or both be empty"; "half a pair")]
 fn errors_in_router_settings_have_a_position(text: &str, place: (usize, usize), problem: &str) {
     let fault = RouterSettings::parse(text, 4 << 20).unwrap_err();
