--- a/crates/protocol/postgres-protocol/src/tests/client.rs
+++ b/crates/protocol/postgres-protocol/src/tests/client.rs
@@ -89,9 +89,9 @@
 fn rejections_carry_the_time_to_come_back() {
     let (mut client, mut output) = (Client::default(), RingBuffer::new(MAX_MESSAGE_BYTES));
     client.rejected(&mut output, 1.5);
-    let told = all(output);
-    assert_eq!(outline(&told), "E53300 Z");
-    assert!(told.windows(6).any(|w| w == b"D1500\0"));
+    let received = all(output);
+    assert_eq!(outline(&received), "E53300 Z");
+    assert!(received.windows(6).any(|w| w == b"D1500\0"));
 }
 
 #[test]
--- a/crates/protocol/postgres-protocol/src/tests/damage.rs
+++ b/crates/protocol/postgres-protocol/src/tests/damage.rs
@@ -77,14 +77,14 @@
         b'T',
         b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01",
     );
-    let told = message(b'S', b"as_of\x001767225600123\0");
+    let received = message(b'S', b"as_of\x001767225600123\0");
     let parts = [
         message(b'R', &[0; 4]),
         message(b'Z', b"I"),
         described,
         row,
         message(b'C', b"SELECT 1\0"),
-        told,
+        received,
     ];
     let whole = [
         parts.concat(),
--- a/crates/protocol/postgres-protocol/src/tests/discovery.rs
+++ b/crates/protocol/postgres-protocol/src/tests/discovery.rs
@@ -31,16 +31,16 @@
     // A line in two chunks, an empty line, two lines in one chunk, the end.
     let bytes =
         format!("{HEAD}4\r\n{{\"a\"\r\n4\r\n:1}}\n\r\n1\r\n\n\r\n6\r\n{{}}\n[]\n\r\n0\r\n\r\n");
-    let (told, end) = lines(bytes.as_bytes(), piece);
-    assert_eq!(told, ["{\"a\":1}\n", "\n", "{}\n", "[]\n"]);
+    let (received, end) = lines(bytes.as_bytes(), piece);
+    assert_eq!(received, ["{\"a\":1}\n", "\n", "{}\n", "[]\n"]);
     assert_eq!(end, Some(Close::PeerClosed));
 }
 
 #[test]
 fn a_body_without_chunks_is_read_too() {
-    let (told, end) = lines(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n", 2);
+    let (received, end) = lines(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n", 2);
     assert_eq!(
-        (told, end),
+        (received, end),
         (vec!["{}\n".to_string()], Some(Close::PeerClosed))
     );
 }
@@ -78,16 +78,19 @@
 
 #[test]
 fn a_list_is_passed_on_node_by_node() {
-    let told = json!({"seq": 43, "whole": true, "hosts": [
+    let received = json!({"seq": 43, "whole": true, "hosts": [
         {"host": "s-1", "dial": "127.0.0.1:6432", "site": "a", "class": "m2", "block": 3,
          "health": "terminating", "share": 1.0, "born_ms": 1767225600123u64, "rank": "source"},
         {"host": "s-2", "dial": "127.0.0.2:6432", "site": "b", "block": 3, "health": "in_service", "born_ms": 0}]});
     let mut nodes = Vec::new();
-    let heard = parse_list(&told, |name, dial, zone, group, standing, since, leads| {
-        nodes.push(format!(
-            "{name} {dial} {zone} {group} {standing:?} {since} {leads}"
-        ));
-    });
+    let heard = parse_list(
+        &received,
+        |name, dial, zone, group, standing, since, leads| {
+            nodes.push(format!(
+                "{name} {dial} {zone} {group} {standing:?} {since} {leads}"
+            ));
+        },
+    );
     assert_eq!(heard, Ok((43, true)));
     assert_eq!(
         nodes[0],
@@ -106,8 +109,8 @@
                       "health": "in_service", "born_ms": 0});
     let mut bad = good.clone();
     bad[field] = wrong;
-    let told = json!({"seq": 43, "whole": true, "hosts": [good, bad]});
+    let received = json!({"seq": 43, "whole": true, "hosts": [good, bad]});
     let mut count = 0;
-    assert!(parse_list(&told, |_, _, _, _, _, _, _| count += 1).is_err());
+    assert!(parse_list(&received, |_, _, _, _, _, _, _| count += 1).is_err());
     assert_eq!(count, 0);
 }
--- a/crates/protocol/postgres-protocol/src/tests/node.rs
+++ b/crates/protocol/postgres-protocol/src/tests/node.rs
@@ -77,12 +77,12 @@
 #[test_case(10_000; "at once")]
 fn a_row_is_returned_unchanged(piece: usize) {
     let row = [described(1), row(1, b"\x9f\x00\x03"), done()].concat();
-    let told = [
+    let received = [
         status("rank", "copy"),
         status("as_of", "1767225600123"),
         status("vitals", "x0=5,x1=0"),
     ];
-    let answer = answered(&[row.clone(), told.concat(), ready()].concat(), piece)
+    let answer = answered(&[row.clone(), received.concat(), ready()].concat(), piece)
         .unwrap()
         .unwrap();
     assert_eq!(&row[answer.value.clone()], b"\x9f\x00\x03");
@@ -96,10 +96,10 @@
 #[test_case(&status("rank", "queen"); "an unknown role")]
 #[test_case(&status("as_of", "soon"); "no position")]
 #[test_case(&message(b'S', b"rank"); "no pair")]
-fn an_invalid_status_does_not_affect_the_row(told: &[u8]) {
+fn an_invalid_status_does_not_affect_the_row(received: &[u8]) {
     let bytes = [
         &[described(1), row(1, b"v"), done()].concat(),
-        told,
+        received,
         &ready(),
     ]
     .concat();
--- a/crates/runtime/router/src/client.rs
+++ b/crates/runtime/router/src/client.rs
@@ -92,7 +92,7 @@
     if !dispatcher.knows_group(s.group) {
         return Err((
             "42704",
-            "the replication group named in comment field cluster has no listed node",
+            "the replication group named in comment field cluster has never been listed",
         ));
     }
     // 53300 tells the client that it may repeat the statement: nothing has run.
