--- a/crates/runtime/router/src/tests/mod.rs
+++ b/crates/runtime/router/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the router's tests share: a desk with one group of nodes, and stand-ins that listen on free ports.
+//! Shared by the router's tests: a dispatcher with one group of nodes, and fake nodes that listen on free ports.
 
 mod clients;
 mod decide;
@@ -8,15 +8,15 @@
 mod watch;
 
 use crate::budget::Budget;
-use crate::decide::{Clock, Desk, Order};
-use crate::execute::Router;
-use crate::gate::Gate;
+use crate::decide::{Clock, Dispatcher, Order};
+use crate::execute::StatementDispatcher;
 use crate::pool::Pool;
+use crate::restart_pacing::RestartPacing;
 use crate::spawn::Tasks;
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use badgerstream_postgres_protocol::comment::Statement;
 use badgerstream_postgres_protocol::message::{self, put};
-use badgerstream_postgres_protocol::{Memory, Ring};
+use badgerstream_postgres_protocol::{MemoryBudget, RingBuffer};
 use badgerstream_routing::{
     Consistency, ExecutionOutcome, Instance, PolicyLimits, Repeat, Workload,
 };
@@ -32,7 +32,7 @@
 pub(crate) const READ: &str =
     "SELECT v FROM records WHERE k = '7f3a' /* id=9b1f,c=any,t=acme,d=60000,cluster=2 */";
 
-/// Reads that any member answers, and writes that only the primary takes.
+/// Two workloads: reads that any node answers, and writes that only the primary executes.
 pub(crate) fn kinds() -> Vec<Workload> {
     let any = Workload {
         slo: 30.0,
@@ -53,7 +53,7 @@
     ]
 }
 
-/// A whole list of nodes of group 2, named by their addresses; the first is the primary.
+/// A complete list of nodes of group 2 with these addresses; the first is the primary.
 pub(crate) fn listed(seq: u64, dials: &[SocketAddr]) -> Value {
     let host = |(i, dial): (usize, &SocketAddr)| {
         json!({"host": format!("s-{i}"), "dial": dial.to_string(), "site": "a", "block": 2,
@@ -82,42 +82,48 @@
     )
 }
 
-pub(crate) fn desk<S: 'static, A: 'static>(dials: &[SocketAddr]) -> (Rc<Desk<S, A>>, Rc<Roster>) {
-    let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
-    roster
-        .list(&mut born, clock.now(), &listed(1, dials))
+pub(crate) fn dispatcher<S: 'static, A: 'static>(
+    dials: &[SocketAddr],
+) -> (Rc<Dispatcher<S, A>>, Rc<NodeRegistry>) {
+    let (mut born, clock, registry) = (
+        instance(),
+        Clock::new(),
+        NodeRegistry::new(vec!["a".to_string()]),
+    );
+    registry
+        .apply_list(&mut born, clock.now(), &listed(1, dials))
         .unwrap();
-    (Desk::new(born, clock), roster)
+    (Dispatcher::new(born, clock), registry)
 }
 
-/// With times so generous that no verdict hangs on how fast the machine is.
+/// A pool with timeouts so long that no result depends on the speed of the machine.
 pub(crate) fn pool(tasks: &Tasks, budget: &Rc<Budget>) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
         budget.clone(),
-        Memory::new(usize::MAX),
-        Gate::open(),
+        MemoryBudget::new(usize::MAX),
+        RestartPacing::disabled(),
         60.0,
         600.0,
     )
 }
 
-/// The same with decisions on what may be opened.
-pub(crate) fn pool_behind(tasks: &Tasks, gate: Gate) -> Rc<Pool> {
+/// The same with restart pacing.
+pub(crate) fn paced_pool(tasks: &Tasks, restart_pacing: RestartPacing) -> Rc<Pool> {
     Pool::new(
         tasks.clone(),
         Budget::new(1024),
-        Memory::new(usize::MAX),
-        gate,
+        MemoryBudget::new(usize::MAX),
+        restart_pacing,
         60.0,
         600.0,
     )
 }
 
-/// What a settling orders.
-pub(crate) fn settled<S: 'static, A: 'static>(desk: &Rc<Desk<S, A>>) -> Vec<Order<S>> {
+/// Settles once and returns the orders.
+pub(crate) fn settled<S: 'static, A: 'static>(dispatcher: &Rc<Dispatcher<S, A>>) -> Vec<Order<S>> {
     let orders = RefCell::new(Vec::new());
-    desk.settle(&|order| {
+    dispatcher.settle(&|order| {
         orders.borrow_mut().push(order);
     });
     orders.into_inner()
@@ -128,12 +134,14 @@
 }
 
 pub(crate) fn statement() -> Statement {
-    Statement::read(READ).unwrap()
+    Statement::parse(READ).unwrap()
 }
 
-/// How the first execution of a statement ended, by what the instance was told.
-pub(crate) fn ended<S: 'static, A: 'static>(desk: &Desk<S, A>) -> Option<ExecutionOutcome> {
-    desk.tell(|instance, _| {
+/// The outcome of the first execution of a statement, as recorded by the instance.
+pub(crate) fn ended<S: 'static, A: 'static>(
+    dispatcher: &Dispatcher<S, A>,
+) -> Option<ExecutionOutcome> {
+    dispatcher.update(|instance, _| {
         instance
             .statements
             .values()
@@ -142,21 +150,27 @@
     })
 }
 
-/// Executes orders for real, against the stand-ins.
-pub(crate) fn carried(
+/// Returns a function that executes orders against the fake nodes.
+pub(crate) fn executor(
     tasks: &Tasks,
-    desk: &Rc<Router>,
+    dispatcher: &Rc<StatementDispatcher>,
     pool: &Rc<Pool>,
-    roster: &Rc<Roster>,
+    registry: &Rc<NodeRegistry>,
 ) -> impl Fn(Order<Statement>) + use<> {
-    let (tasks, desk, pool, roster) = (tasks.clone(), desk.clone(), pool.clone(), roster.clone());
+    let (tasks, dispatcher, pool, registry) = (
+        tasks.clone(),
+        dispatcher.clone(),
+        pool.clone(),
+        registry.clone(),
+    );
     move |order| {
-        let work = crate::execute::carry(desk.clone(), pool.clone(), roster.clone(), order);
-        tasks.spawn("an execution", work).detach();
+        let work =
+            crate::execute::run_order(dispatcher.clone(), pool.clone(), registry.clone(), order);
+        tasks.spawn("statement execution", work).detach();
     }
 }
 
-/// A stand-in for a node: what it does with each connection, in their order; the last goes for all further.
+/// Starts a fake node with one script for each connection, in order; the last applies to all further ones.
 pub(crate) fn node(scripts: &[Script]) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let (address, mut scripts) = (
@@ -182,18 +196,18 @@
     Answers(fn() -> Vec<u8>),
     /// The same, a moment later.
     AnswersLate(fn() -> Vec<u8>),
-    /// Answers one query so, and closes.
+    /// Answers one query with these bytes and closes the connection.
     AnswersOnce(fn() -> Vec<u8>),
-    /// Greets with this in place of a welcome, and closes.
+    /// Answers the startup message with these bytes and closes the connection.
     Greets(fn() -> Vec<u8>),
-    /// Reads on and says nothing.
+    /// Reads and never answers.
     Hangs,
 }
 
 fn play(mut stream: TcpStream, script: Script) {
-    let mut input = Ring::new(message::LONGEST);
+    let mut input = RingBuffer::new(message::MAX_MESSAGE_BYTES);
     while input.len() < 8 {
-        if !more(&mut stream, &mut input) {
+        if !read_more(&mut stream, &mut input) {
             return;
         }
     }
@@ -207,7 +221,7 @@
     let _ = stream.write_all(&messages(&[(b'R', &[0; 4]), (b'Z', b"I")]));
     loop {
         while let Ok(None) = message::next(&mut input) {
-            if !more(&mut stream, &mut input) {
+            if !read_more(&mut stream, &mut input) {
                 return;
             }
         }
@@ -223,14 +237,14 @@
     }
 }
 
-fn more(stream: &mut TcpStream, input: &mut Ring) -> bool {
+fn read_more(stream: &mut TcpStream, input: &mut RingBuffer) -> bool {
     let count = stream.read(input.room()).unwrap_or(0);
     input.filled(count);
     count > 0
 }
 
 pub(crate) fn messages(parts: &[(u8, &[u8])]) -> Vec<u8> {
-    let mut ring = Ring::new(message::LONGEST);
+    let mut ring = RingBuffer::new(message::MAX_MESSAGE_BYTES);
     parts
         .iter()
         .for_each(|(kind, body)| put(&mut ring, *kind, &[body]));
@@ -238,11 +252,11 @@
     ring.take(length)
 }
 
-const DESCRIBED: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+const ROW_DESCRIPTION: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
 pub(crate) fn row() -> Vec<u8> {
     messages(&[
-        (b'T', DESCRIBED),
+        (b'T', ROW_DESCRIPTION),
         (b'D', b"\0\x01\0\0\0\x01v"),
         (b'C', b"SELECT 1\0"),
     ])
--- a/crates/runtime/router/src/tests/parts.rs
+++ b/crates/runtime/router/src/tests/parts.rs
@@ -1,10 +1,10 @@
-//! The small parts: what ends mean, the shared descriptors, idle clients, lists that change.
+//! Outcomes of closed connections, the descriptor budget, idle clients, and changes of the node list.
 
 use super::{instance, listed};
-use crate::budget::{Budget, Kind, Place};
-use crate::ending;
+use crate::budget::{Budget, IdleEntry, WaitKind};
+use crate::outcome;
 use crate::spawn::Tasks;
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::{ExecutionOutcome, NodeStatus};
 use futures_lite::{FutureExt, future};
@@ -14,12 +14,12 @@
 use test_case::test_case;
 
 #[test_case(
-    Close::Left,
+    Close::PeerClosed,
     ExecutionOutcome::SendInterrupted,
     ExecutionOutcome::ConnectionLost
 )]
 #[test_case(
-    Close::Broken,
+    Close::IoError,
     ExecutionOutcome::SendInterrupted,
     ExecutionOutcome::ConnectionLost
 )]
@@ -29,12 +29,12 @@
     ExecutionOutcome::ConnectionLost
 )]
 #[test_case(
-    Close::Silent,
+    Close::PeerTimeout,
     ExecutionOutcome::ConnectFailed,
     ExecutionOutcome::ConnectionLost
 )]
 #[test_case(
-    Close::TurnedAway,
+    Close::TooManyConnections,
     ExecutionOutcome::Rejected,
     ExecutionOutcome::ConnectionLost
 )]
@@ -68,15 +68,15 @@
     ExecutionOutcome::NeverIssued,
     ExecutionOutcome::ConnectionLost
 )]
-fn only_what_was_not_written_is_proved_unrun(
+fn only_unwritten_statements_are_proved_unrun(
     close: Close,
     unwritten: ExecutionOutcome,
     written: ExecutionOutcome,
 ) {
     assert_eq!(
         (
-            ending::of_close(close, false),
-            ending::of_close(close, true)
+            outcome::from_close(close, false),
+            outcome::from_close(close, true)
         ),
         (unwritten, written)
     );
@@ -92,69 +92,76 @@
     drop(clients);
     assert!(
         budget.for_client().is_some(),
-        "what ends gives its own back"
+        "a connection that ends returns its descriptor"
     );
 }
 
-/// Who of these is asked to close, in this order.
-fn asked(places: &[&Place]) -> Vec<usize> {
+/// Indexes of the entries that are requested to close.
+fn requested_to_close(entries: &[&IdleEntry]) -> Vec<usize> {
     let tasks = Tasks::default();
-    let is_asked =
-        |i: &usize| super::run(&tasks, future::poll_once(places[*i].unwanted())).is_some();
-    (0..places.len()).filter(is_asked).collect()
+    let is_requested =
+        |i: &usize| super::run(&tasks, future::poll_once(entries[*i].close_requested())).is_some();
+    (0..entries.len()).filter(is_requested).collect()
 }
 
 #[test]
-fn the_silent_make_room_first_then_who_is_idle_for_longest() {
+fn incomplete_clients_close_first_then_the_longest_idle() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..5).map(|_| budget.for_client().unwrap()).collect();
     let kinds = [
-        Kind::Node,
-        Kind::Client,
-        Kind::Silent,
-        Kind::Silent,
-        Kind::Client,
+        WaitKind::IdleNode,
+        WaitKind::IdleClient,
+        WaitKind::Incomplete,
+        WaitKind::Incomplete,
+        WaitKind::IdleClient,
     ];
-    let mut places: Vec<_> = leases
+    let mut entries: Vec<_> = leases
         .iter()
         .zip(kinds)
-        .map(|(l, kind)| l.wait(kind))
+        .map(|(l, kind)| l.register_idle(kind))
         .collect();
-    // A silent one that reads a byte keeps its turn: it came when it came.
-    drop(places.remove(2));
-    places.insert(2, leases[2].wait(Kind::Silent));
+    // A client with an incomplete message keeps its rank after it has read a byte: the rank is by connect time.
+    drop(entries.remove(2));
+    entries.insert(2, leases[2].register_idle(WaitKind::Incomplete));
     for expected in [&[2][..], &[2, 3], &[0, 2, 3], &[0, 1, 2, 3]] {
-        assert!(budget.make_room());
-        assert_eq!(asked(&places.iter().collect::<Vec<_>>()), expected);
+        assert!(budget.close_one_idle());
+        assert_eq!(
+            requested_to_close(&entries.iter().collect::<Vec<_>>()),
+            expected
+        );
     }
-    drop(places);
-    assert!(!budget.make_room(), "who is at work does not wait");
+    drop(entries);
+    assert!(!budget.close_one_idle(), "busy connections are not closed");
 }
 
 #[test]
-fn at_the_end_who_has_just_come_is_closed_last() {
+fn shutdown_closes_clients_without_a_statement_last() {
     let budget = Budget::new(1024);
     let leases: Vec<_> = (0..3).map(|_| budget.for_client().unwrap()).collect();
-    let [silent, client, node] = [(0, Kind::Silent), (1, Kind::Client), (2, Kind::Node)]
-        .map(|(i, kind)| leases[i].wait(kind));
-    budget.close_all_but_silent();
+    let [incomplete, client, node] = [
+        (0, WaitKind::Incomplete),
+        (1, WaitKind::IdleClient),
+        (2, WaitKind::IdleNode),
+    ]
+    .map(|(i, kind)| leases[i].register_idle(kind));
+    budget.close_idle_clients();
     assert_eq!(
-        asked(&[&silent, &client, &node]),
+        requested_to_close(&[&incomplete, &client, &node]),
         [1],
-        "its first statement may be on its way"
+        "the first statement of the incomplete client may be on its way"
     );
     assert_eq!(
-        asked(&[&leases[1].wait(Kind::Client)]),
+        requested_to_close(&[&leases[1].register_idle(WaitKind::IdleClient)]),
         [0],
-        "who falls idle later closes, too"
+        "a connection that becomes idle later closes, too"
     );
-    budget.close_all();
-    assert_eq!(asked(&[&silent, &client, &node]), [0, 1]);
+    budget.close_all_clients();
+    assert_eq!(requested_to_close(&[&incomplete, &client, &node]), [0, 1]);
 }
 
-/// Found in an incident: clients that asked once and stayed left the others no connection.
+/// Guards against an incident: clients that sent one statement and stayed connected left no connection for others.
 #[test]
-fn who_stays_without_asking_goes_while_many_are_connected() {
+fn idle_clients_are_closed_while_many_are_connected() {
     let budget = Budget::new(24 + 16);
     let mut leases: Vec<_> = (0..7).map(|_| budget.for_client().unwrap()).collect();
     leases
@@ -162,29 +169,29 @@
         .take(6)
         .for_each(|lease| lease.connected());
     let kinds = [
-        Kind::Client,
-        Kind::Client,
-        Kind::Silent,
-        Kind::Client,
-        Kind::Client,
-        Kind::Client,
-        Kind::Node,
+        WaitKind::IdleClient,
+        WaitKind::IdleClient,
+        WaitKind::Incomplete,
+        WaitKind::IdleClient,
+        WaitKind::IdleClient,
+        WaitKind::IdleClient,
+        WaitKind::IdleNode,
     ];
-    let places: Vec<_> = leases
+    let entries: Vec<_> = leases
         .iter()
         .zip(kinds)
-        .map(|(lease, kind)| lease.wait(kind))
+        .map(|(lease, kind)| lease.register_idle(kind))
         .collect();
-    budget.thin_out(Duration::from_secs(60));
+    budget.close_excess_idle_clients(Duration::from_secs(60));
     assert!(
-        asked(&places.iter().collect::<Vec<_>>()).is_empty(),
-        "nobody has waited for long"
+        requested_to_close(&entries.iter().collect::<Vec<_>>()).is_empty(),
+        "no client has been idle for long"
     );
-    budget.thin_out(Duration::ZERO);
+    budget.close_excess_idle_clients(Duration::ZERO);
     assert_eq!(
-        asked(&places.iter().collect::<Vec<_>>()),
+        requested_to_close(&entries.iter().collect::<Vec<_>>()),
         [0, 1],
-        "a quarter stays, the longest idle go"
+        "clients down to a quarter of the budget stay, the longest idle are closed"
     );
 }
 
@@ -199,27 +206,27 @@
 }
 
 #[test]
-fn lines_that_peers_can_cause_are_counted_not_written() {
-    let seldom = crate::wire::Seldom::new();
+fn repeated_log_lines_are_suppressed_and_counted() {
+    let throttle = crate::wire::LogThrottle::new();
     assert_eq!(
-        (seldom.due(), seldom.due(), seldom.due()),
+        (throttle.due(), throttle.due(), throttle.due()),
         (Some(0), None, None)
     );
 }
 
 #[test]
-fn what_takes_too_long_ends_but_what_is_there_counts() {
+fn a_timeout_ends_pending_work_but_not_completed_work() {
     let tasks = Tasks::default();
     let within = |work| {
         super::run(
             &tasks,
-            crate::wire::within(Duration::ZERO, Close::Silent, work),
+            crate::wire::within(Duration::ZERO, Close::PeerTimeout, work),
         )
     };
     assert_eq!(within(future::ready(Ok(7)).boxed_local()), Ok(7));
     assert_eq!(
         within(future::pending::<Result<i32, Close>>().boxed_local()),
-        Err(Close::Silent)
+        Err(Close::PeerTimeout)
     );
 }
 
@@ -233,35 +240,38 @@
 }
 
 #[test]
-fn nodes_that_are_replaced_for_ever_leave_nothing_behind() {
+fn replaced_nodes_are_removed_completely() {
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    let (mut born, roster) = (instance(), Roster::new(Vec::new()));
+    let (mut born, registry) = (instance(), NodeRegistry::new(Vec::new()));
     for day in 0..100 {
         let now = 100.0 * f64::from(day);
         let mut list = listed(1, &dials);
         for host in list["hosts"].as_array_mut().unwrap() {
             host["host"] = format!("{}-{day}", host["host"]).into();
         }
-        roster.list(&mut born, now, &list).unwrap();
-        roster.forget(&born.forget_gone(now + 50.0));
+        registry.apply_list(&mut born, now, &list).unwrap();
+        registry.remove(&born.forget_gone(now + 50.0));
     }
-    // The last two, and the two before them, which are gone for half a minute.
+    // The last two nodes, and the two before them, which have been gone for 50 s.
     assert_eq!((born.nodes.len(), born.groups[&2].members.len()), (4, 4));
-    assert!(roster.dial(0) == Err(Close::Refused) && roster.dial(199).is_ok());
+    assert!(registry.address(0) == Err(Close::Refused) && registry.address(199).is_ok());
 }
 
 #[test]
-fn a_list_changes_standing_and_address() {
+fn a_list_changes_status_and_address() {
     let dials: Vec<SocketAddr> = (1..3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    let (mut born, roster) = (instance(), Roster::new(Vec::new()));
-    assert_eq!(roster.list(&mut born, 1.0, &listed(41, &dials)), Ok(41));
+    let (mut born, registry) = (instance(), NodeRegistry::new(Vec::new()));
+    assert_eq!(
+        registry.apply_list(&mut born, 1.0, &listed(41, &dials)),
+        Ok(41)
+    );
     let change = json!({"seq": 43, "whole": false, "hosts": [
         {"host": "s-1", "dial": "127.0.0.9:9", "site": "a", "block": 2, "health": "terminating", "born_ms": 0}]});
-    assert_eq!(roster.list(&mut born, 2.0, &change), Ok(43));
+    assert_eq!(registry.apply_list(&mut born, 2.0, &change), Ok(43));
     assert_eq!(
         (born.nodes[&0].status, born.nodes[&1].status),
         (NodeStatus::Ready, NodeStatus::Draining)
@@ -269,22 +279,22 @@
     assert_eq!(
         (
             born.nodes[&1].unavailable_since,
-            roster.dial(1).unwrap().port(),
-            roster.dial(0).unwrap().port()
+            registry.address(1).unwrap().port(),
+            registry.address(0).unwrap().port()
         ),
         (2.0, 9, 1)
     );
-    roster
-        .list(&mut born, 3.0, &listed(44, &dials[..1]))
+    registry
+        .apply_list(&mut born, 3.0, &listed(44, &dials[..1]))
         .unwrap();
     assert_eq!(
         born.nodes[&1].status,
         NodeStatus::Gone,
-        "a whole list leaves it out"
+        "a complete list does not have it"
     );
     assert!(
-        roster
-            .list(
+        registry
+            .apply_list(
                 &mut born,
                 4.0,
                 &json!({"seq": 45, "whole": true, "hosts": [{}]})
@@ -294,6 +304,6 @@
     assert_eq!(
         born.nodes[&0].status,
         NodeStatus::Ready,
-        "half a list takes nobody away"
+        "an invalid list removes no node"
     );
 }
--- a/crates/runtime/router/src/tests/returning.rs
+++ b/crates/runtime/router/src/tests/returning.rs
@@ -1,13 +1,13 @@
-//! Coming back on real connections: what the decisions hold back stays back, and goes once they allow it.
+//! Restart pacing with real connections: statements and connections wait until it allows them.
 
 use super::Script::{Answers, AnswersLate};
-use super::{answer, ended, instance, listed, node, pool_behind, run, settled, statement};
-use crate::decide::{Clock, Desk, Order};
-use crate::execute::Router;
-use crate::gate::Gate;
+use super::{answer, ended, instance, listed, node, paced_pool, run, settled, statement};
+use crate::decide::{Clock, Dispatcher, Order};
+use crate::execute::StatementDispatcher;
 use crate::pool::Pool;
+use crate::restart_pacing::RestartPacing;
 use crate::spawn::Tasks;
-use crate::watch::Roster;
+use crate::watch::NodeRegistry;
 use async_io::Timer;
 use badgerstream_postgres_protocol::Close;
 use badgerstream_routing::ExecutionOutcome;
@@ -18,96 +18,110 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// More than any machine takes.
-const EVER: f64 = 500_000.0;
+/// Longer than any test takes, in milliseconds.
+const FOREVER_MS: f64 = 500_000.0;
 const MOMENT: Duration = Duration::from_millis(50);
 
-/// A router that has just started, with times so generous that only what is told leads on.
-fn returning(dials: &[SocketAddr], linger_ms: f64) -> (Rc<Router>, Rc<Roster>) {
+/// A router that has just started, with timeouts so long that only events change its phase.
+fn started(dials: &[SocketAddr], linger_ms: f64) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
     let settings = Settings {
-        list_wait_ms: EVER,
-        sounding_ms: EVER,
-        stood_still_ms: EVER,
+        list_wait_ms: FOREVER_MS,
+        sounding_ms: FOREVER_MS,
+        stood_still_ms: FOREVER_MS,
         linger_ms,
         ..Settings::default()
     };
-    let (mut born, clock, roster) = (instance(), Clock::new(), Roster::new(vec!["a".to_string()]));
+    let (mut born, clock, registry) = (
+        instance(),
+        Clock::new(),
+        NodeRegistry::new(vec!["a".to_string()]),
+    );
     born.set_restart_pacing(clock.now(), Some(settings), 1, "r");
-    roster
-        .list(&mut born, clock.now(), &listed(1, dials))
+    registry
+        .apply_list(&mut born, clock.now(), &listed(1, dials))
         .unwrap();
-    (Desk::new(born, clock), roster)
+    (Dispatcher::new(born, clock), registry)
 }
 
-/// The same, at full pace: the only router that there is, with a connection that came up.
-fn returned(dials: &[SocketAddr], linger_ms: f64) -> (Rc<Router>, Rc<Roster>) {
-    let (desk, roster) = returning(dials, linger_ms);
-    desk.tell(|instance, now| instance.discovery_answered(now));
-    desk.recovery(true, |recovery, now| {
+/// The same in phase full: it is the only router, and a connection has been opened.
+fn in_full_phase(
+    dials: &[SocketAddr],
+    linger_ms: f64,
+) -> (Rc<StatementDispatcher>, Rc<NodeRegistry>) {
+    let (dispatcher, registry) = started(dials, linger_ms);
+    dispatcher.update(|instance, now| instance.discovery_answered(now));
+    dispatcher.recovery(true, |recovery, now| {
         recovery.connection_opened(now, 0, 0.0);
     });
     assert_eq!(
-        desk.recovery(false, |recovery, _| recovery.phase()),
+        dispatcher.recovery(false, |recovery, _| recovery.phase()),
         Some(Phase::Full)
     );
-    (desk, roster)
+    (dispatcher, registry)
 }
 
-fn pool(tasks: &Tasks, desk: &Rc<Router>, gated: bool) -> Rc<Pool> {
-    pool_behind(tasks, if gated { Gate::of(desk) } else { Gate::open() })
+fn pool(tasks: &Tasks, dispatcher: &Rc<StatementDispatcher>, paced: bool) -> Rc<Pool> {
+    paced_pool(
+        tasks,
+        if paced {
+            RestartPacing::for_dispatcher(dispatcher)
+        } else {
+            RestartPacing::disabled()
+        },
+    )
 }
 
-/// Somebody listens and never says a word.
-fn silent() -> (TcpListener, SocketAddr) {
-    let door = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let address = door.local_addr().unwrap();
-    (door, address)
+/// A listener that never answers on a connection.
+fn unresponsive() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
 #[test]
-fn nothing_goes_out_before_the_list() {
-    let (desk, _) = returning(&[node(&[Answers(answer)])], 0.0);
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    assert!(settled(&desk).is_empty());
-    desk.tell(|instance, now| instance.discovery_answered(now));
+fn no_statement_is_sent_before_the_list_arrives() {
+    let (dispatcher, _) = started(&[node(&[Answers(answer)])], 0.0);
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    assert!(settled(&dispatcher).is_empty());
+    dispatcher.update(|instance, now| instance.discovery_answered(now));
     let sent = |order: &Order<_>| matches!(order, Order::Execute { .. });
     assert!(
-        settled(&desk).iter().any(sent),
-        "to the node that shows how things stand"
+        settled(&dispatcher).iter().any(sent),
+        "the statement is sent once the list has arrived"
     );
 }
 
-#[test_case(true, 1; "one after another")]
-#[test_case(false, 3; "each its own, as ever")]
-fn those_that_wait_at_one_node_open(gated: bool, opening: usize) {
+#[test_case(true, 1; "one at a time with restart pacing")]
+#[test_case(false, 3; "one per waiter without restart pacing")]
+fn waiters_at_one_node_open_connections(paced: bool, opening: usize) {
     let tasks = Tasks::default();
-    let (door, address) = silent();
-    let (desk, _) = returned(&[address], 0.0);
-    let pool = pool(&tasks, &desk, gated);
+    let (listener, address) = unresponsive();
+    let (dispatcher, _) = in_full_phase(&[address], 0.0);
+    let pool = pool(&tasks, &dispatcher, paced);
     let all = async {
         let takes = future::zip(
-            pool.take(0, address),
-            future::zip(pool.take(0, address), pool.take(0, address)),
+            pool.acquire(0, address),
+            future::zip(pool.acquire(0, address), pool.acquire(0, address)),
         );
         future::or(async { drop(takes.await) }, async {
             _ = Timer::after(MOMENT).await;
         })
         .await;
-        pool.stand(0).0
+        pool.connection_counts(0).0
     };
     assert_eq!(run(&tasks, all), opening);
-    drop(door);
+    drop(listener);
 }
 
 #[test]
-fn all_that_wait_hear_that_nobody_is_there() {
+fn all_waiters_fail_if_the_node_is_unreachable() {
     let tasks = Tasks::default();
-    let address = silent().1;
-    let (desk, _) = returned(&[address], 0.0);
-    let pool = pool(&tasks, &desk, true);
+    let address = unresponsive().1;
+    let (dispatcher, _) = in_full_phase(&[address], 0.0);
+    let pool = pool(&tasks, &dispatcher, true);
     let both = run(
         &tasks,
-        future::zip(pool.take(0, address), pool.take(0, address)),
+        future::zip(pool.acquire(0, address), pool.acquire(0, address)),
     );
     assert!(matches!(
         (both.0.err(), both.1.err()),
@@ -115,30 +129,30 @@
     ));
 }
 
-#[test_case(EVER, 1; "its connection is there for the next")]
-#[test_case(0.0, 0; "closed, as ever")]
-fn an_execution_that_nobody_waits_for(linger_ms: f64, idle: usize) {
+#[test_case(FOREVER_MS, 1; "the connection is kept with lingering")]
+#[test_case(0.0, 0; "the connection is closed without lingering")]
+fn a_cancelled_execution_lingers(linger_ms: f64, idle: usize) {
     let tasks = Tasks::default();
-    let (desk, roster) = returned(&[node(&[AnswersLate(answer)])], linger_ms);
-    let pool = pool(&tasks, &desk, true);
-    let connection = run(&tasks, pool.take(0, roster.dial(0).unwrap()))
+    let (dispatcher, registry) = in_full_phase(&[node(&[AnswersLate(answer)])], linger_ms);
+    let pool = pool(&tasks, &dispatcher, true);
+    let connection = run(&tasks, pool.acquire(0, registry.address(0).unwrap()))
         .unwrap()
         .0;
-    pool.put(0, connection);
-    let _ticket = desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    let order = settled(&desk).pop().expect("sent");
-    let Order::Execute { unwanted, .. } = &order else {
+    pool.release(0, connection);
+    let _ticket = dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    let order = settled(&dispatcher).pop().expect("sent");
+    let Order::Execute { cancelled, .. } = &order else {
         panic!("no execution")
     };
-    unwanted.close();
+    cancelled.close();
     run(
         &tasks,
-        crate::execute::carry(desk.clone(), pool.clone(), roster, order),
+        crate::execute::run_order(dispatcher.clone(), pool.clone(), registry, order),
     );
     assert_eq!(
-        ended(&desk),
+        ended(&dispatcher),
         Some(ExecutionOutcome::Cancelled),
-        "whatever becomes of it, it was given up"
+        "it counts as cancelled whether or not it completes"
     );
     let waited = async {
         for _ in 0..600 {
@@ -153,17 +167,17 @@
 }
 
 #[test]
-fn turned_on_in_service_it_holds_nothing_back() {
-    let (desk, roster) = super::desk(&[node(&[Answers(answer)])]);
-    desk.tell(|instance, now| {
+fn enabling_restart_pacing_at_run_time_holds_nothing_back() {
+    let (dispatcher, registry) = super::dispatcher(&[node(&[Answers(answer)])]);
+    dispatcher.update(|instance, now| {
         instance.set_restart_pacing(now, Some(Settings::default()), 1, "r");
-        roster.name_all(instance);
+        registry.name_all(instance);
     });
     let _ticket: crate::decide::Ticket<_, Vec<u8>> =
-        desk.arrived(statement(), 0, 2, 0, 0, 60.0, None);
-    assert!(!settled(&desk).is_empty());
+        dispatcher.arrived(statement(), 0, 2, 0, 0, 60.0, None);
+    assert!(!settled(&dispatcher).is_empty());
     assert_eq!(
-        desk.recovery(false, |recovery, _| recovery.known_nodes()),
+        dispatcher.recovery(false, |recovery, _| recovery.known_nodes()),
         Some(1)
     );
 }
