--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -1,17 +1,18 @@
-//! The control side in simulated time: the decisions that ship ([`badgerstream_control`]), and
-//! around them machines with disks and a network, database servers, routers, the platform and
-//! operators, all driven by one clock.
+//! A deterministic simulation of the whole system in simulated time. It runs the production code of
+//! the control machines ([`badgerstream_control`]) and simulates everything around it: machines
+//! with disks and a network, database servers, routers, the platform and operators.
 //!
-//! A run is a function of its seed and of what is done to it. The layout, from the inside out:
+//! A run depends only on its seed and on the calls that its caller makes. The modules, from the
+//! innermost outwards:
 //!
-//! - [`kernel`]: clock, event queue and random source; [`event`]: what is scheduled
-//! - [`control`], [`service`], [`edge`], [`platform`], [`operators`]: the parts, each of which owns
-//!   its state, handles its events and schedules what follows
-//! - [`oracle`]: what must hold: safety at every event, liveness whenever no more machines are lost
-//!   than the fault budget allows; [`digest`]: one number for all that a run decided and when
-//! - [`simulation`]: the parts together, and the loop over events
+//! - [`kernel`]: the clock, the event queue and the random source; [`event`]: the event types
+//! - [`control`], [`service`], [`edge`], [`platform`], [`operators`]: the components; each owns its
+//!   state, handles its events and schedules further events
+//! - [`oracle`]: checks safety after every event, and liveness while the number of lost machines is
+//!   within the fault budget; [`digest`]: a hash of all decisions of a run and their times
+//! - [`simulation`]: combines the components and runs the event loop
 //! - [`faults`]: runs with random faults
-//! - [`days`]: days for the users' bench, drawn from seeds; they use nothing of the simulation
+//! - [`days`]: generates scenarios for the users' bench from seeds, independently of the simulation
 
 pub mod control;
 pub mod days;
--- a/crates/testing/simulation/src/simulation.rs
+++ b/crates/testing/simulation/src/simulation.rs
@@ -1,8 +1,9 @@
-//! The simulation: the parts, and the loop that hands each event to the part it is for.
+//! The simulation: all components, and the loop that dispatches each event to its component.
 //!
-//! [`Simulation`] owns all parts. What concerns one part is done there; here is what concerns
-//! several: the outputs of a control machine's decisions (`control_events`), a server's heartbeat
-//! or a response (`requests`), and what a test or the fault injector does (`actions`).
+//! [`Simulation`] owns all components. Each component handles what concerns it alone. The modules
+//! here handle what involves several: the outputs of a control machine's decisions
+//! (`control_events`), heartbeats and responses (`requests`), and the actions of a test or of the
+//! fault injector (`actions`).
 
 mod actions;
 mod control_events;
@@ -22,13 +23,13 @@
 use crate::requests::{Requests, Responses};
 use crate::service::{ServerRole, Service};
 
-/// The step in which [`Simulation::run_until`] looks for its condition, in seconds.
+/// The interval at which [`Simulation::run_until`] checks its condition, in seconds.
 const CONDITION_INTERVAL_S: f64 = 0.005;
 
-/// One run: all parts, in simulated time. A clone goes on as the original would.
+/// One run: all components, in simulated time. A clone continues exactly as the original would.
 #[derive(Clone)]
 pub struct Simulation {
-    /// Clock, event queue and random source.
+    /// The clock, the event queue and the random source.
     pub kernel: Kernel,
     /// The control machines.
     pub control: ControlCluster,
@@ -40,17 +41,17 @@
     pub platform: Platform,
     /// The operators.
     pub operators: Operators,
-    /// What must hold.
+    /// The safety and liveness checks.
     pub oracle: Oracle,
-    /// Responses to requests of a test.
+    /// The responses to the requests of a test.
     pub responses: Responses,
     requests: Requests,
     observer: ChangeObserver,
 }
 
 impl Simulation {
-    /// Three control machines, two routers, and the servers a (primary), b and c; nothing has run
-    /// yet.
+    /// Creates a simulation of three control machines, two routers, and the servers a (primary), b
+    /// and c, before its first event.
     pub fn new(seed: u64) -> Simulation {
         let mut simulation = Simulation::control_only(seed, 3, 1);
         for _ in 0..2 {
@@ -70,7 +71,8 @@
         simulation
     }
 
-    /// So many control machines, of which `fault_budget` may be lost at once, and nothing else.
+    /// Creates a simulation of `machines` control machines without routers and servers. At most
+    /// `fault_budget` of the machines may be lost at the same time.
     pub fn control_only(seed: u64, machines: u32, fault_budget: usize) -> Simulation {
         let mut simulation = Simulation {
             kernel: Kernel::new(seed),
@@ -93,7 +95,7 @@
         simulation
     }
 
-    /// Lets so many seconds pass.
+    /// Runs the simulation for this many seconds of simulated time.
     pub fn run(&mut self, seconds: f64) {
         let until = self.kernel.now() + seconds;
         while let Some(event) = self.kernel.next_event(until) {
@@ -103,7 +105,7 @@
         self.kernel.advance_to(until);
     }
 
-    /// Lets the next event happen.
+    /// Handles the next event.
     pub fn step(&mut self) {
         if let Some(event) = self.kernel.next_event(f64::INFINITY) {
             self.handle(event);
@@ -111,11 +113,12 @@
         }
     }
 
-    /// Runs until the condition holds; returns the seconds it took.
+    /// Runs until the condition holds. Returns how long that took, in seconds of simulated time.
     ///
     /// # Panics
     ///
-    /// If the condition doesn't hold within `limit_s` seconds; `what` names it.
+    /// If the condition doesn't hold within `limit_s` seconds. The message contains `what`, a
+    /// description of the condition.
     pub fn run_until(
         &mut self,
         limit_s: f64,
@@ -126,7 +129,7 @@
         while !condition(self) {
             assert!(
                 self.kernel.now() - begin < limit_s,
-                "not within {limit_s} s: {what} (phase {})",
+                "condition not met within {limit_s} s: {what} (phase {})",
                 self.phase()
             );
             self.run(CONDITION_INTERVAL_S);
--- a/crates/testing/simulation/src/simulation/actions.rs
+++ b/crates/testing/simulation/src/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What a test or the fault injector does to the simulation.
+//! The actions by which a test or the fault injector changes the simulation.
 
 use super::Simulation;
 use crate::control::{DiskHealth, Isolation};
@@ -7,7 +7,7 @@
 use crate::service::ServerRole;
 use badgerstream_control::{ControlRequest, Controller, NodeId};
 
-/// A machine that will be removed gets SIGTERM after so many seconds.
+/// The delay before a machine that will be removed receives SIGTERM, in seconds.
 const SHUTDOWN_DELAY_S: f64 = 1.5;
 
 /// Control machines.
@@ -17,26 +17,26 @@
         self.oracle.losses.record_fault(node, now);
     }
 
-    /// Adds a machine at an address of its own, with an empty disk, and starts it.
+    /// Adds a machine with a new address and an empty disk, and starts it.
     pub fn add_and_start(&mut self, node: NodeId) {
         self.control.add_machine(&mut self.kernel, node);
         self.start(node);
     }
 
-    /// Starts the machine's process with what its disk holds.
+    /// Starts the machine's process from the state on its disk.
     pub fn start(&mut self, node: NodeId) {
         self.record_fault(node);
         self.control.start(&mut self.kernel, node);
     }
 
-    /// Kills the process, as by SIGKILL; its disk stays as of the last write, or has the one that
-    /// was under way.
+    /// Kills the process, as by SIGKILL. If a write was in progress, the disk holds either the
+    /// state before it or the state after it.
     pub fn kill(&mut self, node: NodeId) {
         self.kernel.trace(|| format!("control {node} killed"));
         self.end_process(node, Health::Down);
     }
 
-    /// The machine loses power: its connections aren't closed.
+    /// Cuts the machine's power: its process ends, but its peers see no closed connections.
     pub fn power_off(&mut self, node: NodeId) {
         self.kernel.trace(|| format!("control {node} loses power"));
         self.end_process(node, Health::Unresponsive);
@@ -48,13 +48,13 @@
         self.edge.close_connections_to(node);
     }
 
-    /// The process is killed and its disk lost.
+    /// Kills the process and replaces its disk by an empty one.
     pub fn lose_disk(&mut self, node: NodeId) {
         self.kill(node);
         self.control.replace_disk(&mut self.kernel, node);
     }
 
-    /// The machine loses power for good.
+    /// Cuts the machine's power permanently.
     pub fn remove(&mut self, node: NodeId) {
         self.power_off(node);
         self.control.machine_mut(node).removed = true;
@@ -77,7 +77,7 @@
         self.drain_inbox(node);
     }
 
-    /// The machine's disk is in this condition from now on.
+    /// Sets the condition of the machine's disk.
     pub fn set_disk_health(&mut self, node: NodeId, health: DiskHealth) {
         self.kernel
             .trace(|| format!("disk of control {node}: {health:?}"));
@@ -85,7 +85,7 @@
         self.control.machine_mut(node).disk.health = health;
     }
 
-    /// The process gets SIGTERM.
+    /// Sends SIGTERM to the process, which then resigns.
     pub fn request_shutdown(&mut self, node: NodeId) {
         self.kernel.trace(|| format!("control {node} gets SIGTERM"));
         self.record_fault(node);
@@ -95,14 +95,14 @@
         self.decide(node, Controller::resign);
     }
 
-    /// The process gets SIGTERM soon, as the machine will be removed.
+    /// Schedules a SIGTERM to the process of a machine that will be removed.
     pub fn schedule_shutdown(&mut self, node: NodeId) {
         self.record_fault(node);
         let shutdown = ControlEvent::ShutdownRequested(node);
         self.kernel.schedule(SHUTDOWN_DELAY_S, shutdown);
     }
 
-    /// Another machine takes the place of this one, from now on.
+    /// Tells the oracle that another machine replaces this one from now on.
     pub fn expect_successor(&mut self, node: NodeId) {
         let now = self.kernel.now();
         self.oracle.losses.expect_successor(node, now);
@@ -127,8 +127,8 @@
         self.control.heal(&mut self.kernel, node);
     }
 
-    /// Blocks all links between these two groups of control machines; each reaches all routers,
-    /// servers and operators.
+    /// Blocks all links between these two groups of control machines. Both groups still reach all
+    /// routers, servers and operators.
     pub fn partition_halves(&mut self, half: &[NodeId], other_half: &[NodeId]) {
         self.kernel
             .trace(|| format!("control is partitioned into {half:?} and {other_half:?}"));
@@ -136,7 +136,7 @@
         self.control.partition_halves(half, other_half);
     }
 
-    /// Unblocks all links, those of isolated machines too.
+    /// Unblocks all links, including those of isolated machines.
     pub fn rejoin_halves(&mut self) {
         self.kernel
             .trace(|| "control is no longer partitioned".to_owned());
@@ -144,7 +144,7 @@
         self.heal_all();
     }
 
-    /// Unblocks all links; no fault is recorded.
+    /// Unblocks all links without recording a fault.
     pub fn heal_all(&mut self) {
         self.control.heal_all(&mut self.kernel);
     }
@@ -201,26 +201,26 @@
         self.service.crash(id);
     }
 
-    /// The server does and answers nothing.
+    /// Makes the server hang: it processes and answers nothing.
     pub fn make_unresponsive(&mut self, id: &str) {
         self.kernel.trace(|| format!("server {id} is unresponsive"));
         self.service.server_mut(id).health = Health::Unresponsive;
     }
 
-    /// Brings the server back with its log, as a replica if another one was promoted meanwhile.
+    /// Restarts the server with its log, as a replica if another server was promoted meanwhile.
     pub fn recover(&mut self, id: &str) {
         self.kernel.trace(|| format!("server {id} is back"));
         self.service.recover(&mut self.kernel, id);
     }
 
-    /// Brings a server back at its address under another id, with its log; it is the primary if
-    /// nobody was promoted since.
+    /// Restarts a server at its address under another id, with its log. It is the primary if it was
+    /// before and no other server has been promoted since.
     pub fn recover_with_new_id(&mut self, old_id: &str, new_id: &str) {
         let kernel = &mut self.kernel;
         self.service.recover_with_new_id(kernel, old_id, new_id);
     }
 
-    /// The server reports from now on that it drains.
+    /// Makes the server report from now on that it is draining.
     pub fn drain(&mut self, id: &str) {
         self.kernel.trace(|| format!("server {id} drains"));
         self.service.server_mut(id).draining = true;
@@ -228,14 +228,14 @@
         self.kernel.schedule(0.0, heartbeat);
     }
 
-    /// The server says that it departs, and ends.
+    /// Announces the server's departure and ends its process.
     pub fn depart(&mut self, id: &str) {
         self.kernel.trace(|| format!("server {id} departs"));
         self.service.server_mut(id).health = Health::Down;
         self.send_departure(id);
     }
 
-    /// The server says that it departs without having drained, and serves on.
+    /// Announces the server's departure although it has not drained and continues to serve.
     pub fn depart_while_serving(&mut self, id: &str) {
         self.kernel
             .trace(|| format!("server {id} departs and serves on"));
@@ -250,7 +250,7 @@
         }
     }
 
-    /// A promotion of this server takes effect now.
+    /// Promotes this server now.
     pub fn promote(&mut self, id: &str) {
         self.service.promote(&mut self.kernel, id);
     }
--- a/crates/testing/simulation/src/simulation/control_events.rs
+++ b/crates/testing/simulation/src/simulation/control_events.rs
@@ -1,4 +1,4 @@
-//! Events of control machines, and the outputs of their decisions.
+//! Handles the events of control machines and carries out the outputs of their decisions.
 
 use super::Simulation;
 use crate::control::{Delivery, PeerEnvelope};
@@ -9,10 +9,10 @@
 };
 use std::collections::VecDeque;
 
-/// A machine that leads is driven this often, in seconds.
+/// The interval between ticks of the leader, in seconds.
 const LEADER_TICK_INTERVAL_S: f64 = 0.02;
 
-/// Any other machine is driven this often, in seconds.
+/// The interval between ticks of any other machine, in seconds.
 const FOLLOWER_TICK_INTERVAL_S: f64 = 0.05;
 
 impl Simulation {
@@ -114,8 +114,8 @@
         });
     }
 
-    /// Sends a promotion, unless its deadline has passed or the machine has voted in another term:
-    /// looked at once more just before the request leaves.
+    /// Sends a promotion request, unless its deadline has passed or the machine has voted in
+    /// another term. Both are checked again here, immediately before the request leaves.
     fn promotion_due(&mut self, promotion: PromotionCall, deadline: f64) {
         let kernel = &mut self.kernel;
         let machine = &self.control.machines[&promotion.process.node];
@@ -146,17 +146,17 @@
         }
     }
 
-    /// Handles the events that waited while a process was stalled.
+    /// Handles the events that were queued while a process was stalled.
     pub(super) fn drain_inbox(&mut self, node: NodeId) {
         for event in self.control.take_inbox(node) {
             self.handle_control(event);
-            // Each is an event of its own to the oracle, though all happen at one moment.
+            // The oracle checks after each of these events, although they occur at the same time.
             self.check_safety();
         }
     }
 
-    /// Lets the machine decide and carries the outputs out; nothing happens if its process doesn't
-    /// run.
+    /// Calls the machine's controller and carries out the outputs. Does nothing if the machine's
+    /// process isn't running.
     pub fn decide(
         &mut self,
         node: NodeId,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Reports a result that has no outputs.
+    /// Reports a result to the controller, which returns no outputs for it.
     fn report(&mut self, node: NodeId, report: impl FnOnce(&mut Controller, f64)) {
         self.decide(node, |controller, clock| {
             report(controller, clock);
@@ -176,7 +176,7 @@
         });
     }
 
-    /// Carries outputs out in order; behind a write nothing happens before it is completed.
+    /// Carries out the outputs in order. Outputs after a write wait until it has completed.
     fn perform_outputs(&mut self, node: NodeId, mut outputs: VecDeque<Output>) {
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -203,7 +203,7 @@
         let process = self.control.machines[&node].process();
         match output {
             Output::Persist | Output::PersistMembers(_) => {
-                unreachable!("writes are carried out where the outputs behind them wait")
+                unreachable!("perform_outputs handles writes")
             }
             Output::SendToPeer(to, message) => {
                 self.control.send_to_peer(kernel, node, to, message);
--- a/crates/testing/simulation/src/simulation/events.rs
+++ b/crates/testing/simulation/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! Hands each event to the part it is for.
+//! Dispatches each event to its component.
 
 use super::Simulation;
 use crate::event::{Event, OperatorEvent, OracleEvent, PlatformEvent, RouterEvent, ServerEvent};
--- a/crates/testing/simulation/src/simulation/requests.rs
+++ b/crates/testing/simulation/src/simulation/requests.rs
@@ -7,19 +7,19 @@
 use badgerstream_control::{ControlRequest, ControlResponse, NodeId};
 use std::rc::Rc;
 
-/// A server whose heartbeat was not acknowledged repeats it after so many seconds.
+/// The delay before a server repeats a heartbeat that was not acknowledged, in seconds.
 const HEARTBEAT_RETRY_S: f64 = 0.05;
 
 impl Simulation {
-    /// A request to this control machine; the response to one of a test is found in
-    /// [`Simulation::responses`] under this number.
+    /// Submits a request to this control machine. The response to a test's request is stored in
+    /// [`Simulation::responses`] under `request_id`.
     pub fn submit_request(&mut self, node: NodeId, request_id: u64, request: ControlRequest) {
         self.decide(node, |controller, clock| {
             controller.handle_request(clock, request_id, request)
         });
     }
 
-    /// A control machine responds.
+    /// Delivers a control machine's response to the requester.
     pub(super) fn respond(&mut self, node: NodeId, request_id: u64, response: ControlResponse) {
         let clock = self.control.machines[&node].clock(self.kernel.now());
         let response = if clock < response.valid_until {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// A server sends a heartbeat to some control machine, if it works and sends any.
+    /// Sends a heartbeat from the server to a random reachable control machine, if the server is up
+    /// and sends heartbeats.
     pub(super) fn heartbeat_due(&mut self, id: String) {
         let server = &self.service.servers[&id];
         if server.departed {
@@ -81,7 +82,8 @@
     }
 }
 
-/// The response in place of one that relied on contact with a majority that is over.
+/// Returns the response that replaces one whose validity has expired, because the machine has lost
+/// contact with a majority since.
 fn unavailable() -> ControlResponse {
     ControlResponse {
         status: 503,
