--- a/crates/testing/simulation/src/control.rs
+++ b/crates/testing/simulation/src/control.rs
@@ -1,7 +1,8 @@
 //! The control machines, their disks and the network between them.
 //!
 //! [`ControlCluster`] owns them. It schedules its own events and returns the outputs of the
-//! decisions; [`crate::Simulation`] carries those out, as they concern other parts too.
+//! controllers' decisions. [`crate::Simulation`] carries these out, because they also involve other
+//! components.
 
 mod cluster;
 mod disk;
--- a/crates/testing/simulation/src/control/cluster.rs
+++ b/crates/testing/simulation/src/control/cluster.rs
@@ -1,4 +1,4 @@
-//! All control machines: start and end of their processes, and what they decide.
+//! All control machines: starts and ends their processes and calls their controllers.
 
 use super::disk::Disk;
 use super::machine::ControlMachine;
@@ -11,32 +11,34 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-/// Incarnations of disks and processes are drawn below this bound.
+/// The exclusive upper bound of the random part of disk and process incarnations.
 const INCARNATION_BOUND: u64 = 1 << 40;
 
 /// All control machines, and the network between them.
 #[derive(Clone)]
 pub struct ControlCluster {
-    /// The machines, those that were replaced among them.
+    /// The machines, including those that were replaced.
     pub machines: BTreeMap<NodeId, ControlMachine>,
-    /// The control machines that settings name.
+    /// The control machines that the settings name.
     pub seed_nodes: Vec<NodeId>,
-    /// How many control machines may be lost at once.
+    /// The maximum number of control machines that may be lost at the same time.
     pub fault_budget: usize,
     /// Connections between control machines.
     pub network: PeerNetwork,
-    /// Control machines that are isolated from the others, in one direction at least.
+    /// Control machines that are isolated from the others in at least one direction.
     pub(super) isolated: BTreeSet<NodeId>,
-    /// The control machines are partitioned into two halves.
+    /// Whether the control machines are partitioned into two halves.
     pub(super) halved: bool,
-    /// The newest connection on which a receiver (first) has had a message of a sender.
+    /// The newest connection on which each receiver has accepted a message from each sender; the
+    /// keys are pairs of receiver and sender.
     pub(super) newest_connections: HashMap<(NodeId, NodeId), u64>,
-    /// Control machines that reach no server.
+    /// Control machines that can't reach any server.
     pub partitioned_from_servers: HashSet<NodeId>,
 }
 
 impl ControlCluster {
-    /// No machine yet; the first three of so many are named in settings.
+    /// Creates a cluster without machines. The settings name the first three of the `machines` that
+    /// the caller will add.
     pub(crate) fn new(machines: u32, fault_budget: usize) -> ControlCluster {
         ControlCluster {
             machines: BTreeMap::new(),
@@ -50,13 +52,13 @@
         }
     }
 
-    /// Adds a machine of the founding voter set, with an empty disk, not started yet.
+    /// Adds a machine of the founding voter set, with an empty disk, without starting it.
     pub(crate) fn add_founding_machine(&mut self, node: NodeId) {
         let machine = ControlMachine::new(node, FOUNDING_INCARNATION, &self.seed_nodes);
         self.machines.insert(node, machine);
     }
 
-    /// Adds a machine with an empty disk, not started yet.
+    /// Adds a machine with an empty disk, without starting it.
     pub(crate) fn add_machine(&mut self, kernel: &mut Kernel, node: NodeId) {
         let incarnation = draw_disk_incarnation(kernel);
         let machine = ControlMachine::new(node, incarnation, &self.seed_nodes);
@@ -67,7 +69,7 @@
         self.machines.get_mut(&node).expect("the machine exists")
     }
 
-    /// Starts the machine's process with what its disk holds.
+    /// Starts the machine's process from the state on its disk.
     pub(crate) fn start(&mut self, kernel: &mut Kernel, node: NodeId) {
         let incarnation = 1 + kernel.random.below(INCARNATION_BOUND);
         let stale_seed_nodes = self.stale_seed_nodes(kernel, node);
@@ -94,8 +96,8 @@
         kernel.trace(|| format!("control {node} starts as {voter}"));
     }
 
-    /// Three seed nodes as a list that lags behind has them: some may be replaced by now, but not
-    /// all.
+    /// Draws the seed nodes of an outdated list, with up to three entries. One of them may be a
+    /// machine that was removed, but never all.
     fn stale_seed_nodes(&mut self, kernel: &mut Kernel, of: NodeId) -> Vec<NodeId> {
         let others = self
             .machines
@@ -110,7 +112,7 @@
         seed_nodes
     }
 
-    /// Ends the process; a write under way is interrupted. Other machines have to open new
+    /// Ends the process and interrupts a write that is in progress. Other machines must open new
     /// connections to it.
     pub(crate) fn end_process(&mut self, kernel: &mut Kernel, node: NodeId, health: Health) {
         let machine = self.machine_mut(node);
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Replaces the disk by an empty one, whose settings name the founding seed nodes.
+    /// Replaces the disk by an empty one, and resets the machine's settings to the founding seed
+    /// nodes.
     pub(crate) fn replace_disk(&mut self, kernel: &mut Kernel, node: NodeId) {
         kernel.trace(|| format!("control {node} loses its disk"));
         let incarnation = draw_disk_incarnation(kernel);
@@ -143,7 +146,7 @@
         nodes.filter(|other| *other != node).collect()
     }
 
-    /// Lets the machine decide; `None` if its process doesn't run.
+    /// Calls the machine's controller and returns its outputs; `None` if the process isn't running.
     pub(crate) fn decide(
         &mut self,
         node: NodeId,
@@ -156,8 +159,8 @@
         Some(decision(controller, clock))
     }
 
-    /// Gives the event back if its process takes it in now. While the process is stalled the event
-    /// waits in its inbox; without the process it is dropped.
+    /// Returns the event if its addressee can handle it now. If the addressee is stalled, the event
+    /// is queued in its inbox; if it isn't running, the event is dropped.
     pub(crate) fn admit(&mut self, event: ControlEvent) -> Option<ControlEvent> {
         let Some(addressee) = event.addressee() else {
             return Some(event);
@@ -173,7 +176,7 @@
         Some(event)
     }
 
-    /// Takes the events that waited for the process, unless it is still stalled.
+    /// Removes and returns the events in the process's inbox; none while the process is stalled.
     pub(crate) fn take_inbox(&mut self, node: NodeId) -> Vec<ControlEvent> {
         let machine = self.machine_mut(node);
         if machine.is_stalled() {
@@ -182,7 +185,7 @@
         std::mem::take(&mut machine.inbox)
     }
 
-    /// The machine that leads and may act.
+    /// Returns the machine that is the leader and may act.
     pub fn leader(&self, now: f64) -> Option<NodeId> {
         let acts = |machine: &ControlMachine| {
             let controller = machine.controller.as_ref().filter(|_| !machine.frozen)?;
@@ -192,7 +195,7 @@
         self.machines.values().find_map(acts)
     }
 
-    /// The failover phase in which the leader sees the service, as its status names it.
+    /// Returns the failover phase of the service according to the leader, as named in its status.
     pub fn phase(&self, now: f64) -> &'static str {
         let controller = self
             .leader(now)
@@ -206,7 +209,8 @@
             .map_or("unknown", |primary| primary.phase)
     }
 
-    /// Whether this machine runs, is in touch with the others and can write to its disk.
+    /// Returns whether this machine is running, not isolated, and writes to its disk at normal
+    /// speed.
     pub fn is_healthy(&self, node: NodeId) -> bool {
         let Some(machine) = self.machines.get(&node) else {
             return false;
@@ -215,7 +219,7 @@
         runs && machine.disk.health.is_healthy() && !self.isolated.contains(&node)
     }
 
-    /// The newest state that any running machine knows to be committed.
+    /// Returns the newest state that any running machine knows to be committed.
     pub(crate) fn newest_committed_state(&self) -> Option<Rc<State>> {
         let committed = |machine: &ControlMachine| {
             let consensus = machine.controller.as_ref()?.consensus();
@@ -227,8 +231,8 @@
             .max_by_key(|state| state.version)
     }
 
-    /// Whether the committed voter set is that of all machines with their disks of now, without
-    /// those that were removed.
+    /// Returns whether the committed voter set consists of all machines that were not removed, each
+    /// with its current disk.
     pub fn all_machines_vote(&self) -> bool {
         let Some(state) = self.newest_committed_state() else {
             return false;
@@ -238,7 +242,7 @@
         !state.voters.is_joint() && self.machines.values().all(votes_as_it_should)
     }
 
-    /// A random machine that runs, isn't stalled and is reached by servers.
+    /// Draws a machine that is running, not stalled, and reachable by servers.
     pub(crate) fn random_reachable_machine(&self, kernel: &mut Kernel) -> Option<NodeId> {
         let is_reachable = |machine: &&ControlMachine| {
             machine.controller.is_some()
--- a/crates/testing/simulation/src/control/disk.rs
+++ b/crates/testing/simulation/src/control/disk.rs
@@ -4,57 +4,57 @@
 use badgerstream_control::{HardState, MemberInfo, NodeId, State};
 use std::rc::Rc;
 
-/// A write that takes longer, in seconds, makes a disk count as unhealthy.
-const SLOW_WRITE_S: f64 = 0.02;
+/// The maximum write latency of a disk that counts as healthy, in seconds.
+const MAX_HEALTHY_WRITE_LATENCY_S: f64 = 0.02;
 
-/// A write that is cut short or rejected is on the disk all the same this often.
+/// The probability that an interrupted or rejected write reaches the disk anyway, in thousandths.
 const INTERRUPTED_WRITE_KEPT_PER_MILLE: u64 = 500;
 
 /// The condition of a disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskHealth {
-    /// A write takes so many seconds.
+    /// Each write takes this many seconds.
     WriteLatency(f64),
     /// Writes are rejected.
     Full,
-    /// Writes complete at that second at the earliest.
+    /// No write completes before this second of simulated time.
     StalledUntil(f64),
 }
 
 impl DiskHealth {
-    /// Whether writes complete, without being slow.
+    /// Returns whether writes complete at normal speed.
     pub fn is_healthy(self) -> bool {
-        matches!(self, DiskHealth::WriteLatency(seconds) if seconds <= SLOW_WRITE_S)
+        matches!(self, DiskHealth::WriteLatency(seconds) if seconds <= MAX_HEALTHY_WRITE_LATENCY_S)
     }
 }
 
-/// What comes of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteOutcome {
-    /// It completes at that second.
+    /// The write completes at this second of simulated time.
     CompletesAt(f64),
-    /// It is rejected.
+    /// The disk rejects the write.
     Rejected,
 }
 
-/// The usual disk, with writes of a millisecond.
+/// The normal condition of a disk: each write takes one millisecond.
 pub const HEALTHY_DISK: DiskHealth = DiskHealth::WriteLatency(0.001);
 
-/// What a control machine finds when its process starts.
+/// The durable state of a control machine, from which its process starts.
 #[derive(Clone, Debug)]
 pub struct Disk {
     /// Drawn when the disk was first used.
     pub incarnation: u64,
-    /// The hard state that was written last.
+    /// The last hard state that was written.
     pub hard_state: HardState,
-    /// Its condition.
+    /// The disk's condition.
     pub health: DiskHealth,
-    /// The members that were known.
+    /// The last list of members that was written.
     pub members: Vec<MemberInfo>,
 }
 
 impl Disk {
-    /// An empty disk of a machine whose settings name these seed nodes.
+    /// Creates the empty disk of a machine whose settings name these seed nodes.
     pub fn empty(incarnation: u64, seed_nodes: &[NodeId]) -> Disk {
         let hard_state = HardState {
             state: Rc::new(State::founding(seed_nodes.to_vec())),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What comes of a write that begins now.
+    /// Returns the outcome of a write that begins now.
     pub fn begin_write(&self, now: f64) -> WriteOutcome {
         match self.health {
             DiskHealth::WriteLatency(seconds) => WriteOutcome::CompletesAt(now + seconds),
@@ -77,8 +77,8 @@
         }
     }
 
-    /// A write of this hard state was cut short or rejected: either the old or the new one is on
-    /// the disk.
+    /// Interrupts or rejects a write of this hard state: the disk then holds, at random, either the
+    /// old or the new hard state.
     pub fn interrupt_write(&mut self, hard_state: HardState, random: &mut RandomSource) {
         if random.per_mille(INTERRUPTED_WRITE_KEPT_PER_MILLE) {
             self.hard_state = hard_state;
--- a/crates/testing/simulation/src/control/machine.rs
+++ b/crates/testing/simulation/src/control/machine.rs
@@ -6,8 +6,8 @@
 use badgerstream_control::{Controller, HardState, NodeId, Output, Voter};
 use std::collections::VecDeque;
 
-/// By how much the clock of each machine is ahead of that of the machine before it, in seconds: the
-/// decisions must not compare clocks of different machines.
+/// The difference between the clocks of two machines with consecutive numbers, in seconds. It
+/// exposes decisions that compare clocks of different machines, which they must not do.
 const CLOCK_OFFSET_STEP_S: f64 = 1000.0;
 
 /// A write of the hard state that the process waits for.
@@ -15,45 +15,45 @@
 pub(super) struct PendingWrite {
     /// What is being written.
     pub(super) hard_state: HardState,
-    /// The outputs behind it, which rely on it.
+    /// The outputs that follow the write and must wait for it.
     pub(super) deferred_outputs: VecDeque<Output>,
-    /// The disk has completed it, but the process is frozen.
+    /// Whether the disk has completed the write while the process was frozen.
     pub(super) completed: bool,
 }
 
 /// One control machine.
 #[derive(Clone)]
 pub struct ControlMachine {
-    /// Its number.
+    /// The machine's number.
     pub node: NodeId,
-    /// Its decisions; `None` while its process doesn't run.
+    /// The controller, which makes the machine's decisions; `None` while the process isn't running.
     pub controller: Option<Controller>,
-    /// The incarnation of its process; 0 before the first.
+    /// The incarnation of the process; 0 before the first start.
     pub process_incarnation: u64,
-    /// Its disk.
+    /// The machine's disk.
     pub disk: Disk,
-    /// Whether its process runs, has ended, or its machine is without power.
+    /// Whether the process is running, the process has ended, or the machine has no power.
     pub health: Health,
-    /// Its process is stopped, as by SIGSTOP.
+    /// Whether the process is stopped, as by SIGSTOP.
     pub frozen: bool,
-    /// The write that its process waits for.
+    /// The write that the process is waiting for.
     pub(super) pending_write: Option<PendingWrite>,
     /// Events that arrived while the process was stalled.
     pub(super) inbox: Vec<ControlEvent>,
-    /// When the members were last written, in seconds of simulated time.
+    /// The time of the last write of the members, in seconds of simulated time.
     pub(super) members_persisted_at: f64,
-    /// Its clock is ahead of simulated time by so many seconds.
+    /// The machine's clock minus simulated time, in seconds.
     pub clock_offset: f64,
-    /// The control machines that its settings name.
+    /// The control machines that the machine's settings name.
     pub seed_nodes: Vec<NodeId>,
-    /// Its process has got SIGTERM.
+    /// Whether the process has received SIGTERM.
     pub shutting_down: bool,
-    /// It was replaced: its process never comes back.
+    /// Whether the machine was removed permanently: its process never starts again.
     pub removed: bool,
 }
 
 impl ControlMachine {
-    /// A machine with an empty disk, not started yet.
+    /// Creates a machine with an empty disk that has not been started.
     pub(super) fn new(node: NodeId, disk_incarnation: u64, seed_nodes: &[NodeId]) -> Self {
         ControlMachine {
             node,
@@ -72,17 +72,18 @@
         }
     }
 
-    /// Whether its process takes in nothing now: it is frozen or waits for its disk.
+    /// Returns whether the process handles no events now, because it is frozen or waits for its
+    /// disk.
     pub fn is_stalled(&self) -> bool {
         self.frozen || self.pending_write.is_some()
     }
 
-    /// The machine's clock at this second of simulated time.
+    /// Returns the machine's clock at this second of simulated time.
     pub fn clock(&self, now: f64) -> f64 {
         now + self.clock_offset
     }
 
-    /// The machine as a voter: its number and the incarnation of its disk.
+    /// Returns the machine as a voter: its number and the incarnation of its disk.
     pub fn voter(&self) -> Voter {
         Voter {
             node: self.node,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Its process now.
+    /// Returns the machine's current process.
     pub fn process(&self) -> Process {
         Process {
             node: self.node,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The controller, if the process runs and believes that it leads.
+    /// Returns the controller if the process is running and considers itself the leader.
     pub(crate) fn leading_controller(&self) -> Option<&Controller> {
         self.controller.as_ref().filter(|c| c.is_leader())
     }
--- a/crates/testing/simulation/src/control/partitions.rs
+++ b/crates/testing/simulation/src/control/partitions.rs
@@ -7,11 +7,11 @@
 /// Which directions between a machine and all other control machines are blocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Isolation {
-    /// Nothing passes either way.
+    /// Both directions are blocked.
     BothWays,
-    /// The machine receives nothing; the others receive what it sends.
+    /// The machine receives nothing from the others, but they receive its messages.
     Inbound,
-    /// The others receive nothing of the machine; it receives what they send.
+    /// The others receive nothing from the machine, but it receives their messages.
     Outbound,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl ControlCluster {
-    /// Whether the control machines are partitioned into halves.
+    /// Returns whether the control machines are partitioned into halves.
     pub fn is_halved(&self) -> bool {
         self.halved
     }
--- a/crates/testing/simulation/src/control/persistence.rs
+++ b/crates/testing/simulation/src/control/persistence.rs
@@ -1,4 +1,4 @@
-//! Writes of a control machine to its disk: nothing that relies on one is done before it completes.
+//! Writes of a control machine to its disk. Outputs that depend on a write wait until it completes.
 
 use super::cluster::ControlCluster;
 use super::disk::WriteOutcome;
@@ -8,19 +8,20 @@
 use badgerstream_control::{NodeId, Output};
 use std::collections::VecDeque;
 
-/// A machine whose disk rejected a write tries it again this often, in seconds.
+/// The interval at which a machine tries to reopen a disk that rejected a write, in seconds.
 const REOPEN_INTERVAL_S: f64 = 0.25;
 
-/// The members are written this often, in seconds, besides when the decisions ask for it.
+/// The interval between periodic writes of the members, in seconds. The controller's outputs may
+/// request further writes.
 const PERSIST_MEMBERS_INTERVAL_S: f64 = 0.5;
 
 impl ControlCluster {
-    /// Whether the periodic write of the members is due.
+    /// Returns whether the periodic write of the members is due.
     pub(crate) fn members_write_is_due(&self, node: NodeId, now: f64) -> bool {
         now - self.machines[&node].members_persisted_at >= PERSIST_MEMBERS_INTERVAL_S
     }
 
-    /// Writes the members; false if the disk rejects the write.
+    /// Writes the members. Returns whether the disk accepted the write.
     pub(crate) fn persist_members(&mut self, node: NodeId, now: f64) -> bool {
         let Some(machine) = self.machines.get_mut(&node) else {
             return false;
@@ -33,8 +34,8 @@
         accepted
     }
 
-    /// Begins a write of the hard state. Returns the outputs to go on with; `None` if they wait for
-    /// the disk.
+    /// Begins a write of the hard state. Returns the outputs to carry out now; `None` if they must
+    /// wait for the disk.
     pub(crate) fn begin_persist(
         &mut self,
         kernel: &mut Kernel,
@@ -78,8 +79,8 @@
         outputs
     }
 
-    /// The disk has completed a write. Returns the outputs that waited for it; `None` if the
-    /// process has ended since, or is frozen and learns of it later.
+    /// Completes a write. Returns the outputs that waited for it; `None` if the process has ended
+    /// since, or is frozen and will learn of the completion when it is thawed.
     pub(crate) fn persist_completed(
         &mut self,
         process: Process,
@@ -104,7 +105,7 @@
         Some(outputs)
     }
 
-    /// Wakes a frozen process; returns it if a write was completed meanwhile.
+    /// Continues a frozen process. Returns the process if a write completed while it was frozen.
     pub(crate) fn thaw(&mut self, node: NodeId) -> Option<Process> {
         let machine = self.machine_mut(node);
         machine.frozen = false;
@@ -112,7 +113,8 @@
         write.completed.then(|| machine.process())
     }
 
-    /// Opens a disk that rejected a write again, if it accepts writes.
+    /// Reopens a disk that rejected a write if it accepts writes now; otherwise schedules the next
+    /// attempt.
     pub(crate) fn reopen_disk(&mut self, kernel: &mut Kernel, process: Process) {
         let now = kernel.now();
         let Some(machine) = self
--- a/crates/testing/simulation/src/control/timing.rs
+++ b/crates/testing/simulation/src/control/timing.rs
@@ -1,8 +1,8 @@
-//! The timings of the decisions under test.
+//! The timing configuration of the controllers under test.
 
 use badgerstream_control::{ControlConfig, FailoverConfig};
 
-/// The timings that the pooler process sets by default, with heartbeats of servers every 1.2 s.
+/// Returns the pooler's default timing configuration, with server heartbeats every 1.2 s.
 pub fn timing() -> ControlConfig {
     let failover = FailoverConfig {
         primary_poll_interval: 0.2,
--- a/crates/testing/simulation/src/control/transport.rs
+++ b/crates/testing/simulation/src/control/transport.rs
@@ -1,4 +1,4 @@
-//! Messages between control machines on their way.
+//! Sends and delivers messages between control machines.
 
 use super::cluster::ControlCluster;
 use super::network::PeerEnvelope;
@@ -6,13 +6,15 @@
 use crate::kernel::Kernel;
 use badgerstream_control::{NodeId, PeerMessage, Recipient, Voter};
 
-/// What comes of a message that arrives.
+/// The outcome of a message's arrival.
 pub(crate) enum Delivery {
-    /// Nothing now: it is held back, waits for a stalled process or is dropped.
+    /// The receiver does not handle it now: it is held back, queued for a stalled process, or
+    /// dropped.
     Deferred,
-    /// It is for an earlier disk at this address; the receiver only learns that the sender exists.
+    /// It is addressed to another incarnation of the receiver's disk. The receiver only learns that
+    /// the sender exists.
     OtherIncarnation { receiver: NodeId, sender: NodeId },
-    /// The receiver takes it in.
+    /// The receiver handles it.
     Accepted {
         receiver: NodeId,
         sender: Voter,
@@ -21,7 +23,7 @@
 }
 
 impl ControlCluster {
-    /// Sends a message; it opens a connection if there is none, and may break it by chance.
+    /// Sends a message. Opens a connection if there is none, and may reset it at random.
     pub(crate) fn send_to_peer(
         &mut self,
         kernel: &mut Kernel,
@@ -65,7 +67,7 @@
         kernel.schedule(arrival - kernel.now(), arrived);
     }
 
-    /// Sends on what was held back on links that are no longer blocked.
+    /// Transmits the messages that were held back on links that are no longer blocked.
     pub(super) fn release_held_back(&mut self, kernel: &mut Kernel) {
         for (from, to) in self.network.releasable() {
             let now = kernel.now();
@@ -75,8 +77,8 @@
         }
     }
 
-    /// A message arrives, unless its link was blocked meanwhile, it is for another incarnation of
-    /// the disk, or came on a connection older than the newest.
+    /// Delivers a message, unless its link was blocked meanwhile, it is addressed to another
+    /// incarnation of the receiver's disk, or a newer connection has already delivered a message.
     pub(crate) fn deliver(&mut self, envelope: PeerEnvelope) -> Delivery {
         let (sender, receiver) = (envelope.from, envelope.to.node());
         if self.network.is_blocked(sender.node, receiver) {
--- a/crates/testing/simulation/src/simulation/queries.rs
+++ b/crates/testing/simulation/src/simulation/queries.rs
@@ -26,7 +26,8 @@
         self.control.phase(self.now())
     }
 
-    /// Returns the primary that all routers may use; `None` if they don't agree on one.
+    /// Returns the primary that all running routers may use; `None` unless they agree on one that
+    /// is up.
     pub fn primary_in_use(&self) -> Option<String> {
         self.edge.primary_in_use(self.now(), &self.service)
     }
--- a/crates/testing/simulation/tests/membership.rs
+++ b/crates/testing/simulation/tests/membership.rs
@@ -46,8 +46,14 @@
         simulation.crash("a");
         simulation.kill(leader);
         // The queues of the connections to it overflowed, and the messages in them were lost.
-        simulation.control.network.overflow(leader, next_leader);
-        simulation.control.network.overflow(informed, next_leader);
+        simulation
+            .control
+            .network
+            .drop_held_back(leader, next_leader);
+        simulation
+            .control
+            .network
+            .drop_held_back(informed, next_leader);
         simulation.heal_all();
         for id in ["b", "c"] {
             simulation.server_mut(id).receives_nothing = false;
