--- a/crates/testing/simulation/src/service.rs
+++ b/crates/testing/simulation/src/service.rs
@@ -1,4 +1,4 @@
-//! The database servers of the one simulated service, and what they replicate.
+//! The database servers of the single simulated service, and the replication between them.
 
 mod commands;
 mod promotion;
--- a/crates/testing/simulation/src/service/commands.rs
+++ b/crates/testing/simulation/src/service/commands.rs
@@ -7,17 +7,18 @@
 use crate::kernel::Kernel;
 use badgerstream_control::{CommandOutcome, Heartbeat, MemberPhase, ServerCommand};
 
-/// A command without an answer times out after so many seconds.
+/// The timeout of a command, in seconds.
 const COMMAND_TIMEOUT_S: f64 = 0.6;
 
-/// A server sends heartbeats this often, in seconds.
+/// The interval between a server's heartbeats, in seconds.
 const HEARTBEAT_INTERVAL_S: f64 = 1.2;
 
-/// A command that meets an ended process is refused after so many seconds.
+/// The delay after which a command is refused if the server's process has ended when it arrives, in
+/// seconds.
 const REFUSAL_DELAY_S: f64 = 0.001;
 
 impl Service {
-    /// A control machine sends a command to the server at that address.
+    /// Sends a control machine's command to the server, if it is at this address.
     pub(crate) fn send_command(&self, kernel: &mut Kernel, call: CommandCall, endpoint: &str) {
         let server = self.servers.get(&call.server_id);
         let server = server.filter(|server| server.endpoint == endpoint);
@@ -39,14 +40,14 @@
         }
     }
 
-    /// A control machine sends a command that doesn't arrive.
+    /// Loses a control machine's command: it times out without arriving.
     pub(crate) fn lose_command(kernel: &mut Kernel, call: CommandCall) {
-        // The delay is drawn for every command: what follows doesn't depend on its fate.
+        // Every command draws a delay, so that later draws don't depend on whether it arrives.
         kernel.message_delay();
         complete(kernel, COMMAND_TIMEOUT_S, call, CommandOutcome::TimedOut);
     }
 
-    /// A command arrives, and its answer leaves or is lost.
+    /// Executes a command that has arrived, and sends its answer or loses it.
     pub(crate) fn command_arrived(&mut self, kernel: &mut Kernel, call: CommandCall) {
         let rules = CommandRules {
             reports_highest_term_seen: self.reports_highest_term_seen,
@@ -78,7 +79,7 @@
         complete(kernel, delay, call, outcome);
     }
 
-    /// The server's next heartbeat.
+    /// Returns the server's next heartbeat.
     pub(crate) fn next_heartbeat(&mut self, id: &str) -> Heartbeat {
         let server = self.server_mut(id);
         server.heartbeat_sequence += 1;
@@ -90,7 +91,8 @@
         heartbeat(&server.endpoint, server.heartbeat_sequence, phase)
     }
 
-    /// Schedules the next heartbeat, unless one is scheduled: a server has one timer.
+    /// Schedules the server's next heartbeat, unless one is already scheduled: each server has only
+    /// one heartbeat timer.
     pub(crate) fn schedule_heartbeat(kernel: &mut Kernel, id: String) {
         let is_same = |event: &Event| match event {
             Event::Server(ServerEvent::HeartbeatDue(of)) => *of == id,
--- a/crates/testing/simulation/src/service/promotion.rs
+++ b/crates/testing/simulation/src/service/promotion.rs
@@ -1,4 +1,4 @@
-//! Promotions that take effect, and how the other servers follow.
+//! Promotes servers, and makes the other servers follow the new primary.
 
 use super::replicas::Service;
 use super::server::LogEntry;
@@ -7,26 +7,26 @@
 use crate::kernel::Kernel;
 use std::collections::HashSet;
 
-/// A former primary learns of its successor after so many seconds; one that doesn't work then,
-/// after as many more.
+/// The delay before a former primary learns of its successor, in seconds. If it is not up then, it
+/// tries again after the same delay.
 const DEMOTION_INTERVAL_S: f64 = 1.0;
 
 /// A promotion that took effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promotion {
-    /// The server.
+    /// The server that was promoted.
     pub server_id: String,
-    /// When, in seconds of simulated time.
+    /// The time of the promotion, in seconds of simulated time.
     pub at: f64,
 }
 
 impl Service {
-    /// A promotion takes effect: the server becomes the primary of the next term, unless it ended
-    /// or is the newest primary already.
+    /// Promotes the server to the primary of the next term, unless it is not up or is already the
+    /// newest primary.
     ///
     /// # Panics
     ///
-    /// If the server lacks an acknowledged commit.
+    /// If an acknowledged commit is missing from the server's log.
     pub(crate) fn promote(&mut self, kernel: &mut Kernel, id: &str) {
         let terms = self
             .servers
@@ -65,7 +65,8 @@
         );
     }
 
-    /// The other servers follow the new primary: replicas at once, former primaries later.
+    /// Makes the other servers follow the new primary: replicas immediately, former primaries after
+    /// [`DEMOTION_INTERVAL_S`].
     fn follow_new_primary(
         &mut self,
         kernel: &mut Kernel,
@@ -83,7 +84,8 @@
             } else if server.is_up() {
                 server.primary_term = primary_term;
                 server.paused_at_term = None;
-                // A log that is ahead of the primary's, or differs, is cut back to what both have.
+                // Truncates a log that is longer than the primary's, or differs, to the common
+                // prefix of both.
                 let entries = server.log.iter().zip(log);
                 let common = entries.take_while(|(own, new)| own == new).count();
                 server.log.truncate(common);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A former primary learns of its successor, unless it doesn't work.
+    /// Demotes a former primary that has a successor. If it is not up, schedules another attempt.
     pub(crate) fn demotion_due(
         &mut self,
         kernel: &mut Kernel,
--- a/crates/testing/simulation/src/service/replicas.rs
+++ b/crates/testing/simulation/src/service/replicas.rs
@@ -1,4 +1,4 @@
-//! The servers of the service: their start, end and return.
+//! The servers of the service: adds, crashes and restarts them.
 
 use super::promotion::Promotion;
 use super::server::{Server, ServerRole};
@@ -7,29 +7,30 @@
 use crate::kernel::Kernel;
 use std::collections::{BTreeMap, HashSet};
 
-/// A server that comes back receives nothing for so many seconds, until it has found the primary: a
-/// command that comes before finds its log as it was.
+/// The time that a restarted server needs to find the primary, in seconds. It receives no log
+/// entries meanwhile, so a command that arrives in this time finds the log as it was before.
 const RECONNECT_DELAY_S: f64 = 0.25;
 
-/// A server that comes back sends a heartbeat after so many seconds.
+/// The delay before a restarted server sends its first heartbeat, in seconds.
 const FIRST_HEARTBEAT_DELAY_S: f64 = 0.01;
 
-/// The servers, and what they acknowledged.
+/// The servers, and the commits that they acknowledged.
 #[derive(Clone, Default)]
 pub struct Service {
-    /// The servers by their ids, those that ended among them.
+    /// All servers by their ids, including those whose processes have ended.
     pub servers: BTreeMap<String, Server>,
-    /// Servers that answer no control machine, though they work.
+    /// Servers that are up but answer no control machine.
     pub unresponsive_to_control: HashSet<String>,
-    /// Of the commands so many are executed and their answers lost.
+    /// The probability that a command is executed but its answer is lost, in thousandths.
     pub command_answers_lost_per_mille: u64,
-    /// A server reports the highest term seen, and keeps it; otherwise the term of its pause, or 0.
+    /// Whether a server keeps and reports the highest term it has seen. Otherwise it reports the
+    /// term of its current pause, or 0.
     pub reports_highest_term_seen: bool,
-    /// A second `PAUSE` of the same term is rejected.
+    /// Whether a second `PAUSE` of the same term is rejected.
     pub rejects_repeated_pause: bool,
-    /// Acknowledged commits, in the order of their acknowledgements.
+    /// Acknowledged commits, in the order of their acknowledgement.
     pub acknowledged_commits: Vec<u64>,
-    /// When each of them was acknowledged, in seconds of simulated time.
+    /// The time of each acknowledgement, in seconds of simulated time.
     pub acknowledgement_times: Vec<f64>,
     /// Promotions that took effect, in order.
     pub promotions: Vec<Promotion>,
@@ -41,7 +42,7 @@
         self.servers.get_mut(id).expect("the server exists")
     }
 
-    /// Adds a server, which sends its first heartbeat within a second.
+    /// Adds a server, which sends its first heartbeat within one second.
     pub(crate) fn add_server(
         &mut self,
         kernel: &mut Kernel,
@@ -62,12 +63,12 @@
         server.paused_at_term = None;
     }
 
-    /// Brings the server back with its log, as a replica if another one was promoted meanwhile.
+    /// Restarts the server with its log, as a replica if another server was promoted meanwhile.
     pub(crate) fn recover(&mut self, kernel: &mut Kernel, id: &str) {
         let highest_term = self.highest_primary_term();
         let server = self.server_mut(id);
         server.health = Health::Up;
-        // It follows whoever was promoted last, and nobody before.
+        // A server whose term is outdated follows the primary that was promoted last.
         if server.primary_term < highest_term {
             server.is_primary = false;
             server.primary_term = highest_term;
@@ -78,8 +79,8 @@
         kernel.schedule(FIRST_HEARTBEAT_DELAY_S, heartbeat);
     }
 
-    /// Brings a server back at its address under another id, with its log; it is the primary if
-    /// nobody was promoted since.
+    /// Restarts a server at its address under another id, with its log. It is the primary if it was
+    /// before and no other server has been promoted since.
     pub(crate) fn recover_with_new_id(&mut self, kernel: &mut Kernel, old_id: &str, new_id: &str) {
         let old = self.server_mut(old_id);
         old.departed = true;
--- a/crates/testing/simulation/src/service/replication.rs
+++ b/crates/testing/simulation/src/service/replication.rs
@@ -1,7 +1,7 @@
-//! Statements at the servers, and replication.
+//! Executes statements at the servers, and replicates their logs.
 //!
-//! Logs hold the numbers of commits, so that what was acknowledged can be looked for: it is an
-//! error of the decisions under test if a read, an acknowledgement or a promotion misses one.
+//! Logs contain the numbers of commits, so that acknowledged commits can be searched for. A read,
+//! an acknowledgement or a promotion that misses one reveals a fault of the controllers under test.
 
 use super::replicas::Service;
 use super::server::LogEntry;
@@ -9,18 +9,19 @@
 use crate::event::{RouterEvent, ServerEvent, Statement, StatementKind};
 use crate::kernel::Kernel;
 
-/// Primaries send their logs this often, in seconds.
+/// The interval at which primaries send their logs, in seconds.
 const REPLICATION_INTERVAL_S: f64 = 0.006;
 
-/// A read checks so many of the newest acknowledged commits: reads before it checked the others.
+/// The number of newest acknowledged commits that a read checks. Earlier reads have checked the
+/// others.
 const COMMITS_CHECKED_BY_READ: usize = 60;
 
 impl Service {
-    /// A statement of a router arrives.
+    /// Executes a router's statement that has arrived, and sends the answer.
     ///
     /// # Panics
     ///
-    /// If a read misses a commit that was acknowledged before it was sent.
+    /// If a read misses a commit that was acknowledged before the read was sent.
     pub(crate) fn statement_arrived(&mut self, kernel: &mut Kernel, statement: &Statement) {
         let delay = kernel.message_delay();
         let next_commit = self.last_commit + 1;
@@ -64,14 +65,14 @@
         );
     }
 
-    /// All working primaries send their logs to the servers that lack something.
+    /// Sends the logs of all active primaries to the servers that are behind.
     pub(crate) fn replicate(&mut self, kernel: &mut Kernel) {
         for primary in self.servers.values().filter(|s| s.is_active_primary()) {
             for replica in self.servers.values().filter(|s| s.id != primary.id) {
-                let lacks_something = replica.log != primary.log
+                let is_behind = replica.log != primary.log
                     || primary.acknowledged_length < primary.log.len()
                     || replica.primary_term < primary.primary_term;
-                if !replica.is_up() || !lacks_something {
+                if !replica.is_up() || !is_behind {
                     continue;
                 }
                 let append = ServerEvent::AppendArrived {
@@ -87,7 +88,8 @@
         kernel.schedule(REPLICATION_INTERVAL_S, ServerEvent::ReplicationDue);
     }
 
-    /// A primary's log arrives at a replica, which acknowledges it if it receives at all.
+    /// Appends a primary's log at a replica, which acknowledges it. Does nothing if the replica is
+    /// not receiving or is in a newer primary term.
     pub(crate) fn append_arrived(
         &mut self,
         kernel: &mut Kernel,
@@ -118,8 +120,8 @@
         kernel.schedule(delay, acknowledged);
     }
 
-    /// A replica's acknowledgement arrives at the primary: with one replica a commit is
-    /// acknowledged to the client.
+    /// Handles a replica's acknowledgement at the primary. The acknowledgement of one replica is
+    /// enough for the primary to acknowledge a commit to the client.
     pub(crate) fn append_acknowledged(
         &mut self,
         kernel: &mut Kernel,
@@ -140,11 +142,11 @@
         }
     }
 
-    /// Commits are acknowledged to the client.
+    /// Acknowledges commits to the client.
     ///
     /// # Panics
     ///
-    /// If the newest primary lacks one of them.
+    /// If one of the commits is missing from the newest primary's log.
     fn acknowledge(
         &mut self,
         kernel: &mut Kernel,
--- a/crates/testing/simulation/src/service/server.rs
+++ b/crates/testing/simulation/src/service/server.rs
@@ -11,14 +11,14 @@
 pub struct LogEntry {
     /// The term of the primary that committed it.
     pub primary_term: u64,
-    /// The number of the commit, unique in a run and rising in every log.
+    /// The number of the commit: unique within a run, and increasing in every log.
     pub commit: u64,
 }
 
-/// What a server is to its service.
+/// The role of a server in its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerRole {
-    /// It takes writes.
+    /// It accepts writes.
     Primary,
     /// It receives the primary's log.
     Replica,
@@ -27,49 +27,50 @@
 /// One database server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its instance id.
+    /// The server's instance id.
     pub id: String,
-    /// Its address.
+    /// The server's address.
     pub endpoint: String,
-    /// Whether it answers.
+    /// Whether the server answers.
     pub health: Health,
-    /// It takes writes.
+    /// Whether the server accepts writes.
     pub is_primary: bool,
-    /// The primary term that it is in.
+    /// The server's current primary term.
     pub primary_term: u64,
-    /// Its commits.
+    /// The server's commits, oldest first.
     pub log: Vec<LogEntry>,
-    /// The term at which it was paused, if it is: it receives nothing.
+    /// The term of the `PAUSE` in force, if any. A paused server receives no log entries.
     pub paused_at_term: Option<u64>,
-    /// The highest term of any `PAUSE` or `STEPDOWN`.
+    /// The highest term of any `PAUSE` or `STEPDOWN` that the server has executed.
     pub highest_term_seen: u64,
-    /// It receives nothing of the primary, though it answers.
+    /// Whether the server receives no log entries from the primary although it answers.
     pub receives_nothing: bool,
-    /// It reports that it drains.
+    /// Whether the server reports that it is draining.
     pub draining: bool,
-    /// It has said that it departs, and sends no heartbeats any more.
+    /// Whether the server has announced its departure and stopped its heartbeats.
     pub departed: bool,
-    /// Whether it sends heartbeats.
+    /// Whether the server sends heartbeats.
     pub sends_heartbeats: bool,
-    /// It receives nothing before this second, as it has just come back.
+    /// After a restart, the server receives no log entries before this second of simulated time.
     pub(super) reconnects_at: f64,
-    /// The number of its last heartbeat.
+    /// The sequence number of the last heartbeat.
     pub(super) heartbeat_sequence: u64,
-    /// As a primary: the length of its log up to which everything is acknowledged.
+    /// On a primary: the length of the log prefix whose commits are all acknowledged.
     pub(super) acknowledged_length: usize,
 }
 
-/// What servers do where the users' pages leave it open.
+/// The behavior of servers on points that the users' documentation leaves open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct CommandRules {
-    /// The reported term is the highest seen, and stays; otherwise it is that of the pause, or 0.
+    /// Whether a server keeps and reports the highest term it has seen. Otherwise it reports the
+    /// term of its current pause, or 0.
     pub(super) reports_highest_term_seen: bool,
-    /// A second `PAUSE` of the same term is rejected.
+    /// Whether a second `PAUSE` of the same term is rejected.
     pub(super) rejects_repeated_pause: bool,
 }
 
 impl Server {
-    /// A server without commits, in primary term 1.
+    /// Creates a server without commits, in primary term 1.
     pub(super) fn new(id: &str, endpoint: &str, role: ServerRole) -> Server {
         Server {
             id: id.to_owned(),
@@ -90,17 +91,17 @@
         }
     }
 
-    /// Whether it works.
+    /// Returns whether the server is up.
     pub fn is_up(&self) -> bool {
         self.health == Health::Up
     }
 
-    /// Whether it works as the primary.
+    /// Returns whether the server is a primary and up.
     pub fn is_active_primary(&self) -> bool {
         self.is_primary && self.is_up()
     }
 
-    /// Whether the commit is in its log.
+    /// Returns whether the server's log contains the commit.
     pub(super) fn has_commit(&self, commit: u64) -> bool {
         self.log
             .binary_search_by_key(&commit, |entry| entry.commit)
@@ -112,7 +113,7 @@
         (primary_term, self.log.len() as u64)
     }
 
-    /// Runs a command; `None` if it is rejected.
+    /// Executes a command and returns the server's status; `None` if the server rejects it.
     pub(super) fn execute(
         &mut self,
         command: ServerCommand,
@@ -127,7 +128,8 @@
         Some(self.status(rules))
     }
 
-    /// Pauses a replica; `None` if the term is too low. A primary ignores it.
+    /// Pauses a replica. Returns `None` if it rejects the term as too low or as a repeat. A primary
+    /// ignores the command.
     fn pause(&mut self, term: u64, rules: CommandRules) -> Option<()> {
         if self.is_primary {
             return Some(());
@@ -169,7 +171,7 @@
     }
 }
 
-/// A heartbeat of a server of the service.
+/// Returns a heartbeat of a server of the simulated service.
 pub fn heartbeat(endpoint: &str, sequence: u64, phase: MemberPhase) -> Heartbeat {
     Heartbeat {
         service: SERVICE.to_owned(),
