--- a/crates/testing/simulation/src/edge/fleet.rs
+++ b/crates/testing/simulation/src/edge/fleet.rs
@@ -11,36 +11,39 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// When a new router's timer first fires and its first statement is due, in seconds from now.
+/// The delay before a new router's first timer tick, in seconds.
 const FIRST_TICK_S: f64 = 0.001;
+
+/// The delay before a new router's first statement, in seconds.
 const FIRST_STATEMENT_S: f64 = 0.003;
 
-/// A router looks for something to do this often, in seconds.
+/// The interval between a router's timer ticks, in seconds.
 const TICK_INTERVAL_S: f64 = 0.01;
 
-/// A router renews its lease this often, in seconds.
+/// The interval at which a router renews its lease, in seconds.
 const RENEWAL_INTERVAL_S: f64 = 0.3;
 
-/// A router leaves a control machine that has not answered for so many seconds.
+/// The timeout after which a router disconnects from a control machine that does not answer, in
+/// seconds.
 const ANSWER_TIMEOUT_S: f64 = 0.6;
 
-/// A configuration that a router goes by from now on.
+/// A configuration that a router has just activated.
 #[derive(Clone, Debug)]
 pub struct ActivatedConfig {
     /// The index of the router.
     pub router: usize,
-    /// The epoch.
+    /// The epoch of the configuration.
     pub epoch: u64,
-    /// The text.
+    /// The text of the configuration.
     pub text: Rc<[u8]>,
 }
 
 /// All routers.
 #[derive(Clone)]
 pub struct Edge {
-    /// The routers; events name them by their index.
+    /// The routers; events identify them by their index.
     pub routers: Vec<Router>,
-    /// Pairs of a control machine and a router that don't reach each other.
+    /// Pairs of a control machine and a router that can't reach each other.
     pub blocked: HashSet<(NodeId, usize)>,
     /// Whether routers send statements.
     pub statements_enabled: bool,
@@ -67,14 +70,15 @@
         kernel.schedule(FIRST_STATEMENT_S, RouterEvent::StatementDue(index));
     }
 
-    /// The process of this control machine has ended, and its connections with it.
+    /// Closes all connections to this control machine, whose process has ended.
     pub(crate) fn close_connections_to(&mut self, node: NodeId) {
         for router in &mut self.routers {
             router.close_connection_to(node);
         }
     }
 
-    /// A control machine sends a message on a router's connection; it is lost if that is closed.
+    /// Sends a control machine's message on a router's connection. The message is lost if the
+    /// connection is closed.
     pub(crate) fn send_to_router(
         &mut self,
         kernel: &mut Kernel,
@@ -104,7 +108,8 @@
         kernel.schedule(arrival - now, arrived);
     }
 
-    /// A router's timer: it connects, renews its lease, or leaves a control machine.
+    /// Handles a router's timer tick: the router connects to a control machine, renews its lease,
+    /// or disconnects.
     pub(crate) fn tick(&mut self, kernel: &mut Kernel, control: &ControlCluster, index: usize) {
         if !self.routers[index].frozen {
             self.maintain_lease(kernel, control, index);
@@ -165,8 +170,8 @@
         kernel.schedule(arrival - now, arrived);
     }
 
-    /// A control machine's message arrives. Returns the configuration if the router goes by
-    /// another one from now on.
+    /// Handles a control machine's message that has arrived. Returns the new configuration if the
+    /// router activates one.
     pub(crate) fn message_arrived(
         &mut self,
         kernel: &mut Kernel,
@@ -196,7 +201,7 @@
         activated
     }
 
-    /// A router goes by this configuration if it is newer than the one before.
+    /// Activates this configuration on the router if its epoch is higher than the active one.
     fn activate(&mut self, index: usize, text: Rc<[u8]>) -> Option<ActivatedConfig> {
         let epoch = config_epoch(&text);
         let router = &mut self.routers[index];
@@ -211,14 +216,15 @@
         })
     }
 
-    /// Wakes a frozen router; returns the messages that waited for it.
+    /// Continues a frozen router and returns the messages in its inbox.
     pub(crate) fn thaw(&mut self, index: usize) -> Vec<RouterEvent> {
         let router = &mut self.routers[index];
         router.frozen = false;
         std::mem::take(&mut router.inbox)
     }
 
-    /// The primary that all routers may use, if it is one.
+    /// Returns the primary that all running routers may use; `None` unless they agree on one that
+    /// is up.
     pub fn primary_in_use(&self, now: f64, service: &Service) -> Option<String> {
         let mut in_use = None;
         for router in self.routers.iter().filter(|router| !router.frozen) {
--- a/crates/testing/simulation/src/edge/router.rs
+++ b/crates/testing/simulation/src/edge/router.rs
@@ -1,4 +1,4 @@
-//! One router: what it knows of the control machines' updates.
+//! One router: its lease, and the grants and configuration from the control machines' updates.
 
 use crate::event::{Process, RouterEvent};
 use crate::operators::config_epoch;
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// By how much the clock of each router is ahead of that of the router before it, in seconds.
+/// The difference between the clocks of two routers with consecutive indexes, in seconds.
 const CLOCK_OFFSET_STEP_S: f64 = 7777.0;
 
 /// The incarnation of the first router's process.
 const FIRST_INCARNATION: u64 = 100;
 
-/// The least time between two arrivals on a connection, in seconds.
+/// The minimum time between two arrivals on a connection, in seconds.
 const ARRIVAL_SPACING_S: f64 = 1e-5;
 
 /// A router's connection to a control machine.
@@ -23,9 +23,10 @@
 pub(super) struct RouterConnection {
     /// The process at the other end.
     pub(super) process: Process,
-    /// Its number.
+    /// The number of the connection.
     pub(super) id: u64,
-    /// When the newest message on it arrives: they stay in order.
+    /// The arrival time of the newest message, in seconds of simulated time. It keeps messages in
+    /// order.
     last_arrival: f64,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// When a message that is sent now with this delay arrives.
+    /// Returns the arrival time of a message that is sent now with this delay.
     pub(super) fn arrival_time(&mut self, now: f64, delay: f64) -> f64 {
         self.last_arrival = (now + delay).max(self.last_arrival + ARRIVAL_SPACING_S);
         self.last_arrival
@@ -55,46 +56,47 @@
 /// One router. All times are seconds of its own clock.
 #[derive(Clone)]
 pub struct Router {
-    /// Its name.
+    /// The router's name.
     pub name: String,
     process_incarnation: u64,
-    /// Its process is stopped, as by SIGSTOP.
+    /// Whether the router's process is stopped, as by SIGSTOP.
     pub frozen: bool,
-    /// Its clock is ahead of simulated time by so many seconds.
+    /// The router's clock minus simulated time, in seconds.
     pub clock_offset: f64,
     pub(super) connection: Option<RouterConnection>,
-    /// The index of the control machine to try next, counted on without end.
+    /// The index of the control machine to try next, modulo the length of the list.
     next_node: usize,
     leader_hint: Option<NodeId>,
     pub(super) requested_at: f64,
     pub(super) answered_at: f64,
     update_watermark: (Term, u64),
     grants: HashMap<String, PrimaryGrant>,
-    /// When its lease ends.
+    /// The time at which the router's lease ends.
     pub lease_until: f64,
     previous_grants: HashMap<String, ExpiringGrant>,
-    /// The configuration that it holds; empty if it holds none.
+    /// The configuration that the router holds; empty if it holds none.
     config: Rc<[u8]>,
     /// The highest configuration epoch that was active in this process; 0 before the first.
     pub active_config_epoch: u64,
-    /// The control machines that it knows.
+    /// The control machines that the router knows.
     control_nodes: Vec<NodeId>,
-    /// When each server last answered it.
+    /// The time of each server's last answer to the router.
     pub(super) last_answers: BTreeMap<String, f64>,
-    /// Messages that arrived while it was frozen.
+    /// Messages that arrived while the router was frozen.
     pub(super) inbox: Vec<RouterEvent>,
 }
 
-/// What the router has to do after a message of a control machine.
+/// The consequences of a control machine's message for the router.
 #[derive(Default)]
 pub(super) struct UpdateEffect {
-    /// It holds this configuration now.
+    /// The configuration that the message brought, if any.
     pub(super) config: Option<Rc<[u8]>>,
-    /// The update was no response: the router acknowledges it with a lease request.
+    /// Whether the router must acknowledge the message with a lease request, because it is an
+    /// update that does not respond to a request.
     pub(super) must_acknowledge: bool,
 }
 
-/// The body of [`RouterMessage::Update`], as far as the simulation reads it.
+/// The fields of [`RouterMessage::Update`] that the simulation reads.
 struct Update {
     watermark: (Term, u64),
     request_sent_at: Option<f64>,
@@ -106,7 +108,7 @@
 }
 
 impl Router {
-    /// A router of this index, which knows these control machines.
+    /// Creates the router with this index, which knows these control machines.
     pub(super) fn new(index: usize, control_nodes: Vec<NodeId>) -> Router {
         Router {
             name: format!("r{index}"),
@@ -130,12 +132,12 @@
         }
     }
 
-    /// The router's clock at this second of simulated time.
+    /// Returns the router's clock at this second of simulated time.
     pub fn clock(&self, now: f64) -> f64 {
         now + self.clock_offset
     }
 
-    /// The primary that it may use at this second of its clock.
+    /// Returns the primary that the router may use at this second of its clock.
     pub(crate) fn usable_primary(&self, clock: f64) -> Option<&PrimaryGrant> {
         if let Some(grant) = self.grants.get(SERVICE) {
             return (clock < self.lease_until && !grant.revoking).then_some(grant);
@@ -144,7 +146,7 @@
         (clock < previous.lease_until).then_some(&previous.grant)
     }
 
-    /// The machine's process at the other end of its connection has ended.
+    /// Closes the router's connection if it is to this control machine.
     pub(super) fn close_connection_to(&mut self, node: NodeId) {
         let is_connected = |connection: &RouterConnection| connection.process.node == node;
         if self.connection.as_ref().is_some_and(is_connected) {
@@ -152,15 +154,15 @@
         }
     }
 
-    /// The control machine to connect to next: the leader that the last one named, or the next of
-    /// the list.
+    /// Returns the control machine to connect to next: the leader that the last machine named, or
+    /// the next one in the list.
     pub(super) fn take_next_node(&mut self) -> NodeId {
         let in_turn = self.control_nodes[self.next_node % self.control_nodes.len()];
         self.next_node += 1;
         self.leader_hint.take().unwrap_or(in_turn)
     }
 
-    /// A lease request that is sent at this second of its clock.
+    /// Returns a lease request that is sent at this second of the router's clock.
     pub(super) fn lease_request(&self, clock: f64) -> LeaseRequest {
         let health_reports = self.last_answers.iter().map(|(id, at)| HealthReport {
             service: SERVICE.to_owned(),
@@ -177,11 +179,11 @@
         }
     }
 
-    /// Takes in a message of a control machine at this second of its clock.
+    /// Handles a message from a control machine at this second of the router's clock.
     pub(super) fn receive(&mut self, clock: f64, message: RouterMessage) -> UpdateEffect {
         match message {
             RouterMessage::NotLeader { leader, voters } => {
-                self.leave_for(leader, voters);
+                self.disconnect_from_follower(leader, voters);
                 UpdateEffect::default()
             }
             RouterMessage::Update {
@@ -208,8 +210,9 @@
         }
     }
 
-    /// Leaves a machine that doesn't lead for the one that it names.
-    fn leave_for(&mut self, leader: Option<NodeId>, voters: Vec<NodeId>) {
+    /// Disconnects from a machine that is not the leader. Remembers the leader that it named, and
+    /// adds its voters to the known control machines.
+    fn disconnect_from_follower(&mut self, leader: Option<NodeId>, voters: Vec<NodeId>) {
         let left = self.connection.take().map(|c| c.process.node);
         self.leader_hint = leader.filter(|leader| Some(*leader) != left);
         let known = &self.control_nodes;
@@ -219,7 +222,7 @@
 
     fn receive_update(&mut self, clock: f64, update: Update) -> UpdateEffect {
         let request_sent_at = update.request_sent_at;
-        // A former leader grants nothing any more.
+        // Updates from a former leader, whose term is lower, grant nothing.
         let config = if update.watermark.0 >= self.update_watermark.0 {
             self.apply_update(update)
         } else {
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Returns the configuration if the update brought one.
+    /// Applies an update. Returns its configuration if it contains one.
     fn apply_update(&mut self, update: Update) -> Option<Rc<[u8]>> {
         if !update.voters.is_empty() {
             self.control_nodes = update.voters;
@@ -257,7 +260,8 @@
         config
     }
 
-    /// A new leader's snapshot: what the one before granted may be used until its lease ends.
+    /// Keeps the previous leader's grants until their lease ends. Called when a new leader's
+    /// snapshot arrives.
     fn retire_grants(&mut self) {
         let lease_until = self.lease_until;
         let usable = self.grants.drain().filter(|(_, grant)| !grant.revoking);
@@ -267,8 +271,8 @@
         self.lease_until = f64::NEG_INFINITY;
     }
 
-    /// The complete text after this update. If it can't be resolved the router holds none, and so
-    /// requests the full one.
+    /// Returns the complete configuration text after this update. If the update can't be resolved,
+    /// the router holds no configuration, and therefore requests the full text.
     fn resolve_config(&mut self, update: &ConfigUpdate) -> Rc<[u8]> {
         let resolved = update.resolve(&self.config);
         self.config = resolved.unwrap_or_else(|| Rc::from([]));
--- a/crates/testing/simulation/src/edge/statements.rs
+++ b/crates/testing/simulation/src/edge/statements.rs
@@ -5,21 +5,22 @@
 use crate::kernel::Kernel;
 use crate::service::Service;
 
-/// The pause between a router's statements: at least so many seconds, and a random part of as many
-/// again.
-const STATEMENT_INTERVAL_S: f64 = 0.02;
+/// The minimum interval between a router's statements, in seconds. A random part of the same length
+/// is added.
+const MIN_STATEMENT_INTERVAL_S: f64 = 0.02;
 
-/// One statement of so many is a write.
+/// On average, one of this many statements is a write.
 const STATEMENTS_PER_WRITE: u64 = 3;
 
 impl Edge {
-    /// A router sends statements: reads to all replicas, one to the primary.
+    /// Sends a router's statements that are due: a read to each replica, and one statement to the
+    /// primary.
     pub(crate) fn statement_due(&mut self, kernel: &mut Kernel, service: &Service, index: usize) {
         if self.statements_enabled && !self.routers[index].frozen {
             read_at_replicas(kernel, service, index);
             self.send_statement(kernel, service, index);
         }
-        let pause = STATEMENT_INTERVAL_S + 0.0002 * kernel.random.below(100) as f64;
+        let pause = MIN_STATEMENT_INTERVAL_S + 0.0002 * kernel.random.below(100) as f64;
         kernel.schedule(pause, RouterEvent::StatementDue(index));
     }
 
@@ -44,7 +45,7 @@
         kernel.schedule(delay, ServerEvent::StatementArrived(statement));
     }
 
-    /// A server's answer arrives at a router.
+    /// Records the arrival of a server's answer at a router.
     pub(crate) fn answer_arrived(&mut self, kernel: &Kernel, index: usize, server_id: String) {
         let router = &mut self.routers[index];
         let clock = router.clock(kernel.now());
@@ -52,7 +53,8 @@
     }
 }
 
-/// Reads at all working replicas, of which only the answers count.
+/// Sends a read to each replica that is up. Only the answers are simulated, not the data that they
+/// return.
 fn read_at_replicas(kernel: &mut Kernel, service: &Service, index: usize) {
     let servers = service.servers.values();
     for replica in servers.filter(|server| server.is_up() && !server.is_primary) {
