--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,7 +1,7 @@
-//! Runs with random faults: as many machines lost at a time as the budget allows, or any number of
-//! them as long as no more disks are lost than it allows; and some faults of all machines at once.
+//! Runs with random faults. The loss policy limits either the machines that are lost at the same
+//! time or only the disks to the fault budget. Some faults hit all machines at once.
 //!
-//! The injector draws from a random source of its own, so that it doesn't disturb the simulation's.
+//! The fault injector has its own random source, so that its draws don't change the simulation's.
 
 mod kinds;
 
@@ -14,24 +14,27 @@
 use badgerstream_control::NodeId;
 use kinds::{Fault, Recovery, ScheduledRecovery};
 
-/// Operators at work at once.
+/// The number of operators that work concurrently.
 const OPERATOR_COUNT: usize = 6;
 
-/// Routers that receive configurations.
+/// The number of routers that receive configurations.
 const ROUTER_COUNT: usize = 2;
 
-/// What tells the injector's seed from the simulation's.
-const SEED_MASK: u64 = 0x5eed;
+/// XORed with the run's seed to derive the seed of the fault injector, so that the injector's draws
+/// differ from the simulation's.
+const INJECTOR_SEED_MASK: u64 = 0x5eed;
 
-/// The mean one-way delay of a message between regions, in seconds: every second seed has it.
+/// The mean one-way delay of a message between regions, in seconds. Runs with odd seeds use it.
 const MULTI_REGION_DELAY_S: f64 = 0.012;
 
-/// The control machines start for so many seconds before the first fault.
-const START_S: f64 = 3.0;
+/// The time that the control machines have to start before the first fault, in seconds.
+const STARTUP_S: f64 = 3.0;
 
-/// The most seconds between two decisions of the injector, mostly and in a burst.
-const USUAL_PAUSE_S: f64 = 3.0;
-const BURST_PAUSE_S: f64 = 0.3;
+/// The maximum pause between two decisions of the injector outside bursts, in seconds.
+const MAX_PAUSE_S: f64 = 3.0;
+
+/// The maximum pause between two decisions of the injector in a burst, in seconds.
+const MAX_BURST_PAUSE_S: f64 = 0.3;
 
 /// A simulation with random faults.
 pub struct FaultRun {
@@ -41,15 +44,15 @@
     pending_recoveries: Vec<ScheduledRecovery>,
     next_node: NodeId,
     loss_policy: LossPolicy,
-    /// Disks lost since all machines last voted.
+    /// The number of disks lost since all machines were last voters and none was lost.
     disks_lost: usize,
-    /// What happened and when, for messages.
+    /// The faults and recoveries so far with their times, for failure messages.
     pub fault_log: Vec<String>,
 }
 
 impl FaultRun {
-    /// So many machines, of which `fault_budget` may be lost at once, and a few operators and
-    /// routers.
+    /// Creates a run with `machines` control machines, of which at most `fault_budget` may be lost
+    /// at the same time, and with several operators and routers.
     pub fn new(seed: u64, machines: u32, fault_budget: usize, loss_policy: LossPolicy) -> FaultRun {
         let mut simulation = Simulation::control_only(seed, machines, fault_budget);
         simulation.control.network.resets_per_mille = if seed.is_multiple_of(3) { 2 } else { 0 };
@@ -65,7 +68,7 @@
         }
         FaultRun {
             simulation,
-            random: RandomSource::new(seed ^ SEED_MASK),
+            random: RandomSource::new(seed ^ INJECTOR_SEED_MASK),
             pending_recoveries: Vec::new(),
             next_node: machines + 1,
             loss_policy,
@@ -74,21 +77,21 @@
         }
     }
 
-    /// Injects faults for so many seconds, then waits until all have ended and control has had its
-    /// time to recover.
+    /// Injects faults for this many seconds of simulated time. Then waits until all faults have
+    /// ended, and gives the control machines time to recover.
     ///
     /// # Panics
     ///
-    /// If the oracle finds a violation, or nobody leads at the end.
+    /// If the oracle finds a violation, or there is no leader at the end.
     pub fn play(&mut self, seconds: f64) {
-        self.simulation.run(START_S);
+        self.simulation.run(STARTUP_S);
         let until = self.simulation.now() + seconds;
         while self.simulation.now() < until {
             self.recover_due();
             let longest_pause = if self.random.per_mille(300) {
-                BURST_PAUSE_S
+                MAX_BURST_PAUSE_S
             } else {
-                USUAL_PAUSE_S
+                MAX_PAUSE_S
             };
             if self.random.per_mille(600) {
                 self.inject();
@@ -102,12 +105,13 @@
         self.simulation.run(RECOVERY_S + CATCH_UP_S);
         assert!(
             self.simulation.leader().is_some(),
-            "nobody leads: {}",
+            "no leader {} s after the last recovery: {}",
+            RECOVERY_S + CATCH_UP_S,
             self.simulation.describe()
         );
     }
 
-    /// Lets time pass, with the recoveries that are due in it.
+    /// Runs the simulation for this many seconds, and performs the recoveries that become due.
     fn wait(&mut self, seconds: f64) {
         let until = self.simulation.now() + seconds;
         while self.simulation.now() < until {
@@ -149,7 +153,7 @@
         self.fault_log.push(format!("{now:.3} {text}"));
     }
 
-    /// Schedules a recovery between so many seconds from now.
+    /// Schedules a recovery at a random time from `earliest_s` to `latest_s` seconds from now.
     fn schedule_recovery(&mut self, earliest_s: f64, latest_s: f64, recovery: Recovery) {
         let at = self.simulation.now() + self.random.between(earliest_s, latest_s);
         self.pending_recoveries
@@ -182,12 +186,13 @@
         self.loss_policy == LossPolicy::WithinBudget
     }
 
-    /// Whether the disk of one more machine may be lost now.
+    /// Returns whether one more disk may be lost now.
     fn may_lose_disk(&self) -> bool {
         self.is_within_budget() || self.disks_lost < self.simulation.control.fault_budget
     }
 
-    /// One machine that may be lost, the leader as often as not.
+    /// Draws a machine that may be lost. With a probability of one half it is the leader, if there
+    /// is one that may be lost.
     fn choose_victim(&mut self) -> Option<NodeId> {
         let simulation = &self.simulation;
         let is_within_budget = self.is_within_budget();
@@ -208,15 +213,15 @@
             .leader()
             .filter(|leader| candidates.contains(leader));
         if self.random.per_mille(500) {
-            // Drawn in either case: the draws of a seed don't depend on whether somebody leads.
+            // Draws even if there is a leader, so that later draws don't depend on it.
             leader.or(self.random.pick(&candidates))
         } else {
             self.random.pick(&candidates)
         }
     }
 
-    /// Half of the machines and the others don't reach each other for some seconds, whatever the
-    /// budget is.
+    /// Partitions the machines into two halves for some seconds, regardless of the budget. Does
+    /// nothing if the policy is to stay within the budget, or if they are already partitioned.
     fn partition_halves(&mut self) {
         if self.is_within_budget() || self.simulation.control.is_halved() {
             return;
@@ -275,7 +280,7 @@
             | Fault::KillAll
             | Fault::PowerOffAll
             | Fault::LoseSomeDisks
-            | Fault::PartitionHalves => unreachable!("{fault:?} strikes more than one machine"),
+            | Fault::PartitionHalves => unreachable!("{fault:?} hits more than one machine"),
         }
     }
 
@@ -322,14 +327,15 @@
         }
     }
 
-    /// All processes or machines at once, and of some the disks besides.
+    /// Kills all processes or powers off all machines at once; [`Fault::LoseSomeDisks`] also loses
+    /// some of the disks.
     fn inject_on_all(&mut self, fault: Fault) {
         let is_calm = self.pending_recoveries.is_empty() && self.simulation.lost_machines() == 0;
         if self.is_within_budget() && !is_calm {
             return;
         }
         self.log_fault(format!("{fault:?}"));
-        let nodes = self.machines_to_strike();
+        let nodes = self.machines_to_hit();
         let wiped = self.choose_disks(&nodes);
         if fault == Fault::LoseSomeDisks {
             self.disks_lost += wiped.len();
@@ -344,8 +350,9 @@
         }
     }
 
-    /// All machines; beyond the budget those that are healthy, as the others have faults already.
-    fn machines_to_strike(&self) -> Vec<NodeId> {
+    /// Returns all machines that were not removed. Under [`LossPolicy::BeyondBudget`] it returns
+    /// only the healthy ones, because the others already have faults.
+    fn machines_to_hit(&self) -> Vec<NodeId> {
         let control = &self.simulation.control;
         let machines = control.machines.values();
         machines
@@ -355,7 +362,7 @@
             .collect()
     }
 
-    /// As many of the machines as may lose their disks now.
+    /// Draws the machines that lose their disks: as many as the budget allows now.
     fn choose_disks(&mut self, nodes: &[NodeId]) -> Vec<NodeId> {
         let fault_budget = self.simulation.control.fault_budget;
         let limit = if self.is_within_budget() {
--- a/crates/testing/simulation/src/faults/kinds.rs
+++ b/crates/testing/simulation/src/faults/kinds.rs
@@ -1,4 +1,4 @@
-//! The faults that may happen, and how they end.
+//! The kinds of faults and of recoveries, and the policy that limits losses.
 
 use badgerstream_control::NodeId;
 
@@ -9,23 +9,23 @@
     Kill,
     /// The machine loses power.
     PowerOff,
-    /// The process is killed and its disk lost.
+    /// The process is killed, and its disk is lost.
     LoseDisk,
     /// The process is stopped.
     Freeze,
     /// The machine is isolated from the others.
     Isolate,
-    /// The same in one direction.
+    /// The machine is isolated from the others in one direction.
     IsolateOneWay,
     /// The disk rejects writes.
     DiskFull,
     /// Writes are slow.
     DiskSlow,
-    /// Writes complete late.
+    /// No write completes until the stall ends.
     DiskStall,
-    /// The machine is lost for good; a successor comes later.
+    /// The machine is lost permanently; its successor starts later.
     Replace,
-    /// A successor comes first; then the machine is shut down and removed.
+    /// A successor starts first; then the machine is shut down and removed.
     ReplacePlanned,
     /// The process is shut down and started again.
     Restart,
@@ -42,7 +42,7 @@
 }
 
 impl Fault {
-    /// All of them; their order decides what a seed draws.
+    /// All faults. Their order determines which faults a seed draws, so it must not change.
     pub(super) const ALL: [Fault; 17] = [
         Fault::Kill,
         Fault::PowerOff,
@@ -63,7 +63,7 @@
         Fault::PartitionHalves,
     ];
 
-    /// Whether one machine loses its disk by it.
+    /// Returns whether this fault makes one machine lose its disk.
     pub(super) fn loses_disk(self) -> bool {
         matches!(
             self,
@@ -72,7 +72,7 @@
     }
 }
 
-/// What ends a fault, or goes on with it.
+/// An action that ends a fault, or performs the next step of a replacement.
 #[derive(Clone, Debug)]
 pub(super) enum Recovery {
     /// The process is started.
@@ -83,7 +83,7 @@
     Join(NodeId),
     /// The machine's links are unblocked.
     Heal(NodeId),
-    /// The disk works as usual.
+    /// The disk becomes healthy again.
     RepairDisk(NodeId),
     /// The machine is removed.
     Remove(NodeId),
@@ -91,19 +91,20 @@
     RejoinHalves,
 }
 
-/// A recovery, and the second of simulated time at which it is due.
+/// A recovery, and the time at which it is due, in seconds of simulated time.
 #[derive(Clone, Debug)]
 pub(super) struct ScheduledRecovery {
     pub(super) at: f64,
     pub(super) recovery: Recovery,
 }
 
-/// How many machines may be lost at once.
+/// The limit on the machines and disks that may be lost at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossPolicy {
-    /// No more than the budget allows, until they have caught up.
+    /// At most as many machines as the budget allows. A machine counts as lost until it has caught
+    /// up.
     WithinBudget,
-    /// Any number, and the links between two halves; but no more disks than the budget allows,
-    /// until all machines vote again. Service may rest meanwhile.
+    /// Any number of machines, and partitions into halves. At most as many disks as the budget
+    /// allows may be lost until all machines vote again. The service may be unavailable meanwhile.
     BeyondBudget,
 }
