--- a/crates/testing/simulation/src/oracle.rs
+++ b/crates/testing/simulation/src/oracle.rs
@@ -1,11 +1,13 @@
-//! The oracle: what must hold in every run, whatever faults there are.
+//! The oracle: checks the properties that must hold in every run, regardless of its faults.
 //!
-//! - [`safety`]: at every event. One machine acts, there is one history of committed states, a
-//!   configuration change has one outcome, and no read is older than what was acknowledged.
-//! - [`liveness`]: with the fault budget kept, control does its work.
-//! - [`losses`]: which machines count as lost, and whether the budget is kept.
+//! - [`safety`]: checked after every event. At most one machine acts, there is one history of
+//!   committed states, a configuration change has one outcome, and no read is older than the newest
+//!   acknowledged change.
+//! - [`liveness`]: while losses are within the fault budget, the control machines make progress.
+//! - [`losses`]: which machines count as lost, and whether losses are within the fault budget.
 //!
-//! It only looks at the parts; a violation ends the run by a panic that names the second.
+//! The oracle never changes the components. A violation ends the run with a panic whose message
+//! contains the time in simulated seconds.
 
 mod config_changes;
 pub mod liveness;
@@ -21,19 +23,19 @@
 use crate::kernel::Kernel;
 use crate::operators::{Observation, Operators};
 
-/// Everything that is checked, and what was seen so far.
+/// All checks, and the observations on which they rely.
 #[derive(Clone, Default)]
 pub struct Oracle {
-    /// Which machines count as lost.
+    /// Tracks which machines count as lost.
     pub losses: Losses,
-    /// What must hold at every event.
+    /// The safety checks, made after every event.
     pub safety: Safety,
-    /// What must go on.
+    /// The liveness checks, made periodically.
     pub liveness: Liveness,
 }
 
 impl Oracle {
-    /// Checks what must hold at every event.
+    /// Checks safety; called after every event.
     pub(crate) fn check_safety(
         &mut self,
         kernel: &mut Kernel,
@@ -51,7 +53,7 @@
         self.safety.check_leaders_configs(control, now);
     }
 
-    /// A router goes by this configuration from now on.
+    /// Checks a configuration that a router has just activated.
     pub(crate) fn config_activated(
         &mut self,
         kernel: &mut Kernel,
@@ -61,7 +63,7 @@
         self.safety.check_activated(kernel, control, activated);
     }
 
-    /// An operator has a clear response.
+    /// Checks a conclusive response to an operator's request.
     pub(crate) fn response_observed(
         &mut self,
         kernel: &mut Kernel,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Checks that control does its work; called now and then.
+    /// Checks liveness; called every [`liveness::CHECK_INTERVAL_S`] seconds.
     pub(crate) fn check_liveness(
         &mut self,
         control: &ControlCluster,
--- a/crates/testing/simulation/src/oracle/config_changes.rs
+++ b/crates/testing/simulation/src/oracle/config_changes.rs
@@ -1,4 +1,5 @@
-//! A configuration change has one outcome, and a read is no older than what was acknowledged.
+//! Checks that a configuration change has one outcome, and that a read is not older than the newest
+//! change that was acknowledged before it.
 
 use super::safety::Safety;
 use crate::control::ControlCluster;
@@ -8,8 +9,8 @@
 use badgerstream_control::State;
 
 impl Safety {
-    /// An acknowledged change was not rejected before, and no other one with its epoch or base was
-    /// acknowledged.
+    /// Checks that an acknowledged change was not rejected before, and that no other change with
+    /// the same epoch or base epoch was acknowledged.
     pub(super) fn check_acknowledged(
         &mut self,
         kernel: &mut Kernel,
@@ -44,7 +45,7 @@
     }
 }
 
-/// A rejected change is never committed.
+/// Checks that the committed state does not contain a rejected change.
 pub(super) fn check_not_rejected(state: &State, changes: &[ConfigChange], now: f64) {
     let rejected = changes.iter().find(|change| {
         change.outcome == ChangeOutcome::Rejected
@@ -57,7 +58,7 @@
     );
 }
 
-/// A rejected change was not acknowledged before, and is not the committed one.
+/// Checks that a rejected change was not acknowledged before, and is not committed.
 pub(super) fn check_rejected(
     kernel: &mut Kernel,
     control: &ControlCluster,
@@ -73,7 +74,7 @@
     assert_ne!(
         change.outcome,
         ChangeOutcome::Acknowledged,
-        "{now}: change {index} was acknowledged, and then {status}"
+        "{now}: change {index} was acknowledged before, and is now rejected with {status}"
     );
     change.outcome = ChangeOutcome::Rejected;
     let is_committed = control
@@ -85,8 +86,8 @@
     );
 }
 
-/// A read is no older than what was acknowledged before the request, and gives a change that was
-/// sent and not rejected.
+/// Checks that a read is not older than the newest change acknowledged before the request, and that
+/// it returns a change that was sent and not rejected.
 pub(super) fn check_read(kernel: &mut Kernel, changes: &[ConfigChange], since: f64, body: &[u8]) {
     let now = kernel.now();
     let epoch = config_epoch(body);
@@ -97,15 +98,18 @@
     let newest = before.map(|change| change.epoch).max().unwrap_or(0);
     assert!(
         epoch >= newest,
-        "{now}: {epoch} is read, {newest} was acknowledged before"
+        "{now}: a read returned epoch {epoch}, but epoch {newest} was acknowledged before"
     );
     let was_sent = changes.iter().any(|change| *change.body == *body);
-    assert!(epoch == 0 || was_sent, "{now}: what is read was never sent");
+    assert!(
+        epoch == 0 || was_sent,
+        "{now}: a read returned a configuration of epoch {epoch} that was never sent"
+    );
     let rejected = changes
         .iter()
         .find(|change| change.outcome == ChangeOutcome::Rejected && *change.body == *body);
     assert!(
         rejected.is_none(),
-        "{now}: a rejected change is read: {rejected:?}"
+        "{now}: a read returned a rejected change: {rejected:?}"
     );
 }
--- a/crates/testing/simulation/src/oracle/liveness.rs
+++ b/crates/testing/simulation/src/oracle/liveness.rs
@@ -1,23 +1,27 @@
-//! With the fault budget kept and nothing happening, control serves, commits, and routers follow.
+//! Checks that the control machines serve requests and commit changes, and that routers activate
+//! them, while losses are within the fault budget and no faults occur.
 
 use super::losses::{CATCH_UP_S, Losses};
 use crate::control::{ControlCluster, ControlMachine};
 use crate::edge::Edge;
 use crate::operators::ConfigChange;
 
-/// How often liveness is checked, in seconds.
+/// The interval between liveness checks, in seconds.
 pub(crate) const CHECK_INTERVAL_S: f64 = 0.2;
 
-/// With the budget kept and nothing happening, a read or a change is served within so many seconds.
+/// The maximum time without a successful read or change, in seconds, while losses are within the
+/// budget and no faults occur.
 pub const SERVED_WITHIN_S: f64 = 3.0;
 
-/// With the budget kept and nothing happening, a change is committed within so many seconds.
+/// The maximum time without a committed change, in seconds, while losses are within the budget and
+/// no faults occur.
 pub const COMMITTED_WITHIN_S: f64 = 6.0;
 
-/// What was acknowledged so many seconds ago is active on every router.
+/// The maximum time from the acknowledgement of a change until it is active on every router, in
+/// seconds.
 const ACTIVE_WITHIN_S: f64 = 3.0;
 
-/// When control last did its work. All times are seconds of simulated time.
+/// The last progress of the control machines. All times are seconds of simulated time.
 #[derive(Clone, Debug, Default)]
 pub struct Liveness {
     last_served_at: f64,
@@ -25,21 +29,21 @@
 }
 
 impl Liveness {
-    /// A read or a change was answered with success.
+    /// Records that a read or a change succeeded.
     pub(super) fn served(&mut self, now: f64) {
         self.last_served_at = now;
     }
 
-    /// A newer configuration was committed.
+    /// Records that a newer configuration was committed.
     pub(super) fn config_changed(&mut self, now: f64) {
         self.last_config_change_at = now;
     }
 
-    /// Called with the fault budget kept.
+    /// Checks progress. Called only while losses are within the fault budget.
     ///
     /// # Panics
     ///
-    /// If control hasn't done its work in time.
+    /// If the control machines or the routers have not made progress in time.
     pub(super) fn check(
         &self,
         losses: &Losses,
@@ -70,7 +74,8 @@
     }
 }
 
-/// What was acknowledged a while ago is active on every router.
+/// Checks that every change acknowledged more than [`ACTIVE_WITHIN_S`] ago is active on every
+/// router, or was replaced by a newer one.
 fn check_active_configs(edge: &Edge, changes: &[ConfigChange], now: f64) {
     let due = changes
         .iter()
@@ -80,12 +85,13 @@
         let (name, active) = (&router.name, router.active_config_epoch);
         assert!(
             active >= newest,
-            "{now}: {name} goes by {active}, not {newest}"
+            "{now}: router {name} has epoch {active} active, but epoch {newest} was acknowledged \
+             more than {ACTIVE_WITHIN_S} s ago"
         );
     }
 }
 
-/// A machine that has been healthy for long enough is a voter.
+/// Checks that every machine that has been healthy for long enough is a voter.
 fn check_voters(losses: &Losses, control: &ControlCluster, now: f64) {
     let Some(leader) = control.leader(now) else {
         return;
@@ -101,12 +107,13 @@
         let voter = machine.voter();
         assert!(
             !is_back || voters.contains(&voter),
-            "{now}: {voter} is back for {CATCH_UP_S} s and doesn't vote: {voters:?}"
+            "{now}: {voter} has been healthy for {CATCH_UP_S} s, but isn't among the voters \
+             {voters:?}"
         );
     }
 }
 
-/// The state of all machines, for messages.
+/// Describes the state of all machines for failure messages.
 pub(crate) fn describe(control: &ControlCluster, losses: &Losses, now: f64) -> String {
     let describe_one = |machine: &ControlMachine| {
         let is_lost = losses.is_lost(control, machine.node, now);
--- a/crates/testing/simulation/src/oracle/losses.rs
+++ b/crates/testing/simulation/src/oracle/losses.rs
@@ -1,54 +1,56 @@
-//! Which control machines count as lost, and whether the fault budget is kept.
+//! Tracks which control machines count as lost, and whether losses are within the fault budget.
 
 use super::liveness::COMMITTED_WITHIN_S;
 use crate::control::{ControlCluster, ControlMachine};
 use badgerstream_control::NodeId;
 use std::collections::BTreeMap;
 
-/// A machine counts as lost for so many seconds after it is back.
+/// The time that a machine still counts as lost after it has returned, in seconds.
 pub const CATCH_UP_S: f64 = 4.0;
 
-/// After more machines were lost than the budget allows, or a partition into halves, control serves
-/// again within so many seconds of the return of the last.
+/// The maximum time until the control machines serve again after the last machine has returned, in
+/// seconds. It applies after losses beyond the budget, or a partition into halves.
 pub const RECOVERY_S: f64 = 12.0;
 
-/// The successor of a removed machine starts within so many seconds.
+/// The maximum time until the successor of a removed machine starts, in seconds.
 const SUCCESSOR_START_S: f64 = 3.0;
 
-/// What is known of losses. All times are seconds of simulated time.
+/// The losses observed so far. All times are seconds of simulated time.
 #[derive(Clone, Debug, Default)]
 pub struct Losses {
-    /// When something last happened to a machine or a link.
+    /// The time of the last fault or recovery of a machine or a link.
     last_fault_at: f64,
-    /// Until when a machine counts as lost since the last fault at it.
+    /// For each machine, the time until which it counts as lost because of its last fault or
+    /// recovery.
     lost_until: BTreeMap<NodeId, f64>,
-    /// When the successor of a removed machine has started.
+    /// For each machine that is replaced, the time by which its successor has started.
     successor_starts_at: BTreeMap<NodeId, f64>,
-    /// More machines were lost than the budget allows, or halves partitioned, and not all are back.
+    /// Whether losses exceeded the budget or the halves were partitioned, and not all machines have
+    /// returned since.
     over_budget: bool,
-    /// When that last was so.
+    /// The last time at which `over_budget` was true.
     last_over_budget_at: Option<f64>,
 }
 
 impl Losses {
-    /// Something happens to this machine.
+    /// Records a fault or a recovery of this machine.
     pub(crate) fn record_fault(&mut self, node: NodeId, now: f64) {
         self.last_fault_at = now;
         self.lost_until.insert(node, now + CATCH_UP_S);
     }
 
-    /// Something happens to links.
+    /// Records a fault or a recovery of links.
     pub(crate) fn record_network_fault(&mut self, now: f64) {
         self.last_fault_at = now;
     }
 
-    /// Another machine takes the place of this one, from now on.
+    /// Records that another machine replaces this one from now on.
     pub(crate) fn expect_successor(&mut self, node: NodeId, now: f64) {
         let starts_at = now + SUCCESSOR_START_S;
         self.successor_starts_at.insert(node, starts_at);
     }
 
-    /// Whether this machine counts as lost.
+    /// Returns whether this machine counts as lost.
     pub fn is_lost(&self, control: &ControlCluster, node: NodeId, now: f64) -> bool {
         let Some(machine) = control.machines.get(&node) else {
             return false;
@@ -61,7 +63,7 @@
         now < lost_until || !control.is_healthy(node)
     }
 
-    /// How many machines count as lost.
+    /// Returns the number of machines that count as lost.
     pub fn lost_machines(&self, control: &ControlCluster, now: f64) -> usize {
         let nodes = control.machines.keys();
         nodes
@@ -69,7 +71,8 @@
             .count()
     }
 
-    /// How many machines are away now, without those that are back and catch up.
+    /// Returns the number of machines that are absent now, without those that have returned and are
+    /// catching up.
     fn absent_machines(&self, control: &ControlCluster, now: f64) -> usize {
         let is_absent = |machine: &&ControlMachine| {
             if machine.removed {
@@ -81,8 +84,8 @@
         control.machines.values().filter(is_absent).count()
     }
 
-    /// Notes whether more is lost than the budget allows. Once it was, that ends with the return of
-    /// the last machine.
+    /// Updates whether losses exceed the budget. Once they do, this state lasts until the last
+    /// machine has returned.
     pub(super) fn update(&mut self, control: &ControlCluster, now: f64) {
         let goes_on = self.over_budget && self.absent_machines(control, now) > 0;
         let exceeds = self.lost_machines(control, now) > control.fault_budget;
@@ -92,9 +95,11 @@
         }
     }
 
-    /// Since when nothing has happened and control must do its work.
+    /// Returns the time since which no fault has occurred and the control machines must make
+    /// progress.
     pub(super) fn calm_since(&self) -> f64 {
-        // Service may rest until the end of the recovery, and is there from then on.
+        // Changes need not be committed before the recovery period ends, so the limit for commits
+        // is counted back from its end.
         let recovered = self
             .last_over_budget_at
             .map_or(0.0, |until| until + RECOVERY_S - COMMITTED_WITHIN_S);
--- a/crates/testing/simulation/src/oracle/safety.rs
+++ b/crates/testing/simulation/src/oracle/safety.rs
@@ -1,4 +1,4 @@
-//! What must hold at every event, for machines in contact or not.
+//! The safety checks, made after every event, for reachable and isolated machines alike.
 
 use super::config_changes::check_not_rejected;
 use crate::control::{ControlCluster, ControlMachine};
@@ -17,28 +17,28 @@
     config_epoch: u64,
 }
 
-/// What a machine knew when it was last checked.
+/// The state of a machine when it was last checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CheckedState {
     leader_term: u64,
     version: u64,
 }
 
-/// What has been seen.
+/// The observations on which the safety checks rely.
 #[derive(Clone, Debug, Default)]
 pub struct Safety {
     /// Committed states by their versions.
     committed_states: BTreeMap<u64, CommittedState>,
-    /// Configurations that a leader went by as committed, by epoch.
+    /// Configurations that a leader used as committed, by epoch.
     leaders_configs: BTreeMap<u64, Rc<[u8]>>,
     last_checked: BTreeMap<NodeId, CheckedState>,
-    /// How many configuration changes were acknowledged.
+    /// The number of configuration changes that were acknowledged.
     pub acknowledged_changes: u64,
 }
 
 impl Safety {
-    /// There is one committed state of each version, and a machine that acts knows no older one
-    /// than another has known. Returns whether a newer configuration was committed.
+    /// Checks that each version has only one committed state, and that a machine that may act knows
+    /// the newest version. Returns whether a newer configuration was committed.
     pub(super) fn check_committed_states(
         &mut self,
         kernel: &mut Kernel,
@@ -86,21 +86,23 @@
         let other = self.committed_states.insert(version, committed);
         assert!(
             other.is_none_or(|other| other.digest == digest),
-            "{now}: {node} committed another state {version}"
+            "{now}: {node} committed a state of version {version} that differs from the one \
+             committed before"
         );
         let newest = self.committed_states.last_key_value();
         let newest = newest.map_or(0, |(version, _)| *version);
-        // A leader that was isolated may learn late that an older state had been committed; it
-        // doesn't act on it.
+        // A leader that was isolated may learn late that an older state was committed, but must not
+        // act on it.
         let controller = machine.controller.as_ref();
         let acts = controller.is_some_and(|c| c.may_act(machine.clock(now)));
         assert!(
             version >= newest || !acts,
-            "{now}: {node} committed {version} after {newest}"
+            "{now}: {node} may act on committed version {version}, but version {newest} is \
+             committed"
         );
     }
 
-    /// All leaders go by the same configuration of an epoch.
+    /// Checks that all leaders use the same configuration for an epoch.
     pub(super) fn check_leaders_configs(&mut self, control: &ControlCluster, now: f64) {
         for machine in control.machines.values() {
             let Some(controller) = machine.leading_controller() else {
@@ -114,12 +116,13 @@
             let node = machine.node;
             assert!(
                 **known == *text,
-                "{now}: {node} goes by another configuration {epoch}"
+                "{now}: leader {node} uses a configuration of epoch {epoch} that differs from the \
+                 one that a leader used before"
             );
         }
     }
 
-    /// A router goes only by what a leader went by as committed.
+    /// Checks that a router activates only a configuration that a leader used as committed.
     pub(super) fn check_activated(
         &mut self,
         kernel: &mut Kernel,
@@ -127,19 +130,19 @@
         activated: &ActivatedConfig,
     ) {
         let (now, router, epoch) = (kernel.now(), activated.router, activated.epoch);
-        kernel.trace(|| format!("router {router} goes by {epoch}"));
+        kernel.trace(|| format!("router {router} activates epoch {epoch}"));
         kernel.record(EntryKind::ConfigActive, &[router as u64, epoch]);
         kernel.digest.bytes(&activated.text);
         self.check_leaders_configs(control, now);
         let known = self.leaders_configs.get(&epoch);
         assert!(
             known.is_some_and(|known| **known == *activated.text),
-            "{now}: router {router} goes by {epoch}, which was not committed"
+            "{now}: router {router} activated epoch {epoch}, which was not committed"
         );
     }
 }
 
-/// Routers may use no more than one primary.
+/// Checks that routers may use at most one primary at a time.
 pub(super) fn check_primaries(edge: &Edge, now: f64) {
     let usable: HashSet<(&str, u64)> = edge
         .routers
@@ -153,7 +156,7 @@
     );
 }
 
-/// No more than one control machine may act.
+/// Checks that at most one control machine may act.
 pub(super) fn check_acting_machines(control: &ControlCluster, now: f64) {
     let may_act = |machine: &&ControlMachine| {
         let controller = machine.controller.as_ref();
