--- a/crates/testing/simulation/src/days.rs
+++ b/crates/testing/simulation/src/days.rs
@@ -1,15 +1,15 @@
-//! Days for the users' bench, drawn from a seed: several faults on the same machine within the same
-//! second.
+//! Generates days from seeds. A day is a scenario for the users' bench with several faults on the
+//! same machine within the same second.
 //!
-//! A day that mixes faults at random seldom meets the moment that a mechanism of the control side
-//! depends on. The days drawn here consist of a few *moments* instead. Within half a second of a
-//! moment several faults strike, mostly the leader, while configuration changes of two operators
-//! are under way all day long. Further losses stand right behind the first one: the bench makes an
-//! entry wait until the fault budget allows it, so that each of them strikes as soon as the time to
-//! catch up after the one before is over.
+//! A scenario that mixes faults uniformly at random rarely hits the critical moment of a mechanism
+//! in the control machines. The days generated here therefore consist of a few *moments*. Within
+//! half a second around a moment several faults occur, mostly on the leader, while two operators
+//! change the configuration throughout the day. Further losses are scheduled immediately after the
+//! first one: the bench delays an entry until the fault budget allows it, so each of these losses
+//! occurs as soon as the machines have caught up after the previous one.
 //!
-//! The order of draws and the texts of entries decide what a seed means: reports name days by their
-//! seeds, so neither changes. Nothing here uses the simulation.
+//! Reports identify days by their seeds. The order of draws and the texts of entries determine the
+//! day of a seed, so neither may change. Nothing here uses the simulation.
 
 mod concurrent_faults;
 mod entry;
@@ -25,17 +25,17 @@
 use random::{happens, number, pick};
 use std::fmt;
 
-/// Traffic lasts for so many seconds; nothing is drawn for the last ones, so that what is left
-/// behind shows.
-pub const LENGTH_S: f64 = 34.0;
+/// The duration of the traffic, in seconds. No faults are drawn for the last seconds, so that
+/// lasting effects of earlier faults become visible.
+pub const TRAFFIC_DURATION_S: f64 = 34.0;
 
-/// The last second in which a fault of the day may begin.
+/// The second of the day by which all faults must have begun.
 const LAST_START_S: f64 = 29.0;
 
-/// No fault begins earlier: all machines are in contact by then.
+/// The earliest second of the day for the faults of a moment: all machines are in contact by then.
 const FIRST_START_S: f64 = 4.0;
 
-/// All faults of one moment begin within so many seconds.
+/// The span within which the concurrent faults of one moment begin, in seconds.
 const MOMENT_SPAN_S: f64 = 0.5;
 
 /// The deployments for which days are drawn; they differ in the kinds of faults and in the fault
@@ -51,7 +51,7 @@
 }
 
 impl Site {
-    /// How many control machines may be lost at once.
+    /// Returns the maximum number of control machines that may be lost at the same time.
     pub fn fault_budget(self) -> u64 {
         match self {
             Site::Small | Site::Control => 1,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A day. Its `Display` form is the file that the bench reads.
+/// A scenario for the bench. Its `Display` form is the file that the bench reads.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Day {
     site: Site,
@@ -71,7 +71,7 @@
 }
 
 impl Day {
-    /// The day of this seed; the same seed always draws the same day.
+    /// Draws the day of this seed. Equal seeds always give equal days.
     pub fn draw(site: Site, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let mut day = Day {
@@ -90,22 +90,22 @@
         day
     }
 
-    /// Planned work, in order of time.
+    /// Returns the planned work, in order of time.
     pub fn plan(&self) -> &[Entry] {
         &self.plan
     }
 
-    /// Faults, in order of time.
+    /// Returns the faults, in order of time.
     pub fn faults(&self) -> &[Entry] {
         &self.faults
     }
 
-    /// Pairs of configuration changes all day long; often many, at times with many routes, or with
-    /// acknowledgements that are lost.
+    /// Draws pairs of concurrent configuration changes throughout the day. Some days also get
+    /// changes of a large configuration, lost acknowledgements, or a turnover of the seed nodes.
     fn draw_config_changes(&mut self, rng: &mut Rng) {
         let gap = pick(rng, &[0.15, 0.3, 0.5, 0.5, 1.0]);
         let start = number(rng, 2.0, 6.0);
-        let pairs = ((LENGTH_S - start) / gap) as u64;
+        let pairs = ((TRAFFIC_DURATION_S - start) / gap) as u64;
         self.plan.push(
             Entry::new(start, "config_race")
                 .count(pairs)
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Several faults within half a second, and the losses that come as soon as the budget allows
-    /// them.
+    /// Draws the entries of one moment: losses, each of which occurs as soon as the budget allows
+    /// it, concurrent faults, and possibly planned work and a loss of all control machines.
     fn draw_moment(&mut self, rng: &mut Rng, moment: f64) {
         let losses = rng.u64(1..=3);
         for index in 0..losses {
@@ -177,7 +177,7 @@
     writeln!(f, "]")
 }
 
-/// Two or three moments, far enough from each other for a loss to be over.
+/// Draws two or three moments, far enough apart for a loss of one to be over before the next.
 fn draw_moments(rng: &mut Rng) -> Vec<f64> {
     let mut moments = Vec::new();
     let mut at = number(rng, FIRST_START_S + 1.0, 13.0);
@@ -188,7 +188,7 @@
     moments
 }
 
-/// What strikes at the end; nothing on one day of six.
+/// Draws the fault at the end of the day; one day in six has none.
 fn draw_closing_fault(rng: &mut Rng) -> Option<ClosingFault> {
     let kind = pick(
         rng,
--- a/crates/testing/simulation/src/days/concurrent_faults.rs
+++ b/crates/testing/simulation/src/days/concurrent_faults.rs
@@ -1,10 +1,10 @@
-//! Faults that strike in the same second as a loss of a control machine.
+//! Faults that begin within the same second as a loss of a control machine.
 
 use super::random::{number, pick};
 use super::{Entry, Site};
 use fastrand::Rng;
 
-/// A fault that the fault budget doesn't bound.
+/// A fault that the fault budget does not limit.
 #[derive(Clone, Copy)]
 enum ConcurrentFault {
     ControlConnectionResets,
@@ -22,9 +22,9 @@
     FalseHealthChecks,
 }
 
-/// A fault that begins in that second.
+/// Draws a fault that begins at the second `at`.
 pub(super) fn draw(rng: &mut Rng, at: f64, site: Site) -> Entry {
-    let mut among = vec![
+    let mut candidates = vec![
         ConcurrentFault::ControlConnectionResets,
         ConcurrentFault::ControlConnectionResets,
         ConcurrentFault::AllConnectionResets,
@@ -40,16 +40,17 @@
         ConcurrentFault::ServerPartitions,
     ];
     if site == Site::Grown {
-        among.extend([
+        candidates.extend([
             ConcurrentFault::FlappingServers,
             ConcurrentFault::FalseHealthChecks,
         ]);
     }
-    let fault = pick(rng, &among);
+    let fault = pick(rng, &candidates);
     entry(rng, at, fault)
 }
 
-/// The entry of a fault. How long it lasts is drawn for every kind, also where it has no length.
+/// Returns the entry of a fault. Draws a duration for every kind of fault, even for kinds that have
+/// none; omitting that draw would change the days of existing seeds.
 fn entry(rng: &mut Rng, at: f64, fault: ConcurrentFault) -> Entry {
     let seconds = number(rng, 1.0, 6.0);
     match fault {
--- a/crates/testing/simulation/src/days/entry.rs
+++ b/crates/testing/simulation/src/days/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of a day, in the form that the bench reads.
+//! The entries of a day, in the format that the bench reads.
 
 use std::fmt;
 
@@ -20,7 +20,8 @@
     }
 }
 
-/// One fault, or one planned work, and when it begins. Kinds, fields and words are the bench's.
+/// A fault or a piece of planned work, and the time at which it begins. The bench defines the names
+/// of kinds and fields, and the words in their values.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     at: f64,
@@ -29,7 +30,7 @@
 }
 
 impl Entry {
-    /// An entry without fields.
+    /// Creates an entry without fields.
     pub(super) fn new(at: f64, kind: &'static str) -> Self {
         Entry {
             at,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Strikes so many control machines.
+    /// Applies the entry to this number of control machines.
     pub(super) fn on_control(self, count: u64) -> Self {
         self.text("on", "core").count(count)
     }
@@ -57,7 +58,7 @@
         self.number("for_s", seconds)
     }
 
-    /// Leaves the field out where the text is empty.
+    /// Adds a text field, unless the text is empty.
     pub(super) fn text(mut self, field: &'static str, text: impl Into<String>) -> Self {
         let text = text.into();
         if !text.is_empty() {
@@ -66,17 +67,17 @@
         self
     }
 
-    /// The bench's words for the variant of a kind.
+    /// Adds the field that selects the variant of the kind, in the bench's words.
     pub(super) fn how(self, how: impl Into<String>) -> Self {
         self.text("how", how)
     }
 
-    /// The second in which it begins, from the start of traffic.
+    /// Returns the second at which the entry begins, counted from the start of traffic.
     pub fn at(&self) -> f64 {
         self.at
     }
 
-    /// The kind, as the bench names it.
+    /// Returns the kind, as the bench names it.
     pub fn kind(&self) -> &'static str {
         self.kind
     }
@@ -92,7 +93,7 @@
     }
 }
 
-/// What strikes at the end of a day, right after one more configuration was acknowledged.
+/// The fault at the end of a day, immediately after one more configuration was acknowledged.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct ClosingFault {
     pub(super) kind: &'static str,
--- a/crates/testing/simulation/src/days/losses.rs
+++ b/crates/testing/simulation/src/days/losses.rs
@@ -4,7 +4,7 @@
 use super::{Entry, Site};
 use fastrand::Rng;
 
-/// Losses of control machines, which the fault budget bounds.
+/// A loss of control machines, which the fault budget limits.
 #[derive(Clone, Copy)]
 enum MachineLoss {
     Kill,
@@ -18,7 +18,7 @@
     DiskSlow,
 }
 
-/// What a loss is drawn from; what stands there twice is twice as likely.
+/// The losses to draw from. A loss that is listed twice is twice as likely.
 const LOSSES: [MachineLoss; 13] = [
     MachineLoss::Kill,
     MachineLoss::Freeze,
@@ -35,7 +35,7 @@
     MachineLoss::DiskSlow,
 ];
 
-/// The bench's words for what a partition is between.
+/// The bench's words for the sides and the type of a partition.
 const PARTITION_SIDES: [&str; 16] = [
     "",
     "",
@@ -55,7 +55,7 @@
     "oldest",
 ];
 
-/// A loss of control machines, most often of the leader's.
+/// Draws a loss of control machines, most often of the leader.
 pub(super) fn draw(rng: &mut Rng, at: f64, site: Site) -> Entry {
     let kind = pick(rng, &LOSSES);
     let count = rng.u64(1..=site.fault_budget());
@@ -104,7 +104,8 @@
     }
 }
 
-/// A partition within the control machines; of three, one lasts for twenty seconds or so.
+/// Draws a partition between control machines. About one in three lasts for 15 to 22 s, the others
+/// for at most 6 s.
 fn partition(rng: &mut Rng, at: f64, count: u64) -> Entry {
     let seconds = if happens(rng, 0.33) {
         number(rng, 15.0, 22.0)
@@ -126,7 +127,7 @@
         .how(target(rng))
 }
 
-/// All control machines at once, which no budget bounds.
+/// Draws a loss of all control machines at once, which the fault budget does not limit.
 pub(super) fn draw_of_all(rng: &mut Rng, at: f64) -> Entry {
     let how = pick(rng, &["", "", "power", "off", "taken", "taken all"]);
     Entry::new(at, "herd_kill")
@@ -135,7 +136,7 @@
         .how(how)
 }
 
-/// Which machine is struck.
+/// Draws the target of a loss: the leader in four of seven cases.
 fn target(rng: &mut Rng) -> String {
     pick(
         rng,
@@ -144,14 +145,14 @@
     .to_owned()
 }
 
-/// What is sent to that machine when it returns, and during a partition.
+/// Draws the requests that the lost machine receives when it returns, and during a partition.
 fn concurrent_work(rng: &mut Rng) -> String {
     let changes = pick(rng, &["", "meet", "race", "race", "hard"]);
     let servers = pick(rng, &["", "", "drain"]);
     join_words(&[changes, servers])
 }
 
-/// The words that aren't empty, with a blank between them.
+/// Joins the non-empty words with spaces.
 fn join_words(words: &[&str]) -> String {
     let words: Vec<&str> = words
         .iter()
--- a/crates/testing/simulation/src/days/planned_work.rs
+++ b/crates/testing/simulation/src/days/planned_work.rs
@@ -1,10 +1,10 @@
-//! Planned work.
+//! Planned work during a day.
 
 use super::Entry;
 use super::random::{number, pick};
 use fastrand::Rng;
 
-/// Planned work that goes on while the losses of a moment strike.
+/// Draws planned work that is in progress while the losses of a moment occur.
 pub(super) fn draw(rng: &mut Rng, at: f64) -> Entry {
     match rng.u8(0..7) {
         0 | 1 => Entry::new(at, "release").how("primary"),
--- a/crates/testing/simulation/src/tests/days.rs
+++ b/crates/testing/simulation/src/tests/days.rs
@@ -1,6 +1,6 @@
 //! Drawn days: the same seed draws the same day, and the bench can read it.
 
-use crate::days::{Day, LENGTH_S, Site};
+use crate::days::{Day, Site, TRAFFIC_DURATION_S};
 use clap::ValueEnum;
 use std::collections::HashSet;
 
@@ -97,7 +97,7 @@
                 assert!(
                     entries
                         .iter()
-                        .all(|e| e.at() >= 1.0 && e.at() < LENGTH_S - 3.0),
+                        .all(|e| e.at() >= 1.0 && e.at() < TRAFFIC_DURATION_S - 3.0),
                     "{day}"
                 );
             }
