--- a/crates/testing/simulation/src/digest.rs
+++ b/crates/testing/simulation/src/digest.rs
@@ -1,16 +1,19 @@
-//! The digest of a run: one number for all that it decided and when.
+//! The digest of a run: a hash of all decisions of the run and of their times.
 //!
-//! It is fed with numbers and bytes that the decisions settle on: times, leaders, terms, epochs,
-//! states. Nothing in it is the name or the text of a type, a variant or an event, so renaming code
-//! leaves it as it is. It draws nothing and changes no event.
+//! It hashes the numbers and bytes that result from decisions: times, leaders, terms, epochs and
+//! states. It contains no names or texts of types, variants or events, so renaming code does not
+//! change it. Computing it draws no random numbers and changes no event.
 
 use std::fmt;
 
-/// FNV-1a with 64 bits.
+/// The offset basis of 64-bit FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+
+/// The prime of 64-bit FNV-1a.
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// The kinds of entries, as numbers that never change their meaning.
+/// The kinds of entries in a digest. The numbers never change their meaning, so that digests stay
+/// comparable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 pub(crate) enum EntryKind {
@@ -27,7 +30,7 @@
     End = 11,
 }
 
-/// A hash that runs along with a run.
+/// The 64-bit FNV-1a hash of a run, updated with each decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunDigest(u64);
 
@@ -38,7 +41,8 @@
 }
 
 impl RunDigest {
-    /// Adds bytes with their length, so that two texts in a row differ from another split of them.
+    /// Adds bytes and their length, so that two consecutive texts give another digest than the same
+    /// bytes split at another place.
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         self.raw(bytes);
@@ -49,7 +53,7 @@
         self.raw(&number.to_le_bytes());
     }
 
-    /// Adds a time, to its last bit.
+    /// Adds a time with all its bits.
     pub fn time(&mut self, seconds: f64) {
         self.number(seconds.to_bits());
     }
--- a/crates/testing/simulation/src/health.rs
+++ b/crates/testing/simulation/src/health.rs
@@ -1,12 +1,11 @@
-//! Whether a machine or a server answers.
-
+//! The health of a machine or a server.
 /// Whether a machine or a server answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It works.
+    /// It works and answers.
     Up,
-    /// The process has ended: connections are refused.
+    /// Its process has ended; connections are refused.
     Down,
-    /// Nothing comes back, and nothing is done.
+    /// It hangs or has no power: it neither processes nor answers anything.
     Unresponsive,
 }
--- a/crates/testing/simulation/src/requests.rs
+++ b/crates/testing/simulation/src/requests.rs
@@ -1,20 +1,20 @@
-//! Requests to control machines that wait for a response.
+//! Pending requests to control machines.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Requests of operators and servers are numbered from here on; tests number theirs below.
-const FIRST_REQUEST_ID: u64 = 1 << 32;
+/// The ids of requests from operators and servers are above this bound; tests use ids below it.
+const REQUEST_ID_BASE: u64 = 1 << 32;
 
-/// Who waits for a response.
+/// The component that waits for a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Requester {
-    /// The operator of this index.
+    /// The operator with this index.
     Operator(usize),
     /// The server with this id.
     Server(String),
 }
 
-/// The requests of operators and servers under way.
+/// The pending requests of operators and servers.
 #[derive(Clone)]
 pub(crate) struct Requests {
     last_id: u64,
@@ -24,21 +24,21 @@
 impl Default for Requests {
     fn default() -> Requests {
         Requests {
-            last_id: FIRST_REQUEST_ID,
+            last_id: REQUEST_ID_BASE,
             requesters: HashMap::new(),
         }
     }
 }
 
 impl Requests {
-    /// The number of a new request.
+    /// Registers a new request and returns its id.
     pub(crate) fn register(&mut self, requester: Requester) -> u64 {
         self.last_id += 1;
         self.requesters.insert(self.last_id, requester);
         self.last_id
     }
 
-    /// Who waits for the response to this request; `None` for a request of a test.
+    /// Removes a request and returns its requester; `None` for a request of a test.
     pub(crate) fn complete(&mut self, request_id: u64) -> Option<Requester> {
         self.requesters.remove(&request_id)
     }
@@ -47,11 +47,11 @@
 /// The response to a request of a test.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status, as in HTTP.
+    /// The HTTP status.
     pub status: u16,
-    /// The body.
+    /// The body of the response.
     pub body: Vec<u8>,
 }
 
-/// The responses to a test's requests, by the requests' numbers.
+/// The responses to a test's requests, by request id.
 pub type Responses = BTreeMap<u64, Response>;
