--- a/crates/testing/simulation/src/event.rs
+++ b/crates/testing/simulation/src/event.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, grouped by the part that handles them.
+//! The events of the simulation, grouped by the component that handles them.
 
 use crate::control::PeerEnvelope;
 use crate::service::LogEntry;
@@ -7,16 +7,16 @@
     ServerCommand,
 };
 
-/// A process of a control machine: an event for an earlier incarnation is dropped.
+/// A process of a control machine. Events for an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Process {
-    /// The machine.
+    /// The machine on which the process runs.
     pub node: NodeId,
     /// The number of the process, drawn when it starts.
     pub incarnation: u64,
 }
 
-/// Anything that is scheduled.
+/// An event that can be scheduled.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// For a control machine.
@@ -33,14 +33,14 @@
     Oracle(OracleEvent),
 }
 
-/// For a control machine.
+/// An event for a control machine.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// The process's timer.
+    /// The process's timer fires.
     Tick(Process),
-    /// A message of another control machine arrives.
+    /// A message from another control machine arrives.
     PeerMessageArrived(PeerEnvelope),
-    /// A new connection to another control machine is open.
+    /// A process has opened a new connection to another control machine.
     PeerConnected {
         /// The process that opened it.
         process: Process,
@@ -49,26 +49,26 @@
     },
     /// The disk has written the hard state.
     PersistCompleted(Process),
-    /// A disk that rejected a write is tried again.
+    /// The process tries to reopen a disk that rejected a write.
     ReopenDisk(Process),
-    /// A request of an operator arrives.
+    /// A request from an operator arrives.
     RequestArrived {
-        /// The machine it was sent to, whichever process runs there.
+        /// The machine to which the request was sent; whichever process runs there handles it.
         node: NodeId,
         /// The number of the request.
         request_id: u64,
         /// The request.
         request: ControlRequest,
     },
-    /// The process gets SIGTERM.
+    /// The process receives SIGTERM.
     ShutdownRequested(NodeId),
-    /// A command to a server has its outcome.
+    /// The outcome of a command to a server is known.
     CommandCompleted {
-        /// Who sent the command.
+        /// The process that sent the command.
         process: Process,
         /// The server.
         server_id: String,
-        /// What came of it.
+        /// The outcome of the command.
         outcome: CommandOutcome,
     },
     /// A router's lease request arrives.
@@ -82,27 +82,27 @@
         /// The request.
         request: LeaseRequest,
     },
-    /// The request of a promotion is about to leave.
+    /// A promotion request is about to be sent to the platform.
     PromotionDue {
         /// The request.
         promotion: PromotionCall,
-        /// The second of the machine's clock from which on it must not be sent.
+        /// The deadline for sending the request, in seconds of the machine's clock.
         deadline: f64,
     },
-    /// The request of a promotion has its outcome.
+    /// The outcome of a promotion request is known.
     PromotionCompleted {
-        /// Who sent the request.
+        /// The process that sent the request.
         process: Process,
         /// The server to promote.
         server_id: String,
-        /// What came of it.
+        /// The outcome of the request.
         outcome: PromotionOutcome,
     },
 }
 
 impl ControlEvent {
-    /// The machine that takes the event in, and the process if only that one does; `None` for
-    /// completions of the disk, which no standstill of the process holds up.
+    /// Returns the machine or process that handles the event. Returns `None` for disk events, which
+    /// a stalled process does not delay.
     pub(crate) fn addressee(&self) -> Option<Addressee> {
         match self {
             ControlEvent::PersistCompleted(_) | ControlEvent::ReopenDisk(_) => None,
@@ -126,17 +126,17 @@
     }
 }
 
-/// Who takes a [`ControlEvent`] in.
+/// The machine or process that handles a [`ControlEvent`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Addressee {
     /// Whichever process runs on the machine.
     Machine(NodeId),
-    /// This process alone.
+    /// Only this process.
     Process(Process),
 }
 
 impl Addressee {
-    /// The machine.
+    /// Returns the machine.
     pub(crate) fn node(self) -> NodeId {
         match self {
             Addressee::Machine(node) => node,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether a process of this incarnation takes the event in.
+    /// Returns whether a process of this incarnation handles the event.
     pub(crate) fn accepts(self, incarnation: u64) -> bool {
         match self {
             Addressee::Machine(_) => true,
@@ -153,23 +153,23 @@
     }
 }
 
-/// A command of a control machine on its way to a server.
+/// A control machine's command in transit to a server.
 #[derive(Clone, Debug)]
 pub struct CommandCall {
-    /// Who sent it.
+    /// The process that sent the command.
     pub process: Process,
     /// The server.
     pub server_id: String,
     /// The command.
     pub command: ServerCommand,
-    /// When it was sent, in seconds of the sender's clock.
+    /// The time of sending, in seconds of the sender's clock.
     pub sent_at: f64,
 }
 
 /// A control machine's request to the platform to promote a server.
 #[derive(Clone, Debug)]
 pub struct PromotionCall {
-    /// Who sends it.
+    /// The process that sends the request.
     pub process: Process,
     /// The server to promote.
     pub server_id: String,
@@ -177,40 +177,41 @@
     pub fencing_token: u64,
 }
 
-/// What a statement does.
+/// The kind of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// It commits something.
+    /// A write, which commits.
     Write,
-    /// It reads.
+    /// A read.
     Read,
 }
 
-/// A statement on its way to a server.
+/// A statement in transit to a server.
 #[derive(Clone, Debug)]
 pub struct Statement {
     /// The index of the router that sent it.
     pub router: usize,
     /// The server.
     pub server_id: String,
-    /// What it does.
+    /// The kind of the statement.
     pub kind: StatementKind,
-    /// How many commits had been acknowledged when it was sent: a read must see them.
+    /// The number of commits that had been acknowledged when the statement was sent. A read must
+    /// see all of them.
     pub acknowledged_before: usize,
-    /// When it was sent, in seconds of simulated time.
+    /// The time of sending, in seconds of simulated time.
     pub sent_at: f64,
 }
 
-/// For a database server.
+/// An event for a database server.
 #[derive(Clone, Debug)]
 pub enum ServerEvent {
-    /// The server sends its next heartbeat to some control machine.
+    /// The server's next heartbeat to a control machine is due.
     HeartbeatDue(String),
-    /// A command of a control machine arrives.
+    /// A command from a control machine arrives.
     CommandArrived(CommandCall),
-    /// A statement of a router arrives.
+    /// A statement from a router arrives.
     StatementArrived(Statement),
-    /// All primaries send their logs to the other servers.
+    /// All primaries are due to send their logs to the other servers.
     ReplicationDue,
     /// A primary's log arrives at a replica.
     AppendArrived {
@@ -220,14 +221,14 @@
         replica: String,
         /// The primary's term.
         primary_term: u64,
-        /// The complete log.
+        /// The primary's complete log.
         log: Vec<LogEntry>,
     },
     /// A replica's acknowledgement arrives at the primary.
     AppendAcknowledged {
         /// The primary.
         primary: String,
-        /// Its term when it sent the log.
+        /// The primary's term when it sent the log.
         primary_term: u64,
         /// The length of the log that was appended.
         length: usize,
@@ -243,23 +244,23 @@
     },
 }
 
-/// For a router.
+/// An event for a router.
 #[derive(Clone, Debug)]
 pub enum RouterEvent {
-    /// The router's timer.
+    /// The router's timer fires.
     Tick(usize),
-    /// A message of a control machine arrives.
+    /// A message from a control machine arrives.
     MessageArrived {
         /// The index of the router.
         router: usize,
-        /// The connection it was sent on.
+        /// The connection on which the message was sent.
         connection: u64,
         /// The message.
         message: RouterMessage,
     },
-    /// The router sends its next statement.
+    /// The router's next statement is due.
     StatementDue(usize),
-    /// The answer of a server arrives.
+    /// An answer from a server arrives.
     AnswerArrived {
         /// The index of the router.
         router: usize,
@@ -268,24 +269,24 @@
     },
 }
 
-/// For the platform.
+/// An event for the platform.
 #[derive(Clone, Debug)]
 pub enum PlatformEvent {
     /// A request to promote a server arrives.
     PromotionRequestArrived(PromotionCall),
 }
 
-/// For an operator.
+/// An event for an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorEvent {
-    /// The operator of this index looks for something to do.
+    /// The next action of the operator with this index is due.
     ActionDue(usize),
 }
 
-/// For the oracle.
+/// An event for the oracle.
 #[derive(Clone, Debug)]
 pub enum OracleEvent {
-    /// The periodic check that control does its work.
+    /// The periodic liveness check is due.
     LivenessCheckDue,
 }
 
--- a/crates/testing/simulation/src/observer.rs
+++ b/crates/testing/simulation/src/observer.rs
@@ -1,4 +1,4 @@
-//! What of the parts' states goes into the digest of a run.
+//! Selects the parts of the components' states that enter the digest of a run.
 
 use crate::control::ControlCluster;
 use crate::digest::{EntryKind, RunDigest};
@@ -15,7 +15,7 @@
     primary_term: u64,
 }
 
-/// Records who leads and which primary each router may use, where that has changed.
+/// Records in the digest each change of the leader and of the primary that each router may use.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeObserver {
     leader: Option<NodeId>,
@@ -62,12 +62,12 @@
     kernel.digest.bytes(server_id.as_bytes());
 }
 
-/// 0 stands for nobody.
+/// Returns the machine's number, or 0 for no machine.
 fn node_number(node: Option<NodeId>) -> u64 {
     node.map_or(0, u64::from)
 }
 
-/// The digest of a run so far: what was recorded on the way, and the parts' states now.
+/// Returns the digest of the run so far, extended by the components' current states.
 pub(crate) fn final_digest(
     kernel: &Kernel,
     control: &ControlCluster,
@@ -90,7 +90,7 @@
     }
     digest.number(service.acknowledged_commits.len() as u64);
     digest.number(service.promotions.len() as u64);
-    // How often the random source was asked shows in what it would give next.
+    // The next random number depends on the number of draws so far, so it represents that number.
     digest.number(kernel.random.clone().below(u64::MAX));
     digest
 }
--- a/crates/testing/simulation/src/operators.rs
+++ b/crates/testing/simulation/src/operators.rs
@@ -1,7 +1,8 @@
-//! Operators that change the configuration at once, and send again what had no clear response.
+//! Operators that change the configuration concurrently, and resend requests that received no
+//! conclusive response.
 //!
-//! [`Operators`] owns what each of them knows and all configuration changes that were ever sent. It
-//! says what a response means; the oracle judges that.
+//! [`Operators`] owns the state of each operator and all configuration changes that were ever sent.
+//! It interprets responses; the oracle checks whether they are correct.
 
 use crate::control::ControlCluster;
 use crate::event::{ControlEvent, OperatorEvent};
@@ -10,32 +11,32 @@
 use badgerstream_control::{ControlRequest, ControlResponse, NodeId};
 use std::rc::Rc;
 
-/// An operator goes on to another machine after so many seconds without a response.
+/// The timeout after which an operator sends its request to another machine, in seconds.
 const RESPONSE_TIMEOUT_S: f64 = 1.0;
 
-/// An operator looks for something to do this often, in seconds.
+/// The interval between an operator's actions, in seconds.
 const ACTION_INTERVAL_S: f64 = 0.05;
 
-/// An operator with nothing to do sends an acknowledged change again this often.
+/// The probability that an idle operator resends an acknowledged change, in thousandths.
 const RESENDS_PER_MILLE: u64 = 150;
 
-/// An operator with nothing to do reads the configuration this often.
+/// The probability that an idle operator reads the configuration, in thousandths.
 const READS_PER_MILLE: u64 = 200;
 
-/// Routes of a configuration.
+/// The number of routes in a configuration.
 const ROUTE_COUNT: usize = 12;
 
-/// What a configuration text begins with.
+/// The beginning of every configuration text; the epoch follows.
 const EPOCH_PREFIX: &str = "{\"epoch\":";
 
-/// What is known of a configuration change.
+/// The known outcome of a configuration change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// No clear response yet.
+    /// No conclusive response has arrived yet.
     Pending,
-    /// It was acknowledged.
+    /// The change was acknowledged.
     Acknowledged,
-    /// It was rejected.
+    /// The change was rejected.
     Rejected,
 }
 
@@ -44,17 +45,17 @@
 pub struct ConfigChange {
     /// The epoch of the configuration that it replaces.
     pub base_epoch: u64,
-    /// Its own epoch.
+    /// The epoch of the new configuration.
     pub epoch: u64,
-    /// Its text.
+    /// The text of the new configuration.
     pub body: Rc<[u8]>,
-    /// What became of it.
+    /// The known outcome of the change.
     pub outcome: ChangeOutcome,
-    /// When it was first acknowledged, in seconds of simulated time; infinite before.
+    /// The time of the first acknowledgement, in seconds of simulated time; infinite before it.
     pub acknowledged_at: f64,
 }
 
-/// What an operator wants; a change is named by its index.
+/// The current task of an operator. A change is identified by its index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OperatorTask {
     Change(usize),
@@ -75,9 +76,9 @@
     known_epoch: u64,
     task: Option<OperatorTask>,
     pending_request: Option<PendingRequest>,
-    /// It must read the epoch before it sends another change.
+    /// Whether the operator must read the epoch before it sends another change.
     must_read: bool,
-    /// The machine that the last request went to: the next one goes to another.
+    /// The machine that received the last request; the next request goes to another one.
     last_node: Option<NodeId>,
 }
 
@@ -93,14 +94,14 @@
     }
 }
 
-/// What a clear response tells; a change is named by its index.
+/// The meaning of a conclusive response. A change is identified by its index.
 #[derive(Clone, Debug)]
 pub(crate) enum Observation {
     /// The change was acknowledged.
     Acknowledged { change: usize },
     /// The change was rejected with this status.
     Rejected { change: usize, status: u16 },
-    /// This configuration was read, by a request made at `since` at the earliest.
+    /// This configuration was read by a task that began at `since`.
     Read { since: f64, body: Rc<[u8]> },
 }
 
@@ -110,17 +111,17 @@
     operators: Vec<Operator>,
     /// All configuration changes, in the order in which they were first sent.
     pub config_changes: Vec<ConfigChange>,
-    /// Of the responses so many are lost.
+    /// The probability that a response is lost, in thousandths.
     pub responses_lost_per_mille: u64,
 }
 
 impl Operators {
-    /// Whether there are none.
+    /// Returns whether there are no operators.
     pub(crate) fn is_empty(&self) -> bool {
         self.operators.is_empty()
     }
 
-    /// Adds an operator, who begins half a second later.
+    /// Adds an operator, which begins its work after at least half a second.
     pub(crate) fn add_operator(&mut self, kernel: &mut Kernel) {
         let index = self.operators.len();
         self.operators.push(Operator::default());
@@ -128,7 +129,8 @@
         kernel.schedule(delay, OperatorEvent::ActionDue(index));
     }
 
-    /// An operator looks for something to do.
+    /// Performs an operator's next action: it waits for a response, or sends a request for its
+    /// current task or a new one.
     pub(crate) fn action_due(
         &mut self,
         kernel: &mut Kernel,
@@ -162,7 +164,7 @@
         task: OperatorTask,
         node: NodeId,
     ) {
-        kernel.trace(|| format!("operator {index} asks control {node} for {task:?}"));
+        kernel.trace(|| format!("operator {index} sends {task:?} to control {node}"));
         let request_id = requests.register(Requester::Operator(index));
         let operator = &mut self.operators[index];
         operator.last_node = Some(node);
@@ -216,7 +218,7 @@
 
     fn new_change(&mut self, kernel: &mut Kernel, index: usize) -> OperatorTask {
         let base_epoch = self.operators[index].known_epoch;
-        // Two operators may pick the same epoch.
+        // Two operators may choose the same epoch.
         let epoch = base_epoch + 1 + kernel.random.below(3);
         let change = self.config_changes.len();
         self.config_changes.push(ConfigChange {
@@ -229,7 +231,7 @@
         OperatorTask::Change(change)
     }
 
-    /// A response arrives. Returns what a clear one tells.
+    /// Handles a response that has arrived. Returns its meaning if it is conclusive.
     pub(crate) fn response_arrived(
         &mut self,
         kernel: &Kernel,
@@ -238,7 +240,7 @@
         response: &ControlResponse,
     ) -> Option<Observation> {
         let operator = &mut self.operators[index];
-        // A late response to a request that was given up is ignored.
+        // Ignores late responses to requests that have timed out.
         let pending = operator.pending_request?;
         if pending.id != request_id {
             return None;
@@ -246,7 +248,7 @@
         operator.pending_request = None;
         let task = operator.task?;
         let status = response.status;
-        kernel.trace(|| format!("operator {index} hears {status} to {task:?}"));
+        kernel.trace(|| format!("operator {index} receives status {status} for {task:?}"));
         match (task, status) {
             (OperatorTask::Change(change), 200) => {
                 let epoch = self.config_changes[change].epoch;
@@ -266,13 +268,13 @@
                 let body = response.body.clone();
                 Some(Observation::Read { since, body })
             }
-            // No clear response: the same again, at another machine.
+            // The response is not conclusive: the operator repeats the task at another machine.
             _ => None,
         }
     }
 }
 
-/// A machine of the list that operators have: any that was not removed, but for the last one.
+/// Draws a machine for the next request: any that was not removed, except the last one.
 fn choose_machine(
     kernel: &mut Kernel,
     control: &ControlCluster,
@@ -286,12 +288,13 @@
     kernel.random.pick(&listed)
 }
 
-/// A configuration as far as control reads it: a text that begins with its epoch.
+/// Returns a configuration text that begins with its epoch, the only part that the control machines
+/// read.
 fn config_text(epoch: u64, operator: usize, change: usize) -> Rc<[u8]> {
     let routes: Vec<String> = (0..ROUTE_COUNT)
         .map(|route| format!("{{\"name\":\"r{route}\",\"rank\":1}}"))
         .collect();
-    // The digests of runs hold this text: its keys stay.
+    // The digests of runs include this text, so its keys must not change.
     let text = format!(
         "{EPOCH_PREFIX}{epoch},\"operator\":{operator},\"order\":{change},\"routes\":[{}]}}",
         routes.join(",")
@@ -299,7 +302,7 @@
     text.into_bytes().into()
 }
 
-/// The epoch that such a text begins with; 0 if it doesn't.
+/// Returns the epoch at the beginning of a configuration text; 0 if there is none.
 pub(crate) fn config_epoch(text: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(text);
     let number = text
--- a/crates/testing/simulation/src/platform.rs
+++ b/crates/testing/simulation/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform that promotes servers when a control machine asks it.
+//! The platform, which promotes servers at the request of a control machine.
 
 use crate::digest::EntryKind;
 use crate::event::{ControlEvent, PromotionCall, ServerEvent};
@@ -7,7 +7,7 @@
 use badgerstream_control::PromotionOutcome;
 use std::collections::VecDeque;
 
-/// A request whose answer is lost has an unknown outcome after so many seconds.
+/// The timeout of a request whose answer is lost, in seconds. Its outcome is then unknown.
 const REQUEST_TIMEOUT_S: f64 = 1.0;
 
 /// A request to promote a server, as the platform received it.
@@ -24,13 +24,14 @@
 pub struct Platform {
     /// All requests, in the order of their arrival.
     pub promotion_requests: Vec<PromotionRequest>,
-    /// Of the requests so many are carried out and their answers lost.
+    /// The probability that a request is handled but its answer is lost, in thousandths.
     pub answers_lost_per_mille: u64,
-    /// The HTTP statuses of the next answers; a scripted answer other than 200 does nothing else.
+    /// The HTTP statuses of the next answers. A request whose scripted status is not 200 has no
+    /// effect.
     pub scripted_statuses: VecDeque<u16>,
     /// Whether a request with a lower fencing token than an earlier one is rejected.
     pub checks_fencing_tokens: bool,
-    /// How long a promotion takes, in seconds.
+    /// The time from a request's arrival until the promotion takes effect, in seconds.
     pub promotion_duration_s: f64,
     highest_fencing_token: u64,
 }
@@ -49,7 +50,7 @@
 }
 
 impl Platform {
-    /// A request to promote a server arrives.
+    /// Handles a request to promote a server that has arrived.
     pub(crate) fn promotion_request_arrived(
         &mut self,
         kernel: &mut Kernel,
@@ -57,7 +58,7 @@
         call: PromotionCall,
     ) {
         let delay = kernel.message_delay();
-        self.note_request(kernel, &call);
+        self.record_request(kernel, &call);
         let status = self.status(service, &call);
         if status == 200 {
             self.highest_fencing_token = self.highest_fencing_token.max(call.fencing_token);
@@ -78,9 +79,11 @@
         }
     }
 
-    fn note_request(&mut self, kernel: &mut Kernel, call: &PromotionCall) {
+    fn record_request(&mut self, kernel: &mut Kernel, call: &PromotionCall) {
         let (node, id, token) = (call.process.node, &call.server_id, call.fencing_token);
-        kernel.trace(|| format!("platform: control {node} promotes {id} under {token}"));
+        kernel.trace(|| {
+            format!("platform: control {node} requests promotion of {id}, fencing token {token}")
+        });
         kernel.record(EntryKind::PromotionRequested, &[u64::from(node), token]);
         kernel.digest.bytes(id.as_bytes());
         self.promotion_requests.push(PromotionRequest {
@@ -89,7 +92,7 @@
         });
     }
 
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     fn status(&mut self, service: &Service, call: &PromotionCall) -> u16 {
         if let Some(scripted) = self.scripted_statuses.pop_front() {
             return scripted;
