--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -1,5 +1,5 @@
-//! `badgerstream-simulate`: the control side under random faults, for as many seeds as wanted; and
-//! days for the users' bench, drawn from seeds.
+//! `badgerstream-simulate`: simulates the control machines under random faults for a range of seeds,
+//! and generates days for the users' bench from seeds.
 
 use badgerstream_simulation::days::{Day, Site};
 use badgerstream_simulation::faults::{FaultRun, LossPolicy};
@@ -7,8 +7,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-/// Machines and fault budgets, of which the seed picks one if `--machines` isn't given.
-const SIZES: [(u32, usize); 4] = [(3, 1), (5, 2), (6, 2), (4, 1)];
+/// The numbers of machines and their fault budgets. The seed selects one if `--machines` isn't
+/// given.
+const CLUSTER_SIZES: [(u32, usize); 4] = [(3, 1), (5, 2), (6, 2), (4, 1)];
 
 /// Plays the control side with random faults and checks safety and liveness.
 #[derive(Parser)]
@@ -68,11 +69,11 @@
         }
     }
 
-    /// Machines and fault budget of the run with this seed.
-    fn size(&self, seed: u64) -> (u32, usize) {
+    /// Returns the number of machines and the fault budget of the run with this seed.
+    fn cluster_size(&self, seed: u64) -> (u32, usize) {
         match self.machines {
             Some(machines) => (machines, self.budget),
-            None => SIZES[(seed % SIZES.len() as u64) as usize],
+            None => CLUSTER_SIZES[(seed % CLUSTER_SIZES.len() as u64) as usize],
         }
     }
 }
@@ -100,9 +101,10 @@
     }
 }
 
-/// Plays one run and prints what there is to say of it; false if the oracle found a violation.
+/// Plays one run and prints its digest line, if requested, or its failure. Returns whether the run
+/// completed without a panic, by which the oracle reports a violation.
 fn play_run(arguments: &Arguments, seed: u64) -> bool {
-    let (machines, budget) = arguments.size(seed);
+    let (machines, budget) = arguments.cluster_size(seed);
     let seconds = arguments.seconds;
     let mut run = FaultRun::new(seed, machines, budget, arguments.loss_policy());
     if catch_unwind(AssertUnwindSafe(|| run.play(seconds))).is_err() {
