--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -20,8 +20,8 @@
 /// The number of routers that receive configurations.
 const ROUTER_COUNT: usize = 2;
 
-/// XORed with the run's seed to derive the seed of the fault injector, so that the injector's draws
-/// differ from the simulation's.
+/// Mask that derives the fault injector's seed from the run's seed (by XOR), so that the injector's
+/// draws differ from the simulation's.
 const INJECTOR_SEED_MASK: u64 = 0x5eed;
 
 /// The mean one-way delay of a message between regions, in seconds. Runs with odd seeds use it.
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -1,5 +1,5 @@
-//! `badgerstream-simulate`: simulates the control machines under random faults for a range of seeds,
-//! and generates days for the users' bench from seeds.
+//! `badgerstream-simulate`: simulates the control machines under random faults for a range of
+//! seeds, and generates days for the users' bench from seeds.
 
 use badgerstream_simulation::days::{Day, Site};
 use badgerstream_simulation::faults::{FaultRun, LossPolicy};
