--- a/crates/testing/testbed/src/admin_api.rs
+++ b/crates/testing/testbed/src/admin_api.rs
@@ -1,6 +1,6 @@
-//! The testbed's own control endpoint, for people and scripts (`badgerstream-testbed tell`): it
-//! lists servers, prints the counts of `rule_checker`, and crashes, starts and drains servers. The
-//! system under test never calls it.
+//! The testbed's admin API, for people and scripts (`badgerstream-testbed tell`): it lists the
+//! database servers, prints the counts of `rule_checker`, and crashes, starts and drains servers.
+//! The system under test never calls it.
 
 use crate::cluster_host::{ClusterHost, ListenError, listen};
 use async_executor::LocalExecutor;
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The longest body of a request; none is used.
+/// Maximum size of a request's body; bodies are ignored.
 const MAX_BODY_BYTES: usize = 4096;
 
 struct AdminApi {
     host: Rc<ClusterHost>,
 }
 
-/// The status and text of a response.
+/// Status and body of a response.
 struct AdminResponse {
     status: u16,
     text: String,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// One line a server: its id, its address or `down`, and its row of `STATUS`.
+    /// Returns one line for each server: its id, its address or `down`, and its `STATUS` row.
     fn server_list(&self) -> String {
         let cluster = self.host.cluster.borrow();
         let line = |id: &String| {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Serves the endpoint at this address for as long as the executor runs.
+/// Serves the admin API at this address for as long as the executor runs.
 pub fn start(
     executor: &Rc<LocalExecutor<'static>>,
     host: &Rc<ClusterHost>,
--- a/crates/testing/testbed/src/child_processes.rs
+++ b/crates/testing/testbed/src/child_processes.rs
@@ -1,5 +1,5 @@
-//! Processes that this one has started. They are signalled and ended by their process ids only, and
-//! none outlives its owner: dropping [`ChildProcesses`] ends all of them.
+//! Child processes. They are signalled and terminated only by process id, and none outlives its
+//! owner: dropping [`ChildProcesses`] terminates all of them.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -8,19 +8,19 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// From SIGTERM until a process that still runs is killed: above the grace period of the settings
-/// files, 6 s, within which each ends by itself.
+/// Time from SIGTERM until a process that still runs is killed. It exceeds the grace period in the
+/// settings files (`bounds.grace_s`, 6 s), within which each process exits.
 const TERMINATION_GRACE: Duration = Duration::from_secs(7);
 
-/// How often it is looked for processes that have exited.
+/// Interval between checks for processes that have exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A child process that has exited.
 #[derive(Debug)]
 pub struct ExitedProcess {
-    /// The name it was started under.
+    /// The name that it was started with.
     pub name: String,
-    /// How it ended.
+    /// Its exit status.
     pub status: ExitStatus,
 }
 
@@ -30,14 +30,15 @@
     child: Child,
 }
 
-/// Child processes by name; those that still run are ended when this is dropped.
+/// Named child processes; those that still run are terminated on drop.
 #[derive(Debug, Default)]
 pub struct ChildProcesses {
     running: Vec<RunningProcess>,
 }
 
 impl ChildProcesses {
-    /// Starts a process whose output and errors go into `log`, a file that is written anew.
+    /// Starts a process. Its standard output and standard error go to the file `log`, which is
+    /// overwritten.
     pub fn start(
         &mut self,
         name: &str,
@@ -60,7 +61,7 @@
         Ok(())
     }
 
-    /// Takes out a process that has exited by itself, if there is one.
+    /// Removes and returns a process that has exited, if there is one.
     pub fn take_exited(&mut self) -> Option<ExitedProcess> {
         for index in 0..self.running.len() {
             if let Ok(Some(status)) = self.running[index].child.try_wait() {
@@ -71,16 +72,16 @@
         None
     }
 
-    /// Sends a signal to a process that still runs; without effect for any other name.
+    /// Sends a signal to a process; does nothing if no running process has this name.
     pub fn signal(&self, name: &str, signal: Signal) {
         let process = self.running.iter().find(|process| process.name == name);
-        // The system doesn't reuse the id before we have waited for the process.
+        // The operating system doesn't reuse a process id before its process was waited for.
         if let Some(pid) = process.and_then(|process| Pid::from_raw(process.child.id() as i32)) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills a process at once, and waits for it.
+    /// Sends SIGKILL to a process and waits until it has ended.
     pub fn kill(&mut self, name: &str) {
         if let Some(index) = self.running.iter().position(|process| process.name == name) {
             let mut process = self.running.remove(index);
@@ -89,11 +90,11 @@
         }
     }
 
-    /// Sends SIGTERM to all, waits for them, and kills those that exceed the grace period. Blocks
-    /// the thread meanwhile.
+    /// Sends SIGTERM to all processes, waits for them, and kills those that still run after
+    /// `TERMINATION_GRACE`. Blocks the thread until all have ended.
     pub fn terminate_all(&mut self) -> Vec<ExitedProcess> {
         for process in &self.running {
-            // A stopped process gets SIGTERM only once it is continued.
+            // A process stopped by SIGSTOP handles SIGTERM only after SIGCONT.
             self.signal(&process.name, Signal::TERM);
             self.signal(&process.name, Signal::CONT);
         }
--- a/crates/testing/testbed/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -1,5 +1,5 @@
-//! A client of the line protocol: one session, one statement at a time. It never reconnects nor
-//! sends a statement again.
+//! A client of the line protocol: one session that runs one statement at a time. It neither
+//! reconnects nor resends a statement.
 
 use async_io::Async;
 use badgerstream_line_protocol::{LineBuffer, ResponseLine, ResponseReader, StatementResult};
@@ -8,7 +8,7 @@
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
 
-/// One session.
+/// A session with a database.
 pub struct Client {
     stream: Async<TcpStream>,
     lines: LineBuffer,
@@ -18,22 +18,22 @@
 /// The response to one statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatementResponse {
-    /// Its lines as they were received.
+    /// Its lines, as received.
     pub text: String,
-    /// How the statement ended.
+    /// The result of the statement.
     pub result: StatementResult,
 }
 
 impl StatementResponse {
-    /// The content of the first row, if there is one.
+    /// Returns the content of the first row, if there is one.
     pub fn first_row(&self) -> Option<&str> {
         self.text.lines().find_map(|line| line.strip_prefix("ROW "))
     }
 }
 
 impl Client {
-    /// Opens a session with a database as `caller`. Each call, this one included, takes `timeout_s`
-    /// seconds at most.
+    /// Opens a session with a database as `caller`. `timeout_s` is the timeout of each call, this one
+    /// included.
     pub async fn connect(
         address: SocketAddr,
         database: &str,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sends one statement and waits for its response. After an error it is unknown whether the
-    /// statement has run, and the session can't be used any more.
+    /// Sends a statement and waits for its response. After an error it is unknown whether the
+    /// statement ran, and the session must not be used again.
     pub async fn query(&mut self, id: &str, statement: &str) -> Result<StatementResponse> {
         with_timeout(self.timeout_s, async {
             self.stream
--- a/crates/testing/testbed/src/deployment.rs
+++ b/crates/testing/testbed/src/deployment.rs
@@ -1,6 +1,6 @@
-//! A small deployment on loopback: its addresses, its services, its settings files and its first
-//! configuration. Plain data: nothing here opens a socket, and only [`Deployment::write_settings`]
-//! touches the disk.
+//! Describes a small deployment on loopback: its addresses, services, settings files and first
+//! configuration. No function here opens a socket, and only [`Deployment::write_settings`] writes
+//! files.
 
 use crate::database_cluster::{ServerSpec, ServiceSpec};
 use std::fmt::Write;
@@ -9,16 +9,16 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// How many control machines there are: the loss of one leaves a majority.
+/// Number of control machines: a majority remains when one is lost.
 pub const CONTROL_MACHINES: usize = 3;
 
-/// How many database servers each service has, its primary included.
+/// Number of database servers of each service, its primary included.
 pub const SERVERS_PER_SERVICE: usize = 3;
 
-/// How many routers there may be, by the numbers of their addresses.
+/// Maximum number of routers; the last octets of further addresses would collide with others.
 const MAX_ROUTERS: usize = 60;
 
-/// How many services there may be, by the numbers of their servers' addresses.
+/// Maximum number of services, limited by the last octets available for their servers.
 const MAX_SERVICES: usize = 10;
 
 const ROUTER_PORT: u16 = 8784;
@@ -29,10 +29,11 @@
 const DATABASE_PORT: u16 = 5440;
 const PEER_PORT: u16 = 7440;
 
-/// Where each machine serves its metrics, at its own address.
+/// Port at which each machine serves its metrics, at its own IP address.
 pub const METRICS_PORT: u16 = 9464;
 
-/// The last parts of addresses: the stand-ins', and the first of each kind of machine.
+/// Last octets of addresses: those of the testbed's own endpoints, and the first one of each kind
+/// of machine and relay.
 mod host_number {
     pub(super) const PLATFORM: usize = 2;
     pub(super) const PLATFORM_RELAY: usize = 3;
@@ -40,28 +41,28 @@
     pub(super) const FIRST_ROUTER: usize = 21;
     pub(super) const FIRST_OPERATOR_RELAY: usize = 41;
     pub(super) const FIRST_DATABASE: usize = 101;
-    /// From the first server of a service to that of the next.
+    /// Difference between the octets of the first servers of two successive services.
     pub(super) const DATABASES_PER_SERVICE: usize = 10;
 }
 
-/// Why a deployment can't be planned.
+/// The reason why the parameters of a deployment are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DeploymentError {
-    /// This isn't the first three parts of a loopback address.
-    #[error("{0:?} is not the beginning of a loopback address, 127.1.0 say")]
+    /// The text isn't the first three octets of a loopback address.
+    #[error("{0:?} is not the first three octets of a loopback address, e.g. 127.1.0")]
     LoopbackNet(String),
-    /// Too few or too many of something.
-    #[error("{of} must be between 1 and {max}")]
+    /// A count is out of its range.
+    #[error("the number of {of} must be between 1 and {max}")]
     Count {
-        /// What there are too few or too many of.
+        /// What is counted, in the plural.
         of: &'static str,
-        /// How many there may be.
+        /// The maximum.
         max: usize,
     },
 }
 
-/// The first three parts of all addresses of a deployment: what keeps deployments that run at a
-/// time apart.
+/// The first three octets of all addresses of a deployment. Deployments that run at the same time
+/// need different ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoopbackNet(pub [u8; 3]);
 
@@ -77,51 +78,52 @@
     }
 }
 
-/// A deployment.
+/// The parameters of a deployment.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     net: LoopbackNet,
     service_count: usize,
     router_count: usize,
-    /// Between two heartbeats of a database server, in milliseconds.
+    /// Interval between the heartbeats of a database server, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Whether the links between control machines lead over relays. Each control machine then has a
-    /// peer port of its own, and calls the others at that port, where the relays must listen
+    /// Whether control machines connect to each other through relays. Each control machine then has
+    /// its own peer port and calls the others at that port, where the relays must listen
     /// ([`Deployment::peer_relay_address`]).
     pub peers_relayed: bool,
-    /// Whether control machines call the platform at [`Deployment::platform_relay_address`], where
-    /// a relay must listen.
+    /// Whether control machines call the platform through a relay, which must listen at
+    /// [`Deployment::platform_relay_address`].
     pub platform_relayed: bool,
-    /// Whether database servers advertise [`Deployment::database_relay_address`], where relays must
-    /// listen.
+    /// Whether database servers are reached through relays: they advertise
+    /// [`Deployment::database_relay_address`], where the relays must listen.
     pub databases_relayed: bool,
-    /// Further lines of every settings file, `badgerstream.lease_ms=500` say.
+    /// Additional lines for every settings file, e.g. `badgerstream.lease_ms=500`.
     pub extra_settings: Vec<String>,
 }
 
 /// A settings file that was written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsFile {
-    /// The process it is for, `control-1` say.
+    /// Name of the process that it is for, e.g. `control-1`.
     pub process_name: String,
-    /// Where it is.
+    /// Its path.
     pub path: PathBuf,
 }
 
-/// What the settings of control machines and routers have in common.
+/// The parameters that the settings of control machines and routers have in common.
 struct Machine {
     name: String,
-    /// Its role and class, `core` or `edge`.
+    /// The values of `role` and `machine_class`: `core` or `edge`.
     class: &'static str,
-    /// The field `serves`.
+    /// The value of `serves`.
     serves: &'static str,
-    /// Its number among its kind, from 0; it tells the zone.
+    /// Its index among the machines of its kind, from 0; it determines the zone.
     number: usize,
     address: SocketAddr,
 }
 
 impl Deployment {
-    /// A deployment of so many services, each a primary and two replicas, and so many routers.
+    /// Returns a deployment of `service_count` services, each with a primary and two replicas, and
+    /// `router_count` routers.
     pub fn new(
         net: LoopbackNet,
         service_count: usize,
@@ -146,49 +148,49 @@
         SocketAddr::from((Ipv4Addr::new(a, b, c, host as u8), port))
     }
 
-    /// Where database servers and operators call control machines.
+    /// Returns the addresses at which database servers and operators call control machines.
     pub fn control_addresses(&self) -> Vec<SocketAddr> {
         (0..CONTROL_MACHINES)
             .map(|n| self.address(host_number::FIRST_CONTROL + n, CONTROL_PORT))
             .collect()
     }
 
-    /// Where clients connect to routers.
+    /// Returns the addresses at which routers accept clients.
     pub fn router_addresses(&self) -> Vec<SocketAddr> {
         (0..self.router_count)
             .map(|n| self.address(host_number::FIRST_ROUTER + n, ROUTER_PORT))
             .collect()
     }
 
-    /// Where routers answer `GET /api/readiness`.
+    /// Returns the addresses at which routers answer `GET /api/readiness`.
     pub fn readiness_addresses(&self) -> Vec<SocketAddr> {
         (0..self.router_count)
             .map(|n| self.address(host_number::FIRST_ROUTER + n, READINESS_PORT))
             .collect()
     }
 
-    /// Where the platform listens.
+    /// Returns the address at which the platform listens.
     pub fn platform_address(&self) -> SocketAddr {
         self.address(host_number::PLATFORM, PLATFORM_PORT)
     }
 
-    /// Where a relay before the platform listens.
+    /// Returns the address at which a relay in front of the platform listens.
     pub fn platform_relay_address(&self) -> SocketAddr {
         self.address(host_number::PLATFORM_RELAY, PLATFORM_PORT)
     }
 
-    /// Where a relay between operators and control machine `n` listens.
+    /// Returns the address at which a relay between operators and control machine `n` listens.
     pub fn operator_relay_address(&self, n: usize) -> SocketAddr {
         self.address(host_number::FIRST_OPERATOR_RELAY + n, CONTROL_PORT)
     }
 
-    /// Where control machine `n` listens for the others and for routers.
+    /// Returns the address at which control machine `n` listens for the others and for routers.
     pub fn peer_address(&self, n: usize) -> SocketAddr {
         self.address(host_number::FIRST_CONTROL + n, self.peer_port(n))
     }
 
-    /// Where a relay on the link from one control machine to another listens: at the callee's
-    /// address and the caller's port.
+    /// Returns the address at which a relay from one control machine to another listens: the
+    /// callee's IP address and the caller's peer port.
     pub fn peer_relay_address(&self, from: usize, to: usize) -> SocketAddr {
         self.address(host_number::FIRST_CONTROL + to, self.peer_port(from))
     }
@@ -201,12 +203,12 @@
         }
     }
 
-    /// Where the testbed's own control endpoint listens.
+    /// Returns the address at which the testbed's admin API listens.
     pub fn admin_api_address(&self) -> SocketAddr {
         self.address(host_number::PLATFORM, ADMIN_API_PORT)
     }
 
-    /// Where a relay before a database server listens.
+    /// Returns the address at which a relay in front of a database server listens.
     pub fn database_relay_address(&self, service: usize, server: usize) -> SocketAddr {
         self.address(database_host_number(service, server), DATABASE_PORT + 1)
     }
@@ -215,7 +217,8 @@
         self.address(database_host_number(service, server), DATABASE_PORT)
     }
 
-    /// The services, called `db1` and so on, with servers called `db1-a` and so on.
+    /// Returns the services, named `db1`, `db2` and so on; the servers of `db1` have the ids `db1-a`,
+    /// `db1-b` and so on.
     pub fn services(&self) -> Vec<ServiceSpec> {
         (0..self.service_count).map(|n| self.service(n)).collect()
     }
@@ -240,15 +243,15 @@
         }
     }
 
-    /// The names that clients connect to, three of each service, one of each consistency: `fresh1`,
-    /// `bounded1`, `own1` and so on.
+    /// Returns the database names that clients connect to: three for each service, one for each
+    /// consistency (`fresh1`, `bounded1`, `own1` and so on).
     pub fn database_names(&self) -> Vec<String> {
         (0..self.service_count)
             .flat_map(|n| ["fresh", "bounded", "own"].map(|mode| format!("{mode}{}", n + 1)))
             .collect()
     }
 
-    /// The operator's configuration of this epoch, as JSON.
+    /// Returns the operator's configuration with this epoch, as JSON.
     pub fn config_json(&self, epoch: u64) -> String {
         let services = self.services();
         let routes: Vec<String> = services.iter().flat_map(routes_json).collect();
@@ -261,9 +264,9 @@
         )
     }
 
-    /// Writes the settings files of all processes into this folder, each beside a folder of its own
-    /// for its state. `bootstrap` is the setting: whether the system starts for the first time. The
-    /// files come in the order control machines, routers.
+    /// Writes the settings files of all processes to this folder, and creates a state folder for
+    /// each. `bootstrap` is the setting of that name: whether the system starts for the first time.
+    /// Returns the files of the control machines, then those of the routers.
     pub fn write_settings(
         &self,
         folder: &Path,
@@ -282,7 +285,7 @@
             .collect()
     }
 
-    /// The name of control machine `n`, and its settings.
+    /// Returns the name and the settings of control machine `n`.
     fn control_settings(&self, n: usize, folder: &Path, bootstrap: bool) -> (String, String) {
         let machine = Machine {
             name: format!("control-{}", n + 1),
@@ -300,7 +303,7 @@
         (machine.name, text)
     }
 
-    /// The name of router `n`, and its settings.
+    /// Returns the name and the settings of router `n`.
     fn router_settings(&self, n: usize, bootstrap: bool) -> (String, String) {
         let machine = Machine {
             name: format!("router-{}", n + 1),
@@ -369,7 +372,7 @@
     host_number::FIRST_DATABASE + host_number::DATABASES_PER_SERVICE * service + server
 }
 
-/// The three routes to a service, one of each consistency; their order is that of their ranks.
+/// Returns the three routes to a service, one for each consistency, in the order of their ranks.
 fn routes_json(service: &ServiceSpec) -> Vec<String> {
     let name = &service.name;
     let number = name.trim_start_matches("db");
--- a/crates/testing/testbed/src/http_client.rs
+++ b/crates/testing/testbed/src/http_client.rs
@@ -1,5 +1,5 @@
-//! A minimal HTTP/1.1 client: one request on one connection, as database servers, operators and
-//! tests send them. It keeps no state and never retries; callers do.
+//! A minimal HTTP/1.1 client for database servers, operators and tests. It opens a connection for
+//! each request, keeps no state and never retries; callers retry.
 
 use async_io::Async;
 use badgerstream_http_codec::{Response, ResponseDecoder, encode_request};
@@ -8,27 +8,27 @@
 use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
 
-/// The longest response that is accepted.
+/// Maximum size of a response.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// How many redirects are followed before the last response is returned as it is.
+/// Maximum number of redirects that are followed; the response after them is returned unchanged.
 const MAX_REDIRECTS: usize = 2;
 
-/// What is sent; the `Host` header is that of the address called.
+/// A request; its `Host` header is the address that it is sent to.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpRequest<'a> {
-    /// The method, `GET` say.
+    /// The method, e.g. `GET`.
     pub method: &'a str,
-    /// The path with its leading slash.
+    /// The path, with its leading slash.
     pub path: &'a str,
-    /// Further headers, by name and value.
+    /// Additional headers: name and value.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body; empty for none.
+    /// The body; empty if there is none.
     pub body: &'a [u8],
 }
 
 impl<'a> HttpRequest<'a> {
-    /// A `GET` without further headers.
+    /// Returns a `GET` request without additional headers.
     pub fn get(path: &'a str) -> Self {
         Self {
             method: "GET",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A `POST` of this body without further headers.
+    /// Returns a `POST` request with this body, without additional headers.
     pub fn post(path: &'a str, body: &'a [u8]) -> Self {
         Self {
             method: "POST",
@@ -49,8 +49,8 @@
     }
 }
 
-/// Sends a request on a connection of its own and waits for the response, `timeout_s` seconds for
-/// all of it.
+/// Sends a request on a new connection and waits for the response. `timeout_s` covers connecting,
+/// sending and receiving.
 pub async fn send(to: SocketAddr, timeout_s: f64, request: &HttpRequest<'_>) -> Result<Response> {
     with_timeout(timeout_s, async {
         let mut stream = Async::<TcpStream>::connect(to).await?;
@@ -87,7 +87,8 @@
     }
 }
 
-/// Like [`send`], but follows a 307 twice; `timeout_s` counts for each request by itself.
+/// Like [`send`], but follows up to `MAX_REDIRECTS` redirects with status 307; `timeout_s` applies
+/// to each request separately.
 pub async fn send_following_redirects(
     mut to: SocketAddr,
     timeout_s: f64,
@@ -103,7 +104,8 @@
     send(to, timeout_s, request).await
 }
 
-/// The address that a 307 leads to. Its path is that of the request already.
+/// Returns the address that a response with status 307 redirects to. The path of the `Location` is
+/// ignored: it is the path of the request.
 fn redirect_target(response: &Response) -> Option<SocketAddr> {
     if response.status != 307 {
         return None;
--- a/crates/testing/testbed/src/lib.rs
+++ b/crates/testing/testbed/src/lib.rs
@@ -1,15 +1,15 @@
-//! Stand-ins on loopback for everything around the system, for the quick start and for tests of
+//! Simulates on loopback everything that the system talks to, for the quick start and for tests of
 //! whole processes: database servers and their heartbeats, the platform's `POST /promotions`, an
 //! operator and clients.
 //!
 //! | concern | modules |
 //! | --- | --- |
-//! | what database servers and the platform do, without sockets or clock | [`database_cluster`], [`replica`], [`rule_checker`] |
-//! | the same on sockets | [`cluster_host`], [`heartbeats`], [`platform`], [`admin_api`] |
-//! | addresses, settings files and the first configuration | [`deployment`] |
-//! | who calls the system | [`client`], [`operator`], [`http_client`] |
-//! | processes and faults on their links | [`child_processes`], [`fault_relay`] |
-//! | check of what operators were answered | [`history`] |
+//! | behavior of database servers and platform, without sockets or clock | [`database_cluster`], [`replica`], [`rule_checker`] |
+//! | sockets and timers for that behavior | [`cluster_host`], [`heartbeats`], [`platform`], [`admin_api`] |
+//! | addresses, settings files and first configuration | [`deployment`] |
+//! | callers of the system | [`client`], [`operator`], [`http_client`] |
+//! | child processes, and faults on the connections between them | [`child_processes`], [`fault_relay`] |
+//! | linearizability check of the responses to operators | [`history`] |
 //! | the quick start | [`up`] |
 
 pub mod admin_api;
--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! `badgerstream-testbed`: the command line of the testbed, for the quick start and for trials. It
-//! reads arguments, prints results and sets the exit status; the library does the work.
+//! `badgerstream-testbed`: the command line of the testbed, for the quick start and for manual
+//! trials. It parses arguments, prints results and sets the exit status; the library does the rest.
 
 use badgerstream_line_protocol::ErrorCode;
 use badgerstream_pooler::process::ProcessError;
@@ -15,7 +15,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// Databases, platform, operator and clients on loopback, with the system between them.
+/// Runs the system on loopback with simulated databases, platform, operator and clients.
 #[derive(Parser)]
 #[command(name = "badgerstream-testbed", version, about)]
 struct Arguments {
@@ -25,83 +25,83 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Starts a whole system and keeps it up until Ctrl-C or SIGTERM.
+    /// Starts a complete system and keeps it running until Ctrl-C or SIGTERM.
     Up {
-        /// Where settings, logs and state go, made if it isn't there; by default a new one among
-        /// the temporary files.
+        /// Folder for settings, logs and state, created if missing. Default: a new folder in the
+        /// system's temporary directory.
         #[arg(long)]
         folder: Option<PathBuf>,
-        /// Services, each a primary and two replicas.
+        /// Number of services; each has a primary and two replicas.
         #[arg(long, default_value_t = 1)]
         services: usize,
-        /// Routers.
+        /// Number of routers.
         #[arg(long, default_value_t = 2)]
         routers: usize,
-        /// The first three parts of all addresses.
+        /// First three octets of all addresses; the first must be 127.
         #[arg(long, default_value = "127.1.0")]
         net: LoopbackNet,
-        /// The system's program; by default `badgerstream-pooler` beside this one.
+        /// Program to run. Default: `badgerstream-pooler` in the same directory as this program.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Sends statements in one session and prints the answers.
+    /// Sends statements to a router in one session and prints the responses.
     Ask {
-        /// A router's front, 127.1.0.21:8784 say.
+        /// Address at which a router accepts clients, e.g. 127.1.0.21:8784.
         address: SocketAddr,
-        /// The database.
+        /// Name of the database.
         database: String,
-        /// The statements, `PUT a 1` say.
+        /// Statements, e.g. `PUT a 1`.
         #[arg(required = true)]
         statements: Vec<String>,
     },
-    /// Tells the stand-in what to do: servers, ledger, crash ID, start ID, drain ID.
+    /// Controls the simulated database servers: servers, ledger, crash ID, start ID, drain ID.
     Tell {
-        /// Its desk, 127.1.0.2:8786 say.
+        /// Address of the testbed's admin API, e.g. 127.1.0.2:8786.
         address: SocketAddr,
-        /// What to do.
+        /// Command and its argument, e.g. `crash db1-a`.
         #[arg(required = true)]
         words: Vec<String>,
     },
-    /// Runs one machine's part of the system: for tests, which know of no other program.
+    /// Runs a control machine or a router in this process, for tests that only have this program.
     #[command(hide = true)]
     Serve {
-        /// The settings file.
+        /// Settings file.
         #[arg(long)]
         settings: PathBuf,
-        /// The port on which the machine tells its figures.
+        /// Port at which the machine serves its metrics.
         #[arg(long)]
         metrics: Option<u16>,
     },
 }
 
-/// Why a command has failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
-    #[error("tell --program")]
+    #[error("the path of this program can't be determined: pass --program")]
     ProgramUnknown,
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
-    #[error("{}: {source}", folder.display())]
+    #[error("can't resolve the folder {}: {source}", folder.display())]
     Folder {
         folder: PathBuf,
         source: std::io::Error,
     },
     #[error(transparent)]
     Up(#[from] UpError),
-    #[error("{address} {database}: {source}")]
+    #[error("can't open a session with {database} at {address}: {source}")]
     Connect {
         address: SocketAddr,
         database: String,
         source: std::io::Error,
     },
-    #[error("{statement}: no answer: {source}")]
+    #[error("{statement}: no response: {source}")]
     NoResponse {
         statement: String,
         source: std::io::Error,
     },
     #[error("{statement}: {}", code.as_str())]
     StatementFailed { statement: String, code: ErrorCode },
-    #[error("{address}: {source}")]
+    #[error("the call to the admin API at {address} failed: {source}")]
     AdminCall {
         address: SocketAddr,
         source: std::io::Error,
@@ -156,7 +156,7 @@
     }
 }
 
-/// The system's program beside this one.
+/// Returns the path of `badgerstream-pooler` in the directory of this program.
 fn default_program() -> Result<PathBuf, CommandError> {
     let this = std::env::current_exe().map_err(|_| CommandError::ProgramUnknown)?;
     Ok(this.with_file_name("badgerstream-pooler"))
@@ -166,7 +166,8 @@
     std::env::temp_dir().join(format!("badgerstream-testbed-{}", std::process::id()))
 }
 
-/// Settings files name the folder in full: processes must find it from any working directory.
+/// Makes the folder's path absolute: settings files contain it, and processes must find it from any
+/// working directory.
 fn absolute(folder: PathBuf) -> Result<PathBuf, CommandError> {
     std::path::absolute(&folder).map_err(|source| CommandError::Folder { folder, source })
 }
@@ -184,7 +185,8 @@
             database: database.to_owned(),
             source,
         })?;
-    // Statement ids must be unique in the whole system: made of the time and this process.
+    // Statement ids must be unique in the whole system, so they are made of the current time and the
+    // id of this process.
     let started_ns = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_nanos() as u64);
--- a/crates/testing/testbed/src/up.rs
+++ b/crates/testing/testbed/src/up.rs
@@ -1,6 +1,6 @@
-//! The quick start (`badgerstream-testbed up`): a complete system on loopback, with its settings,
-//! logs and state in one folder. It owns the processes of control machines and routers; database
-//! servers, platform and operator run in this process.
+//! The quick start (`badgerstream-testbed up`): runs a complete system on loopback, with its
+//! settings, logs and state in one folder. Control machines and routers are child processes;
+//! database servers, platform and operator run in this process.
 
 use crate::child_processes::{ChildProcesses, ExitedProcess};
 use crate::cluster_host::{ClusterHost, ListenError, StartServerError};
@@ -22,83 +22,84 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The system must be ready after so long.
+/// Deadline for the system to be ready after its start.
 const READY_TIMEOUT_S: f64 = 30.0;
 
-/// How often it is looked for processes that have exited.
+/// Interval between checks for child processes that have exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a router is asked whether it is ready.
+/// Interval between readiness requests to a router that isn't ready yet.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// From the acknowledgement that a server drains until its end; `bounds.drain_ms` of the settings.
+/// Time from the acknowledgement of a server's drain until the server exits; equal to
+/// `bounds.drain_ms` in the settings files.
 const SERVER_DRAIN_S: f64 = 7.0;
 
-/// What the platform takes; more is answered 429.
+/// Maximum rate of platform calls; calls above it are answered with status 429.
 const MAX_PLATFORM_CALLS_PER_S: usize = 50;
 
-/// Why the stand-ins can't be started.
+/// The reason why the database servers, the platform or the admin API can't be started.
 #[derive(Debug, Error)]
 pub enum StartHostError {
-    /// A database server can't.
+    /// A database server can't be started.
     #[error(transparent)]
     Server(#[from] StartServerError),
-    /// The platform or the admin endpoint can't.
+    /// The platform or the admin API can't listen.
     #[error(transparent)]
     Listen(#[from] ListenError),
 }
 
-/// Why a deployment can't be started or kept up.
+/// The reason why a deployment can't be started or kept running.
 #[derive(Debug, Error)]
 pub enum UpError {
-    /// SIGINT and SIGTERM can't be received.
-    #[error("signals can't be heard: {0}")]
+    /// The handlers of SIGINT and SIGTERM can't be installed.
+    #[error("can't install handlers for SIGINT and SIGTERM: {0}")]
     Signals(std::io::Error),
-    /// The system's program isn't where it should be.
-    #[error("{} isn't there: is it built?", .0.display())]
+    /// The pooler program doesn't exist at the expected path.
+    #[error("the program {} doesn't exist: is it built?", .0.display())]
     ProgramMissing(PathBuf),
-    /// The stand-ins can't be started; their addresses may be taken.
-    #[error("{0} (is another one up? --net gives other addresses)")]
+    /// The servers that run in this process can't be started; their addresses may be in use.
+    #[error("{0} (is another testbed running? choose other addresses with --net)")]
     StartHost(StartHostError),
-    /// The folder holds the state of an earlier run.
-    #[error("{} holds an earlier run: take another folder", .0.display())]
+    /// The folder contains the state of an earlier run.
+    #[error("{} contains the state of an earlier run: pass another folder with --folder", .0.display())]
     FolderInUse(PathBuf),
     /// The settings files can't be written.
-    #[error("{}: {source}", folder.display())]
+    #[error("can't write the settings files to {}: {source}", folder.display())]
     WriteSettings {
-        /// The folder they belong into.
+        /// The folder that they are written to.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A process can't be started.
-    #[error("{}: {source}", program.display())]
+    #[error("can't start {}: {source}", program.display())]
     StartProcess {
         /// The program.
         program: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A process has ended by itself.
-    #[error("{name} ended with {status}; its log is {}", log.display())]
+    /// A child process exited without having been asked to.
+    #[error("{name} exited with {status}; its log is {}", log.display())]
     ProcessExited {
         /// Its name in the deployment.
         name: String,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
         /// Its log file.
         log: PathBuf,
     },
-    /// The system took too long.
-    #[error("not ready within {READY_TIMEOUT_S} s; the logs are in {}", .0.display())]
+    /// The system wasn't ready within `READY_TIMEOUT_S`.
+    #[error("the system wasn't ready within {READY_TIMEOUT_S} s; the logs are in {}", .0.display())]
     NotReady(PathBuf),
     /// The first configuration was rejected.
     #[error(transparent)]
     ReplaceConfig(#[from] ReplaceConfigError),
 }
 
-/// Starts a deployment and keeps it up until SIGINT or SIGTERM. Whatever ends it, no process that
-/// it started is left.
+/// Starts a deployment and keeps it running until SIGINT or SIGTERM. On return, after an error too,
+/// all processes that it started have ended.
 pub fn run(deployment: &Deployment, folder: &Path, program: &Path) -> Result<(), UpError> {
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(UpError::Signals)?;
     let executor = Rc::new(LocalExecutor::new());
@@ -131,13 +132,13 @@
     executor: Rc<LocalExecutor<'static>>,
     deployment: &'a Deployment,
     folder: &'a Path,
-    /// The system's program.
+    /// The pooler program that control machines and routers run.
     program: &'a Path,
     processes: ChildProcesses,
 }
 
 impl QuickStart<'_> {
-    /// Starts everything and watches it; ends only with an error.
+    /// Starts all parts of the system and watches the child processes; returns only with an error.
     async fn run(&mut self) -> Result<(), UpError> {
         if !self.program.is_file() {
             return Err(UpError::ProgramMissing(self.program.to_owned()));
@@ -160,8 +161,8 @@
     }
 
     fn start_processes(&mut self) -> Result<(), UpError> {
-        // Database servers begin empty each time: the state of an earlier run would know of commits
-        // that they don't have.
+        // Database servers start empty each time, but the state of an earlier run refers to commits
+        // that they no longer have.
         if self.folder.join("control-1").exists() {
             return Err(UpError::FolderInUse(self.folder.to_owned()));
         }
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// Ends with an error once a process has exited.
+    /// Returns an error once a child process has exited.
     async fn watch_processes(&mut self) -> Result<(), UpError> {
         loop {
             if let Some(ExitedProcess { name, status }) = self.processes.take_exited() {
@@ -197,7 +198,7 @@
     }
 }
 
-/// Starts the database servers, the platform and the admin endpoint of a deployment.
+/// Starts the database servers, the platform and the admin API of a deployment.
 pub fn start_cluster_host(
     executor: &Rc<LocalExecutor<'static>>,
     deployment: &Deployment,
@@ -208,7 +209,7 @@
         true,
         u64::from(std::process::id()),
     );
-    // The process clock counts from here.
+    // The first call starts the process clock at 0.
     clock::now();
     let heartbeat_settings = HeartbeatSettings {
         control_addresses: deployment.control_addresses(),
@@ -222,8 +223,8 @@
     Ok(host)
 }
 
-/// Sends the first configuration, and waits until all routers are ready. There is no time-out: the
-/// caller limits the time.
+/// Sends the first configuration, and waits until all routers are ready. There is no timeout: the
+/// caller must set one.
 pub async fn wait_until_ready(deployment: &Deployment) -> Result<(), ReplaceConfigError> {
     operator::replace_config_until_applied(
         &deployment.control_addresses(),
