--- a/crates/testing/testbed/src/cluster_host.rs
+++ b/crates/testing/testbed/src/cluster_host.rs
@@ -1,9 +1,9 @@
-//! The database servers on sockets: one listener and one task of heartbeats a server, one task a
-//! connection.
+//! Serves the simulated database servers on sockets: a listener task and a heartbeat task for each
+//! server, and a task for each connection.
 //!
-//! [`ClusterHost`] owns the [`DatabaseCluster`], which decides what is answered, and gives it the
-//! time and the lines received; it decides nothing itself. All tasks run on one thread, so that a
-//! borrow of the cluster is never held across an `await`.
+//! [`ClusterHost`] owns the [`DatabaseCluster`] and passes it the time and the received lines; the
+//! cluster decides on the responses. All tasks run on one thread and share the cluster in a
+//! `RefCell`: no borrow may be held across an `await`.
 
 use crate::database_cluster::{ConnectionId, ConnectionOutput, DatabaseCluster};
 use crate::heartbeats::{HeartbeatEnd, HeartbeatSender, HeartbeatSettings};
@@ -24,61 +24,62 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A caller that takes no bytes for so long is dropped.
+/// Timeout for writing to a connection; the connection is closed after it.
 const WRITE_TIMEOUT_S: f64 = 3.0;
 
-/// The first line of a connection must be there after so long.
+/// Deadline for the first line of a connection.
 const FIRST_LINE_TIMEOUT_S: f64 = 5.0;
 
-/// From a failed accept to the next.
+/// Delay between a failed accept and the next one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The cluster is stepped at least so often.
+/// Maximum time between two steps of the cluster.
 const MAX_STEP_INTERVAL_S: f64 = 1.0;
 
-/// An address can't be listened at.
+/// The error that a listener can't be bound to an address.
 #[derive(Debug, Error)]
-#[error("{address}: {source}")]
+#[error("can't listen at {address}: {source}")]
 pub struct ListenError {
     /// The address.
     pub address: SocketAddr,
-    /// What the system said.
+    /// The error of the operating system.
     pub source: std::io::Error,
 }
 
-/// Why a server can't be started.
+/// The reason why a database server can't be started.
 #[derive(Debug, Error)]
 pub enum StartServerError {
     /// No server has this id.
     #[error("{0}: no such server")]
     UnknownServer(String),
-    /// Its address is taken, say.
+    /// The server can't listen at its address, e.g. because the address is in use.
     #[error(transparent)]
     Listen(#[from] ListenError),
 }
 
-/// Listens at an address.
+/// Binds a listener to an address.
 pub fn listen(address: SocketAddr) -> Result<Async<TcpListener>, ListenError> {
     Async::<TcpListener>::bind(address).map_err(|source| ListenError { address, source })
 }
 
-/// A cluster on sockets.
+/// Serves a cluster on sockets.
 pub struct ClusterHost {
-    /// What the servers do. Whoever changes it notifies [`ClusterHost::changed`].
+    /// The cluster. Code that changes it must notify [`ClusterHost::changed`].
     pub cluster: Rc<RefCell<DatabaseCluster>>,
     /// Notified whenever the cluster may have changed.
     pub changed: Rc<Notify>,
     heartbeat_settings: Rc<HeartbeatSettings>,
     executor: Rc<LocalExecutor<'static>>,
-    /// By connection, where its task gets what is to be written; removed to close it.
+    /// For each connection, the channel that passes responses to its task. Removing an entry closes
+    /// the connection.
     responses: RefCell<HashMap<ConnectionId, Sender<String>>>,
-    /// By server, what runs while its process does: its listener and its heartbeats. Removing an
-    /// entry cancels them.
+    /// For each running server, its listener task and its heartbeat task. Removing an entry cancels
+    /// both.
     server_tasks: RefCell<HashMap<String, Vec<Task<()>>>>,
 }
 
 impl ClusterHost {
-    /// Starts all servers of a cluster; an error names the address that can't be had.
+    /// Starts all servers of a cluster; an error contains the address that can't be bound.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         cluster: DatabaseCluster,
@@ -100,14 +101,15 @@
         Ok(host)
     }
 
-    /// Ends a server's process: its address refuses connections, those it has break.
+    /// Simulates the end of a server's process: its address refuses connections, and its open
+    /// connections are closed.
     pub fn crash_server(&self, id: &str) {
         self.server_tasks.borrow_mut().remove(id);
         self.cluster.borrow_mut().crash_server(clock::now(), id);
         self.changed.notify_waiters();
     }
 
-    /// Starts a server that has ended, with the log it had; without effect on one that runs.
+    /// Restarts a crashed server with its former log; does nothing if the server runs.
     pub fn restart_server(self: &Rc<Self>, id: &str) -> Result<(), StartServerError> {
         if self.server_tasks.borrow().contains_key(id) {
             return Ok(());
@@ -117,8 +119,8 @@
         self.start_server_tasks(id)
     }
 
-    /// Begins a server's graceful shutdown: its heartbeats say that it drains, and it ends once the
-    /// drain time is over.
+    /// Begins the graceful shutdown of a server: its heartbeats announce that it drains, and it ends
+    /// after the drain time.
     pub fn drain_server(&self, id: &str) {
         self.cluster.borrow_mut().drain_server(id);
         self.changed.notify_waiters();
@@ -142,12 +144,13 @@
             server_id: id.clone(),
         };
         if sender.run().await == HeartbeatEnd::Drained {
-            // This cancels the very task that runs here: nothing may follow.
+            // This cancels the current task, so no code may follow.
             self.crash_server(&id);
         }
     }
 
-    /// Steps the cluster whenever something is due or has changed, and distributes its output.
+    /// Steps the cluster whenever an event is due or the cluster has changed, and passes its output
+    /// to the connections' tasks.
     async fn run_cluster(self: Rc<Self>) {
         loop {
             let generation = self.changed.generation();
@@ -159,7 +162,7 @@
                             let _ = responses.try_send(text);
                         }
                     }
-                    // The connection's task ends once it has written what was sent before.
+                    // The connection's task first writes what is already in the channel.
                     ConnectionOutput::Close(connection) => {
                         self.responses.borrow_mut().remove(&connection);
                     }
@@ -191,7 +194,7 @@
         }
     }
 
-    /// A connection from its first line to its end: a health check, or a session.
+    /// Serves a connection from its first line to its end: a health check, or a session.
     async fn serve_connection(self: Rc<Self>, id: String, mut stream: Async<TcpStream>) {
         let mut lines = LineBuffer::default();
         let first_line = with_timeout(FIRST_LINE_TIMEOUT_S, async {
@@ -225,7 +228,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The session's connection, or the line that rejects it.
+    /// Returns the id of the session's connection, or the line that rejects the session.
     fn open_session(&self, id: &str, first_line: &[u8]) -> Result<ConnectionId, String> {
         match Request::parse(first_line) {
             Ok(Request::Connect { database, caller }) => self
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Writes responses and reads requests in turn until either end closes.
+    /// Writes a response and reads a request in turn until either side closes the connection.
     async fn serve_session(
         &self,
         connection: ConnectionId,
@@ -251,8 +254,8 @@
                 return;
             }
             let request = future::or(read_line(stream, lines), async {
-                // Without a request there is no response: this completes only when the cluster
-                // closes the connection, as at the end of the server's process.
+                // The cluster sends nothing between requests, so this completes only when the
+                // cluster closes the connection, e.g. because the server's process ends.
                 let _ = responses.recv().await;
                 None
             });
@@ -272,7 +275,8 @@
     }
 }
 
-/// The next line; `None` at the end of the stream, after an error, and for a line that is too long.
+/// Returns the next line; `None` at the end of the stream, after an error, and for a line that is too
+/// long.
 async fn read_line(stream: &mut Async<TcpStream>, lines: &mut LineBuffer) -> Option<Vec<u8>> {
     let mut bytes = [0; 1024];
     loop {
--- a/crates/testing/testbed/src/fault_relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -1,6 +1,6 @@
-//! A TCP relay on the link between two processes, on which tests lay faults, each direction by
-//! itself. It listens at a given address, since the address of a control machine is its identity.
-//! It knows nothing of the protocols: it carries bytes of connections.
+//! A TCP relay between two processes, in which tests inject faults, separately for each direction.
+//! The caller chooses its listen address, because the address of a control machine is its identity.
+//! It forwards bytes and doesn't interpret any protocol.
 
 use async_channel::{Sender, bounded};
 use async_executor::LocalExecutor;
@@ -13,53 +13,53 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How much is read at once.
+/// Maximum number of bytes per read.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// From a failed accept to the next.
+/// Delay between a failed accept and the next one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A direction of a link.
+/// A direction of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// From the caller to the callee.
     Requests,
-    /// Back.
+    /// From the callee to the caller.
     Responses,
 }
 
-/// What happens to the bytes of one direction.
+/// A fault that affects the bytes of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// They are lost silently, the end of a connection too. Connections that lost bytes are reset
-    /// once the fault is lifted.
+    /// Bytes are discarded silently, and so is the end of the stream. Connections that lost any are
+    /// reset once the fault is cleared.
     Drop,
-    /// They arrive later by so much.
+    /// Each chunk is forwarded after this delay.
     Delay(Duration),
-    /// So many bytes of a connection pass, then both its ends are reset; with 0, as soon as the
-    /// first one is sent.
+    /// After this many bytes of a connection were forwarded, both its ends are reset; with 0, as soon
+    /// as the first byte arrives.
     ResetAfter(usize),
 }
 
-/// How one direction of a connection has ended.
+/// The way in which one direction of a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PumpEnd {
-    /// The sender has closed it.
+    /// The sender closed it.
     Closed,
-    /// It broke: the connection is to be reset.
+    /// It failed: the connection must be reset.
     Broken,
 }
 
-/// A relay on one link.
+/// A relay to one target address.
 pub struct Relay {
     target: SocketAddr,
-    /// By [`Direction`].
+    /// The current fault of each [`Direction`].
     faults: [Cell<Option<Fault>>; 2],
-    /// Connections that lost bytes; closing a channel resets its connection.
+    /// A channel for each connection that lost bytes; closing the channel resets the connection.
     lossy: RefCell<Vec<Sender<()>>>,
     reset_count: Cell<usize>,
     request_count: Cell<usize>,
-    /// Notified whenever one of the counts has changed.
+    /// Notified whenever the number of resets or of requests has changed.
     pub changed: Notify,
 }
 
@@ -84,7 +84,7 @@
         Ok(relay)
     }
 
-    /// Lays a fault on one direction, or lifts it.
+    /// Sets the fault of one direction, or clears it with `None`.
     pub fn set(&self, direction: Direction, fault: Option<Fault>) {
         self.faults[direction as usize].set(fault);
         if fault.is_none() {
@@ -94,12 +94,12 @@
         }
     }
 
-    /// How many connections were reset because of [`Fault::ResetAfter`].
+    /// Returns the number of connections that were reset by [`Fault::ResetAfter`].
     pub fn resets(&self) -> usize {
         self.reset_count.get()
     }
 
-    /// How many connections have carried a byte of a request.
+    /// Returns the number of connections over which at least one request byte was forwarded.
     pub fn requests(&self) -> usize {
         self.request_count.get()
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Carries both directions of a connection until its end.
+    /// Forwards both directions of a connection until its end.
     async fn carry(self: Rc<Self>, caller: Async<TcpStream>) {
         let Ok(callee) = Async::<TcpStream>::connect(self.target).await else {
             return set_reset_on_close(&caller, true);
@@ -129,7 +129,8 @@
         for end in [&caller, &callee] {
             let _ = end.get_ref().set_nodelay(true);
         }
-        // Closed to reset the connection: by either direction, or when a lossy fault is lifted.
+        // Closing this channel resets the connection: either direction does it when it fails, and
+        // `set` does it when `Fault::Drop` is cleared.
         let (reset_sender, reset_receiver) = bounded::<()>(1);
         let both = async {
             let requests = self.pump(Direction::Requests, &caller, &callee, &reset_sender);
@@ -148,8 +149,7 @@
         }
     }
 
-    /// Carries one direction until its end; one that breaks closes `reset`, to end the other as
-    /// well.
+    /// Forwards one direction until its end. If it fails, it closes `reset` to end the other one too.
     async fn pump(
         &self,
         direction: Direction,
@@ -182,7 +182,8 @@
                 Some(Fault::Drop) => {
                     self.lossy.borrow_mut().push(reset.clone());
                     if count == 0 {
-                        // The end is lost too: only the reset ends this connection.
+                        // The end of the stream is discarded too: only the reset ends this
+                        // connection.
                         future::pending::<()>().await;
                     }
                     continue;
@@ -204,7 +205,7 @@
                 self.count(&self.request_count);
             }
             passed_bytes += chunk.len();
-            // Read again: the fault may have been laid or lifted while the chunk was written.
+            // The fault is read again: it may have changed while the chunk was written.
             if let Some(Fault::ResetAfter(limit)) = self.fault(direction)
                 && passed_bytes >= limit
             {
--- a/crates/testing/testbed/src/heartbeats.rs
+++ b/crates/testing/testbed/src/heartbeats.rs
@@ -1,6 +1,6 @@
-//! The heartbeats of one database server, from the start of its process to the end. One task a
-//! server, spawned by `cluster_host`, which also ends the process once a drain is over; this module
-//! only tells when.
+//! Sends the heartbeats of a database server while its process runs. `cluster_host` spawns one task
+//! for each server; when the task reports that a drain is over, `cluster_host` ends the server's
+//! process.
 
 use crate::database_cluster::{AnnouncedState, DatabaseCluster};
 use crate::http_client::{self, HttpRequest};
@@ -18,51 +18,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A heartbeat without a response for so long has failed.
+/// Timeout for the response to a heartbeat or a departure.
 const RESPONSE_TIMEOUT_S: f64 = 1.0;
 
-/// From a failed heartbeat to the next one, which goes to another control machine.
+/// Delay between a failed heartbeat and the next one, which goes to another control machine.
 const RETRY_DELAY_S: f64 = 0.02;
 
-/// A draining server whose drain no control machine acknowledges ends after so long.
+/// Time from the first heartbeat that announces a drain until the server ends if no control machine
+/// acknowledges the drain.
 const UNACKNOWLEDGED_DRAIN_S: f64 = 5.0;
 
-/// A server goes on for so long after its drain time, for statements that were on their way.
+/// Additional time that a server runs after its drain time, for statements still in transit.
 const DRAIN_MARGIN_S: f64 = 0.5;
 
-/// Where heartbeats go and when, the same for all servers.
+/// The destinations and times of heartbeats, the same for all servers.
 #[derive(Debug)]
 pub struct HeartbeatSettings {
     /// The control machines' addresses.
     pub control_addresses: Vec<SocketAddr>,
-    /// Between two heartbeats, in seconds.
+    /// Interval between two heartbeats, in seconds.
     pub interval_s: f64,
-    /// From the acknowledgement that a server drains until its end, in seconds.
+    /// Time from the acknowledgement of a drain until the server ends, in seconds.
     pub drain_s: f64,
 }
 
-/// Why heartbeats have ended.
+/// The reason why heartbeats ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatEnd {
     /// The server's process doesn't run, or there is no control machine.
     NotRunning,
-    /// The drain is over and the server's departure was sent: its process is to end.
+    /// The drain is over and the server's departure was sent: the caller must end its process.
     Drained,
 }
 
-/// What the heartbeats of a server need of its host.
+/// Sends the heartbeats of one server.
 pub struct HeartbeatSender {
-    /// The cluster that the server is part of.
+    /// The cluster that contains the server.
     pub cluster: Rc<RefCell<DatabaseCluster>>,
     /// Notified whenever the cluster may have changed.
     pub changed: Rc<Notify>,
-    /// Where heartbeats go and when.
+    /// The destinations and times of heartbeats.
     pub settings: Rc<HeartbeatSettings>,
     /// The server's id.
     pub server_id: String,
 }
 
-/// How far a drain has come; times in seconds of the process clock.
+/// Progress of a drain; times are in seconds of the process clock.
 #[derive(Default)]
 struct DrainProgress {
     first_sent_at_s: Option<f64>,
@@ -70,7 +71,7 @@
 }
 
 impl DrainProgress {
-    /// When the server ends; infinity while it doesn't drain.
+    /// Returns the time at which the server ends; infinity while it doesn't drain.
     fn ends_at_s(&self, drain_s: f64) -> f64 {
         match (self.acknowledged_at_s, self.first_sent_at_s) {
             (Some(acknowledged), _) => acknowledged + drain_s + DRAIN_MARGIN_S,
@@ -83,12 +84,12 @@
 impl HeartbeatSender {
     /// Sends heartbeats until the server's process ends or its drain is over.
     pub async fn run(self) -> HeartbeatEnd {
-        // Servers begin with different control machines.
+        // Spreads the first heartbeats of the servers over the control machines.
         let mut next_control = self.server_id.bytes().map(usize::from).sum::<usize>();
         let mut redirect: Option<SocketAddr> = None;
         let mut drain = DrainProgress::default();
         loop {
-            // Taken before the state is read: a change after it ends the wait below.
+            // Taken before the state is read, so that a change from here on ends the wait below.
             let generation = self.changed.generation();
             let Some(heartbeat) = self.cluster.borrow_mut().next_heartbeat(&self.server_id) else {
                 return HeartbeatEnd::NotRunning;
@@ -130,7 +131,7 @@
         addresses.get(n % addresses.len().max(1)).copied()
     }
 
-    /// The response, if the heartbeat was acknowledged.
+    /// Sends a heartbeat and returns the response if the heartbeat was acknowledged.
     async fn send(&self, to: SocketAddr, heartbeat: &Heartbeat) -> Option<Response> {
         let path = format!("{HEARTBEAT_PATH}{}", self.server_id);
         let body = heartbeat.serialize_json();
@@ -143,15 +144,15 @@
         })
     }
 
-    /// Best effort: a server whose departure is lost times out.
+    /// Sends the departure once: if it is lost, control notices that heartbeats are missing.
     async fn send_departure(&self, to: SocketAddr) {
         let path = format!("{DEPART_PATH}{}", self.server_id);
         let request = HttpRequest::post(&path, b"");
         let _ = http_client::send_following_redirects(to, RESPONSE_TIMEOUT_S, &request).await;
     }
 
-    /// Waits until this second, or until the server's state is another than the last heartbeat
-    /// said: control is to learn of that without delay.
+    /// Waits until `until_s`, a second of the process clock, or until the server's state differs from
+    /// `announced`, the state in the last heartbeat: control must learn of a change without delay.
     async fn wait(&self, announced: AnnouncedState, mut generation: u64, until_s: f64) {
         let remaining_s = (until_s - clock::now()).max(0.0);
         let due = async {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Where further heartbeats are to go, if the response says so.
+/// Returns the address for further heartbeats, if the response contains one.
 fn heartbeat_endpoint(response: &Response) -> Option<SocketAddr> {
     let text = String::from_utf8_lossy(&response.body);
     HeartbeatResponse::deserialize_json(&text)
--- a/crates/testing/testbed/src/history.rs
+++ b/crates/testing/testbed/src/history.rs
@@ -1,14 +1,15 @@
-//! What operators sent and were answered, and a check of it: is there a single order of versions
-//! that explains all of it (linearizability)? Tests fill a [`History`]; the check only reads it.
+//! A record of operators' requests and their responses, and a check that it is linearizable: that a
+//! single order of versions explains all responses. Tests fill a [`History`]; the check only reads
+//! it.
 //!
-//! The configuration is one register with conditional writes: a request takes effect only on top of
-//! the version that it names. A checker for registers in general searches the orders of writes;
-//! here no search is needed. Each request names its base, and no two versions have the same epoch,
-//! so the versions known to have been applied form a chain (bodies differ from request to request,
-//! so that what is read tells which one it was), and the chain is the order of all writes. What
-//! remains is to compare times. An operation belongs at one place of the chain (a rejection at any
-//! place where another version than its base is in force), and one that had ended before another
-//! was sent must not stand behind it.
+//! The configuration is a register with conditional writes: a request takes effect only if its base
+//! version is in force. A checker for registers in general must search all orders of writes; here
+//! no search is needed. Each request names its base version and no two versions have the same epoch,
+//! so the versions known to have been applied form a chain, which is the order of all writes. Bodies
+//! differ between requests, so a read identifies the request that it saw. What remains is to compare
+//! times. Each operation has one place in the chain (a rejection may have any place at which a
+//! version other than its base is in force). If one operation ended before another was sent, its
+//! place must not be after the other's.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -27,31 +28,31 @@
 pub enum Outcome {
     /// 200: the configuration is applied.
     Acknowledged,
-    /// A status 4xx that ends the request: it isn't applied, and never will be.
+    /// A 4xx status that ends the request: the configuration is not applied, and never will be.
     Rejected(u16),
-    /// A 5xx, a reset, or a time-out: it may be applied, now or later.
+    /// Any other status, a connection error, or a timeout: it may be applied, now or later.
     Unknown,
 }
 
 /// One attempt to send a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
-    /// When it was sent, in seconds.
+    /// Time at which it was sent, in seconds.
     pub sent_at_s: f64,
-    /// When it was answered or given up, in seconds.
+    /// Time at which it was answered or timed out, in seconds.
     pub ended_at_s: f64,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
 /// A request to replace the configuration, with all its attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigRequest {
-    /// The epoch of the version that it builds on; 0 for none.
+    /// The epoch of its base version; 0 if there is none.
     pub base_epoch: u64,
-    /// The version that it brings.
+    /// The version that it sends.
     pub version: Version,
-    /// In the order in which they were sent.
+    /// Its attempts, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
@@ -78,46 +79,49 @@
 /// A read of the newest version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigRead {
-    /// When it was sent, in seconds.
+    /// Time at which it was sent, in seconds.
     pub sent_at_s: f64,
-    /// When it was answered, in seconds.
+    /// Time at which it was answered, in seconds.
     pub ended_at_s: f64,
-    /// What was read; `None` before the first version.
+    /// The version that was read; `None` before the first version.
     pub version: Option<Version>,
 }
 
-/// All that operators did.
+/// All operations of all operators.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct History {
-    /// What they sent.
+    /// The requests to replace the configuration.
     pub requests: Vec<ConfigRequest>,
-    /// What they read.
+    /// The successful reads.
     pub reads: Vec<ConfigRead>,
 }
 
-/// Why no single order of versions explains a history. Versions are named by their epochs.
+/// The reason why no single order of versions explains a history. Versions are identified by their
+/// epochs.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// A version was read or built on that nobody sent.
-    #[error("version {0} was read or built on, and nobody sent it so")]
+    /// A version was read, or is the base of an applied version, but no request contained it.
+    #[error(
+        "version {0} was read or is the base of an applied version, but no request contained it"
+    )]
     UnknownVersion(u64),
-    /// Two versions were applied of which neither builds on the other.
-    #[error("versions {0} and {1} were both taken, and neither builds on the other")]
+    /// Two versions were applied, and neither is based on the other.
+    #[error("versions {0} and {1} were both applied, but neither is based on the other")]
     Fork(u64, u64),
     /// A version was rejected and applied.
-    #[error("version {0} was refused and is taken")]
+    #[error("version {0} was rejected, but is applied")]
     RejectedAndApplied(u64),
-    /// A version was rejected though its base was the newest version all the while.
-    #[error("version {0} was refused though it builds on the newest one")]
+    /// A version was rejected although its base was in force during the whole attempt.
+    #[error("version {0} was rejected although its base was the newest version")]
     WronglyRejected(u64),
-    /// The first operation had ended before the second was sent, and stands behind it in the order
-    /// of versions.
-    #[error("{0} had ended before {1}, and stands behind it")]
+    /// The first operation ended before the second was sent, but comes after it in the order of
+    /// versions.
+    #[error("{0} ended before {1} was sent, but comes after it in the order of versions")]
     OutOfOrder(String, String),
 }
 
-/// An operation at its place in the chain: version number `n` of the chain, counted from 1, is
-/// written at place `2n` and in force at `2n + 1`. Place 1 is that of no version.
+/// An operation and its place in the chain. Version number `n` of the chain, counted from 1, is
+/// written at place `2n` and in force at place `2n + 1`. At place 1 no version is in force yet.
 #[derive(Debug, Clone, PartialEq)]
 struct PlacedOperation {
     sent_at_s: f64,
@@ -126,17 +130,17 @@
     name: String,
 }
 
-/// The place where the version at this index of the chain is written.
+/// Returns the place at which the version with this index in the chain is written.
 fn write_place(index: usize) -> usize {
     2 * (index + 1)
 }
 
-/// Whether a version is in force at this place, rather than just being written.
+/// Returns whether this place lies between two writes, so that no version is being written at it.
 fn is_in_force_place(place: usize) -> bool {
     place % 2 == 1
 }
 
-/// The epoch in force at this place; 0 before the first version.
+/// Returns the epoch in force at this place; 0 before the first version.
 fn epoch_in_force(chain: &[&ConfigRequest], place: usize) -> u64 {
     place
         .checked_sub(2)
@@ -144,8 +148,8 @@
 }
 
 impl History {
-    /// Finds the single order of versions that explains all of this: their epochs, or why there is
-    /// no such order.
+    /// Returns the epochs of the applied versions in the single order that explains the history, or
+    /// the reason why there is no such order.
     pub fn linearize(&self) -> Result<Vec<u64>, Violation> {
         let chain = self.chain()?;
         let mut placed = self.place_writes(&chain)?;
@@ -155,7 +159,7 @@
         Ok(chain.iter().map(|request| request.version.epoch).collect())
     }
 
-    /// The requests known to have been applied, in the order in which they build on each other.
+    /// Returns the requests known to have been applied, each after its base.
     fn chain(&self) -> Result<Vec<&ConfigRequest>, Violation> {
         let known = self.known_applied()?;
         let mut chain = Vec::new();
@@ -179,7 +183,7 @@
         }
     }
 
-    /// The requests that were acknowledged, or whose version was read.
+    /// Returns the requests that were acknowledged or whose version was read.
     fn known_applied(&self) -> Result<BTreeMap<&Version, &ConfigRequest>, Violation> {
         let acknowledged = self.requests.iter().filter(|r| r.is_acknowledged());
         let mut known: BTreeMap<_, _> = acknowledged.map(|r| (&r.version, r)).collect();
@@ -191,8 +195,8 @@
         Ok(known)
     }
 
-    /// The request that another one builds on: one known to have been applied, or else one that may
-    /// have been.
+    /// Returns the request that contains the base version of another one: preferably one known to
+    /// have been applied, otherwise one with an unknown outcome.
     fn base_of<'a>(
         &'a self,
         request: &ConfigRequest,
@@ -242,8 +246,8 @@
         reads.collect()
     }
 
-    /// Places each rejection, in the order of their ends, as early as the others allow, where
-    /// another version than its base is in force.
+    /// Gives each rejection, in the order in which they ended, the earliest place that the operations
+    /// placed so far allow and at which a version other than its base is in force.
     fn place_rejections(
         &self,
         chain: &[&ConfigRequest],
@@ -271,16 +275,16 @@
                 sent_at_s: rejection.sent_at_s,
                 ended_at_s: rejection.ended_at_s,
                 place,
-                name: format!("the refusal of {}", request.version.epoch),
+                name: format!("the rejection of {}", request.version.epoch),
             });
         }
         Ok(())
     }
 }
 
-/// An applied request in time: it took effect after it was first sent and before it was first
+/// Places an applied request: it took effect after it was first sent and before it was first
 /// acknowledged. An attempt with an unknown outcome may take effect at any later time, and an
-/// acknowledgement may be that of an earlier attempt.
+/// acknowledgement may result from an earlier attempt.
 fn place_write(request: &ConfigRequest, place: usize) -> Option<PlacedOperation> {
     let sent_at_s = request.attempts.first()?.sent_at_s;
     let ended_at_s = request
@@ -297,7 +301,7 @@
     })
 }
 
-/// Finds operations that had ended before another was sent, and stand behind it.
+/// Returns an error if an operation ended before another was sent, but has a later place.
 fn check_order(placed: &[PlacedOperation]) -> Result<(), Violation> {
     for first in placed {
         let out_of_order = placed
--- a/crates/testing/testbed/src/operator.rs
+++ b/crates/testing/testbed/src/operator.rs
@@ -1,5 +1,5 @@
 //! The operator: sends configurations until they are applied or rejected, reads them back, and
-//! records every attempt for [`crate::history`]. It never judges what it was answered.
+//! returns a record of each attempt. [`crate::history`] checks the records.
 
 use crate::history::{Attempt, ConfigRead, ConfigRequest, Outcome, Version};
 use crate::http_client::{self, HttpRequest};
@@ -12,37 +12,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A control machine that has not answered after so long is given up for the next one.
+/// Timeout for one request to a control machine; after it the next machine is called.
 const REQUEST_TIMEOUT_S: f64 = 1.0;
 
-/// The first delay between two attempts.
+/// Delay between the first and the second attempt.
 const INITIAL_BACKOFF_S: f64 = 0.05;
 
-/// The longest delay between two attempts.
+/// Maximum delay between two attempts.
 const MAX_BACKOFF_S: f64 = 0.5;
 
-/// Each delay is so many times the one before.
+/// Factor by which the delay grows after each attempt.
 const BACKOFF_FACTOR: f64 = 1.5;
 
-/// Why a configuration will never be applied.
+/// The reason why a configuration will never be applied.
 #[derive(Debug, Error)]
 pub enum ReplaceConfigError {
-    /// There is nobody to send it to.
-    #[error("there is no control machine")]
+    /// The list of control machines is empty.
+    #[error("can't send the configuration: the list of control machines is empty")]
     NoControlMachine,
-    /// A control machine rejected it, for good.
-    #[error("{by} answers {status}: {text}")]
+    /// A control machine rejected it with a status that a retry doesn't change.
+    #[error("{by} rejected the configuration with status {status}: {text}")]
     Rejected {
         /// The control machine that was called.
         by: SocketAddr,
         /// The status of its response.
         status: u16,
-        /// The response's text.
+        /// The body of its response.
         text: String,
     },
 }
 
-/// One operator.
+/// Sends requests to control machines in turn.
 pub struct Operator {
     control_addresses: Vec<SocketAddr>,
     next_control: Cell<usize>,
@@ -50,7 +50,7 @@
 }
 
 impl Operator {
-    /// An operator that calls these control machines in turn, beginning with number `first`.
+    /// Returns an operator that calls these control machines in turn, starting with index `first`.
     pub fn new(control_addresses: &[SocketAddr], first: usize) -> Self {
         Self {
             control_addresses: control_addresses.to_vec(),
@@ -65,8 +65,8 @@
         self.control_addresses[n % self.control_addresses.len()]
     }
 
-    /// Sends a configuration that builds on version `base_epoch` to one control machine after the
-    /// other until there is a clear answer, or until `give_up_at_s`, a second of the process clock.
+    /// Sends a configuration with base version `base_epoch` to the control machines in turn until one
+    /// acknowledges or rejects it, or until `give_up_at_s`, a second of the process clock.
     pub async fn replace_config(
         &self,
         base_epoch: u64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends a configuration once; the attempt is returned, not added to the request.
+    /// Sends a configuration once. Returns the attempt without adding it to the request.
     pub async fn send_once(&self, to: SocketAddr, request: &ConfigRequest) -> Attempt {
         let base = request.base_epoch.to_string();
         let http_request = HttpRequest {
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Reads the newest configuration from the next control machine; `None` without a clear answer.
+    /// Reads the newest configuration from the next control machine. Returns `None` on an error, on a
+    /// status other than 200 and 404, and if the body is invalid.
     pub async fn read_config(&self) -> Option<ConfigRead> {
         self.read_config_from(self.next_address()).await
     }
@@ -166,8 +167,8 @@
     })
 }
 
-/// Sends a configuration that builds on version `base_epoch` until it is applied. Without an answer
-/// it goes on for ever: the caller limits the time.
+/// Sends a configuration with base version `base_epoch` until it is applied or rejected. There is no
+/// timeout: the caller must set one.
 pub async fn replace_config_until_applied(
     control_addresses: &[SocketAddr],
     base_epoch: u64,
@@ -177,7 +178,7 @@
         return Err(ReplaceConfigError::NoControlMachine);
     }
     let operator = Operator::new(control_addresses, 0);
-    // The receiver reads the epoch from the body; here it isn't used.
+    // Control machines read the epoch from the body; this field is only used by the history check.
     let version = Version {
         epoch: 0,
         body: body.to_owned(),
--- a/crates/testing/testbed/src/platform.rs
+++ b/crates/testing/testbed/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform as the system calls it: `POST /promotions`, limited in its rate. Whether a
-//! promotion takes place is decided by `database_cluster`.
+//! The HTTP interface of the simulated platform: `POST /promotions`, with a rate limit.
+//! `database_cluster` decides whether a promotion takes place.
 
 use crate::cluster_host::{ClusterHost, ListenError, listen};
 use async_executor::LocalExecutor;
@@ -13,17 +13,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The longest body of a call.
+/// Maximum size of a request's body.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
 struct Platform {
     host: Rc<ClusterHost>,
     max_calls_per_s: usize,
-    /// When the calls of the last second came, in seconds.
+    /// Arrival times of the calls admitted in the last second, in seconds of the process clock.
     recent_calls_s: RefCell<VecDeque<f64>>,
 }
 
-/// The body of a call, field by field as the users' pages name it.
+/// The JSON body of a call; the field names are part of the platform's interface.
 #[derive(DeJson)]
 struct PromotionRequest {
     backend: String,
@@ -31,8 +31,9 @@
 }
 
 impl Platform {
-    /// The status of the response: 404 for any other path, 429 above the rate, 400 for a call
-    /// without its headers or body, and else what the cluster answers.
+    /// Handles a call and returns the status of the response: 404 for any other method or path, 429
+    /// above the rate limit, 400 if a header or the body is missing or invalid, otherwise the status
+    /// that the cluster returns.
     fn promote(&self, request: &Request) -> u16 {
         if request.method != "POST" || request.path != PROMOTIONS_PATH {
             return 404;
@@ -60,7 +61,7 @@
         status
     }
 
-    /// Counts a call; false if there were too many in the last second.
+    /// Counts a call and returns true, or returns false if the rate limit is reached.
     fn admit(&self, now: f64) -> bool {
         let mut calls = self.recent_calls_s.borrow_mut();
         while calls.front().is_some_and(|called| *called < now - 1.0) {
--- a/crates/testing/testbed/src/replica.rs
+++ b/crates/testing/testbed/src/replica.rs
@@ -1,12 +1,13 @@
-//! One server's replica of its service's log and data: what it received, and what of that it has
-//! applied. `database_cluster` owns one a server and decides when commits arrive and are applied; a
-//! replica knows nothing of time, of other servers or of who is primary.
+//! A server's copy of its service's log and data: the commits that it has received, and those that
+//! it has applied. `database_cluster` owns one replica for each server and decides when commits
+//! arrive and are applied; a replica doesn't know the time, the other servers or the primary.
 
 use badgerstream_line_protocol::Position;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// So many commits are retained for replicas that are behind; one further behind takes a snapshot.
+/// Number of commits that are retained for lagging replicas; a replica that lags further behind takes
+/// a snapshot. Commits that aren't applied yet are retained beyond this number.
 const MAX_RETAINED_COMMITS: usize = 10_000;
 
 /// A write to one key.
@@ -18,14 +19,14 @@
     pub value: String,
 }
 
-/// One commit that writes. Replicas share its content.
+/// A commit with at least one write. Replicas share its ids and writes.
 #[derive(Debug, Clone)]
 pub struct Commit {
-    /// The primary term it was committed in, and its number in the log.
+    /// The primary term in which it was committed, and its number in the log.
     pub position: Position,
     /// The ids of its statements.
     pub ids: Rc<[String]>,
-    /// What it writes, in order.
+    /// Its writes, in order.
     pub writes: Rc<[KeyWrite]>,
     /// When the primary committed it, in seconds.
     pub committed_at_s: f64,
@@ -33,7 +34,7 @@
     pub received_at_s: f64,
 }
 
-/// A replica of a log and of the data it leads to.
+/// A copy of a log and of the data that results from it.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     /// The newest commits received, in order and without gaps.
@@ -44,7 +45,7 @@
 }
 
 impl Replica {
-    /// An empty log in this primary term, whose first commit will be number 1.
+    /// Returns an empty log in this primary term; its first commit will have the number 1.
     pub fn new(term: u64) -> Self {
         let start = Position { term, number: 0 };
         Self {
@@ -54,17 +55,17 @@
         }
     }
 
-    /// The end of the log.
+    /// Returns the position of the last commit received.
     pub fn received(&self) -> Position {
         self.received
     }
 
-    /// How far reads see the log.
+    /// Returns the position of the last commit applied, which is the last one that reads see.
     pub fn applied(&self) -> Position {
         self.applied
     }
 
-    /// The value that reads see of a key.
+    /// Returns the value of a key as reads see it.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.data.get(key).map(String::as_str)
     }
@@ -79,20 +80,20 @@
         }
     }
 
-    /// The commit that follows this number; `None` if there is none yet, or if it isn't retained
-    /// any more (see [`Replica::retains_all_after`]).
+    /// Returns the commit after this number; `None` if there is none yet, or if it is no longer
+    /// retained (see [`Replica::retains_all_after`]).
     pub fn commit_after(&self, number: u64) -> Option<&Commit> {
         let behind = self.received.number.checked_sub(number)?;
         let index = (self.commits.len() as u64).checked_sub(behind)?;
         self.commits.get(index as usize)
     }
 
-    /// Whether all commits after this number are retained.
+    /// Returns whether all commits after this number are retained.
     pub fn retains_all_after(&self, number: u64) -> bool {
         self.received.number.saturating_sub(number) <= self.commits.len() as u64
     }
 
-    /// The next commit to be applied.
+    /// Returns the next commit to apply.
     pub fn next_unapplied(&self) -> Option<&Commit> {
         self.commit_after(self.applied.number)
     }
@@ -108,7 +109,7 @@
         self.applied = position;
     }
 
-    /// The retained commits after this number.
+    /// Returns the retained commits after this number.
     pub fn commits_after(&self, number: u64) -> impl Iterator<Item = &Commit> {
         self.commits
             .iter()
--- a/crates/testing/testbed/src/rule_checker.rs
+++ b/crates/testing/testbed/src/rule_checker.rs
@@ -1,25 +1,27 @@
-//! Checks the users' rules as far as they show at the database servers: no acknowledged commit is
-//! lost, no write takes effect twice, no replaced primary acknowledges. `database_cluster` owns the
-//! one instance and reports to it; nothing here changes what a server does.
+//! Counts violations of the system's safety rules that can be observed at the database servers: no
+//! acknowledged commit is lost, no write takes effect twice, no replaced primary acknowledges a
+//! commit. `database_cluster` owns the only instance and reports events to it; the checker doesn't
+//! influence the servers.
 
 use std::collections::{HashSet, VecDeque};
 
-/// So many of the newest statement ids are remembered to find duplicates.
+/// Maximum number of statement ids that are kept to detect duplicates; the oldest is dropped first.
 const MAX_REMEMBERED_IDS: usize = 200_000;
 
-/// Counts of acknowledged writes and of broken rules.
+/// Counts of acknowledged writes and of rule violations.
 #[derive(Debug, Default)]
 pub struct RuleChecker {
-    /// Writes that a server answered with success.
+    /// Writes that a server has acknowledged.
     pub acknowledged_writes: u64,
-    /// Rule LOST: acknowledged commits that a promoted server lacks.
+    /// Violations of rule LOST: acknowledged commits that a promoted server lacks.
     pub lost_commits: u64,
-    /// Rule TWICE: writes whose id was committed before.
+    /// Violations of rule TWICE: writes whose id was committed before.
     pub duplicate_writes: u64,
-    /// Rule ONE: commits acknowledged by a server that another had replaced as primary.
+    /// Violations of rule ONE: commits acknowledged by a server after another one had replaced it as
+    /// primary.
     pub deposed_commits: u64,
     committed_ids: HashSet<String>,
-    /// The ids in the order in which they were committed.
+    /// The ids in commit order.
     commit_order: VecDeque<String>,
 }
 
@@ -38,22 +40,22 @@
         }
     }
 
-    /// Records that a promotion truncated this write: it may be committed again.
+    /// Records that a promotion truncated this write, so that committing it again is no duplicate.
     pub fn record_truncation(&mut self, id: &str) {
         self.committed_ids.remove(id);
     }
 
-    /// Whether this write was committed, of those that are remembered.
+    /// Returns whether this write is among the remembered commits.
     pub fn has_committed(&self, id: &str) -> bool {
         self.committed_ids.contains(id)
     }
 
-    /// How often rules were broken.
+    /// Returns the number of violations of all rules.
     pub fn violations(&self) -> u64 {
         self.lost_commits + self.duplicate_writes + self.deposed_commits
     }
 
-    /// One line for people and scripts, as `badgerstream-testbed tell ADDRESS ledger` prints it.
+    /// Returns the counts in one line, as `badgerstream-testbed tell ADDRESS ledger` prints them.
     pub fn summary(&self) -> String {
         format!(
             "answered={} lost={} twice={} deposed={}",
