--- a/crates/testing/testbed/src/client.rs
+++ b/crates/testing/testbed/src/client.rs
@@ -32,8 +32,8 @@
 }
 
 impl Client {
-    /// Opens a session with a database as `caller`. `timeout_s` is the timeout of each call, this one
-    /// included.
+    /// Opens a session with a database as `caller`. `timeout_s` is the timeout of each call, this
+    /// one included.
     pub async fn connect(
         address: SocketAddr,
         database: &str,
--- a/crates/testing/testbed/src/cluster_host.rs
+++ b/crates/testing/testbed/src/cluster_host.rs
@@ -119,8 +119,8 @@
         self.start_server_tasks(id)
     }
 
-    /// Begins the graceful shutdown of a server: its heartbeats announce that it drains, and it ends
-    /// after the drain time.
+    /// Begins the graceful shutdown of a server: its heartbeats announce that it drains, and it
+    /// ends after the drain time.
     pub fn drain_server(&self, id: &str) {
         self.cluster.borrow_mut().drain_server(id);
         self.changed.notify_waiters();
@@ -275,8 +275,8 @@
     }
 }
 
-/// Returns the next line; `None` at the end of the stream, after an error, and for a line that is too
-/// long.
+/// Returns the next line; `None` at the end of the stream, after an error, and for a line that is
+/// too long.
 async fn read_line(stream: &mut Async<TcpStream>, lines: &mut LineBuffer) -> Option<Vec<u8>> {
     let mut bytes = [0; 1024];
     loop {
--- a/crates/testing/testbed/src/database_cluster/administration.rs
+++ b/crates/testing/testbed/src/database_cluster/administration.rs
@@ -1,13 +1,14 @@
-//! Statements that aren't of clients: control's `STATUS`, `PAUSE`, `RESUME` and `STEPDOWN`, which
-//! all answer with the server's status, and `RESET`, with which a router clears a session for
-//! another client.
+//! Statements that clients don't send: control's `STATUS`, `PAUSE`, `RESUME` and `STEPDOWN`, whose
+//! response is the server's status row, and `RESET`, with which a router clears a session before
+//! another client uses it.
 
 use super::model::{ConnectionId, DatabaseCluster, Rejection, Work};
 use super::sessions::NO_STATEMENT_ID;
 use badgerstream_line_protocol::ErrorCode;
 
 impl DatabaseCluster {
-    /// Runs a statement of administration; false for any other, which is left alone.
+    /// Runs an administration statement and returns true; returns false without effect for any
+    /// other statement.
     pub(super) fn administer(
         &mut self,
         connection: ConnectionId,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A replica receives nothing more until `term`, which is to begin, has begun.
+    /// Pauses a replica: it receives no commits until the future primary term `term` has begun.
     fn pause(&mut self, server_id: &str, term: u64) {
         let newest_term = self.services[&self.servers[server_id].service].term;
         let server = self.server_mut(server_id);
@@ -64,7 +65,7 @@
         self.rejoin_replicas(&service);
     }
 
-    /// A primary of an older term than `term` steps down.
+    /// Makes a server step down if it is a primary of an older term than `term`.
     fn step_down_for(&mut self, server_id: &str, term: u64) {
         let server = &self.servers[server_id];
         if server.is_primary && server.term < term {
--- a/crates/testing/testbed/src/database_cluster/commits.rs
+++ b/crates/testing/testbed/src/database_cluster/commits.rs
@@ -1,11 +1,12 @@
-//! Commits of primaries, and their acknowledgement once enough replicas have received them.
+//! Commits on primaries, and their acknowledgement once enough replicas have received them.
 
 use super::model::{ConnectionId, DatabaseCluster, UnacknowledgedCommit};
 use crate::replica::{Commit, KeyWrite};
 use badgerstream_line_protocol::Position;
 
 impl DatabaseCluster {
-    /// Appends a commit to a primary's log and applies it there; the response waits for replicas.
+    /// Appends a commit to a primary's log and applies it there. The client gets its response once
+    /// enough replicas have received the commit.
     pub(super) fn commit(
         &mut self,
         server_id: &str,
@@ -40,7 +41,7 @@
         });
     }
 
-    /// Responds to the commits of a server that enough replicas have received, in order.
+    /// Acknowledges, in order, the commits of a server that enough replicas have received.
     pub(super) fn acknowledge_commits(&mut self, server_id: &str) {
         let server = &self.servers[server_id];
         let service = &self.services[&server.service];
@@ -66,7 +67,7 @@
         }
     }
 
-    /// How many running replicas of the commit's term have received it.
+    /// Returns the number of running replicas of the commit's term that have received it.
     fn replicas_with(&self, service: &str, position: Position) -> usize {
         let replicas = self.servers.values().filter(|server| {
             server.service == service
--- a/crates/testing/testbed/src/database_cluster/failover.rs
+++ b/crates/testing/testbed/src/database_cluster/failover.rs
@@ -1,12 +1,13 @@
-//! How servers end, start and become primary, and whom replicas follow.
+//! Crashes, restarts and promotions of servers, and which primary replicas follow.
 
 use super::model::{ConnectionId, ConnectionOutput, DatabaseCluster, PendingPromotion, Server};
 use badgerstream_line_protocol::Position;
 
 impl DatabaseCluster {
-    /// The platform's `POST /promotions`, by the status of its answer: 404 for an unknown service,
-    /// 409 for a fencing token below one seen and for a server that doesn't run, else 200. The
-    /// promotion itself takes place a moment later; that of the primary does nothing.
+    /// Handles the platform's `POST /promotions` and returns the status of its response: 404 for an
+    /// unknown service, 409 for a fencing token below the highest one seen or a server that doesn't
+    /// run, otherwise 200. The promotion takes place after `Timing::promotion_s`; it has no effect
+    /// if the server is the primary already.
     pub fn request_promotion(
         &mut self,
         now: f64,
@@ -36,7 +37,7 @@
         200
     }
 
-    /// A server's process ends; all its connections break.
+    /// Ends a server's process and closes all its connections.
     pub fn crash_server(&mut self, now: f64, id: &str) {
         self.advance(now);
         let Some(server) = self.servers.get_mut(id).filter(|server| server.running) else {
@@ -51,7 +52,8 @@
         let sessions = self.sessions.iter();
         let of_server = sessions.filter(|(_, session)| session.server_id == id);
         let mut broken: Vec<ConnectionId> = of_server.map(|(connection, _)| *connection).collect();
-        // The map has no order; outputs must have one.
+        // Iteration over the map has no fixed order, but the order of outputs must be
+        // deterministic.
         broken.sort_unstable();
         for connection in broken {
             self.sessions.remove(&connection);
@@ -60,7 +62,7 @@
         log::info!("event=server_ended id={id}");
     }
 
-    /// A server's process starts again, with the log that it had.
+    /// Restarts a server's process with its former log.
     pub fn start_server(&mut self, now: f64, id: &str) {
         self.advance(now);
         let Some(server) = self.servers.get_mut(id).filter(|server| !server.running) else {
@@ -78,15 +80,15 @@
         self.rejoin_replicas(&service);
     }
 
-    /// A server announces from now on that it drains.
+    /// Marks a server as draining, which its heartbeats announce from now on.
     pub fn drain_server(&mut self, id: &str) {
         if let Some(server) = self.servers.get_mut(id) {
             server.draining = true;
         }
     }
 
-    /// A server becomes the primary of the next term, with the log that it has received and nothing
-    /// more; replicas that can follow do so at once.
+    /// Makes a server the primary of the next term, with exactly the log that it has received.
+    /// Replicas that can follow it do so at once.
     pub(super) fn promote(&mut self, service_name: &str, id: &str) {
         if !self.servers[id].running || self.primary(service_name) == Some(id) {
             return;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Acknowledged commits beyond the new primary's log are lost.
+    /// Counts acknowledged commits after the end of the new primary's log as lost.
     fn record_lost_commits(&mut self, service_name: &str, log_end: Position) {
         let Some(service) = self.services.get_mut(service_name) else {
             return;
@@ -125,7 +127,7 @@
             return;
         }
         service.acknowledged = log_end;
-        // Without synchronous replicas nothing is promised.
+        // Without synchronous replicas, acknowledged commits may be lost.
         if service.spec.sync_replicas > 0 {
             self.rule_checker.lost_commits += acknowledged.number.saturating_sub(log_end.number);
             log::warn!(
@@ -135,7 +137,8 @@
         }
     }
 
-    /// The old primary's log goes furthest: what it has beyond the new one's may be written again.
+    /// Records as truncated the commits of the old primary after the end of the new primary's log:
+    /// clients may write them again. No log is longer than the old primary's.
     fn record_truncated_commits(&mut self, service_name: &str, old_term: u64, log_end: Position) {
         let old_primaries = self.servers.values().filter(|server| {
             server.service == service_name && server.is_primary && server.term == old_term
@@ -147,8 +150,8 @@
         }
     }
 
-    /// What a server does when another one of its service is promoted: a replica follows; a primary
-    /// doesn't know yet, and goes on.
+    /// Handles the promotion of another server of the same service: a replica follows the new
+    /// primary; a primary doesn't know of it yet and continues as before.
     fn follow_promoted(&mut self, id: &str, old_term: u64, log_end: Position) {
         let now = self.now;
         let truncation_s = self.timing.truncation_s;
@@ -161,12 +164,12 @@
             server.busy_until_s = now + truncation_s;
         }
         server.paused_for_term = None;
-        // Of one term, a log that ends before the new primary's is a prefix of it.
+        // Within one term, a log that isn't longer than the new primary's is a prefix of it.
         let is_prefix = server.replica.received() <= log_end && server.term == old_term;
         self.follow_primary(id, is_prefix);
     }
 
-    /// Replicas of former terms, and those too far behind, take a snapshot of the primary's log.
+    /// Makes replicas of earlier terms, and those too far behind, take a snapshot of the primary.
     pub(super) fn rejoin_replicas(&mut self, service: &str) {
         let replicas = self.running_servers(service, |server| {
             !server.is_primary && server.paused_for_term.is_none()
@@ -184,9 +187,9 @@
             .collect()
     }
 
-    /// A replica takes up the newest term, if its primary runs. Unless its log is known to be a
-    /// prefix of the primary's, it takes a snapshot: it may have commits that the primary lacks,
-    /// under numbers that the primary gives to others.
+    /// Makes a server follow the primary of the newest term, if that one runs. Unless the server's
+    /// log is known to be a prefix of the primary's, it takes a snapshot: its log may contain
+    /// commits that the primary lacks, with numbers that the primary assigns to other commits.
     fn follow_primary(&mut self, id: &str, is_prefix: bool) {
         let server = &self.servers[id];
         if !self.has_other_primary(server) {
@@ -209,12 +212,13 @@
         server.term = term;
     }
 
-    /// A primary that was replaced becomes a replica. Its commits that no replica received are lost
-    /// to it: their clients are told that they failed.
+    /// Makes a replaced primary a replica. The clients of its unacknowledged commits get the error
+    /// `FAILED`.
     pub(super) fn step_down(&mut self, id: &str) {
         let server = self.server_mut(id);
         server.deposed_at_s = None;
-        // Also when the primary of the newest term is down, and there is nobody to follow.
+        // This holds too if the primary of the newest term is down, so that there is none to
+        // follow.
         server.is_primary = false;
         let unacknowledged = std::mem::take(&mut server.unacknowledged);
         self.follow_primary(id, false);
--- a/crates/testing/testbed/src/database_cluster/model.rs
+++ b/crates/testing/testbed/src/database_cluster/model.rs
@@ -1,5 +1,4 @@
-//! The state of a cluster, and what can be asked of it. The other modules change it; this one only
-//! builds it.
+//! The state of a cluster, its construction, and queries on it. The other modules change it.
 
 use crate::replica::{KeyWrite, Replica};
 use crate::rule_checker::RuleChecker;
@@ -8,28 +7,28 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// The primary term that each service begins with.
+/// The initial primary term of each service.
 const FIRST_TERM: u64 = 1;
 
-/// A connection to a server, by a number that is never used again.
+/// Identifies a connection to a server; numbers are never reused.
 pub type ConnectionId = u64;
 
-/// How long things take, in seconds.
+/// Simulated durations, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// How long a new connection takes a slot.
+    /// Time for which a new connection occupies a slot.
     pub connect_s: f64,
-    /// How long a read, a write or a commit takes a slot.
+    /// Time for which a read, a write or a commit occupies a slot.
     pub statement_s: f64,
-    /// From a commit at the primary until a replica receives it.
+    /// Time from a commit at the primary until a replica receives it.
     pub replication_s: f64,
-    /// From when a replica has received a commit until its reads see it.
+    /// Time from the receipt of a commit by a replica until its reads see it.
     pub apply_s: f64,
-    /// From the platform's answer until the named server is the primary.
+    /// Time from the platform's response to a promotion until the promoted server is the primary.
     pub promotion_s: f64,
-    /// How long a replica whose log is truncated starts no statement.
+    /// Time during which a replica whose log is truncated starts no statement.
     pub truncation_s: f64,
-    /// How long a replaced primary that isn't told to step down goes on.
+    /// Time after which a replaced primary steps down without being told to.
     pub deposed_primary_s: f64,
 }
 
@@ -52,13 +51,13 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: String,
-    /// How many replicas must have received a commit before it is acknowledged.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub sync_replicas: u32,
-    /// How many connections a server takes from all callers together.
+    /// Maximum number of connections to a server, over all callers.
     pub max_connections: usize,
-    /// How many statements a server runs at a time.
+    /// Maximum number of statements that a server runs concurrently.
     pub slots: usize,
-    /// Its servers; the first one is the primary at the start.
+    /// Its servers; the first one is the initial primary.
     pub servers: Vec<ServerSpec>,
 }
 
@@ -67,29 +66,29 @@
 pub struct ServerSpec {
     /// Its id, unique in the cluster.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub listen_address: SocketAddr,
-    /// Where its heartbeats say that it is reached: a relay before it, or where it listens.
+    /// The address that its heartbeats advertise: that of a relay in front of it, or its own.
     pub advertised_address: SocketAddr,
     /// Its zone.
     pub zone: String,
 }
 
-/// What is to be done on a connection.
+/// An action that the host must perform on a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConnectionOutput {
-    /// Write this.
+    /// Write this text.
     Send(ConnectionId, String),
-    /// Close it once all before is written.
+    /// Close it once all earlier texts are written.
     Close(ConnectionId),
 }
 
-/// An `ERROR` line: why a connection or a statement is rejected.
+/// An `ERROR` line, which rejects a connection or a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
     /// Its code.
     pub code: ErrorCode,
-    /// What follows the code: the server's id, or a text for people.
+    /// The text after the code: the server's id, or a message for people.
     pub text: String,
 }
 
@@ -101,42 +100,42 @@
         }
     }
 
-    /// The line without its end.
+    /// Returns the line without its line ending.
     pub(super) fn line(&self) -> String {
         format!("ERROR {} {}", self.code.as_str(), self.text)
     }
 
-    /// The line with its end, as it is written.
+    /// Returns the line with its line ending.
     pub fn response(&self) -> String {
         format!("{}\r\n", self.line())
     }
 }
 
-/// What a server's heartbeats announce without delay when it changes.
+/// The part of a server's state whose changes its heartbeats announce without delay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnnouncedState {
-    /// Whether it takes itself for the primary.
+    /// Whether the server considers itself the primary.
     pub is_primary: bool,
     /// Whether it drains.
     pub draining: bool,
 }
 
-/// What a job does at the end of its time in a slot.
+/// The work that a job does at the end of its time in a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Work {
-    /// A new connection gets its first line.
+    /// Sends the first line to a new connection.
     Connect,
-    /// `STATUS`, and what answers like it.
+    /// `STATUS`, and the statements with the same response.
     Status,
     Read {
         key: String,
     },
     Write(KeyWrite),
-    /// The end of a transaction.
+    /// Commits a transaction.
     Commit,
 }
 
-/// A statement that waits for a slot or has one.
+/// A statement that waits for a slot or occupies one.
 #[derive(Debug, Clone)]
 pub(super) struct Job {
     pub(super) connection: ConnectionId,
@@ -153,9 +152,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct Transaction {
     pub(super) read_only: bool,
-    /// After an error it takes only its end.
+    /// Set after an error: only statements that end the transaction are accepted.
     pub(super) failed: bool,
-    /// The primary term of its server when it began: in another term it can't write any more.
+    /// The primary term of its server at its beginning: in any other term it can no longer write.
     pub(super) term: u64,
     pub(super) ids: Vec<String>,
     pub(super) writes: Vec<KeyWrite>,
@@ -165,13 +164,13 @@
 pub(super) struct Session {
     pub(super) server_id: String,
     pub(super) values: BTreeMap<String, String>,
-    /// By name, whether the prepared statement reads or writes; its shape makes no difference here.
+    /// For each prepared statement, by name, whether it reads or writes; its text isn't needed.
     pub(super) prepared: BTreeMap<String, StatementKind>,
     pub(super) transaction: Option<Transaction>,
     pub(super) statement_count: u64,
 }
 
-/// A commit whose response waits for replicas.
+/// A commit that not enough replicas have received for its acknowledgement.
 #[derive(Debug)]
 pub(super) struct UnacknowledgedCommit {
     pub(super) connection: ConnectionId,
@@ -186,16 +185,17 @@
     pub(super) service: String,
     pub(super) running: bool,
     pub(super) draining: bool,
-    /// Whether it takes itself for the primary; a replaced one does so for a while.
+    /// Whether it considers itself the primary; a replaced primary does so until it steps down.
     pub(super) is_primary: bool,
-    /// The primary term that it leads or follows.
+    /// The primary term in which it is primary or replica.
     pub(super) term: u64,
-    /// Paused (`PAUSE TERM`): it receives no commits until it is resumed or a term begins.
+    /// The term of the `PAUSE TERM` in effect: the server receives no commits until it is resumed
+    /// or a term begins.
     pub(super) paused_for_term: Option<u64>,
     pub(super) replica: Replica,
-    /// Since when another is the primary while this one goes on, in seconds.
+    /// Time at which another server replaced it as primary, until it steps down, in seconds.
     pub(super) deposed_at_s: Option<f64>,
-    /// Until then it starts no statement, in seconds.
+    /// Time until which it starts no statement, in seconds.
     pub(super) busy_until_s: f64,
     pub(super) connection_count: usize,
     pub(super) running_jobs: Vec<RunningJob>,
@@ -241,11 +241,11 @@
     pub(super) promotions: Vec<PendingPromotion>,
     /// The highest fencing token seen.
     pub(super) fencing_token: u64,
-    /// The furthest commit that was acknowledged and is still in the log.
+    /// The position of the last commit that was acknowledged and is still in the log.
     pub(super) acknowledged: Position,
 }
 
-/// All services, their servers and sessions, and what the platform knows of them.
+/// All services, their servers and sessions, and the platform's state.
 #[derive(Debug)]
 pub struct DatabaseCluster {
     pub(super) timing: Timing,
@@ -257,14 +257,14 @@
     pub(super) sessions: HashMap<ConnectionId, Session>,
     pub(super) last_connection: ConnectionId,
     pub(super) outputs: Vec<ConnectionOutput>,
-    /// What was seen of the users' rules.
+    /// Counts violations of the safety rules.
     pub rule_checker: RuleChecker,
 }
 
 impl DatabaseCluster {
-    /// A cluster whose servers all run, the first of each service as its primary. With `fencing`
-    /// the platform rejects a fencing token below one that it has seen. `seed` makes the stamps of
-    /// responses.
+    /// Returns a cluster whose servers all run; the first of each service is its primary. With
+    /// `fencing`, the platform rejects a fencing token below the highest one seen. `seed` is an
+    /// input of the hash in commit stamps.
     pub fn new(specs: Vec<ServiceSpec>, timing: Timing, fencing: bool, seed: u64) -> Self {
         let mut services = BTreeMap::new();
         let mut servers = BTreeMap::new();
@@ -299,18 +299,18 @@
         }
     }
 
-    /// The ids of all servers, running or not.
+    /// Returns the ids of all servers, running or not.
     pub fn server_ids(&self) -> Vec<String> {
         self.servers.keys().cloned().collect()
     }
 
-    /// Where a server listens, while it runs.
+    /// Returns the listen address of a server while it runs.
     pub fn listen_address(&self, id: &str) -> Option<SocketAddr> {
         let server = self.servers.get(id).filter(|server| server.running)?;
         Some(server.spec.listen_address)
     }
 
-    /// The primary of a service in its newest term, if it runs.
+    /// Returns the primary of a service in its newest term, if it runs.
     pub fn primary(&self, service: &str) -> Option<&str> {
         let term = self.services.get(service)?.term;
         let primary = self.servers.values().find(|server| {
@@ -319,18 +319,18 @@
         Some(primary.spec.id.as_str())
     }
 
-    /// Whether another server of the service is the primary of its newest term.
+    /// Returns whether another server of the service is the primary of its newest term.
     pub(super) fn has_other_primary(&self, server: &Server) -> bool {
         self.primary(&server.service)
             .is_some_and(|primary| primary != server.spec.id)
     }
 
-    /// What a server's reads see of a key.
+    /// Returns the value of a key as a server's reads see it.
     pub fn read(&self, id: &str, key: &str) -> Option<&str> {
         self.servers.get(id)?.replica.get(key)
     }
 
-    /// A server's row of `STATUS`.
+    /// Returns the row with which a server answers `STATUS`.
     pub fn status_row(&self, id: &str) -> Option<String> {
         let server = self.servers.get(id)?;
         let role = if server.is_primary {
@@ -351,7 +351,7 @@
         ))
     }
 
-    /// The body of a server's next heartbeat; `None` while it doesn't run.
+    /// Returns the body of a server's next heartbeat; `None` while it doesn't run.
     pub fn next_heartbeat(&mut self, id: &str) -> Option<Heartbeat> {
         let server = self.servers.get_mut(id).filter(|server| server.running)?;
         let service = self.services.get(&server.service)?;
@@ -377,7 +377,8 @@
         })
     }
 
-    /// What a server's heartbeats announce without delay; the default for an unknown id.
+    /// Returns the state whose changes a server's heartbeats announce without delay; the default
+    /// for an unknown id.
     pub fn announced_state(&self, id: &str) -> AnnouncedState {
         self.servers
             .get(id)
--- a/crates/testing/testbed/src/database_cluster/sessions.rs
+++ b/crates/testing/testbed/src/database_cluster/sessions.rs
@@ -1,5 +1,5 @@
-//! Connections to servers: their beginning and end, their responses, and the slots that their
-//! statements wait for.
+//! Connections to servers: opening, closing, responses, and the queue of statements for execution
+//! slots.
 
 use super::model::{
     ConnectionId, ConnectionOutput, DatabaseCluster, Job, Rejection, RunningJob, Session, Work,
@@ -7,22 +7,24 @@
 use badgerstream_line_protocol::{ErrorCode, Request, TransactionState};
 use std::collections::BTreeMap;
 
-/// So many statements wait for a slot of one server at most; more are answered `RETRY`.
+/// Maximum number of statements that wait for a slot of one server; further ones are answered
+/// `RETRY`.
 const MAX_QUEUED_STATEMENTS: usize = 200;
 
-/// What such a `RETRY` says: after how many milliseconds to ask again.
+/// The delay in a `RETRY` response, in milliseconds: the client should retry after it.
 const RETRY_AFTER_MS: &str = "20";
 
-/// How long a `STATUS` takes a slot.
+/// Time for which a `STATUS` occupies a slot.
 const STATUS_S: f64 = 0.0005;
 
-/// The id of jobs that aren't statements of clients.
+/// The statement id of jobs that aren't client statements.
 pub(super) const NO_STATEMENT_ID: &str = "-";
 
 impl DatabaseCluster {
-    /// Handles `CONNECT`, the first line of a connection: to `service` at server `server_id`. After
-    /// a rejection the connection is to be closed; otherwise the response comes as
-    /// [`ConnectionOutput::Send`]. A `caller` of two words names the server it means.
+    /// Handles `CONNECT`, the first line of a connection, to `service` at server `server_id`. After
+    /// a rejection the host must close the connection; otherwise the response follows as
+    /// [`ConnectionOutput::Send`]. If `caller` contains a space, the text after it is the id of the
+    /// server that the caller expects.
     pub fn connect(
         &mut self,
         now: f64,
@@ -57,8 +59,8 @@
         Ok(connection)
     }
 
-    /// Handles a line of a session; the response comes as [`ConnectionOutput::Send`]. To be called
-    /// for one line of a connection at a time.
+    /// Handles a line of a session; the response follows as [`ConnectionOutput::Send`]. The next
+    /// line of the same connection may only be passed after this response.
     pub fn receive_line(&mut self, now: f64, connection: ConnectionId, line: &[u8]) {
         self.advance(now);
         match Request::parse(line) {
@@ -74,8 +76,8 @@
         }
     }
 
-    /// The caller has closed its connection: an open transaction is rolled back, and what is queued
-    /// isn't run. What is running ends without a response.
+    /// Handles the end of a connection: an open transaction is rolled back and queued statements
+    /// are dropped. Running statements end without a response.
     pub fn close_connection(&mut self, now: f64, connection: ConnectionId) {
         self.advance(now);
         let Some(session) = self.sessions.remove(&connection) else {
@@ -91,8 +93,8 @@
             .retain(|commit| commit.connection != connection);
     }
 
-    /// The `IDLE` line that ends each response: the state of the transaction, and how far reads see
-    /// the log.
+    /// Returns the `IDLE` line that ends each response: the state of the transaction, and the
+    /// position up to which reads see the log.
     fn idle_line(&self, session: &Session) -> String {
         let state = match &session.transaction {
             None => TransactionState::Idle,
@@ -106,7 +108,7 @@
         )
     }
 
-    /// The first line of a new connection.
+    /// Sends the first line to a new connection.
     pub(super) fn greet(&mut self, connection: ConnectionId) {
         if let Some(session) = self.sessions.get(&connection) {
             let line = self.idle_line(session);
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Responds with these lines and `IDLE`; without effect once the connection is closed.
+    /// Responds with these lines and the `IDLE` line; does nothing if the connection is closed.
     pub(super) fn respond(&mut self, connection: ConnectionId, lines: &str) {
         if let Some(session) = self.sessions.get(&connection) {
             let response = format!("{lines}\r\n{}", self.idle_line(session));
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Responds with an error, which fails an open transaction.
+    /// Responds with an error, and marks an open transaction as failed.
     pub(super) fn reject(&mut self, connection: ConnectionId, rejection: &Rejection) {
         let session = self.sessions.get_mut(&connection);
         if let Some(transaction) = session.and_then(|session| session.transaction.as_mut()) {
@@ -132,7 +134,7 @@
         self.respond(connection, &rejection.line());
     }
 
-    /// Queues work for a slot of the session's server.
+    /// Queues work until a slot of the session's server is free.
     pub(super) fn enqueue(&mut self, connection: ConnectionId, statement_id: &str, work: Work) {
         let Some(session) = self.sessions.get(&connection) else {
             return;
@@ -150,7 +152,7 @@
         self.fill_slots(&server_id);
     }
 
-    /// Starts queued jobs while slots are free.
+    /// Starts queued jobs as long as slots are free.
     pub(super) fn fill_slots(&mut self, server_id: &str) {
         let slots = self.services[&self.servers[server_id].service].spec.slots;
         let (now, timing) = (self.now, self.timing);
--- a/crates/testing/testbed/src/database_cluster/statements.rs
+++ b/crates/testing/testbed/src/database_cluster/statements.rs
@@ -1,6 +1,6 @@
-//! Statements of clients: what is checked when they arrive, and what they do at the end of their
-//! time in a slot. Anything may have changed between the two, so that the right to run is checked
-//! at both.
+//! Client statements: the checks on their arrival, and their effect at the end of their time in a
+//! slot. The server's role may change in between, so whether the statement may run is checked at
+//! both times.
 
 use super::model::{
     ConnectionId, DatabaseCluster, Job, Rejection, Server, Session, Transaction, Work,
@@ -8,18 +8,18 @@
 use crate::replica::KeyWrite;
 use badgerstream_line_protocol::{ErrorCode, ParsedStatement, Position, StatementKind};
 
-/// What becomes of a statement that is accepted.
+/// The next step for an accepted statement.
 enum Accepted {
-    /// It only concerns the session, and is complete.
+    /// None: it affects only the session and is complete.
     Complete,
-    /// It needs a slot.
+    /// It must be queued for a slot.
     Queue(Work),
 }
 
-/// A statement with the freshness proof that precedes it (`WAITPOS`).
+/// A statement and the freshness proof (`WAITPOS`) before it, if there is one.
 struct ProvenStatement<'a> {
     proof: Option<Position>,
-    /// The statement alone.
+    /// The text of the statement without the proof.
     text: &'a str,
     parsed: ParsedStatement<'a>,
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Checks a statement, and runs what only concerns the session.
+    /// Checks a statement, and runs it if it affects only the session.
     fn accept(
         &mut self,
         connection: ConnectionId,
@@ -64,8 +64,8 @@
         accept_parsed(session, server, &statement)
     }
 
-    /// Whether work may not run at the session's server because that isn't the primary, or isn't
-    /// any more.
+    /// Returns whether work must be rejected because the session's server isn't the primary, or is
+    /// no longer the primary of the transaction's term.
     fn is_read_only(&self, connection: ConnectionId, work: &Work) -> bool {
         let Some(session) = self.sessions.get(&connection) else {
             return false;
@@ -73,7 +73,7 @@
         let server = &self.servers[&session.server_id];
         match (&session.transaction, work) {
             (_, Work::Connect | Work::Status) => false,
-            // Nothing can be lost of a transaction that wrote nothing.
+            // A transaction without writes can be committed on any server.
             (Some(transaction), Work::Commit) if transaction.writes.is_empty() => false,
             (Some(transaction), _) if !transaction.read_only => {
                 !server.is_primary || server.term != transaction.term
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Rejects work that only a primary may run; a transaction ends with its commit all the same.
+    /// Rejects work that only a primary may run. A rejected commit ends its transaction too.
     fn reject_read_only(&mut self, connection: ConnectionId, server_id: &str, work: &Work) {
         if *work == Work::Commit
             && let Some(session) = self.sessions.get_mut(&connection)
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A write becomes part of the transaction, or a commit of its own.
+    /// Adds a write to the open transaction, or commits it by itself if there is none.
     fn write(
         &mut self,
         server_id: &str,
@@ -159,8 +159,8 @@
         }
     }
 
-    /// What `COMPLETE` carries: primary term, connection, statement, end of the log and a hash of
-    /// these, so that no two are the same.
+    /// Returns the stamp in a `COMPLETE` line: primary term, connection, statement, end of the log,
+    /// and a hash that makes stamps unique.
     fn stamp(&self, connection: ConnectionId, server: &Server, statement: u64) -> String {
         let number = server.replica.received().number;
         let hash = mix(self.seed ^ mix(connection) ^ mix(statement.rotate_left(32) ^ number));
@@ -192,7 +192,8 @@
     })
 }
 
-/// A failed transaction takes only its end, which rolls it back.
+/// Handles a statement in a failed transaction: only one that ends the transaction is accepted, and
+/// it rolls the transaction back.
 fn end_failed_transaction(
     session: &mut Session,
     statement: &ParsedStatement<'_>,
@@ -216,7 +217,7 @@
     }
 }
 
-/// Rejects a read whose server hasn't applied the position of its proof yet.
+/// Rejects a read if its server hasn't yet applied the position in its freshness proof.
 fn check_proof(statement: &ProvenStatement<'_>, server: &Server) -> Result<(), Rejection> {
     let Some(proof) = statement.proof else {
         return Ok(());
@@ -235,7 +236,8 @@
     Ok(())
 }
 
-/// Runs what only concerns the session; the session's transaction, if there is one, hasn't failed.
+/// Runs a statement that affects only the session, or returns the work to queue. The session's
+/// transaction, if there is one, must not have failed.
 fn accept_parsed(
     session: &mut Session,
     server: &Server,
@@ -301,7 +303,8 @@
     Ok(Accepted::Complete)
 }
 
-/// What a session reads of a key: its transaction's own last write, or else what is applied.
+/// Returns the value of a key as a session reads it: the last write of its own transaction,
+/// otherwise the applied value.
 fn visible_value<'a>(session: &'a Session, server: &'a Server, key: &str) -> Option<&'a str> {
     let transaction = session.transaction.as_ref();
     let own_write = transaction.and_then(|transaction| {
@@ -314,7 +317,7 @@
     )
 }
 
-/// A key, and after a blank its value.
+/// Parses a key and, after a space, its value.
 fn key_write(text: &str) -> KeyWrite {
     let (key, value) = text.split_once(' ').unwrap_or((text, ""));
     KeyWrite {
@@ -323,7 +326,7 @@
     }
 }
 
-/// The finalizer of `SplitMix64`: spreads each bit over all of them.
+/// The finalizer of `SplitMix64`: each input bit affects all output bits.
 fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/testing/testbed/src/database_cluster/timeline.rs
+++ b/crates/testing/testbed/src/database_cluster/timeline.rs
@@ -1,12 +1,11 @@
-//! What happens in a cluster when its time has come: promotions, replication, and the ends of
-//! statements.
+//! Events at their due times: promotions, replication, and the completion of statements.
 
 use super::model::{ConnectionOutput, DatabaseCluster, Server};
 use crate::replica::Commit;
 
 impl DatabaseCluster {
-    /// When [`DatabaseCluster::step`] has something to do, in seconds; `None` until something else
-    /// happens.
+    /// Returns the time of the next event for [`DatabaseCluster::step`], in seconds; `None` if no
+    /// event is scheduled.
     pub fn next_step_at_s(&self) -> Option<f64> {
         if !self.outputs.is_empty() {
             return Some(self.now);
@@ -28,15 +27,15 @@
             .map(|due| due.max(self.now))
     }
 
-    /// Does all that is due by `now`, and returns what is to be written.
+    /// Processes all events due by `now`, and returns the output for connections.
     pub fn step(&mut self, now: f64) -> Vec<ConnectionOutput> {
         self.advance(now);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Does all that is due by `now`; outputs are kept for the next [`DatabaseCluster::step`].
+    /// Processes all events due by `now`; output is kept for the next [`DatabaseCluster::step`].
     pub(super) fn advance(&mut self, now: f64) {
-        // With outputs left the next step would be due at once, for ever.
+        // While output is left, the next step is due at once, so this loop would never end.
         let mut outputs = std::mem::take(&mut self.outputs);
         while let Some(due) = self.next_step_at_s().filter(|due| *due <= now) {
             self.now = due;
@@ -84,14 +83,14 @@
         Some(promotions.remove(due).server_id)
     }
 
-    /// When a replaced primary steps down by itself.
+    /// Returns the time at which a replaced primary steps down by itself.
     fn steps_down_at_s(&self, server: &Server) -> Option<f64> {
         let deposed_at_s = server.deposed_at_s?;
         (server.is_primary && self.has_other_primary(server))
             .then_some(deposed_at_s + self.timing.deposed_primary_s)
     }
 
-    /// The next commit that a replica receives from its primary, and when.
+    /// Returns the next commit that a replica receives from its primary, and its arrival time.
     fn next_receipt(&self, server: &Server) -> Option<Receipt<'_>> {
         if server.is_primary || server.paused_for_term.is_some() {
             return None;
@@ -147,7 +146,7 @@
     }
 }
 
-/// A commit on its way to a replica.
+/// A commit in transit to a replica.
 struct Receipt<'a> {
     commit: &'a Commit,
     due_at_s: f64,
--- a/crates/testing/testbed/src/deployment.rs
+++ b/crates/testing/testbed/src/deployment.rs
@@ -217,8 +217,8 @@
         self.address(database_host_number(service, server), DATABASE_PORT)
     }
 
-    /// Returns the services, named `db1`, `db2` and so on; the servers of `db1` have the ids `db1-a`,
-    /// `db1-b` and so on.
+    /// Returns the services, named `db1`, `db2` and so on; the servers of `db1` have the ids
+    /// `db1-a`, `db1-b` and so on.
     pub fn services(&self) -> Vec<ServiceSpec> {
         (0..self.service_count).map(|n| self.service(n)).collect()
     }
--- a/crates/testing/testbed/src/fault_relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -36,8 +36,8 @@
     Drop,
     /// Each chunk is forwarded after this delay.
     Delay(Duration),
-    /// After this many bytes of a connection were forwarded, both its ends are reset; with 0, as soon
-    /// as the first byte arrives.
+    /// After this many bytes of a connection were forwarded, both its ends are reset; with 0, as
+    /// soon as the first byte arrives.
     ResetAfter(usize),
 }
 
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Forwards one direction until its end. If it fails, it closes `reset` to end the other one too.
+    /// Forwards one direction until its end. If it fails, it closes `reset` to end the other one
+    /// too.
     async fn pump(
         &self,
         direction: Direction,
--- a/crates/testing/testbed/src/heartbeats.rs
+++ b/crates/testing/testbed/src/heartbeats.rs
@@ -151,8 +151,9 @@
         let _ = http_client::send_following_redirects(to, RESPONSE_TIMEOUT_S, &request).await;
     }
 
-    /// Waits until `until_s`, a second of the process clock, or until the server's state differs from
-    /// `announced`, the state in the last heartbeat: control must learn of a change without delay.
+    /// Waits until `until_s`, a second of the process clock, or until the server's state differs
+    /// from `announced`, the state in the last heartbeat: control must learn of a change without
+    /// delay.
     async fn wait(&self, announced: AnnouncedState, mut generation: u64, until_s: f64) {
         let remaining_s = (until_s - clock::now()).max(0.0);
         let due = async {
--- a/crates/testing/testbed/src/history.rs
+++ b/crates/testing/testbed/src/history.rs
@@ -4,12 +4,12 @@
 //!
 //! The configuration is a register with conditional writes: a request takes effect only if its base
 //! version is in force. A checker for registers in general must search all orders of writes; here
-//! no search is needed. Each request names its base version and no two versions have the same epoch,
-//! so the versions known to have been applied form a chain, which is the order of all writes. Bodies
-//! differ between requests, so a read identifies the request that it saw. What remains is to compare
-//! times. Each operation has one place in the chain (a rejection may have any place at which a
-//! version other than its base is in force). If one operation ended before another was sent, its
-//! place must not be after the other's.
+//! no search is needed. Each request names its base version and no two versions have the same
+//! epoch, so the versions known to have been applied form a chain, which is the order of all
+//! writes. Bodies differ between requests, so a read identifies the request that it saw. What
+//! remains is to compare times. Each operation has one place in the chain (a rejection may have any
+//! place at which a version other than its base is in force). If one operation ended before another
+//! was sent, its place must not be after the other's.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -246,8 +246,8 @@
         reads.collect()
     }
 
-    /// Gives each rejection, in the order in which they ended, the earliest place that the operations
-    /// placed so far allow and at which a version other than its base is in force.
+    /// Gives each rejection, in the order in which they ended, the earliest place that the
+    /// operations placed so far allow and at which a version other than its base is in force.
     fn place_rejections(
         &self,
         chain: &[&ConfigRequest],
--- a/crates/testing/testbed/src/main.rs
+++ b/crates/testing/testbed/src/main.rs
@@ -185,8 +185,8 @@
             database: database.to_owned(),
             source,
         })?;
-    // Statement ids must be unique in the whole system, so they are made of the current time and the
-    // id of this process.
+    // Statement ids must be unique in the whole system, so they are made of the current time and
+    // the id of this process.
     let started_ns = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_nanos() as u64);
--- a/crates/testing/testbed/src/operator.rs
+++ b/crates/testing/testbed/src/operator.rs
@@ -65,8 +65,8 @@
         self.control_addresses[n % self.control_addresses.len()]
     }
 
-    /// Sends a configuration with base version `base_epoch` to the control machines in turn until one
-    /// acknowledges or rejects it, or until `give_up_at_s`, a second of the process clock.
+    /// Sends a configuration with base version `base_epoch` to the control machines in turn until
+    /// one acknowledges or rejects it, or until `give_up_at_s`, a second of the process clock.
     pub async fn replace_config(
         &self,
         base_epoch: u64,
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Reads the newest configuration from the next control machine. Returns `None` on an error, on a
-    /// status other than 200 and 404, and if the body is invalid.
+    /// Reads the newest configuration from the next control machine. Returns `None` on an error, on
+    /// a status other than 200 and 404, and if the body is invalid.
     pub async fn read_config(&self) -> Option<ConfigRead> {
         self.read_config_from(self.next_address()).await
     }
@@ -167,8 +167,8 @@
     })
 }
 
-/// Sends a configuration with base version `base_epoch` until it is applied or rejected. There is no
-/// timeout: the caller must set one.
+/// Sends a configuration with base version `base_epoch` until it is applied or rejected. There is
+/// no timeout: the caller must set one.
 pub async fn replace_config_until_applied(
     control_addresses: &[SocketAddr],
     base_epoch: u64,
--- a/crates/testing/testbed/src/platform.rs
+++ b/crates/testing/testbed/src/platform.rs
@@ -32,8 +32,8 @@
 
 impl Platform {
     /// Handles a call and returns the status of the response: 404 for any other method or path, 429
-    /// above the rate limit, 400 if a header or the body is missing or invalid, otherwise the status
-    /// that the cluster returns.
+    /// above the rate limit, 400 if a header or the body is missing or invalid, otherwise the
+    /// status that the cluster returns.
     fn promote(&self, request: &Request) -> u16 {
         if request.method != "POST" || request.path != PROMOTIONS_PATH {
             return 404;
--- a/crates/testing/testbed/src/replica.rs
+++ b/crates/testing/testbed/src/replica.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Number of commits that are retained for lagging replicas; a replica that lags further behind takes
-/// a snapshot. Commits that aren't applied yet are retained beyond this number.
+/// Number of commits that are retained for lagging replicas; a replica that lags further behind
+/// takes a snapshot. Commits that aren't applied yet are retained beyond this number.
 const MAX_RETAINED_COMMITS: usize = 10_000;
 
 /// A write to one key.
--- a/crates/testing/testbed/src/rule_checker.rs
+++ b/crates/testing/testbed/src/rule_checker.rs
@@ -17,8 +17,8 @@
     pub lost_commits: u64,
     /// Violations of rule TWICE: writes whose id was committed before.
     pub duplicate_writes: u64,
-    /// Violations of rule ONE: commits acknowledged by a server after another one had replaced it as
-    /// primary.
+    /// Violations of rule ONE: commits acknowledged by a server after another one had replaced it
+    /// as primary.
     pub deposed_commits: u64,
     committed_ids: HashSet<String>,
     /// The ids in commit order.
