--- a/crates/testing/testbed/src/cluster_host.rs
+++ b/crates/testing/testbed/src/cluster_host.rs
@@ -129,7 +129,9 @@
     fn start_server_tasks(self: &Rc<Self>, id: &str) -> Result<(), StartServerError> {
         let address = self.cluster.borrow().listen_address(id);
         let address = address.ok_or_else(|| StartServerError::UnknownServer(id.to_owned()))?;
-        let accept = self.clone().accept(id.to_owned(), listen(address)?);
+        let accept = self
+            .clone()
+            .accept_connections(id.to_owned(), listen(address)?);
         let heartbeats = self.clone().send_heartbeats(id.to_owned());
         let tasks = vec![self.executor.spawn(accept), self.executor.spawn(heartbeats)];
         self.server_tasks.borrow_mut().insert(id.to_owned(), tasks);
@@ -179,7 +181,7 @@
         }
     }
 
-    async fn accept(self: Rc<Self>, id: String, listener: Async<TcpListener>) {
+    async fn accept_connections(self: Rc<Self>, id: String, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
--- a/crates/testing/testbed/src/database_cluster/administration.rs
+++ b/crates/testing/testbed/src/database_cluster/administration.rs
@@ -9,7 +9,7 @@
 impl DatabaseCluster {
     /// Runs an administration statement and returns true; returns false without effect for any
     /// other statement.
-    pub(super) fn administer(
+    pub(super) fn run_administration_statement(
         &mut self,
         connection: ConnectionId,
         server_id: &str,
--- a/crates/testing/testbed/src/database_cluster/sessions.rs
+++ b/crates/testing/testbed/src/database_cluster/sessions.rs
@@ -15,7 +15,7 @@
 const RETRY_AFTER_MS: &str = "20";
 
 /// Time for which a `STATUS` occupies a slot.
-const STATUS_S: f64 = 0.0005;
+const STATUS_DURATION_S: f64 = 0.0005;
 
 /// The statement id of jobs that aren't client statements.
 pub(super) const NO_STATEMENT_ID: &str = "-";
@@ -109,7 +109,7 @@
     }
 
     /// Sends the first line to a new connection.
-    pub(super) fn greet(&mut self, connection: ConnectionId) {
+    pub(super) fn send_greeting(&mut self, connection: ConnectionId) {
         if let Some(session) = self.sessions.get(&connection) {
             let line = self.idle_line(session);
             self.outputs.push(ConnectionOutput::Send(connection, line));
@@ -162,7 +162,7 @@
         {
             let duration_s = match job.work {
                 Work::Connect => timing.connect_s,
-                Work::Status => STATUS_S,
+                Work::Status => STATUS_DURATION_S,
                 Work::Read { .. } | Work::Write(_) | Work::Commit => timing.statement_s,
             };
             let ends_at_s = now.max(server.busy_until_s) + duration_s;
--- a/crates/testing/testbed/src/database_cluster/statements.rs
+++ b/crates/testing/testbed/src/database_cluster/statements.rs
@@ -17,7 +17,7 @@
 }
 
 /// A statement and the freshness proof (`WAITPOS`) before it, if there is one.
-struct ProvenStatement<'a> {
+struct StatementWithProof<'a> {
     proof: Option<Position>,
     /// The text of the statement without the proof.
     text: &'a str,
@@ -32,7 +32,7 @@
         };
         session.statement_count += 1;
         let server_id = session.server_id.clone();
-        if self.administer(connection, &server_id, text) {
+        if self.run_administration_statement(connection, &server_id, text) {
             return;
         }
         match self.accept(connection, &server_id, text) {
@@ -110,7 +110,7 @@
         let server = &self.servers[server_id];
         let stamp = self.stamp(connection, server, session.statement_count);
         match work {
-            Work::Connect => self.greet(connection),
+            Work::Connect => self.send_greeting(connection),
             Work::Status => {
                 let row = self.status_row(server_id).unwrap_or_default();
                 self.respond(connection, &format!("ROW {row}\r\nCOMPLETE -"));
@@ -163,7 +163,11 @@
     /// and a hash that makes stamps unique.
     fn stamp(&self, connection: ConnectionId, server: &Server, statement: u64) -> String {
         let number = server.replica.received().number;
-        let hash = mix(self.seed ^ mix(connection) ^ mix(statement.rotate_left(32) ^ number));
+        let hash = splitmix64_finalize(
+            self.seed
+                ^ splitmix64_finalize(connection)
+                ^ splitmix64_finalize(statement.rotate_left(32) ^ number),
+        );
         format!(
             "{:x}.{connection:x}.{statement:x}.{number:x}.{hash:016x}",
             server.term
@@ -171,7 +175,7 @@
     }
 }
 
-fn parse(text: &str) -> Result<ProvenStatement<'_>, Rejection> {
+fn parse(text: &str) -> Result<StatementWithProof<'_>, Rejection> {
     let (proof, text) = match text.strip_prefix("WAITPOS ") {
         None => (None, text),
         Some(proven) => {
@@ -185,7 +189,7 @@
     };
     let parsed = ParsedStatement::parse(text)
         .map_err(|_| Rejection::new(ErrorCode::Malformed, "unknown statement"))?;
-    Ok(ProvenStatement {
+    Ok(StatementWithProof {
         proof,
         text,
         parsed,
@@ -218,7 +222,7 @@
 }
 
 /// Rejects a read if its server hasn't yet applied the position in its freshness proof.
-fn check_proof(statement: &ProvenStatement<'_>, server: &Server) -> Result<(), Rejection> {
+fn check_proof(statement: &StatementWithProof<'_>, server: &Server) -> Result<(), Rejection> {
     let Some(proof) = statement.proof else {
         return Ok(());
     };
@@ -241,7 +245,7 @@
 fn accept_parsed(
     session: &mut Session,
     server: &Server,
-    statement: &ProvenStatement<'_>,
+    statement: &StatementWithProof<'_>,
 ) -> Result<Accepted, Rejection> {
     match statement.parsed {
         ParsedStatement::Set { name, value } => {
@@ -327,7 +331,7 @@
 }
 
 /// The finalizer of `SplitMix64`: each input bit affects all output bits.
-fn mix(x: u64) -> u64 {
+fn splitmix64_finalize(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/crates/testing/testbed/src/database_cluster/timeline.rs
+++ b/crates/testing/testbed/src/database_cluster/timeline.rs
@@ -39,14 +39,14 @@
         let mut outputs = std::mem::take(&mut self.outputs);
         while let Some(due) = self.next_step_at_s().filter(|due| *due <= now) {
             self.now = due;
-            self.run_due();
+            self.process_due_events();
             outputs.append(&mut self.outputs);
         }
         self.outputs = outputs;
         self.now = self.now.max(now);
     }
 
-    fn run_due(&mut self) {
+    fn process_due_events(&mut self) {
         self.run_due_promotions();
         let ids = self.server_ids();
         for id in &ids {
--- a/crates/testing/testbed/src/deployment.rs
+++ b/crates/testing/testbed/src/deployment.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// Number of control machines: a majority remains when one is lost.
-pub const CONTROL_MACHINES: usize = 3;
+pub const CONTROL_MACHINE_COUNT: usize = 3;
 
 /// Number of database servers of each service, its primary included.
 pub const SERVERS_PER_SERVICE: usize = 3;
@@ -117,7 +117,7 @@
     /// The value of `serves`.
     serves: &'static str,
     /// Its index among the machines of its kind, from 0; it determines the zone.
-    number: usize,
+    index: usize,
     address: SocketAddr,
 }
 
@@ -150,7 +150,7 @@
 
     /// Returns the addresses at which database servers and operators call control machines.
     pub fn control_addresses(&self) -> Vec<SocketAddr> {
-        (0..CONTROL_MACHINES)
+        (0..CONTROL_MACHINE_COUNT)
             .map(|n| self.address(host_number::FIRST_CONTROL + n, CONTROL_PORT))
             .collect()
     }
@@ -272,7 +272,8 @@
         folder: &Path,
         bootstrap: bool,
     ) -> std::io::Result<Vec<SettingsFile>> {
-        let control = (0..CONTROL_MACHINES).map(|n| self.control_settings(n, folder, bootstrap));
+        let control =
+            (0..CONTROL_MACHINE_COUNT).map(|n| self.control_settings(n, folder, bootstrap));
         let routers = (0..self.router_count).map(|n| self.router_settings(n, bootstrap));
         control
             .chain(routers)
@@ -291,7 +292,7 @@
             name: format!("control-{}", n + 1),
             class: "core",
             serves: "coordinator",
-            number: n,
+            index: n,
             address: self.control_addresses()[n],
         };
         let mut text = self.common_settings(&machine, bootstrap);
@@ -309,7 +310,7 @@
             name: format!("router-{}", n + 1),
             class: "edge",
             serves: "edge",
-            number: n,
+            index: n,
             address: self.router_addresses()[n],
         };
         let mut text = self.common_settings(&machine, bootstrap);
@@ -326,14 +327,14 @@
             name,
             class,
             serves,
-            number,
+            index,
             address,
         } = machine;
         let mut text = String::new();
         let _ = writeln!(text, "node_name={name}\nrole={class}");
         let _ = writeln!(text, "machine_class={class}\nserves={serves}");
         let _ = writeln!(text, "ip={}", address.ip());
-        let own_zone = zone(number % SERVERS_PER_SERVICE);
+        let own_zone = zone(index % SERVERS_PER_SERVICE);
         let _ = writeln!(text, "zone={own_zone}\nregion=local");
         for server in 0..SERVERS_PER_SERVICE {
             let _ = writeln!(text, "zones.{}=local", zone(server));
--- a/crates/testing/testbed/src/fault_relay.rs
+++ b/crates/testing/testbed/src/fault_relay.rs
@@ -56,7 +56,7 @@
     /// The current fault of each [`Direction`].
     faults: [Cell<Option<Fault>>; 2],
     /// A channel for each connection that lost bytes; closing the channel resets the connection.
-    lossy: RefCell<Vec<Sender<()>>>,
+    lossy_connections: RefCell<Vec<Sender<()>>>,
     reset_count: Cell<usize>,
     request_count: Cell<usize>,
     /// Notified whenever the number of resets or of requests has changed.
@@ -74,7 +74,7 @@
         let relay = Rc::new(Relay {
             target,
             faults: Default::default(),
-            lossy: RefCell::default(),
+            lossy_connections: RefCell::default(),
             reset_count: Cell::new(0),
             request_count: Cell::new(0),
             changed: Notify::default(),
@@ -85,22 +85,22 @@
     }
 
     /// Sets the fault of one direction, or clears it with `None`.
-    pub fn set(&self, direction: Direction, fault: Option<Fault>) {
+    pub fn set_fault(&self, direction: Direction, fault: Option<Fault>) {
         self.faults[direction as usize].set(fault);
         if fault.is_none() {
-            for connection in self.lossy.borrow_mut().drain(..) {
+            for connection in self.lossy_connections.borrow_mut().drain(..) {
                 connection.close();
             }
         }
     }
 
     /// Returns the number of connections that were reset by [`Fault::ResetAfter`].
-    pub fn resets(&self) -> usize {
+    pub fn reset_count(&self) -> usize {
         self.reset_count.get()
     }
 
     /// Returns the number of connections over which at least one request byte was forwarded.
-    pub fn requests(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.request_count.get()
     }
 
@@ -115,14 +115,16 @@
     ) {
         loop {
             match listener.accept().await {
-                Ok((caller, _)) => executor.spawn(self.clone().carry(caller)).detach(),
+                Ok((caller, _)) => executor
+                    .spawn(self.clone().forward_connection(caller))
+                    .detach(),
                 Err(_) => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
             }
         }
     }
 
     /// Forwards both directions of a connection until its end.
-    async fn carry(self: Rc<Self>, caller: Async<TcpStream>) {
+    async fn forward_connection(self: Rc<Self>, caller: Async<TcpStream>) {
         let Ok(callee) = Async::<TcpStream>::connect(self.target).await else {
             return set_reset_on_close(&caller, true);
         };
@@ -130,7 +132,7 @@
             let _ = end.get_ref().set_nodelay(true);
         }
         // Closing this channel resets the connection: either direction does it when it fails, and
-        // `set` does it when `Fault::Drop` is cleared.
+        // `set_fault` does it when `Fault::Drop` is cleared.
         let (reset_sender, reset_receiver) = bounded::<()>(1);
         let both = async {
             let requests = self.pump(Direction::Requests, &caller, &callee, &reset_sender);
@@ -181,7 +183,7 @@
             let mut chunk = &buffer[..count];
             match self.fault(direction) {
                 Some(Fault::Drop) => {
-                    self.lossy.borrow_mut().push(reset.clone());
+                    self.lossy_connections.borrow_mut().push(reset.clone());
                     if count == 0 {
                         // The end of the stream is discarded too: only the reset ends this
                         // connection.
--- a/crates/testing/testbed/src/heartbeats.rs
+++ b/crates/testing/testbed/src/heartbeats.rs
@@ -26,7 +26,7 @@
 
 /// Time from the first heartbeat that announces a drain until the server ends if no control machine
 /// acknowledges the drain.
-const UNACKNOWLEDGED_DRAIN_S: f64 = 5.0;
+const UNACKNOWLEDGED_DRAIN_TIMEOUT_S: f64 = 5.0;
 
 /// Additional time that a server runs after its drain time, for statements still in transit.
 const DRAIN_MARGIN_S: f64 = 0.5;
@@ -75,7 +75,7 @@
     fn ends_at_s(&self, drain_s: f64) -> f64 {
         match (self.acknowledged_at_s, self.first_sent_at_s) {
             (Some(acknowledged), _) => acknowledged + drain_s + DRAIN_MARGIN_S,
-            (None, Some(first_sent)) => first_sent + UNACKNOWLEDGED_DRAIN_S,
+            (None, Some(first_sent)) => first_sent + UNACKNOWLEDGED_DRAIN_TIMEOUT_S,
             (None, None) => f64::INFINITY,
         }
     }
--- a/crates/testing/testbed/src/rule_checker.rs
+++ b/crates/testing/testbed/src/rule_checker.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the number of violations of all rules.
-    pub fn violations(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.lost_commits + self.duplicate_writes + self.deposed_commits
     }
 
--- a/crates/testing/testbed/src/tests/failover.rs
+++ b/crates/testing/testbed/src/tests/failover.rs
@@ -51,7 +51,7 @@
         "{output:?}"
     );
     assert_eq!(harness.query(a, "FETCH x"), "ROW 2|COMPLETE +|IDLE I 2.2");
-    assert_eq!(harness.cluster.rule_checker.violations(), 0);
+    assert_eq!(harness.cluster.rule_checker.violation_count(), 0);
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let a = harness.connect_to("a");
     assert_eq!(harness.query(a, "FETCH x"), "ROW new|COMPLETE +|IDLE I 2.1");
     // Without replicas to wait for, a lost commit breaks no rule.
-    assert_eq!(harness.cluster.rule_checker.violations(), 0);
+    assert_eq!(harness.cluster.rule_checker.violation_count(), 0);
 }
 
 #[test]
@@ -195,7 +195,7 @@
     assert_eq!(
         (
             harness.cluster.rule_checker.duplicate_writes,
-            harness.cluster.rule_checker.violations()
+            harness.cluster.rule_checker.violation_count()
         ),
         (1, 1)
     );
--- a/crates/testing/testbed/src/tests/random_faults.rs
+++ b/crates/testing/testbed/src/tests/random_faults.rs
@@ -29,7 +29,7 @@
         }
         harness.advance(3.0);
         assert_eq!(
-            harness.cluster.rule_checker.violations(),
+            harness.cluster.rule_checker.violation_count(),
             0,
             "{:?}",
             harness.cluster.rule_checker
--- a/crates/testing/testbed/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -9,7 +9,7 @@
 use badgerstream_http_codec::encode_request;
 use badgerstream_pooler::clock;
 use badgerstream_testbed::child_processes::ChildProcesses;
-use badgerstream_testbed::deployment::{CONTROL_MACHINES, Deployment, LoopbackNet};
+use badgerstream_testbed::deployment::{CONTROL_MACHINE_COUNT, Deployment, LoopbackNet};
 use badgerstream_testbed::fault_relay::{Direction, Fault, Relay};
 use badgerstream_testbed::history::{ConfigRequest, History, Outcome, Version};
 use badgerstream_testbed::http_client::{self, HttpRequest};
@@ -70,10 +70,14 @@
                 )
             })
         };
-        let peers = (0..CONTROL_MACHINES)
-            .map(|from| (0..CONTROL_MACHINES).map(|to| peer(from, to)).collect())
+        let peers = (0..CONTROL_MACHINE_COUNT)
+            .map(|from| {
+                (0..CONTROL_MACHINE_COUNT)
+                    .map(|to| peer(from, to))
+                    .collect()
+            })
             .collect();
-        let operator_relays = (0..CONTROL_MACHINES)
+        let operator_relays = (0..CONTROL_MACHINE_COUNT)
             .map(|n| {
                 relay(
                     deployment.operator_relay_address(n),
@@ -86,7 +90,7 @@
             .write_settings(&folder, true)
             .unwrap()
             .into_iter()
-            .take(CONTROL_MACHINES)
+            .take(CONTROL_MACHINE_COUNT)
         {
             start_node(
                 &mut child_processes,
@@ -111,7 +115,7 @@
     }
 
     fn operator_relay_addresses(&self) -> Vec<SocketAddr> {
-        (0..CONTROL_MACHINES)
+        (0..CONTROL_MACHINE_COUNT)
             .map(|n| self.deployment.operator_relay_address(n))
             .collect()
     }
@@ -120,7 +124,7 @@
     /// from the others to it. Messages travel on connections of their sender: requests on a link
     /// are all that goes its way.
     fn set_fault(&self, node: usize, outgoing: bool, fault: Option<Fault>) {
-        for other in (0..CONTROL_MACHINES).filter(|other| *other != node) {
+        for other in (0..CONTROL_MACHINE_COUNT).filter(|other| *other != node) {
             let (from, to) = if outgoing {
                 (node, other)
             } else {
@@ -129,7 +133,7 @@
             self.peers[from][to]
                 .as_ref()
                 .unwrap()
-                .set(Direction::Requests, fault);
+                .set_fault(Direction::Requests, fault);
         }
     }
 
@@ -237,7 +241,7 @@
     async fn check_history(&self) {
         let reader = Operator::new(&self.operator_relay_addresses(), 0);
         let mut newest = Vec::new();
-        for _ in 0..CONTROL_MACHINES {
+        for _ in 0..CONTROL_MACHINE_COUNT {
             newest.push(self.read(&reader).await);
         }
         let history = self.history.borrow();
@@ -342,11 +346,11 @@
             .with_operators_at_work(async {
                 pause(1.0).await;
                 system.set_fault(leader, false, Some(Fault::Drop));
-                system.operator_relays[leader].set(Direction::Responses, Some(Fault::Drop));
+                system.operator_relays[leader].set_fault(Direction::Responses, Some(Fault::Drop));
                 cut.set(clock::now());
                 pause(PARTITION_S).await;
                 system.set_fault(leader, false, None);
-                system.operator_relays[leader].set(Direction::Responses, None);
+                system.operator_relays[leader].set_fault(Direction::Responses, None);
             })
             .await;
         let requests = system.acknowledged(cut.get() + 2.0, cut.get() + PARTITION_S);
@@ -398,7 +402,7 @@
 #[test]
 fn an_order_whose_connection_is_reset_at_any_stage_has_one_outcome() {
     run_test(2, async |system| {
-        for node in 0..CONTROL_MACHINES {
+        for node in 0..CONTROL_MACHINE_COUNT {
             for stage in 0..4 {
                 let at = system.deployment.operator_relay_address(node);
                 let operator = Operator::new(&system.operator_relay_addresses(), node + 1);
@@ -416,12 +420,12 @@
                     _ => (Direction::Responses, 0),
                 };
                 let relay = &system.operator_relays[node];
-                let resets = relay.resets();
-                relay.set(direction, Some(Fault::ResetAfter(passes)));
+                let resets = relay.reset_count();
+                relay.set_fault(direction, Some(Fault::ResetAfter(passes)));
                 let first = operator.send_once(at, &request).await;
-                relay.set(direction, None);
+                relay.set_fault(direction, None);
                 assert_eq!(first.outcome, Outcome::Unknown, "stage {stage}");
-                assert_eq!(relay.resets(), resets + 1, "stage {stage}");
+                assert_eq!(relay.reset_count(), resets + 1, "stage {stage}");
                 request.attempts.push(first);
                 // The same request at the other machines: it is applied now, or was before.
                 let again = operator
@@ -449,16 +453,16 @@
             .with_operators_at_work(async {
                 pause(0.5).await;
                 // Longer than the second that an operator waits for an answer.
-                system.operator_relays[leader].set(
+                system.operator_relays[leader].set_fault(
                     Direction::Responses,
                     Some(Fault::Delay(Duration::from_millis(2500))),
                 );
                 pause(3.0).await;
-                system.operator_relays[leader].set(Direction::Responses, None);
-                let other = (leader + 1) % CONTROL_MACHINES;
+                system.operator_relays[leader].set_fault(Direction::Responses, None);
+                let other = (leader + 1) % CONTROL_MACHINE_COUNT;
                 for (from, to) in [(leader, other), (other, leader)] {
                     let link = system.peers[from][to].as_ref().unwrap();
-                    link.set(
+                    link.set_fault(
                         Direction::Requests,
                         Some(Fault::Delay(Duration::from_millis(1500))),
                     );
@@ -468,7 +472,7 @@
                     system.peers[from][to]
                         .as_ref()
                         .unwrap()
-                        .set(Direction::Requests, None);
+                        .set_fault(Direction::Requests, None);
                 }
             })
             .await;
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -294,7 +294,7 @@
             );
         }
         assert_eq!(
-            cluster.rule_checker.violations(),
+            cluster.rule_checker.violation_count(),
             0,
             "{}",
             cluster.rule_checker.summary()
@@ -493,22 +493,25 @@
                 .until(STEP_TIMEOUT_S, "60 writes", |s| s.writes.get() >= more)
                 .await;
             let (before, term) = (system.primary(), system.term());
-            let (requests, resets) = (system.platform.requests(), system.platform.resets());
-            system.platform.set(direction, Some(fault));
+            let (requests, resets) = (
+                system.platform.request_count(),
+                system.platform.reset_count(),
+            );
+            system.platform.set_fault(direction, Some(fault));
             system.cluster_host.crash_server(&before);
             system
                 .platform_until(
                     STEP_TIMEOUT_S,
                     "a call to the platform",
                     |platform| match fault {
-                        Fault::Drop => platform.requests() > requests,
-                        _ => platform.resets() > resets,
+                        Fault::Drop => platform.request_count() > requests,
+                        _ => platform.reset_count() > resets,
                     },
                 )
                 .await;
             let silence = if fault == Fault::Drop { 1.2 } else { 0.0 };
             Timer::after(Duration::from_secs_f64(silence)).await;
-            system.platform.set(direction, None);
+            system.platform.set_fault(direction, None);
             let more = observations.writes.get() + WRITERS as u64 + 1;
             observations
                 .until(STEP_TIMEOUT_S, "writes at another primary", |s| {
@@ -534,12 +537,12 @@
             let (before, leader, requests) = (
                 system.primary(),
                 system.leader().await,
-                system.platform.requests(),
+                system.platform.request_count(),
             );
             system.cluster_host.crash_server(&before);
             system
                 .platform_until(STEP_TIMEOUT_S, "a call to the platform", |platform| {
-                    platform.requests() > requests
+                    platform.request_count() > requests
                 })
                 .await;
             system
@@ -580,12 +583,12 @@
                 .until(STEP_TIMEOUT_S, "60 writes", |s| s.writes.get() >= more)
                 .await;
             let primary = system.primary();
-            let resets = system.relay(&primary).resets();
-            system.relay(&primary).set(direction, Some(fault));
+            let resets = system.relay(&primary).reset_count();
+            system.relay(&primary).set_fault(direction, Some(fault));
             Timer::after(Duration::from_secs_f64(0.4)).await;
-            system.relay(&primary).set(direction, None);
+            system.relay(&primary).set_fault(direction, None);
             assert!(
-                fault == Fault::Drop || system.relay(&primary).resets() > resets,
+                fault == Fault::Drop || system.relay(&primary).reset_count() > resets,
                 "{fault:?}"
             );
         }
@@ -621,9 +624,11 @@
             system.cluster_host.crash_server(&before);
             replicas
                 .iter()
-                .for_each(|relay| relay.set(direction, Some(fault)));
+                .for_each(|relay| relay.set_fault(direction, Some(fault)));
             Timer::after(Duration::from_secs_f64(1.5)).await;
-            replicas.iter().for_each(|relay| relay.set(direction, None));
+            replicas
+                .iter()
+                .for_each(|relay| relay.set_fault(direction, None));
             let more = observations.writes.get() + WRITERS as u64 + 1;
             observations
                 .until(STEP_TIMEOUT_S, "writes at another primary", |s| {
