--- a/crates/testing/testbed/src/tests/deployment.rs
+++ b/crates/testing/testbed/src/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! The system's own parsers accept what a deployment writes.
+//! Checks that the system's parsers accept the settings and configurations of a deployment.
 
 use crate::deployment::{Deployment, DeploymentError, LoopbackNet};
 use badgerstream_pooler_config::config::{Config, Mode};
--- a/crates/testing/testbed/src/tests/failover.rs
+++ b/crates/testing/testbed/src/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Promotions, crashes and the acknowledgement of commits.
+//! Tests of promotions, crashes and the acknowledgement of commits.
 
 use super::ClusterHarness;
 use crate::database_cluster::ConnectionOutput;
@@ -38,7 +38,7 @@
     harness.advance(0.31);
     assert_eq!(harness.cluster.primary("db"), Some("b"));
     assert_eq!(harness.query(b, "PUT x 2"), "COMPLETE +|IDLE I 2.2");
-    // The old one goes on, but what it commits reaches nobody.
+    // The old primary continues, but no replica receives its commits.
     assert!(harness.status("a").starts_with("leader 1 "));
     assert_eq!(harness.query(a, "PUT x 9"), "COMPLETE +|IDLE T 1.1");
     assert_eq!(harness.query(a, "COMMIT"), "");
@@ -135,7 +135,7 @@
         (None, None)
     );
     assert!(harness.cluster.next_heartbeat("a").is_none());
-    // Nobody was promoted meanwhile: it leads as before.
+    // No other server was promoted in the meantime, so it is still the primary.
     harness.cluster.start_server(harness.now, "a");
     let a = harness.connect_to("a");
     assert_eq!(harness.query(a, "FETCH x"), "ROW 1|COMPLETE +|IDLE I 1.1");
@@ -159,7 +159,7 @@
     harness.cluster.start_server(harness.now, "a");
     let a = harness.connect_to("a");
     assert_eq!(harness.query(a, "FETCH x"), "ROW new|COMPLETE +|IDLE I 2.1");
-    // Without replicas to wait for, a lost commit breaks no rule.
+    // Without synchronous replicas, a lost commit violates no rule.
     assert_eq!(harness.cluster.rule_checker.violation_count(), 0);
 }
 
@@ -180,7 +180,7 @@
         ),
         (1, 1)
     );
-    // What was ahead is cut back.
+    // A log longer than the new primary's is truncated.
     assert!(harness.status("b").starts_with("follower 2 1.0 "));
 }
 
--- a/crates/testing/testbed/src/tests/history.rs
+++ b/crates/testing/testbed/src/tests/history.rs
@@ -1,4 +1,4 @@
-//! The check finds each kind of violation in a history, and none in linearizable histories.
+//! Tests that the check finds each kind of violation, and none in linearizable histories.
 
 use crate::history::{Attempt, ConfigRead, ConfigRequest, History, Outcome, Violation};
 use crate::history::{Outcome::Acknowledged, Outcome::Rejected, Outcome::Unknown, Version};
@@ -40,11 +40,11 @@
 fn linearizable_history_passes() {
     let requests = vec![
         request(0, 1, &[(0.0, 1.0, Acknowledged)]),
-        // Taken without a word, and acknowledged when it was sent again.
+        // Applied without a response, and acknowledged when it was sent again.
         request(1, 3, &[(1.0, 2.0, Unknown), (2.0, 2.5, Acknowledged)]),
-        // Its base went while it was under way.
+        // Its base was replaced while it was in flight.
         request(1, 2, &[(1.5, 3.0, Rejected(412))]),
-        // Never acknowledged, and read later on.
+        // Never acknowledged, but read later.
         request(3, 7, &[(4.0, 5.0, Unknown)]),
         request(3, 8, &[(4.0, 5.0, Unknown), (9.0, 9.1, Rejected(412))]),
         request(7, 9, &[(10.0, 11.0, Acknowledged)]),
@@ -71,7 +71,7 @@
         linearize(vec![first.clone(), one.clone(), other], vec![]),
         Err(Violation::Fork(5, 6))
     );
-    // Two texts under one number.
+    // Two bodies with the same epoch.
     let mut same = request(1, 5, &[(1.0, 2.0, Acknowledged)]);
     same.version.body = "another".to_owned();
     assert_eq!(
@@ -92,12 +92,12 @@
         linearize(requests(), vec![read(4.0, 4.1, 2)]),
         Err(Violation::RejectedAndApplied(2))
     );
-    // The base was the newest version all the while.
+    // The base was the newest version during the whole attempt.
     assert_eq!(
         linearize(requests(), vec![read(4.0, 4.1, 1)]),
         Err(Violation::WronglyRejected(2))
     );
-    // One that was acknowledged is refused when it is sent again.
+    // An acknowledged request is rejected when it is sent again.
     let again = request(0, 1, &[(0.0, 1.0, Acknowledged), (2.0, 3.0, Rejected(412))]);
     assert_eq!(
         linearize(vec![again], vec![]),
@@ -124,7 +124,7 @@
         linearize(requests(), back),
         Err(Violation::OutOfOrder(..))
     ));
-    // Before it was sent at all.
+    // The read ended before the version was sent.
     assert!(matches!(
         linearize(requests(), vec![read(0.1, 0.9, 2)]),
         Err(Violation::OutOfOrder(..))
@@ -135,8 +135,8 @@
     );
 }
 
-/// What clients see of a correct register always passes, however their calls overlap and are lost.
-/// With one answer changed to an older one, or one rejection to an acknowledgement, it doesn't.
+/// A history of a correct register always passes the check, whichever calls overlap or are lost. It
+/// fails once a response is replaced by an older one, or a rejection by an acknowledgement.
 #[test]
 fn histories_of_a_register_pass_and_altered_ones_fail() {
     arbtest(|u| {
@@ -191,7 +191,7 @@
         history.requests[at].attempts[0].outcome = Acknowledged;
         assert!(history.linearize().is_err(), "{history:?}");
     } else if chain.len() > 1 {
-        // The last read came long after everything else.
+        // The last read was sent long after all other operations ended.
         let end = history.reads.last().map_or(0.0, |r| r.ended_at_s);
         history.reads.push(read(
             end + 1.0,
--- a/crates/testing/testbed/src/tests/mod.rs
+++ b/crates/testing/testbed/src/tests/mod.rs
@@ -8,7 +8,7 @@
     ConnectionId, ConnectionOutput, DatabaseCluster, ServerSpec, ServiceSpec, Timing,
 };
 
-/// A service `db` of three servers, `a` to `c`, of which `a` is the primary.
+/// Returns a service `db` of three servers, `a` to `c`; `a` is the primary.
 fn service(sync_replicas: u32) -> ServiceSpec {
     let server = |n: u8| ServerSpec {
         id: char::from(b'a' + n).to_string(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// A cluster whose time passes as the test says.
+/// A cluster whose time is controlled by the test.
 struct ClusterHarness {
     cluster: DatabaseCluster,
     now: f64,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets time pass, and returns the output.
+    /// Advances the time, and returns the output.
     fn advance(&mut self, seconds: f64) -> Vec<ConnectionOutput> {
         self.now += seconds;
         self.cluster.step(self.now)
@@ -66,8 +66,8 @@
         );
     }
 
-    /// The response to a statement within 20 ms, its lines joined by `|` and each stamp written as
-    /// `+`; empty without a response.
+    /// Returns the response to a statement within 20 ms, its lines joined by `|` and each stamp
+    /// replaced by `+`; empty if there is no response.
     fn query(&mut self, connection: ConnectionId, text: &str) -> String {
         let id = format!("i{}-{}", connection, (self.now * 1e6) as u64);
         self.send(connection, &id, text);
--- a/crates/testing/testbed/src/tests/random_faults.rs
+++ b/crates/testing/testbed/src/tests/random_faults.rs
@@ -1,10 +1,10 @@
-//! Faults and writes in any order.
+//! Tests with random sequences of faults and writes.
 
 use super::ClusterHarness;
 use arbtest::{arbitrary, arbtest};
 
-/// If only a server that has all acknowledged commits is promoted, nothing is lost whatever
-/// happens, and all replicas are the same in the end.
+/// As long as each promoted server has all acknowledged commits, no commit is lost whatever the
+/// faults, and all replicas are equal in the end.
 #[test]
 fn replicas_converge_after_random_faults() {
     arbtest(|u| {
@@ -21,7 +21,7 @@
             }
         }
         for id in ["a", "b", "c"] {
-            // A restart frees connections and lets go of pauses.
+            // A restart closes connections and ends pauses.
             harness.cluster.crash_server(harness.now, id);
         }
         for id in ["a", "b", "c"] {
@@ -80,7 +80,7 @@
     if let Ok(connection) = harness.cluster.connect(harness.now, id, "db", "s") {
         harness.advance(0.02);
         let text = *u.choose(&["PAUSE 90", "RESUME", "STEPDOWN 90", "STATUS"])?;
-        // A primary that steps down without a successor is nobody's doing here.
+        // This test never makes a primary step down without a successor.
         let replaced = harness.cluster.primary("db") != Some(id);
         if text != "STEPDOWN 90" || replaced {
             harness.query(connection, text);
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// A safe promotion: all others are paused first, and the one whose log goes furthest is promoted.
+/// Promotes a server safely: pauses all others first, and promotes the one with the longest log.
 fn promote(harness: &mut ClusterHarness) {
     let ids: Vec<String> = harness.cluster.server_ids();
     let primary = harness.cluster.primary("db").map(str::to_owned);
@@ -109,14 +109,14 @@
             best = best.max(Some((words[3].parse().unwrap(), id.clone())));
         }
     }
-    // With both replicas held, one of them has all that was answered.
+    // While both replicas are paused, one of them has all acknowledged commits.
     if let (2, Some((_, id))) = (held, best) {
         harness.cluster.request_promotion(harness.now, "db", &id, 1);
         harness.advance(0.4);
     }
 }
 
-/// A replica further behind than commits are retained takes a snapshot.
+/// A replica takes a snapshot if commits that it lacks are no longer retained.
 #[test]
 fn replica_paused_beyond_retained_commits_takes_snapshot() {
     let mut harness = ClusterHarness::new(1, false);
--- a/crates/testing/testbed/src/tests/statements.rs
+++ b/crates/testing/testbed/src/tests/statements.rs
@@ -1,4 +1,4 @@
-//! What one server answers to statements.
+//! Tests of a server's responses to statements.
 
 use super::ClusterHarness;
 use crate::database_cluster::ConnectionOutput;
@@ -95,7 +95,7 @@
     assert_eq!(harness.query(b, "PUT x 1"), "ERROR READONLY b|IDLE I 1.0");
     assert_eq!(harness.query(b, "BEGIN"), "ERROR READONLY b|IDLE I 1.0");
     harness.query(a, "PUT x 1");
-    // Received at once, applied after 60 ms.
+    // The replica receives the commit almost at once, and applies it after 60 ms.
     assert!(harness.status("b").starts_with("follower 1 1.1 0 "));
     assert_eq!(
         harness.query(b, "WAITPOS 1.1 FETCH x"),
@@ -168,7 +168,7 @@
     for (n, connection) in connections.iter().enumerate() {
         harness.send(*connection, &format!("i{n}"), "FETCH x");
     }
-    // Two at a time, 4 ms each.
+    // Two statements run concurrently, for 4 ms each.
     assert_eq!(harness.advance(0.005).len(), 2);
     assert_eq!(harness.advance(0.004).len(), 2);
 }
--- a/crates/testing/testbed/tests/orders.rs
+++ b/crates/testing/testbed/tests/orders.rs
@@ -1,6 +1,6 @@
-//! Configuration requests of operators to control machines as processes, over links on which faults
-//! are laid. Each test ends with a check that a single order of versions explains all that was
-//! answered (`history`).
+//! Operators send configuration requests to control machines that run as processes, over
+//! connections with injected faults. Each test ends with a check that a single order of versions
+//! explains all responses (`history`).
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -22,31 +22,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A test that takes longer fails.
+/// Timeout of a test.
 const TEST_TIMEOUT_S: f64 = 58.0;
-/// What is waited for in a system without faults comes within so long, also on a busy machine.
+/// Timeout for a condition in a system without faults; it allows for a busy machine.
 const STEP_TIMEOUT_S: f64 = 25.0;
-/// So many requests at least are acknowledged during a partition. They are few because a sync may
-/// take seconds on a disk that is shared with other work.
+/// Minimum number of requests that must be acknowledged during a partition. It is low because a
+/// sync may take seconds on a disk that is shared with other work.
 const MIN_ACKNOWLEDGED_REQUESTS: usize = 3;
-/// How long a partition lasts.
+/// Duration of a partition.
 const PARTITION_S: f64 = 20.0;
 
-/// Three control machines as processes, with a relay on each link between them, and one before each
-/// for operators.
+/// Three control machines as processes, with a relay on each link between them, and one between the
+/// operators and each control machine.
 struct TestSystem {
     executor: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
     child_processes: RefCell<ChildProcesses>,
-    /// By caller and callee.
+    /// The relays between control machines, by caller and callee.
     peers: Vec<Vec<Option<Rc<Relay>>>>,
-    /// Between operators and each control machine.
+    /// For each control machine, the relay between operators and it.
     operator_relays: Vec<Rc<Relay>>,
     folder: PathBuf,
     history: Rc<RefCell<History>>,
-    /// How many configurations were made.
+    /// Number of configurations created.
     texts: Cell<u64>,
-    /// Set to end the operators.
+    /// Set to stop the operators.
     done: Rc<Cell<bool>>,
 }
 
@@ -120,9 +120,9 @@
             .collect()
     }
 
-    /// Lays a fault on the links from a control machine to the others (`outgoing`), or on those
-    /// from the others to it. Messages travel on connections of their sender: requests on a link
-    /// are all that goes its way.
+    /// Sets a fault on the links from a control machine to the others (`outgoing`), or on those
+    /// from the others to it. Each machine sends its messages on connections that it opened itself,
+    /// so a fault on the requests of a link affects all messages in that direction.
     fn set_fault(&self, node: usize, outgoing: bool, fault: Option<Fault>) {
         for other in (0..CONTROL_MACHINE_COUNT).filter(|other| *other != node) {
             let (from, to) = if outgoing {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Waits until a control machine says in its status that it leads; its number.
+    /// Waits until a control machine reports in its status that it leads, and returns its index.
     async fn leader(&self) -> usize {
         let until = clock::now() + STEP_TIMEOUT_S;
         loop {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A configuration of this epoch, with a body like no other's.
+    /// Returns a configuration with this epoch and a unique body.
     fn version(&self, epoch: u64) -> Version {
         self.texts.set(self.texts.get() + 1);
         let idle = format!("\"idle_timeout_ms\":{}", 15_000 + self.texts.get());
@@ -167,7 +167,7 @@
         Version { epoch, body }
     }
 
-    /// Sends a configuration until there is a clear answer, and records it.
+    /// Sends a configuration until it is acknowledged or rejected, and records the request.
     async fn replace_config(&self, operator: &Operator, base: u64, version: Version) -> Outcome {
         let request = operator
             .replace_config(base, version, clock::now() + STEP_TIMEOUT_S)
@@ -180,7 +180,7 @@
         outcome
     }
 
-    /// Reads until there is a clear answer, and records it; the version's epoch.
+    /// Reads until a read succeeds, records the read, and returns the epoch of the version.
     async fn read(&self, operator: &Operator) -> u64 {
         let until = clock::now() + STEP_TIMEOUT_S;
         loop {
@@ -194,14 +194,14 @@
         }
     }
 
-    /// An operator that reads, and sends a configuration on top of what it has read, until the end
-    /// of the test.
+    /// Runs an operator until the end of the test: it reads the configuration and sends one based
+    /// on the version that it read.
     async fn replace_config_repeatedly(&self, number: usize) {
         let operator = Operator::new(&self.operator_relay_addresses(), number);
         let mut turn = 0;
         while !self.done.get() {
             let base = self.read(&operator).await;
-            // Now and then both operators choose the same epoch.
+            // Sometimes both operators choose the same epoch.
             turn += 1;
             let version = self.version(base + 1 + turn % 2);
             self.replace_config(&operator, base, version).await;
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Runs two operators while the faults come and go, and a moment longer.
+    /// Runs two operators while faults are injected and cleared, and for a short time after.
     async fn with_operators_at_work(&self, faults: impl Future<Output = ()>) {
         let operators = future::zip(
             self.replace_config_repeatedly(1),
@@ -223,7 +223,7 @@
         future::zip(operators, faults).await;
     }
 
-    /// How many requests were acknowledged in this time.
+    /// Returns the number of requests that were acknowledged in this time.
     fn acknowledged(&self, from: f64, to: f64) -> usize {
         let history = self.history.borrow();
         let attempts = history
@@ -236,8 +236,8 @@
             .count()
     }
 
-    /// Checks that all machines answer the same version in the end, and that one order of versions
-    /// explains all answers.
+    /// Checks that all machines return the same version in the end, and that a single order of
+    /// versions explains all responses.
     async fn check_history(&self) {
         let reader = Operator::new(&self.operator_relay_addresses(), 0);
         let mut newest = Vec::new();
@@ -361,8 +361,8 @@
     });
 }
 
-/// The leader is partitioned from the others in both directions, again and again, while operators
-/// reach it: it acknowledges and returns nothing that the next leader doesn't know of.
+/// The leader is repeatedly partitioned from the others in both directions, while operators still
+/// reach it: it must not acknowledge or return a version that the next leader doesn't know.
 #[test]
 fn a_leader_that_is_cut_off_serves_nothing_old() {
     run_test(5, async |system| {
@@ -384,7 +384,7 @@
     });
 }
 
-/// The length in bytes of a request to this address.
+/// Returns the length of a request to this address, in bytes.
 fn encoded_length(at: SocketAddr, request: &ConfigRequest) -> usize {
     let base = request.base_epoch.to_string();
     let headers = [(BASE_VERSION_HEADER, base.as_str())];
@@ -427,7 +427,7 @@
                 assert_eq!(first.outcome, Outcome::Unknown, "stage {stage}");
                 assert_eq!(relay.reset_count(), resets + 1, "stage {stage}");
                 request.attempts.push(first);
-                // The same request at the other machines: it is applied now, or was before.
+                // The same request sent to the other machines: it is applied now, or was before.
                 let again = operator
                     .replace_config(base, request.version.clone(), clock::now() + STEP_TIMEOUT_S)
                     .await;
@@ -435,7 +435,7 @@
                 let ended = request.attempts.last().map(|t| t.outcome);
                 system.history.borrow_mut().requests.push(request);
                 assert_eq!(ended, Some(Outcome::Acknowledged), "stage {stage}");
-                // Another request on that base comes too late.
+                // Another request with the same base is rejected.
                 let late_request = system
                     .replace_config(&operator, base, system.version(base + 3))
                     .await;
@@ -452,7 +452,7 @@
         system
             .with_operators_at_work(async {
                 pause(0.5).await;
-                // Longer than the second that an operator waits for an answer.
+                // Longer than an operator's request timeout of 1 s.
                 system.operator_relays[leader].set_fault(
                     Direction::Responses,
                     Some(Fault::Delay(Duration::from_millis(2500))),
@@ -479,8 +479,8 @@
     });
 }
 
-/// The leader has received a request and can't answer it, as it reaches no other machine; it is
-/// stopped there, and continued once another machine has led for a while.
+/// The leader receives a request that it can't answer, because it reaches no other machine. It is
+/// stopped then, and continued once another machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_between_reading_and_answering() {
     run_test(4, async |system| {
@@ -504,8 +504,8 @@
             };
             let (first, ()) = future::zip(sent, stopped).await;
             request.attempts.push(first);
-            // Another request on the same base, while the first may be in flight, and one on top of
-            // whichever was applied.
+            // Another request with the same base, while the first may be in flight, and then one
+            // based on the version that was applied.
             system
                 .replace_config(&operator, base, system.version(base + 3))
                 .await;
@@ -514,7 +514,8 @@
                 .replace_config(&operator, newest, system.version(newest + 5))
                 .await;
             system.child_processes.borrow().signal(&name, Signal::CONT);
-            // What it received before it was stopped is judged, if at all, by what is in force now.
+            // If it still handles the request that it received before it was stopped, it must check
+            // the base against the version in force now.
             let again = operator
                 .replace_config(base, request.version.clone(), clock::now() + STEP_TIMEOUT_S)
                 .await;
--- a/crates/testing/testbed/tests/system.rs
+++ b/crates/testing/testbed/tests/system.rs
@@ -1,6 +1,6 @@
-//! The complete system as processes on loopback: three control machines and two routers, between
-//! the database servers, platform, operator and clients of this process. Tests wait for conditions,
-//! each with a time-out; only a fault that must last for some time waits for that time.
+//! Tests of the complete system on loopback: three control machines and two routers run as
+//! processes; database servers, platform, operator and clients run in this process. Tests wait for
+//! conditions, each with a timeout; they sleep only where a fault must last for some time.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -24,17 +24,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A test that takes longer fails.
+/// Timeout of a test.
 const TEST_TIMEOUT_S: f64 = 30.0;
 
-/// A test of several faults that takes longer fails: each fault may take seconds on a busy machine.
+/// Timeout of a test with several faults: each fault may take seconds on a busy machine.
 const LONG_TEST_TIMEOUT_S: f64 = 58.0;
 
-/// What is waited for after a fault comes within so long, also where a sync of the disk takes
-/// seconds.
+/// Timeout for a condition after a fault; it allows for a disk on which a sync takes seconds.
 const STEP_TIMEOUT_S: f64 = 25.0;
 
-/// How many writers there are, each of a key of its own, with a reader of that key.
+/// Number of writers; each has its own key, and a reader of that key.
 const WRITERS: usize = 6;
 
 /// A system under test.
@@ -42,26 +41,26 @@
     executor: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
     cluster_host: Rc<ClusterHost>,
-    /// The relay before the platform.
+    /// The relay in front of the platform.
     platform: Rc<Relay>,
-    /// The relay before each database server, by the server's id.
+    /// The relay in front of each database server, with the server's id.
     databases: Vec<(String, Rc<Relay>)>,
     child_processes: RefCell<ChildProcesses>,
     folder: PathBuf,
 }
 
-/// What clients have observed.
+/// Observations of the clients.
 #[derive(Default)]
 struct ClientObservations {
-    /// By writer, the last value that was acknowledged, and the last that was sent.
+    /// For each writer, the last value that was acknowledged, and the last that was sent.
     acknowledged: [Cell<u64>; WRITERS],
     sent: [Cell<u64>; WRITERS],
     writes: Cell<u64>,
     reads: Cell<u64>,
-    /// How many writes definitely have no effect, and how many may have one.
+    /// Number of writes that definitely have no effect, and of those that may have one.
     rejected: Cell<u64>,
     unknown: Cell<u64>,
-    /// When the last write was acknowledged, and the longest time between two.
+    /// Time of the last acknowledged write, and the longest time between two of them.
     last_write_at_s: Cell<f64>,
     longest_gap_s: Cell<f64>,
     stale_reads: RefCell<Vec<String>>,
@@ -72,7 +71,7 @@
 }
 
 impl TestSystem {
-    /// Starts a system at addresses of its own, so that tests may run at a time, and beside a quick
+    /// Starts a system at its own addresses, so that tests can run concurrently, and beside a quick
     /// start.
     fn start(executor: &Rc<LocalExecutor<'static>>, number: u32) -> Self {
         let mark = std::process::id() * 2 + number;
@@ -159,7 +158,7 @@
         .unwrap();
 }
 
-/// Writes 1, 2, 3 and so on to its key, each value once.
+/// Writes 1, 2, 3 and so on to the writer's key, each value once.
 async fn write(n: usize, front: SocketAddr, observations: Rc<ClientObservations>) {
     let mut client = None;
     while !observations.done.get() {
@@ -242,14 +241,14 @@
         *client = Client::connect(at, database, "u1", 6.0).await.ok();
     }
     if client.is_none() {
-        // Nobody listens for a moment.
+        // The address refuses connections for a moment.
         future::yield_now().await;
     }
     client.as_mut()
 }
 
 impl ClientObservations {
-    /// Waits until a condition holds; the test fails after so many seconds.
+    /// Waits until a condition holds; the test fails after the timeout.
     async fn until(&self, seconds: f64, what: &str, holds: impl Fn(&Self) -> bool) {
         let timed_out = async {
             Timer::after(Duration::from_secs_f64(seconds)).await;
@@ -278,7 +277,7 @@
         )
     }
 
-    /// Ends all clients, and compares what was acknowledged with the data of the primary.
+    /// Stops all clients, and compares the acknowledged values with the data of the primary.
     fn check(&self, system: &TestSystem) {
         self.done.set(true);
         let cluster = system.cluster_host.cluster.borrow();
@@ -345,7 +344,7 @@
             .to_owned();
         system.cluster_host.crash_server(&before);
         let count = observations.writes.get();
-        // A few may have been answered just before.
+        // A few writes may have been acknowledged just before.
         let more = count + WRITERS as u64 + 1;
         observations
             .until(6.0, "a write after the kill", |s| s.writes.get() > more)
@@ -354,7 +353,7 @@
             system.cluster_host.cluster.borrow().primary("db1"),
             Some(before.as_str())
         );
-        // It comes back as a replica.
+        // It restarts as a replica.
         system.cluster_host.restart_server(&before).unwrap();
         let more = observations.writes.get() + 300;
         observations
@@ -418,13 +417,13 @@
             .to_owned()
     }
 
-    /// The relay before a database server.
+    /// Returns the relay in front of a database server.
     fn relay(&self, id: &str) -> &Relay {
         let found = self.databases.iter().find(|(of, _)| of == id);
         &found.expect("each database has a relay").1
     }
 
-    /// The primary term.
+    /// Returns the primary term.
     fn term(&self) -> u64 {
         let status = self
             .cluster_host
@@ -439,7 +438,7 @@
             .expect("a term")
     }
 
-    /// The name of the control machine that leads.
+    /// Returns the name of the control machine that leads.
     async fn leader(&self) -> String {
         loop {
             for (n, at) in self.deployment.control_addresses().into_iter().enumerate() {
@@ -456,7 +455,7 @@
         }
     }
 
-    /// Waits until the platform's relay meets a condition; the test fails after so many seconds.
+    /// Waits until the platform's relay meets a condition; the test fails after the timeout.
     async fn platform_until(&self, seconds: f64, what: &str, holds: impl Fn(&Relay) -> bool) {
         let timed_out = async {
             Timer::after(Duration::from_secs_f64(seconds)).await;
@@ -475,8 +474,8 @@
     }
 }
 
-/// The call that promotes another server is reset before its first byte, in its middle and once its
-/// response is written, or its response is lost: one server is promoted each time, and no
+/// The platform call that promotes another server is reset before its first byte, in its middle or
+/// after its response, or its response is lost: each time exactly one server is promoted, and no
 /// acknowledged write is lost.
 #[test]
 fn a_promotion_whose_call_breaks_off_at_any_stage_happens_once() {
@@ -524,7 +523,7 @@
     });
 }
 
-/// The leader is stopped between its call to the platform and the response, and continued when
+/// The leader is stopped between its call to the platform and the response, and continued once
 /// another machine has led for a while.
 #[test]
 fn a_leader_that_is_stopped_in_the_middle_of_a_promotion() {
@@ -564,8 +563,8 @@
     });
 }
 
-/// Connections to the primary, of routers and of control, are reset at each stage of a statement,
-/// or its responses are lost: no write takes effect twice, and none that was acknowledged is lost.
+/// Connections of routers and control to the primary are reset at each stage of a statement, or
+/// responses are lost: no write takes effect twice, and no acknowledged write is lost.
 #[test]
 fn statements_whose_connection_is_reset_at_any_stage_run_at_most_once() {
     run_test_within(LONG_TEST_TIMEOUT_S, 4, async |system, observations| {
@@ -601,8 +600,8 @@
     });
 }
 
-/// Queries to replicas break off at each stage, or are answered late, while the primary is
-/// replaced.
+/// Connections to replicas are reset at each stage of a query, or their responses are delayed, while
+/// the primary is replaced.
 #[test]
 fn failover_with_broken_replica_queries_loses_no_write() {
     run_test_within(LONG_TEST_TIMEOUT_S, 5, async |system, observations| {
@@ -641,8 +640,8 @@
 }
 
 /// Each router in turn gets SIGTERM while it serves clients, and a primary is drained at the same
-/// time: the router answers every statement that it received, isn't ready from the first moment on,
-/// and ends by itself within the grace period.
+/// time: the router answers every statement that it received, reports at once that it isn't ready,
+/// and exits by itself within the grace period.
 #[test]
 fn a_router_that_is_asked_to_end_cuts_no_statement() {
     run_test_within(LONG_TEST_TIMEOUT_S, 6, async |system, observations| {
@@ -694,7 +693,7 @@
     });
 }
 
-/// Each machine serves metrics of what it does, in the `OpenMetrics` format, and nothing else at
+/// Each machine serves the metrics of its role in the `OpenMetrics` format, and nothing else at
 /// that address.
 #[test]
 fn each_machine_serves_its_metrics() {
@@ -738,7 +737,7 @@
     });
 }
 
-/// The value of the metric with this name and these labels.
+/// Returns the value of the metric with this name and these labels.
 fn metric(text: &str, name: &str) -> f64 {
     let line = text
         .lines()
