--- a/crates/runtime/pooler/src/data_plane/client.rs
+++ b/crates/runtime/pooler/src/data_plane/client.rs
@@ -120,9 +120,7 @@
                     response
                 }
                 Ok(Request::Bye) => return,
-                Ok(Request::Connect { .. }) => {
-                    self.malformed("CONNECT in a session that is already connected")
-                }
+                Ok(Request::Connect { .. }) => self.malformed("connected already"),
                 Err(error) => self.malformed(&error.to_string()),
             };
             drop(line);
--- a/crates/runtime/pooler/src/data_plane/client/commit.rs
+++ b/crates/runtime/pooler/src/data_plane/client/commit.rs
@@ -45,7 +45,7 @@
         let ready = self.ready_to_commit(&mut checkout, &terms.service, has_written);
         if handle.until_rejection(give_up_at, ready).await != Some(true) {
             checkout.roll_back();
-            return aborted("COMMIT was not sent: the connection or the lease was not available");
+            return aborted("the primary changes");
         }
         let line = format!("QUERY {id} {text}\r\n");
         let mut answer = ResponseReader::default();
@@ -121,7 +121,7 @@
                     if !self.is_still_granted(server, commit.granted_term) {
                         return error(
                             ErrorCode::InDoubt,
-                            "the lease on the primary ended before the answer",
+                            "the primary changes",
                             TransactionState::Idle,
                         );
                     }
@@ -129,17 +129,15 @@
                 }
                 self.forward(raw, &outcome)
             }
-            Err(ExchangeError::Unsent) => aborted("COMMIT was not sent: the connection broke"),
+            Err(ExchangeError::Unsent) => aborted("the server was lost"),
             // The transaction has written nothing, so nothing is in doubt.
-            Err(_) if !commit.has_written => {
-                aborted("no complete answer to COMMIT; nothing was written")
-            }
+            Err(_) if !commit.has_written => aborted("the server was lost"),
             Err(_) => {
                 let (server_id, database) = (&server.id, &self.database);
                 log::info!("event=in_doubt server={server_id} database={database}");
                 error(
                     ErrorCode::InDoubt,
-                    "no complete answer to COMMIT; it may have committed",
+                    "no clear answer to COMMIT",
                     TransactionState::Idle,
                 )
             }
--- a/crates/runtime/pooler/src/data_plane/client/dispatch.rs
+++ b/crates/runtime/pooler/src/data_plane/client/dispatch.rs
@@ -9,7 +9,7 @@
 use badgerstream_pooling::session::{SessionError, Transaction};
 
 /// Error text for a transaction that shutdown rejects.
-pub(super) const DRAINING_REASON: &str = "the router is shutting down";
+pub(super) const DRAINING_REASON: &str = "the router ends";
 
 /// The kind of request that is rejected while the router drains.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -52,13 +52,13 @@
                 Err(_) => self.unknown_shape(name),
             },
             ParsedStatement::Begin { .. } if transaction != Transaction::None => {
-                self.malformed("BEGIN inside a transaction")
+                self.malformed("inside a transaction")
             }
             ParsedStatement::Begin { read_only } => self.begin(read_only, arrived_at),
             ParsedStatement::Abort | ParsedStatement::Commit
                 if transaction == Transaction::None =>
             {
-                self.malformed("COMMIT or ABORT outside a transaction")
+                self.malformed("outside a transaction")
             }
             ParsedStatement::Abort => {
                 self.roll_back();
@@ -158,7 +158,7 @@
                 self.failure_reported = true;
                 error(
                     ErrorCode::Aborted,
-                    "the transaction was rolled back: it was idle for too long",
+                    "the transaction was ended",
                     TransactionState::Failed,
                 )
             }
--- a/crates/runtime/pooler/src/data_plane/client/single_statement.rs
+++ b/crates/runtime/pooler/src/data_plane/client/single_statement.rs
@@ -289,7 +289,7 @@
                 {
                     return Attempt::Done(error(
                         ErrorCode::InDoubt,
-                        "the lease on the primary ended before the answer",
+                        "the primary changes",
                         TransactionState::Idle,
                     ));
                 }
@@ -350,7 +350,7 @@
                 log::info!("event=in_doubt server={server_id} database={database}");
                 return Attempt::Done(error(
                     ErrorCode::InDoubt,
-                    "no complete answer from the server; the write may have run",
+                    "no clear answer",
                     TransactionState::Idle,
                 ));
             }
@@ -362,10 +362,7 @@
                 if clock::now() >= attempts.deadline {
                     return Attempt::Done(error(
                         ErrorCode::Timeout,
-                        format!(
-                            "no complete answer within {} s",
-                            attempts.request.terms.deadline_s
-                        ),
+                        "no answer",
                         TransactionState::Idle,
                     ));
                 }
--- a/crates/runtime/pooler/src/data_plane/client/transaction.rs
+++ b/crates/runtime/pooler/src/data_plane/client/transaction.rs
@@ -45,7 +45,7 @@
             self.fail_transaction();
             return Err(error(
                 ErrorCode::Aborted,
-                format!("database {} is no longer configured", self.database),
+                "the database is gone",
                 TransactionState::Failed,
             ));
         };
@@ -187,7 +187,7 @@
             self.fail_transaction();
             return error(
                 ErrorCode::Aborted,
-                "the transaction can't continue at its server",
+                "the transaction was lost",
                 TransactionState::Failed,
             );
         };
@@ -231,7 +231,7 @@
                 self.fail_transaction();
                 error(
                     ErrorCode::Aborted,
-                    "no complete answer from the server; the transaction is rolled back",
+                    "the server was lost",
                     TransactionState::Failed,
                 )
             }
--- a/crates/runtime/pooler/src/tests/data_plane/leases.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/leases.rs
@@ -41,10 +41,7 @@
                 );
             });
             let response = a.query(&format!("a{attempt}3"), "COMMIT").await;
-            assert_eq!(
-                response,
-                "ERROR ABORTED COMMIT was not sent: the connection or the lease was not available|IDLE I -"
-            );
+            assert_eq!(response, "ERROR ABORTED the primary changes|IDLE I -");
             harness
                 .primary
                 .wait_until(|p| p.rolled_back.get() == attempt + 1)
@@ -91,7 +88,7 @@
                 harness.primary.release_answers.notify_waiters();
                 assert_eq!(
                     a.answer().await,
-                    "ERROR INDOUBT the lease on the primary ended before the answer|IDLE I -"
+                    "ERROR INDOUBT the primary changes|IDLE I -"
                 );
             });
         }
--- a/crates/runtime/pooler/src/tests/data_plane/lost_answers.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/lost_answers.rs
@@ -100,7 +100,7 @@
         assert!(b.query("b1", "FETCH x").await.starts_with("ROW"));
         assert_eq!(
             a.answer().await,
-            "ERROR ABORTED no complete answer from the server; the transaction is rolled back|IDLE E -"
+            "ERROR ABORTED the server was lost|IDLE E -"
         );
         assert!(clock::now() - began < 30.0);
         assert_eq!(a.query("a3", "ABORT").await, "COMPLETE -|IDLE I -");
--- a/crates/runtime/pooler/src/tests/data_plane/retries.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/retries.rs
@@ -9,7 +9,7 @@
         harness.primary.inject("PUT", Fault::CloseConnection);
         assert_eq!(
             a.query("a1", "PUT x 1").await,
-            "ERROR INDOUBT no complete answer from the server; the write may have run|IDLE I -"
+            "ERROR INDOUBT no clear answer|IDLE I -"
         );
         assert_eq!(harness.primary.writes.get(), 1);
 
@@ -18,7 +18,7 @@
         harness.primary.inject("COMMIT", Fault::CloseConnection);
         assert_eq!(
             a.query("a4", "COMMIT").await,
-            "ERROR INDOUBT no complete answer to COMMIT; it may have committed|IDLE I -"
+            "ERROR INDOUBT no clear answer to COMMIT|IDLE I -"
         );
         assert_eq!(harness.primary.writes.get(), 2);
 
@@ -27,7 +27,7 @@
         harness.primary.inject("PUT", Fault::NoAnswer);
         assert_eq!(
             b.query("b1", "PUT x 1").await,
-            "ERROR INDOUBT no complete answer from the server; the write may have run|IDLE I -"
+            "ERROR INDOUBT no clear answer|IDLE I -"
         );
         assert_eq!(harness.primary.writes.get(), 3);
         assert_eq!(
--- a/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/shutdown.rs
@@ -19,7 +19,7 @@
         assert_eq!(idle.line().await, None);
         assert_eq!(
             a.line().await.as_deref(),
-            Some("ERROR ABORTED the router is shutting down")
+            Some("ERROR ABORTED the router ends")
         );
         assert_eq!(a.line().await, None);
         harness
@@ -70,12 +70,12 @@
         assert_eq!(begun.answer().await, "ERROR RETRY 200|IDLE E -");
         assert_eq!(
             writer.answer().await,
-            "ERROR INDOUBT no complete answer from the server; the write may have run|IDLE I -"
+            "ERROR INDOUBT no clear answer|IDLE I -"
         );
         assert_eq!(reader.answer().await, "ERROR RETRY 200|IDLE I -");
         assert_eq!(
             inside.answer().await,
-            "ERROR ABORTED no complete answer from the server; the transaction is rolled back|IDLE E -"
+            "ERROR ABORTED the server was lost|IDLE E -"
         );
         assert_eq!(held.line().await, None);
         assert_eq!(
@@ -144,12 +144,12 @@
             .for_each(|s| s.drain_stage.set(DrainStage::RejectUnplaced));
         assert_eq!(
             a.query("a3", "COMMIT").await,
-            "ERROR ABORTED the router is shutting down|IDLE I -"
+            "ERROR ABORTED the router ends|IDLE I -"
         );
         assert_eq!(a.line().await, None);
         assert_eq!(
             c.query("c2", "FETCH x").await,
-            "ERROR ABORTED the router is shutting down|IDLE E -"
+            "ERROR ABORTED the router ends|IDLE E -"
         );
         assert_eq!(b.query("b1", "PUT x 2").await, "ERROR RETRY 200|IDLE I -");
         harness
@@ -175,7 +175,7 @@
         harness.shared_view.changed.notify_waiters();
         assert_eq!(
             a.answer().await,
-            "ERROR ABORTED COMMIT was not sent: the connection or the lease was not available|IDLE I -"
+            "ERROR ABORTED the primary changes|IDLE I -"
         );
         assert_eq!(harness.primary.writes.get(), 0);
     });
--- a/crates/runtime/pooler/src/tests/data_plane/transactions.rs
+++ b/crates/runtime/pooler/src/tests/data_plane/transactions.rs
@@ -35,7 +35,7 @@
         assert_eq!(harness.primary.connections.get(), 1);
         assert_eq!(
             a.query("a11", "COMMIT").await,
-            "ERROR MALFORMED COMMIT or ABORT outside a transaction|IDLE I -"
+            "ERROR MALFORMED outside a transaction|IDLE I -"
         );
     });
 }
@@ -72,7 +72,7 @@
         harness.primary.inject("PUT", Fault::CloseConnection);
         assert_eq!(
             a.query("a2", "PUT x 1").await,
-            "ERROR ABORTED no complete answer from the server; the transaction is rolled back|IDLE E -"
+            "ERROR ABORTED the server was lost|IDLE E -"
         );
         assert_eq!(
             a.query("a3", "PUT x 1").await,
@@ -99,7 +99,7 @@
             .await;
         assert_eq!(
             a.query("a3", "PUT x 1").await,
-            "ERROR ABORTED the transaction was rolled back: it was idle for too long|IDLE E -"
+            "ERROR ABORTED the transaction was ended|IDLE E -"
         );
         assert_eq!(a.query("a4", "ABORT").await, "COMPLETE -|IDLE I -");
         assert_eq!(harness.primary.writes.get(), 0);
